--- a/controller/dump_test.go
+++ b/controller/dump_test.go
@@ -147,7 +147,7 @@
 			t.Fatal(err)
 		}
 		var d dump
-		if err := wire.Decode(data, &d); err != nil {
+		if err := decodeProduction(data, &d); err != nil {
 			t.Fatalf("%s: %v", path, err)
 		}
 		if d.Commit != commit {
--- a/controller/dump_write_test.go
+++ b/controller/dump_write_test.go
@@ -43,7 +43,7 @@
 		for _, m := range bodies {
 			d.Said = append(d.Said, w.production.readsMessage(m))
 		}
-		if err := os.WriteFile("production/"+name+".cbor", record.Compress(wire.Encode(d)), 0o644); err != nil {
+		if err := os.WriteFile("production/"+name+".cbor", record.Compress(wire.Encode(toProduction(d))), 0o644); err != nil {
 			t.Fatal(err)
 		}
 		kinds := map[string]int{}
--- /dev/null
+++ b/controller/production_names_test.go
@@ -0,0 +1,172 @@
+package controller
+
+import (
+	"reflect"
+	"testing"
+
+	"tamarindlead/internal/record"
+	"tamarindlead/internal/wire"
+	"tamarindlead/micros"
+)
+
+// Dumps of the version in production, and the messages that its test program exchanges, name
+// struct fields as that version does. This file translates between its names and the present
+// ones, so that a field can be renamed without another dump.
+
+// productionFields lists, by type, the fields that have another name in the version in
+// production: present name, then the name there.
+var productionFields = map[reflect.Type]map[string]string{
+	reflect.TypeFor[record.Leader](): {"Incarnation": "Life"},
+	reflect.TypeFor[record.Member](): {"Incarnation": "Life"},
+	reflect.TypeFor[record.Team]():   {"Incarnation": "Life", "Predecessors": "Heir"},
+}
+
+// productionType returns the type that t is in production: t itself if no field of it, or of
+// what it holds, has been renamed.
+func productionType(t reflect.Type) reflect.Type {
+	switch t.Kind() {
+	case reflect.Pointer:
+		if elem := productionType(t.Elem()); elem != t.Elem() {
+			return reflect.PointerTo(elem)
+		}
+	case reflect.Slice:
+		if elem := productionType(t.Elem()); elem != t.Elem() {
+			return reflect.SliceOf(elem)
+		}
+	case reflect.Map:
+		if elem := productionType(t.Elem()); elem != t.Elem() {
+			return reflect.MapOf(t.Key(), elem)
+		}
+	case reflect.Struct:
+		return productionStruct(t)
+	}
+	return t
+}
+
+// productionStruct returns the struct type that t is in production, without unexported fields.
+func productionStruct(t reflect.Type) reflect.Type {
+	renamed := productionFields[t]
+	changed := len(renamed) > 0
+	var fields []reflect.StructField
+	for _, f := range reflect.VisibleFields(t) {
+		if !f.IsExported() || len(f.Index) > 1 {
+			continue
+		}
+		fieldType := productionType(f.Type)
+		changed = changed || fieldType != f.Type
+		name := f.Name
+		if old, ok := renamed[name]; ok {
+			name = old
+		}
+		fields = append(fields, reflect.StructField{Name: name, Type: fieldType, Tag: f.Tag, Anonymous: f.Anonymous})
+	}
+	if !changed {
+		return t
+	}
+	return reflect.StructOf(fields)
+}
+
+// toProduction returns a copy of a value with production's field names.
+func toProduction(v any) any {
+	from := reflect.ValueOf(v)
+	to := reflect.New(productionType(from.Type())).Elem()
+	copyRenamed(to, from, true)
+	return to.Interface()
+}
+
+// decodeProduction decodes CBOR with production's field names into v.
+func decodeProduction[T any](data []byte, v *T) error {
+	from := reflect.New(productionType(reflect.TypeFor[T]()))
+	if err := wire.Decode(data, from.Interface()); err != nil {
+		return err
+	}
+	copyRenamed(reflect.ValueOf(v).Elem(), from.Elem(), false)
+	return nil
+}
+
+// copyRenamed copies a value to the corresponding type of the other version; renaming tells
+// whether that is the one in production.
+func copyRenamed(to, from reflect.Value, renaming bool) {
+	if to.Type() == from.Type() {
+		to.Set(from)
+		return
+	}
+	switch from.Kind() {
+	case reflect.Pointer:
+		if !from.IsNil() {
+			to.Set(reflect.New(to.Type().Elem()))
+			copyRenamed(to.Elem(), from.Elem(), renaming)
+		}
+	case reflect.Slice:
+		if !from.IsNil() {
+			to.Set(reflect.MakeSlice(to.Type(), from.Len(), from.Len()))
+			for i := range from.Len() {
+				copyRenamed(to.Index(i), from.Index(i), renaming)
+			}
+		}
+	case reflect.Map:
+		if !from.IsNil() {
+			to.Set(reflect.MakeMapWithSize(to.Type(), from.Len()))
+			for _, key := range from.MapKeys() {
+				elem := reflect.New(to.Type().Elem()).Elem()
+				copyRenamed(elem, from.MapIndex(key), renaming)
+				to.SetMapIndex(key, elem)
+			}
+		}
+	case reflect.Struct:
+		copyRenamedFields(to, from, renaming)
+	}
+}
+
+func copyRenamedFields(to, from reflect.Value, renaming bool) {
+	present := to.Type()
+	if renaming {
+		present = from.Type()
+	}
+	for i := range present.NumField() {
+		field := present.Field(i)
+		if !field.IsExported() {
+			continue
+		}
+		old, ok := productionFields[present][field.Name]
+		if !ok {
+			old = field.Name
+		}
+		if renaming {
+			copyRenamed(to.FieldByName(old), from.Field(i), renaming)
+		} else {
+			copyRenamed(to.Field(i), from.FieldByName(old), renaming)
+		}
+	}
+}
+
+// TestProductionFields checks that each renamed field exists, that its old name is no present
+// field of its type, and that values survive the translation in both directions.
+func TestProductionFields(t *testing.T) {
+	for typ, renamed := range productionFields {
+		for name, old := range renamed {
+			if _, ok := typ.FieldByName(name); !ok {
+				t.Errorf("%s has no field %s", typ, name)
+			}
+			if _, ok := typ.FieldByName(old); ok && renamed[old] == "" {
+				t.Errorf("%s has still a field %s", typ, old)
+			}
+		}
+	}
+	before := record.Team{Owner: "n1", Predecessors: []record.OwnerID{"n0/1", "n2/7"}}
+	old := reflect.ValueOf(toProduction(before))
+	if got := old.FieldByName("Heir").Len(); got != 2 {
+		t.Fatalf("%d predecessors in production's form", got)
+	}
+	var after record.Team
+	if err := decodeProduction(wire.Encode(toProduction(before)), &after); err != nil {
+		t.Fatal(err)
+	}
+	if !reflect.DeepEqual(before, after) {
+		t.Errorf("%+v became %+v", before, after)
+	}
+	var times struct{ At micros.Micros }
+	if productionType(reflect.TypeOf(times)) != reflect.TypeOf(times) {
+		t.Error("a type without renamed fields is changed")
+	}
+}
--- a/controller/production_test.go
+++ b/controller/production_test.go
@@ -222,7 +222,7 @@
 
 func (p *production) ask(a productionAsk) (answer productionAnswer) {
 	if p.err == nil {
-		p.err = p.out.Encode(a)
+		p.err = p.out.Encode(toProduction(a))
 	}
 	if p.err == nil {
 		p.err = p.in.Decode(&answer)
--- a/controller/readings_test.go
+++ b/controller/readings_test.go
@@ -75,16 +75,13 @@
 	return v
 }
 
-// productionNames are fields that were renamed in the program since the version in production.
-var productionNames = strings.NewReplacer(`"Incarnation":`, `"Life":`, `"Predecessors":`, `"Heir":`)
-
 func readRecord(key string, value []byte) (string, error) {
 	into := func(v any) (string, error) {
 		if err := wire.Decode(value, v); err != nil {
 			return "", err
 		}
-		text, err := json.Marshal(v)
-		return productionNames.Replace(string(text)), err
+		text, err := json.Marshal(toProduction(v))
+		return string(text), err
 	}
 	switch {
 	case key == record.LeaderKey:
@@ -120,7 +117,7 @@
 	if err != nil {
 		return "", err
 	}
-	text, err := json.Marshal(map[string]any{"job": j, "accepted": rec.Accepted})
+	text, err := json.Marshal(map[string]any{"job": toProduction(j), "accepted": rec.Accepted})
 	return string(text), err
 }
 
@@ -142,10 +139,10 @@
 		}
 		names := []string{}
 		for _, t := range tasks {
-			names = append(names, fmt.Sprintf("%+v %s attempt %d", d.Jobs[t.Job], wire.TaskName(d.Jobs[t.Job].ID, t.Index), t.Number))
+			names = append(names, fmt.Sprintf("%+v %s attempt %d", toProduction(d.Jobs[t.Job]), wire.TaskName(d.Jobs[t.Job].ID, t.Index), t.Number))
 		}
 		machines = append(machines, map[string]any{
-			"name": m.Name, "token": m.Token, "endpoint": m.Endpoint, "kind": d.Kinds[m.Kind],
+			"name": m.Name, "token": m.Token, "endpoint": m.Endpoint, "kind": toProduction(d.Kinds[m.Kind]),
 			"rented": m.Rented + d.Since, "condemned": m.Condemned, "tasks": names,
 		})
 	}
