--- a/controller/acceptance.go
+++ b/controller/acceptance.go
@@ -3,9 +3,8 @@
 import (
 	"tamarindlead/internal/budget"
 	"tamarindlead/internal/freshness"
+	"tamarindlead/internal/kv"
 	"tamarindlead/internal/record"
-	"tamarindlead/internal/state"
-	"tamarindlead/internal/store"
 	"tamarindlead/internal/wire"
 )
 
@@ -65,8 +64,8 @@
 
 // commit records a batch of submissions. What would make the commit too large waits again.
 func (s *submissions) commit(batch []*submission) {
-	var guards []state.Guard
-	var writes []state.Write
+	var guards []kv.Precondition
+	var writes []kv.Write
 	size := 0
 	for i, sub := range batch {
 		puts, bytes := record.JobWrites(sub.job, s.c.wallClock, s.c.cfg.ValueBytes)
@@ -76,12 +75,12 @@
 			break
 		}
 		id := sub.job.ID
-		guards = append(guards, state.Guard{Key: record.ActiveKey(id)}, state.Guard{Key: record.FinalKey(id)})
+		guards = append(guards, kv.Precondition{Key: record.ActiveKey(id)}, kv.Precondition{Key: record.FinalKey(id)})
 		writes = append(writes, puts...)
 	}
 	s.committing = true
-	sent := freshness.Evidence{Basis: freshness.Commit, SentAt: s.c.now, ThroughPeer: s.c.store.ThroughPeer()}
-	s.c.store.Do(budget.Users, state.Commit(guards, writes), func(reply store.Reply) {
+	sent := freshness.Evidence{Basis: freshness.Commit, SentAt: s.c.now, ThroughPeer: s.c.store.UsesPeerRoute()}
+	s.c.store.Do(budget.Users, kv.Transaction(guards, writes), func(reply kv.Result) {
 		s.committing = false
 		s.committed(batch, reply, sent)
 	})
@@ -93,19 +92,19 @@
 }
 
 // committed takes the answer to the commit of a batch.
-func (s *submissions) committed(batch []*submission, reply store.Reply, commit freshness.Evidence) {
+func (s *submissions) committed(batch []*submission, reply kv.Result, commit freshness.Evidence) {
 	switch reply.Outcome {
-	case store.OK:
+	case kv.OK:
 		for _, sub := range batch {
 			s.c.log.Debug("job accepted", "job", sub.job.ID)
 			s.accepted(sub, commit)
 		}
-	case store.Conflict:
+	case kv.PreconditionFailed:
 		s.conflict(batch, reply)
-	case store.Limited:
+	case kv.Throttled:
 		s.waitAgain(batch)
-		s.commitAt = s.c.now + store.LimitedPause
-	case store.Unknown:
+		s.commitAt = s.c.now + kv.ThrottledPause
+	case kv.Unknown:
 		// It may have been executed: the same commit again tells by its guards.
 		s.waitAgain(batch)
 	default:
@@ -117,11 +116,11 @@
 
 // conflict goes on when some job of a batch is known already: those are looked up, the rest is
 // tried again.
-func (s *submissions) conflict(batch []*submission, reply store.Reply) {
-	var committed state.Committed
+func (s *submissions) conflict(batch []*submission, reply kv.Result) {
+	var committed kv.TransactionResult
 	reply.Decode(&committed)
 	failed := map[string]bool{}
-	for _, key := range committed.Failed {
+	for _, key := range committed.FailedPreconditions {
 		failed[key] = true
 	}
 	for _, sub := range batch {
--- a/controller/bench_test.go
+++ b/controller/bench_test.go
@@ -10,9 +10,8 @@
 
 	"tamarindlead/config"
 	"tamarindlead/internal/cluster"
+	"tamarindlead/internal/kv"
 	"tamarindlead/internal/record"
-	"tamarindlead/internal/state"
-	"tamarindlead/internal/store"
 	"tamarindlead/internal/wire"
 	"tamarindlead/micros"
 	"tamarindlead/sched"
@@ -71,28 +70,28 @@
 // answers nothing more.
 type ownerStore struct{ incarnation uint64 }
 
-func (s *ownerStore) Call(request state.Request, done func(micros.Micros, store.Reply)) {
+func (s *ownerStore) Call(request kv.Request, done func(micros.Micros, kv.Result)) {
 	reply := func(body any) {
-		done(micros.Hour, store.Reply{Outcome: store.OK, Body: wire.Encode(body)})
+		done(micros.Hour, kv.Result{Outcome: kv.OK, Body: wire.Encode(body)})
 	}
 	switch {
 	case strings.HasPrefix(request.Target, "/kv/"):
-		done(micros.Hour, store.Reply{Outcome: store.Missing})
+		done(micros.Hour, kv.Result{Outcome: kv.NotFound})
 	case request.Target == "/leases":
-		reply(state.Granted{Lease: 1})
+		reply(kv.LeaseGrant{Lease: 1})
 	case request.Target == "/commit":
-		reply(state.Committed{Revision: 1})
+		reply(kv.TransactionResult{Revision: 1})
 	case strings.HasPrefix(request.Target, "/kv?"):
 		team := record.Team{Owner: "n0", Incarnation: s.incarnation}
 		leader := record.Leader{Node: "n1"}
-		reply(state.Page{Revision: 1, Entries: []state.Entry{
+		reply(kv.Page{Revision: 1, Entries: []kv.Entry{
 			{Key: record.TeamKey("red"), Value: wire.Encode(team), Version: 1},
 			{Key: record.LeaderKey, Value: wire.Encode(leader), Version: 1},
 		}})
 	}
 }
 
-func (s *ownerStore) Watch(string, uint64, func(micros.Micros, store.Reply)) {}
+func (s *ownerStore) Watch(string, uint64, func(micros.Micros, kv.Result)) {}
 
 func benchReport(m *machine, seq uint64) []byte {
 	r := wire.Report{Machine: m.name, Endpoint: m.endpoint, Type: m.kind, Zone: m.zone, Spot: m.spot, Session: 1, Seq: seq, Token: 1}
@@ -160,12 +159,12 @@
 // BenchmarkTakeover builds machines and attempts from the records of an earlier owner.
 func BenchmarkTakeover(b *testing.B) {
 	o := benchOwner()
-	var entries []state.Entry
+	var entries []kv.Entry
 	for _, bl := range o.blocks {
 		t := &txn{guards: map[string]uint64{}}
 		o.writeBlock(t, bl, 16)
 		for _, w := range t.writes {
-			entries = append(entries, state.Entry{Key: w.Put, Value: wire.Encode(w.Value), Version: 5})
+			entries = append(entries, kv.Entry{Key: w.Put, Value: wire.Encode(w.Value), Version: 5})
 		}
 	}
 	for b.Loop() {
@@ -198,7 +197,7 @@
 			if !ok || call.Target != "/commit" {
 				continue
 			}
-			for _, e := range c.Handle(c.now, c.now, CallDone{ID: call.ID, Status: 200, Body: wire.Encode(state.Committed{Revision: 1}), Sent: true}) {
+			for _, e := range c.Handle(c.now, c.now, CallDone{ID: call.ID, Status: 200, Body: wire.Encode(kv.TransactionResult{Revision: 1}), Sent: true}) {
 				if r, ok := e.(Respond); ok && r.Status == 200 {
 					answered++
 				}
--- a/controller/block_write.go
+++ b/controller/block_write.go
@@ -5,8 +5,8 @@
 	"math"
 
 	"tamarindlead/internal/capacity"
+	"tamarindlead/internal/kv"
 	"tamarindlead/internal/record"
-	"tamarindlead/internal/state"
 )
 
 // maxGuardsPerOp bounds the guards of one block, in units of the operations that a commit may
@@ -230,7 +230,7 @@
 	w.sources, b.sources = b.sources, nil
 	key := record.BlockKey(b.name)
 	if len(w.stored) == 0 {
-		t.writes = append(t.writes, state.Write{Delete: key})
+		t.writes = append(t.writes, kv.Write{Delete: key})
 	} else {
 		t.write(key, value, value.Size())
 	}
--- a/controller/cancellations.go
+++ b/controller/cancellations.go
@@ -2,9 +2,8 @@
 
 import (
 	"tamarindlead/internal/budget"
+	"tamarindlead/internal/kv"
 	"tamarindlead/internal/record"
-	"tamarindlead/internal/state"
-	"tamarindlead/internal/store"
 	"tamarindlead/internal/wire"
 	"tamarindlead/micros"
 )
@@ -30,7 +29,7 @@
 		c.answerCancellation(request, job, status)
 		return
 	}
-	if c.store.Down() {
+	if c.store.Unavailable() {
 		c.refuse(request.id, wire.StatusUnavailable, reasonStoreSilent)
 		return
 	}
@@ -48,11 +47,11 @@
 
 // readRecord reads the job's record, and then cancels the job.
 func (r *cancellation) readRecord() {
-	r.c.store.Get(budget.Users, record.ActiveKey(r.job), func(outcome store.Outcome, entry state.Entry) {
+	r.c.store.Get(budget.Users, record.ActiveKey(r.job), func(outcome kv.Outcome, entry kv.Entry) {
 		switch outcome {
-		case store.OK:
+		case kv.OK:
 			r.commit(entry.Version)
-		case store.Missing:
+		case kv.NotFound:
 			r.c.lookup(r.job, r.notActive)
 		default:
 			r.refuse(reasonStoreSilent)
@@ -74,18 +73,18 @@
 
 // commit records that the job is cancelled, if its record still has a version.
 func (r *cancellation) commit(version uint64) {
-	guards := []state.Guard{{Key: record.ActiveKey(r.job), Version: version}}
-	writes := []state.Write{
+	guards := []kv.Precondition{{Key: record.ActiveKey(r.job), Version: version}}
+	writes := []kv.Write{
 		{Put: record.FinalKey(r.job), Value: record.Final{Status: record.StatusCancelled, At: r.c.wallClock}},
 		{Delete: record.ActiveKey(r.job)},
 	}
-	r.c.store.Do(budget.Users, state.Commit(guards, writes), func(reply store.Reply) { r.committed(reply.Outcome) })
+	r.c.store.Do(budget.Users, kv.Transaction(guards, writes), func(reply kv.Result) { r.committed(reply.Outcome) })
 }
 
-func (r *cancellation) committed(outcome store.Outcome) {
-	inDoubt := outcome == store.Conflict || outcome == store.Unknown // over meanwhile, or perhaps executed
+func (r *cancellation) committed(outcome kv.Outcome) {
+	inDoubt := outcome == kv.PreconditionFailed || outcome == kv.Unknown // over meanwhile, or perhaps executed
 	switch {
-	case outcome == store.OK:
+	case outcome == kv.OK:
 		r.c.announceCancellation(r.job, r.c.now+acceptWithin, r.announced)
 	case inDoubt && r.c.now < r.deadline:
 		r.readRecord()
--- a/controller/claims.go
+++ b/controller/claims.go
@@ -4,8 +4,8 @@
 	"slices"
 	"strings"
 
+	"tamarindlead/internal/kv"
 	"tamarindlead/internal/record"
-	"tamarindlead/internal/state"
 	"tamarindlead/internal/wire"
 )
 
@@ -44,7 +44,7 @@
 // Later records of others fail, since they are guarded on the one just written.
 func (o *owner) verify(m *machine, revision uint64) {
 	m.verifying = true
-	o.c.store.ListAll(record.BlockPrefix, func(ok bool, entries []state.Entry, _ uint64) {
+	o.c.store.ListAll(record.BlockPrefix, func(ok bool, entries []kv.Entry, _ uint64) {
 		if o.superseded() || o.machines[m.name] != m {
 			return
 		}
@@ -64,7 +64,7 @@
 
 // otherBlockWith finds a block that has an entry of the machine, besides the machine's own.
 // Records that cannot be read are passed over.
-func (o *owner) otherBlockWith(m *machine, entries []state.Entry) (name string, found bool) {
+func (o *owner) otherBlockWith(m *machine, entries []kv.Entry) (name string, found bool) {
 	isMachine := func(entry record.BlockMachine) bool { return entry.Name == m.name }
 	for _, e := range entries {
 		var rec record.Block
--- a/controller/cloud.go
+++ b/controller/cloud.go
@@ -1,7 +1,7 @@
 package controller
 
 import (
-	"tamarindlead/internal/store"
+	"tamarindlead/internal/kv"
 	"tamarindlead/internal/wire"
 	"tamarindlead/micros"
 )
@@ -17,6 +17,6 @@
 	}
 	c.call(Call{
 		Addr: c.cfg.CloudAddr, Method: method, Target: target, Body: data,
-		Timeout: cloudTimeout, MaxBody: store.MaxBody,
+		Timeout: cloudTimeout, MaxBody: kv.MaxResponseBytes,
 	}, func(e CallDone) { done(e.Status, e.Body) })
 }
--- a/controller/cluster.go
+++ b/controller/cluster.go
@@ -2,8 +2,7 @@
 
 import (
 	"tamarindlead/internal/budget"
-	"tamarindlead/internal/state"
-	"tamarindlead/internal/store"
+	"tamarindlead/internal/kv"
 	"tamarindlead/micros"
 )
 
@@ -12,17 +11,17 @@
 type clusterStore struct{ core *Core }
 
 // Call sends a request.
-func (s clusterStore) Call(request state.Request, done func(micros.Micros, store.Reply)) {
+func (s clusterStore) Call(request kv.Request, done func(micros.Micros, kv.Result)) {
 	s.core.store.Do(budget.Leadership, request, s.withTime(done))
 }
 
 // Watch waits for changes of keys with a prefix after a revision.
-func (s clusterStore) Watch(prefix string, after uint64, done func(micros.Micros, store.Reply)) {
-	s.core.store.Watch(budget.Leadership, prefix, after, store.WatchWait, s.withTime(done))
+func (s clusterStore) Watch(prefix string, after uint64, done func(micros.Micros, kv.Result)) {
+	s.core.store.Watch(budget.Leadership, prefix, after, kv.WatchWait, s.withTime(done))
 }
 
-func (s clusterStore) withTime(done func(micros.Micros, store.Reply)) func(store.Reply) {
-	return func(reply store.Reply) { done(s.core.now, reply) }
+func (s clusterStore) withTime(done func(micros.Micros, kv.Result)) func(kv.Result) {
+	return func(reply kv.Result) { done(s.core.now, reply) }
 }
 
 // clusterHost takes the notifications of this node's part in the cluster.
--- a/controller/commits.go
+++ b/controller/commits.go
@@ -5,9 +5,8 @@
 	"strings"
 
 	"tamarindlead/internal/budget"
+	"tamarindlead/internal/kv"
 	"tamarindlead/internal/record"
-	"tamarindlead/internal/state"
-	"tamarindlead/internal/store"
 	"tamarindlead/internal/wire"
 	"tamarindlead/micros"
 )
@@ -77,7 +76,7 @@
 
 // send sends a commit; again tells that it was sent before.
 func (o *owner) send(t *txn, p budget.Purpose, again bool) {
-	o.c.store.Do(p, state.Commit(o.guards(t.guards), t.writes), func(r store.Reply) {
+	o.c.store.Do(p, kv.Transaction(o.guards(t.guards), t.writes), func(r kv.Result) {
 		if !o.superseded() {
 			o.committed(t, p, again, r)
 		}
@@ -85,10 +84,10 @@
 }
 
 // committed handles the answer to a commit.
-func (o *owner) committed(t *txn, p budget.Purpose, again bool, r store.Reply) {
-	var res state.Committed
+func (o *owner) committed(t *txn, p budget.Purpose, again bool, r kv.Result) {
+	var res kv.TransactionResult
 	switch r.Outcome {
-	case store.OK:
+	case kv.OK:
 		if !r.Decode(&res) {
 			o.resync("the answer to a commit cannot be read")
 			return
@@ -96,20 +95,20 @@
 		o.settle(t, true, res.Revision)
 		o.flushAt = o.c.now + o.pauseAfterCommit()
 		o.scheduleWanted = true
-	case store.Conflict:
+	case kv.PreconditionFailed:
 		if again {
 			o.resync("a commit without answer was executed, or somebody else wrote")
 			return
 		}
 		r.Decode(&res)
 		o.settle(t, false, 0)
-		o.conflict(res.Failed)
-	case store.Unknown:
+		o.conflict(res.FailedPreconditions)
+	case kv.Unknown:
 		// It may be executed yet: nothing else may be decided before the same commit has
 		// been executed or refused by its guards.
 		o.flushAt = o.c.now + flushRetry
 		o.resend(t, p)
-	case store.Invalid:
+	case kv.InvalidRequest:
 		o.c.log.Error("a commit was refused as invalid", "writes", len(t.writes))
 		o.settle(t, false, 0)
 		o.flushAt = o.c.now + invalidPause
@@ -195,12 +194,12 @@
 			o.stop(a, 0, "job's record has changed")
 		}
 	}
-	o.c.store.Get(budget.Users, record.ActiveKey(j.ID), func(out store.Outcome, e state.Entry) {
+	o.c.store.Get(budget.Users, record.ActiveKey(j.ID), func(out kv.Outcome, e kv.Entry) {
 		switch {
 		case o.superseded():
-		case out == store.Missing:
+		case out == kv.NotFound:
 			o.jobRemoved(j.ID, o.cancellationsKnownUntil)
-		case out == store.OK:
+		case out == kv.OK:
 			j.version, j.unsure = e.Version, false
 			o.scheduleWanted = true
 		default:
@@ -233,7 +232,7 @@
 		}
 		j.writing = true
 		t.guards[record.ActiveKey(j.ID)] = j.version
-		t.writes = append(t.writes, state.Write{Delete: record.ActiveKey(j.ID)})
+		t.writes = append(t.writes, kv.Write{Delete: record.ActiveKey(j.ID)})
 		t.put(record.FinalKey(j.ID), record.Final{Status: record.StatusDone, At: o.c.wallClock})
 		t.results = append(t.results, func(ok bool, _ uint64) {
 			j.writing = false
@@ -286,7 +285,7 @@
 	}
 	o.obsoleteDeletedAt = o.c.now
 	key := o.obsoleteKeys[0]
-	t.writes = append(t.writes, state.Write{Delete: key})
+	t.writes = append(t.writes, kv.Write{Delete: key})
 	t.results = append(t.results, func(ok bool, _ uint64) {
 		if ok {
 			o.obsoleteKeys = slices.DeleteFunc(o.obsoleteKeys, func(k string) bool { return k == key })
@@ -301,18 +300,18 @@
 	if room < 1 {
 		return
 	}
-	var writes []state.Write
+	var writes []kv.Write
 	for _, k := range o.obsoleteKeys[:room] {
-		writes = append(writes, state.Write{Delete: k})
+		writes = append(writes, kv.Write{Delete: k})
 	}
 	o.flushing = true
-	o.c.store.Do(budget.Cleanup, state.Commit(o.guards(nil), writes), func(r store.Reply) {
+	o.c.store.Do(budget.Cleanup, kv.Transaction(o.guards(nil), writes), func(r kv.Result) {
 		if o.superseded() {
 			return
 		}
 		o.flushing = false
 		o.flushAt = o.c.now + flushGap
-		if r.Outcome == store.OK {
+		if r.Outcome == kv.OK {
 			o.obsoleteKeys = o.obsoleteKeys[room:]
 		}
 	})
--- a/controller/core.go
+++ b/controller/core.go
@@ -13,8 +13,8 @@
 	"tamarindlead/internal/capacity"
 	"tamarindlead/internal/cluster"
 	"tamarindlead/internal/jobgraph"
+	"tamarindlead/internal/kv"
 	"tamarindlead/internal/record"
-	"tamarindlead/internal/store"
 	"tamarindlead/internal/wire"
 	"tamarindlead/micros"
 )
@@ -39,7 +39,7 @@
 
 	// The state service and the cloud, with this node's part of their limits.
 	budget    *budget.Budget
-	store     *store.Client
+	store     *kv.Client
 	cloudRate *rate.Limiter
 
 	// The cluster: other controllers, members and owners by the records, and this node's part.
@@ -92,7 +92,7 @@
 	c.budget = budget.New(budget.Limits{
 		Requests: cfg.StateRPS, Writes: cfg.WriteRPS, MinWriteBurst: cancelWrites + 1,
 	}, len(cfg.Siblings)+1)
-	c.store = store.New(storeHost{c}, c.budget, record.LeaderKey, log)
+	c.store = kv.New(kvHost{c}, c.budget, record.LeaderKey, log)
 	c.submissions, c.finals = newSubmissions(c), newFinalStates()
 	c.graph = jobgraph.New(jobObserver{c}, log)
 	return c
--- a/controller/dependencies.go
+++ b/controller/dependencies.go
@@ -3,9 +3,8 @@
 import (
 	"tamarindlead/internal/budget"
 	"tamarindlead/internal/jobgraph"
+	"tamarindlead/internal/kv"
 	"tamarindlead/internal/record"
-	"tamarindlead/internal/state"
-	"tamarindlead/internal/store"
 	"tamarindlead/internal/wire"
 	"tamarindlead/micros"
 )
@@ -66,9 +65,9 @@
 
 // readParts reads a list that is kept under several keys.
 func (c *Core) readParts(job *jobgraph.WaitingJob, done func(ok bool)) {
-	c.store.Do(budget.Users, state.List(record.PartsPrefix(job.ID), ""), func(r store.Reply) {
-		var page state.Page
-		if r.Outcome != store.OK || !r.Decode(&page) {
+	c.store.Do(budget.Users, kv.List(record.PartsPrefix(job.ID), ""), func(r kv.Result) {
+		var page kv.Page
+		if r.Outcome != kv.OK || !r.Decode(&page) {
 			done(false)
 			return
 		}
@@ -87,7 +86,7 @@
 }
 
 // joinParts joins the parts of a list; false: one cannot be read.
-func (c *Core) joinParts(entries []state.Entry) (ids []string, ok bool) {
+func (c *Core) joinParts(entries []kv.Entry) (ids []string, ok bool) {
 	for _, e := range entries {
 		var rec record.Part
 		if err := wire.Decode(e.Value, &rec); err != nil {
--- a/controller/finalreads.go
+++ b/controller/finalreads.go
@@ -5,9 +5,8 @@
 	"strings"
 
 	"tamarindlead/internal/budget"
+	"tamarindlead/internal/kv"
 	"tamarindlead/internal/record"
-	"tamarindlead/internal/state"
-	"tamarindlead/internal/store"
 	"tamarindlead/internal/wire"
 	"tamarindlead/micros"
 )
@@ -102,8 +101,8 @@
 
 func (r *finalsRead) readFirst() {
 	id := r.ids[0]
-	r.c.store.Get(r.purpose, record.FinalKey(id), func(out store.Outcome, e state.Entry) {
-		if out != store.Missing && (out != store.OK || !r.take(id, e.Value)) {
+	r.c.store.Get(r.purpose, record.FinalKey(id), func(out kv.Outcome, e kv.Entry) {
+		if out != kv.NotFound && (out != kv.OK || !r.take(id, e.Value)) {
 			r.failed(out)
 			return
 		}
@@ -114,10 +113,10 @@
 
 // listFromFirst reads the page of final records that begins with the first job.
 func (r *finalsRead) listFromFirst() {
-	list := state.List(record.FinalPrefix, keyBefore(record.FinalKey(r.ids[0])))
-	r.c.store.Do(r.purpose, list, func(reply store.Reply) {
-		var page state.Page
-		if reply.Outcome != store.OK || !reply.Decode(&page) {
+	list := kv.List(record.FinalPrefix, keyBefore(record.FinalKey(r.ids[0])))
+	r.c.store.Do(r.purpose, list, func(reply kv.Result) {
+		var page kv.Page
+		if reply.Outcome != kv.OK || !reply.Decode(&page) {
 			r.failed(reply.Outcome)
 			return
 		}
@@ -130,7 +129,7 @@
 }
 
 // takePage takes those of a page that are asked for; false: one cannot be read.
-func (r *finalsRead) takePage(page *state.Page) bool {
+func (r *finalsRead) takePage(page *kv.Page) bool {
 	last := ""
 	for _, e := range page.Entries {
 		last = strings.TrimPrefix(e.Key, record.FinalPrefix)
@@ -159,9 +158,9 @@
 }
 
 // failed tries again, in time, what the limit of requests did not let through.
-func (r *finalsRead) failed(out store.Outcome) {
-	if out == store.Limited && r.c.now < r.until {
-		r.c.after(store.LimitedPause, r.next)
+func (r *finalsRead) failed(out kv.Outcome) {
+	if out == kv.Throttled && r.c.now < r.until {
+		r.c.after(kv.ThrottledPause, r.next)
 		return
 	}
 	r.done(r.found, false)
--- a/controller/finalreads_test.go
+++ b/controller/finalreads_test.go
@@ -9,9 +9,9 @@
 	"github.com/cockroachdb/datadriven"
 
 	"tamarindlead/internal/budget"
+	"tamarindlead/internal/kv"
 	"tamarindlead/internal/record"
 	"tamarindlead/internal/standin"
-	"tamarindlead/internal/state"
 	"tamarindlead/internal/wire"
 	"tamarindlead/micros"
 )
@@ -27,7 +27,7 @@
 		for i := range 3000 {
 			id := jobName(i)
 			if rng.IntN(3) > 0 {
-				s.Handle("n0", "POST", "/commit", state.Commit(nil, []state.Write{{Put: record.FinalKey(id), Value: record.Final{Status: record.StatusDone}}}).Body, true)
+				s.Handle("n0", "POST", "/commit", kv.Transaction(nil, []kv.Write{{Put: record.FinalKey(id), Value: record.Final{Status: record.StatusDone}}}).Body, true)
 				want[id] = true
 			}
 			if rng.IntN(1+int(seed)*20) == 0 {
@@ -79,7 +79,7 @@
 func TestSweepsAllParts(t *testing.T) {
 	w := scenarioWorld(t, &datadriven.TestData{Pos: "finalreads_test.go", Cmd: "world"})
 	var leftovers []standin.Record
-	for i := range 2*state.PageSize + 1 {
+	for i := range 2*kv.PageSize + 1 {
 		leftovers = append(leftovers, standin.Record{
 			Key: record.PartKey(jobName(i), 0), Value: wire.Encode(record.Part{IDs: []string{jobName(i + 1)}}), Version: uint64(i + 1),
 		})
--- a/controller/holds.go
+++ b/controller/holds.go
@@ -3,8 +3,8 @@
 import (
 	"strings"
 
+	"tamarindlead/internal/kv"
 	"tamarindlead/internal/record"
-	"tamarindlead/internal/state"
 	"tamarindlead/internal/wire"
 	"tamarindlead/micros"
 	"tamarindlead/sched"
@@ -156,7 +156,7 @@
 		h.writing = true
 		over := h.state == holdOver
 		if over {
-			t.writes = append(t.writes, state.Write{Delete: record.HoldKey(id)})
+			t.writes = append(t.writes, kv.Write{Delete: record.HoldKey(id)})
 		} else {
 			t.guards[record.ActiveKey(id)] = o.jobs[id].version
 			t.put(record.HoldKey(id), record.Hold{Machines: h.machines})
@@ -178,7 +178,7 @@
 
 // loadHolds takes over the holds of an earlier owner. Its stops may not all have been
 // begun; what was not is found by the gang's next look for room once the wait is over.
-func (o *owner) loadHolds(entries []state.Entry) {
+func (o *owner) loadHolds(entries []kv.Entry) {
 	for _, e := range entries {
 		var rec record.Hold
 		id := strings.TrimPrefix(e.Key, record.HoldPrefix)
--- a/controller/inherit_test.go
+++ b/controller/inherit_test.go
@@ -6,8 +6,8 @@
 	"testing"
 
 	"tamarindlead/internal/jobgraph"
+	"tamarindlead/internal/kv"
 	"tamarindlead/internal/record"
-	"tamarindlead/internal/state"
 	"tamarindlead/internal/wire"
 	"tamarindlead/micros"
 	"tamarindlead/sched"
@@ -39,23 +39,23 @@
 	if len(awaits) > 0 {
 		rec.Ready, rec.Waiting = nil, rec.Ready
 	}
-	w.apply(state.Change{Put: record.ActiveKey(j.ID), Value: wire.Encode(rec)})
+	w.apply(kv.Change{Put: record.ActiveKey(j.ID), Value: wire.Encode(rec)})
 	w.jobs[j.ID], w.accepted[j.ID] = &j, at
 }
 
 // apply has the core take one change of the jobs' records.
-func (w *tree) apply(change state.Change) {
+func (w *tree) apply(change kv.Change) {
 	w.Helper()
 	after := w.c.graph.Revision()
 	change.Version = after + 1
-	if !w.c.graph.Apply(after, &state.Changes{Revision: after + 1, Events: []state.Change{change}}, w.c.wallClock) {
+	if !w.c.graph.Apply(after, &kv.WatchResult{Revision: after + 1, Events: []kv.Change{change}}, w.c.wallClock) {
 		w.Fatal("a change is refused")
 	}
 }
 
 func (w *tree) over(id string, status wire.JobPhase) {
 	delete(w.jobs, id)
-	w.apply(state.Change{Delete: record.ActiveKey(id)})
+	w.apply(kv.Change{Delete: record.ActiveKey(id)})
 	w.c.takeFinal(id, record.Final{Status: record.Status(status), At: 1})
 }
 
--- a/controller/job_queue.go
+++ b/controller/job_queue.go
@@ -6,9 +6,9 @@
 	"strings"
 
 	"tamarindlead/internal/budget"
+	"tamarindlead/internal/kv"
 	"tamarindlead/internal/peer"
 	"tamarindlead/internal/record"
-	"tamarindlead/internal/store"
 	"tamarindlead/internal/wire"
 	"tamarindlead/micros"
 )
@@ -66,15 +66,15 @@
 func (o *owner) watchJobs(after uint64) {
 	c := o.c
 	asked := c.now
-	c.store.Watch(budget.Ownership, record.ActivePrefix, after, c.watchWait(), func(r store.Reply) {
+	c.store.Watch(budget.Ownership, record.ActivePrefix, after, c.watchWait(), func(r kv.Result) {
 		if o.superseded() {
 			return
 		}
 		switch {
-		case r.Outcome == store.Gone:
+		case r.Outcome == kv.Compacted:
 			o.resync("the watch fell behind")
 			return
-		case r.Outcome != store.OK:
+		case r.Outcome != kv.OK:
 			o.retryWatch(after)
 			return
 		case !c.takeChanges(after, r):
--- a/controller/jobview.go
+++ b/controller/jobview.go
@@ -3,9 +3,8 @@
 import (
 	"tamarindlead/internal/budget"
 	"tamarindlead/internal/jobgraph"
+	"tamarindlead/internal/kv"
 	"tamarindlead/internal/record"
-	"tamarindlead/internal/state"
-	"tamarindlead/internal/store"
 	"tamarindlead/internal/wire"
 	"tamarindlead/micros"
 )
@@ -88,7 +87,7 @@
 		return
 	}
 	asked := c.now
-	c.store.ListAll(record.ActivePrefix, func(ok bool, entries []state.Entry, revision uint64) {
+	c.store.ListAll(record.ActivePrefix, func(ok bool, entries []kv.Entry, revision uint64) {
 		if !ok {
 			view.stopFollowing(c.now)
 			return
@@ -110,7 +109,7 @@
 			return
 		}
 		asked, after := c.now, c.graph.Revision()
-		c.store.Watch(budget.Reads, record.ActivePrefix, after, c.watchWait(), func(r store.Reply) {
+		c.store.Watch(budget.Reads, record.ActivePrefix, after, c.watchWait(), func(r kv.Result) {
 			if !c.takeChanges(after, r) {
 				view.stopFollowing(c.now)
 				return
@@ -127,12 +126,12 @@
 }
 
 // takeChanges applies the answer of a watch; false: it does not continue what is known.
-func (c *Core) takeChanges(after uint64, r store.Reply) bool {
-	if r.Outcome == store.Gone {
+func (c *Core) takeChanges(after uint64, r kv.Result) bool {
+	if r.Outcome == kv.Compacted {
 		c.graph.Desync()
 	}
-	var changes state.Changes
-	return r.Outcome == store.OK && r.Decode(&changes) && c.graph.Apply(after, &changes, c.wallClock)
+	var changes kv.WatchResult
+	return r.Outcome == kv.OK && r.Decode(&changes) && c.graph.Apply(after, &changes, c.wallClock)
 }
 
 // refreshQueue is the questions that need a view of the present state. One read serves all
@@ -170,11 +169,11 @@
 		return
 	}
 	queue.reading = true
-	c.store.Do(budget.Users, state.Watch(record.ActivePrefix, after, 0), func(r store.Reply) {
+	c.store.Do(budget.Users, kv.Watch(record.ActivePrefix, after, 0), func(r kv.Result) {
 		queue.reading = false
 		queue.askedAt = c.now // what came meanwhile goes out now
 		ok := c.takeChanges(after, r)
-		if r.Outcome == store.Gone && c.owner != nil && c.owner.listed {
+		if r.Outcome == kv.Compacted && c.owner != nil && c.owner.listed {
 			c.owner.resync("changes of jobs were missed")
 		}
 		answerAll(batch, ok)
--- a/controller/jobview_test.go
+++ b/controller/jobview_test.go
@@ -4,8 +4,8 @@
 	"fmt"
 	"testing"
 
+	"tamarindlead/internal/kv"
 	"tamarindlead/internal/record"
-	"tamarindlead/internal/state"
 	"tamarindlead/internal/wire"
 	"tamarindlead/micros"
 	"tamarindlead/sched"
@@ -21,14 +21,14 @@
 // manyWaiting is an owner with so many chains of jobs, all but the first of each waiting.
 func manyWaiting(chains, length int) *owner {
 	o := testOwner()
-	var entries []state.Entry
+	var entries []kv.Entry
 	for i := range chains * length {
 		var awaits []string
 		if i%length > 0 {
 			awaits = []string{jobName(i - 1)}
 		}
 		writes, _ := record.JobWrites(waitingJob(jobName(i), awaits...), 1, 8<<10)
-		entries = append(entries, state.Entry{Key: writes[0].Put, Value: wire.Encode(writes[0].Value), Version: uint64(i + 1)})
+		entries = append(entries, kv.Entry{Key: writes[0].Put, Value: wire.Encode(writes[0].Value), Version: uint64(i + 1)})
 	}
 	o.c.graph.Reset(entries, uint64(len(entries)))
 	o.listed = true
@@ -48,7 +48,7 @@
 		}
 		g := o.c.graph
 		before, revision := g.Work().Jobs, g.Revision()
-		g.Apply(revision, &state.Changes{Revision: revision + 2, Events: []state.Change{
+		g.Apply(revision, &kv.WatchResult{Revision: revision + 2, Events: []kv.Change{
 			{Delete: record.ActiveKey(jobName(0)), Version: revision + 1},
 			{Delete: record.ActiveKey(jobName(5)), Version: revision + 2},
 		}}, o.c.wallClock)
@@ -77,8 +77,8 @@
 			g, id := o.c.graph, jobName(5*chains)
 			for b.Loop() {
 				rev := g.Revision()
-				put := state.Change{Put: record.ActiveKey(id), Value: wire.Encode(record.NewJob(waitingJob(id), 1)), Version: rev + 1}
-				g.Apply(rev, &state.Changes{Revision: rev + 2, Events: []state.Change{put, {Delete: record.ActiveKey(id), Version: rev + 2}}}, o.c.wallClock)
+				put := kv.Change{Put: record.ActiveKey(id), Value: wire.Encode(record.NewJob(waitingJob(id), 1)), Version: rev + 1}
+				g.Apply(rev, &kv.WatchResult{Revision: rev + 2, Events: []kv.Change{put, {Delete: record.ActiveKey(id), Version: rev + 2}}}, o.c.wallClock)
 				o.c.nextSlow = 0
 				o.c.Handle(o.c.now, o.c.now, Tick{})
 			}
--- a/controller/limits_test.go
+++ b/controller/limits_test.go
@@ -8,9 +8,9 @@
 	"github.com/cockroachdb/datadriven"
 
 	"tamarindlead/config"
+	"tamarindlead/internal/kv"
 	"tamarindlead/internal/record"
 	"tamarindlead/internal/standin"
-	"tamarindlead/internal/state"
 	"tamarindlead/internal/wire"
 	"tamarindlead/micros"
 	"tamarindlead/sched"
@@ -159,7 +159,7 @@
 func TestShardsMove(t *testing.T) {
 	o := testOwner()
 	o.c.cfg.ValueBytes = 1024
-	var entries []state.Entry
+	var entries []kv.Entry
 	rec := record.Completions{Chunks: map[string]string{}}
 	for i := range 12 {
 		id := jobName(i)
@@ -172,8 +172,8 @@
 	}
 	other := make(record.Bitmap, 100)
 	other.Set(700)
-	entries = append(entries, state.Entry{Key: record.CompletionsKey("red", "1"), Value: wire.Encode(rec), Version: 20},
-		state.Entry{Key: record.CompletionsKey("red", "2"), Value: wire.Encode(record.Completions{Chunks: map[string]string{wire.TaskName(jobName(3), 0): other.Chunk(0)}}), Version: 19})
+	entries = append(entries, kv.Entry{Key: record.CompletionsKey("red", "1"), Value: wire.Encode(rec), Version: 20},
+		kv.Entry{Key: record.CompletionsKey("red", "2"), Value: wire.Encode(record.Completions{Chunks: map[string]string{wire.TaskName(jobName(3), 0): other.Chunk(0)}}), Version: 19})
 	o.loadShards(entries)
 	if j := o.jobs[jobName(3)]; !j.done.Has(5) || !j.done.Has(700) || j.doneN != 2 {
 		t.Fatalf("%d completions are known", j.doneN)
@@ -186,7 +186,7 @@
 		tx := &txn{guards: map[string]uint64{}}
 		o.flushRecords(tx, func() int { return 1 - len(tx.writes) })
 		for _, w := range tx.writes {
-			if state.Size(w.Value) > 2*o.c.cfg.ValueBytes {
+			if kv.EncodedSizeBound(w.Value) > 2*o.c.cfg.ValueBytes {
 				t.Fatalf("%s is too large", w.Put)
 			}
 		}
--- a/controller/load.go
+++ b/controller/load.go
@@ -1,8 +1,8 @@
 package controller
 
 import (
+	"tamarindlead/internal/kv"
 	"tamarindlead/internal/record"
-	"tamarindlead/internal/state"
 	"tamarindlead/micros"
 	"tamarindlead/sched"
 )
@@ -17,7 +17,7 @@
 	owner *owner
 	begun micros.Micros
 	// blocks are kept until all else has been read.
-	blocks []state.Entry
+	blocks []kv.Entry
 }
 
 // load reads all records after a takeover.
@@ -45,9 +45,9 @@
 }
 
 // list reads the records with a prefix.
-func (l *loader) list(prefix string, next func(entries []state.Entry, revision uint64)) {
+func (l *loader) list(prefix string, next func(entries []kv.Entry, revision uint64)) {
 	o := l.owner
-	o.c.store.ListAll(prefix, func(ok bool, entries []state.Entry, revision uint64) {
+	o.c.store.ListAll(prefix, func(ok bool, entries []kv.Entry, revision uint64) {
 		switch {
 		case o.superseded():
 		case !ok:
@@ -59,7 +59,7 @@
 }
 
 // jobsRead takes the active jobs.
-func (l *loader) jobsRead(entries []state.Entry, revision uint64) {
+func (l *loader) jobsRead(entries []kv.Entry, revision uint64) {
 	o := l.owner
 	o.watchRev, o.cancellationsKnownUntil = revision, l.begun
 	o.c.graph.Reset(entries, revision)
@@ -71,25 +71,25 @@
 }
 
 // shardsRead takes the completed tasks of the jobs.
-func (l *loader) shardsRead(entries []state.Entry, _ uint64) {
+func (l *loader) shardsRead(entries []kv.Entry, _ uint64) {
 	l.owner.loadShards(entries)
 	l.list(record.BlockPrefix, l.blocksRead)
 }
 
 // blocksRead keeps the blocks for the end: rentals and holds come first.
-func (l *loader) blocksRead(entries []state.Entry, _ uint64) {
+func (l *loader) blocksRead(entries []kv.Entry, _ uint64) {
 	l.blocks = entries
 	l.list(record.RentalPrefix, l.rentalsRead)
 }
 
 // rentalsRead takes the rentals.
-func (l *loader) rentalsRead(entries []state.Entry, _ uint64) {
+func (l *loader) rentalsRead(entries []kv.Entry, _ uint64) {
 	l.owner.loadRentals(entries)
 	l.list(record.HoldPrefix, l.holdsRead)
 }
 
 // holdsRead takes the holds, and ends the loading.
-func (l *loader) holdsRead(entries []state.Entry, _ uint64) {
+func (l *loader) holdsRead(entries []kv.Entry, _ uint64) {
 	o := l.owner
 	o.loadHolds(entries)
 	o.loadBlocks(l.blocks)
--- a/controller/load_machines.go
+++ b/controller/load_machines.go
@@ -6,9 +6,8 @@
 	"strings"
 
 	"tamarindlead/internal/budget"
+	"tamarindlead/internal/kv"
 	"tamarindlead/internal/record"
-	"tamarindlead/internal/state"
-	"tamarindlead/internal/store"
 	"tamarindlead/internal/wire"
 	"tamarindlead/micros"
 	"tamarindlead/sched"
@@ -16,10 +15,10 @@
 
 // loadBlocks rebuilds machines and attempts from the blocks after a takeover. Jobs and
 // completions must have been loaded.
-func (o *owner) loadBlocks(entries []state.Entry) {
+func (o *owner) loadBlocks(entries []kv.Entry) {
 	// A machine that changed its block may be in both: the newer record holds.
 	newestFirst := slices.Clone(entries)
-	slices.SortStableFunc(newestFirst, func(a, b state.Entry) int { return cmp.Compare(b.Version, a.Version) })
+	slices.SortStableFunc(newestFirst, func(a, b kv.Entry) int { return cmp.Compare(b.Version, a.Version) })
 	for _, e := range newestFirst {
 		if err := o.loadBlock(e); err != nil {
 			o.c.log.Error("record cannot be read", "key", e.Key, "error", err)
@@ -29,7 +28,7 @@
 }
 
 // loadBlock takes over a block, if it is of an owner whose records this one owns.
-func (o *owner) loadBlock(e state.Entry) error {
+func (o *owner) loadBlock(e kv.Entry) error {
 	var rec record.Block
 	if err := wire.Decode(e.Value, &rec); err != nil {
 		return err
@@ -133,10 +132,10 @@
 		if o.jobs[j.ID] != j {
 			continue // its machines have reported
 		}
-		o.c.store.Get(budget.Reads, record.FinalKey(j.ID), func(out store.Outcome, e state.Entry) {
+		o.c.store.Get(budget.Reads, record.FinalKey(j.ID), func(out kv.Outcome, e kv.Entry) {
 			switch {
-			case o.superseded() || out == store.Missing:
-			case out != store.OK:
+			case o.superseded() || out == kv.NotFound:
+			case out != kv.OK:
 				o.endings = append(o.endings, j)
 			default:
 				o.takeEnding(j, e.Value)
--- a/controller/load_machines_test.go
+++ b/controller/load_machines_test.go
@@ -4,15 +4,15 @@
 	"testing"
 
 	"tamarindlead/internal/cluster"
+	"tamarindlead/internal/kv"
 	"tamarindlead/internal/record"
-	"tamarindlead/internal/state"
 	"tamarindlead/internal/wire"
 	"tamarindlead/sched"
 )
 
 // blockEntry is the record of a block with one machine, which has the first task of the job that
 // is given, or none.
-func blockEntry(owner record.OwnerID, name string, version uint64, machine string, job *sched.Job) state.Entry {
+func blockEntry(owner record.OwnerID, name string, version uint64, machine string, job *sched.Job) kv.Entry {
 	data := &record.BlockData{
 		Kinds:    []record.BlockKind{{Type: "small", Zone: "a"}},
 		Machines: []record.BlockMachine{{Name: machine, Endpoint: "worker:" + machine}},
@@ -21,7 +21,7 @@
 		data.Jobs = []record.BlockJob{{ID: job.ID, Team: job.Team, Tasks: job.Tasks, CPU: job.Need.CPU, Mem: job.Need.Mem}}
 		data.Pack(&data.Machines[0], []record.BlockTask{{Job: 0, Index: 0, Number: 1}})
 	}
-	return state.Entry{Key: record.BlockKey(name), Value: wire.Encode(data.Block(owner)), Version: version}
+	return kv.Entry{Key: record.BlockKey(name), Value: wire.Encode(data.Block(owner)), Version: version}
 }
 
 // TestLoadKeepsAttemptsOfAdoptedMachines guards against a task that starts elsewhere while it is
@@ -36,7 +36,7 @@
 	j := newJob(job, 5, 0)
 	o.jobs[j.ID] = j
 	owner := core.node.ID()
-	o.loadBlocks([]state.Entry{
+	o.loadBlocks([]kv.Entry{
 		blockEntry(owner, "recorded", 10, "m-000001", job),
 		blockEntry(owner, adoptedPrefix+"m-000001", 20, "m-000001", nil),
 	})
--- a/controller/load_shards.go
+++ b/controller/load_shards.go
@@ -4,13 +4,13 @@
 	"slices"
 	"strings"
 
+	"tamarindlead/internal/kv"
 	"tamarindlead/internal/record"
-	"tamarindlead/internal/state"
 	"tamarindlead/internal/wire"
 )
 
 // loadShards takes over the shards of completed tasks.
-func (o *owner) loadShards(entries []state.Entry) {
+func (o *owner) loadShards(entries []kv.Entry) {
 	for _, e := range entries {
 		o.loadShard(e)
 	}
@@ -18,7 +18,7 @@
 }
 
 // loadShard takes over one shard, if it is of a team of this owner.
-func (o *owner) loadShard(e state.Entry) {
+func (o *owner) loadShard(e kv.Entry) {
 	team, name, ok := o.splitShardKey(e.Key)
 	if !ok {
 		if o.ownsAllTeams() { // so it is of a team that is no more
--- a/controller/lookup_reads.go
+++ b/controller/lookup_reads.go
@@ -4,9 +4,8 @@
 	"tamarindlead/internal/budget"
 	"tamarindlead/internal/freshness"
 	"tamarindlead/internal/jobgraph"
+	"tamarindlead/internal/kv"
 	"tamarindlead/internal/record"
-	"tamarindlead/internal/state"
-	"tamarindlead/internal/store"
 	"tamarindlead/internal/wire"
 )
 
@@ -16,13 +15,13 @@
 func (c *Core) compareVersions(batch *lookupBatch) {
 	c.lookups.sent += len(batch.compared)
 	c.noteReadSent(batch.compared...)
-	c.store.Do(budget.Reads, state.Commit(state.SortedGuards(batch.versions), nil), func(r store.Reply) {
-		var committed state.Committed
+	c.store.Do(budget.Reads, kv.Transaction(kv.SortedPreconditions(batch.versions), nil), func(r kv.Result) {
+		var committed kv.TransactionResult
 		switch {
-		case r.Outcome == store.OK:
+		case r.Outcome == kv.OK:
 			c.takeComparison(batch, nil)
-		case r.Outcome == store.Conflict && r.Decode(&committed) && len(committed.Failed) > 0:
-			c.takeComparison(batch, committed.Failed)
+		case r.Outcome == kv.PreconditionFailed && r.Decode(&committed) && len(committed.FailedPreconditions) > 0:
+			c.takeComparison(batch, committed.FailedPreconditions)
 		default:
 			for _, l := range batch.compared {
 				c.finishLookup(l, lookupResult{})
@@ -62,18 +61,18 @@
 // reads of the same lookup continue it, so what it finds is certain as of the first.
 func (c *Core) noteReadSent(list ...*lookup) {
 	for _, l := range list {
-		l.read = freshness.Evidence{Basis: freshness.Read, SentAt: c.now, ThroughPeer: c.store.ThroughPeer()}
+		l.read = freshness.Evidence{Basis: freshness.Read, SentAt: c.now, ThroughPeer: c.store.UsesPeerRoute()}
 	}
 }
 
 // readActive looks a job up by its records, first by that of an active job.
 func (c *Core) readActive(l *lookup) {
 	c.noteReadSent(l)
-	c.store.Get(budget.Reads, record.ActiveKey(l.id), func(out store.Outcome, e state.Entry) {
+	c.store.Get(budget.Reads, record.ActiveKey(l.id), func(out kv.Outcome, e kv.Entry) {
 		switch out {
-		case store.OK:
+		case kv.OK:
 			c.takeActive(l, e)
-		case store.Missing:
+		case kv.NotFound:
 			c.readFinal(l)
 		default:
 			c.finishLookup(l, lookupResult{})
@@ -82,7 +81,7 @@
 }
 
 // takeActive answers from the record of an active job, unless its state depends on others.
-func (c *Core) takeActive(l *lookup, e state.Entry) {
+func (c *Core) takeActive(l *lookup, e kv.Entry) {
 	awaits, err := jobgraph.AwaitsOthers(e.Value)
 	if err != nil {
 		c.finishLookup(l, lookupResult{})
@@ -98,12 +97,12 @@
 
 // readFinal looks a job up that is not active.
 func (c *Core) readFinal(l *lookup) {
-	c.store.Get(budget.Reads, record.FinalKey(l.id), func(out store.Outcome, e state.Entry) {
+	c.store.Get(budget.Reads, record.FinalKey(l.id), func(out kv.Outcome, e kv.Entry) {
 		var rec record.Final
 		switch {
-		case out == store.Missing:
+		case out == kv.NotFound:
 			c.finishLookup(l, lookupResult{outcome: lookupNotFound, evidence: l.read})
-		case out == store.OK && wire.Decode(e.Value, &rec) == nil:
+		case out == kv.OK && wire.Decode(e.Value, &rec) == nil:
 			c.finishFinal(l, wire.JobPhase(rec.Status), rec.CancelledRoot(l.id))
 		default:
 			c.finishLookup(l, lookupResult{})
--- a/controller/lookups.go
+++ b/controller/lookups.go
@@ -85,7 +85,7 @@
 		return
 	}
 	stage := &c.lookups
-	if len(stage.waiting)+stage.sent >= maxLookups || c.store.Down() {
+	if len(stage.waiting)+stage.sent >= maxLookups || c.store.Unavailable() {
 		done(lookupResult{})
 		return
 	}
--- a/controller/machine_transfers.go
+++ b/controller/machine_transfers.go
@@ -2,10 +2,9 @@
 
 import (
 	"tamarindlead/internal/budget"
+	"tamarindlead/internal/kv"
 	"tamarindlead/internal/peer"
 	"tamarindlead/internal/record"
-	"tamarindlead/internal/state"
-	"tamarindlead/internal/store"
 	"tamarindlead/internal/wire"
 	"tamarindlead/micros"
 	"tamarindlead/sched"
@@ -130,8 +129,8 @@
 	if o.state != ownerActive {
 		return
 	}
-	o.c.store.Get(budget.Ownership, record.BlockKey(blockName), func(out store.Outcome, entry state.Entry) {
-		if o.superseded() || out != store.OK {
+	o.c.store.Get(budget.Ownership, record.BlockKey(blockName), func(out kv.Outcome, entry kv.Entry) {
+		if o.superseded() || out != kv.OK {
 			return
 		}
 		if data := o.transferredData(entry); data != nil {
@@ -142,7 +141,7 @@
 
 // transferredData is the content of a block by which a machine is transferred to this node, or
 // nil if it is something else or was taken before.
-func (o *owner) transferredData(entry state.Entry) *record.BlockData {
+func (o *owner) transferredData(entry kv.Entry) *record.BlockData {
 	var block record.Block
 	if wire.Decode(entry.Value, &block) != nil || block.Owner != o.c.node.ID() {
 		return nil
--- a/controller/machine_types.go
+++ b/controller/machine_types.go
@@ -4,9 +4,8 @@
 	"net/http"
 
 	"tamarindlead/internal/budget"
+	"tamarindlead/internal/kv"
 	"tamarindlead/internal/record"
-	"tamarindlead/internal/state"
-	"tamarindlead/internal/store"
 	"tamarindlead/internal/wire"
 	"tamarindlead/micros"
 	"tamarindlead/sched"
@@ -62,10 +61,10 @@
 func (c *Core) readMachineTypes() {
 	t := &c.types
 	t.reading = true
-	c.store.Get(budget.Leadership, record.TypesKey, func(out store.Outcome, e state.Entry) {
+	c.store.Get(budget.Leadership, record.TypesKey, func(out kv.Outcome, e kv.Entry) {
 		t.reading = false
 		var recorded wire.MachineTypes
-		if out == store.OK && wire.Decode(e.Value, &recorded) == nil && len(t.list) == 0 {
+		if out == kv.OK && wire.Decode(e.Value, &recorded) == nil && len(t.list) == 0 {
 			t.list = recorded.Types()
 		}
 		if len(t.list) == 0 {
@@ -93,11 +92,11 @@
 // recordMachineTypes keeps the types in the state service, once in an owner's incarnation.
 func (c *Core) recordMachineTypes() {
 	t := &c.types
-	if c.owner == nil || t.recorded || state.Size(t.answer) > c.cfg.ValueBytes {
+	if c.owner == nil || t.recorded || kv.EncodedSizeBound(t.answer) > c.cfg.ValueBytes {
 		return
 	}
-	write := []state.Write{{Put: record.TypesKey, Value: t.answer}}
-	c.store.Do(budget.Work, state.Commit(c.owner.guards(nil), write), func(reply store.Reply) {
-		t.recorded = t.recorded || reply.Outcome == store.OK
+	write := []kv.Write{{Put: record.TypesKey, Value: t.answer}}
+	c.store.Do(budget.Work, kv.Transaction(c.owner.guards(nil), write), func(reply kv.Result) {
+		t.recorded = t.recorded || reply.Outcome == kv.OK
 	})
 }
--- a/controller/owner.go
+++ b/controller/owner.go
@@ -7,8 +7,8 @@
 	"tamarindlead/config"
 	"tamarindlead/internal/capacity"
 	"tamarindlead/internal/cluster"
+	"tamarindlead/internal/kv"
 	"tamarindlead/internal/record"
-	"tamarindlead/internal/state"
 	"tamarindlead/internal/wire"
 	"tamarindlead/micros"
 	"tamarindlead/sched"
@@ -272,13 +272,13 @@
 
 // guards builds a list of guards that always holds this node's own record: an owner
 // that has lost it can change nothing.
-func (o *owner) guards(more map[string]uint64) []state.Guard {
+func (o *owner) guards(more map[string]uint64) []kv.Precondition {
 	own := o.c.node.OwnGuard()
 	all := map[string]uint64{own.Key: own.Version}
 	for k, v := range more {
 		all[k] = v
 	}
-	return state.SortedGuards(all)
+	return kv.SortedPreconditions(all)
 }
 
 // ownsRecordsOf tells whether the records of an owner are this one's to take: its own, those of
--- a/controller/peers.go
+++ b/controller/peers.go
@@ -82,7 +82,7 @@
 	leader, term := c.node.Leader()
 	beat := &peer.Beat{
 		Term: term, Leader: leader,
-		WorkersHeard: uint32(len(c.recentReports)), StoreOk: c.store.Served(),
+		WorkersHeard: uint32(len(c.recentReports)), StoreOk: c.store.DirectlyConnected(),
 		Ended: c.cancellations.Unacknowledged(p.Node), KnowsEnded: c.cancellations.ToAcknowledge(p.Node),
 	}
 	if c.owner != nil {
--- a/controller/rentals.go
+++ b/controller/rentals.go
@@ -4,8 +4,8 @@
 	"strings"
 
 	"tamarindlead/internal/capacity"
+	"tamarindlead/internal/kv"
 	"tamarindlead/internal/record"
-	"tamarindlead/internal/state"
 	"tamarindlead/internal/wire"
 	"tamarindlead/micros"
 )
@@ -58,7 +58,7 @@
 }
 
 // loadRentals takes over the rentals of an earlier owner: the cloud is asked again.
-func (o *owner) loadRentals(entries []state.Entry) {
+func (o *owner) loadRentals(entries []kv.Entry) {
 	for _, e := range entries {
 		var rec record.Rental
 		if wire.Decode(e.Value, &rec) != nil {
@@ -92,7 +92,7 @@
 		r.writing = true
 		key := record.RentalKey(name)
 		if r.state == rentalOver {
-			t.writes = append(t.writes, state.Write{Delete: key})
+			t.writes = append(t.writes, kv.Write{Delete: key})
 		} else {
 			t.put(key, record.Rental{
 				Owner: o.c.node.ID(), Type: r.offer.Type, Zone: r.offer.Zone, Spot: r.offer.Spot, Number: r.number,
--- a/controller/reports.go
+++ b/controller/reports.go
@@ -63,7 +63,7 @@
 // zonePartitioned tells whether this node reaches neither the state service nor a peer of
 // another zone, nor is reached by workers of another zone, and has not been for too long.
 func (c *Core) zonePartitioned() bool {
-	if !c.store.Down() || c.now-c.elsewhereAt < otherZoneReports*c.cfg.ReportEvery ||
+	if !c.store.Unavailable() || c.now-c.elsewhereAt < otherZoneReports*c.cfg.ReportEvery ||
 		c.now-c.store.LastSuccess() > c.cfg.Tuning.PartitionPatience {
 		return false
 	}
--- a/controller/store.go
+++ b/controller/store.go
@@ -1,30 +1,29 @@
 package controller
 
 import (
+	"tamarindlead/internal/kv"
 	"tamarindlead/internal/peer"
-	"tamarindlead/internal/state"
-	"tamarindlead/internal/store"
 	"tamarindlead/micros"
 )
 
 // This file connects internal/store, the client of the state service, with this node's
 // outbound calls and its peers.
 
-// storeHost lets the client of the state service use this node's calls and peers.
-type storeHost struct{ c *Core }
+// kvHost lets the client of the state service use this node's calls and peers.
+type kvHost struct{ c *Core }
 
-func (h storeHost) Now() micros.Micros { return h.c.now }
+func (h kvHost) Now() micros.Micros { return h.c.now }
 
-func (h storeHost) After(d micros.Micros, do func()) { h.c.after(d, do) }
+func (h kvHost) After(d micros.Micros, do func()) { h.c.after(d, do) }
 
-func (h storeHost) Send(request state.Request, timeout micros.Micros, done func(store.Response)) {
+func (h kvHost) Send(request kv.Request, timeout micros.Micros, done func(kv.Response)) {
 	h.c.call(Call{
 		Addr: h.c.cfg.StateAddr, Method: request.Method, Target: request.Target, Body: request.Body,
-		Timeout: timeout, MaxBody: store.MaxBody,
-	}, func(e CallDone) { done(store.Response{Status: e.Status, Body: e.Body, Sent: e.Sent}) })
+		Timeout: timeout, MaxBody: kv.MaxResponseBytes,
+	}, func(e CallDone) { done(kv.Response{Status: e.Status, Body: e.Body, Sent: e.Sent}) })
 }
 
-func (h storeHost) ServedPeer() string {
+func (h kvHost) ConnectedPeer() string {
 	for _, cfg := range h.c.cfg.Siblings {
 		if s := h.c.peers[cfg.Node]; s.fresh(h.c.now) && s.storeServes {
 			return s.Node
@@ -33,26 +32,26 @@
 	return ""
 }
 
-func (h storeHost) SendThrough(through string, request state.Request, timeout micros.Micros, done func(store.Response)) {
+func (h kvHost) SendViaPeer(through string, request kv.Request, timeout micros.Micros, done func(kv.Response)) {
 	s := h.c.peers[through]
 	msg := &peer.Message{Body: &peer.Message_StoreCall{StoreCall: &peer.StoreCall{
 		Method: request.Method, Target: request.Target, Body: request.Body,
 	}}}
-	h.c.callPeer(s, msg, timeout, store.MaxBody, func(m *peer.Message, sent bool) {
+	h.c.callPeer(s, msg, timeout, kv.MaxResponseBytes, func(m *peer.Message, sent bool) {
 		reply := m.GetStoreReply()
 		if reply == nil {
 			s.storeServes = false // until its next heartbeat
-			done(store.Response{Sent: sent})
+			done(kv.Response{Sent: sent})
 			return
 		}
-		done(store.Response{Status: int(reply.Status), Body: reply.Body, Sent: true})
+		done(kv.Response{Status: int(reply.Status), Body: reply.Body, Sent: true})
 	})
 }
 
 // relay sends a peer's request to the state service.
 func (c *Core) relay(id uint64, call *peer.StoreCall) {
-	request := state.Request{Method: call.Method, Target: call.Target, Body: call.Body}
-	c.store.Relay(request, func(r store.Response) {
+	request := kv.Request{Method: call.Method, Target: call.Target, Body: call.Body}
+	c.store.Relay(request, func(r kv.Response) {
 		c.answerPeer(id, &peer.Message{Body: &peer.Message_StoreReply{StoreReply: &peer.StoreReply{
 			Status: uint32(r.Status), Body: r.Body,
 		}}})
@@ -65,13 +64,13 @@
 // watchWait is how long a watch of the jobs may wait: its answer shows up to when cancellations
 // are known, which must not lie too far back for leases to be renewed.
 func (c *Core) watchWait() micros.Micros {
-	return min(store.WatchWait, max(c.cancellations.MaxKnowledgeAge()/3, minWatchWait))
+	return min(kv.WatchWait, max(c.cancellations.MaxKnowledgeAge()/3, minWatchWait))
 }
 
 // isolated tells that this node reaches neither the state service nor any peer. In an outage
 // of the state service peers can be reached.
 func (c *Core) isolated() bool {
-	if len(c.cfg.Siblings) == 0 || !c.store.Down() {
+	if len(c.cfg.Siblings) == 0 || !c.store.Unavailable() {
 		return false
 	}
 	for _, s := range c.peers {
--- a/controller/submissions.go
+++ b/controller/submissions.go
@@ -4,8 +4,8 @@
 	"slices"
 
 	"tamarindlead/internal/freshness"
+	"tamarindlead/internal/kv"
 	"tamarindlead/internal/record"
-	"tamarindlead/internal/state"
 	"tamarindlead/internal/wire"
 	"tamarindlead/micros"
 	"tamarindlead/sched"
@@ -58,7 +58,7 @@
 		c.refuse(r.ID, wire.StatusUnavailable, reasonTypesUnknown)
 		return
 	}
-	if c.store.Down() {
+	if c.store.Unavailable() {
 		c.refuse(r.ID, wire.StatusUnavailable, reasonStoreSilent)
 		return
 	}
@@ -95,8 +95,8 @@
 }
 
 // tooLong tells that the records of a job exceed the limits of the state service.
-func (c *Core) tooLong(writes []state.Write, size int) bool {
-	return len(writes) > c.cfg.TxnOps || size > commitBytes || state.Size(writes[0].Value) > c.cfg.ValueBytes
+func (c *Core) tooLong(writes []kv.Write, size int) bool {
+	return len(writes) > c.cfg.TxnOps || size > commitBytes || kv.EncodedSizeBound(writes[0].Value) > c.cfg.ValueBytes
 }
 
 // unplaceable tells why a job could never run, or returns nil.
--- a/controller/txn.go
+++ b/controller/txn.go
@@ -1,13 +1,13 @@
 package controller
 
-import "tamarindlead/internal/state"
+import "tamarindlead/internal/kv"
 
 // txn collects what one commit writes under which guards, and what is to be done once it was
 // executed or refused.
 type txn struct {
 	// guards are the versions that keys must have.
 	guards map[string]uint64
-	writes []state.Write
+	writes []kv.Write
 	// size is that of the written values.
 	size int
 	// results are called with the outcome and the commit's revision.
@@ -19,11 +19,11 @@
 const guardsPerWrite = 4
 
 // put writes a value whose size is not known yet.
-func (t *txn) put(key string, v any) { t.write(key, v, state.Size(v)) }
+func (t *txn) put(key string, v any) { t.write(key, v, kv.EncodedSizeBound(v)) }
 
 // write writes a value of a known size.
 func (t *txn) write(key string, v any, size int) {
-	t.writes = append(t.writes, state.Write{Put: key, Value: v})
+	t.writes = append(t.writes, kv.Write{Put: key, Value: v})
 	t.size += size
 }
 
--- a/controller/waiting.go
+++ b/controller/waiting.go
@@ -6,9 +6,8 @@
 
 	"tamarindlead/internal/budget"
 	"tamarindlead/internal/jobgraph"
+	"tamarindlead/internal/kv"
 	"tamarindlead/internal/record"
-	"tamarindlead/internal/state"
-	"tamarindlead/internal/store"
 	"tamarindlead/micros"
 )
 
@@ -70,7 +69,7 @@
 // lists that are kept under several keys.
 func (o *owner) advanceWaiting() {
 	resolution := &o.c.jobView.resolution
-	if resolution.reading || o.c.now < resolution.nextTry || o.c.store.Down() {
+	if resolution.reading || o.c.now < resolution.nextTry || o.c.store.Unavailable() {
 		return
 	}
 	if o.c.graph.HasUnresolved() {
@@ -108,7 +107,7 @@
 func (o *owner) recordCancelled(t *txn, j *job, root string) {
 	j.writing = true
 	t.guards[record.ActiveKey(j.ID)] = j.version
-	t.writes = append(t.writes, state.Write{Delete: record.ActiveKey(j.ID)})
+	t.writes = append(t.writes, kv.Write{Delete: record.ActiveKey(j.ID)})
 	t.put(record.FinalKey(j.ID), record.Final{Status: record.StatusCancelled, At: o.c.wallClock, Before: root})
 	t.results = append(t.results, func(ok bool, _ uint64) {
 		j.writing = false
@@ -171,12 +170,12 @@
 		return
 	}
 	o.swept = true
-	o.c.store.Do(budget.Cleanup, state.List(record.PartPrefix, o.sweptUntil), func(r store.Reply) {
-		var page state.Page
+	o.c.store.Do(budget.Cleanup, kv.List(record.PartPrefix, o.sweptUntil), func(r kv.Result) {
+		var page kv.Page
 		if o.superseded() {
 			return
 		}
-		if r.Outcome != store.OK || !r.Decode(&page) {
+		if r.Outcome != kv.OK || !r.Decode(&page) {
 			o.swept = false
 			return
 		}
@@ -197,7 +196,7 @@
 
 // dropLeftoverParts has parts of lists deleted whose jobs are over. A list is accepted with its
 // job in one commit: where a view that is newer than the list lacks the job, it is over.
-func (o *owner) dropLeftoverParts(entries []state.Entry) {
+func (o *owner) dropLeftoverParts(entries []kv.Entry) {
 	for _, e := range entries {
 		id, _, _ := strings.Cut(strings.TrimPrefix(e.Key, record.PartPrefix), "/")
 		if !o.c.graph.Active(id) && !slices.Contains(o.obsoleteKeys, e.Key) {
--- a/internal/cluster/assign.go
+++ b/internal/cluster/assign.go
@@ -4,9 +4,8 @@
 	"maps"
 	"slices"
 
+	"tamarindlead/internal/kv"
 	"tamarindlead/internal/record"
-	"tamarindlead/internal/state"
-	"tamarindlead/internal/store"
 	"tamarindlead/micros"
 )
 
@@ -47,7 +46,7 @@
 	}
 	guards[record.LeaderKey] = n.leadership.term
 	n.assignment.committing = true
-	n.store.Call(state.Commit(state.SortedGuards(guards), writes), func(now micros.Micros, _ store.Reply) {
+	n.store.Call(kv.Transaction(kv.SortedPreconditions(guards), writes), func(now micros.Micros, _ kv.Result) {
 		// Whatever the outcome, the watch tells what holds.
 		n.assignment.committing = false
 		n.assignment.nextAt = now + assignRetry
@@ -75,7 +74,7 @@
 
 // planAssignment chooses an owner for each lost team, as far as one commit can hold, and
 // returns the commit's guards and writes.
-func (n *Node) planAssignment(lost map[record.OwnerID][]string) (guards map[string]uint64, writes []state.Write) {
+func (n *Node) planAssignment(lost map[record.OwnerID][]string) (guards map[string]uint64, writes []kv.Write) {
 	guards = map[string]uint64{}
 	assigned := map[string]int{} // teams by node
 	for _, lostOwner := range slices.Sorted(maps.Keys(lost)) {
@@ -91,7 +90,7 @@
 			memberGuard := n.view.MemberGuard(successor)
 			guards[memberGuard.Key] = memberGuard.Version
 			guards[record.TeamKey(name)] = n.view.teams[name].Version
-			writes = append(writes, state.Write{Put: record.TeamKey(name), Value: n.assignedRecord(name, successor)})
+			writes = append(writes, kv.Write{Put: record.TeamKey(name), Value: n.assignedRecord(name, successor)})
 			n.log.Info("team assigned", "team", name, "to", successor, "from", lostOwner, "term", n.leadership.term)
 		}
 	}
--- a/internal/cluster/assign_test.go
+++ b/internal/cluster/assign_test.go
@@ -5,9 +5,8 @@
 	"slices"
 	"testing"
 
+	"tamarindlead/internal/kv"
 	"tamarindlead/internal/record"
-	"tamarindlead/internal/state"
-	"tamarindlead/internal/store"
 )
 
 // assignments are the owners of the teams that a commit writes.
@@ -33,7 +32,7 @@
 	f.leading(memberEntry("n1", 1, 2))
 	f.tick(0)
 	call, body := f.expectAssignment(map[string]string{"c/t/blue": "n0", "c/t/red": "n0"})
-	want := []state.Guard{
+	want := []kv.Precondition{
 		{Key: "c/leader", Version: leaderRevision}, {Key: "c/n/n0", Version: joinRevision},
 		{Key: "c/t/blue"}, {Key: "c/t/red"},
 	}
@@ -46,7 +45,7 @@
 	}
 	f.tick(assignRetry)
 	f.expectNoCall() // one commit at a time
-	f.fail(call, store.Unknown)
+	f.fail(call, kv.Unknown)
 	f.tick(assignRetry - 1)
 	f.expectNoCall()
 	f.tick(1)
@@ -75,10 +74,10 @@
 		if got := fmt.Sprint(body.Writes[0].Value["h"]); got != "[n1/3 n2/9]" {
 			t.Errorf("predecessors %s", got)
 		}
-		if !slices.Contains(body.Guards, state.Guard{Key: "c/t/red", Version: 5}) {
+		if !slices.Contains(body.Guards, kv.Precondition{Key: "c/t/red", Version: 5}) {
 			t.Errorf("guards %v lack the team's version", body.Guards)
 		}
-		f.answer(call, state.Committed{Revision: 30})
+		f.answer(call, kv.TransactionResult{Revision: 30})
 	}
 }
 
--- a/internal/cluster/follow.go
+++ b/internal/cluster/follow.go
@@ -1,23 +1,22 @@
 package cluster
 
 import (
+	"tamarindlead/internal/kv"
 	"tamarindlead/internal/record"
-	"tamarindlead/internal/state"
-	"tamarindlead/internal/store"
 	"tamarindlead/micros"
 )
 
 // decode reads the body of a call that was executed, and tells whether it could.
-func decode(reply store.Reply, into any) bool {
-	return reply.Outcome == store.OK && reply.Decode(into)
+func decode(reply kv.Result, into any) bool {
+	return reply.Outcome == kv.OK && reply.Decode(into)
 }
 
 // follow reads the cluster's records and then watches them. After a failure the next tick
 // starts over.
 func (n *Node) follow() {
 	n.following = true
-	n.store.Call(state.List(record.ClusterPrefix, ""), func(now micros.Micros, reply store.Reply) {
-		var page state.Page
+	n.store.Call(kv.List(record.ClusterPrefix, ""), func(now micros.Micros, reply kv.Result) {
+		var page kv.Page
 		if !decode(reply, &page) {
 			n.following = false
 			return
@@ -27,7 +26,7 @@
 	})
 }
 
-func (n *Node) takePage(now micros.Micros, page state.Page) {
+func (n *Node) takePage(now micros.Micros, page kv.Page) {
 	n.view.reset()
 	hasLeader := false
 	for _, entry := range page.Entries {
@@ -42,8 +41,8 @@
 }
 
 func (n *Node) watch(after uint64) {
-	n.store.Watch(record.ClusterPrefix, after, func(now micros.Micros, reply store.Reply) {
-		var changes state.Changes
+	n.store.Watch(record.ClusterPrefix, after, func(now micros.Micros, reply kv.Result) {
+		var changes kv.WatchResult
 		if !decode(reply, &changes) {
 			n.following = false
 			return
@@ -59,7 +58,7 @@
 	})
 }
 
-func (n *Node) takeChange(now micros.Micros, change state.Change) {
+func (n *Node) takeChange(now micros.Micros, change kv.Change) {
 	switch {
 	case change.Put != "":
 		n.takeRecord(now, change.Put, change.Value, change.Version)
--- a/internal/cluster/leadership.go
+++ b/internal/cluster/leadership.go
@@ -1,9 +1,8 @@
 package cluster
 
 import (
+	"tamarindlead/internal/kv"
 	"tamarindlead/internal/record"
-	"tamarindlead/internal/state"
-	"tamarindlead/internal/store"
 	"tamarindlead/internal/wire"
 	"tamarindlead/micros"
 )
@@ -130,11 +129,11 @@
 func (n *Node) campaign(now micros.Micros) {
 	l := &n.leadership
 	n.setLead(now, leadCampaigning)
-	guards := []state.Guard{{Key: record.LeaderKey, Version: l.term}, n.OwnGuard()}
+	guards := []kv.Precondition{{Key: record.LeaderKey, Version: l.term}, n.OwnGuard()}
 	leader := record.Leader{Node: n.config.Node, Incarnation: n.incarnation}
-	writes := []state.Write{{Put: record.LeaderKey, Lease: n.membership.lease, Value: leader}}
-	n.store.Call(state.Commit(guards, writes), func(now micros.Micros, reply store.Reply) {
-		var committed state.Committed
+	writes := []kv.Write{{Put: record.LeaderKey, Lease: n.membership.lease, Value: leader}}
+	n.store.Call(kv.Transaction(guards, writes), func(now micros.Micros, reply kv.Result) {
+		var committed kv.TransactionResult
 		if !decode(reply, &committed) || l.state != leadCampaigning {
 			n.campaignFailed(now)
 			return
@@ -153,12 +152,12 @@
 	}
 	l.pausedUntil = max(l.pausedUntil, now+2*campaignJitter)
 	n.setLead(now, leadVacant)
-	n.store.Call(state.Get(record.LeaderKey), func(now micros.Micros, reply store.Reply) {
-		var entry state.Entry
+	n.store.Call(kv.Get(record.LeaderKey), func(now micros.Micros, reply kv.Result) {
+		var entry kv.Entry
 		switch {
 		case decode(reply, &entry):
 			n.leaderChanged(now, entry.Value, entry.Version)
-		case reply.Outcome == store.Missing && l.state == leadVacant:
+		case reply.Outcome == kv.NotFound && l.state == leadVacant:
 			l.term = 0
 		}
 	})
--- a/internal/cluster/leadership_test.go
+++ b/internal/cluster/leadership_test.go
@@ -4,9 +4,8 @@
 	"fmt"
 	"testing"
 
+	"tamarindlead/internal/kv"
 	"tamarindlead/internal/record"
-	"tamarindlead/internal/state"
-	"tamarindlead/internal/store"
 )
 
 func (f *fixture) expectLead(want leadState, leader string, term uint64) {
@@ -18,7 +17,7 @@
 }
 
 // campaigning makes the node a member that tries to lead.
-func (f *fixture) campaigning(entries ...state.Entry) (stubCall, commitBody) {
+func (f *fixture) campaigning(entries ...kv.Entry) (stubCall, commitBody) {
 	f.t.Helper()
 	f.joined(entries...)
 	f.tick(campaignJitter)
@@ -28,7 +27,7 @@
 func TestCampaign(t *testing.T) {
 	f := newFixture(t, testSettings("red"))
 	commit, body := f.campaigning()
-	want := []state.Guard{{Key: record.LeaderKey, Version: 0}, {Key: "c/n/n0", Version: joinRevision}}
+	want := []kv.Precondition{{Key: record.LeaderKey, Version: 0}, {Key: "c/n/n0", Version: joinRevision}}
 	if fmt.Sprint(body.Guards) != fmt.Sprint(want) {
 		t.Errorf("guards %v; want %v", body.Guards, want)
 	}
@@ -36,7 +35,7 @@
 		body.Writes[0].Value["n"] != "n0" || body.Writes[0].Value["i"] != f.node.Incarnation() {
 		t.Errorf("writes %v", body.Writes)
 	}
-	f.answer(commit, state.Committed{Revision: leaderRevision})
+	f.answer(commit, kv.TransactionResult{Revision: leaderRevision})
 	f.expectLead(leadLeading, "n0", leaderRevision)
 }
 
@@ -56,7 +55,7 @@
 	f := newFixture(t, testSettings("red"))
 	f.tick(0)
 	f.expect("GET", memberTarget)
-	f.answer(f.expect("GET", listTarget), state.Page{Revision: 1})
+	f.answer(f.expect("GET", listTarget), kv.Page{Revision: 1})
 	f.expectLead(leadVacant, "", 0)
 	f.tick(campaignJitter)
 	f.expectNoCall()
@@ -65,7 +64,7 @@
 func TestCampaignLost(t *testing.T) {
 	f := newFixture(t, testSettings("red"))
 	commit, _ := f.campaigning()
-	f.fail(commit, store.Conflict)
+	f.fail(commit, kv.PreconditionFailed)
 	f.expectLead(leadVacant, "", 0)
 	f.answer(f.expect("GET", leaderTarget), leaderEntry("n1", 1, 15))
 	f.expectLead(leadFollower, "n1", 15)
@@ -74,8 +73,8 @@
 func TestCampaignFailsWithoutRival(t *testing.T) {
 	f := newFixture(t, testSettings("red"))
 	commit, _ := f.campaigning(leaderEntry("n0", 1, 3))
-	f.fail(commit, store.Conflict)
-	f.fail(f.expect("GET", leaderTarget), store.Missing)
+	f.fail(commit, kv.PreconditionFailed)
+	f.fail(f.expect("GET", leaderTarget), kv.NotFound)
 	f.expectLead(leadVacant, "", 0)
 	f.tick(2*campaignJitter - 1)
 	f.expectNoCall()
@@ -93,7 +92,7 @@
 	commit, _ := f.campaigning()
 	f.changed(leaderEntry("n2", 4, 15))
 	f.expectLead(leadFollower, "n2", 15)
-	f.fail(commit, store.Conflict)
+	f.fail(commit, kv.PreconditionFailed)
 	f.expectLead(leadFollower, "n2", 15)
 	f.expectNoCall()
 }
@@ -103,7 +102,7 @@
 	commit, _ := f.campaigning()
 	f.changed(leaderEntry("n0", f.node.Incarnation(), leaderRevision))
 	f.expectLead(leadCampaigning, "n0", leaderRevision)
-	f.answer(commit, state.Committed{Revision: leaderRevision})
+	f.answer(commit, kv.TransactionResult{Revision: leaderRevision})
 	f.expectLead(leadLeading, "n0", leaderRevision)
 }
 
@@ -112,7 +111,7 @@
 func TestCommitExecutedAfterItFailed(t *testing.T) {
 	f := newFixture(t, testSettings("red"))
 	commit, _ := f.campaigning()
-	f.fail(commit, store.Unknown)
+	f.fail(commit, kv.Unknown)
 	f.expect("GET", leaderTarget)
 	f.changed(leaderEntry("n0", f.node.Incarnation(), leaderRevision))
 	if f.node.IsLeading() {
@@ -157,10 +156,10 @@
 func TestRecordsAreReadAgainAfterAFailure(t *testing.T) {
 	f := newFixture(t, testSettings("red"))
 	f.joined(leaderEntry("n1", 1, 3), memberEntry("n1", 1, 2))
-	f.fail(f.store.watches[0], store.Unknown)
+	f.fail(f.store.watches[0], kv.Unknown)
 	f.store.watches = nil
 	f.tick(0)
-	f.answer(f.expect("GET", listTarget), state.Page{Revision: 40, Entries: []state.Entry{f.ownEntry()}})
+	f.answer(f.expect("GET", listTarget), kv.Page{Revision: 40, Entries: []kv.Entry{f.ownEntry()}})
 	f.expectLead(leadVacant, "", 0)
 	if f.node.View().IsMember("n1") {
 		t.Error("a record that is gone is still known")
@@ -177,7 +176,7 @@
 	commit, _ := f.campaigning()
 	f.changed(leaderEntry("n0", f.node.Incarnation()+1, 15))
 	f.expectLead(leadVacant, "", 15)
-	f.fail(commit, store.Conflict)
+	f.fail(commit, kv.PreconditionFailed)
 	f.tick(campaignJitter)
 	_, body := f.expectCommit()
 	if body.Guards[0].Version != 15 {
@@ -189,8 +188,8 @@
 func TestWatchGoesOnFromItsRevision(t *testing.T) {
 	f := newFixture(t, testSettings("red"))
 	f.joined(leaderEntry("n1", 1, 3))
-	f.answerWatch(state.Changes{Revision: joinRevision - 1})
-	want := state.Watch(record.ClusterPrefix, joinRevision, 0).Target
+	f.answerWatch(kv.WatchResult{Revision: joinRevision - 1})
+	want := kv.Watch(record.ClusterPrefix, joinRevision, 0).Target
 	if len(f.store.watches) != 1 || f.store.watches[0].request.Target != want {
 		t.Errorf("watches %v; want %s", f.store.watches, want)
 	}
--- a/internal/cluster/membership.go
+++ b/internal/cluster/membership.go
@@ -1,9 +1,8 @@
 package cluster
 
 import (
+	"tamarindlead/internal/kv"
 	"tamarindlead/internal/record"
-	"tamarindlead/internal/state"
-	"tamarindlead/internal/store"
 	"tamarindlead/micros"
 )
 
@@ -46,8 +45,8 @@
 func (n *Node) RecordVersion() uint64 { return n.membership.version }
 
 // OwnGuard is the guard that this incarnation of the node is still a member.
-func (n *Node) OwnGuard() state.Guard {
-	return state.Guard{Key: record.MemberKey(n.config.Node), Version: n.membership.version}
+func (n *Node) OwnGuard() kv.Precondition {
+	return kv.Precondition{Key: record.MemberKey(n.config.Node), Version: n.membership.version}
 }
 
 // setMember is the one place where the state of membership changes.
@@ -82,9 +81,9 @@
 // join reads the version of this node's record, gets a lease, and puts the record on it.
 func (n *Node) join(now micros.Micros) {
 	n.setMember(now, memberJoining, "starts")
-	n.store.Call(state.Get(record.MemberKey(n.config.Node)), func(now micros.Micros, reply store.Reply) {
-		var earlier state.Entry
-		if reply.Outcome != store.Missing && !decode(reply, &earlier) {
+	n.store.Call(kv.Get(record.MemberKey(n.config.Node)), func(now micros.Micros, reply kv.Result) {
+		var earlier kv.Entry
+		if reply.Outcome != kv.NotFound && !decode(reply, &earlier) {
 			n.joinFailed(now)
 			return
 		}
@@ -93,8 +92,8 @@
 }
 
 func (n *Node) grantLease(earlierVersion uint64) {
-	n.store.Call(state.Grant(n.config.Tuning.LeaderTTL), func(now micros.Micros, reply store.Reply) {
-		var granted state.Granted
+	n.store.Call(kv.GrantLease(n.config.Tuning.LeaderTTL), func(now micros.Micros, reply kv.Result) {
+		var granted kv.LeaseGrant
 		if !decode(reply, &granted) {
 			n.joinFailed(now)
 			return
@@ -107,10 +106,10 @@
 // lease was granted keeps late commits of an earlier incarnation from replacing it.
 func (n *Node) putRecord(lease, earlierVersion uint64) {
 	key := record.MemberKey(n.config.Node)
-	guards := []state.Guard{{Key: key, Version: earlierVersion}}
-	writes := []state.Write{{Put: key, Lease: lease, Value: record.Member{Incarnation: n.incarnation}}}
-	n.store.Call(state.Commit(guards, writes), func(now micros.Micros, reply store.Reply) {
-		var committed state.Committed
+	guards := []kv.Precondition{{Key: key, Version: earlierVersion}}
+	writes := []kv.Write{{Put: key, Lease: lease, Value: record.Member{Incarnation: n.incarnation}}}
+	n.store.Call(kv.Transaction(guards, writes), func(now micros.Micros, reply kv.Result) {
+		var committed kv.TransactionResult
 		if !decode(reply, &committed) {
 			n.joinFailed(now)
 			return
@@ -136,15 +135,15 @@
 	}
 	m.renewing = true
 	lease := m.lease
-	n.store.Call(state.Renew(lease), func(now micros.Micros, reply store.Reply) {
+	n.store.Call(kv.RenewLease(lease), func(now micros.Micros, reply kv.Result) {
 		m.renewing = false
 		if m.state != memberIn || m.lease != lease {
 			return
 		}
 		switch reply.Outcome {
-		case store.OK:
+		case kv.OK:
 			m.renewAt = now + n.renewEvery()
-		case store.Missing:
+		case kv.NotFound:
 			n.setMember(now, memberOut, "its lease has ended")
 		default:
 			// In an outage, or if this node alone is refused, it cannot tell whether the
@@ -160,7 +159,7 @@
 func (n *Node) leave(now micros.Micros) {
 	n.log.Warn("leaving: workers reach a peer but not this node")
 	n.membership.pausedUntil = now + leavePause
-	n.store.Call(state.Revoke(n.membership.lease), func(micros.Micros, store.Reply) {})
+	n.store.Call(kv.RevokeLease(n.membership.lease), func(micros.Micros, kv.Result) {})
 	n.setMember(now, memberOut, "workers do not reach it")
 }
 
--- a/internal/cluster/membership_test.go
+++ b/internal/cluster/membership_test.go
@@ -4,31 +4,30 @@
 	"fmt"
 	"testing"
 
+	"tamarindlead/internal/kv"
 	"tamarindlead/internal/record"
-	"tamarindlead/internal/state"
-	"tamarindlead/internal/store"
 	"tamarindlead/micros"
 )
 
 func TestJoin(t *testing.T) {
 	f := newFixture(t, testSettings("red"))
 	f.tick(0)
-	f.fail(f.expect("GET", memberTarget), store.Missing)
+	f.fail(f.expect("GET", memberTarget), kv.NotFound)
 	f.expect("GET", listTarget)
-	f.answer(f.expect("POST", "/leases"), state.Granted{Lease: testLease})
+	f.answer(f.expect("POST", "/leases"), kv.LeaseGrant{Lease: testLease})
 	commit, body := f.expectCommit()
-	if want := []state.Guard{{Key: "c/n/n0", Version: 0}}; fmt.Sprint(body.Guards) != fmt.Sprint(want) {
+	if want := []kv.Precondition{{Key: "c/n/n0", Version: 0}}; fmt.Sprint(body.Guards) != fmt.Sprint(want) {
 		t.Errorf("guards %v; want %v", body.Guards, want)
 	}
 	if len(body.Writes) != 1 || body.Writes[0].Put != "c/n/n0" || body.Writes[0].Lease != testLease ||
 		body.Writes[0].Value["i"] != f.node.Incarnation() {
 		t.Errorf("writes %v", body.Writes)
 	}
-	f.answer(commit, state.Committed{Revision: joinRevision})
+	f.answer(commit, kv.TransactionResult{Revision: joinRevision})
 	if f.node.membership.state != memberIn || f.node.RecordVersion() != joinRevision {
 		t.Errorf("state %s, version %d", f.node.membership.state, f.node.RecordVersion())
 	}
-	if guard := f.node.OwnGuard(); guard != (state.Guard{Key: "c/n/n0", Version: joinRevision}) {
+	if guard := f.node.OwnGuard(); guard != (kv.Precondition{Key: "c/n/n0", Version: joinRevision}) {
 		t.Errorf("own guard %v", guard)
 	}
 	if f.host.ownershipChanges != 2 { // joining, in
@@ -43,12 +42,12 @@
 	f.tick(0)
 	f.answer(f.expect("GET", memberTarget), memberEntry("n0", 1, 7))
 	f.expect("GET", listTarget)
-	f.answer(f.expect("POST", "/leases"), state.Granted{Lease: testLease})
+	f.answer(f.expect("POST", "/leases"), kv.LeaseGrant{Lease: testLease})
 	commit, body := f.expectCommit()
 	if body.Guards[0].Version != 7 {
 		t.Errorf("guarded on version %d; want 7", body.Guards[0].Version)
 	}
-	f.fail(commit, store.Conflict)
+	f.fail(commit, kv.PreconditionFailed)
 	if f.node.membership.state != memberOut || f.node.RecordVersion() != 0 {
 		t.Errorf("state %s, version %d", f.node.membership.state, f.node.RecordVersion())
 	}
@@ -65,14 +64,14 @@
 		call := f.expect("GET", memberTarget)
 		f.expect("GET", listTarget)
 		if step > 0 {
-			f.fail(call, store.Missing)
+			f.fail(call, kv.NotFound)
 			call = f.expect("POST", "/leases")
 		}
 		if step > 1 {
-			f.answer(call, state.Granted{Lease: testLease})
+			f.answer(call, kv.LeaseGrant{Lease: testLease})
 			call, _ = f.expectCommit()
 		}
-		f.fail(call, store.Unknown)
+		f.fail(call, kv.Unknown)
 		if f.node.membership.state != memberOut {
 			t.Errorf("step %d: state %s; want out", step, f.node.membership.state)
 		}
@@ -91,7 +90,7 @@
 	call := f.expect("POST", renewal)
 	f.tick(micros.Second)
 	f.expectNoCall() // one at a time
-	f.fail(call, store.Unknown)
+	f.fail(call, kv.Unknown)
 	if f.node.membership.state != memberIn {
 		t.Fatal("a renewal that fails does not end the lease")
 	}
@@ -111,7 +110,7 @@
 	f.store.calls = nil
 	f.tick(testTTL / 3)
 	notified := f.host.ownershipChanges
-	f.fail(f.expect("POST", fmt.Sprintf("/leases/%d/extend", testLease)), store.Missing)
+	f.fail(f.expect("POST", fmt.Sprintf("/leases/%d/extend", testLease)), kv.NotFound)
 	if f.node.membership.state != memberOut || f.node.IsLeading() || len(f.node.OwnTeams()) != 0 {
 		t.Errorf("state %s, leading %t, teams %v", f.node.membership.state, f.node.IsLeading(), f.node.OwnTeams())
 	}
@@ -130,11 +129,11 @@
 	late := f.expect("POST", fmt.Sprintf("/leases/%d/extend", testLease))
 	f.node.RecordLost(f.now)
 	f.tick(joinRetry)
-	f.fail(f.expect("GET", memberTarget), store.Missing)
-	f.answer(f.expect("POST", "/leases"), state.Granted{Lease: testLease + 1})
+	f.fail(f.expect("GET", memberTarget), kv.NotFound)
+	f.answer(f.expect("POST", "/leases"), kv.LeaseGrant{Lease: testLease + 1})
 	commit, _ := f.expectCommit()
-	f.answer(commit, state.Committed{Revision: 30})
-	f.fail(late, store.Missing)
+	f.answer(commit, kv.TransactionResult{Revision: 30})
+	f.fail(late, kv.NotFound)
 	if f.node.membership.state != memberIn || f.node.RecordVersion() != 30 {
 		t.Errorf("state %s, version %d", f.node.membership.state, f.node.RecordVersion())
 	}
--- a/internal/cluster/node.go
+++ b/internal/cluster/node.go
@@ -10,9 +10,8 @@
 	"math/rand/v2"
 
 	"tamarindlead/config"
+	"tamarindlead/internal/kv"
 	"tamarindlead/internal/record"
-	"tamarindlead/internal/state"
-	"tamarindlead/internal/store"
 	"tamarindlead/micros"
 )
 
@@ -20,9 +19,9 @@
 type Store interface {
 	// Call sends a request. Once the call has ended, done gets the time and the reply; that
 	// is at once if the request cannot be sent now.
-	Call(request state.Request, done func(now micros.Micros, reply store.Reply))
+	Call(request kv.Request, done func(now micros.Micros, reply kv.Result))
 	// Watch waits for changes of keys with a prefix after a revision.
-	Watch(prefix string, after uint64, done func(now micros.Micros, reply store.Reply))
+	Watch(prefix string, after uint64, done func(now micros.Micros, reply kv.Result))
 }
 
 // Host is the user of a Node, which is told of changes.
--- a/internal/cluster/stub_test.go
+++ b/internal/cluster/stub_test.go
@@ -7,9 +7,8 @@
 	"testing"
 
 	"tamarindlead/config"
+	"tamarindlead/internal/kv"
 	"tamarindlead/internal/record"
-	"tamarindlead/internal/state"
-	"tamarindlead/internal/store"
 	"tamarindlead/internal/wire"
 	"tamarindlead/micros"
 )
@@ -18,8 +17,8 @@
 
 // stubCall is a call that waits for its answer.
 type stubCall struct {
-	request state.Request
-	done    func(micros.Micros, store.Reply)
+	request kv.Request
+	done    func(micros.Micros, kv.Result)
 }
 
 // stubStore keeps calls until a test answers them.
@@ -28,12 +27,12 @@
 	watches []stubCall
 }
 
-func (s *stubStore) Call(request state.Request, done func(micros.Micros, store.Reply)) {
+func (s *stubStore) Call(request kv.Request, done func(micros.Micros, kv.Result)) {
 	s.calls = append(s.calls, stubCall{request, done})
 }
 
-func (s *stubStore) Watch(prefix string, after uint64, done func(micros.Micros, store.Reply)) {
-	s.watches = append(s.watches, stubCall{state.Watch(prefix, after, 0), done})
+func (s *stubStore) Watch(prefix string, after uint64, done func(micros.Micros, kv.Result)) {
+	s.watches = append(s.watches, stubCall{kv.Watch(prefix, after, 0), done})
 }
 
 // stubHost counts notifications.
@@ -101,16 +100,16 @@
 }
 
 func (f *fixture) answer(call stubCall, body any) {
-	call.done(f.now, store.Reply{Outcome: store.OK, Body: wire.Encode(body)})
+	call.done(f.now, kv.Result{Outcome: kv.OK, Body: wire.Encode(body)})
 }
 
-func (f *fixture) fail(call stubCall, outcome store.Outcome) {
-	call.done(f.now, store.Reply{Outcome: outcome})
+func (f *fixture) fail(call stubCall, outcome kv.Outcome) {
+	call.done(f.now, kv.Result{Outcome: outcome})
 }
 
 // commitBody is what a commit demands and writes.
 type commitBody struct {
-	Guards []state.Guard `cbor:"guards"`
+	Guards []kv.Precondition `cbor:"guards"`
 	Writes []struct {
 		Put   string         `cbor:"put"`
 		Lease uint64         `cbor:"tenancy"`
@@ -135,29 +134,29 @@
 	joinRevision = 10
 )
 
-var listTarget = state.List(record.ClusterPrefix, "").Target
+var listTarget = kv.List(record.ClusterPrefix, "").Target
 
 // joined answers the calls that make the node a member, whose records it then lists.
-func (f *fixture) joined(entries ...state.Entry) {
+func (f *fixture) joined(entries ...kv.Entry) {
 	f.t.Helper()
 	f.tick(0)
 	read := f.expect("GET", memberTarget)
 	list := f.expect("GET", listTarget)
-	f.fail(read, store.Missing)
-	f.answer(f.expect("POST", "/leases"), state.Granted{Lease: testLease})
+	f.fail(read, kv.NotFound)
+	f.answer(f.expect("POST", "/leases"), kv.LeaseGrant{Lease: testLease})
 	commit, _ := f.expectCommit()
-	f.answer(commit, state.Committed{Revision: joinRevision})
-	entries = append([]state.Entry{f.ownEntry()}, entries...)
-	f.answer(list, state.Page{Entries: entries, Revision: joinRevision})
+	f.answer(commit, kv.TransactionResult{Revision: joinRevision})
+	entries = append([]kv.Entry{f.ownEntry()}, entries...)
+	f.answer(list, kv.Page{Entries: entries, Revision: joinRevision})
 }
 
 // leading makes the node a member and the leader.
-func (f *fixture) leading(entries ...state.Entry) {
+func (f *fixture) leading(entries ...kv.Entry) {
 	f.t.Helper()
 	f.joined(entries...)
 	f.tick(campaignJitter)
 	commit, _ := f.expectCommit()
-	f.answer(commit, state.Committed{Revision: leaderRevision})
+	f.answer(commit, kv.TransactionResult{Revision: leaderRevision})
 	if !f.node.IsLeading() {
 		f.t.Fatal("the node does not lead")
 	}
@@ -165,30 +164,30 @@
 
 const leaderRevision = 20
 
-func (f *fixture) ownEntry() state.Entry {
+func (f *fixture) ownEntry() kv.Entry {
 	return memberEntry("n0", f.node.Incarnation(), joinRevision)
 }
 
-func memberEntry(node string, incarnation, version uint64) state.Entry {
-	return state.Entry{
+func memberEntry(node string, incarnation, version uint64) kv.Entry {
+	return kv.Entry{
 		Key: record.MemberKey(node), Value: wire.Encode(record.Member{Incarnation: incarnation}), Version: version,
 	}
 }
 
-func leaderEntry(node string, incarnation, version uint64) state.Entry {
+func leaderEntry(node string, incarnation, version uint64) kv.Entry {
 	leader := record.Leader{Node: node, Incarnation: incarnation}
-	return state.Entry{Key: record.LeaderKey, Value: wire.Encode(leader), Version: version}
+	return kv.Entry{Key: record.LeaderKey, Value: wire.Encode(leader), Version: version}
 }
 
-func teamEntry(name string, team record.Team, version uint64) state.Entry {
-	return state.Entry{Key: record.TeamKey(name), Value: wire.Encode(team), Version: version}
+func teamEntry(name string, team record.Team, version uint64) kv.Entry {
+	return kv.Entry{Key: record.TeamKey(name), Value: wire.Encode(team), Version: version}
 }
 
 // changed answers the latest watch with records that were put.
-func (f *fixture) changed(entries ...state.Entry) {
-	var changes state.Changes
+func (f *fixture) changed(entries ...kv.Entry) {
+	var changes kv.WatchResult
 	for _, entry := range entries {
-		changes.Events = append(changes.Events, state.Change{Put: entry.Key, Value: entry.Value, Version: entry.Version})
+		changes.Events = append(changes.Events, kv.Change{Put: entry.Key, Value: entry.Value, Version: entry.Version})
 		changes.Revision = max(changes.Revision, entry.Version)
 	}
 	f.answerWatch(changes)
@@ -196,10 +195,10 @@
 
 // deleted answers the latest watch with a record that is gone.
 func (f *fixture) deleted(key string, revision uint64) {
-	f.answerWatch(state.Changes{Events: []state.Change{{Delete: key, Version: revision}}, Revision: revision})
+	f.answerWatch(kv.WatchResult{Events: []kv.Change{{Delete: key, Version: revision}}, Revision: revision})
 }
 
-func (f *fixture) answerWatch(changes state.Changes) {
+func (f *fixture) answerWatch(changes kv.WatchResult) {
 	f.t.Helper()
 	if len(f.store.watches) != 1 {
 		f.t.Fatalf("%d watches; want 1", len(f.store.watches))
--- a/internal/cluster/view.go
+++ b/internal/cluster/view.go
@@ -6,8 +6,8 @@
 	"strings"
 
 	"tamarindlead/config"
+	"tamarindlead/internal/kv"
 	"tamarindlead/internal/record"
-	"tamarindlead/internal/state"
 	"tamarindlead/internal/wire"
 )
 
@@ -88,8 +88,8 @@
 }
 
 // MemberGuard is the guard that a node is still the member that is known here.
-func (v *View) MemberGuard(node string) state.Guard {
-	return state.Guard{Key: record.MemberKey(node), Version: v.members[node].Version}
+func (v *View) MemberGuard(node string) kv.Precondition {
+	return kv.Precondition{Key: record.MemberKey(node), Version: v.members[node].Version}
 }
 
 // Owners counts the nodes that own teams, members or not; at least 1.
--- a/internal/cluster/view_test.go
+++ b/internal/cluster/view_test.go
@@ -4,11 +4,11 @@
 	"testing"
 
 	"tamarindlead/config"
+	"tamarindlead/internal/kv"
 	"tamarindlead/internal/record"
-	"tamarindlead/internal/state"
 )
 
-func testView(entries ...state.Entry) *View {
+func testView(entries ...kv.Entry) *View {
 	view := newView([]config.Team{{Name: "blue"}, {Name: "red"}})
 	for _, entry := range entries {
 		view.put(entry.Key, entry.Value, entry.Version)
@@ -24,7 +24,7 @@
 	if !view.IsLive("n1/4") || view.IsLive("n1/3") || view.IsLive("n0/4") {
 		t.Error("an incarnation is live if it is that of a member's record")
 	}
-	if view.MemberID("n2") != "n2/5" || view.MemberGuard("n2") != (state.Guard{Key: "c/n/n2", Version: 7}) {
+	if view.MemberID("n2") != "n2/5" || view.MemberGuard("n2") != (kv.Precondition{Key: "c/n/n2", Version: 7}) {
 		t.Errorf("ID %s, guard %v", view.MemberID("n2"), view.MemberGuard("n2"))
 	}
 	view.remove("c/n/n1")
@@ -52,7 +52,7 @@
 }
 
 func TestViewIgnoresRecordsThatCannotBeRead(t *testing.T) {
-	view := testView(state.Entry{Key: "c/n/n1", Value: []byte{0xff}, Version: 1}, state.Entry{Key: "c/t/red", Value: []byte{0xff}, Version: 2})
+	view := testView(kv.Entry{Key: "c/n/n1", Value: []byte{0xff}, Version: 1}, kv.Entry{Key: "c/t/red", Value: []byte{0xff}, Version: 2})
 	if view.IsMember("n1") || len(view.teams) > 0 {
 		t.Error("a damaged record was taken")
 	}
--- a/internal/jobgraph/graph.go
+++ b/internal/jobgraph/graph.go
@@ -17,8 +17,8 @@
 	"slices"
 	"strings"
 
+	"tamarindlead/internal/kv"
 	"tamarindlead/internal/record"
-	"tamarindlead/internal/state"
 	"tamarindlead/micros"
 )
 
@@ -130,7 +130,7 @@
 
 // Reset takes a listing. It may be older than what was known: whoever needs the present state
 // asks for the changes since. What is known of ends stays true.
-func (g *Graph) Reset(entries []state.Entry, revision uint64) {
+func (g *Graph) Reset(entries []kv.Entry, revision uint64) {
 	previous := g.waiting
 	g.clear()
 	g.resets++
@@ -167,7 +167,7 @@
 
 // Apply applies changes after a revision, each once: two reads may both bring it. It tells
 // whether they continue what is known.
-func (g *Graph) Apply(after uint64, changes *state.Changes, wallClock micros.Micros) bool {
+func (g *Graph) Apply(after uint64, changes *kv.WatchResult, wallClock micros.Micros) bool {
 	if !g.synced || after > g.revision {
 		return false
 	}
--- a/internal/jobgraph/inheritance_test.go
+++ b/internal/jobgraph/inheritance_test.go
@@ -3,8 +3,8 @@
 import (
 	"testing"
 
+	"tamarindlead/internal/kv"
 	"tamarindlead/internal/record"
-	"tamarindlead/internal/state"
 	"tamarindlead/micros"
 	"tamarindlead/sched"
 )
@@ -36,7 +36,7 @@
 
 func (f *fans) end(id string, isDone bool) {
 	f.Helper()
-	apply(f, f.g, state.Change{Delete: record.ActiveKey(id)})
+	apply(f, f.g, kv.Change{Delete: record.ActiveKey(id)})
 	if isDone {
 		f.g.Done(id, 1)
 	} else {
--- a/internal/store/store.go
+++ b/internal/kv/client.go
@@ -3,40 +3,39 @@
 // a peer that it serves.
 //
 // The package has no clock and no network: both are the Host's.
-package store
+package kv
 
 import (
 	"log/slog"
 	"net/http"
 
 	"tamarindlead/internal/budget"
-	"tamarindlead/internal/state"
 	"tamarindlead/internal/wire"
 	"tamarindlead/micros"
 )
 
 const (
-	// Timeout is the deadline of a plain call.
-	Timeout = 1500 * micros.Millisecond
+	// CallTimeout is the deadline of a plain call.
+	CallTimeout = 1500 * micros.Millisecond
 	// listTimeout is the deadline of one page of a listing, which is larger.
-	listTimeout = 2 * Timeout
+	listTimeout = 2 * CallTimeout
 	// WatchWait is the longest that a watch waits for changes.
 	WatchWait = 4 * micros.Second
 	// WatchTimeout is the deadline of a watch.
 	WatchTimeout = 6 * micros.Second
 	// relayDelay is what a call may take longer if it goes through a peer.
 	relayDelay = 500 * micros.Millisecond
-	// LimitedPause is how long to wait after a call that ended with Limited.
-	LimitedPause = 100 * micros.Millisecond
-	// MaxBody bounds the size of a response, in bytes.
-	MaxBody = 8 << 20
+	// ThrottledPause is how long to wait after a call that ended with Limited.
+	ThrottledPause = 100 * micros.Millisecond
+	// MaxResponseBytes bounds the size of a response, in bytes.
+	MaxResponseBytes = 8 << 20
 )
 
 // Limits for leaving the direct route and returning to it.
 const (
-	routeFailures = 2                        // failures in a row before the route is left
-	routeSilence  = 500 * micros.Millisecond // time without any success before it is left
-	probeEvery    = micros.Second            // time between attempts to return to it
+	maxDirectFailures    = 2                        // failures in a row before the route is left
+	directFailureTimeout = 500 * micros.Millisecond // time without any success before it is left
+	probeInterval        = micros.Second            // time between attempts to return to it
 )
 
 // Outcome is how a call to the state service ended.
@@ -44,24 +43,24 @@
 
 // The ends of a call.
 const (
-	OK       Outcome = iota
-	Missing          // the key or lease does not exist
-	Conflict         // a guard of a commit did not hold
-	Gone             // the revision is too old to watch from
-	Limited          // over the service's limit or this node's budget: not executed
-	Refused          // refused, or never sent: not executed
-	Unknown          // no response: executed, or not, or executed later
-	Invalid          // the request is a mistake of ours
+	OK                 Outcome = iota
+	NotFound                   // the key or lease does not exist
+	PreconditionFailed         // a guard of a commit did not hold
+	Compacted                  // the revision is too old to watch from
+	Throttled                  // over the service's limit or this node's budget: not executed
+	Refused                    // refused, or never sent: not executed
+	Unknown                    // no response: executed, or not, or executed later
+	InvalidRequest             // the request is a mistake of ours
 )
 
-// Reply is the answer to a call.
-type Reply struct {
+// Result is the answer to a call.
+type Result struct {
 	Outcome Outcome
 	Body    []byte
 }
 
 // Decode reads the body, and tells whether that succeeded.
-func (r Reply) Decode(v any) bool { return wire.Decode(r.Body, v) == nil }
+func (r Result) Decode(v any) bool { return wire.Decode(r.Body, v) == nil }
 
 // Response is what the network gave: a status, or 0 if none came. Sent then tells whether the
 // request may have reached the service.
@@ -76,20 +75,20 @@
 	return r.Status != 0 && r.Status != http.StatusServiceUnavailable
 }
 
-func (r Response) reply() Reply { return Reply{r.outcome(), r.Body} }
+func (r Response) result() Result { return Result{r.outcome(), r.Body} }
 
 func (r Response) outcome() Outcome {
 	switch r.Status {
 	case http.StatusOK:
 		return OK
 	case http.StatusNotFound:
-		return Missing
+		return NotFound
 	case http.StatusConflict:
-		return Conflict
+		return PreconditionFailed
 	case http.StatusGone:
-		return Gone
+		return Compacted
 	case http.StatusTooManyRequests:
-		return Limited
+		return Throttled
 	case http.StatusServiceUnavailable:
 		return Refused
 	case 0:
@@ -98,7 +97,7 @@
 		}
 		return Unknown
 	}
-	return Invalid
+	return InvalidRequest
 }
 
 // Host is the node that a Client works for.
@@ -108,11 +107,11 @@
 	// After calls do once d has passed.
 	After(d micros.Micros, do func())
 	// Send sends a request to the state service.
-	Send(request state.Request, timeout micros.Micros, done func(Response))
-	// ServedPeer returns a peer that the state service serves, or "".
-	ServedPeer() string
-	// SendThrough sends a request through a peer.
-	SendThrough(peer string, request state.Request, timeout micros.Micros, done func(Response))
+	Send(request Request, timeout micros.Micros, done func(Response))
+	// ConnectedPeer returns a peer that the state service serves, or "".
+	ConnectedPeer() string
+	// SendViaPeer sends a request through a peer.
+	SendViaPeer(peer string, request Request, timeout micros.Micros, done func(Response))
 }
 
 // route is the way that calls take.
@@ -127,7 +126,7 @@
 type Client struct {
 	host   Host
 	budget *budget.Budget
-	probe  state.Request // reads a key, to try the direct route
+	probe  Request // reads a key, to try the direct route
 	log    *slog.Logger
 
 	route       route
@@ -148,24 +147,24 @@
 // New returns a client that takes the direct route. probeKey is a key that is read to try that
 // route while calls go through a peer.
 func New(host Host, budget *budget.Budget, probeKey string, log *slog.Logger) *Client {
-	return &Client{host: host, budget: budget, probe: state.Get(probeKey), log: log, lastSuccess: host.Now()}
+	return &Client{host: host, budget: budget, probe: Get(probeKey), log: log, lastSuccess: host.Now()}
 }
 
 // Do sends a request within the budget. done is called at once, with Limited, if the budget
 // does not allow it.
-func (c *Client) Do(purpose budget.Purpose, request state.Request, done func(Reply)) {
-	c.doWithin(purpose, request, Timeout, done)
+func (c *Client) Do(purpose budget.Purpose, request Request, done func(Result)) {
+	c.doWithTimeout(purpose, request, CallTimeout, done)
 }
 
 // Watch waits for changes of keys with a prefix after a revision.
-func (c *Client) Watch(purpose budget.Purpose, prefix string, after uint64, wait micros.Micros, done func(Reply)) {
-	c.doWithin(purpose, state.Watch(prefix, after, wait), WatchTimeout, done)
+func (c *Client) Watch(purpose budget.Purpose, prefix string, after uint64, wait micros.Micros, done func(Result)) {
+	c.doWithTimeout(purpose, Watch(prefix, after, wait), WatchTimeout, done)
 }
 
 // Get reads one key.
-func (c *Client) Get(purpose budget.Purpose, key string, done func(Outcome, state.Entry)) {
-	c.Do(purpose, state.Get(key), func(reply Reply) {
-		var entry state.Entry
+func (c *Client) Get(purpose budget.Purpose, key string, done func(Outcome, Entry)) {
+	c.Do(purpose, Get(key), func(reply Result) {
+		var entry Entry
 		if reply.Outcome == OK && !reply.Decode(&entry) {
 			reply.Outcome = Unknown
 		}
@@ -173,34 +172,34 @@
 	})
 }
 
-func (c *Client) doWithin(purpose budget.Purpose, request state.Request, timeout micros.Micros, done func(Reply)) {
-	if !c.budget.Take(purpose, request.Writes, c.host.Now()) {
-		done(Reply{Outcome: Limited})
+func (c *Client) doWithTimeout(purpose budget.Purpose, request Request, timeout micros.Micros, done func(Result)) {
+	if !c.budget.Take(purpose, request.WriteCount, c.host.Now()) {
+		done(Result{Outcome: Throttled})
 		return
 	}
 	c.usage.Requests++
-	c.usage.Writes += request.Writes
+	c.usage.Writes += request.WriteCount
 	if c.route == routePeer {
-		if peer := c.host.ServedPeer(); peer != "" {
-			c.host.SendThrough(peer, request, timeout+relayDelay, func(r Response) { done(r.reply()) })
+		if peer := c.host.ConnectedPeer(); peer != "" {
+			c.host.SendViaPeer(peer, request, timeout+relayDelay, func(r Response) { done(r.result()) })
 			return
 		}
 	}
-	c.sendDirect(request, timeout, func(r Response) { done(r.reply()) })
+	c.sendDirect(request, timeout, func(r Response) { done(r.result()) })
 }
 
 // sendDirect sends a request by the direct route, and notes whether that works.
-func (c *Client) sendDirect(request state.Request, timeout micros.Micros, done func(Response)) {
+func (c *Client) sendDirect(request Request, timeout micros.Micros, done func(Response)) {
 	c.host.Send(request, timeout, func(r Response) {
-		c.noteDirect(r)
+		c.recordDirectResponse(r)
 		done(r)
 	})
 }
 
 // Relay sends a request of a peer by the direct route. It is outside this node's budget: the
 // peer has counted it already.
-func (c *Client) Relay(request state.Request, done func(Response)) {
-	timeout := Timeout
+func (c *Client) Relay(request Request, done func(Response)) {
+	timeout := CallTimeout
 	if len(request.Body) == 0 { // a read, which may be a watch
 		timeout = WatchTimeout
 	}
--- a/internal/store/store_test.go
+++ b/internal/kv/client_test.go
@@ -1,4 +1,4 @@
-package store
+package kv
 
 import (
 	"fmt"
@@ -6,7 +6,6 @@
 	"testing"
 
 	"tamarindlead/internal/budget"
-	"tamarindlead/internal/state"
 	"tamarindlead/internal/wire"
 	"tamarindlead/micros"
 )
@@ -20,8 +19,8 @@
 }
 
 type call struct {
-	request state.Request
-	through string // a peer, or ""
+	request Request
+	viaPeer string // a peer, or ""
 	timeout micros.Micros
 	done    func(Response)
 }
@@ -30,13 +29,13 @@
 
 func (n *network) After(_ micros.Micros, do func()) { n.timers = append(n.timers, do) }
 
-func (n *network) ServedPeer() string { return n.peer }
+func (n *network) ConnectedPeer() string { return n.peer }
 
-func (n *network) Send(request state.Request, timeout micros.Micros, done func(Response)) {
+func (n *network) Send(request Request, timeout micros.Micros, done func(Response)) {
 	n.calls = append(n.calls, &call{request, "", timeout, done})
 }
 
-func (n *network) SendThrough(peer string, request state.Request, timeout micros.Micros, done func(Response)) {
+func (n *network) SendViaPeer(peer string, request Request, timeout micros.Micros, done func(Response)) {
 	n.calls = append(n.calls, &call{request, peer, timeout, done})
 }
 
@@ -66,20 +65,20 @@
 		want     Outcome
 	}{
 		{Response{Status: 200}, OK},
-		{Response{Status: 404}, Missing},
-		{Response{Status: 409}, Conflict},
-		{Response{Status: 410}, Gone},
-		{Response{Status: 429}, Limited},
+		{Response{Status: 404}, NotFound},
+		{Response{Status: 409}, PreconditionFailed},
+		{Response{Status: 410}, Compacted},
+		{Response{Status: 429}, Throttled},
 		{Response{Status: 503}, Refused},
-		{Response{Status: 400}, Invalid},
-		{Response{Status: 500}, Invalid},
+		{Response{Status: 400}, InvalidRequest},
+		{Response{Status: 500}, InvalidRequest},
 		{Response{Sent: false}, Refused},
 		{Response{Sent: true}, Unknown},
 	}
 	for _, c := range cases {
 		client, n := newClient(100)
 		got := Outcome(-1)
-		client.Do(budget.Users, state.Get("k"), func(r Reply) { got = r.Outcome })
+		client.Do(budget.Users, Get("k"), func(r Result) { got = r.Outcome })
 		n.answer(t, c.response)
 		if got != c.want {
 			t.Errorf("%+v: outcome %d, not %d", c.response, got, c.want)
@@ -91,8 +90,8 @@
 	client, n := newClient(2)
 	limited := 0
 	for range 5 {
-		client.Do(budget.Users, state.Get("k"), func(r Reply) {
-			if r.Outcome == Limited {
+		client.Do(budget.Users, Get("k"), func(r Result) {
+			if r.Outcome == Throttled {
 				limited++
 			}
 		})
@@ -109,7 +108,7 @@
 func fail(t *testing.T, client *Client, n *network, times int) {
 	t.Helper()
 	for range times {
-		client.Do(budget.Leadership, state.Get("k"), func(Reply) {})
+		client.Do(budget.Leadership, Get("k"), func(Result) {})
 		n.now += 400 * micros.Millisecond
 		n.answer(t, Response{Status: 503})
 		client.Tick()
@@ -121,71 +120,71 @@
 func TestRouteThroughPeer(t *testing.T) {
 	client, n := newClient(100)
 	n.peer = "b"
-	fail(t, client, n, routeFailures)
-	if client.Served() || client.Down() {
-		t.Fatalf("served %t, down %t", client.Served(), client.Down())
+	fail(t, client, n, maxDirectFailures)
+	if client.DirectlyConnected() || client.Unavailable() {
+		t.Fatalf("served %t, down %t", client.DirectlyConnected(), client.Unavailable())
 	}
 	got := Unknown
-	client.Do(budget.Users, state.Get("k"), func(r Reply) { got = r.Outcome })
-	if c := n.answer(t, Response{Status: 200}); c.through != "b" || got != OK || c.timeout <= Timeout {
+	client.Do(budget.Users, Get("k"), func(r Result) { got = r.Outcome })
+	if c := n.answer(t, Response{Status: 200}); c.viaPeer != "b" || got != OK || c.timeout <= CallTimeout {
 		t.Fatalf("%+v: outcome %d", c, got)
 	}
-	if client.Served() {
+	if client.DirectlyConnected() {
 		t.Fatal("what a peer relayed is taken for the direct route")
 	}
 	client.Tick()
-	if c := n.answer(t, Response{Status: 503}); c.through != "" || c.request.Target != state.Get("probe").Target {
+	if c := n.answer(t, Response{Status: 503}); c.viaPeer != "" || c.request.Target != Get("probe").Target {
 		t.Fatalf("the probe is %+v", c)
 	}
 	if client.Tick(); len(n.calls) != 0 {
 		t.Fatal("it is tried again too soon")
 	}
-	n.now += probeEvery
+	n.now += probeInterval
 	client.Tick()
 	if client.Tick(); len(n.calls) != 1 {
 		t.Fatalf("%d probes at a time", len(n.calls))
 	}
 	n.answer(t, Response{Status: 404})
-	if !client.Served() || client.LastSuccess() != n.now {
+	if !client.DirectlyConnected() || client.LastSuccess() != n.now {
 		t.Fatal("the direct route is not taken again")
 	}
-	client.Do(budget.Users, state.Get("k"), func(Reply) {})
-	if c := n.answer(t, Response{Status: 200}); c.through != "" {
+	client.Do(budget.Users, Get("k"), func(Result) {})
+	if c := n.answer(t, Response{Status: 200}); c.viaPeer != "" {
 		t.Fatal("calls still go through the peer")
 	}
 }
 
-func TestPeerNoLongerServed(t *testing.T) {
+func TestPeerNoLongerConnected(t *testing.T) {
 	client, n := newClient(100)
 	n.peer = "b"
-	fail(t, client, n, routeFailures)
+	fail(t, client, n, maxDirectFailures)
 	n.peer = ""
-	client.Do(budget.Users, state.Get("k"), func(Reply) {})
-	if c := n.answer(t, Response{Status: 503}); c.through != "" {
+	client.Do(budget.Users, Get("k"), func(Result) {})
+	if c := n.answer(t, Response{Status: 503}); c.viaPeer != "" {
 		t.Fatal("a call goes through a peer that is not served")
 	}
 }
 
-// TestDown checks that the service is down only after several failures over some time, and if
+// TestUnavailable checks that the service is down only after several failures over some time, and if
 // no peer could relay.
-func TestDown(t *testing.T) {
+func TestUnavailable(t *testing.T) {
 	client, n := newClient(100)
-	fail(t, client, n, 2*routeFailures-1)
-	if client.Down() {
+	fail(t, client, n, 2*maxDirectFailures-1)
+	if client.Unavailable() {
 		t.Fatal("down too early")
 	}
 	fail(t, client, n, 1)
-	if !client.Down() {
+	if !client.Unavailable() {
 		t.Fatal("not down")
 	}
 	n.peer = "b"
-	if client.Down() {
+	if client.Unavailable() {
 		t.Fatal("down although a peer could relay")
 	}
-	client.Do(budget.Leadership, state.Get("k"), func(Reply) {})
+	client.Do(budget.Leadership, Get("k"), func(Result) {})
 	n.answer(t, Response{Status: 429})
 	n.peer = ""
-	if client.Down() || !client.Served() {
+	if client.Unavailable() || !client.DirectlyConnected() {
 		t.Fatal("down although it answers")
 	}
 }
@@ -194,7 +193,7 @@
 	client, n := newClient(1)
 	status := 0
 	for range 3 {
-		client.Relay(state.Get("k"), func(r Response) { status = r.Status })
+		client.Relay(Get("k"), func(r Response) { status = r.Status })
 	}
 	if c := n.answer(t, Response{Status: 404}); status != 404 || c.timeout != WatchTimeout {
 		t.Fatalf("status %d, deadline %v", status, c.timeout)
@@ -202,8 +201,8 @@
 	if client.TakeUsage() != (Usage{}) {
 		t.Fatal("a peer's request is counted here too")
 	}
-	client.Relay(state.Commit(nil, nil), func(Response) {})
-	if c := n.calls[len(n.calls)-1]; c.timeout != Timeout {
+	client.Relay(Transaction(nil, nil), func(Response) {})
+	if c := n.calls[len(n.calls)-1]; c.timeout != CallTimeout {
 		t.Fatalf("deadline %v of a commit", c.timeout)
 	}
 }
@@ -211,10 +210,10 @@
 func TestGet(t *testing.T) {
 	client, n := newClient(100)
 	var got Outcome
-	var entry state.Entry
-	take := func(outcome Outcome, e state.Entry) { got, entry = outcome, e }
+	var entry Entry
+	take := func(outcome Outcome, e Entry) { got, entry = outcome, e }
 	client.Get(budget.Reads, "k", take)
-	n.answer(t, Response{Status: 200, Body: body(state.Entry{Key: "k", Value: body(1), Version: 7})})
+	n.answer(t, Response{Status: 200, Body: body(Entry{Key: "k", Value: body(1), Version: 7})})
 	if got != OK || entry.Version != 7 {
 		t.Fatalf("outcome %d, %+v", got, entry)
 	}
@@ -230,7 +229,7 @@
 	client, n := newClient(100)
 	var keys []string
 	revision, calls := uint64(0), 0
-	client.ListAll("p/", func(ok bool, entries []state.Entry, first uint64) {
+	client.ListAll("p/", func(ok bool, entries []Entry, first uint64) {
 		calls++
 		for _, e := range entries {
 			keys = append(keys, e.Key)
@@ -240,7 +239,7 @@
 		}
 	})
 	page := func(key string, more bool, revision uint64) Response {
-		return Response{Status: 200, Body: body(state.Page{Entries: []state.Entry{{Key: key, Value: body(1)}}, More: more, Revision: revision})}
+		return Response{Status: 200, Body: body(Page{Entries: []Entry{{Key: key, Value: body(1)}}, More: more, Revision: revision})}
 	}
 	n.answer(t, page("p/1", true, 10))
 	n.answer(t, Response{Status: 429})
@@ -248,14 +247,14 @@
 		t.Fatal("it does not pause")
 	}
 	n.timers[0]()
-	if c := n.answer(t, page("p/2", false, 20)); c.request.Target != state.List("p/", "p/1").Target {
+	if c := n.answer(t, page("p/2", false, 20)); c.request.Target != List("p/", "p/1").Target {
 		t.Fatalf("the second page is %s", c.request.Target)
 	}
 	if fmt.Sprint(keys) != "[p/1 p/2]" || revision != 10 || calls != 1 {
 		t.Fatalf("keys %v, revision %d, %d calls", keys, revision, calls)
 	}
 	failed := false
-	client.ListAll("p/", func(ok bool, _ []state.Entry, _ uint64) { failed = !ok })
+	client.ListAll("p/", func(ok bool, _ []Entry, _ uint64) { failed = !ok })
 	if n.answer(t, Response{Sent: true}); !failed {
 		t.Fatal("a page without answer is taken for the end")
 	}
--- a/internal/store/list.go
+++ b/internal/kv/list.go
@@ -1,39 +1,38 @@
-package store
+package kv
 
 import (
 	"tamarindlead/internal/budget"
-	"tamarindlead/internal/state"
 )
 
 // listing is a listing of all keys with a prefix, under way.
 type listing struct {
 	client   *Client
 	prefix   string
-	entries  []state.Entry
+	entries  []Entry
 	revision uint64 // of the first page
-	done     func(ok bool, entries []state.Entry, revision uint64)
+	done     func(ok bool, entries []Entry, revision uint64)
 }
 
 // ListAll reads all keys with a prefix, page by page, and passes on the revision of the first
 // page: a watch from there misses nothing.
-func (c *Client) ListAll(prefix string, done func(ok bool, entries []state.Entry, revision uint64)) {
+func (c *Client) ListAll(prefix string, done func(ok bool, entries []Entry, revision uint64)) {
 	l := &listing{client: c, prefix: prefix, done: done}
 	l.readPage("")
 }
 
 func (l *listing) readPage(after string) {
-	l.client.doWithin(budget.Ownership, state.List(l.prefix, after), listTimeout, func(reply Reply) {
-		if reply.Outcome == Limited {
+	l.client.doWithTimeout(budget.Ownership, List(l.prefix, after), listTimeout, func(reply Result) {
+		if reply.Outcome == Throttled {
 			// To start over would use up the budget again before the end is reached.
-			l.client.host.After(LimitedPause, func() { l.readPage(after) })
+			l.client.host.After(ThrottledPause, func() { l.readPage(after) })
 			return
 		}
-		l.takePage(reply)
+		l.handlePage(reply)
 	})
 }
 
-func (l *listing) takePage(reply Reply) {
-	var page state.Page
+func (l *listing) handlePage(reply Result) {
+	var page Page
 	if reply.Outcome != OK || !reply.Decode(&page) {
 		l.done(false, nil, 0)
 		return
--- a/internal/state/state.go
+++ b/internal/kv/request.go
@@ -1,5 +1,5 @@
 // Package state builds requests to the state service and reads its answers.
-package state
+package kv
 
 import (
 	"fmt"
@@ -16,23 +16,23 @@
 
 // Request is one call to the state service.
 type Request struct {
-	Method string
-	Target string
-	Body   []byte
-	Writes int // puts and deletes, counted against the write limit
+	Method     string
+	Target     string
+	Body       []byte
+	WriteCount int // puts and deletes, counted against the write limit
 }
 
-// Guard demands that a key has a given version; 0: that it does not exist.
-type Guard struct {
+// Precondition demands that a key has a given version; 0: that it does not exist.
+type Precondition struct {
 	Key     string `cbor:"k"`
 	Version uint64 `cbor:"stamp"`
 }
 
-// SortedGuards returns the guards of versions by key in a fixed order: that of the keys.
-func SortedGuards(versions map[string]uint64) []Guard {
-	guards := make([]Guard, 0, len(versions))
+// SortedPreconditions returns the guards of versions by key in a fixed order: that of the keys.
+func SortedPreconditions(versions map[string]uint64) []Precondition {
+	guards := make([]Precondition, 0, len(versions))
 	for _, key := range slices.Sorted(maps.Keys(versions)) {
-		guards = append(guards, Guard{Key: key, Version: versions[key]})
+		guards = append(guards, Precondition{Key: key, Version: versions[key]})
 	}
 	return guards
 }
@@ -67,10 +67,10 @@
 	Revision uint64  `cbor:"ledger"`
 }
 
-// Committed is the answer to a commit; Failed lists guards that did not hold.
-type Committed struct {
-	Revision uint64   `cbor:"ledger"`
-	Failed   []string `cbor:"failed"`
+// TransactionResult is the answer to a commit; Failed lists guards that did not hold.
+type TransactionResult struct {
+	Revision            uint64   `cbor:"ledger"`
+	FailedPreconditions []string `cbor:"failed"`
 }
 
 // Change is one event of a watch.
@@ -81,14 +81,14 @@
 	Version uint64          `cbor:"stamp"`
 }
 
-// Changes is the answer of a watch.
-type Changes struct {
+// WatchResult is the answer of a watch.
+type WatchResult struct {
 	Revision uint64   `cbor:"ledger"`
 	Events   []Change `cbor:"events"`
 }
 
-// Granted is the answer to a request for a lease.
-type Granted struct {
+// LeaseGrant is the answer to a request for a lease.
+type LeaseGrant struct {
 	Lease uint64 `cbor:"tenancy"`
 }
 
@@ -117,32 +117,32 @@
 	return Request{Method: "GET", Target: "/changes?" + q.Encode()}
 }
 
-// Commit writes under guards.
-func Commit(guards []Guard, writes []Write) Request {
+// Transaction writes under guards.
+func Transaction(guards []Precondition, writes []Write) Request {
 	body := wire.Encode(struct {
-		Guards []Guard `cbor:"guards"`
-		Writes []Write `cbor:"writes"`
+		Guards []Precondition `cbor:"guards"`
+		Writes []Write        `cbor:"writes"`
 	}{guards, writes})
-	return Request{Method: "POST", Target: "/commit", Body: body, Writes: len(writes)}
+	return Request{Method: "POST", Target: "/commit", Body: body, WriteCount: len(writes)}
 }
 
-// Grant asks for a lease.
-func Grant(ttl micros.Micros) Request {
+// GrantLease asks for a lease.
+func GrantLease(ttl micros.Micros) Request {
 	body := wire.Encode(struct {
 		TTL int64 `cbor:"ttlMs"`
 	}{ttl.Millis()})
 	return Request{Method: "POST", Target: "/leases", Body: body}
 }
 
-// Renew renews a lease.
-func Renew(lease uint64) Request {
+// RenewLease renews a lease.
+func RenewLease(lease uint64) Request {
 	return Request{Method: "POST", Target: fmt.Sprintf("/leases/%d/extend", lease)}
 }
 
-// Revoke ends a lease.
-func Revoke(lease uint64) Request {
+// RevokeLease ends a lease.
+func RevokeLease(lease uint64) Request {
 	return Request{Method: "DELETE", Target: fmt.Sprintf("/leases/%d", lease)}
 }
 
-// Size bounds a value's size in the form in which the service counts it.
-func Size(v any) int { return 2*len(wire.Encode(v)) + 64 }
+// EncodedSizeBound bounds a value's size in the form in which the service counts it.
+func EncodedSizeBound(v any) int { return 2*len(wire.Encode(v)) + 64 }
--- a/internal/record/job.go
+++ b/internal/record/job.go
@@ -3,7 +3,7 @@
 import (
 	"errors"
 
-	"tamarindlead/internal/state"
+	"tamarindlead/internal/kv"
 	"tamarindlead/internal/wire"
 	"tamarindlead/micros"
 	"tamarindlead/sched"
@@ -53,27 +53,27 @@
 
 // JobWrites returns the writes that accept a job, and an upper bound of the size of their
 // values. A dependency list that does not fit in a value of valueBytes goes to Parts.
-func JobWrites(j *sched.Job, accepted micros.Micros, valueBytes int) ([]state.Write, int) {
+func JobWrites(j *sched.Job, accepted micros.Micros, valueBytes int) ([]kv.Write, int) {
 	rec := NewJob(j, accepted)
 	if len(j.Awaits) > 0 {
 		rec.Ready, rec.Waiting = nil, rec.Ready
 	}
-	size := state.Size(rec)
+	size := kv.EncodedSizeBound(rec)
 	if len(j.Awaits) == 0 || size <= valueBytes {
-		return []state.Write{{Put: ActiveKey(j.ID), Value: rec}}, size
+		return []kv.Write{{Put: ActiveKey(j.ID), Value: rec}}, size
 	}
 	rec.Waiting.Awaits = nil
 	parts, partsSize := partWrites(j.ID, j.Awaits, valueBytes)
 	rec.Parts = len(parts)
-	writes := append([]state.Write{{Put: ActiveKey(j.ID), Value: rec}}, parts...)
-	return writes, partsSize + state.Size(rec)
+	writes := append([]kv.Write{{Put: ActiveKey(j.ID), Value: rec}}, parts...)
+	return writes, partsSize + kv.EncodedSizeBound(rec)
 }
 
 // partWrites spreads a dependency list over as few parts as fit.
-func partWrites(job string, ids []string, valueBytes int) (writes []state.Write, size int) {
+func partWrites(job string, ids []string, valueBytes int) (writes []kv.Write, size int) {
 	for len(ids) > 0 {
 		n, bytes := partLength(ids, valueBytes)
-		writes = append(writes, state.Write{Put: PartKey(job, len(writes)), Value: Part{ids[:n]}})
+		writes = append(writes, kv.Write{Put: PartKey(job, len(writes)), Value: Part{ids[:n]}})
 		size += bytes + partKeyBytes
 		ids = ids[n:]
 	}
--- a/internal/record/job_test.go
+++ b/internal/record/job_test.go
@@ -7,8 +7,8 @@
 	"slices"
 	"testing"
 
+	"tamarindlead/internal/kv"
 	"tamarindlead/internal/standin"
-	"tamarindlead/internal/state"
 	"tamarindlead/internal/wire"
 	"tamarindlead/micros"
 	"tamarindlead/sched"
@@ -61,7 +61,7 @@
 			writes, size := JobWrites(testJob(jobName(1), ids...), 5, limit)
 			var got []string
 			for _, w := range writes {
-				r, _ := s.Handle("n0", "POST", "/commit", state.Commit(nil, []state.Write{w}).Body, true)
+				r, _ := s.Handle("n0", "POST", "/commit", kv.Transaction(nil, []kv.Write{w}).Body, true)
 				if r.Status != 200 {
 					t.Fatalf("%d ids in %d bytes: %s is refused with %d", n, limit, w.Put, r.Status)
 				}
@@ -79,7 +79,7 @@
 			if !slices.Equal(got, ids) {
 				t.Fatalf("%d ids become %d", n, len(got))
 			}
-			if body := len(state.Commit(nil, writes).Body); size < body {
+			if body := len(kv.Transaction(nil, writes).Body); size < body {
 				t.Fatalf("%d ids: a commit of %d bytes is taken for %d", n, body, size)
 			}
 		}
