--- a/controller/acceptance.go
+++ b/controller/acceptance.go
@@ -75,7 +75,7 @@
 			break
 		}
 		id := sub.job.ID
-		guards = append(guards, kv.Precondition{Key: record.ActiveKey(id)}, kv.Precondition{Key: record.FinalKey(id)})
+		guards = append(guards, kv.Precondition{Key: record.ActiveJobKey(id)}, kv.Precondition{Key: record.TerminalStateKey(id)})
 		writes = append(writes, puts...)
 	}
 	s.committing = true
@@ -124,7 +124,7 @@
 		failed[key] = true
 	}
 	for _, sub := range batch {
-		known := failed[record.ActiveKey(sub.job.ID)] || failed[record.FinalKey(sub.job.ID)]
+		known := failed[record.ActiveJobKey(sub.job.ID)] || failed[record.TerminalStateKey(sub.job.ID)]
 		if known || len(failed) == 0 {
 			s.answerKnownOr(sub, unavailable(reasonStoreSilent))
 		} else {
--- a/controller/block_split.go
+++ b/controller/block_split.go
@@ -84,7 +84,7 @@
 
 // newPart makes a block for machines of one that is split.
 func (o *owner) newPart(b *block) *block {
-	part := o.newBlock(record.NumberName(o.nextNumber()))
+	part := o.newBlock(record.FormatNumber(o.nextNumber()))
 	part.sources = append(part.sources, b)
 	part.bytesPerTask = b.bytesPerTask
 	b.unwrittenTargets++
--- a/controller/block_write.go
+++ b/controller/block_write.go
@@ -61,7 +61,7 @@
 func (o *owner) newBlockWrite(b *block, room int) *blockWrite {
 	w := &blockWrite{
 		owner: o, block: b, maxTransfers: room - 1,
-		data:   &record.BlockData{Since: int64(o.c.wallClock), Base: math.MaxUint64},
+		data:   &record.BlockData{LaunchTimeBase: int64(o.c.wallClock), AttemptBase: math.MaxUint64},
 		guards: map[string]uint64{record.BlockKey(b.name): b.version},
 		kinds:  map[capacity.Offer]int{}, jobs: map[string]int{},
 	}
@@ -70,9 +70,9 @@
 	}
 	for _, m := range b.machines {
 		for _, a := range m.attempts {
-			w.data.Base = min(w.data.Base, a.number)
+			w.data.AttemptBase = min(w.data.AttemptBase, a.number)
 		}
-		w.data.Since = min(w.data.Since, int64(m.rented))
+		w.data.LaunchTimeBase = min(w.data.LaunchTimeBase, int64(m.rented))
 	}
 	return w
 }
@@ -141,16 +141,16 @@
 // newEntry returns a machine's entry without its tasks.
 func (w *blockWrite) newEntry(m *machine) record.BlockMachine {
 	return record.BlockMachine{
-		Name: m.name, Token: m.token, Endpoint: m.endpoint, Kind: w.kindIndex(m),
-		Rented:    int64(m.rented) - w.data.Since,
-		Condemned: m.state == machineCondemned || m.state == machineReleasing,
+		Name: m.name, FencingToken: m.token, Endpoint: m.endpoint, MachineType: w.kindIndex(m),
+		LaunchedAt:      int64(m.rented) - w.data.LaunchTimeBase,
+		Decommissioning: m.state == machineCondemned || m.state == machineReleasing,
 	}
 }
 
 // claim makes the revision of the record the machine's token. The first claim of a machine is
 // guarded on no other owner having adopted it.
 func (w *blockWrite) claim(m *machine, entry *record.BlockMachine, unknown bool) {
-	entry.Token = 0
+	entry.FencingToken = 0
 	w.claimed = append(w.claimed, m)
 	if unknown {
 		w.guards[record.BlockKey(adoptedPrefix+m.name)] = 0
@@ -169,14 +169,14 @@
 		if a.state == attemptProposed && !w.propose(a) {
 			continue
 		}
-		tasks = append(tasks, record.BlockTask{Job: w.jobIndex(a.job), Index: a.index, Number: a.number})
+		tasks = append(tasks, record.BlockTask{Job: w.jobIndex(a.job), Index: a.index, Attempt: a.number})
 	}
 	return tasks
 }
 
 // propose guards an attempt that is recorded for the first time, if there is room for that.
 func (w *blockWrite) propose(a *attempt) bool {
-	jobKey, teamKey := record.ActiveKey(a.job.ID), record.TeamKey(a.job.Team)
+	jobKey, teamKey := record.ActiveJobKey(a.job.ID), record.TeamKey(a.job.Team)
 	if !w.mayGuard(jobKey, teamKey) {
 		return false
 	}
@@ -191,9 +191,9 @@
 	offer := m.offer()
 	i, ok := w.kinds[offer]
 	if !ok {
-		i = len(w.data.Kinds)
+		i = len(w.data.MachineTypes)
 		w.kinds[offer] = i
-		w.data.Kinds = append(w.data.Kinds, record.BlockKind{Type: m.kind, Zone: m.zone, Spot: m.spot})
+		w.data.MachineTypes = append(w.data.MachineTypes, record.BlockMachineType{Type: m.kind, Zone: m.zone, Spot: m.spot})
 	}
 	return i
 }
--- a/controller/blocks.go
+++ b/controller/blocks.go
@@ -77,7 +77,7 @@
 			return b
 		}
 	}
-	return o.newBlock(record.NumberName(o.nextNumber()))
+	return o.newBlock(record.FormatNumber(o.nextNumber()))
 }
 
 // maxMachines is how many machines of a type share a block: as many as fit, each with the
--- a/controller/blocks_test.go
+++ b/controller/blocks_test.go
@@ -85,7 +85,7 @@
 		o.markDirty(b.machines[0])
 	}
 	for i := range 10 {
-		s := &shard{team: "red", name: record.NumberName(uint64(i)), chunks: map[chunkKey]*job{}}
+		s := &shard{team: "red", name: record.FormatNumber(uint64(i)), chunks: map[chunkKey]*job{}}
 		s.markDirty(o.c.now)
 		o.shards = append(o.shards, s)
 	}
--- a/controller/cancellations.go
+++ b/controller/cancellations.go
@@ -47,7 +47,7 @@
 
 // readRecord reads the job's record, and then cancels the job.
 func (r *cancellation) readRecord() {
-	r.c.store.Get(budget.Users, record.ActiveKey(r.job), func(outcome kv.Outcome, entry kv.Entry) {
+	r.c.store.Get(budget.Users, record.ActiveJobKey(r.job), func(outcome kv.Outcome, entry kv.Entry) {
 		switch outcome {
 		case kv.OK:
 			r.commit(entry.Version)
@@ -73,10 +73,10 @@
 
 // commit records that the job is cancelled, if its record still has a version.
 func (r *cancellation) commit(version uint64) {
-	guards := []kv.Precondition{{Key: record.ActiveKey(r.job), Version: version}}
+	guards := []kv.Precondition{{Key: record.ActiveJobKey(r.job), Version: version}}
 	writes := []kv.Write{
-		{Put: record.FinalKey(r.job), Value: record.Final{Status: record.StatusCancelled, At: r.c.wallClock}},
-		{Delete: record.ActiveKey(r.job)},
+		{Put: record.TerminalStateKey(r.job), Value: record.TerminalState{Status: record.StatusCancelled, FinishedAt: r.c.wallClock}},
+		{Delete: record.ActiveJobKey(r.job)},
 	}
 	r.c.store.Do(budget.Users, kv.Transaction(guards, writes), func(reply kv.Result) { r.committed(reply.Outcome) })
 }
--- a/controller/commits.go
+++ b/controller/commits.go
@@ -173,7 +173,7 @@
 			return true
 		}
 	}
-	id, isJob := strings.CutPrefix(key, record.ActivePrefix)
+	id, isJob := strings.CutPrefix(key, record.ActiveJobPrefix)
 	if !isJob {
 		o.resync("a record of ours was changed: " + key)
 		return false
@@ -194,7 +194,7 @@
 			o.stop(a, 0, "job's record has changed")
 		}
 	}
-	o.c.store.Get(budget.Users, record.ActiveKey(j.ID), func(out kv.Outcome, e kv.Entry) {
+	o.c.store.Get(budget.Users, record.ActiveJobKey(j.ID), func(out kv.Outcome, e kv.Entry) {
 		switch {
 		case o.superseded():
 		case out == kv.NotFound:
@@ -231,9 +231,9 @@
 			return
 		}
 		j.writing = true
-		t.guards[record.ActiveKey(j.ID)] = j.version
-		t.writes = append(t.writes, kv.Write{Delete: record.ActiveKey(j.ID)})
-		t.put(record.FinalKey(j.ID), record.Final{Status: record.StatusDone, At: o.c.wallClock})
+		t.guards[record.ActiveJobKey(j.ID)] = j.version
+		t.writes = append(t.writes, kv.Write{Delete: record.ActiveJobKey(j.ID)})
+		t.put(record.TerminalStateKey(j.ID), record.TerminalState{Status: record.StatusDone, FinishedAt: o.c.wallClock})
 		t.results = append(t.results, func(ok bool, _ uint64) {
 			j.writing = false
 			if ok && j.state != jobEnded {
--- a/controller/dependencies.go
+++ b/controller/dependencies.go
@@ -65,7 +65,7 @@
 
 // readParts reads a list that is kept under several keys.
 func (c *Core) readParts(job *jobgraph.WaitingJob, done func(ok bool)) {
-	c.store.Do(budget.Users, kv.List(record.PartsPrefix(job.ID), ""), func(r kv.Result) {
+	c.store.Do(budget.Users, kv.List(record.DependencyPartsPrefix(job.ID), ""), func(r kv.Result) {
 		var page kv.Page
 		if r.Outcome != kv.OK || !r.Decode(&page) {
 			done(false)
@@ -88,12 +88,12 @@
 // joinParts joins the parts of a list; false: one cannot be read.
 func (c *Core) joinParts(entries []kv.Entry) (ids []string, ok bool) {
 	for _, e := range entries {
-		var rec record.Part
+		var rec record.DependencyPart
 		if err := wire.Decode(e.Value, &rec); err != nil {
 			c.log.Error("record cannot be read", "key", e.Key, "error", err)
 			return nil, false
 		}
-		ids = append(ids, rec.IDs...)
+		ids = append(ids, rec.JobIDs...)
 	}
 	return ids, true
 }
@@ -142,7 +142,7 @@
 			inactive = append(inactive, id)
 		}
 	}
-	d.c.readFinals(budget.Users, inactive, d.until, func(found map[string]record.Final, ok bool) {
+	d.c.readFinals(budget.Users, inactive, d.until, func(found map[string]record.TerminalState, ok bool) {
 		if !ok {
 			d.done(dependencyResult{})
 			return
@@ -152,7 +152,7 @@
 }
 
 // finalsRead answers if a final record decides, and else finds out what is before the active.
-func (d *dependencyCheck) finalsRead(inactive []string, found map[string]record.Final) {
+func (d *dependencyCheck) finalsRead(inactive []string, found map[string]record.TerminalState) {
 	root := ""
 	for _, id := range inactive {
 		rec, accepted := found[id]
--- a/controller/dump_test.go
+++ b/controller/dump_test.go
@@ -221,7 +221,7 @@
 
 // kindOfRecord is the part of a key that tells what is recorded.
 func kindOfRecord(key string) string {
-	for _, p := range []string{record.MemberPrefix, record.TeamPrefix, record.BlockPrefix, record.ActivePrefix, record.FinalPrefix, record.CompletionsPrefix, record.RentalPrefix, record.HoldPrefix} {
+	for _, p := range []string{record.MemberPrefix, record.TeamPrefix, record.BlockPrefix, record.ActiveJobPrefix, record.TerminalStatePrefix, record.CompletionSegmentPrefix, record.ScaleOutRequestPrefix, record.ReservationPrefix} {
 		if strings.HasPrefix(key, p) {
 			return p
 		}
@@ -230,7 +230,7 @@
 }
 
 // kinds that a world of each version must have written, so that nothing goes unchecked.
-var recordKinds = []string{record.LeaderKey, record.TypesKey, record.MemberPrefix, record.TeamPrefix, record.BlockPrefix, record.ActivePrefix, record.FinalPrefix, record.CompletionsPrefix, record.RentalPrefix, record.HoldPrefix}
+var recordKinds = []string{record.LeaderKey, record.MachineTypesKey, record.MemberPrefix, record.TeamPrefix, record.BlockPrefix, record.ActiveJobPrefix, record.TerminalStatePrefix, record.CompletionSegmentPrefix, record.ScaleOutRequestPrefix, record.ReservationPrefix}
 
 // TestDumpsHoldAll sees that the dumps hold every kind of record and message.
 func TestDumpsHoldAll(t *testing.T) {
@@ -325,12 +325,12 @@
 	id := "req-000099"
 	j := sched.Job{ID: id, Class: "work", Team: "red", Tasks: 2, Need: sched.NewResources(1, 0, 1), Image: "img", ImageGB: 1, Estimate: micros.Second}
 	value := wire.Encode(map[string]any{"w": wire.FromJob(&j), "at": int64(d.Now)})
-	d.Records = append(d.Records, standin.Record{Key: record.ActiveKey(id), Value: value, Version: d.Revision + 1})
+	d.Records = append(d.Records, standin.Record{Key: record.ActiveJobKey(id), Value: value, Version: d.Revision + 1})
 	d.Revision++
 	d.Jobs = append(d.Jobs, dumpJob{Job: j, Info: standin.TaskInfo{CPU: 1, Mem: 1, Run: micros.Second, Fetch: micros.Second, Tasks: 2}, Accepted: true})
 	w := loadWorld(d)
 	w.beginOld(t, len(w.nodes))
-	if old := w.production.reads(record.ActiveKey(id), value); !strings.HasPrefix(old, "error") {
+	if old := w.production.reads(record.ActiveJobKey(id), value); !strings.HasPrefix(old, "error") {
 		t.Errorf("the version in production reads %s", old)
 	}
 	w.run(60 * micros.Second)
--- a/controller/eviction.go
+++ b/controller/eviction.go
@@ -36,7 +36,7 @@
 		return false
 	}
 	h := newHold(j, plan)
-	if kv.EncodedSizeBound(record.Hold{Machines: h.machines}) > o.c.cfg.ValueBytes {
+	if kv.EncodedSizeBound(record.Reservation{Machines: h.machines}) > o.c.cfg.ValueBytes {
 		j.evictAt = o.c.now + roomRetry
 		return false // it could never be recorded
 	}
--- a/controller/finalreads.go
+++ b/controller/finalreads.go
@@ -26,10 +26,10 @@
 }
 
 // takeFinal takes the final record of a job that others await.
-func (c *Core) takeFinal(id string, rec record.Final) {
+func (c *Core) takeFinal(id string, rec record.TerminalState) {
 	switch rec.Status {
 	case record.StatusDone:
-		at := rec.At
+		at := rec.FinishedAt
 		if at == 0 { // an older version did not record when
 			at = c.wallClock
 		}
@@ -57,7 +57,7 @@
 	c.readFinals(purpose, c.graph.Unresolved(), c.now+acceptWithin, c.endsRead)
 }
 
-func (c *Core) endsRead(found map[string]record.Final, ok bool) {
+func (c *Core) endsRead(found map[string]record.TerminalState, ok bool) {
 	resolution := &c.jobView.resolution
 	resolution.reading, resolution.nextTry = false, c.now+fastTick
 	for _, id := range sortedKeys(found) {
@@ -77,14 +77,14 @@
 	purpose budget.Purpose
 	ids     []string // not read yet, in order
 	until   micros.Micros
-	found   map[string]record.Final
-	done    func(found map[string]record.Final, ok bool)
+	found   map[string]record.TerminalState
+	done    func(found map[string]record.TerminalState, ok bool)
 }
 
 // readFinals reads final records of jobs, given in order. Few are read one by one, many by
 // listing the keys about them: never in more requests than there are jobs.
-func (c *Core) readFinals(p budget.Purpose, ids []string, until micros.Micros, done func(found map[string]record.Final, ok bool)) {
-	read := &finalsRead{c: c, purpose: p, ids: ids, until: until, found: map[string]record.Final{}, done: done}
+func (c *Core) readFinals(p budget.Purpose, ids []string, until micros.Micros, done func(found map[string]record.TerminalState, ok bool)) {
+	read := &finalsRead{c: c, purpose: p, ids: ids, until: until, found: map[string]record.TerminalState{}, done: done}
 	read.next()
 }
 
@@ -101,7 +101,7 @@
 
 func (r *finalsRead) readFirst() {
 	id := r.ids[0]
-	r.c.store.Get(r.purpose, record.FinalKey(id), func(out kv.Outcome, e kv.Entry) {
+	r.c.store.Get(r.purpose, record.TerminalStateKey(id), func(out kv.Outcome, e kv.Entry) {
 		if out != kv.NotFound && (out != kv.OK || !r.take(id, e.Value)) {
 			r.failed(out)
 			return
@@ -113,7 +113,7 @@
 
 // listFromFirst reads the page of final records that begins with the first job.
 func (r *finalsRead) listFromFirst() {
-	list := kv.List(record.FinalPrefix, keyBefore(record.FinalKey(r.ids[0])))
+	list := kv.List(record.TerminalStatePrefix, keyBefore(record.TerminalStateKey(r.ids[0])))
 	r.c.store.Do(r.purpose, list, func(reply kv.Result) {
 		var page kv.Page
 		if reply.Outcome != kv.OK || !reply.Decode(&page) {
@@ -132,7 +132,7 @@
 func (r *finalsRead) takePage(page *kv.Page) bool {
 	last := ""
 	for _, e := range page.Entries {
-		last = strings.TrimPrefix(e.Key, record.FinalPrefix)
+		last = strings.TrimPrefix(e.Key, record.TerminalStatePrefix)
 		if _, asked := slices.BinarySearch(r.ids, last); asked && !r.take(last, e.Value) {
 			return false
 		}
@@ -148,9 +148,9 @@
 
 // take takes a final record; false: it cannot be read.
 func (r *finalsRead) take(id string, value []byte) bool {
-	var rec record.Final
+	var rec record.TerminalState
 	if err := wire.Decode(value, &rec); err != nil {
-		r.c.log.Error("record cannot be read", "key", record.FinalKey(id), "error", err)
+		r.c.log.Error("record cannot be read", "key", record.TerminalStateKey(id), "error", err)
 		return false
 	}
 	r.found[id] = rec
--- a/controller/finalreads_test.go
+++ b/controller/finalreads_test.go
@@ -27,7 +27,7 @@
 		for i := range 3000 {
 			id := jobName(i)
 			if rng.IntN(3) > 0 {
-				s.Handle("n0", "POST", "/commit", kv.Transaction(nil, []kv.Write{{Put: record.FinalKey(id), Value: record.Final{Status: record.StatusDone}}}).Body, true)
+				s.Handle("n0", "POST", "/commit", kv.Transaction(nil, []kv.Write{{Put: record.TerminalStateKey(id), Value: record.TerminalState{Status: record.StatusDone}}}).Body, true)
 				want[id] = true
 			}
 			if rng.IntN(1+int(seed)*20) == 0 {
@@ -35,8 +35,8 @@
 			}
 		}
 		requests := 0
-		var found map[string]record.Final
-		c.readFinals(budget.Users, slices.Clone(ids), c.now+micros.Second, func(f map[string]record.Final, ok bool) {
+		var found map[string]record.TerminalState
+		c.readFinals(budget.Users, slices.Clone(ids), c.now+micros.Second, func(f map[string]record.TerminalState, ok bool) {
 			if !ok {
 				t.Fatal("not read")
 			}
@@ -68,8 +68,8 @@
 // TestKeyBefore guards the place from which a listing must start to bring a key first.
 func TestKeyBefore(t *testing.T) {
 	for _, id := range []string{"req-000000", "req-000010", "req-000019", "req-0000190"} {
-		from := keyBefore(record.FinalKey(id))
-		if !(from < record.FinalKey(id)) || strings.Compare(from, record.FinalKey(id)[:len(record.FinalKey(id))-1]) < 0 {
+		from := keyBefore(record.TerminalStateKey(id))
+		if !(from < record.TerminalStateKey(id)) || strings.Compare(from, record.TerminalStateKey(id)[:len(record.TerminalStateKey(id))-1]) < 0 {
 			t.Errorf("%s from %s", id, from)
 		}
 	}
@@ -81,12 +81,12 @@
 	var leftovers []standin.Record
 	for i := range 2*kv.PageSize + 1 {
 		leftovers = append(leftovers, standin.Record{
-			Key: record.PartKey(jobName(i), 0), Value: wire.Encode(record.Part{IDs: []string{jobName(i + 1)}}), Version: uint64(i + 1),
+			Key: record.DependencyPartKey(jobName(i), 0), Value: wire.Encode(record.DependencyPart{JobIDs: []string{jobName(i + 1)}}), Version: uint64(i + 1),
 		})
 	}
 	w.state.Load(leftovers, uint64(len(leftovers)), micros.Second)
 	w.run(sweepAfter + 120*micros.Second)
-	if left := w.state.Keys(record.PartPrefix); len(left) > 0 || len(w.broken) > 0 {
+	if left := w.state.Keys(record.DependencyPartPrefix); len(left) > 0 || len(w.broken) > 0 {
 		t.Fatalf("%d parts are left, the first is %s; rules broken: %v", len(left), left[0], w.broken)
 	}
 }
--- a/controller/holds.go
+++ b/controller/holds.go
@@ -156,10 +156,10 @@
 		h.writing = true
 		over := h.state == holdOver
 		if over {
-			t.writes = append(t.writes, kv.Write{Delete: record.HoldKey(id)})
+			t.writes = append(t.writes, kv.Write{Delete: record.ReservationKey(id)})
 		} else {
-			t.guards[record.ActiveKey(id)] = o.jobs[id].version
-			t.put(record.HoldKey(id), record.Hold{Machines: h.machines})
+			t.guards[record.ActiveJobKey(id)] = o.jobs[id].version
+			t.put(record.ReservationKey(id), record.Reservation{Machines: h.machines})
 		}
 		t.results = append(t.results, func(ok bool, _ uint64) {
 			h.writing = false
@@ -180,8 +180,8 @@
 // begun; what was not is found by the gang's next look for room once the wait is over.
 func (o *owner) loadHolds(entries []kv.Entry) {
 	for _, e := range entries {
-		var rec record.Hold
-		id := strings.TrimPrefix(e.Key, record.HoldPrefix)
+		var rec record.Reservation
+		id := strings.TrimPrefix(e.Key, record.ReservationPrefix)
 		j := o.placedJob(id)
 		if j == nil || wire.Decode(e.Value, &rec) != nil {
 			if o.ownsAllTeams() { // else it may be another owner's
--- a/controller/incompatible_test.go
+++ b/controller/incompatible_test.go
@@ -48,22 +48,22 @@
 		Spread: true, Spot: true, Estimate: 7e6, Checkpoint: 8e6, Save: 9e6, Deadline: 10e6,
 	}
 	d := &record.BlockData{
-		Base: 5, Since: 6, Kinds: []record.BlockKind{{Type: "small", Zone: "a"}, {Type: "big", Zone: "b", Spot: true}},
+		AttemptBase: 5, LaunchTimeBase: 6, MachineTypes: []record.BlockMachineType{{Type: "small", Zone: "a"}, {Type: "big", Zone: "b", Spot: true}},
 		Jobs:     []record.BlockJob{{ID: j.ID, Team: j.Team, Tasks: 9, CPU: 1, GPU: 2, Mem: 3}},
-		Machines: []record.BlockMachine{{Name: "m-000001", Token: 3, Endpoint: "worker:m-000001", Kind: 1, Rented: 4, Condemned: true}},
+		Machines: []record.BlockMachine{{Name: "m-000001", FencingToken: 3, Endpoint: "worker:m-000001", MachineType: 1, LaunchedAt: 4, Decommissioning: true}},
 	}
-	d.Pack(&d.Machines[0], []record.BlockTask{{Job: 0, Index: 4, Number: 7}, {Job: 0, Index: 6, Number: 7}})
+	d.Pack(&d.Machines[0], []record.BlockTask{{Job: 0, Index: 4, Attempt: 7}, {Job: 0, Index: 6, Attempt: 7}})
 	return map[string][]byte{
-		record.ActiveKey(j.ID):            wire.Encode(map[string]any{"j": wire.FromJob(j), "at": 11}),
-		record.FinalKey(j.ID):             wire.Encode(record.Final{Status: record.StatusCancelled, At: 5}),
-		record.LeaderKey:                  wire.Encode(record.Leader{Node: "n1", Incarnation: 2}),
-		record.MemberKey("n1"):            wire.Encode(record.Member{Incarnation: 2}),
-		record.TeamKey("red"):             wire.Encode(record.Team{Owner: "n1", Incarnation: 2, Term: 3, Predecessors: []record.OwnerID{"n0.1"}}),
-		record.BlockKey("1"):              wire.Encode(d.Block("n1.2")),
-		record.CompletionsKey("red", "1"): wire.Encode(record.Completions{Chunks: map[string]string{j.ID + "/0": record.Bitmap{3, 1}.Chunk(0)}}),
-		record.RentalKey("1"):             wire.Encode(record.Rental{Owner: "n1.2", Type: "big", Zone: "b", Spot: true, Number: 3}),
-		record.HoldKey("req-000009"):      wire.Encode(record.Hold{Machines: map[string]int{"m-000001": 2}}),
-		record.TypesKey:                   wire.Encode(wire.MachineTypes{Builds: []wire.MachineType{{Name: "big", CPUs: 1, Cards: 2, MemGB: 3, LocalGB: 4, FetchGBPerS: 5, Hourly: 6, MarketPrice: 7, BootS: 8, Halls: []string{"a"}}}}),
+		record.ActiveJobKey(j.ID):               wire.Encode(map[string]any{"j": wire.FromJob(j), "at": 11}),
+		record.TerminalStateKey(j.ID):           wire.Encode(record.TerminalState{Status: record.StatusCancelled, FinishedAt: 5}),
+		record.LeaderKey:                        wire.Encode(record.Leader{Node: "n1", Incarnation: 2}),
+		record.MemberKey("n1"):                  wire.Encode(record.Member{Incarnation: 2}),
+		record.TeamKey("red"):                   wire.Encode(record.Team{Owner: "n1", Incarnation: 2, Term: 3, Predecessors: []record.OwnerID{"n0.1"}}),
+		record.BlockKey("1"):                    wire.Encode(d.Block("n1.2")),
+		record.CompletionSegmentKey("red", "1"): wire.Encode(record.CompletionSegment{Chunks: map[string]string{j.ID + "/0": record.Bitmap{3, 1}.Chunk(0)}}),
+		record.ScaleOutRequestKey("1"):          wire.Encode(record.ScaleOutRequest{Owner: "n1.2", Type: "big", Zone: "b", Spot: true, Count: 3}),
+		record.ReservationKey("req-000009"):     wire.Encode(record.Reservation{Machines: map[string]int{"m-000001": 2}}),
+		record.MachineTypesKey:                  wire.Encode(wire.MachineTypes{Builds: []wire.MachineType{{Name: "big", CPUs: 1, Cards: 2, MemGB: 3, LocalGB: 4, FetchGBPerS: 5, Hourly: 6, MarketPrice: 7, BootS: 8, Halls: []string{"a"}}}}),
 	}
 }
 
--- a/controller/inherit_test.go
+++ b/controller/inherit_test.go
@@ -37,9 +37,9 @@
 	}
 	rec := record.NewJob(&j, at)
 	if len(awaits) > 0 {
-		rec.Ready, rec.Waiting = nil, rec.Ready
+		rec.Ready, rec.Blocked = nil, rec.Ready
 	}
-	w.apply(kv.Change{Put: record.ActiveKey(j.ID), Value: wire.Encode(rec)})
+	w.apply(kv.Change{Put: record.ActiveJobKey(j.ID), Value: wire.Encode(rec)})
 	w.jobs[j.ID], w.accepted[j.ID] = &j, at
 }
 
@@ -55,8 +55,8 @@
 
 func (w *tree) over(id string, status wire.JobPhase) {
 	delete(w.jobs, id)
-	w.apply(kv.Change{Delete: record.ActiveKey(id)})
-	w.c.takeFinal(id, record.Final{Status: record.Status(status), At: 1})
+	w.apply(kv.Change{Delete: record.ActiveJobKey(id)})
+	w.c.takeFinal(id, record.TerminalState{Status: record.Status(status), FinishedAt: 1})
 }
 
 // check holds what the owner makes of a job against what is expected.
--- a/controller/job_queue.go
+++ b/controller/job_queue.go
@@ -15,7 +15,7 @@
 
 // loadJob takes an accepted job from its record, unless it is known or of another owner's team.
 func (o *owner) loadJob(key string, value []byte, version uint64) {
-	id := strings.TrimPrefix(key, record.ActivePrefix)
+	id := strings.TrimPrefix(key, record.ActiveJobPrefix)
 	if o.jobs[id] != nil || o.waiting[id] != nil || o.c.cancellations.Ended(id) {
 		return
 	}
@@ -32,9 +32,9 @@
 	if o.teams[spec.Team] == nil {
 		return // another owner's
 	}
-	j := newJob(spec, version, rec.Accepted)
-	if rec.Waiting != nil {
-		j.parts = rec.Parts
+	j := newJob(spec, version, rec.AcceptedAt)
+	if rec.Blocked != nil {
+		j.parts = rec.DependencyParts
 		o.addWaiting(j)
 		return
 	}
@@ -66,7 +66,7 @@
 func (o *owner) watchJobs(after uint64) {
 	c := o.c
 	asked := c.now
-	c.store.Watch(budget.Ownership, record.ActivePrefix, after, c.watchWait(), func(r kv.Result) {
+	c.store.Watch(budget.Ownership, record.ActiveJobPrefix, after, c.watchWait(), func(r kv.Result) {
 		if o.superseded() {
 			return
 		}
--- a/controller/jobview.go
+++ b/controller/jobview.go
@@ -87,7 +87,7 @@
 		return
 	}
 	asked := c.now
-	c.store.ListAll(record.ActivePrefix, func(ok bool, entries []kv.Entry, revision uint64) {
+	c.store.ListAll(record.ActiveJobPrefix, func(ok bool, entries []kv.Entry, revision uint64) {
 		if !ok {
 			view.stopFollowing(c.now)
 			return
@@ -109,7 +109,7 @@
 			return
 		}
 		asked, after := c.now, c.graph.Revision()
-		c.store.Watch(budget.Reads, record.ActivePrefix, after, c.watchWait(), func(r kv.Result) {
+		c.store.Watch(budget.Reads, record.ActiveJobPrefix, after, c.watchWait(), func(r kv.Result) {
 			if !c.takeChanges(after, r) {
 				view.stopFollowing(c.now)
 				return
@@ -169,7 +169,7 @@
 		return
 	}
 	queue.reading = true
-	c.store.Do(budget.Users, kv.Watch(record.ActivePrefix, after, 0), func(r kv.Result) {
+	c.store.Do(budget.Users, kv.Watch(record.ActiveJobPrefix, after, 0), func(r kv.Result) {
 		queue.reading = false
 		queue.askedAt = c.now // what came meanwhile goes out now
 		ok := c.takeChanges(after, r)
--- a/controller/jobview_test.go
+++ b/controller/jobview_test.go
@@ -49,11 +49,11 @@
 		g := o.c.graph
 		before, revision := g.Work().Jobs, g.Revision()
 		g.Apply(revision, &kv.WatchResult{Revision: revision + 2, Events: []kv.Change{
-			{Delete: record.ActiveKey(jobName(0)), Version: revision + 1},
-			{Delete: record.ActiveKey(jobName(5)), Version: revision + 2},
+			{Delete: record.ActiveJobKey(jobName(0)), Version: revision + 1},
+			{Delete: record.ActiveJobKey(jobName(5)), Version: revision + 2},
 		}}, o.c.wallClock)
-		finals := map[string]record.Final{
-			jobName(0): {Status: record.StatusDone, At: 3},
+		finals := map[string]record.TerminalState{
+			jobName(0): {Status: record.StatusDone, FinishedAt: 3},
 			jobName(5): {Status: record.StatusCancelled},
 		}
 		for _, id := range g.Unresolved() {
@@ -77,8 +77,8 @@
 			g, id := o.c.graph, jobName(5*chains)
 			for b.Loop() {
 				rev := g.Revision()
-				put := kv.Change{Put: record.ActiveKey(id), Value: wire.Encode(record.NewJob(waitingJob(id), 1)), Version: rev + 1}
-				g.Apply(rev, &kv.WatchResult{Revision: rev + 2, Events: []kv.Change{put, {Delete: record.ActiveKey(id), Version: rev + 2}}}, o.c.wallClock)
+				put := kv.Change{Put: record.ActiveJobKey(id), Value: wire.Encode(record.NewJob(waitingJob(id), 1)), Version: rev + 1}
+				g.Apply(rev, &kv.WatchResult{Revision: rev + 2, Events: []kv.Change{put, {Delete: record.ActiveJobKey(id), Version: rev + 2}}}, o.c.wallClock)
 				o.c.nextSlow = 0
 				o.c.Handle(o.c.now, o.c.now, Tick{})
 			}
--- a/controller/limits_test.go
+++ b/controller/limits_test.go
@@ -91,7 +91,7 @@
 	o.c.cfg.ValueBytes, o.c.cfg.TxnOps = 2<<10, 500
 	for i := range 400 {
 		id := fmt.Sprintf("req-%06d", i*7919%1000000)
-		o.loadJob(record.ActiveKey(id), wire.Encode(record.NewJob(&sched.Job{
+		o.loadJob(record.ActiveJobKey(id), wire.Encode(record.NewJob(&sched.Job{
 			ID: id, Class: "work", Team: "red", Priority: sched.Normal, Tasks: 1 + i%5, Image: "img",
 			Need: sched.NewResources(float64(1+i%3)/4, 0, float64(1+i%7)/8), Estimate: 30 * micros.Second,
 		}, 0)), uint64(i+1))
@@ -160,10 +160,10 @@
 	o := testOwner()
 	o.c.cfg.ValueBytes = 1024
 	var entries []kv.Entry
-	rec := record.Completions{Chunks: map[string]string{}}
+	rec := record.CompletionSegment{Chunks: map[string]string{}}
 	for i := range 12 {
 		id := jobName(i)
-		o.loadJob(record.ActiveKey(id), wire.Encode(record.NewJob(&sched.Job{
+		o.loadJob(record.ActiveJobKey(id), wire.Encode(record.NewJob(&sched.Job{
 			ID: id, Class: "work", Team: "red", Tasks: 800, Need: sched.NewResources(1, 0, 1), Image: "img", Estimate: micros.Second,
 		}, 0)), uint64(i+1))
 		bits := make(record.Bitmap, 100)
@@ -172,13 +172,13 @@
 	}
 	other := make(record.Bitmap, 100)
 	other.Set(700)
-	entries = append(entries, kv.Entry{Key: record.CompletionsKey("red", "1"), Value: wire.Encode(rec), Version: 20},
-		kv.Entry{Key: record.CompletionsKey("red", "2"), Value: wire.Encode(record.Completions{Chunks: map[string]string{wire.TaskName(jobName(3), 0): other.Chunk(0)}}), Version: 19})
+	entries = append(entries, kv.Entry{Key: record.CompletionSegmentKey("red", "1"), Value: wire.Encode(rec), Version: 20},
+		kv.Entry{Key: record.CompletionSegmentKey("red", "2"), Value: wire.Encode(record.CompletionSegment{Chunks: map[string]string{wire.TaskName(jobName(3), 0): other.Chunk(0)}}), Version: 19})
 	o.loadShards(entries)
 	if j := o.jobs[jobName(3)]; !j.done.Has(5) || !j.done.Has(700) || j.doneN != 2 {
 		t.Fatalf("%d completions are known", j.doneN)
 	}
-	dropped := func() bool { return slices.Contains(o.obsoleteKeys, record.CompletionsKey("red", "1")) }
+	dropped := func() bool { return slices.Contains(o.obsoleteKeys, record.CompletionSegmentKey("red", "1")) }
 	for range 20 {
 		if o.dropShards(); dropped() && slices.ContainsFunc(o.shards, func(s *shard) bool { return s.version == 0 }) {
 			t.Fatal("the old record goes before the new ones are written")
@@ -203,7 +203,7 @@
 	o := testOwner()
 	o.c.cfg.ValueBytes = 2 << 10
 	id := jobName(1)
-	o.loadJob(record.ActiveKey(id), wire.Encode(record.NewJob(&sched.Job{
+	o.loadJob(record.ActiveJobKey(id), wire.Encode(record.NewJob(&sched.Job{
 		ID: id, Class: "work", Team: "red", Tasks: 40, Need: sched.NewResources(2, 0, 2), Image: "img", Estimate: micros.Second,
 	}, 0)), 1)
 	for i := range 6 {
@@ -232,7 +232,7 @@
 	o.c.cfg.ValueBytes, o.c.cfg.TxnOps = 4<<10, 12
 	for i := range 5 {
 		id := jobName(i)
-		o.loadJob(record.ActiveKey(id), wire.Encode(record.NewJob(&sched.Job{
+		o.loadJob(record.ActiveJobKey(id), wire.Encode(record.NewJob(&sched.Job{
 			ID: id, Class: "work", Team: "red", Tasks: 100, Need: sched.NewResources(2, 0, 2), Image: "img", Estimate: micros.Second,
 		}, o.c.wallClock)), uint64(i+1))
 	}
--- a/controller/load.go
+++ b/controller/load.go
@@ -25,7 +25,7 @@
 	o.busy = true
 	o.reset()
 	l := &loader{owner: o, begun: o.c.now}
-	l.list(record.ActivePrefix, l.jobsRead)
+	l.list(record.ActiveJobPrefix, l.jobsRead)
 }
 
 // reset forgets what was read or decided before.
@@ -67,7 +67,7 @@
 	for _, e := range entries {
 		o.loadJob(e.Key, e.Value, e.Version)
 	}
-	l.list(record.CompletionsPrefix, l.shardsRead)
+	l.list(record.CompletionSegmentPrefix, l.shardsRead)
 }
 
 // shardsRead takes the completed tasks of the jobs.
@@ -79,13 +79,13 @@
 // blocksRead keeps the blocks for the end: rentals and holds come first.
 func (l *loader) blocksRead(entries []kv.Entry, _ uint64) {
 	l.blocks = entries
-	l.list(record.RentalPrefix, l.rentalsRead)
+	l.list(record.ScaleOutRequestPrefix, l.rentalsRead)
 }
 
 // rentalsRead takes the rentals.
 func (l *loader) rentalsRead(entries []kv.Entry, _ uint64) {
 	l.owner.loadRentals(entries)
-	l.list(record.HoldPrefix, l.holdsRead)
+	l.list(record.ReservationPrefix, l.holdsRead)
 }
 
 // holdsRead takes the holds, and ends the loading.
--- a/controller/load_machines.go
+++ b/controller/load_machines.go
@@ -54,13 +54,13 @@
 	if o.machines[entry.Name] != nil {
 		return // it is in a newer block
 	}
-	kind := data.Kinds[entry.Kind]
+	kind := data.MachineTypes[entry.MachineType]
 	m := o.newMachineIn(b, machineInfo{
 		name: entry.Name, kind: kind.Type, zone: kind.Zone, spot: kind.Spot, endpoint: entry.Endpoint,
 	})
-	m.rented = micros.Micros(entry.Rented + data.Since)
+	m.rented = micros.Micros(entry.LaunchedAt + data.LaunchTimeBase)
 	m.recorded = true
-	if entry.Condemned {
+	if entry.Decommissioning {
 		o.setMachine(m, machineReleasing, "condemned by an earlier owner")
 	}
 	tasks, err := data.Unpack(entry)
@@ -85,7 +85,7 @@
 	if j.state != jobEnded && j.task(task.Index) == taskDone {
 		return // the block was not written since
 	}
-	a := o.attach(j, task.Index, task.Number, m, attemptOrdered)
+	a := o.attach(j, task.Index, task.Attempt, m, attemptOrdered)
 	j.began = true
 	if j.Gang {
 		o.setGang(j, gangStarting)
@@ -132,7 +132,7 @@
 		if o.jobs[j.ID] != j {
 			continue // its machines have reported
 		}
-		o.c.store.Get(budget.Reads, record.FinalKey(j.ID), func(out kv.Outcome, e kv.Entry) {
+		o.c.store.Get(budget.Reads, record.TerminalStateKey(j.ID), func(out kv.Outcome, e kv.Entry) {
 			switch {
 			case o.superseded() || out == kv.NotFound:
 			case out != kv.OK:
@@ -149,7 +149,7 @@
 // deleted for them, as for tasks of a job that was cancelled, and a gang that runs there goes
 // on.
 func (o *owner) takeEnding(j *job, value []byte) {
-	var final record.Final
+	var final record.TerminalState
 	if wire.Decode(value, &final) == nil && final.Status == record.StatusDone {
 		for _, a := range j.sorted() {
 			if a.machine.session == 0 { // else its report tells
@@ -158,8 +158,8 @@
 		}
 		return
 	}
-	sinceEnd := o.c.wallClock - final.At
-	if final.At == 0 { // an older version did not record it: as early as need be assumed
+	sinceEnd := o.c.wallClock - final.FinishedAt
+	if final.FinishedAt == 0 { // an older version did not record it: as early as need be assumed
 		sinceEnd = o.c.cfg.CancelIn
 	}
 	j.endedAt = max(1, o.c.now-sinceEnd)
--- a/controller/load_machines_test.go
+++ b/controller/load_machines_test.go
@@ -14,12 +14,12 @@
 // is given, or none.
 func blockEntry(owner record.OwnerID, name string, version uint64, machine string, job *sched.Job) kv.Entry {
 	data := &record.BlockData{
-		Kinds:    []record.BlockKind{{Type: "small", Zone: "a"}},
-		Machines: []record.BlockMachine{{Name: machine, Endpoint: "worker:" + machine}},
+		MachineTypes: []record.BlockMachineType{{Type: "small", Zone: "a"}},
+		Machines:     []record.BlockMachine{{Name: machine, Endpoint: "worker:" + machine}},
 	}
 	if job != nil {
 		data.Jobs = []record.BlockJob{{ID: job.ID, Team: job.Team, Tasks: job.Tasks, CPU: job.Need.CPU, Mem: job.Need.Mem}}
-		data.Pack(&data.Machines[0], []record.BlockTask{{Job: 0, Index: 0, Number: 1}})
+		data.Pack(&data.Machines[0], []record.BlockTask{{Job: 0, Index: 0, Attempt: 1}})
 	}
 	return kv.Entry{Key: record.BlockKey(name), Value: wire.Encode(data.Block(owner)), Version: version}
 }
--- a/controller/load_shards.go
+++ b/controller/load_shards.go
@@ -26,7 +26,7 @@
 		}
 		return
 	}
-	var rec record.Completions
+	var rec record.CompletionSegment
 	if err := wire.Decode(e.Value, &rec); err != nil {
 		o.c.log.Error("record cannot be read", "key", e.Key, "error", err)
 		return
@@ -45,7 +45,7 @@
 func (o *owner) loadChunk(s *shard, name, bits string) {
 	id, chunk, ok := record.SplitChunkName(name)
 	j := o.placedJob(id)
-	if !ok || j == nil || chunk*record.ChunkTasks >= j.Tasks {
+	if !ok || j == nil || chunk*record.TasksPerChunk >= j.Tasks {
 		return
 	}
 	if other := j.shards[chunk]; other != nil {
@@ -63,7 +63,7 @@
 		o.c.log.Error("record cannot be read", "job", j.ID, "chunk", chunk, "error", err)
 		return
 	}
-	for i := chunk * record.ChunkTasks; i < min((chunk+1)*record.ChunkTasks, j.Tasks); i++ {
+	for i := chunk * record.TasksPerChunk; i < min((chunk+1)*record.TasksPerChunk, j.Tasks); i++ {
 		if j.done.Has(i) {
 			j.setTask(i, taskDone)
 		}
@@ -92,7 +92,7 @@
 // splitShardKey splits the key of a shard of this owner's teams.
 func (o *owner) splitShardKey(key string) (team, name string, ok bool) {
 	for team := range o.teams {
-		if name, ok := strings.CutPrefix(key, record.CompletionsKey(team, "")); ok {
+		if name, ok := strings.CutPrefix(key, record.CompletionSegmentKey(team, "")); ok {
 			return team, name, true
 		}
 	}
--- a/controller/lookup_reads.go
+++ b/controller/lookup_reads.go
@@ -40,7 +40,7 @@
 	}
 	var again []*lookup
 	for _, l := range batch.compared {
-		key := record.ActiveKey(l.id)
+		key := record.ActiveJobKey(l.id)
 		switch {
 		case failed[key]:
 			if c.graph.Version(l.id) == batch.versions[key] {
@@ -68,7 +68,7 @@
 // readActive looks a job up by its records, first by that of an active job.
 func (c *Core) readActive(l *lookup) {
 	c.noteReadSent(l)
-	c.store.Get(budget.Reads, record.ActiveKey(l.id), func(out kv.Outcome, e kv.Entry) {
+	c.store.Get(budget.Reads, record.ActiveJobKey(l.id), func(out kv.Outcome, e kv.Entry) {
 		switch out {
 		case kv.OK:
 			c.takeActive(l, e)
@@ -97,8 +97,8 @@
 
 // readFinal looks a job up that is not active.
 func (c *Core) readFinal(l *lookup) {
-	c.store.Get(budget.Reads, record.FinalKey(l.id), func(out kv.Outcome, e kv.Entry) {
-		var rec record.Final
+	c.store.Get(budget.Reads, record.TerminalStateKey(l.id), func(out kv.Outcome, e kv.Entry) {
+		var rec record.TerminalState
 		switch {
 		case out == kv.NotFound:
 			c.finishLookup(l, lookupResult{outcome: lookupNotFound, evidence: l.read})
--- a/controller/lookups.go
+++ b/controller/lookups.go
@@ -138,7 +138,7 @@
 		case c.graph.Unsettled(l.id):
 			batch.derived = append(batch.derived, l)
 		case version != 0 && c.hasRoomToCompare(batch, l.id, version):
-			batch.versions[record.ActiveKey(l.id)] = version
+			batch.versions[record.ActiveJobKey(l.id)] = version
 			batch.compared = append(batch.compared, l)
 		default:
 			rest = append(rest, l)
@@ -150,7 +150,7 @@
 
 // hasRoomToCompare tells whether a job's version can be compared with a batch.
 func (c *Core) hasRoomToCompare(batch *lookupBatch, id string, version uint64) bool {
-	return batch.versions[record.ActiveKey(id)] == version || len(batch.versions) < comparedPerOp*c.cfg.TxnOps
+	return batch.versions[record.ActiveJobKey(id)] == version || len(batch.versions) < comparedPerOp*c.cfg.TxnOps
 }
 
 // sendLookupBatch sends what the budget allows of a batch and hands back the rest, in the
--- a/controller/machine_transfers.go
+++ b/controller/machine_transfers.go
@@ -100,7 +100,7 @@
 
 // transferBlockName names the block in which a machine is transferred.
 func transferBlockName(m *machine) string {
-	return transferPrefix + m.name + "-" + record.NumberName(m.token)
+	return transferPrefix + m.name + "-" + record.FormatNumber(m.token)
 }
 
 // writeTransfer writes the new owner of an empty machine, in a block of its own.
@@ -108,8 +108,8 @@
 	newOwner := o.c.cluster.MemberGuard(m.transferTo.Node())
 	t.guards[newOwner.Key] = newOwner.Version
 	data := &record.BlockData{
-		Kinds:    []record.BlockKind{{Type: m.kind, Zone: m.zone, Spot: m.spot}},
-		Machines: []record.BlockMachine{{Name: m.name, Endpoint: m.endpoint, Rented: int64(m.rented)}},
+		MachineTypes: []record.BlockMachineType{{Type: m.kind, Zone: m.zone, Spot: m.spot}},
+		Machines:     []record.BlockMachine{{Name: m.name, Endpoint: m.endpoint, LaunchedAt: int64(m.rented)}},
 	}
 	t.put(record.BlockKey(transferBlockName(m)), data.Block(m.transferTo))
 }
@@ -147,7 +147,7 @@
 		return nil
 	}
 	data, err := block.Decode()
-	if err != nil || len(data.Machines) != 1 || data.Machines[0].Token != 0 || o.machines[data.Machines[0].Name] != nil {
+	if err != nil || len(data.Machines) != 1 || data.Machines[0].FencingToken != 0 || o.machines[data.Machines[0].Name] != nil {
 		return nil
 	}
 	return data
--- a/controller/machine_types.go
+++ b/controller/machine_types.go
@@ -61,7 +61,7 @@
 func (c *Core) readMachineTypes() {
 	t := &c.types
 	t.reading = true
-	c.store.Get(budget.Leadership, record.TypesKey, func(out kv.Outcome, e kv.Entry) {
+	c.store.Get(budget.Leadership, record.MachineTypesKey, func(out kv.Outcome, e kv.Entry) {
 		t.reading = false
 		var recorded wire.MachineTypes
 		if out == kv.OK && wire.Decode(e.Value, &recorded) == nil && len(t.list) == 0 {
@@ -95,7 +95,7 @@
 	if c.owner == nil || t.recorded || kv.EncodedSizeBound(t.answer) > c.cfg.ValueBytes {
 		return
 	}
-	write := []kv.Write{{Put: record.TypesKey, Value: t.answer}}
+	write := []kv.Write{{Put: record.MachineTypesKey, Value: t.answer}}
 	c.store.Do(budget.Work, kv.Transaction(c.owner.guards(nil), write), func(reply kv.Result) {
 		t.recorded = t.recorded || reply.Outcome == kv.OK
 	})
--- a/controller/pipelines_test.go
+++ b/controller/pipelines_test.go
@@ -81,7 +81,7 @@
 
 // recorded is the final state that the state service keeps of a job, or "".
 func (w *world) recorded(id string) wire.JobPhase {
-	value, ok := w.state.Get(record.FinalPrefix + id)
+	value, ok := w.state.Get(record.TerminalStatePrefix + id)
 	if !ok {
 		return ""
 	}
@@ -167,7 +167,7 @@
 	}
 	if _, ok := w.crowd.acceptedAt[id]; !ok {
 		for _, other := range p.awaits[id] {
-			_, active := w.state.Get(record.ActivePrefix + other)
+			_, active := w.state.Get(record.ActiveJobPrefix + other)
 			if !active && w.recorded(other) == "" {
 				w.breakRule("accepted_bad: %s is accepted, %s that it awaits never was", id, other)
 			}
--- a/controller/production_names_test.go
+++ b/controller/production_names_test.go
@@ -19,6 +19,13 @@
 	reflect.TypeFor[record.Leader](): {"Incarnation": "Life"},
 	reflect.TypeFor[record.Member](): {"Incarnation": "Life"},
 	reflect.TypeFor[record.Team]():   {"Incarnation": "Life", "Predecessors": "Heir"},
+	reflect.TypeFor[record.ScaleOutRequest](): {
+		"Count": "Number",
+	},
+	reflect.TypeFor[record.TerminalState](): {
+		"FinishedAt":          "At",
+		"CancelledDependency": "Before",
+	},
 }
 
 // productionType returns the type that t is in production: t itself if no field of it, or of
--- a/controller/readings_test.go
+++ b/controller/readings_test.go
@@ -90,19 +90,19 @@
 		return into(&record.Member{})
 	case strings.HasPrefix(key, record.TeamPrefix):
 		return into(&record.Team{})
-	case key == record.TypesKey:
+	case key == record.MachineTypesKey:
 		return into(&wire.MachineTypes{})
-	case strings.HasPrefix(key, record.FinalPrefix):
-		return into(&record.Final{})
-	case strings.HasPrefix(key, record.RentalPrefix):
-		return into(&record.Rental{})
-	case strings.HasPrefix(key, record.HoldPrefix):
-		return into(&record.Hold{})
-	case strings.HasPrefix(key, record.ActivePrefix):
+	case strings.HasPrefix(key, record.TerminalStatePrefix):
+		return into(&record.TerminalState{})
+	case strings.HasPrefix(key, record.ScaleOutRequestPrefix):
+		return into(&record.ScaleOutRequest{})
+	case strings.HasPrefix(key, record.ReservationPrefix):
+		return into(&record.Reservation{})
+	case strings.HasPrefix(key, record.ActiveJobPrefix):
 		return readJob(value)
 	case strings.HasPrefix(key, record.BlockPrefix):
 		return readBlock(value)
-	case strings.HasPrefix(key, record.CompletionsPrefix):
+	case strings.HasPrefix(key, record.CompletionSegmentPrefix):
 		return readShard(value)
 	}
 	return "", fmt.Errorf("%s is no key of this version", key)
@@ -117,7 +117,7 @@
 	if err != nil {
 		return "", err
 	}
-	text, err := json.Marshal(map[string]any{"job": toProduction(j), "accepted": rec.Accepted})
+	text, err := json.Marshal(map[string]any{"job": toProduction(j), "accepted": rec.AcceptedAt})
 	return string(text), err
 }
 
@@ -139,11 +139,11 @@
 		}
 		names := []string{}
 		for _, t := range tasks {
-			names = append(names, fmt.Sprintf("%+v %s attempt %d", toProduction(d.Jobs[t.Job]), wire.TaskName(d.Jobs[t.Job].ID, t.Index), t.Number))
+			names = append(names, fmt.Sprintf("%+v %s attempt %d", toProduction(d.Jobs[t.Job]), wire.TaskName(d.Jobs[t.Job].ID, t.Index), t.Attempt))
 		}
 		machines = append(machines, map[string]any{
-			"name": m.Name, "token": m.Token, "endpoint": m.Endpoint, "kind": toProduction(d.Kinds[m.Kind]),
-			"rented": m.Rented + d.Since, "condemned": m.Condemned, "tasks": names,
+			"name": m.Name, "token": m.FencingToken, "endpoint": m.Endpoint, "kind": toProduction(d.MachineTypes[m.MachineType]),
+			"rented": m.LaunchedAt + d.LaunchTimeBase, "condemned": m.Decommissioning, "tasks": names,
 		})
 	}
 	text, err := json.Marshal(map[string]any{"owner": rec.Owner, "machines": machines})
@@ -151,7 +151,7 @@
 }
 
 func readShard(value []byte) (string, error) {
-	var rec record.Completions
+	var rec record.CompletionSegment
 	if err := wire.Decode(value, &rec); err != nil {
 		return "", err
 	}
@@ -161,7 +161,7 @@
 		if !ok {
 			return "", fmt.Errorf("chunk %s", name)
 		}
-		b := make(record.Bitmap, (chunk+1)*record.ChunkTasks/8)
+		b := make(record.Bitmap, (chunk+1)*record.TasksPerChunk/8)
 		if err := b.MergeChunk(chunk, bits); err != nil {
 			return "", err
 		}
--- a/controller/rentals.go
+++ b/controller/rentals.go
@@ -60,7 +60,7 @@
 // loadRentals takes over the rentals of an earlier owner: the cloud is asked again.
 func (o *owner) loadRentals(entries []kv.Entry) {
 	for _, e := range entries {
-		var rec record.Rental
+		var rec record.ScaleOutRequest
 		if wire.Decode(e.Value, &rec) != nil {
 			o.c.log.Error("record cannot be read", "key", e.Key)
 			continue
@@ -68,9 +68,9 @@
 		if !o.ownsRecordsOf(rec.Owner) {
 			continue
 		}
-		name := strings.TrimPrefix(e.Key, record.RentalPrefix)
+		name := strings.TrimPrefix(e.Key, record.ScaleOutRequestPrefix)
 		o.rentals[name] = &rental{
-			name: name, offer: capacity.Offer{Type: rec.Type, Zone: rec.Zone, Spot: rec.Spot}, number: rec.Number, state: rentalAsking,
+			name: name, offer: capacity.Offer{Type: rec.Type, Zone: rec.Zone, Spot: rec.Spot}, number: rec.Count, state: rentalAsking,
 		}
 	}
 }
@@ -90,12 +90,12 @@
 			return
 		}
 		r.writing = true
-		key := record.RentalKey(name)
+		key := record.ScaleOutRequestKey(name)
 		if r.state == rentalOver {
 			t.writes = append(t.writes, kv.Write{Delete: key})
 		} else {
-			t.put(key, record.Rental{
-				Owner: o.c.node.ID(), Type: r.offer.Type, Zone: r.offer.Zone, Spot: r.offer.Spot, Number: r.number,
+			t.put(key, record.ScaleOutRequest{
+				Owner: o.c.node.ID(), Type: r.offer.Type, Zone: r.offer.Zone, Spot: r.offer.Spot, Count: r.number,
 			})
 		}
 		t.results = append(t.results, func(ok bool, _ uint64) {
@@ -113,7 +113,7 @@
 
 // rent begins a rental.
 func (o *owner) rent(request capacity.Request) {
-	r := &rental{name: "h-" + record.NumberName(o.nextNumber()), offer: request.Offer, number: request.Number}
+	r := &rental{name: "h-" + record.FormatNumber(o.nextNumber()), offer: request.Offer, number: request.Number}
 	o.rentals[r.name] = r
 	o.c.log.Info("rental wanted", "name", r.name, "type", r.offer.Type, "zone", r.offer.Zone,
 		"spot", r.offer.Spot, "number", r.number, "class", request.Job.Class, "short_cpus", request.ShortCPUs)
--- a/controller/shards.go
+++ b/controller/shards.go
@@ -54,7 +54,7 @@
 
 // noteFinished remembers that an attempt's completion must be recorded.
 func (j *job) noteFinished(a *attempt) {
-	chunk := a.index / record.ChunkTasks
+	chunk := a.index / record.TasksPerChunk
 	j.finished[chunk] = append(j.finished[chunk], a)
 }
 
@@ -64,7 +64,7 @@
 }
 
 // key is the key of the shard's record.
-func (s *shard) key() string { return record.CompletionsKey(s.team, s.name) }
+func (s *shard) key() string { return record.CompletionSegmentKey(s.team, s.name) }
 
 // sortedChunks lists the shard's chunks in order.
 func (s *shard) sortedChunks() []chunkKey {
@@ -116,7 +116,7 @@
 			return s
 		}
 	}
-	s := newShard(j.Team, record.NumberName(o.nextNumber()))
+	s := newShard(j.Team, record.FormatNumber(o.nextNumber()))
 	o.shards = append(o.shards, s)
 	return s
 }
@@ -182,12 +182,12 @@
 }
 
 // completions encodes the shard's chunks.
-func (s *shard) completions() record.Completions {
+func (s *shard) completions() record.CompletionSegment {
 	chunks := map[string]string{}
 	for k, j := range s.chunks {
 		chunks[k.name()] = j.done.Chunk(k.chunk)
 	}
-	return record.Completions{Chunks: chunks}
+	return record.CompletionSegment{Chunks: chunks}
 }
 
 // finish takes the result of the commit.
--- a/controller/waiting.go
+++ b/controller/waiting.go
@@ -106,9 +106,9 @@
 // recordCancelled adds to a commit that a waiting job is cancelled with one before it.
 func (o *owner) recordCancelled(t *txn, j *job, root string) {
 	j.writing = true
-	t.guards[record.ActiveKey(j.ID)] = j.version
-	t.writes = append(t.writes, kv.Write{Delete: record.ActiveKey(j.ID)})
-	t.put(record.FinalKey(j.ID), record.Final{Status: record.StatusCancelled, At: o.c.wallClock, Before: root})
+	t.guards[record.ActiveJobKey(j.ID)] = j.version
+	t.writes = append(t.writes, kv.Write{Delete: record.ActiveJobKey(j.ID)})
+	t.put(record.TerminalStateKey(j.ID), record.TerminalState{Status: record.StatusCancelled, FinishedAt: o.c.wallClock, CancelledDependency: root})
 	t.results = append(t.results, func(ok bool, _ uint64) {
 		j.writing = false
 		switch {
@@ -132,7 +132,7 @@
 // dropParts has the further keys of a job's list deleted: they serve while its record exists.
 func (o *owner) dropParts(j *job) {
 	for i := range j.parts {
-		o.obsoleteKeys = append(o.obsoleteKeys, record.PartKey(j.ID, i))
+		o.obsoleteKeys = append(o.obsoleteKeys, record.DependencyPartKey(j.ID, i))
 	}
 	j.parts = 0
 }
@@ -170,7 +170,7 @@
 		return
 	}
 	o.swept = true
-	o.c.store.Do(budget.Cleanup, kv.List(record.PartPrefix, o.sweptUntil), func(r kv.Result) {
+	o.c.store.Do(budget.Cleanup, kv.List(record.DependencyPartPrefix, o.sweptUntil), func(r kv.Result) {
 		var page kv.Page
 		if o.superseded() {
 			return
@@ -198,7 +198,7 @@
 // job in one commit: where a view that is newer than the list lacks the job, it is over.
 func (o *owner) dropLeftoverParts(entries []kv.Entry) {
 	for _, e := range entries {
-		id, _, _ := strings.Cut(strings.TrimPrefix(e.Key, record.PartPrefix), "/")
+		id, _, _ := strings.Cut(strings.TrimPrefix(e.Key, record.DependencyPartPrefix), "/")
 		if !o.c.graph.Active(id) && !slices.Contains(o.obsoleteKeys, e.Key) {
 			o.obsoleteKeys = append(o.obsoleteKeys, e.Key)
 		}
--- a/internal/jobgraph/graph.go
+++ b/internal/jobgraph/graph.go
@@ -185,7 +185,7 @@
 	return true
 }
 
-func jobOf(key string) string { return strings.TrimPrefix(key, record.ActivePrefix) }
+func jobOf(key string) string { return strings.TrimPrefix(key, record.ActiveJobPrefix) }
 
 func (g *Graph) put(key string, value []byte, version uint64) {
 	id := jobOf(key)
--- a/internal/jobgraph/graph_test.go
+++ b/internal/jobgraph/graph_test.go
@@ -41,7 +41,7 @@
 }
 
 func (r *recorder) JobPut(key string, _ []byte, _ uint64) { r.active[key] = true }
-func (r *recorder) JobDeleted(id string)                  { delete(r.active, record.ActiveKey(id)) }
+func (r *recorder) JobDeleted(id string)                  { delete(r.active, record.ActiveJobKey(id)) }
 func (r *recorder) JobReady(job *WaitingJob)              { r.ready = append(r.ready, job.ID) }
 func (r *recorder) JobCancelled(id string)                { r.cancelled = append(r.cancelled, id) }
 func (r *recorder) InheritanceChanged(string)             { r.inherit++ }
@@ -87,14 +87,14 @@
 func (r *records) accept(id string, awaits []string) {
 	r.revision++
 	r.jobs[id], r.accepted[id] = awaits, r.revision
-	r.history = append(r.history, kv.Change{Put: record.ActiveKey(id), Value: recordOf(testJob(id, awaits...), 1), Version: r.revision})
+	r.history = append(r.history, kv.Change{Put: record.ActiveJobKey(id), Value: recordOf(testJob(id, awaits...), 1), Version: r.revision})
 }
 
 func (r *records) end(id string, rec final) {
 	r.revision++
 	delete(r.accepted, id)
 	r.finals[id] = rec
-	r.history = append(r.history, kv.Change{Delete: record.ActiveKey(id), Version: r.revision})
+	r.history = append(r.history, kv.Change{Delete: record.ActiveJobKey(id), Version: r.revision})
 }
 
 func (r *records) since(after uint64) *kv.WatchResult {
@@ -110,8 +110,8 @@
 func (r *records) list() []kv.Entry {
 	var all []kv.Entry
 	for _, id := range sortedKeys(r.accepted) {
-		i := slices.IndexFunc(r.history, func(e kv.Change) bool { return e.Put == record.ActiveKey(id) })
-		all = append(all, kv.Entry{Key: record.ActiveKey(id), Value: r.history[i].Value, Version: r.accepted[id]})
+		i := slices.IndexFunc(r.history, func(e kv.Change) bool { return e.Put == record.ActiveJobKey(id) })
+		all = append(all, kv.Entry{Key: record.ActiveJobKey(id), Value: r.history[i].Value, Version: r.accepted[id]})
 	}
 	return all
 }
@@ -176,7 +176,7 @@
 					if rng.IntN(2) == 0 {
 						stale, staleAt = r.list(), r.revision
 					} else { // its later pages were read later
-						from := record.ActiveKey(jobName(rng.IntN(step + 1)))
+						from := record.ActiveJobKey(jobName(rng.IntN(step + 1)))
 						entries := slices.DeleteFunc(slices.Clone(stale), func(e kv.Entry) bool { return e.Key >= from })
 						for _, e := range r.list() {
 							if e.Key >= from {
@@ -258,7 +258,7 @@
 // submit applies the record of a job that awaits others.
 func submit(t testing.TB, g *Graph, job *sched.Job, accepted micros.Micros) {
 	t.Helper()
-	put := kv.Change{Put: record.ActiveKey(job.ID), Value: recordOf(job, accepted), Version: g.Revision() + 1}
+	put := kv.Change{Put: record.ActiveJobKey(job.ID), Value: recordOf(job, accepted), Version: g.Revision() + 1}
 	apply(t, g, put)
 }
 
@@ -290,7 +290,7 @@
 		t.Fatalf("after four submissions: %+v", seen)
 	}
 
-	apply(t, g, kv.Change{Delete: record.ActiveKey(a)})
+	apply(t, g, kv.Change{Delete: record.ActiveJobKey(a)})
 	if got := g.Unresolved(); !slices.Equal(got, []string{a}) || len(seen.ready) > 0 {
 		t.Fatalf("one ended in a way not known: unresolved %v, ready %v", got, seen.ready)
 	}
@@ -299,7 +299,7 @@
 		t.Fatalf("the first is done: ready %v", seen.ready)
 	}
 
-	apply(t, g, kv.Change{Delete: record.ActiveKey(b)})
+	apply(t, g, kv.Change{Delete: record.ActiveJobKey(b)})
 	g.Cancelled(b, b)
 	g.Cancelled(b, b)
 	if !slices.Equal(seen.cancelled, []string{c, d}) || g.Waiting(d).CancelledRoot != b {
@@ -320,7 +320,7 @@
 	submit(t, g, testJob(a), 1)
 	submit(t, g, testJob(b, a), 2)
 	seen.done[a] = true
-	apply(t, g, kv.Change{Delete: record.ActiveKey(a)})
+	apply(t, g, kv.Change{Delete: record.ActiveJobKey(a)})
 	submit(t, g, testJob(c, a), 3)
 	if !slices.Equal(seen.ready, []string{b, c}) || g.HasUnresolved() || g.Waiting(b).LatestDone != wallClock {
 		t.Fatalf("ready %v, unresolved %v", seen.ready, g.Unresolved())
@@ -335,8 +335,8 @@
 	a, b, c := jobName(1), jobName(2), jobName(3)
 	submit(t, g, testJob(a), 1)
 	description := wire.FromJob(testJob(b))
-	value := wire.Encode(record.Job{Accepted: 2, Waiting: &description, Parts: 1})
-	apply(t, g, kv.Change{Put: record.ActiveKey(b), Value: value})
+	value := wire.Encode(record.Job{AcceptedAt: 2, Blocked: &description, DependencyParts: 1})
+	apply(t, g, kv.Change{Put: record.ActiveJobKey(b), Value: value})
 	submit(t, g, testJob(c, b), 3)
 	partial, unresolved := g.MissingFor([]string{c})
 	if partial == nil || partial.ID != b || unresolved || partial.Ready() || g.FirstPartial() != partial {
@@ -346,7 +346,7 @@
 	if partial, unresolved = g.MissingFor([]string{c}); partial != nil || unresolved || g.FirstPartial() != nil {
 		t.Fatalf("with its list: %+v, unresolved %v", partial, unresolved)
 	}
-	apply(t, g, kv.Change{Delete: record.ActiveKey(a)})
+	apply(t, g, kv.Change{Delete: record.ActiveJobKey(a)})
 	if _, unresolved = g.MissingFor([]string{c}); !unresolved {
 		t.Fatal("a job ended that c needs through b")
 	}
@@ -358,7 +358,7 @@
 
 // entryOf is a job's record as a listing has it.
 func entryOf(job *sched.Job, version uint64) kv.Entry {
-	return kv.Entry{Key: record.ActiveKey(job.ID), Value: recordOf(job, 1), Version: version}
+	return kv.Entry{Key: record.ActiveJobKey(job.ID), Value: recordOf(job, 1), Version: version}
 }
 
 // TestReset guards that a listing keeps what was read of ends and lists. Only how a cancelled
@@ -367,18 +367,18 @@
 	g := newTestGraph(t)
 	a, b, c, d := jobName(1), jobName(2), jobName(3), jobName(4)
 	other := testJob(jobName(9))
-	partial := kv.Entry{Key: record.ActiveKey(d), Version: 5}
+	partial := kv.Entry{Key: record.ActiveJobKey(d), Version: 5}
 	description := wire.FromJob(testJob(d))
-	partial.Value = wire.Encode(record.Job{Accepted: 2, Waiting: &description, Parts: 1})
+	partial.Value = wire.Encode(record.Job{AcceptedAt: 2, Blocked: &description, DependencyParts: 1})
 	entries := []kv.Entry{
 		entryOf(testJob(a), 1), entryOf(testJob(b), 2), entryOf(other, 3),
 		entryOf(testJob(c, a, other.ID), 4), partial, entryOf(testJob(jobName(5), b), 6),
 	}
 	g.Reset(entries, 6)
 	g.CompleteList(g.Waiting(d), []string{other.ID})
-	apply(t, g, kv.Change{Delete: record.ActiveKey(a)})
+	apply(t, g, kv.Change{Delete: record.ActiveJobKey(a)})
 	g.Done(a, 55)
-	apply(t, g, kv.Change{Delete: record.ActiveKey(b)})
+	apply(t, g, kv.Change{Delete: record.ActiveJobKey(b)})
 	g.Cancelled(b, b)
 
 	g.Reset(entries[2:], 8)
@@ -412,12 +412,12 @@
 	if inherited, awaited := g.Inherited(b); !awaited || inherited.Priority != sched.Normal {
 		t.Fatalf("inherits %v, awaited %v", inherited, awaited)
 	}
-	apply(t, g, kv.Change{Delete: record.ActiveKey(a)})
+	apply(t, g, kv.Change{Delete: record.ActiveJobKey(a)})
 	g.Cancelled(a, a)
 	if inherited, awaited := g.Inherited(b); !awaited || inherited != (Inheritance{}) {
 		t.Errorf("inherits %v from a cancelled job, awaited %v", inherited, awaited)
 	}
-	apply(t, g, kv.Change{Delete: record.ActiveKey(c)})
+	apply(t, g, kv.Change{Delete: record.ActiveJobKey(c)})
 	if g.HasUnresolved() {
 		t.Errorf("how %v ended is asked", g.Unresolved())
 	}
@@ -431,8 +431,8 @@
 	g := newTestGraph(t)
 	g.Reset(nil, 0)
 	description := wire.FromJob(testJob(jobName(1)))
-	value := wire.Encode(record.Job{Accepted: 2, Waiting: &description, Parts: 1})
-	apply(t, g, kv.Change{Put: record.ActiveKey(jobName(1)), Value: value})
+	value := wire.Encode(record.Job{AcceptedAt: 2, Blocked: &description, DependencyParts: 1})
+	apply(t, g, kv.Change{Put: record.ActiveJobKey(jobName(1)), Value: value})
 	g.AssumeDone(g.Waiting(jobName(1)))
 	if !g.Waiting(jobName(1)).Ready() || g.FirstPartial() != nil {
 		t.Error("a job that was placed is not ready")
--- a/internal/jobgraph/inheritance_test.go
+++ b/internal/jobgraph/inheritance_test.go
@@ -36,7 +36,7 @@
 
 func (f *fans) end(id string, isDone bool) {
 	f.Helper()
-	apply(f, f.g, kv.Change{Delete: record.ActiveKey(id)})
+	apply(f, f.g, kv.Change{Delete: record.ActiveJobKey(id)})
 	if isDone {
 		f.g.Done(id, 1)
 	} else {
--- a/internal/jobgraph/waiting.go
+++ b/internal/jobgraph/waiting.go
@@ -78,7 +78,7 @@
 	g.waiting[id] = job
 	spec, err := rec.Waiting.Job()
 	if err != nil {
-		g.log.Error("record cannot be read", "key", record.ActiveKey(id), "error", err)
+		g.log.Error("record cannot be read", "key", record.ActiveJobKey(id), "error", err)
 		return job // neither ready nor answered about
 	}
 	job.Class, job.Estimate = spec.Class, spec.Estimate
--- a/internal/record/block.go
+++ b/internal/record/block.go
@@ -16,16 +16,16 @@
 
 // BlockData is the content of a Block. It names each job and each kind of machine once.
 type BlockData struct {
-	_        struct{} `cbor:",toarray"`
-	Base     uint64   // numbers of attempts count from here
-	Since    int64    // times of rental count from here
-	Kinds    []BlockKind
-	Jobs     []BlockJob
-	Machines []BlockMachine
+	_              struct{} `cbor:",toarray"`
+	AttemptBase    uint64   // numbers of attempts count from here
+	LaunchTimeBase int64    // times of rental count from here
+	MachineTypes   []BlockMachineType
+	Jobs           []BlockJob
+	Machines       []BlockMachine
 }
 
-// BlockKind is a kind of machine in a block.
-type BlockKind struct {
+// BlockMachineType is a kind of machine in a block.
+type BlockMachineType struct {
 	_    struct{} `cbor:",toarray"`
 	Type string
 	Zone string
@@ -43,21 +43,21 @@
 
 // BlockMachine is the entry of a machine. Each machine has one entry in one block.
 type BlockMachine struct {
-	_         struct{} `cbor:",toarray"`
-	Name      string
-	Token     uint64 // 0: the token is the revision of this record
-	Endpoint  string
-	Kind      int      // index in Kinds
-	Rented    int64    // wall clock time in microseconds, counted from Since
-	Condemned bool     // to be deleted
-	Tasks     []uint64 // as Pack writes them
+	_               struct{} `cbor:",toarray"`
+	Name            string
+	FencingToken    uint64 // 0: the token is the revision of this record
+	Endpoint        string
+	MachineType     int      // index in Kinds
+	LaunchedAt      int64    // wall clock time in microseconds, counted from Since
+	Decommissioning bool     // to be deleted
+	Tasks           []uint64 // as Pack writes them
 }
 
 // BlockTask is an attempt of a task in a machine's entry.
 type BlockTask struct {
-	Job    int // index in Jobs
-	Index  int // of the task in the job
-	Number uint64
+	Job     int // index in Jobs
+	Index   int // of the task in the job
+	Attempt uint64
 }
 
 // Pack appends attempts to a machine's entry. They must come in the order of job, number and
@@ -67,7 +67,7 @@
 	for len(tasks) > 0 {
 		first := tasks[0]
 		n := groupLength(tasks)
-		m.Tasks = append(m.Tasks, uint64(first.Job), first.Number-d.Base, uint64(n))
+		m.Tasks = append(m.Tasks, uint64(first.Job), first.Attempt-d.AttemptBase, uint64(n))
 		previous := 0
 		for _, task := range tasks[:n] {
 			m.Tasks = append(m.Tasks, uint64(task.Index-previous))
@@ -80,29 +80,29 @@
 // groupLength tells how many of the first tasks have the same job and number.
 func groupLength(tasks []BlockTask) int {
 	n := 1
-	for n < len(tasks) && tasks[n].Job == tasks[0].Job && tasks[n].Number == tasks[0].Number {
+	for n < len(tasks) && tasks[n].Job == tasks[0].Job && tasks[n].Attempt == tasks[0].Attempt {
 		n++
 	}
 	return n
 }
 
-// groupHeader is how many numbers come before the steps of a group: job, number and count.
-const groupHeader = 3
+// groupHeaderLength is how many numbers come before the steps of a group: job, number and count.
+const groupHeaderLength = 3
 
 // Unpack returns the attempts in a machine's entry, in the order in which they were packed.
 func (d *BlockData) Unpack(m *BlockMachine) ([]BlockTask, error) {
 	var tasks []BlockTask
 	for list := m.Tasks; len(list) > 0; {
-		if len(list) < groupHeader || list[0] >= uint64(len(d.Jobs)) || list[2] > uint64(len(list)-groupHeader) {
-			return nil, fmt.Errorf("tasks of machine %s: %w", m.Name, ErrDamaged)
+		if len(list) < groupHeaderLength || list[0] >= uint64(len(d.Jobs)) || list[2] > uint64(len(list)-groupHeaderLength) {
+			return nil, fmt.Errorf("tasks of machine %s: %w", m.Name, ErrCorrupt)
 		}
-		job, number, n := int(list[0]), list[1]+d.Base, int(list[2])
+		job, number, n := int(list[0]), list[1]+d.AttemptBase, int(list[2])
 		index := 0
-		for _, step := range list[groupHeader : groupHeader+n] {
+		for _, step := range list[groupHeaderLength : groupHeaderLength+n] {
 			index += int(step)
 			tasks = append(tasks, BlockTask{job, index, number})
 		}
-		list = list[groupHeader+n:]
+		list = list[groupHeaderLength+n:]
 	}
 	return tasks, nil
 }
@@ -116,19 +116,19 @@
 func (b Block) Decode() (*BlockData, error) {
 	compressed, err := base64.RawStdEncoding.DecodeString(b.Data)
 	if err != nil {
-		return nil, fmt.Errorf("%w: %w", ErrDamaged, err)
+		return nil, fmt.Errorf("%w: %w", ErrCorrupt, err)
 	}
 	encoded, err := Decompress(compressed)
 	if err != nil {
-		return nil, fmt.Errorf("%w: %w", ErrDamaged, err)
+		return nil, fmt.Errorf("%w: %w", ErrCorrupt, err)
 	}
 	var d BlockData
 	if err := wire.Decode(encoded, &d); err != nil {
-		return nil, fmt.Errorf("%w: %w", ErrDamaged, err)
+		return nil, fmt.Errorf("%w: %w", ErrCorrupt, err)
 	}
 	for _, m := range d.Machines {
-		if m.Kind < 0 || m.Kind >= len(d.Kinds) {
-			return nil, fmt.Errorf("kind of machine %s: %w", m.Name, ErrDamaged)
+		if m.MachineType < 0 || m.MachineType >= len(d.MachineTypes) {
+			return nil, fmt.Errorf("kind of machine %s: %w", m.Name, ErrCorrupt)
 		}
 	}
 	return &d, nil
--- a/internal/record/block_property_test.go
+++ b/internal/record/block_property_test.go
@@ -24,13 +24,13 @@
 func drawTasks(t *rapid.T, jobs int, base uint64) []BlockTask {
 	tasks := rapid.SliceOfDistinct(rapid.Custom(func(t *rapid.T) BlockTask {
 		return BlockTask{
-			Job:    rapid.IntRange(0, jobs-1).Draw(t, "job"),
-			Index:  rapid.IntRange(0, 99_999).Draw(t, "index"),
-			Number: base + rapid.Uint64Range(0, 1<<24).Draw(t, "number"),
+			Job:     rapid.IntRange(0, jobs-1).Draw(t, "job"),
+			Index:   rapid.IntRange(0, 99_999).Draw(t, "index"),
+			Attempt: base + rapid.Uint64Range(0, 1<<24).Draw(t, "number"),
 		}
 	}), func(task BlockTask) [2]int { return [2]int{task.Job, task.Index} }).Draw(t, "tasks")
 	slices.SortFunc(tasks, func(a, b BlockTask) int {
-		return slices.Compare([]uint64{uint64(a.Job), a.Number, uint64(a.Index)}, []uint64{uint64(b.Job), b.Number, uint64(b.Index)})
+		return slices.Compare([]uint64{uint64(a.Job), a.Attempt, uint64(a.Index)}, []uint64{uint64(b.Job), b.Attempt, uint64(b.Index)})
 	})
 	return tasks
 }
@@ -39,14 +39,14 @@
 func TestBlockKeepsTasks(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		jobs := rapid.IntRange(1, 4).Draw(t, "jobs")
-		data := &BlockData{Base: rapid.Uint64Range(0, 1<<50).Draw(t, "base"), Kinds: []BlockKind{{Type: "small", Zone: "a"}}}
+		data := &BlockData{AttemptBase: rapid.Uint64Range(0, 1<<50).Draw(t, "base"), MachineTypes: []BlockMachineType{{Type: "small", Zone: "a"}}}
 		for n := range jobs {
 			data.Jobs = append(data.Jobs, BlockJob{ID: fmt.Sprintf("req-%06d", n), Team: "red", Tasks: 100_000})
 		}
 		packed := map[string][]BlockTask{}
 		for n := range rapid.IntRange(1, 5).Draw(t, "machines") {
 			m := BlockMachine{Name: fmt.Sprintf("m-%06d", n)}
-			packed[m.Name] = drawTasks(t, jobs, data.Base)
+			packed[m.Name] = drawTasks(t, jobs, data.AttemptBase)
 			data.Pack(&m, packed[m.Name])
 			data.Machines = append(data.Machines, m)
 		}
@@ -65,10 +65,10 @@
 	})
 }
 
-// TestDamagedBlock draws damage: a block is read, or refused as damaged, and never more.
-func TestDamagedBlock(t *testing.T) {
+// TestCorruptBlock draws damage: a block is read, or refused as damaged, and never more.
+func TestCorruptBlock(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		data := &BlockData{Kinds: []BlockKind{{Type: "small", Zone: "a"}}, Jobs: []BlockJob{{ID: "req-000001", Team: "red", Tasks: 9}}}
+		data := &BlockData{MachineTypes: []BlockMachineType{{Type: "small", Zone: "a"}}, Jobs: []BlockJob{{ID: "req-000001", Team: "red", Tasks: 9}}}
 		m := BlockMachine{Name: "m-000001", Tasks: rapid.SliceOf(rapid.Uint64()).Draw(t, "tasks")}
 		data.Machines = []BlockMachine{m}
 		block := data.Block("n0/1")
@@ -78,13 +78,13 @@
 		}
 		decoded, err := Block{block.Owner, string(text)}.Decode()
 		if err != nil {
-			if !errors.Is(err, ErrDamaged) {
+			if !errors.Is(err, ErrCorrupt) {
 				t.Fatalf("refused with another error: %v", err)
 			}
 			return
 		}
 		for i := range decoded.Machines {
-			if _, err := decoded.Unpack(&decoded.Machines[i]); err != nil && !errors.Is(err, ErrDamaged) {
+			if _, err := decoded.Unpack(&decoded.Machines[i]); err != nil && !errors.Is(err, ErrCorrupt) {
 				t.Fatalf("refused with another error: %v", err)
 			}
 		}
--- a/internal/record/block_test.go
+++ b/internal/record/block_test.go
@@ -15,14 +15,14 @@
 func TestPack(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	for range 200 {
-		d := &BlockData{Base: 1 << 40, Kinds: []BlockKind{{Type: "mid", Zone: "a"}}}
+		d := &BlockData{AttemptBase: 1 << 40, MachineTypes: []BlockMachineType{{Type: "mid", Zone: "a"}}}
 		var want []BlockTask
 		for job := range rng.IntN(4) {
 			d.Jobs = append(d.Jobs, BlockJob{ID: wire.TaskName("req", job)})
 			for number := range rng.IntN(3) {
 				for index := range 20 {
 					if rng.IntN(2) == 0 {
-						want = append(want, BlockTask{job, index * 7, d.Base + uint64(number)})
+						want = append(want, BlockTask{job, index * 7, d.AttemptBase + uint64(number)})
 					}
 				}
 			}
@@ -39,7 +39,7 @@
 		}
 		if n := len(back.Machines[0].Tasks); n > 0 {
 			back.Machines[0].Tasks[0] = 99
-			if _, err := back.Unpack(&back.Machines[0]); !errors.Is(err, ErrDamaged) {
+			if _, err := back.Unpack(&back.Machines[0]); !errors.Is(err, ErrCorrupt) {
 				t.Fatalf("a damaged entry was read: %v", err)
 			}
 		}
@@ -49,22 +49,22 @@
 	}
 }
 
-// TestUnpackDamaged guards against entries whose groups are cut off or name unknown jobs.
-func TestUnpackDamaged(t *testing.T) {
+// TestUnpackCorrupt guards against entries whose groups are cut off or name unknown jobs.
+func TestUnpackCorrupt(t *testing.T) {
 	d := &BlockData{Jobs: []BlockJob{{ID: "req-000001"}}}
 	for _, tasks := range [][]uint64{{0}, {0, 5}, {1, 5, 0}, {0, 5, 2, 1}, {0, 5, 1 << 63, 1}, {0, 5, 1, 3, 0}} {
-		if _, err := d.Unpack(&BlockMachine{Name: "m-000001", Tasks: tasks}); !errors.Is(err, ErrDamaged) {
+		if _, err := d.Unpack(&BlockMachine{Name: "m-000001", Tasks: tasks}); !errors.Is(err, ErrCorrupt) {
 			t.Errorf("%v: error %v", tasks, err)
 		}
 	}
 }
 
-// TestDecodeDamaged guards against values that are damaged at each layer of the encoding.
-func TestDecodeDamaged(t *testing.T) {
+// TestDecodeCorrupt guards against values that are damaged at each layer of the encoding.
+func TestDecodeCorrupt(t *testing.T) {
 	encode := func(data []byte) string { return base64.RawStdEncoding.EncodeToString(Compress(data)) }
-	unknownKind := &BlockData{Machines: []BlockMachine{{Name: "m-000001", Kind: 1}}, Kinds: []BlockKind{{Type: "mid"}}}
-	negativeKind := &BlockData{Machines: []BlockMachine{{Name: "m-000001", Kind: -1}}, Kinds: []BlockKind{{Type: "mid"}}}
-	whole := (&BlockData{Kinds: []BlockKind{{Type: "mid"}}}).Block("n0.1").Data
+	unknownKind := &BlockData{Machines: []BlockMachine{{Name: "m-000001", MachineType: 1}}, MachineTypes: []BlockMachineType{{Type: "mid"}}}
+	negativeKind := &BlockData{Machines: []BlockMachine{{Name: "m-000001", MachineType: -1}}, MachineTypes: []BlockMachineType{{Type: "mid"}}}
+	whole := (&BlockData{MachineTypes: []BlockMachineType{{Type: "mid"}}}).Block("n0.1").Data
 	for name, data := range map[string]string{
 		"base64":        "*",
 		"deflate":       "AAAA",
@@ -74,7 +74,7 @@
 		"unknown kind":  unknownKind.Block("").Data,
 		"negative kind": negativeKind.Block("").Data,
 	} {
-		if _, err := (Block{Data: data}).Decode(); !errors.Is(err, ErrDamaged) {
+		if _, err := (Block{Data: data}).Decode(); !errors.Is(err, ErrCorrupt) {
 			t.Errorf("%s: error %v", name, err)
 		}
 	}
@@ -82,7 +82,7 @@
 
 // TestBlockSize guards that a block is not larger in the store than Size tells.
 func TestBlockSize(t *testing.T) {
-	d := &BlockData{Kinds: []BlockKind{{Type: "mid", Zone: "a"}}}
+	d := &BlockData{MachineTypes: []BlockMachineType{{Type: "mid", Zone: "a"}}}
 	for range 40 {
 		d.Machines = append(d.Machines, BlockMachine{Name: "m-000001", Endpoint: "worker:1", Tasks: []uint64{1, 2, 3}})
 		b := d.Block("n0.1")
@@ -100,8 +100,8 @@
 			t.Fatalf("%d bytes came back as %d: %v", len(data), len(got), err)
 		}
 	}
-	got, err := Decompress(Compress(make([]byte, 2*maxDecompressed)))
-	if err != nil || len(got) != maxDecompressed {
+	got, err := Decompress(Compress(make([]byte, 2*maxDecompressedBytes)))
+	if err != nil || len(got) != maxDecompressedBytes {
 		t.Fatalf("%d bytes, %v", len(got), err)
 	}
 	if _, err := Decompress([]byte{0xff}); err == nil {
--- a/internal/record/completions.go
+++ b/internal/record/completions.go
@@ -11,18 +11,18 @@
 // ErrChunkRange reports a chunk that lies behind the end of its job.
 var ErrChunkRange = errors.New("chunk is out of range")
 
-// Completions is a shard of completed tasks of a team's active jobs. It holds chunks of
+// CompletionSegment is a shard of completed tasks of a team's active jobs. It holds chunks of
 // several jobs.
-type Completions struct {
+type CompletionSegment struct {
 	Chunks map[string]string `cbor:"d"` // ChunkName -> bits of the chunk, in base64
 }
 
-// ChunkTasks is how many tasks' completion one chunk holds: small enough to write often,
+// TasksPerChunk is how many tasks' completion one chunk holds: small enough to write often,
 // large enough that a job of 100,000 tasks needs few chunks.
-const ChunkTasks = 4096
+const TasksPerChunk = 4096
 
 // chunkBytes is the size of a chunk's bits.
-const chunkBytes = ChunkTasks / 8
+const chunkBytes = TasksPerChunk / 8
 
 // ChunkName names a chunk of a job. It has the form of a task's name.
 func ChunkName(job string, chunk int) string { return wire.TaskName(job, chunk) }
@@ -36,7 +36,7 @@
 
 // ChunkSize bounds the bytes that a chunk of a job with this many tasks takes in Completions.
 func ChunkSize(job string, tasks, chunk int) int {
-	inChunk := min(ChunkTasks, tasks-chunk*ChunkTasks)
+	inChunk := min(TasksPerChunk, tasks-chunk*TasksPerChunk)
 	return (inChunk+7)/8*4/3 + len(job) + chunkNameBytes
 }
 
@@ -63,7 +63,7 @@
 func (b Bitmap) MergeChunk(chunk int, text string) error {
 	bits, err := base64.StdEncoding.DecodeString(text)
 	if err != nil {
-		return fmt.Errorf("chunk %d: %w: %w", chunk, ErrDamaged, err)
+		return fmt.Errorf("chunk %d: %w: %w", chunk, ErrCorrupt, err)
 	}
 	low := chunk * chunkBytes
 	if low > len(b) {
--- a/internal/record/completions_test.go
+++ b/internal/record/completions_test.go
@@ -10,8 +10,8 @@
 
 // TestChunks guards that completions come back chunk by chunk, the last being shorter.
 func TestChunks(t *testing.T) {
-	const tasks = 2*ChunkTasks + 100
-	done := []int{0, 7, 8, ChunkTasks - 1, ChunkTasks, 2 * ChunkTasks, tasks - 1}
+	const tasks = 2*TasksPerChunk + 100
+	done := []int{0, 7, 8, TasksPerChunk - 1, TasksPerChunk, 2 * TasksPerChunk, tasks - 1}
 	from, to := NewBitmap(tasks), NewBitmap(tasks)
 	for _, i := range done {
 		from.Set(i)
@@ -43,7 +43,7 @@
 	if err := a.MergeChunk(0, NewBitmap(8000).Chunk(0)); err != nil || !a.Has(3) { // of a larger job
 		t.Fatalf("merged to %v: %v", a, err)
 	}
-	if err := a.MergeChunk(0, "*"); !errors.Is(err, ErrDamaged) {
+	if err := a.MergeChunk(0, "*"); !errors.Is(err, ErrCorrupt) {
 		t.Fatalf("error %v", err)
 	}
 	if err := a.MergeChunk(1, b.Chunk(0)); !errors.Is(err, ErrChunkRange) {
@@ -65,12 +65,12 @@
 
 // TestChunkSize guards that a chunk takes no more of a value than ChunkSize tells.
 func TestChunkSize(t *testing.T) {
-	for _, tasks := range []int{1, 9, 100, ChunkTasks, ChunkTasks + 1, 25 * ChunkTasks} {
+	for _, tasks := range []int{1, 9, 100, TasksPerChunk, TasksPerChunk + 1, 25 * TasksPerChunk} {
 		bits := NewBitmap(tasks)
-		for chunk := 0; chunk*ChunkTasks < tasks; chunk++ {
+		for chunk := 0; chunk*TasksPerChunk < tasks; chunk++ {
 			name := ChunkName("req-000001", chunk)
-			empty := len(wire.Encode(Completions{Chunks: map[string]string{}}))
-			got := len(wire.Encode(Completions{Chunks: map[string]string{name: bits.Chunk(chunk)}})) - empty
+			empty := len(wire.Encode(CompletionSegment{Chunks: map[string]string{}}))
+			got := len(wire.Encode(CompletionSegment{Chunks: map[string]string{name: bits.Chunk(chunk)}})) - empty
 			if most := ChunkSize("req-000001", tasks, chunk); got > most {
 				t.Errorf("chunk %d of %d tasks takes %d bytes, not %d", chunk, tasks, got, most)
 			}
--- a/internal/record/compress.go
+++ b/internal/record/compress.go
@@ -16,9 +16,9 @@
 	return w
 }}
 
-// maxDecompressed bounds what a value may become, in bytes: a damaged one must not fill the
+// maxDecompressedBytes bounds what a value may become, in bytes: a damaged one must not fill the
 // memory.
-const maxDecompressed = 4 << 20
+const maxDecompressedBytes = 4 << 20
 
 // Compress returns data in deflate form.
 func Compress(data []byte) []byte {
@@ -34,5 +34,5 @@
 // Decompress is the inverse of Compress. What exceeds 4 MiB is cut off.
 func Decompress(data []byte) ([]byte, error) {
 	r := flate.NewReader(bytes.NewReader(data))
-	return io.ReadAll(io.LimitReader(r, maxDecompressed))
+	return io.ReadAll(io.LimitReader(r, maxDecompressedBytes))
 }
--- a/internal/record/job.go
+++ b/internal/record/job.go
@@ -15,29 +15,29 @@
 // Job is an accepted job. A job that depends on others has its description under a name of
 // its own, so that versions which know no dependencies cannot place it.
 type Job struct {
-	Ready    *wire.Submission `cbor:"j,omitempty"`
-	Accepted micros.Micros    `cbor:"at"` // wall clock time
-	Waiting  *wire.Submission `cbor:"w,omitempty"`
-	Parts    int              `cbor:"p,omitempty"` // how many Parts hold the dependency list; 0: Waiting has it
+	Ready           *wire.Submission `cbor:"j,omitempty"`
+	AcceptedAt      micros.Micros    `cbor:"at"` // wall clock time
+	Blocked         *wire.Submission `cbor:"w,omitempty"`
+	DependencyParts int              `cbor:"p,omitempty"` // how many Parts hold the dependency list; 0: Waiting has it
 }
 
-// Part is a part of a dependency list that is too long for the value of its Job.
-type Part struct {
-	IDs []string `cbor:"l"`
+// DependencyPart is a part of a dependency list that is too long for the value of its Job.
+type DependencyPart struct {
+	JobIDs []string `cbor:"l"`
 }
 
 // NewJob returns the record of a job that depends on no other.
 func NewJob(j *sched.Job, accepted micros.Micros) Job {
 	description := wire.FromJob(j)
-	return Job{Ready: &description, Accepted: accepted}
+	return Job{Ready: &description, AcceptedAt: accepted}
 }
 
 // Description returns the job as its user described it. Dependencies that Parts hold are
 // not in it.
 func (r *Job) Description() (*sched.Job, error) {
 	switch {
-	case r.Waiting != nil:
-		return r.Waiting.Job()
+	case r.Blocked != nil:
+		return r.Blocked.Job()
 	case r.Ready != nil:
 		return r.Ready.Job()
 	}
@@ -56,16 +56,16 @@
 func JobWrites(j *sched.Job, accepted micros.Micros, valueBytes int) ([]kv.Write, int) {
 	rec := NewJob(j, accepted)
 	if len(j.Awaits) > 0 {
-		rec.Ready, rec.Waiting = nil, rec.Ready
+		rec.Ready, rec.Blocked = nil, rec.Ready
 	}
 	size := kv.EncodedSizeBound(rec)
 	if len(j.Awaits) == 0 || size <= valueBytes {
-		return []kv.Write{{Put: ActiveKey(j.ID), Value: rec}}, size
+		return []kv.Write{{Put: ActiveJobKey(j.ID), Value: rec}}, size
 	}
-	rec.Waiting.Awaits = nil
+	rec.Blocked.Awaits = nil
 	parts, partsSize := partWrites(j.ID, j.Awaits, valueBytes)
-	rec.Parts = len(parts)
-	writes := append([]kv.Write{{Put: ActiveKey(j.ID), Value: rec}}, parts...)
+	rec.DependencyParts = len(parts)
+	writes := append([]kv.Write{{Put: ActiveJobKey(j.ID), Value: rec}}, parts...)
 	return writes, partsSize + kv.EncodedSizeBound(rec)
 }
 
@@ -73,7 +73,7 @@
 func partWrites(job string, ids []string, valueBytes int) (writes []kv.Write, size int) {
 	for len(ids) > 0 {
 		n, bytes := partLength(ids, valueBytes)
-		writes = append(writes, kv.Write{Put: PartKey(job, len(writes)), Value: Part{ids[:n]}})
+		writes = append(writes, kv.Write{Put: DependencyPartKey(job, len(writes)), Value: DependencyPart{ids[:n]}})
 		size += bytes + partKeyBytes
 		ids = ids[n:]
 	}
--- a/internal/record/job_test.go
+++ b/internal/record/job_test.go
@@ -65,16 +65,16 @@
 				if r.Status != 200 {
 					t.Fatalf("%d ids in %d bytes: %s is refused with %d", n, limit, w.Put, r.Status)
 				}
-				if p, ok := w.Value.(Part); ok {
-					got = append(got, p.IDs...)
+				if p, ok := w.Value.(DependencyPart); ok {
+					got = append(got, p.JobIDs...)
 				}
 			}
 			rec := writes[0].Value.(Job)
-			if rec.Parts != len(writes)-1 {
-				t.Fatalf("%d ids: %d parts are %d writes", n, rec.Parts, len(writes))
+			if rec.DependencyParts != len(writes)-1 {
+				t.Fatalf("%d ids: %d parts are %d writes", n, rec.DependencyParts, len(writes))
 			}
-			if rec.Parts == 0 {
-				got = *rec.Waiting.Awaits
+			if rec.DependencyParts == 0 {
+				got = *rec.Blocked.Awaits
 			}
 			if !slices.Equal(got, ids) {
 				t.Fatalf("%d ids become %d", n, len(got))
@@ -98,7 +98,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if !bytes.Equal(wire.Encode(wire.FromJob(got)), wire.Encode(wire.FromJob(job))) || rec.Accepted != 77 {
+		if !bytes.Equal(wire.Encode(wire.FromJob(got)), wire.Encode(wire.FromJob(job))) || rec.AcceptedAt != 77 {
 			t.Fatalf("%+v came back as %+v", job, got)
 		}
 	}
--- a/internal/record/keys_test.go
+++ b/internal/record/keys_test.go
@@ -5,18 +5,18 @@
 // TestKeys guards the keys, since other versions of the program look for them.
 func TestKeys(t *testing.T) {
 	for got, want := range map[string]string{
-		LeaderKey:                       "c/leader",
-		TypesKey:                        "types",
-		MemberKey("n0"):                 "c/n/n0",
-		TeamKey("red/blue 1"):           "c/t/red%2Fblue%201",
-		BlockKey("x-m-000001"):          "m/x-m-000001",
-		ActiveKey("req-000001"):         "a/req-000001",
-		PartKey("req-000001", 3):        "w/req-000001/3",
-		FinalKey("req-000001"):          "f/req-000001",
-		CompletionsKey("red/blue", "4"): "p/red%2Fblue/4",
-		RentalKey("h-4"):                "r/h-4",
-		HoldKey("req-000001"):           "h/req-000001",
-		NumberName(36 * 36):             "100",
+		LeaderKey:                             "c/leader",
+		MachineTypesKey:                       "types",
+		MemberKey("n0"):                       "c/n/n0",
+		TeamKey("red/blue 1"):                 "c/t/red%2Fblue%201",
+		BlockKey("x-m-000001"):                "m/x-m-000001",
+		ActiveJobKey("req-000001"):            "a/req-000001",
+		DependencyPartKey("req-000001", 3):    "w/req-000001/3",
+		TerminalStateKey("req-000001"):        "f/req-000001",
+		CompletionSegmentKey("red/blue", "4"): "p/red%2Fblue/4",
+		ScaleOutRequestKey("h-4"):             "r/h-4",
+		ReservationKey("req-000001"):          "h/req-000001",
+		FormatNumber(36 * 36):                 "100",
 	} {
 		if got != want {
 			t.Errorf("key %s, want %s", got, want)
@@ -26,7 +26,7 @@
 
 // TestCancelledRoot guards whose cancellation a final state names.
 func TestCancelledRoot(t *testing.T) {
-	own, inherited := Final{Status: StatusCancelled}, Final{Status: StatusCancelled, Before: "req-000001"}
+	own, inherited := TerminalState{Status: StatusCancelled}, TerminalState{Status: StatusCancelled, CancelledDependency: "req-000001"}
 	if got := own.CancelledRoot("req-000002"); got != "req-000002" {
 		t.Errorf("got %s", got)
 	}
--- a/internal/record/record.go
+++ b/internal/record/record.go
@@ -11,21 +11,21 @@
 	"tamarindlead/micros"
 )
 
-// ErrDamaged is wrapped by the errors for values whose content contradicts itself.
-var ErrDamaged = errors.New("record is damaged")
+// ErrCorrupt is wrapped by the errors for values whose content contradicts itself.
+var ErrCorrupt = errors.New("record is damaged")
 
-// Rental describes a rental. It is written before the machines are requested, so that no
+// ScaleOutRequest describes a rental. It is written before the machines are requested, so that no
 // machine is paid for that nobody knows of.
-type Rental struct {
-	Owner  OwnerID `cbor:"o"`
-	Type   string  `cbor:"b"`
-	Zone   string  `cbor:"h"`
-	Spot   bool    `cbor:"s"`
-	Number int     `cbor:"n"` // of machines
+type ScaleOutRequest struct {
+	Owner OwnerID `cbor:"o"`
+	Type  string  `cbor:"b"`
+	Zone  string  `cbor:"h"`
+	Spot  bool    `cbor:"s"`
+	Count int     `cbor:"n"` // of machines
 }
 
-// Hold keeps freed machines for a gang.
-type Hold struct {
+// Reservation keeps freed machines for a gang.
+type Reservation struct {
 	Machines map[string]int `cbor:"m"` // machine -> tasks of the gang that go there
 }
 
@@ -38,18 +38,18 @@
 	StatusCancelled = Status(wire.JobCancelled)
 )
 
-// Final is the final state of a job. It is kept forever.
-type Final struct {
-	Status Status        `cbor:"s"`
-	At     micros.Micros `cbor:"at,omitempty"` // wall clock time; 0 if an older version wrote it
-	Before string        `cbor:"b,omitempty"`  // the dependency whose cancellation cancelled this job
+// TerminalState is the final state of a job. It is kept forever.
+type TerminalState struct {
+	Status              Status        `cbor:"s"`
+	FinishedAt          micros.Micros `cbor:"at,omitempty"` // wall clock time; 0 if an older version wrote it
+	CancelledDependency string        `cbor:"b,omitempty"`  // the dependency whose cancellation cancelled this job
 }
 
 // CancelledRoot returns the job that was cancelled by its user, for a cancelled job: one of
 // the jobs that it depends on, or the job itself.
-func (f *Final) CancelledRoot(id string) string {
-	if f.Before != "" {
-		return f.Before
+func (f *TerminalState) CancelledRoot(id string) string {
+	if f.CancelledDependency != "" {
+		return f.CancelledDependency
 	}
 	return id
 }
--- a/internal/soak/checker_test.go
+++ b/internal/soak/checker_test.go
@@ -164,10 +164,10 @@
 func TestCheckerOfRecords(t *testing.T) {
 	const first, second = record.OwnerID("controller-0/1"), record.OwnerID("controller-1/2")
 	block := func(owner record.OwnerID, machine string) []byte {
-		data := &record.BlockData{Kinds: []record.BlockKind{{Type: "standard", Zone: "north"}}, Machines: []record.BlockMachine{{Name: machine}}}
+		data := &record.BlockData{MachineTypes: []record.BlockMachineType{{Type: "standard", Zone: "north"}}, Machines: []record.BlockMachine{{Name: machine}}}
 		return wire.Encode(data.Block(owner))
 	}
-	final := func(status record.Status) []byte { return wire.Encode(record.Final{Status: status}) }
+	final := func(status record.Status) []byte { return wire.Encode(record.TerminalState{Status: status}) }
 	for _, c := range []struct {
 		name   string
 		writes [][2]any // key and value, each a transaction
--- a/internal/soak/records.go
+++ b/internal/soak/records.go
@@ -33,14 +33,14 @@
 	switch {
 	case strings.HasPrefix(key, record.BlockPrefix):
 		c.blocks.changed = true
-	case strings.HasPrefix(key, record.FinalPrefix):
-		c.finalWritten(strings.TrimPrefix(key, record.FinalPrefix), value)
+	case strings.HasPrefix(key, record.TerminalStatePrefix):
+		c.finalWritten(strings.TrimPrefix(key, record.TerminalStatePrefix), value)
 	}
 }
 
 // finalWritten checks that the final record of a job was not there, or said the same.
 func (c *checker) finalWritten(job string, value []byte) {
-	var final record.Final
+	var final record.TerminalState
 	if err := wire.Decode(value, &final); err != nil {
 		c.broke(RuleFinalChanged, "the final record of %s cannot be read: %v", job, err)
 		return
