--- a/controller/block_write.go
+++ b/controller/block_write.go
@@ -123,7 +123,7 @@
 	if m.state != machineTransferring || len(m.attempts) > 0 || len(w.transferred) >= w.maxTransfers || !w.owner.canTransfer(m) {
 		return false
 	}
-	successor := w.owner.c.cluster.MemberGuard(m.transferTo.Node())
+	successor := w.owner.c.cluster.MemberPrecondition(m.transferTo.Node())
 	if !w.mayGuard(successor.Key) {
 		return false
 	}
--- a/controller/cluster.go
+++ b/controller/cluster.go
@@ -46,9 +46,9 @@
 // ViewChanged shares the limits of the state service anew.
 func (h clusterHost) ViewChanged() { h.core.shareLimits() }
 
-// Unreachable tells that the machines of this node's teams do not report to it, nor any other
+// UnreachableByWorkers tells that the machines of this node's teams do not report to it, nor any other
 // machine, although some report to a peer.
-func (h clusterHost) Unreachable() bool {
+func (h clusterHost) UnreachableByWorkers() bool {
 	c := h.core
 	return c.owner != nil && c.owner.isSilent() && c.onlyPeersHeard()
 }
--- a/controller/machine_requests.go
+++ b/controller/machine_requests.go
@@ -32,7 +32,7 @@
 		OneZone: job.OneZone && job.Gang, Spread: job.Spread && job.Gang, Spot: job.Spot, Zone: job.Zone,
 		AnyType: job.Types == nil, Types: job.Types, Reclaim: reclaim,
 	}
-	if o.c.node.IsLeading() {
+	if o.c.node.IsLeader() {
 		o.c.handleMachineRequest(request)
 		return
 	}
@@ -65,7 +65,7 @@
 		if c.owner != nil && c.owner.state == ownerActive && asking != c.node.ID() {
 			c.owner.transferMachines(request)
 		}
-	case c.node.IsLeading() && c.cluster.IsLive(asking):
+	case c.node.IsLeader() && c.cluster.IsLive(asking):
 		c.assignMachineRequest(request)
 	}
 }
--- a/controller/machine_transfers.go
+++ b/controller/machine_transfers.go
@@ -105,7 +105,7 @@
 
 // writeTransfer writes the new owner of an empty machine, in a block of its own.
 func (o *owner) writeTransfer(t *txn, m *machine) {
-	newOwner := o.c.cluster.MemberGuard(m.transferTo.Node())
+	newOwner := o.c.cluster.MemberPrecondition(m.transferTo.Node())
 	t.guards[newOwner.Key] = newOwner.Version
 	data := &record.BlockData{
 		MachineTypes: []record.BlockMachineType{{Type: m.kind, Zone: m.zone, Spot: m.spot}},
--- a/controller/owner.go
+++ b/controller/owner.go
@@ -273,7 +273,7 @@
 // guards builds a list of guards that always holds this node's own record: an owner
 // that has lost it can change nothing.
 func (o *owner) guards(more map[string]uint64) []kv.Precondition {
-	own := o.c.node.OwnGuard()
+	own := o.c.node.OwnPrecondition()
 	all := map[string]uint64{own.Key: own.Version}
 	for k, v := range more {
 		all[k] = v
--- a/controller/peers.go
+++ b/controller/peers.go
@@ -104,5 +104,5 @@
 		p.ownsMachine[name] = true
 	}
 	c.cancellations.TakeHeartbeat(p.Node, beat.Ended, beat.KnowsEnded, c.now)
-	c.node.HeardOfTerm(c.now, beat.Term, beat.Leader)
+	c.node.ObserveTerm(c.now, beat.Term, beat.Leader)
 }
--- a/internal/cluster/assign.go
+++ b/internal/cluster/assign.go
@@ -11,12 +11,12 @@
 
 // Limits of assignment.
 const (
-	// assemblyTime is how long a new leader waits for the other nodes to join before it
+	// memberJoinGracePeriod is how long a new leader waits for the other nodes to join before it
 	// spreads teams that nobody owns yet.
-	assemblyTime = 1500 * micros.Millisecond
-	// assignRetry is the least time between two commits: the watch shows meanwhile what the
+	memberJoinGracePeriod = 1500 * micros.Millisecond
+	// assignRetryInterval is the least time between two commits: the watch shows meanwhile what the
 	// first one changed.
-	assignRetry = 500 * micros.Millisecond
+	assignRetryInterval = 500 * micros.Millisecond
 	// maxPredecessors bounds the list of earlier owners whose machines an owner takes over.
 	maxPredecessors = 12
 )
@@ -36,8 +36,8 @@
 	if n.assignment.committing || now < n.assignment.nextAt || !n.following {
 		return
 	}
-	lost := n.lostTeams()
-	if len(lost) == 0 || len(lost[noOwner]) > 0 && n.awaitsMembers(now) {
+	lost := n.orphanedTeams()
+	if len(lost) == 0 || len(lost[noOwner]) > 0 && n.awaitingMembers(now) {
 		return
 	}
 	guards, writes := n.planAssignment(lost)
@@ -46,15 +46,15 @@
 	}
 	guards[record.LeaderKey] = n.leadership.term
 	n.assignment.committing = true
-	n.store.Call(kv.Transaction(kv.SortedPreconditions(guards), writes), func(now micros.Micros, _ kv.Result) {
+	n.kvClient.Call(kv.Transaction(kv.SortedPreconditions(guards), writes), func(now micros.Micros, _ kv.Result) {
 		// Whatever the outcome, the watch tells what holds.
 		n.assignment.committing = false
-		n.assignment.nextAt = now + assignRetry
+		n.assignment.nextAt = now + assignRetryInterval
 	})
 }
 
-// lostTeams lists the teams without a live owner by their earlier owner.
-func (n *Node) lostTeams() map[record.OwnerID][]string {
+// orphanedTeams lists the teams without a live owner by their earlier owner.
+func (n *Node) orphanedTeams() map[record.OwnerID][]string {
 	lost := map[record.OwnerID][]string{}
 	for _, name := range n.view.teamNames {
 		if team, ok := n.view.teams[name]; !ok {
@@ -66,10 +66,10 @@
 	return lost
 }
 
-// awaitsMembers tells that teams are to be spread and more nodes may soon join.
-func (n *Node) awaitsMembers(now micros.Micros) bool {
+// awaitingMembers tells that teams are to be spread and more nodes may soon join.
+func (n *Node) awaitingMembers(now micros.Micros) bool {
 	return n.config.Tuning.SpreadTeams && len(n.view.members) <= len(n.config.Siblings) &&
-		now-n.leadership.since < assemblyTime
+		now-n.leadership.leadingSince < memberJoinGracePeriod
 }
 
 // planAssignment chooses an owner for each lost team, as far as one commit can hold, and
@@ -87,7 +87,7 @@
 				continue
 			}
 			assigned[successor]++
-			memberGuard := n.view.MemberGuard(successor)
+			memberGuard := n.view.MemberPrecondition(successor)
 			guards[memberGuard.Key] = memberGuard.Version
 			guards[record.TeamKey(name)] = n.view.teams[name].Version
 			writes = append(writes, kv.Write{Put: record.TeamKey(name), Value: n.assignedRecord(name, successor)})
--- a/internal/cluster/assign_test.go
+++ b/internal/cluster/assign_test.go
@@ -10,7 +10,7 @@
 )
 
 // assignments are the owners of the teams that a commit writes.
-func assignments(body commitBody) map[string]string {
+func assignments(body transactionBody) map[string]string {
 	owners := map[string]string{}
 	for _, write := range body.Writes {
 		owners[write.Put] = fmt.Sprint(write.Value["o"])
@@ -18,9 +18,9 @@
 	return owners
 }
 
-func (f *fixture) expectAssignment(want map[string]string) (stubCall, commitBody) {
+func (f *fixture) expectAssignment(want map[string]string) (stubCall, transactionBody) {
 	f.t.Helper()
-	call, body := f.expectCommit()
+	call, body := f.expectTransaction()
 	if got := assignments(body); fmt.Sprint(got) != fmt.Sprint(want) {
 		f.t.Errorf("assigned %v; want %v", got, want)
 	}
@@ -36,24 +36,24 @@
 		{Key: "c/leader", Version: leaderRevision}, {Key: "c/n/n0", Version: joinRevision},
 		{Key: "c/t/blue"}, {Key: "c/t/red"},
 	}
-	if !slices.Equal(body.Guards, want) {
-		t.Errorf("guards %v; want %v", body.Guards, want)
+	if !slices.Equal(body.Preconditions, want) {
+		t.Errorf("guards %v; want %v", body.Preconditions, want)
 	}
 	record := body.Writes[0].Value
 	if record["i"] != f.node.Incarnation() || record["e"] != uint64(leaderRevision) || record["h"] != nil {
 		t.Errorf("record %v", record)
 	}
-	f.tick(assignRetry)
+	f.tick(assignRetryInterval)
 	f.expectNoCall() // one commit at a time
 	f.fail(call, kv.Unknown)
-	f.tick(assignRetry - 1)
+	f.tick(assignRetryInterval - 1)
 	f.expectNoCall()
 	f.tick(1)
-	f.expectCommit()
+	f.expectTransaction()
 }
 
-// TestTeamsOfALostOwnerGoToOneSuccessor: also if teams are spread, since its machines go with them.
-func TestTeamsOfALostOwnerGoToOneSuccessor(t *testing.T) {
+// TestTeamsOfAFailedOwnerGoToOneSuccessor: also if teams are spread, since its machines go with them.
+func TestTeamsOfAFailedOwnerGoToOneSuccessor(t *testing.T) {
 	for _, spread := range []bool{false, true} {
 		settings := testSettings("blue", "green", "red")
 		settings.Tuning.SpreadTeams = spread
@@ -62,7 +62,7 @@
 		f.leading(memberEntry("n1", 1, 2), memberEntry("n2", 10, 8), teamEntry("blue", lost, 4), teamEntry("red", lost, 5),
 			teamEntry("green", record.Team{Owner: "n1", Incarnation: 1}, 6))
 		f.tick(0)
-		call, body := f.expectCommit()
+		call, body := f.expectTransaction()
 		owners := assignments(body)
 		if len(owners) != 2 || owners["c/t/blue"] != owners["c/t/red"] {
 			t.Errorf("spread %t: assigned %v; want both to one", spread, owners)
@@ -74,8 +74,8 @@
 		if got := fmt.Sprint(body.Writes[0].Value["h"]); got != "[n1/3 n2/9]" {
 			t.Errorf("predecessors %s", got)
 		}
-		if !slices.Contains(body.Guards, kv.Precondition{Key: "c/t/red", Version: 5}) {
-			t.Errorf("guards %v lack the team's version", body.Guards)
+		if !slices.Contains(body.Preconditions, kv.Precondition{Key: "c/t/red", Version: 5}) {
+			t.Errorf("guards %v lack the team's version", body.Preconditions)
 		}
 		f.answer(call, kv.TransactionResult{Revision: 30})
 	}
@@ -89,7 +89,7 @@
 	}
 	f.leading(teamEntry("red", lost, 4))
 	f.tick(0)
-	_, body := f.expectCommit()
+	_, body := f.expectTransaction()
 	list := body.Writes[0].Value["h"].([]any)
 	if len(list) != maxPredecessors || list[0] != "n1/1" || list[maxPredecessors-1] != "n2/9" {
 		t.Errorf("predecessors %v", list)
@@ -113,13 +113,13 @@
 	settings.Tuning.SpreadTeams = true
 	f := newFixture(t, settings)
 	f.leading(memberEntry("n1", 1, 2))
-	f.tick(assemblyTime - 1)
+	f.tick(memberJoinGracePeriod - 1)
 	f.expectNoCall()
 	f.tick(1)
 	f.expectAssignment(map[string]string{"c/t/blue": "n0", "c/t/green": "n1", "c/t/red": "n0"})
 }
 
-func TestAssignmentFitsACommit(t *testing.T) {
+func TestAssignmentFitsATransaction(t *testing.T) {
 	settings := testSettings("a", "b", "c")
 	settings.TxnOps = 2
 	f := newFixture(t, settings)
--- a/internal/cluster/follow.go
+++ b/internal/cluster/follow.go
@@ -15,40 +15,40 @@
 // starts over.
 func (n *Node) follow() {
 	n.following = true
-	n.store.Call(kv.List(record.ClusterPrefix, ""), func(now micros.Micros, reply kv.Result) {
+	n.kvClient.Call(kv.List(record.ClusterPrefix, ""), func(now micros.Micros, reply kv.Result) {
 		var page kv.Page
 		if !decode(reply, &page) {
 			n.following = false
 			return
 		}
-		n.takePage(now, page)
+		n.applyPage(now, page)
 		n.watch(page.Revision)
 	})
 }
 
-func (n *Node) takePage(now micros.Micros, page kv.Page) {
+func (n *Node) applyPage(now micros.Micros, page kv.Page) {
 	n.view.reset()
 	hasLeader := false
 	for _, entry := range page.Entries {
-		n.takeRecord(now, entry.Key, entry.Value, entry.Version)
+		n.applyRecord(now, entry.Key, entry.Value, entry.Version)
 		hasLeader = hasLeader || entry.Key == record.LeaderKey
 	}
 	if !hasLeader {
-		n.leaderGone(now, page.Revision)
+		n.leaderAbsent(now, page.Revision)
 	}
 	n.host.OwnershipChanged()
 	n.host.ViewChanged()
 }
 
 func (n *Node) watch(after uint64) {
-	n.store.Watch(record.ClusterPrefix, after, func(now micros.Micros, reply kv.Result) {
+	n.kvClient.Watch(record.ClusterPrefix, after, func(now micros.Micros, reply kv.Result) {
 		var changes kv.WatchResult
 		if !decode(reply, &changes) {
 			n.following = false
 			return
 		}
 		for _, change := range changes.Events {
-			n.takeChange(now, change)
+			n.applyChange(now, change)
 		}
 		if len(changes.Events) > 0 {
 			n.host.OwnershipChanged()
@@ -58,18 +58,18 @@
 	})
 }
 
-func (n *Node) takeChange(now micros.Micros, change kv.Change) {
+func (n *Node) applyChange(now micros.Micros, change kv.Change) {
 	switch {
 	case change.Put != "":
-		n.takeRecord(now, change.Put, change.Value, change.Version)
+		n.applyRecord(now, change.Put, change.Value, change.Version)
 	case change.Delete == record.LeaderKey:
-		n.leaderGone(now, change.Version)
+		n.leaderAbsent(now, change.Version)
 	default:
 		n.view.remove(change.Delete)
 	}
 }
 
-func (n *Node) takeRecord(now micros.Micros, key string, value []byte, version uint64) {
+func (n *Node) applyRecord(now micros.Micros, key string, value []byte, version uint64) {
 	if key == record.LeaderKey {
 		n.leaderChanged(now, value, version)
 		return
--- a/internal/cluster/leadership.go
+++ b/internal/cluster/leadership.go
@@ -28,22 +28,22 @@
 
 // leadership is what a node knows of the leader, and its own part in it.
 type leadership struct {
-	state       leadState
-	leader      string        // node
-	term        uint64        // revision of the leader's record
-	since       micros.Micros // when this node began to lead
-	campaignAt  micros.Micros
-	pausedUntil micros.Micros // before that it does not campaign
+	state        leadState
+	leader       string        // node
+	term         uint64        // revision of the leader's record
+	leadingSince micros.Micros // when this node began to lead
+	campaignAt   micros.Micros
+	pausedUntil  micros.Micros // before that it does not campaign
 }
 
-// IsLeading tells whether this node leads, as far as it knows.
-func (n *Node) IsLeading() bool { return n.leadership.state == leadLeading }
+// IsLeader tells whether this node leads, as far as it knows.
+func (n *Node) IsLeader() bool { return n.leadership.state == leadLeading }
 
 // Leader returns the node that leads, as far as is known, or "", and its term.
 func (n *Node) Leader() (node string, term uint64) { return n.leadership.leader, n.leadership.term }
 
-// setLead is the one place where the state of leadership changes.
-func (n *Node) setLead(now micros.Micros, to leadState) {
+// setLeadState is the one place where the state of leadership changes.
+func (n *Node) setLeadState(now micros.Micros, to leadState) {
 	l := &n.leadership
 	if l.state == to {
 		return
@@ -52,7 +52,7 @@
 	l.state = to
 	switch to {
 	case leadLeading:
-		l.since = now
+		l.leadingSince = now
 	case leadVacant:
 		l.leader = ""
 		jitter := micros.Micros(n.random.Int64N(int64(campaignJitter)))
@@ -65,7 +65,7 @@
 	switch {
 	case !n.following:
 		n.follow()
-	case l.state == leadVacant && now >= l.campaignAt && n.membership.state == memberIn:
+	case l.state == leadVacant && now >= l.campaignAt && n.membership.state == memberJoined:
 		n.campaign(now)
 	case l.state == leadLeading:
 		n.assign(now)
@@ -86,32 +86,32 @@
 	isOwn := leader.Node == n.config.Node
 	switch {
 	case !isOwn:
-		n.setLead(now, leadFollower)
+		n.setLeadState(now, leadFollower)
 	case leader.Incarnation == n.incarnation && l.state == leadCampaigning:
 		// This node's own commit, seen before its answer.
 	default:
 		// An earlier incarnation of this node led, or a commit of this one was executed that
 		// seemed to have failed. There is no need to wait until that lease ends: commits
 		// made under it fail on their guards.
-		n.setLead(now, leadVacant)
+		n.setLeadState(now, leadVacant)
 	}
 }
 
-// leaderGone takes it that there was no leader's record at a revision.
-func (n *Node) leaderGone(now micros.Micros, revision uint64) {
+// leaderAbsent takes it that there was no leader's record at a revision.
+func (n *Node) leaderAbsent(now micros.Micros, revision uint64) {
 	l := &n.leadership
 	if revision >= l.term && l.state != leadCampaigning {
 		l.term = 0
-		n.setLead(now, leadVacant)
+		n.setLeadState(now, leadVacant)
 	}
 }
 
-// HeardOfTerm takes from another node that somebody leads by a newer record.
-func (n *Node) HeardOfTerm(now micros.Micros, term uint64, leader string) {
+// ObserveTerm takes from another node that somebody leads by a newer record.
+func (n *Node) ObserveTerm(now micros.Micros, term uint64, leader string) {
 	l := &n.leadership
 	if term > l.term && l.state == leadLeading && leader != n.config.Node {
 		l.leader, l.term = leader, term
-		n.setLead(now, leadFollower)
+		n.setLeadState(now, leadFollower)
 	}
 }
 
@@ -120,7 +120,7 @@
 	l := &n.leadership
 	if l.state == leadLeading || l.state == leadCampaigning {
 		l.term = 0
-		n.setLead(now, leadVacant)
+		n.setLeadState(now, leadVacant)
 	}
 }
 
@@ -128,18 +128,18 @@
 // meanwhile makes the commit fail by its guard on the record's version.
 func (n *Node) campaign(now micros.Micros) {
 	l := &n.leadership
-	n.setLead(now, leadCampaigning)
-	guards := []kv.Precondition{{Key: record.LeaderKey, Version: l.term}, n.OwnGuard()}
+	n.setLeadState(now, leadCampaigning)
+	guards := []kv.Precondition{{Key: record.LeaderKey, Version: l.term}, n.OwnPrecondition()}
 	leader := record.Leader{Node: n.config.Node, Incarnation: n.incarnation}
 	writes := []kv.Write{{Put: record.LeaderKey, Lease: n.membership.lease, Value: leader}}
-	n.store.Call(kv.Transaction(guards, writes), func(now micros.Micros, reply kv.Result) {
+	n.kvClient.Call(kv.Transaction(guards, writes), func(now micros.Micros, reply kv.Result) {
 		var committed kv.TransactionResult
 		if !decode(reply, &committed) || l.state != leadCampaigning {
 			n.campaignFailed(now)
 			return
 		}
 		l.leader, l.term = n.config.Node, committed.Revision
-		n.setLead(now, leadLeading)
+		n.setLeadState(now, leadLeading)
 	})
 }
 
@@ -151,8 +151,8 @@
 		return
 	}
 	l.pausedUntil = max(l.pausedUntil, now+2*campaignJitter)
-	n.setLead(now, leadVacant)
-	n.store.Call(kv.Get(record.LeaderKey), func(now micros.Micros, reply kv.Result) {
+	n.setLeadState(now, leadVacant)
+	n.kvClient.Call(kv.Get(record.LeaderKey), func(now micros.Micros, reply kv.Result) {
 		var entry kv.Entry
 		switch {
 		case decode(reply, &entry):
--- a/internal/cluster/leadership_test.go
+++ b/internal/cluster/leadership_test.go
@@ -8,7 +8,7 @@
 	"tamarindlead/internal/record"
 )
 
-func (f *fixture) expectLead(want leadState, leader string, term uint64) {
+func (f *fixture) expectLeadState(want leadState, leader string, term uint64) {
 	f.t.Helper()
 	node, got := f.node.Leader()
 	if f.node.leadership.state != want || node != leader || got != term {
@@ -17,38 +17,38 @@
 }
 
 // campaigning makes the node a member that tries to lead.
-func (f *fixture) campaigning(entries ...kv.Entry) (stubCall, commitBody) {
+func (f *fixture) campaigning(entries ...kv.Entry) (stubCall, transactionBody) {
 	f.t.Helper()
 	f.joined(entries...)
 	f.tick(campaignJitter)
-	return f.expectCommit()
+	return f.expectTransaction()
 }
 
 func TestCampaign(t *testing.T) {
 	f := newFixture(t, testSettings("red"))
 	commit, body := f.campaigning()
 	want := []kv.Precondition{{Key: record.LeaderKey, Version: 0}, {Key: "c/n/n0", Version: joinRevision}}
-	if fmt.Sprint(body.Guards) != fmt.Sprint(want) {
-		t.Errorf("guards %v; want %v", body.Guards, want)
+	if fmt.Sprint(body.Preconditions) != fmt.Sprint(want) {
+		t.Errorf("guards %v; want %v", body.Preconditions, want)
 	}
 	if len(body.Writes) != 1 || body.Writes[0].Put != record.LeaderKey || body.Writes[0].Lease != testLease ||
 		body.Writes[0].Value["n"] != "n0" || body.Writes[0].Value["i"] != f.node.Incarnation() {
 		t.Errorf("writes %v", body.Writes)
 	}
 	f.answer(commit, kv.TransactionResult{Revision: leaderRevision})
-	f.expectLead(leadLeading, "n0", leaderRevision)
+	f.expectLeadState(leadLeading, "n0", leaderRevision)
 }
 
 func TestNoCampaignWhileAnotherLeads(t *testing.T) {
 	f := newFixture(t, testSettings("red"))
 	f.joined(leaderEntry("n1", 1, 3))
-	f.expectLead(leadFollower, "n1", 3)
+	f.expectLeadState(leadFollower, "n1", 3)
 	f.tick(campaignJitter)
 	f.expectNoCall()
 	f.deleted(record.LeaderKey, 12)
-	f.expectLead(leadVacant, "", 0)
+	f.expectLeadState(leadVacant, "", 0)
 	f.tick(campaignJitter)
-	f.expectCommit()
+	f.expectTransaction()
 }
 
 func TestNoCampaignBeforeJoining(t *testing.T) {
@@ -56,7 +56,7 @@
 	f.tick(0)
 	f.expect("GET", memberTarget)
 	f.answer(f.expect("GET", listTarget), kv.Page{Revision: 1})
-	f.expectLead(leadVacant, "", 0)
+	f.expectLeadState(leadVacant, "", 0)
 	f.tick(campaignJitter)
 	f.expectNoCall()
 }
@@ -65,9 +65,9 @@
 	f := newFixture(t, testSettings("red"))
 	commit, _ := f.campaigning()
 	f.fail(commit, kv.PreconditionFailed)
-	f.expectLead(leadVacant, "", 0)
+	f.expectLeadState(leadVacant, "", 0)
 	f.answer(f.expect("GET", leaderTarget), leaderEntry("n1", 1, 15))
-	f.expectLead(leadFollower, "n1", 15)
+	f.expectLeadState(leadFollower, "n1", 15)
 }
 
 func TestCampaignFailsWithoutRival(t *testing.T) {
@@ -75,13 +75,13 @@
 	commit, _ := f.campaigning(leaderEntry("n0", 1, 3))
 	f.fail(commit, kv.PreconditionFailed)
 	f.fail(f.expect("GET", leaderTarget), kv.NotFound)
-	f.expectLead(leadVacant, "", 0)
+	f.expectLeadState(leadVacant, "", 0)
 	f.tick(2*campaignJitter - 1)
 	f.expectNoCall()
 	f.tick(campaignJitter)
-	_, body := f.expectCommit()
-	if body.Guards[0].Version != 0 {
-		t.Errorf("guarded on version %d of the leader's record; want 0", body.Guards[0].Version)
+	_, body := f.expectTransaction()
+	if body.Preconditions[0].Version != 0 {
+		t.Errorf("guarded on version %d of the leader's record; want 0", body.Preconditions[0].Version)
 	}
 }
 
@@ -91,9 +91,9 @@
 	f := newFixture(t, testSettings("red"))
 	commit, _ := f.campaigning()
 	f.changed(leaderEntry("n2", 4, 15))
-	f.expectLead(leadFollower, "n2", 15)
+	f.expectLeadState(leadFollower, "n2", 15)
 	f.fail(commit, kv.PreconditionFailed)
-	f.expectLead(leadFollower, "n2", 15)
+	f.expectLeadState(leadFollower, "n2", 15)
 	f.expectNoCall()
 }
 
@@ -101,9 +101,9 @@
 	f := newFixture(t, testSettings("red"))
 	commit, _ := f.campaigning()
 	f.changed(leaderEntry("n0", f.node.Incarnation(), leaderRevision))
-	f.expectLead(leadCampaigning, "n0", leaderRevision)
+	f.expectLeadState(leadCampaigning, "n0", leaderRevision)
 	f.answer(commit, kv.TransactionResult{Revision: leaderRevision})
-	f.expectLead(leadLeading, "n0", leaderRevision)
+	f.expectLeadState(leadLeading, "n0", leaderRevision)
 }
 
 // TestCommitExecutedAfterItFailed: the node does not lead by a record that it does not know to be
@@ -114,21 +114,21 @@
 	f.fail(commit, kv.Unknown)
 	f.expect("GET", leaderTarget)
 	f.changed(leaderEntry("n0", f.node.Incarnation(), leaderRevision))
-	if f.node.IsLeading() {
+	if f.node.IsLeader() {
 		t.Fatal("the node leads")
 	}
 	f.tick(3 * campaignJitter)
-	_, body := f.expectCommit()
-	if body.Guards[0].Version != leaderRevision {
-		t.Errorf("guarded on version %d; want %d", body.Guards[0].Version, leaderRevision)
+	_, body := f.expectTransaction()
+	if body.Preconditions[0].Version != leaderRevision {
+		t.Errorf("guarded on version %d; want %d", body.Preconditions[0].Version, leaderRevision)
 	}
 }
 
 func TestEarlierIncarnationLed(t *testing.T) {
 	f := newFixture(t, testSettings("red"))
 	_, body := f.campaigning(leaderEntry("n0", 1, 3))
-	if body.Guards[0].Version != 3 {
-		t.Errorf("guarded on version %d; want 3", body.Guards[0].Version)
+	if body.Preconditions[0].Version != 3 {
+		t.Errorf("guarded on version %d; want 3", body.Preconditions[0].Version)
 	}
 }
 
@@ -136,31 +136,31 @@
 	f := newFixture(t, testSettings("red"))
 	f.leading()
 	f.changed(leaderEntry("n1", 1, leaderRevision-1))
-	f.expectLead(leadLeading, "n0", leaderRevision)
+	f.expectLeadState(leadLeading, "n0", leaderRevision)
 	f.deleted(record.LeaderKey, leaderRevision-1)
-	f.expectLead(leadLeading, "n0", leaderRevision)
+	f.expectLeadState(leadLeading, "n0", leaderRevision)
 	f.deleted(record.LeaderKey, leaderRevision+1)
-	f.expectLead(leadVacant, "", 0)
+	f.expectLeadState(leadVacant, "", 0)
 }
 
-func TestHeardOfTerm(t *testing.T) {
+func TestObserveTerm(t *testing.T) {
 	f := newFixture(t, testSettings("red"))
 	f.leading()
-	f.node.HeardOfTerm(f.now, leaderRevision, "n1")
-	f.node.HeardOfTerm(f.now, leaderRevision+1, "n0")
-	f.expectLead(leadLeading, "n0", leaderRevision)
-	f.node.HeardOfTerm(f.now, leaderRevision+1, "n1")
-	f.expectLead(leadFollower, "n1", leaderRevision+1)
+	f.node.ObserveTerm(f.now, leaderRevision, "n1")
+	f.node.ObserveTerm(f.now, leaderRevision+1, "n0")
+	f.expectLeadState(leadLeading, "n0", leaderRevision)
+	f.node.ObserveTerm(f.now, leaderRevision+1, "n1")
+	f.expectLeadState(leadFollower, "n1", leaderRevision+1)
 }
 
 func TestRecordsAreReadAgainAfterAFailure(t *testing.T) {
 	f := newFixture(t, testSettings("red"))
 	f.joined(leaderEntry("n1", 1, 3), memberEntry("n1", 1, 2))
-	f.fail(f.store.watches[0], kv.Unknown)
-	f.store.watches = nil
+	f.fail(f.kvClient.watches[0], kv.Unknown)
+	f.kvClient.watches = nil
 	f.tick(0)
 	f.answer(f.expect("GET", listTarget), kv.Page{Revision: 40, Entries: []kv.Entry{f.ownEntry()}})
-	f.expectLead(leadVacant, "", 0)
+	f.expectLeadState(leadVacant, "", 0)
 	if f.node.View().IsMember("n1") {
 		t.Error("a record that is gone is still known")
 	}
@@ -175,12 +175,12 @@
 	f := newFixture(t, testSettings("red"))
 	commit, _ := f.campaigning()
 	f.changed(leaderEntry("n0", f.node.Incarnation()+1, 15))
-	f.expectLead(leadVacant, "", 15)
+	f.expectLeadState(leadVacant, "", 15)
 	f.fail(commit, kv.PreconditionFailed)
 	f.tick(campaignJitter)
-	_, body := f.expectCommit()
-	if body.Guards[0].Version != 15 {
-		t.Errorf("guarded on version %d; want 15", body.Guards[0].Version)
+	_, body := f.expectTransaction()
+	if body.Preconditions[0].Version != 15 {
+		t.Errorf("guarded on version %d; want 15", body.Preconditions[0].Version)
 	}
 }
 
@@ -190,7 +190,7 @@
 	f.joined(leaderEntry("n1", 1, 3))
 	f.answerWatch(kv.WatchResult{Revision: joinRevision - 1})
 	want := kv.Watch(record.ClusterPrefix, joinRevision, 0).Target
-	if len(f.store.watches) != 1 || f.store.watches[0].request.Target != want {
-		t.Errorf("watches %v; want %s", f.store.watches, want)
+	if len(f.kvClient.watches) != 1 || f.kvClient.watches[0].request.Target != want {
+		t.Errorf("watches %v; want %s", f.kvClient.watches, want)
 	}
 }
--- a/internal/cluster/membership.go
+++ b/internal/cluster/membership.go
@@ -22,9 +22,9 @@
 type memberState int
 
 const (
-	memberOut     memberState = iota // has no lease
+	memberAbsent  memberState = iota // has no lease
 	memberJoining                    // is getting one
-	memberIn                         // its record is on its lease
+	memberJoined                     // its record is on its lease
 )
 
 func (s memberState) String() string { return [...]string{"out", "joining", "in"}[s] }
@@ -44,13 +44,13 @@
 // it was a member.
 func (n *Node) RecordVersion() uint64 { return n.membership.version }
 
-// OwnGuard is the guard that this incarnation of the node is still a member.
-func (n *Node) OwnGuard() kv.Precondition {
+// OwnPrecondition is the guard that this incarnation of the node is still a member.
+func (n *Node) OwnPrecondition() kv.Precondition {
 	return kv.Precondition{Key: record.MemberKey(n.config.Node), Version: n.membership.version}
 }
 
-// setMember is the one place where the state of membership changes.
-func (n *Node) setMember(now micros.Micros, to memberState, why string) {
+// setMemberState is the one place where the state of membership changes.
+func (n *Node) setMemberState(now micros.Micros, to memberState, why string) {
 	m := &n.membership
 	if m.state == to {
 		return
@@ -58,7 +58,7 @@
 	n.log.Info("membership", "from", m.state.String(), "to", to.String(), "why", why, "incarnation", n.incarnation,
 		"lease", m.lease, "version", m.version)
 	m.state = to
-	if to == memberOut {
+	if to == memberAbsent {
 		n.stopLeading(now)
 	}
 	n.host.OwnershipChanged()
@@ -66,13 +66,13 @@
 
 func (n *Node) tickMembership(now micros.Micros) {
 	switch n.membership.state {
-	case memberOut:
+	case memberAbsent:
 		if now >= n.membership.pausedUntil {
 			n.join(now)
 		}
-	case memberIn:
+	case memberJoined:
 		n.renew(now)
-		if n.host.Unreachable() {
+		if n.host.UnreachableByWorkers() {
 			n.leave(now)
 		}
 	}
@@ -80,8 +80,8 @@
 
 // join reads the version of this node's record, gets a lease, and puts the record on it.
 func (n *Node) join(now micros.Micros) {
-	n.setMember(now, memberJoining, "starts")
-	n.store.Call(kv.Get(record.MemberKey(n.config.Node)), func(now micros.Micros, reply kv.Result) {
+	n.setMemberState(now, memberJoining, "starts")
+	n.kvClient.Call(kv.Get(record.MemberKey(n.config.Node)), func(now micros.Micros, reply kv.Result) {
 		var earlier kv.Entry
 		if reply.Outcome != kv.NotFound && !decode(reply, &earlier) {
 			n.joinFailed(now)
@@ -92,7 +92,7 @@
 }
 
 func (n *Node) grantLease(earlierVersion uint64) {
-	n.store.Call(kv.GrantLease(n.config.Tuning.LeaderTTL), func(now micros.Micros, reply kv.Result) {
+	n.kvClient.Call(kv.GrantLease(n.config.Tuning.LeaderTTL), func(now micros.Micros, reply kv.Result) {
 		var granted kv.LeaseGrant
 		if !decode(reply, &granted) {
 			n.joinFailed(now)
@@ -108,7 +108,7 @@
 	key := record.MemberKey(n.config.Node)
 	guards := []kv.Precondition{{Key: key, Version: earlierVersion}}
 	writes := []kv.Write{{Put: key, Lease: lease, Value: record.Member{Incarnation: n.incarnation}}}
-	n.store.Call(kv.Transaction(guards, writes), func(now micros.Micros, reply kv.Result) {
+	n.kvClient.Call(kv.Transaction(guards, writes), func(now micros.Micros, reply kv.Result) {
 		var committed kv.TransactionResult
 		if !decode(reply, &committed) {
 			n.joinFailed(now)
@@ -116,17 +116,17 @@
 		}
 		m := &n.membership
 		m.lease, m.version = lease, committed.Revision
-		m.renewAt = now + n.renewEvery()
-		n.setMember(now, memberIn, "joined")
+		m.renewAt = now + n.renewInterval()
+		n.setMemberState(now, memberJoined, "joined")
 	})
 }
 
 func (n *Node) joinFailed(now micros.Micros) {
 	n.membership.pausedUntil = now + joinRetry
-	n.setMember(now, memberOut, "could not join")
+	n.setMemberState(now, memberAbsent, "could not join")
 }
 
-func (n *Node) renewEvery() micros.Micros { return n.config.Tuning.LeaderTTL / renewalsPerLease }
+func (n *Node) renewInterval() micros.Micros { return n.config.Tuning.LeaderTTL / renewalsPerLease }
 
 func (n *Node) renew(now micros.Micros) {
 	m := &n.membership
@@ -135,16 +135,16 @@
 	}
 	m.renewing = true
 	lease := m.lease
-	n.store.Call(kv.RenewLease(lease), func(now micros.Micros, reply kv.Result) {
+	n.kvClient.Call(kv.RenewLease(lease), func(now micros.Micros, reply kv.Result) {
 		m.renewing = false
-		if m.state != memberIn || m.lease != lease {
+		if m.state != memberJoined || m.lease != lease {
 			return
 		}
 		switch reply.Outcome {
 		case kv.OK:
-			m.renewAt = now + n.renewEvery()
+			m.renewAt = now + n.renewInterval()
 		case kv.NotFound:
-			n.setMember(now, memberOut, "its lease has ended")
+			n.setMemberState(now, memberAbsent, "its lease has ended")
 		default:
 			// In an outage, or if this node alone is refused, it cannot tell whether the
 			// lease has ended. It goes on: if others have taken over, the machines'
@@ -159,8 +159,8 @@
 func (n *Node) leave(now micros.Micros) {
 	n.log.Warn("leaving: workers reach a peer but not this node")
 	n.membership.pausedUntil = now + leavePause
-	n.store.Call(kv.RevokeLease(n.membership.lease), func(micros.Micros, kv.Result) {})
-	n.setMember(now, memberOut, "workers do not reach it")
+	n.kvClient.Call(kv.RevokeLease(n.membership.lease), func(micros.Micros, kv.Result) {})
+	n.setMemberState(now, memberAbsent, "workers do not reach it")
 }
 
 // RecordLost must be called when a guard on this node's own record did not hold: another
@@ -171,5 +171,5 @@
 // owned it owns again afterwards, since its incarnation stays the same.
 func (n *Node) Rejoin(now micros.Micros, why string) {
 	n.membership.pausedUntil = now + joinRetry
-	n.setMember(now, memberOut, why)
+	n.setMemberState(now, memberAbsent, why)
 }
--- a/internal/cluster/membership_test.go
+++ b/internal/cluster/membership_test.go
@@ -15,19 +15,19 @@
 	f.fail(f.expect("GET", memberTarget), kv.NotFound)
 	f.expect("GET", listTarget)
 	f.answer(f.expect("POST", "/leases"), kv.LeaseGrant{Lease: testLease})
-	commit, body := f.expectCommit()
-	if want := []kv.Precondition{{Key: "c/n/n0", Version: 0}}; fmt.Sprint(body.Guards) != fmt.Sprint(want) {
-		t.Errorf("guards %v; want %v", body.Guards, want)
+	commit, body := f.expectTransaction()
+	if want := []kv.Precondition{{Key: "c/n/n0", Version: 0}}; fmt.Sprint(body.Preconditions) != fmt.Sprint(want) {
+		t.Errorf("guards %v; want %v", body.Preconditions, want)
 	}
 	if len(body.Writes) != 1 || body.Writes[0].Put != "c/n/n0" || body.Writes[0].Lease != testLease ||
 		body.Writes[0].Value["i"] != f.node.Incarnation() {
 		t.Errorf("writes %v", body.Writes)
 	}
 	f.answer(commit, kv.TransactionResult{Revision: joinRevision})
-	if f.node.membership.state != memberIn || f.node.RecordVersion() != joinRevision {
+	if f.node.membership.state != memberJoined || f.node.RecordVersion() != joinRevision {
 		t.Errorf("state %s, version %d", f.node.membership.state, f.node.RecordVersion())
 	}
-	if guard := f.node.OwnGuard(); guard != (kv.Precondition{Key: "c/n/n0", Version: joinRevision}) {
+	if guard := f.node.OwnPrecondition(); guard != (kv.Precondition{Key: "c/n/n0", Version: joinRevision}) {
 		t.Errorf("own guard %v", guard)
 	}
 	if f.host.ownershipChanges != 2 { // joining, in
@@ -43,12 +43,12 @@
 	f.answer(f.expect("GET", memberTarget), memberEntry("n0", 1, 7))
 	f.expect("GET", listTarget)
 	f.answer(f.expect("POST", "/leases"), kv.LeaseGrant{Lease: testLease})
-	commit, body := f.expectCommit()
-	if body.Guards[0].Version != 7 {
-		t.Errorf("guarded on version %d; want 7", body.Guards[0].Version)
+	commit, body := f.expectTransaction()
+	if body.Preconditions[0].Version != 7 {
+		t.Errorf("guarded on version %d; want 7", body.Preconditions[0].Version)
 	}
 	f.fail(commit, kv.PreconditionFailed)
-	if f.node.membership.state != memberOut || f.node.RecordVersion() != 0 {
+	if f.node.membership.state != memberAbsent || f.node.RecordVersion() != 0 {
 		t.Errorf("state %s, version %d", f.node.membership.state, f.node.RecordVersion())
 	}
 	f.tick(joinRetry - 1)
@@ -69,10 +69,10 @@
 		}
 		if step > 1 {
 			f.answer(call, kv.LeaseGrant{Lease: testLease})
-			call, _ = f.expectCommit()
+			call, _ = f.expectTransaction()
 		}
 		f.fail(call, kv.Unknown)
-		if f.node.membership.state != memberOut {
+		if f.node.membership.state != memberAbsent {
 			t.Errorf("step %d: state %s; want out", step, f.node.membership.state)
 		}
 		f.tick(joinRetry)
@@ -91,7 +91,7 @@
 	f.tick(micros.Second)
 	f.expectNoCall() // one at a time
 	f.fail(call, kv.Unknown)
-	if f.node.membership.state != memberIn {
+	if f.node.membership.state != memberJoined {
 		t.Fatal("a renewal that fails does not end the lease")
 	}
 	f.tick(renewRetry)
@@ -107,12 +107,12 @@
 	if len(f.node.OwnTeams()) != 1 {
 		t.Fatal("the node owns no team")
 	}
-	f.store.calls = nil
+	f.kvClient.calls = nil
 	f.tick(testTTL / 3)
 	notified := f.host.ownershipChanges
 	f.fail(f.expect("POST", fmt.Sprintf("/leases/%d/extend", testLease)), kv.NotFound)
-	if f.node.membership.state != memberOut || f.node.IsLeading() || len(f.node.OwnTeams()) != 0 {
-		t.Errorf("state %s, leading %t, teams %v", f.node.membership.state, f.node.IsLeading(), f.node.OwnTeams())
+	if f.node.membership.state != memberAbsent || f.node.IsLeader() || len(f.node.OwnTeams()) != 0 {
+		t.Errorf("state %s, leading %t, teams %v", f.node.membership.state, f.node.IsLeader(), f.node.OwnTeams())
 	}
 	if f.host.ownershipChanges != notified+1 {
 		t.Error("the host was not told")
@@ -131,10 +131,10 @@
 	f.tick(joinRetry)
 	f.fail(f.expect("GET", memberTarget), kv.NotFound)
 	f.answer(f.expect("POST", "/leases"), kv.LeaseGrant{Lease: testLease + 1})
-	commit, _ := f.expectCommit()
+	commit, _ := f.expectTransaction()
 	f.answer(commit, kv.TransactionResult{Revision: 30})
 	f.fail(late, kv.NotFound)
-	if f.node.membership.state != memberIn || f.node.RecordVersion() != 30 {
+	if f.node.membership.state != memberJoined || f.node.RecordVersion() != 30 {
 		t.Errorf("state %s, version %d", f.node.membership.state, f.node.RecordVersion())
 	}
 }
@@ -142,10 +142,10 @@
 func TestRecordLost(t *testing.T) {
 	f := newFixture(t, testSettings("red"))
 	f.leading()
-	f.store.calls = nil
+	f.kvClient.calls = nil
 	f.node.RecordLost(f.now)
-	if f.node.membership.state != memberOut || f.node.IsLeading() {
-		t.Errorf("state %s, leading %t", f.node.membership.state, f.node.IsLeading())
+	if f.node.membership.state != memberAbsent || f.node.IsLeader() {
+		t.Errorf("state %s, leading %t", f.node.membership.state, f.node.IsLeader())
 	}
 	f.tick(joinRetry - 1)
 	f.expectNoCall()
@@ -156,12 +156,12 @@
 func TestUnreachableNodeLeaves(t *testing.T) {
 	f := newFixture(t, testSettings("red"))
 	f.leading()
-	f.store.calls = nil
+	f.kvClient.calls = nil
 	f.host.unreachable = true
 	f.tick(0)
 	f.expect("DELETE", fmt.Sprintf("/leases/%d", testLease))
-	if f.node.membership.state != memberOut || f.node.IsLeading() {
-		t.Errorf("state %s, leading %t", f.node.membership.state, f.node.IsLeading())
+	if f.node.membership.state != memberAbsent || f.node.IsLeader() {
+		t.Errorf("state %s, leading %t", f.node.membership.state, f.node.IsLeader())
 	}
 	f.tick(leavePause - 1)
 	f.expectNoCall()
--- a/internal/cluster/node.go
+++ b/internal/cluster/node.go
@@ -15,8 +15,8 @@
 	"tamarindlead/micros"
 )
 
-// Store calls the state service for a Node.
-type Store interface {
+// KVClient calls the state service for a Node.
+type KVClient interface {
 	// Call sends a request. Once the call has ended, done gets the time and the reply; that
 	// is at once if the request cannot be sent now.
 	Call(request kv.Request, done func(now micros.Micros, reply kv.Result))
@@ -31,9 +31,9 @@
 	// ViewChanged tells that records were read anew or changed. It follows
 	// OwnershipChanged.
 	ViewChanged()
-	// Unreachable tells whether workers reach other nodes but not this one, so that
+	// UnreachableByWorkers tells whether workers reach other nodes but not this one, so that
 	// another node should own this one's teams.
-	Unreachable() bool
+	UnreachableByWorkers() bool
 }
 
 // Node is a controller node as a member of the cluster, and perhaps its leader.
@@ -41,7 +41,7 @@
 	config      *config.Settings
 	log         *slog.Logger
 	random      *rand.Rand
-	store       Store
+	kvClient    KVClient
 	host        Host
 	incarnation uint64
 
@@ -57,9 +57,9 @@
 
 // New returns the node of a process that has just started: a new incarnation, which is no
 // member yet.
-func New(settings *config.Settings, store Store, host Host, random *rand.Rand, log *slog.Logger) *Node {
+func New(settings *config.Settings, store KVClient, host Host, random *rand.Rand, log *slog.Logger) *Node {
 	return &Node{
-		config: settings, log: log, random: random, store: store, host: host,
+		config: settings, log: log, random: random, kvClient: store, host: host,
 		incarnation: random.Uint64() >> (64 - incarnationBits),
 		view:        newView(settings.Teams),
 	}
@@ -83,7 +83,7 @@
 // OwnTeams returns the teams that this node owns: none, unless it is a member.
 func (n *Node) OwnTeams() map[string]Team {
 	own := map[string]Team{}
-	if n.membership.state != memberIn {
+	if n.membership.state != memberJoined {
 		return own
 	}
 	for name, team := range n.view.teams {
--- a/internal/cluster/stub_test.go
+++ b/internal/cluster/stub_test.go
@@ -21,17 +21,17 @@
 	done    func(micros.Micros, kv.Result)
 }
 
-// stubStore keeps calls until a test answers them.
-type stubStore struct {
+// stubKVClient keeps calls until a test answers them.
+type stubKVClient struct {
 	calls   []stubCall
 	watches []stubCall
 }
 
-func (s *stubStore) Call(request kv.Request, done func(micros.Micros, kv.Result)) {
+func (s *stubKVClient) Call(request kv.Request, done func(micros.Micros, kv.Result)) {
 	s.calls = append(s.calls, stubCall{request, done})
 }
 
-func (s *stubStore) Watch(prefix string, after uint64, done func(micros.Micros, kv.Result)) {
+func (s *stubKVClient) Watch(prefix string, after uint64, done func(micros.Micros, kv.Result)) {
 	s.watches = append(s.watches, stubCall{kv.Watch(prefix, after, 0), done})
 }
 
@@ -42,17 +42,17 @@
 	unreachable      bool
 }
 
-func (h *stubHost) OwnershipChanged() { h.ownershipChanges++ }
-func (h *stubHost) ViewChanged()      { h.viewChanges++ }
-func (h *stubHost) Unreachable() bool { return h.unreachable }
+func (h *stubHost) OwnershipChanged()          { h.ownershipChanges++ }
+func (h *stubHost) ViewChanged()               { h.viewChanges++ }
+func (h *stubHost) UnreachableByWorkers() bool { return h.unreachable }
 
 // fixture is node n0 of three, with what surrounds it.
 type fixture struct {
-	t     *testing.T
-	now   micros.Micros
-	store *stubStore
-	host  *stubHost
-	node  *Node
+	t        *testing.T
+	now      micros.Micros
+	kvClient *stubKVClient
+	host     *stubHost
+	node     *Node
 }
 
 func testSettings(teams ...string) *config.Settings {
@@ -67,9 +67,9 @@
 }
 
 func newFixture(t *testing.T, settings *config.Settings) *fixture {
-	f := &fixture{t: t, now: micros.Hour, store: &stubStore{}, host: &stubHost{}}
+	f := &fixture{t: t, now: micros.Hour, kvClient: &stubKVClient{}, host: &stubHost{}}
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
-	f.node = New(settings, f.store, f.host, rand.New(rand.NewPCG(1, 2)), log)
+	f.node = New(settings, f.kvClient, f.host, rand.New(rand.NewPCG(1, 2)), log)
 	return f
 }
 
@@ -81,11 +81,11 @@
 // expect takes the earliest call that waits, which must be as said.
 func (f *fixture) expect(method, target string) stubCall {
 	f.t.Helper()
-	if len(f.store.calls) == 0 {
+	if len(f.kvClient.calls) == 0 {
 		f.t.Fatalf("no call waits; want %s %s", method, target)
 	}
-	call := f.store.calls[0]
-	f.store.calls = f.store.calls[1:]
+	call := f.kvClient.calls[0]
+	f.kvClient.calls = f.kvClient.calls[1:]
 	if call.request.Method != method || call.request.Target != target {
 		f.t.Fatalf("call %s %s; want %s %s", call.request.Method, call.request.Target, method, target)
 	}
@@ -94,8 +94,8 @@
 
 func (f *fixture) expectNoCall() {
 	f.t.Helper()
-	if len(f.store.calls) > 0 {
-		f.t.Fatalf("unexpected call %s %s", f.store.calls[0].request.Method, f.store.calls[0].request.Target)
+	if len(f.kvClient.calls) > 0 {
+		f.t.Fatalf("unexpected call %s %s", f.kvClient.calls[0].request.Method, f.kvClient.calls[0].request.Target)
 	}
 }
 
@@ -107,20 +107,20 @@
 	call.done(f.now, kv.Result{Outcome: outcome})
 }
 
-// commitBody is what a commit demands and writes.
-type commitBody struct {
-	Guards []kv.Precondition `cbor:"guards"`
-	Writes []struct {
+// transactionBody is what a commit demands and writes.
+type transactionBody struct {
+	Preconditions []kv.Precondition `cbor:"guards"`
+	Writes        []struct {
 		Put   string         `cbor:"put"`
 		Lease uint64         `cbor:"tenancy"`
 		Value map[string]any `cbor:"data"`
 	} `cbor:"writes"`
 }
 
-func (f *fixture) expectCommit() (stubCall, commitBody) {
+func (f *fixture) expectTransaction() (stubCall, transactionBody) {
 	f.t.Helper()
 	call := f.expect("POST", "/commit")
-	var body commitBody
+	var body transactionBody
 	if err := wire.Decode(call.request.Body, &body); err != nil {
 		f.t.Fatal(err)
 	}
@@ -144,7 +144,7 @@
 	list := f.expect("GET", listTarget)
 	f.fail(read, kv.NotFound)
 	f.answer(f.expect("POST", "/leases"), kv.LeaseGrant{Lease: testLease})
-	commit, _ := f.expectCommit()
+	commit, _ := f.expectTransaction()
 	f.answer(commit, kv.TransactionResult{Revision: joinRevision})
 	entries = append([]kv.Entry{f.ownEntry()}, entries...)
 	f.answer(list, kv.Page{Entries: entries, Revision: joinRevision})
@@ -155,9 +155,9 @@
 	f.t.Helper()
 	f.joined(entries...)
 	f.tick(campaignJitter)
-	commit, _ := f.expectCommit()
+	commit, _ := f.expectTransaction()
 	f.answer(commit, kv.TransactionResult{Revision: leaderRevision})
-	if !f.node.IsLeading() {
+	if !f.node.IsLeader() {
 		f.t.Fatal("the node does not lead")
 	}
 }
@@ -200,10 +200,10 @@
 
 func (f *fixture) answerWatch(changes kv.WatchResult) {
 	f.t.Helper()
-	if len(f.store.watches) != 1 {
-		f.t.Fatalf("%d watches; want 1", len(f.store.watches))
+	if len(f.kvClient.watches) != 1 {
+		f.t.Fatalf("%d watches; want 1", len(f.kvClient.watches))
 	}
-	watch := f.store.watches[0]
-	f.store.watches = nil
+	watch := f.kvClient.watches[0]
+	f.kvClient.watches = nil
 	f.answer(watch, changes)
 }
--- a/internal/cluster/view.go
+++ b/internal/cluster/view.go
@@ -87,8 +87,8 @@
 	return record.NewOwnerID(node, v.members[node].Incarnation)
 }
 
-// MemberGuard is the guard that a node is still the member that is known here.
-func (v *View) MemberGuard(node string) kv.Precondition {
+// MemberPrecondition is the guard that a node is still the member that is known here.
+func (v *View) MemberPrecondition(node string) kv.Precondition {
 	return kv.Precondition{Key: record.MemberKey(node), Version: v.members[node].Version}
 }
 
--- a/internal/cluster/view_test.go
+++ b/internal/cluster/view_test.go
@@ -24,8 +24,8 @@
 	if !view.IsLive("n1/4") || view.IsLive("n1/3") || view.IsLive("n0/4") {
 		t.Error("an incarnation is live if it is that of a member's record")
 	}
-	if view.MemberID("n2") != "n2/5" || view.MemberGuard("n2") != (kv.Precondition{Key: "c/n/n2", Version: 7}) {
-		t.Errorf("ID %s, guard %v", view.MemberID("n2"), view.MemberGuard("n2"))
+	if view.MemberID("n2") != "n2/5" || view.MemberPrecondition("n2") != (kv.Precondition{Key: "c/n/n2", Version: 7}) {
+		t.Errorf("ID %s, guard %v", view.MemberID("n2"), view.MemberPrecondition("n2"))
 	}
 	view.remove("c/n/n1")
 	if view.IsMember("n1") || !view.IsMember("n2") {
