--- a/controller/acceptance.go
+++ b/controller/acceptance.go
@@ -79,7 +79,7 @@
 		writes = append(writes, puts...)
 	}
 	s.committing = true
-	sent := freshness.Evidence{Basis: freshness.Commit, SentAt: s.c.now, ThroughPeer: s.c.store.UsesPeerRoute()}
+	sent := freshness.Evidence{Basis: freshness.OwnTransaction, SentAt: s.c.now, ViaPeer: s.c.store.UsesPeerRoute()}
 	s.c.store.Do(budget.Users, kv.Transaction(guards, writes), func(reply kv.Result) {
 		s.committing = false
 		s.committed(batch, reply, sent)
@@ -146,7 +146,7 @@
 			return
 		}
 		s.c.finals.remember(sub.job.ID, wire.JobCancelled)
-		s.answerAccepted(sub, freshness.OfFinal())
+		s.answerAccepted(sub, freshness.OfTerminalState())
 	})
 }
 
--- a/controller/announcements.go
+++ b/controller/announcements.go
@@ -1,7 +1,7 @@
 package controller
 
 import (
-	"tamarindlead/internal/cancelack"
+	"tamarindlead/internal/cancellation"
 	"tamarindlead/internal/peer"
 	"tamarindlead/internal/wire"
 	"tamarindlead/micros"
@@ -10,12 +10,12 @@
 // This file connects internal/cancelack, which bounds how long a task may run on after a user
 // was told that its job is cancelled, with this node's records, peers and users.
 
-func newCancellations(c *Core) *cancelack.Tracker {
-	settings := cancelack.Settings{Lease: c.cfg.Lease, CancelWithin: c.cfg.CancelIn}
+func newCancellations(c *Core) *cancellation.Tracker {
+	settings := cancellation.Settings{Lease: c.cfg.Lease, CancelWithin: c.cfg.CancelIn}
 	for _, peer := range c.cfg.Siblings {
 		settings.Peers = append(settings.Peers, peer.Node)
 	}
-	return cancelack.New(settings, cancellationHost{c}, c.now)
+	return cancellation.New(settings, cancellationHost{c}, c.now)
 }
 
 // cancellationHost is what the tracker of cancellations may do to this node.
@@ -28,7 +28,7 @@
 	}
 }
 
-func (h cancellationHost) MayTell(job string) { h.c.finals.remember(job, wire.JobCancelled) }
+func (h cancellationHost) MayAcknowledge(job string) { h.c.finals.remember(job, wire.JobCancelled) }
 
 func (h cancellationHost) SendAnnouncement(to, job string, acknowledged func(now micros.Micros)) {
 	m := &peer.Message{Body: &peer.Message_JobEnded{JobEnded: &peer.JobEnded{Id: job}}}
--- a/controller/answers.go
+++ b/controller/answers.go
@@ -22,7 +22,7 @@
 // for after the request came, and a job of which a peer told us that it is cancelled has no
 // state that is not final. Where it may not, the job is looked up again.
 func (c *Core) mayAnswer(r userRequest, job string, evidence freshness.Evidence) bool {
-	if evidence.Basis != freshness.Final && c.cancellations.Ended(job) {
+	if evidence.Basis != freshness.TerminalState && c.cancellations.HasEnded(job) {
 		return false
 	}
 	return evidence.Covers(r.cameAt)
@@ -34,12 +34,12 @@
 	if c.mayAnswer(r, job, evidence) {
 		if c.debug {
 			c.log.Debug("job answered", "job", job, "told", told, "basis", evidence.Basis, "came_us", int64(r.cameAt),
-				"sent_us", int64(evidence.SentAt), "through_peer", evidence.ThroughPeer, "version", evidence.Version)
+				"sent_us", int64(evidence.SentAt), "through_peer", evidence.ViaPeer, "version", evidence.Version)
 		}
 		return true
 	}
 	c.violated("an answer about a job rests on old knowledge", "job", job, "request", r.id, "told", told, "basis", evidence.Basis,
-		"came_us", int64(r.cameAt), "sent_us", int64(evidence.SentAt), "ended", c.cancellations.Ended(job))
+		"came_us", int64(r.cameAt), "sent_us", int64(evidence.SentAt), "ended", c.cancellations.HasEnded(job))
 	c.refuse(r.id, wire.StatusUnavailable, reasonStoreSilent)
 	return false
 }
@@ -62,7 +62,7 @@
 
 // answerCancellation answers a cancellation with the final state of its job.
 func (c *Core) answerCancellation(r userRequest, job string, status wire.JobPhase) {
-	if c.checkAnswer(r, job, string(status), freshness.OfFinal()) {
+	if c.checkAnswer(r, job, string(status), freshness.OfTerminalState()) {
 		c.respond(r.id, wire.StatusOK, wire.JobState{Ref: job, Status: status})
 	}
 }
--- a/controller/answers_test.go
+++ b/controller/answers_test.go
@@ -42,7 +42,7 @@
 func TestCheckAnswerWithholdsOldKnowledge(t *testing.T) {
 	const job = "req-000001"
 	read := func(at micros.Micros) lookupResult {
-		return activeResult(7, freshness.Evidence{Basis: freshness.Read, SentAt: at})
+		return activeResult(7, freshness.Evidence{Basis: freshness.RecordRead, SentAt: at})
 	}
 	for _, c := range []struct {
 		name       string
@@ -79,7 +79,7 @@
 	sub := &submission{job: job, requests: []userRequest{{1, core.now - 1}, {2, core.now + 1}}, status: wire.JobQueued}
 	core.submissions.byJob[job.ID] = sub
 	core.out = nil
-	core.submissions.accepted(sub, freshness.Evidence{Basis: freshness.Commit, SentAt: core.now})
+	core.submissions.accepted(sub, freshness.Evidence{Basis: freshness.OwnTransaction, SentAt: core.now})
 	if status := respondedWith(t, core.out); status != wire.StatusAccepted {
 		t.Errorf("the request that came before the commit is answered %d", status)
 	}
@@ -119,7 +119,7 @@
 			lookup := core.lookups.waiting[0]
 			core.lookups.waiting = nil
 			core.out = nil
-			lookup.done(lookupResult{outcome: lookupNotFound, evidence: freshness.Evidence{Basis: freshness.Read, SentAt: core.now}})
+			lookup.done(lookupResult{outcome: lookupNotFound, evidence: freshness.Evidence{Basis: freshness.RecordRead, SentAt: core.now}})
 			if status := respondedWith(t, core.out); status != c.status || core.Violations() != 0 {
 				t.Errorf("answered %d with %d violations, want %d", status, core.Violations(), c.status)
 			}
--- a/controller/cancellations.go
+++ b/controller/cancellations.go
@@ -11,8 +11,8 @@
 // cancelWrites is how many writes a cancellation takes.
 const cancelWrites = 2
 
-// cancellation is a user's request to cancel a job.
-type cancellation struct {
+// cancellationRequest is a user's request to cancel a job.
+type cancellationRequest struct {
 	c        *Core
 	request  userRequest
 	job      string
@@ -37,7 +37,7 @@
 		c.refuse(request.id, wire.StatusTooMany, reasonManyCancellations) // a read would be wasted
 		return
 	}
-	cancel := &cancellation{c, request, job, c.now + acceptWithin}
+	cancel := &cancellationRequest{c, request, job, c.now + acceptWithin}
 	if version := c.knownVersion(job); version != 0 {
 		cancel.commit(version)
 		return
@@ -46,7 +46,7 @@
 }
 
 // readRecord reads the job's record, and then cancels the job.
-func (r *cancellation) readRecord() {
+func (r *cancellationRequest) readRecord() {
 	r.c.store.Get(budget.Users, record.ActiveJobKey(r.job), func(outcome kv.Outcome, entry kv.Entry) {
 		switch outcome {
 		case kv.OK:
@@ -60,7 +60,7 @@
 }
 
 // notActive answers about a job that has no record as an active one.
-func (r *cancellation) notActive(result lookupResult) {
+func (r *cancellationRequest) notActive(result lookupResult) {
 	switch {
 	case result.outcome == lookupNotFound:
 		r.c.answerNeverAccepted(r.request, r.job, noSuchJob(), result.evidence)
@@ -72,7 +72,7 @@
 }
 
 // commit records that the job is cancelled, if its record still has a version.
-func (r *cancellation) commit(version uint64) {
+func (r *cancellationRequest) commit(version uint64) {
 	guards := []kv.Precondition{{Key: record.ActiveJobKey(r.job), Version: version}}
 	writes := []kv.Write{
 		{Put: record.TerminalStateKey(r.job), Value: record.TerminalState{Status: record.StatusCancelled, FinishedAt: r.c.wallClock}},
@@ -81,7 +81,7 @@
 	r.c.store.Do(budget.Users, kv.Transaction(guards, writes), func(reply kv.Result) { r.committed(reply.Outcome) })
 }
 
-func (r *cancellation) committed(outcome kv.Outcome) {
+func (r *cancellationRequest) committed(outcome kv.Outcome) {
 	inDoubt := outcome == kv.PreconditionFailed || outcome == kv.Unknown // over meanwhile, or perhaps executed
 	switch {
 	case outcome == kv.OK:
@@ -93,7 +93,7 @@
 	}
 }
 
-func (r *cancellation) announced(mayTell bool) {
+func (r *cancellationRequest) announced(mayTell bool) {
 	if !mayTell {
 		r.refuse(reasonUnacknowledged)
 		return
@@ -101,10 +101,10 @@
 	r.respond(wire.JobCancelled)
 }
 
-func (r *cancellation) respond(status wire.JobPhase) {
+func (r *cancellationRequest) respond(status wire.JobPhase) {
 	r.c.answerCancellation(r.request, r.job, status)
 }
 
-func (r *cancellation) refuse(reason refusalReason) {
+func (r *cancellationRequest) refuse(reason refusalReason) {
 	r.c.refuse(r.request.id, wire.StatusUnavailable, reason)
 }
--- a/controller/core.go
+++ b/controller/core.go
@@ -9,7 +9,7 @@
 
 	"tamarindlead/config"
 	"tamarindlead/internal/budget"
-	"tamarindlead/internal/cancelack"
+	"tamarindlead/internal/cancellation"
 	"tamarindlead/internal/capacity"
 	"tamarindlead/internal/cluster"
 	"tamarindlead/internal/jobgraph"
@@ -56,7 +56,7 @@
 	graph       *jobgraph.Graph // the active jobs
 	jobView     jobView
 	// cancellations keeps which cancellations users may be told of, and bounds leases.
-	cancellations *cancelack.Tracker
+	cancellations *cancellation.Tracker
 
 	// Machines in general.
 	types    machineTypeTable
@@ -140,7 +140,7 @@
 	c.node.Tick(c.now)
 	c.tickJobView()
 	c.tickStatus()
-	c.cancellations.ForgetEnded(c.now)
+	c.cancellations.PruneEnded(c.now)
 	if c.owner != nil {
 		c.owner.slowTick()
 	}
--- a/controller/entitlement.go
+++ b/controller/entitlement.go
@@ -22,11 +22,11 @@
 // mayOrderStart asserts that an attempt may be started: its place is recorded, and its job is not
 // known to be over.
 func (o *owner) mayOrderStart(a *attempt) bool {
-	if a.state == attemptRecorded && a.machine.recorded && !o.c.cancellations.Ended(a.job.ID) {
+	if a.state == attemptRecorded && a.machine.recorded && !o.c.cancellations.HasEnded(a.job.ID) {
 		return o.mayCommand(a.machine, "start")
 	}
 	o.c.violated("a start without a recorded placement", "task", a.task(), "try", a.number, "machine", a.machine.name,
-		"state", a.state.String(), "recorded", a.machine.recorded, "ended", o.c.cancellations.Ended(a.job.ID))
+		"state", a.state.String(), "recorded", a.machine.recorded, "ended", o.c.cancellations.HasEnded(a.job.ID))
 	return false
 }
 
--- a/controller/job_queue.go
+++ b/controller/job_queue.go
@@ -16,7 +16,7 @@
 // loadJob takes an accepted job from its record, unless it is known or of another owner's team.
 func (o *owner) loadJob(key string, value []byte, version uint64) {
 	id := strings.TrimPrefix(key, record.ActiveJobPrefix)
-	if o.jobs[id] != nil || o.waiting[id] != nil || o.c.cancellations.Ended(id) {
+	if o.jobs[id] != nil || o.waiting[id] != nil || o.c.cancellations.HasEnded(id) {
 		return
 	}
 	var rec record.Job
--- a/controller/lookup_reads.go
+++ b/controller/lookup_reads.go
@@ -61,7 +61,7 @@
 // reads of the same lookup continue it, so what it finds is certain as of the first.
 func (c *Core) noteReadSent(list ...*lookup) {
 	for _, l := range list {
-		l.read = freshness.Evidence{Basis: freshness.Read, SentAt: c.now, ThroughPeer: c.store.UsesPeerRoute()}
+		l.read = freshness.Evidence{Basis: freshness.RecordRead, SentAt: c.now, ViaPeer: c.store.UsesPeerRoute()}
 	}
 }
 
@@ -135,7 +135,7 @@
 	switch final := c.finals.of(l.id); {
 	case final != "": // told meanwhile
 		result = finalResult(final)
-	case result.outcome != lookupFailed && !result.final() && c.cancellations.Ended(l.id):
+	case result.outcome != lookupFailed && !result.final() && c.cancellations.HasEnded(l.id):
 		c.lookupAgain(l) // cancelled since the read was sent
 		return
 	}
--- a/controller/lookups.go
+++ b/controller/lookups.go
@@ -45,7 +45,7 @@
 }
 
 // final tells whether the result can never change.
-func (r lookupResult) final() bool { return r.evidence.Basis == freshness.Final }
+func (r lookupResult) final() bool { return r.evidence.Basis == freshness.TerminalState }
 
 // activeResult is the result for a job that is not over, whose record has a version.
 func activeResult(version uint64, read freshness.Evidence) lookupResult {
@@ -55,7 +55,7 @@
 
 // finalResult is the result for a job that is over.
 func finalResult(status wire.JobPhase) lookupResult {
-	return lookupResult{lookupFound, status, freshness.OfFinal()}
+	return lookupResult{lookupFound, status, freshness.OfTerminalState()}
 }
 
 // lookup is a question for a job's state.
--- a/controller/peers.go
+++ b/controller/peers.go
@@ -2,7 +2,7 @@
 
 import (
 	"tamarindlead/config"
-	"tamarindlead/internal/cancelack"
+	"tamarindlead/internal/cancellation"
 	"tamarindlead/internal/peer"
 	"tamarindlead/micros"
 )
@@ -60,10 +60,10 @@
 			return
 		}
 		c.takeHeartbeat(p, answer)
-		grant := cancelack.Acknowledgement{
-			Period: micros.Micros(answer.PromiseUs), ToldAgo: micros.Micros(answer.ToldAgoUs),
+		grant := cancellation.Grant{
+			Period: micros.Micros(answer.PromiseUs), SinceUserAcknowledged: micros.Micros(answer.ToldAgoUs),
 		}
-		c.cancellations.TakeGrant(p.Node, grant, sentAt, c.readUntil(), c.now)
+		c.cancellations.ApplyGrant(p.Node, grant, sentAt, c.readUntil(), c.now)
 	})
 }
 
@@ -73,7 +73,7 @@
 	c.takeHeartbeat(p, received)
 	answer := c.heartbeat(p)
 	grant := c.cancellations.Grant(p.Node, c.now)
-	answer.PromiseUs, answer.ToldAgoUs = uint64(grant.Period), uint64(grant.ToldAgo)
+	answer.PromiseUs, answer.ToldAgoUs = uint64(grant.Period), uint64(grant.SinceUserAcknowledged)
 	c.answerPeer(request, &peer.Message{Body: &peer.Message_Beat{Beat: answer}})
 }
 
@@ -83,7 +83,7 @@
 	beat := &peer.Beat{
 		Term: term, Leader: leader,
 		WorkersHeard: uint32(len(c.recentReports)), StoreOk: c.store.DirectlyConnected(),
-		Ended: c.cancellations.Unacknowledged(p.Node), KnowsEnded: c.cancellations.ToAcknowledge(p.Node),
+		Ended: c.cancellations.Unacknowledged(p.Node), KnowsEnded: c.cancellations.PendingAcknowledgements(p.Node),
 	}
 	if c.owner != nil {
 		c.owner.describeShare(beat)
@@ -103,6 +103,6 @@
 	for _, name := range beat.Machines {
 		p.ownsMachine[name] = true
 	}
-	c.cancellations.TakeHeartbeat(p.Node, beat.Ended, beat.KnowsEnded, c.now)
+	c.cancellations.HandlePeerHeartbeat(p.Node, beat.Ended, beat.KnowsEnded, c.now)
 	c.node.ObserveTerm(c.now, beat.Term, beat.Leader)
 }
--- a/controller/reports.go
+++ b/controller/reports.go
@@ -81,7 +81,7 @@
 	if !ok {
 		return false
 	}
-	return task.Phase == wire.PhaseExited || c.graph.Version(id) != 0 && !c.cancellations.Ended(id)
+	return task.Phase == wire.PhaseExited || c.graph.Version(id) != 0 && !c.cancellations.HasEnded(id)
 }
 
 // report handles the report of a machine at an owner.
--- a/controller/store.go
+++ b/controller/store.go
@@ -64,7 +64,7 @@
 // watchWait is how long a watch of the jobs may wait: its answer shows up to when cancellations
 // are known, which must not lie too far back for leases to be renewed.
 func (c *Core) watchWait() micros.Micros {
-	return min(kv.WatchWait, max(c.cancellations.MaxKnowledgeAge()/3, minWatchWait))
+	return min(kv.WatchWait, max(c.cancellations.MaxStaleness()/3, minWatchWait))
 }
 
 // isolated tells that this node reaches neither the state service nor any peer. In an outage
--- a/internal/cancelack/heartbeat.go
+++ b/internal/cancellation/heartbeat.go
@@ -1,4 +1,4 @@
-package cancelack
+package cancellation
 
 import (
 	"maps"
@@ -19,14 +19,14 @@
 	return jobs
 }
 
-// ToAcknowledge lists the cancelled jobs that a peer's last heartbeat named: the next
+// PendingAcknowledgements lists the cancelled jobs that a peer's last heartbeat named: the next
 // heartbeat to it acknowledges them.
-func (t *Tracker) ToAcknowledge(peer string) []string { return t.peers[peer].named }
+func (t *Tracker) PendingAcknowledgements(peer string) []string { return t.peers[peer].announcedByPeer }
 
-// TakeHeartbeat takes what a peer's heartbeat says of cancelled jobs: those that it wants
+// HandlePeerHeartbeat takes what a peer's heartbeat says of cancelled jobs: those that it wants
 // acknowledged, and those that it acknowledges.
-func (t *Tracker) TakeHeartbeat(peer string, cancelled, acknowledged []string, now micros.Micros) {
-	t.peers[peer].named = cancelled
+func (t *Tracker) HandlePeerHeartbeat(peer string, cancelled, acknowledged []string, now micros.Micros) {
+	t.peers[peer].announcedByPeer = cancelled
 	for _, job := range cancelled {
 		t.MarkEnded(job, now)
 	}
@@ -41,28 +41,28 @@
 // new if it has left a cancellation unacknowledged for long, as a peer does that reaches this
 // node and is not reached even by answers. So no user waits longer for a peer than the last
 // period that was granted lasts.
-func (t *Tracker) Grant(peer string, now micros.Micros) Acknowledgement {
+func (t *Tracker) Grant(peer string, now micros.Micros) Grant {
 	for _, a := range t.announcements {
 		if !a.acknowledged[peer] && now-max(a.since, t.withholdUntil) > ackPeriod {
-			return Acknowledgement{}
+			return Grant{}
 		}
 	}
 	p := t.peers[peer]
 	p.ackRequiredUntil = now + ackPeriod
-	return Acknowledgement{Period: ackPeriod, ToldAgo: now - p.toldWithoutAck}
+	return Grant{Period: ackPeriod, SinceUserAcknowledged: now - p.userAcknowledgedWithoutPeer}
 }
 
-// TakeGrant learns from a peer's grant how far this node knows all that the peer told users.
+// ApplyGrant learns from a peer's grant how far this node knows all that the peer told users.
 // The grant counts only if this node knows what the peer last told without its acknowledgement:
 // if its own reads, or an earlier grant of the peer, whichever incarnation gave it, reach that
 // far. asked is when the heartbeat was sent, readUntil the time up to which this node's own
 // reads show all cancellations.
-func (t *Tracker) TakeGrant(peer string, grant Acknowledgement, asked, readUntil, now micros.Micros) {
+func (t *Tracker) ApplyGrant(peer string, grant Grant, asked, readUntil, now micros.Micros) {
 	if grant.Period == 0 {
 		return
 	}
 	p := t.peers[peer]
-	told := now - (grant.ToldAgo - grant.ToldAgo/driftFraction)
+	told := now - (grant.SinceUserAcknowledged - grant.SinceUserAcknowledged/driftFraction)
 	if max(readUntil, p.cancellationsKnownUntil) < told {
 		return
 	}
@@ -70,16 +70,16 @@
 	p.cancellationsKnownUntil = max(p.cancellationsKnownUntil, asked+lasts)
 }
 
-// MaxKnowledgeAge is how long ago the time may be up to which all cancellations are known, for
+// MaxStaleness is how long ago the time may be up to which all cancellations are known, for
 // leases to be renewed.
-func (t *Tracker) MaxKnowledgeAge() micros.Micros {
+func (t *Tracker) MaxStaleness() micros.Micros {
 	return t.settings.CancelWithin - t.settings.Lease - stopMargin
 }
 
 // MayRenewLease tells whether a worker's lease may be renewed now. readUntil is the time up to
 // which this node's own reads show all cancellations.
 func (t *Tracker) MayRenewLease(readUntil, now micros.Micros) bool {
-	return now <= max(readUntil, t.grantedUntil(now))+t.MaxKnowledgeAge()
+	return now <= max(readUntil, t.grantedUntil(now))+t.MaxStaleness()
 }
 
 // grantedUntil is the time up to which the peers' grants show all cancellations.
--- a/internal/cancelack/simulation_test.go
+++ b/internal/cancellation/simulation_test.go
@@ -1,4 +1,4 @@
-package cancelack
+package cancellation
 
 import (
 	"fmt"
@@ -21,15 +21,15 @@
 
 // cluster is a simulated cluster of trackers.
 type cluster struct {
-	t       *testing.T
-	seed    uint64
-	rng     *rand.Rand
-	now     micros.Micros // true time
-	nodes   []*node
-	told    map[string]micros.Micros // jobs of which users were told, since when
-	jobs    int                      // that were cancelled
-	renewed int
-	pending []message
+	t            *testing.T
+	seed         uint64
+	rng          *rand.Rand
+	now          micros.Micros // true time
+	nodes        []*node
+	acknowledged map[string]micros.Micros // jobs of which users were told, since when
+	jobs         int                      // that were cancelled
+	renewed      int
+	pending      []message
 }
 
 type message struct {
@@ -40,17 +40,17 @@
 // node is a tracker with a clock of its own.
 type node struct {
 	*cluster
-	index     int
-	rate      int64 // of the clock: parts in a million that it is too fast
-	offset    micros.Micros
-	tracker   *Tracker
-	knows     map[string]bool
-	cutUntil  micros.Micros // messages are lost until then
-	readUntil micros.Micros // true time
+	index            int
+	rate             int64 // of the clock: parts in a million that it is too fast
+	offset           micros.Micros
+	tracker          *Tracker
+	knows            map[string]bool
+	partitionedUntil micros.Micros // messages are lost until then
+	readUntil        micros.Micros // true time
 }
 
 func newCluster(t *testing.T, seed uint64) *cluster {
-	c := &cluster{t: t, seed: seed, rng: rand.New(rand.NewPCG(seed, 7)), now: start, told: map[string]micros.Micros{}}
+	c := &cluster{t: t, seed: seed, rng: rand.New(rand.NewPCG(seed, 7)), now: start, acknowledged: map[string]micros.Micros{}}
 	for i := range 3 {
 		n := &node{cluster: c, index: i, rate: c.rng.Int64N(1801) - 900, offset: micros.Micros(i) * micros.Hour}
 		n.restart()
@@ -83,9 +83,9 @@
 
 func (n *node) JobEnded(job string) { n.knows[job] = true }
 
-func (n *node) MayTell(job string) {
-	if _, ok := n.told[job]; !ok {
-		n.told[job] = n.cluster.now
+func (n *node) MayAcknowledge(job string) {
+	if _, ok := n.acknowledged[job]; !ok {
+		n.acknowledged[job] = n.cluster.now
 	}
 }
 
@@ -112,7 +112,7 @@
 }
 
 func (n *node) post(to *node, deliver func()) {
-	if n.cluster.now < n.cutUntil || n.cluster.now < to.cutUntil || n.rng.IntN(10) == 0 {
+	if n.cluster.now < n.partitionedUntil || n.cluster.now < to.partitionedUntil || n.rng.IntN(10) == 0 {
 		return
 	}
 	delay := micros.Micros(n.rng.Int64N(int64(700 * micros.Millisecond)))
@@ -122,17 +122,17 @@
 // heartbeat exchanges heartbeats with a peer.
 func (n *node) heartbeat(peer string) {
 	tracker, asked, from := n.tracker, n.clock(), nodeName(n.index)
-	cancelled, acknowledged := tracker.Unacknowledged(peer), tracker.ToAcknowledge(peer)
+	cancelled, acknowledged := tracker.Unacknowledged(peer), tracker.PendingAcknowledgements(peer)
 	n.call(peer, func(to *node) func() {
-		to.tracker.TakeHeartbeat(from, cancelled, acknowledged, to.clock())
-		answerCancelled, answerAcknowledged := to.tracker.Unacknowledged(from), to.tracker.ToAcknowledge(from)
+		to.tracker.HandlePeerHeartbeat(from, cancelled, acknowledged, to.clock())
+		answerCancelled, answerAcknowledged := to.tracker.Unacknowledged(from), to.tracker.PendingAcknowledgements(from)
 		grant := to.tracker.Grant(from, to.clock())
 		return func() {
 			if n.tracker != tracker {
 				return
 			}
-			tracker.TakeHeartbeat(peer, answerCancelled, answerAcknowledged, n.clock())
-			tracker.TakeGrant(peer, grant, asked, n.at(n.readUntil), n.clock())
+			tracker.HandlePeerHeartbeat(peer, answerCancelled, answerAcknowledged, n.clock())
+			tracker.ApplyGrant(peer, grant, asked, n.at(n.readUntil), n.clock())
 		}
 	})
 }
@@ -149,7 +149,7 @@
 	for step := range steps {
 		c.now += stepTime
 		c.deliver()
-		c.disturb(c.nodes[c.rng.IntN(len(c.nodes))])
+		c.injectFault(c.nodes[c.rng.IntN(len(c.nodes))])
 		for _, n := range c.nodes {
 			n.tracker.Tick(n.clock())
 			if step%heartbeatSteps == n.index {
@@ -158,8 +158,8 @@
 			n.checkRenewal()
 		}
 	}
-	if len(c.told) == 0 || c.renewed == 0 {
-		c.t.Fatalf("seed %d: %d jobs told, %d renewals", c.seed, len(c.told), c.renewed)
+	if len(c.acknowledged) == 0 || c.renewed == 0 {
+		c.t.Fatalf("seed %d: %d jobs told, %d renewals", c.seed, len(c.acknowledged), c.renewed)
 	}
 }
 
@@ -176,19 +176,19 @@
 	}
 }
 
-// disturb cuts a node off, restarts it, or has it cancel a job or read the records: now and
+// injectFault cuts a node off, restarts it, or has it cancel a job or read the records: now and
 // then.
-func (c *cluster) disturb(n *node) {
+func (c *cluster) injectFault(n *node) {
 	switch c.rng.IntN(400) {
 	case 0, 1, 2:
-		n.cutUntil = c.now + inSeconds(c.rng.IntN(40))
+		n.partitionedUntil = c.now + inSeconds(c.rng.IntN(40))
 	case 3:
 		n.restart()
 	case 4, 5, 6, 7, 8, 9:
 		c.jobs++
 		n.tracker.Announce(jobName(c.jobs), n.clock()+inSeconds(c.rng.IntN(3)), n.clock(), func(bool) {})
 	case 10:
-		n.read()
+		n.readRecords()
 	}
 }
 
@@ -198,9 +198,9 @@
 	}
 }
 
-// read is a read of the records: a job's record says that it is cancelled before that is
+// readRecords is a read of the records: a job's record says that it is cancelled before that is
 // announced.
-func (n *node) read() {
+func (n *node) readRecords() {
 	n.readUntil = n.cluster.now
 	for i := range n.jobs {
 		n.knows[jobName(i+1)] = true
@@ -213,7 +213,7 @@
 		return
 	}
 	n.renewed++
-	for job, at := range n.told {
+	for job, at := range n.acknowledged {
 		if !n.knows[job] && now+lease > at+cancel {
 			n.t.Fatalf("seed %d: %s renews at %v, %v after users were told of %s", n.seed, nodeName(n.index), now, now-at, job)
 		}
--- a/internal/cancelack/cancelack.go
+++ b/internal/cancellation/tracker.go
@@ -16,7 +16,7 @@
 //
 // The package has no clock and no network: the caller passes the time, and sends what Host is
 // asked to send.
-package cancelack
+package cancellation
 
 import (
 	"maps"
@@ -34,15 +34,15 @@
 	// driftFraction bounds by how much two clocks may differ in rate: one part in so many.
 	driftFraction = 500
 
-	// resendEvery is the time between announcements to a peer that has not acknowledged.
-	resendEvery = 500 * micros.Millisecond
+	// resendInterval is the time between announcements to a peer that has not acknowledged.
+	resendInterval = 500 * micros.Millisecond
 	// maxAnnouncements bounds the cancelled jobs that wait for acknowledgements.
 	maxAnnouncements = 512
 	// maxInHeartbeat bounds the cancelled jobs that one heartbeat names.
 	maxInHeartbeat = 64
-	// endedKept is how long a job that is over is remembered; reads that were sent before are
+	// endedRetention is how long a job that is over is remembered; reads that were sent before are
 	// answered by then.
-	endedKept = 2 * micros.Minute
+	endedRetention = 2 * micros.Minute
 
 	// never is later than any time.
 	never = micros.Micros(1 << 62)
@@ -53,9 +53,9 @@
 	// JobEnded is called when the node learns that a job is over: its tasks must be stopped,
 	// and a record of it that was read before is obsolete.
 	JobEnded(job string)
-	// MayTell is called once users may be told that a job is cancelled, before the requests
+	// MayAcknowledge is called once users may be told that a job is cancelled, before the requests
 	// that wait for it are answered.
-	MayTell(job string)
+	MayAcknowledge(job string)
 	// SendAnnouncement sends a peer that a job is cancelled, and calls acknowledged with the
 	// time if the peer answers.
 	SendAnnouncement(peer, job string, acknowledged func(now micros.Micros))
@@ -68,14 +68,14 @@
 	CancelWithin micros.Micros // the time within which tasks of a cancelled job must be gone
 }
 
-// Acknowledgement is what a node grants a peer by the answer to its heartbeat.
-type Acknowledgement struct {
+// Grant is what a node grants a peer by the answer to its heartbeat.
+type Grant struct {
 	// Period is for how long from now on the node tells no user of a cancellation that the
 	// peer has not acknowledged; 0 if the node grants nothing.
 	Period micros.Micros
-	// ToldAgo is how long ago the node last told users without the peer's acknowledgement,
+	// SinceUserAcknowledged is how long ago the node last told users without the peer's acknowledgement,
 	// or else started.
-	ToldAgo micros.Micros
+	SinceUserAcknowledged micros.Micros
 }
 
 // peer is what is kept about another controller.
@@ -83,13 +83,13 @@
 	name string
 	// ackRequiredUntil is until when its acknowledgement is needed to tell users.
 	ackRequiredUntil micros.Micros
-	// toldWithoutAck is when users were last told without its acknowledgement.
-	toldWithoutAck micros.Micros
+	// userAcknowledgedWithoutPeer is when users were last told without its acknowledgement.
+	userAcknowledgedWithoutPeer micros.Micros
 	// cancellationsKnownUntil is the time up to which this node knows of all cancellations
 	// that the peer told users.
 	cancellationsKnownUntil micros.Micros
-	// named are the cancelled jobs that its last heartbeat named.
-	named []string
+	// announcedByPeer are the cancelled jobs that its last heartbeat named.
+	announcedByPeer []string
 }
 
 // announcement is a cancelled job of which users may be told once peers have acknowledged.
@@ -127,7 +127,7 @@
 		peers: map[string]*peer{}, announcements: map[string]*announcement{}, ended: map[string]micros.Micros{},
 	}
 	for _, name := range settings.Peers {
-		t.peers[name] = &peer{name: name, toldWithoutAck: now}
+		t.peers[name] = &peer{name: name, userAcknowledgedWithoutPeer: now}
 		t.withholdUntil = now + ackPeriod + ackPeriod/driftFraction
 	}
 	return t
@@ -169,8 +169,8 @@
 	complete := t.complete(a, now)
 	if complete {
 		delete(t.announcements, a.job)
-		t.noteUnacknowledged(a, now)
-		t.host.MayTell(a.job)
+		t.recordUnacknowledged(a, now)
+		t.host.MayAcknowledge(a.job)
 	}
 	t.answerRequests(a, complete, now)
 	if !complete && now >= a.nextSend {
@@ -191,11 +191,11 @@
 	return true
 }
 
-// noteUnacknowledged notes for each peer that has not acknowledged that users are told now.
-func (t *Tracker) noteUnacknowledged(a *announcement, now micros.Micros) {
+// recordUnacknowledged notes for each peer that has not acknowledged that users are told now.
+func (t *Tracker) recordUnacknowledged(a *announcement, now micros.Micros) {
 	for _, p := range t.peers {
 		if !a.acknowledged[p.name] {
-			p.toldWithoutAck = now
+			p.userAcknowledgedWithoutPeer = now
 		}
 	}
 }
@@ -220,7 +220,7 @@
 // all, since an owner should stop the tasks at once, then to those whose acknowledgement is
 // needed.
 func (t *Tracker) send(a *announcement, now micros.Micros) {
-	a.nextSend = now + resendEvery
+	a.nextSend = now + resendInterval
 	for _, name := range t.settings.Peers {
 		p := t.peers[name]
 		if a.acknowledged[name] || a.sent && now >= p.ackRequiredUntil {
@@ -242,16 +242,16 @@
 	t.host.JobEnded(job)
 }
 
-// Ended tells whether a job is known to be over, whatever an older read says.
-func (t *Tracker) Ended(job string) bool {
+// HasEnded tells whether a job is known to be over, whatever an older read says.
+func (t *Tracker) HasEnded(job string) bool {
 	_, ended := t.ended[job]
 	return ended
 }
 
-// ForgetEnded forgets jobs that have been over for so long that no older read can be answered.
-func (t *Tracker) ForgetEnded(now micros.Micros) {
+// PruneEnded forgets jobs that have been over for so long that no older read can be answered.
+func (t *Tracker) PruneEnded(now micros.Micros) {
 	for job, since := range t.ended {
-		if now-since > endedKept {
+		if now-since > endedRetention {
 			delete(t.ended, job)
 		}
 	}
--- a/internal/cancelack/cancelack_test.go
+++ b/internal/cancellation/tracker_test.go
@@ -1,4 +1,4 @@
-package cancelack
+package cancellation
 
 import (
 	"fmt"
@@ -17,14 +17,14 @@
 
 // recorder is a host that records what it is asked to do.
 type recorder struct {
-	ended    []string
-	mayTell  []string
-	sent     []string // "peer job"
-	answered []func(now micros.Micros)
+	ended          []string
+	mayAcknowledge []string
+	sent           []string // "peer job"
+	answered       []func(now micros.Micros)
 }
 
-func (r *recorder) JobEnded(job string) { r.ended = append(r.ended, job) }
-func (r *recorder) MayTell(job string)  { r.mayTell = append(r.mayTell, job) }
+func (r *recorder) JobEnded(job string)       { r.ended = append(r.ended, job) }
+func (r *recorder) MayAcknowledge(job string) { r.mayAcknowledge = append(r.mayAcknowledge, job) }
 func (r *recorder) SendAnnouncement(peer, job string, acknowledged func(now micros.Micros)) {
 	r.sent = append(r.sent, peer+" "+job)
 	r.answered = append(r.answered, acknowledged)
@@ -40,18 +40,18 @@
 
 // answer collects what a request was answered.
 type answer struct {
-	n       int
-	mayTell bool
+	n              int
+	mayAcknowledge bool
 }
 
-func (a *answer) done(mayTell bool) { a.n, a.mayTell = a.n+1, mayTell }
+func (a *answer) done(mayTell bool) { a.n, a.mayAcknowledge = a.n+1, mayTell }
 
-func TestAloneTellsAtOnce(t *testing.T) {
+func TestSingleNodeAcknowledgesAtOnce(t *testing.T) {
 	tracker, host := newTracker(start)
 	var got answer
 	tracker.Announce("j", start+seconds, start, got.done)
-	if got != (answer{1, true}) || tracker.Pending() || !slices.Equal(host.mayTell, []string{"j"}) {
-		t.Fatalf("answer %+v, told %v", got, host.mayTell)
+	if got != (answer{1, true}) || tracker.Pending() || !slices.Equal(host.mayAcknowledge, []string{"j"}) {
+		t.Fatalf("answer %+v, told %v", got, host.mayAcknowledge)
 	}
 	if !tracker.MayRenewLease(0, start) {
 		t.Fatal("a node without peers knows all that users were told")
@@ -70,7 +70,7 @@
 	tracker.Announce("j", start+inSeconds(30), start+seconds, late.done)
 	host.answered[0](start + seconds)
 	tracker.Tick(afterRestart - 1)
-	if late.n != 0 || len(host.mayTell) != 0 {
+	if late.n != 0 || len(host.mayAcknowledge) != 0 {
 		t.Fatal("users are told although an earlier incarnation's grant may last")
 	}
 	tracker.Tick(afterRestart)
@@ -118,7 +118,7 @@
 			if peer == "b" && acknowledge {
 				want = end + inSeconds(1) - start
 			}
-			if ago := tracker.Grant(peer, end+inSeconds(1)).ToldAgo; ago != want {
+			if ago := tracker.Grant(peer, end+inSeconds(1)).SinceUserAcknowledged; ago != want {
 				t.Errorf("acknowledged %t: told %v ago without %s, not %v", acknowledge, ago, peer, want)
 			}
 		}
@@ -143,7 +143,7 @@
 	if got != (answer{1, false}) || !tracker.Pending() {
 		t.Fatalf("after the deadline: %+v", got)
 	}
-	if !slices.Equal(host.ended, []string{"j"}) || !tracker.Ended("j") {
+	if !slices.Equal(host.ended, []string{"j"}) || !tracker.HasEnded("j") {
 		t.Fatal("the node's own tasks are not stopped once")
 	}
 }
@@ -158,11 +158,11 @@
 		t.Fatalf("the heartbeat names %v", jobs)
 	}
 	receiver, host := newTracker(start, "a")
-	receiver.TakeHeartbeat("a", tracker.Unacknowledged("b"), nil, now)
-	if !slices.Equal(host.ended, []string{"j"}) || !receiver.Ended("j") {
+	receiver.HandlePeerHeartbeat("a", tracker.Unacknowledged("b"), nil, now)
+	if !slices.Equal(host.ended, []string{"j"}) || !receiver.HasEnded("j") {
 		t.Fatal("the receiver does not take the job for over")
 	}
-	tracker.TakeHeartbeat("b", nil, receiver.ToAcknowledge("a"), now+seconds)
+	tracker.HandlePeerHeartbeat("b", nil, receiver.PendingAcknowledgements("a"), now+seconds)
 	if got != (answer{1, true}) || len(tracker.Unacknowledged("b")) != 0 {
 		t.Fatalf("after the acknowledging heartbeat: %+v", got)
 	}
@@ -202,11 +202,11 @@
 	if n := len(tracker.Unacknowledged("b")); n != maxInHeartbeat {
 		t.Fatalf("a heartbeat names %d jobs", n)
 	}
-	tracker.ForgetEnded(now + endedKept)
-	if !tracker.Ended("0") {
+	tracker.PruneEnded(now + endedRetention)
+	if !tracker.HasEnded("0") {
 		t.Fatal("forgotten too early")
 	}
-	if tracker.ForgetEnded(now + endedKept + 1); tracker.Ended("0") {
+	if tracker.PruneEnded(now + endedRetention + 1); tracker.HasEnded("0") {
 		t.Fatal("kept for ever")
 	}
 }
@@ -220,35 +220,35 @@
 		t.Fatal("not renewed just up to the bound after the last read")
 	}
 	asked, now := start+inSeconds(10), start+inSeconds(11)
-	grant := Acknowledgement{Period: ackPeriod, ToldAgo: inSeconds(11)}
-	tracker.TakeGrant("b", grant, asked, read, now)
+	grant := Grant{Period: ackPeriod, SinceUserAcknowledged: inSeconds(11)}
+	tracker.ApplyGrant("b", grant, asked, read, now)
 	if tracker.MayRenewLease(0, now+age) {
 		t.Fatal("one peer's grant suffices")
 	}
-	tracker.TakeGrant("c", grant, asked, read, now)
+	tracker.ApplyGrant("c", grant, asked, read, now)
 	until := asked + ackPeriod - ackPeriod/driftFraction
 	if !tracker.MayRenewLease(0, until+age) || tracker.MayRenewLease(0, until+age+1) {
 		t.Fatal("not renewed just up to the bound after the grants")
 	}
 }
 
-// TestGrantAfterUnknownTelling checks that a grant does not count if the peer told users
+// TestGrantAfterUnknownUserAcknowledgement checks that a grant does not count if the peer told users
 // without our acknowledgement after the time up to which we know.
-func TestGrantAfterUnknownTelling(t *testing.T) {
+func TestGrantAfterUnknownUserAcknowledgement(t *testing.T) {
 	read, now := start+inSeconds(5), start+inSeconds(100)
 	cases := []struct {
 		name  string
-		grant Acknowledgement
+		grant Grant
 		want  bool
 	}{
-		{"told before the last read", Acknowledgement{ackPeriod, inSeconds(96)}, true},
-		{"told after the last read", Acknowledgement{ackPeriod, inSeconds(94)}, false},
-		{"told within the drift of clocks", Acknowledgement{ackPeriod, inSeconds(95)}, false},
-		{"nothing granted", Acknowledgement{0, inSeconds(96)}, false},
+		{"told before the last read", Grant{ackPeriod, inSeconds(96)}, true},
+		{"told after the last read", Grant{ackPeriod, inSeconds(94)}, false},
+		{"told within the drift of clocks", Grant{ackPeriod, inSeconds(95)}, false},
+		{"nothing granted", Grant{0, inSeconds(96)}, false},
 	}
 	for _, c := range cases {
 		tracker, _ := newTracker(start, "b")
-		tracker.TakeGrant("b", c.grant, now, read, now)
+		tracker.ApplyGrant("b", c.grant, now, read, now)
 		if got := tracker.MayRenewLease(0, now); got != c.want {
 			t.Errorf("%s: renewed %t", c.name, got)
 		}
@@ -259,9 +259,9 @@
 // same peer reaches the time at which it last told users.
 func TestGrantContinues(t *testing.T) {
 	tracker, _ := newTracker(start, "b")
-	tracker.TakeGrant("b", Acknowledgement{ackPeriod, inSeconds(10)}, start, start, start)
+	tracker.ApplyGrant("b", Grant{ackPeriod, inSeconds(10)}, start, start, start)
 	for now := start; now < start+inSeconds(300); now += inSeconds(5) {
-		tracker.TakeGrant("b", Acknowledgement{ackPeriod, inSeconds(10)}, now, 0, now)
+		tracker.ApplyGrant("b", Grant{ackPeriod, inSeconds(10)}, now, 0, now)
 		if !tracker.MayRenewLease(0, now) {
 			t.Fatalf("not renewed after %v", now-start)
 		}
--- a/internal/freshness/freshness.go
+++ b/internal/freshness/freshness.go
@@ -13,20 +13,20 @@
 
 // The kinds of knowledge.
 const (
-	None   Basis = iota // nothing: no answer may rest on it
-	Read                // records that were read, or whose versions were compared
-	Commit              // the commit that recorded the job
-	Final               // the final state, which never changes
+	NoBasis        Basis = iota // nothing: no answer may rest on it
+	RecordRead                  // records that were read, or whose versions were compared
+	OwnTransaction              // the commit that recorded the job
+	TerminalState               // the final state, which never changes
 )
 
 // String returns the basis as logs show it.
 func (b Basis) String() string {
 	switch b {
-	case Read:
+	case RecordRead:
 		return "read"
-	case Commit:
+	case OwnTransaction:
 		return "commit"
-	case Final:
+	case TerminalState:
 		return "final"
 	}
 	return "none"
@@ -40,12 +40,12 @@
 	SentAt micros.Micros
 	// Version is that of the job's record, 0 if it has none or is over.
 	Version uint64
-	// ThroughPeer tells that a peer passed the request on to the state service.
-	ThroughPeer bool
+	// ViaPeer tells that a peer passed the request on to the state service.
+	ViaPeer bool
 }
 
-// OfFinal is the evidence of a final state.
-func OfFinal() Evidence { return Evidence{Basis: Final} }
+// OfTerminalState is the evidence of a final state.
+func OfTerminalState() Evidence { return Evidence{Basis: TerminalState} }
 
 // Covers tells whether an answer with this evidence may go to a request that came at a time.
 //
@@ -55,9 +55,9 @@
 // more exchange with the state service.
 func (e Evidence) Covers(cameAt micros.Micros) bool {
 	switch e.Basis {
-	case Final:
+	case TerminalState:
 		return true
-	case Read, Commit:
+	case RecordRead, OwnTransaction:
 		return e.SentAt >= cameAt
 	}
 	return false
--- a/internal/freshness/freshness_test.go
+++ b/internal/freshness/freshness_test.go
@@ -14,10 +14,10 @@
 		basis                Basis
 		before, equal, after bool // when the request came
 	}{
-		{None, false, false, false},
-		{Read, true, true, false},
-		{Commit, true, true, false},
-		{Final, true, true, true},
+		{NoBasis, false, false, false},
+		{RecordRead, true, true, false},
+		{OwnTransaction, true, true, false},
+		{TerminalState, true, true, true},
 	} {
 		e := Evidence{Basis: c.basis, SentAt: sent}
 		for _, when := range []struct {
@@ -31,9 +31,9 @@
 	}
 }
 
-// TestOfFinal sees that a final state answers all requests.
-func TestOfFinal(t *testing.T) {
-	if !OfFinal().Covers(1 << 60) {
+// TestOfTerminalState sees that a final state answers all requests.
+func TestOfTerminalState(t *testing.T) {
+	if !OfTerminalState().Covers(1 << 60) {
 		t.Error("a final state must answer any request")
 	}
 }
@@ -41,7 +41,7 @@
 // TestBasisString sees that logs tell the kinds of knowledge apart.
 func TestBasisString(t *testing.T) {
 	seen := map[string]bool{}
-	for _, b := range []Basis{None, Read, Commit, Final} {
+	for _, b := range []Basis{NoBasis, RecordRead, OwnTransaction, TerminalState} {
 		if seen[b.String()] {
 			t.Errorf("%s names two kinds", b)
 		}
