--- a/controller/commits.go
+++ b/controller/commits.go
@@ -247,7 +247,7 @@
 func (o *owner) doneRecorded(j *job) {
 	o.c.finals.remember(j.ID, wire.JobDone)
 	o.c.log.Info("job done", "job", j.ID, "class", j.Class)
-	o.c.graph.Done(j.ID, o.c.wallClock)
+	o.c.graph.MarkDone(j.ID, o.c.wallClock)
 	for _, a := range j.sorted() {
 		if a.state == attemptFinished {
 			o.finishedRecorded(a)
--- a/controller/core.go
+++ b/controller/core.go
@@ -12,7 +12,7 @@
 	"tamarindlead/internal/cancellation"
 	"tamarindlead/internal/capacity"
 	"tamarindlead/internal/cluster"
-	"tamarindlead/internal/jobgraph"
+	"tamarindlead/internal/dag"
 	"tamarindlead/internal/kv"
 	"tamarindlead/internal/record"
 	"tamarindlead/internal/wire"
@@ -53,7 +53,7 @@
 	submissions submissions
 	finals      finalStates
 	lookups     lookupStage
-	graph       *jobgraph.Graph // the active jobs
+	graph       *dag.Graph // the active jobs
 	jobView     jobView
 	// cancellations keeps which cancellations users may be told of, and bounds leases.
 	cancellations *cancellation.Tracker
@@ -94,7 +94,7 @@
 	}, len(cfg.Siblings)+1)
 	c.store = kv.New(kvHost{c}, c.budget, record.LeaderKey, log)
 	c.submissions, c.finals = newSubmissions(c), newFinalStates()
-	c.graph = jobgraph.New(jobObserver{c}, log)
+	c.graph = dag.New(jobObserver{c}, log)
 	return c
 }
 
--- a/controller/dependencies.go
+++ b/controller/dependencies.go
@@ -2,7 +2,7 @@
 
 import (
 	"tamarindlead/internal/budget"
-	"tamarindlead/internal/jobgraph"
+	"tamarindlead/internal/dag"
 	"tamarindlead/internal/kv"
 	"tamarindlead/internal/record"
 	"tamarindlead/internal/wire"
@@ -40,11 +40,11 @@
 
 func (s *settlement) step() {
 	graph := s.c.graph
-	if !graph.Synced() || graph.Resets() != s.resets || s.tries == 0 || s.c.now > s.until {
+	if !graph.IsSynced() || graph.Resets() != s.resets || s.tries == 0 || s.c.now > s.until {
 		s.done(false)
 		return
 	}
-	switch partial, unresolved := graph.MissingFor(s.ids); {
+	switch partial, unresolved := graph.FindUnresolved(s.ids); {
 	case partial != nil:
 		s.c.readParts(partial, s.again)
 	case unresolved:
@@ -64,23 +64,23 @@
 }
 
 // readParts reads a list that is kept under several keys.
-func (c *Core) readParts(job *jobgraph.WaitingJob, done func(ok bool)) {
+func (c *Core) readParts(job *dag.BlockedJob, done func(ok bool)) {
 	c.store.Do(budget.Users, kv.List(record.DependencyPartsPrefix(job.ID), ""), func(r kv.Result) {
 		var page kv.Page
 		if r.Outcome != kv.OK || !r.Decode(&page) {
 			done(false)
 			return
 		}
-		if c.graph.Waiting(job.ID) != job || job.Complete() {
+		if c.graph.Blocked(job.ID) != job || job.DependenciesKnown() {
 			done(true)
 			return
 		}
 		ids, ok := c.joinParts(page.Entries)
-		if !ok || len(page.Entries) != job.Parts { // the job is over, which the view will show
+		if !ok || len(page.Entries) != job.DependencyParts { // the job is over, which the view will show
 			done(false)
 			return
 		}
-		c.graph.CompleteList(job, ids)
+		c.graph.SetDependencies(job, ids)
 		done(true)
 	})
 }
@@ -138,7 +138,7 @@
 	d.resets = d.c.graph.Resets()
 	var inactive []string
 	for _, id := range d.ids {
-		if !d.c.graph.Active(id) && d.c.finals.of(id) != wire.JobDone {
+		if !d.c.graph.IsActive(id) && d.c.finals.of(id) != wire.JobDone {
 			inactive = append(inactive, id)
 		}
 	}
@@ -177,7 +177,7 @@
 		return
 	}
 	for _, id := range d.ids {
-		if job := d.c.graph.Waiting(id); job != nil && job.Cancelled() {
+		if job := d.c.graph.Blocked(id); job != nil && job.Cancelled() {
 			d.done(dependencyResult{dependenciesCancelled, job.CancelledRoot})
 			return
 		}
--- a/controller/finalreads.go
+++ b/controller/finalreads.go
@@ -33,9 +33,9 @@
 		if at == 0 { // an older version did not record when
 			at = c.wallClock
 		}
-		c.graph.Done(id, min(at, c.wallClock))
+		c.graph.MarkDone(id, min(at, c.wallClock))
 	case record.StatusCancelled:
-		c.graph.Cancelled(id, rec.CancelledRoot(id))
+		c.graph.MarkCancelled(id, rec.CancelledRoot(id))
 	}
 }
 
@@ -54,7 +54,7 @@
 	if done != nil {
 		purpose = budget.Users
 	}
-	c.readFinals(purpose, c.graph.Unresolved(), c.now+acceptWithin, c.endsRead)
+	c.readFinals(purpose, c.graph.UnresolvedJobs(), c.now+acceptWithin, c.endsRead)
 }
 
 func (c *Core) endsRead(found map[string]record.TerminalState, ok bool) {
--- a/controller/inherit.go
+++ b/controller/inherit.go
@@ -4,7 +4,7 @@
 	"cmp"
 	"slices"
 
-	"tamarindlead/internal/jobgraph"
+	"tamarindlead/internal/dag"
 	"tamarindlead/micros"
 )
 
@@ -15,8 +15,8 @@
 func (o *owner) inherit(j *job) {
 	inherited, awaited := o.c.graph.Inherited(j.ID)
 	priority, mustEnd := max(j.own, inherited.Priority), micros.Micros(0)
-	if awaited || o.c.graph.Waiting(j.ID) != nil { // deadlines count in pipelines only
-		mustEnd = jobgraph.Earlier(jobgraph.DueAt(j.accepted, j.Deadline), inherited.MustEnd)
+	if awaited || o.c.graph.Blocked(j.ID) != nil { // deadlines count in pipelines only
+		mustEnd = dag.EarlierDeadline(dag.AbsoluteDeadline(j.accepted, j.Deadline), inherited.LatestFinish)
 	}
 	if priority == j.Priority && mustEnd == j.mustEnd {
 		return
--- a/controller/inherit_test.go
+++ b/controller/inherit_test.go
@@ -5,7 +5,7 @@
 	"slices"
 	"testing"
 
-	"tamarindlead/internal/jobgraph"
+	"tamarindlead/internal/dag"
 	"tamarindlead/internal/kv"
 	"tamarindlead/internal/record"
 	"tamarindlead/internal/wire"
@@ -160,7 +160,7 @@
 				w.submit(j, micros.FromSeconds(float64(i)), slices.Compact(awaits)...)
 			case n < 8: // done, if it may be
 				id := ids[r.IntN(len(ids))]
-				if v := g.Waiting(id); v == nil || v.Ready() {
+				if v := g.Blocked(id); v == nil || v.Ready() {
 					w.over(id, wire.JobDone)
 				}
 			default:
@@ -168,7 +168,7 @@
 			}
 			clear(cancelled)
 			for id := range w.jobs {
-				if v := g.Waiting(id); v != nil {
+				if v := g.Blocked(id); v != nil {
 					cancelled[id] = v.Cancelled()
 				}
 			}
@@ -178,26 +178,26 @@
 }
 
 // with is what is inherited from two jobs.
-func with(a, b jobgraph.Inheritance) jobgraph.Inheritance {
-	return jobgraph.Inheritance{Priority: max(a.Priority, b.Priority), MustEnd: jobgraph.Earlier(a.MustEnd, b.MustEnd)}
+func with(a, b dag.Inheritance) dag.Inheritance {
+	return dag.Inheritance{Priority: max(a.Priority, b.Priority), LatestFinish: dag.EarlierDeadline(a.LatestFinish, b.LatestFinish)}
 }
 
 // checkAll computes anew what each active job inherits.
 func (w *tree) checkAll(seed uint64, cancelled map[string]bool) {
 	w.Helper()
 	ids := sortedKeys(w.jobs)
-	want := map[string]jobgraph.Inheritance{}
+	want := map[string]dag.Inheritance{}
 	for i := len(ids) - 1; i >= 0; i-- { // those submitted last first
 		j := w.jobs[ids[i]]
 		if cancelled[j.ID] {
 			continue
 		}
-		if w.c.graph.Waiting(j.ID) == nil {
+		if w.c.graph.Blocked(j.ID) == nil {
 			continue
 		}
-		in := with(jobgraph.Inheritance{Priority: j.Priority, MustEnd: jobgraph.DueAt(w.accepted[j.ID], j.Deadline)}, want[j.ID])
-		if in.MustEnd != 0 {
-			in.MustEnd = max(1, in.MustEnd-j.Estimate)
+		in := with(dag.Inheritance{Priority: j.Priority, LatestFinish: dag.AbsoluteDeadline(w.accepted[j.ID], j.Deadline)}, want[j.ID])
+		if in.LatestFinish != 0 {
+			in.LatestFinish = max(1, in.LatestFinish-j.Estimate)
 		}
 		for _, x := range j.Awaits {
 			if w.jobs[x] != nil {
--- a/controller/jobview.go
+++ b/controller/jobview.go
@@ -2,7 +2,7 @@
 
 import (
 	"tamarindlead/internal/budget"
-	"tamarindlead/internal/jobgraph"
+	"tamarindlead/internal/dag"
 	"tamarindlead/internal/kv"
 	"tamarindlead/internal/record"
 	"tamarindlead/internal/wire"
@@ -44,7 +44,7 @@
 	}
 }
 
-func (w jobObserver) JobReady(job *jobgraph.WaitingJob) {
+func (w jobObserver) JobReady(job *dag.BlockedJob) {
 	if o := w.c.owner; o != nil {
 		o.jobReady(job)
 	}
@@ -66,14 +66,14 @@
 	}
 }
 
-func (w jobObserver) EstimateOf(job *jobgraph.WaitingJob) micros.Micros {
+func (w jobObserver) EstimateOf(job *dag.BlockedJob) micros.Micros {
 	if o := w.c.owner; o != nil {
 		return o.classes.Corrected(job.Class, job.Estimate)
 	}
 	return job.Estimate
 }
 
-func (w jobObserver) KnownDone(id string) bool { return w.c.finals.of(id) == wire.JobDone }
+func (w jobObserver) IsDone(id string) bool { return w.c.finals.of(id) == wire.JobDone }
 
 // tickJobView follows the jobs at a node that does not own; an owner does so itself.
 func (c *Core) tickJobView() {
@@ -82,7 +82,7 @@
 		return
 	}
 	view.following = true
-	if c.graph.Synced() {
+	if c.graph.IsSynced() {
 		c.followJobs()
 		return
 	}
@@ -128,7 +128,7 @@
 // takeChanges applies the answer of a watch; false: it does not continue what is known.
 func (c *Core) takeChanges(after uint64, r kv.Result) bool {
 	if r.Outcome == kv.Compacted {
-		c.graph.Desync()
+		c.graph.MarkUnsynced()
 	}
 	var changes kv.WatchResult
 	return r.Outcome == kv.OK && r.Decode(&changes) && c.graph.Apply(after, &changes, c.wallClock)
@@ -164,7 +164,7 @@
 	}
 	batch, after := queue.questions, c.graph.Revision()
 	queue.questions = nil
-	if !c.graph.Synced() {
+	if !c.graph.IsSynced() {
 		answerAll(batch, false)
 		return
 	}
--- a/controller/jobview_test.go
+++ b/controller/jobview_test.go
@@ -56,7 +56,7 @@
 			jobName(0): {Status: record.StatusDone, FinishedAt: 3},
 			jobName(5): {Status: record.StatusCancelled},
 		}
-		for _, id := range g.Unresolved() {
+		for _, id := range g.UnresolvedJobs() {
 			o.c.takeFinal(id, finals[id])
 		}
 		// One job is ready, and the four of the other chain are cancelled.
@@ -82,7 +82,7 @@
 				o.c.nextSlow = 0
 				o.c.Handle(o.c.now, o.c.now, Tick{})
 			}
-			if len(o.waiting) != 4*chains || g.Active(id) {
+			if len(o.waiting) != 4*chains || g.IsActive(id) {
 				b.Fatal("jobs are missing")
 			}
 		})
--- a/controller/lookup_reads.go
+++ b/controller/lookup_reads.go
@@ -2,8 +2,8 @@
 
 import (
 	"tamarindlead/internal/budget"
+	"tamarindlead/internal/dag"
 	"tamarindlead/internal/freshness"
-	"tamarindlead/internal/jobgraph"
 	"tamarindlead/internal/kv"
 	"tamarindlead/internal/record"
 	"tamarindlead/internal/wire"
@@ -82,12 +82,12 @@
 
 // takeActive answers from the record of an active job, unless its state depends on others.
 func (c *Core) takeActive(l *lookup, e kv.Entry) {
-	awaits, err := jobgraph.AwaitsOthers(e.Value)
+	awaits, err := dag.HasDependencies(e.Value)
 	if err != nil {
 		c.finishLookup(l, lookupResult{})
 		return
 	}
-	if job := c.graph.Waiting(l.id); awaits && (job == nil || !job.Ready()) {
+	if job := c.graph.Blocked(l.id); awaits && (job == nil || !job.Ready()) {
 		c.deriveAgain(l) // this node's view is behind
 		return
 	}
@@ -179,7 +179,7 @@
 
 // finishDerived answers about a job from the view, once it shows what the job depends on.
 func (c *Core) finishDerived(l *lookup, ok bool) {
-	switch job := c.graph.Waiting(l.id); {
+	switch job := c.graph.Blocked(l.id); {
 	case !ok:
 		c.finishLookup(l, lookupResult{})
 	case job == nil:
--- a/controller/lookups.go
+++ b/controller/lookups.go
@@ -135,7 +135,7 @@
 	for _, l := range c.lookups.waiting {
 		version := c.knownVersion(l.id)
 		switch {
-		case c.graph.Unsettled(l.id):
+		case c.graph.HasOpenDependencies(l.id):
 			batch.derived = append(batch.derived, l)
 		case version != 0 && c.hasRoomToCompare(batch, l.id, version):
 			batch.versions[record.ActiveJobKey(l.id)] = version
@@ -189,7 +189,7 @@
 	stage := &c.lookups
 	for len(stage.waiting) > 0 && c.budget.MayRequest(budget.Reads, c.now) {
 		first := stage.waiting[0]
-		if c.knownVersion(first.id) != 0 || c.graph.Unsettled(first.id) {
+		if c.knownVersion(first.id) != 0 || c.graph.HasOpenDependencies(first.id) {
 			break // its turn comes with the next batch
 		}
 		stage.waiting = stage.waiting[1:]
--- a/controller/submissions.go
+++ b/controller/submissions.go
@@ -153,7 +153,7 @@
 	case c.finals.of(id) != "" || c.knownVersion(id) != 0:
 		s.answerKnownOr(sub, unavailable(reasonStoreSilent))
 		return
-	case !c.graph.Synced():
+	case !c.graph.IsSynced():
 		s.answerKnownOr(sub, unavailable(reasonJobsUnknown))
 		return
 	}
--- a/controller/waiting.go
+++ b/controller/waiting.go
@@ -5,7 +5,7 @@
 	"strings"
 
 	"tamarindlead/internal/budget"
-	"tamarindlead/internal/jobgraph"
+	"tamarindlead/internal/dag"
 	"tamarindlead/internal/kv"
 	"tamarindlead/internal/record"
 	"tamarindlead/micros"
@@ -20,7 +20,7 @@
 func (o *owner) addWaiting(j *job) {
 	o.setJob(j, jobWaiting)
 	o.waiting[j.ID] = j
-	switch waiting := o.c.graph.Waiting(j.ID); {
+	switch waiting := o.c.graph.Blocked(j.ID); {
 	case waiting == nil: // its record is gone already; the watch will tell
 	case waiting.Cancelled():
 		o.queueCancelled(j.ID)
@@ -30,13 +30,13 @@
 }
 
 // jobReady lets a job be placed: all that it awaits is done. Its times count from then.
-func (o *owner) jobReady(waiting *jobgraph.WaitingJob) {
+func (o *owner) jobReady(waiting *dag.BlockedJob) {
 	j := o.waiting[waiting.ID]
 	if j == nil {
 		return
 	}
 	delete(o.waiting, j.ID)
-	j.since = max(j.accepted, waiting.LatestDone)
+	j.since = max(j.accepted, waiting.LatestDependencyDone)
 	o.setJob(j, jobActive)
 	o.c.log.Info("job is ready", "job", j.ID, "class", j.Class, "waited_s", (o.c.wallClock - j.accepted).Seconds())
 	o.enqueue(j)
@@ -46,7 +46,7 @@
 // read that all that the job awaits is done, which never changes.
 func (o *owner) placedJob(id string) *job {
 	if o.waiting[id] != nil {
-		waiting := o.c.graph.Waiting(id)
+		waiting := o.c.graph.Blocked(id)
 		if waiting == nil {
 			return nil
 		}
@@ -72,11 +72,11 @@
 	if resolution.reading || o.c.now < resolution.nextTry || o.c.store.Unavailable() {
 		return
 	}
-	if o.c.graph.HasUnresolved() {
+	if o.c.graph.HasUnresolvedJobs() {
 		o.c.resolveEnds(nil)
 		return
 	}
-	if partial := o.c.graph.FirstPartial(); partial != nil {
+	if partial := o.c.graph.FirstIncomplete(); partial != nil {
 		resolution.nextTry = o.c.now + loadRetry
 		o.c.readParts(partial, func(ok bool) {
 			if ok {
@@ -92,7 +92,7 @@
 	for len(o.cancelled) > 0 && !full() {
 		id := o.cancelled[0]
 		o.cancelled = o.cancelled[1:]
-		j, waiting := o.waiting[id], o.c.graph.Waiting(id)
+		j, waiting := o.waiting[id], o.c.graph.Blocked(id)
 		if j == nil {
 			continue
 		}
@@ -148,12 +148,12 @@
 			return
 		}
 		j.unsure = false
-		if ok && !o.c.graph.Active(j.ID) {
+		if ok && !o.c.graph.IsActive(j.ID) {
 			o.forgetWaiting(j)
 			return
 		}
 		o.c.after(recheckDelay, func() {
-			if waiting := o.c.graph.Waiting(j.ID); !o.superseded() && waiting != nil && waiting.Cancelled() {
+			if waiting := o.c.graph.Blocked(j.ID); !o.superseded() && waiting != nil && waiting.Cancelled() {
 				o.queueCancelled(j.ID)
 			}
 		})
@@ -199,7 +199,7 @@
 func (o *owner) dropLeftoverParts(entries []kv.Entry) {
 	for _, e := range entries {
 		id, _, _ := strings.Cut(strings.TrimPrefix(e.Key, record.DependencyPartPrefix), "/")
-		if !o.c.graph.Active(id) && !slices.Contains(o.obsoleteKeys, e.Key) {
+		if !o.c.graph.IsActive(id) && !slices.Contains(o.obsoleteKeys, e.Key) {
 			o.obsoleteKeys = append(o.obsoleteKeys, e.Key)
 		}
 	}
--- a/internal/jobgraph/graph.go
+++ b/internal/dag/graph.go
@@ -9,7 +9,7 @@
 // final records of all jobs that it awaits say done, and cancelled once any job before it,
 // directly or through others, is. Neither ever changes back, since final records do not. So
 // what is known of an awaited job's end is kept.
-package jobgraph
+package dag
 
 import (
 	"log/slog"
@@ -33,15 +33,15 @@
 	// JobDeleted tells of a job that is not active any more.
 	JobDeleted(id string)
 	// JobReady tells that all that a waiting job awaits is done.
-	JobReady(job *WaitingJob)
+	JobReady(job *BlockedJob)
 	// JobCancelled tells that a waiting job is cancelled with one before it.
 	JobCancelled(id string)
 	// InheritanceChanged tells that a job inherits something else than before.
 	InheritanceChanged(id string)
 	// EstimateOf returns how long a waiting job is expected to run once it begins.
-	EstimateOf(job *WaitingJob) micros.Micros
-	// KnownDone tells whether a job is known to be done.
-	KnownDone(id string) bool
+	EstimateOf(job *BlockedJob) micros.Micros
+	// IsDone tells whether a job is known to be done.
+	IsDone(id string) bool
 }
 
 // Graph is the view of the active jobs.
@@ -51,14 +51,14 @@
 
 	versions map[string]uint64 // of records, for comparisons; may be outdated
 	// All below is as of the revision, while the view is synced.
-	active     map[string]bool
-	waiting    map[string]*WaitingJob
-	dependents map[string]map[string]*WaitingJob // by each job that they await, while it is not known to be done
-	unresolved map[string]bool                   // awaited, no longer active, and not known how they ended
-	partial    map[string]bool                   // waiting, with parts of their lists unread
-	revision   uint64
-	synced     bool
-	resets     int
+	active         map[string]bool
+	blocked        map[string]*BlockedJob
+	dependents     map[string]map[string]*BlockedJob // by each job that they await, while it is not known to be done
+	unresolvedJobs map[string]bool                   // awaited, no longer active, and not known how they ended
+	incomplete     map[string]bool                   // waiting, with parts of their lists unread
+	revision       uint64
+	synced         bool
+	resets         int
 
 	inherited map[string]Inheritance // by each job that others await
 	work      Work
@@ -80,19 +80,19 @@
 func (g *Graph) clear() {
 	g.versions = map[string]uint64{}
 	g.active = map[string]bool{}
-	g.waiting = map[string]*WaitingJob{}
-	g.dependents = map[string]map[string]*WaitingJob{}
-	g.unresolved = map[string]bool{}
-	g.partial = map[string]bool{}
+	g.blocked = map[string]*BlockedJob{}
+	g.dependents = map[string]map[string]*BlockedJob{}
+	g.unresolvedJobs = map[string]bool{}
+	g.incomplete = map[string]bool{}
 	g.inherited = map[string]Inheritance{}
 }
 
-// Synced tells whether the graph was given a listing, and all changes since, up to its
+// IsSynced tells whether the graph was given a listing, and all changes since, up to its
 // revision.
-func (g *Graph) Synced() bool { return g.synced }
+func (g *Graph) IsSynced() bool { return g.synced }
 
-// Desync notes that changes were missed: until the next listing none are taken.
-func (g *Graph) Desync() { g.synced = false }
+// MarkUnsynced notes that changes were missed: until the next listing none are taken.
+func (g *Graph) MarkUnsynced() { g.synced = false }
 
 // Revision is the revision up to which changes were applied.
 func (g *Graph) Revision() uint64 { return g.revision }
@@ -103,15 +103,15 @@
 // Work returns what was looked at so far.
 func (g *Graph) Work() Work { return g.work }
 
-// Active tells whether a job was active at the graph's revision.
-func (g *Graph) Active(id string) bool { return g.active[id] }
+// IsActive tells whether a job was active at the graph's revision.
+func (g *Graph) IsActive(id string) bool { return g.active[id] }
 
-// Waiting returns an active job that awaits others, ready or not, or nil.
-func (g *Graph) Waiting(id string) *WaitingJob { return g.waiting[id] }
+// Blocked returns an active job that awaits others, ready or not, or nil.
+func (g *Graph) Blocked(id string) *BlockedJob { return g.blocked[id] }
 
-// Unsettled tells whether a job's state depends on others.
-func (g *Graph) Unsettled(id string) bool {
-	job := g.waiting[id]
+// HasOpenDependencies tells whether a job's state depends on others.
+func (g *Graph) HasOpenDependencies(id string) bool {
+	job := g.blocked[id]
 	return job != nil && !job.Ready()
 }
 
@@ -131,7 +131,7 @@
 // Reset takes a listing. It may be older than what was known: whoever needs the present state
 // asks for the changes since. What is known of ends stays true.
 func (g *Graph) Reset(entries []kv.Entry, revision uint64) {
-	previous := g.waiting
+	previous := g.blocked
 	g.clear()
 	g.resets++
 	g.revision, g.synced = revision, true
@@ -142,7 +142,7 @@
 	}
 	for _, e := range entries {
 		id := jobOf(e.Key)
-		job, before := g.addWaiting(id, e.Value, e.Version), previous[id]
+		job, before := g.addBlocked(id, e.Value, e.Version), previous[id]
 		if job != nil && before != nil && before.Version == job.Version {
 			g.restore(job, before)
 		}
@@ -150,16 +150,16 @@
 }
 
 // restore gives a job what was known of it before a listing.
-func (g *Graph) restore(job, before *WaitingJob) {
-	if before.complete && !job.complete {
-		g.setAwaited(job, sortedKeys(before.awaited))
+func (g *Graph) restore(job, before *BlockedJob) {
+	if before.dependenciesKnown && !job.dependenciesKnown {
+		g.setPendingDependencies(job, sortedKeys(before.pendingDependencies))
 	}
-	for _, id := range sortedKeys(job.awaited) {
-		if before.complete && !before.awaited[id] {
+	for _, id := range sortedKeys(job.pendingDependencies) {
+		if before.dependenciesKnown && !before.pendingDependencies[id] {
 			g.unlink(job, id)
 		}
 	}
-	job.LatestDone = before.LatestDone
+	job.LatestDependencyDone = before.LatestDependencyDone
 	if before.Cancelled() && !job.Cancelled() {
 		g.cancel(job, before.CancelledRoot)
 	}
@@ -191,22 +191,22 @@
 	id := jobOf(key)
 	g.SetVersion(id, version)
 	g.active[id] = true
-	delete(g.unresolved, id) // it was not known yet
-	g.addWaiting(id, value, version)
+	delete(g.unresolvedJobs, id) // it was not known yet
+	g.addBlocked(id, value, version)
 	g.observer.JobPut(key, value, version)
 }
 
 func (g *Graph) delete(id string, wallClock micros.Micros) {
 	delete(g.versions, id)
 	delete(g.active, id)
-	job := g.waiting[id]
+	job := g.blocked[id]
 	if job != nil {
-		g.dropWaiting(job)
+		g.removeBlocked(job)
 	}
 	if len(g.dependents[id]) > 0 && (job == nil || !job.Cancelled()) {
-		g.unresolved[id] = true
-		if g.observer.KnownDone(id) {
-			g.Done(id, wallClock)
+		g.unresolvedJobs[id] = true
+		if g.observer.IsDone(id) {
+			g.MarkDone(id, wallClock)
 		}
 	}
 	g.observer.JobDeleted(id)
--- a/internal/jobgraph/graph_test.go
+++ b/internal/dag/graph_test.go
@@ -1,4 +1,4 @@
-package jobgraph
+package dag
 
 import (
 	"fmt"
@@ -42,12 +42,12 @@
 
 func (r *recorder) JobPut(key string, _ []byte, _ uint64) { r.active[key] = true }
 func (r *recorder) JobDeleted(id string)                  { delete(r.active, record.ActiveJobKey(id)) }
-func (r *recorder) JobReady(job *WaitingJob)              { r.ready = append(r.ready, job.ID) }
+func (r *recorder) JobReady(job *BlockedJob)              { r.ready = append(r.ready, job.ID) }
 func (r *recorder) JobCancelled(id string)                { r.cancelled = append(r.cancelled, id) }
 func (r *recorder) InheritanceChanged(string)             { r.inherit++ }
-func (r *recorder) KnownDone(id string) bool              { return r.done[id] }
+func (r *recorder) IsDone(id string) bool                 { return r.done[id] }
 
-func (r *recorder) EstimateOf(job *WaitingJob) micros.Micros { return job.Estimate }
+func (r *recorder) EstimateOf(job *BlockedJob) micros.Micros { return job.Estimate }
 
 func newRecorder() *recorder { return &recorder{active: map[string]bool{}, done: map[string]bool{}} }
 
@@ -55,33 +55,33 @@
 	return New(newRecorder(), slog.New(slog.NewTextHandler(t.Output(), nil)))
 }
 
-// final is how a job ended.
-type final struct {
+// terminalState is how a job ended.
+type terminalState struct {
 	status wire.JobPhase
 	at     micros.Micros
 	root   string // of one that is cancelled: the job that its user cancelled
 }
 
-// tell has a graph take how a job ended.
-func (f final) tell(g *Graph, id string) {
+// applyTo has a graph take how a job ended.
+func (f terminalState) applyTo(g *Graph, id string) {
 	if f.status == wire.JobDone {
-		g.Done(id, f.at)
+		g.MarkDone(id, f.at)
 	} else {
-		g.Cancelled(id, f.root)
+		g.MarkCancelled(id, f.root)
 	}
 }
 
 // records are the jobs' records as a state service has them, with their history.
 type records struct {
-	revision uint64
-	jobs     map[string][]string // accepted: what each awaits
-	accepted map[string]uint64   // active: version
-	finals   map[string]final
-	history  []kv.Change
+	revision       uint64
+	jobs           map[string][]string // accepted: what each awaits
+	accepted       map[string]uint64   // active: version
+	terminalStates map[string]terminalState
+	history        []kv.Change
 }
 
 func newRecords() *records {
-	return &records{jobs: map[string][]string{}, accepted: map[string]uint64{}, finals: map[string]final{}}
+	return &records{jobs: map[string][]string{}, accepted: map[string]uint64{}, terminalStates: map[string]terminalState{}}
 }
 
 func (r *records) accept(id string, awaits []string) {
@@ -90,10 +90,10 @@
 	r.history = append(r.history, kv.Change{Put: record.ActiveJobKey(id), Value: recordOf(testJob(id, awaits...), 1), Version: r.revision})
 }
 
-func (r *records) end(id string, rec final) {
+func (r *records) end(id string, rec terminalState) {
 	r.revision++
 	delete(r.accepted, id)
-	r.finals[id] = rec
+	r.terminalStates[id] = rec
 	r.history = append(r.history, kv.Change{Delete: record.ActiveJobKey(id), Version: r.revision})
 }
 
@@ -116,14 +116,14 @@
 	return all
 }
 
-// is is a job's state as a function of records alone.
-func (r *records) is(id string) wire.JobPhase {
-	if f, ok := r.finals[id]; ok {
+// phaseOf is a job's state as a function of records alone.
+func (r *records) phaseOf(id string) wire.JobPhase {
+	if f, ok := r.terminalStates[id]; ok {
 		return f.status
 	}
 	state := wire.JobPhase("ready")
 	for _, x := range r.jobs[id] {
-		switch r.is(x) {
+		switch r.phaseOf(x) {
 		case wire.JobCancelled:
 			return wire.JobCancelled
 		case wire.JobDone:
@@ -161,13 +161,13 @@
 					slices.Sort(awaits)
 					r.accept(jobName(step), slices.Compact(awaits))
 				case p < 8:
-					if id := pick(); r.is(id) == "ready" {
-						r.end(id, final{status: wire.JobDone, at: micros.Micros(step), root: id})
+					if id := pick(); r.phaseOf(id) == "ready" {
+						r.end(id, terminalState{status: wire.JobDone, at: micros.Micros(step), root: id})
 					}
 				case p < 9:
 					if id := pick(); r.accepted[id] != 0 {
-						rec := final{status: wire.JobCancelled, root: id}
-						if r.is(id) == wire.JobCancelled && rng.IntN(2) == 0 {
+						rec := terminalState{status: wire.JobCancelled, root: id}
+						if r.phaseOf(id) == wire.JobCancelled && rng.IntN(2) == 0 {
 							rec.root = r.rootOf(id)
 						}
 						r.end(id, rec)
@@ -198,18 +198,18 @@
 						t.Fatal("changes that continue the view were refused")
 					}
 				}
-				for _, id := range sortedKeys(g.unresolved) {
-					if _, over := r.finals[id]; !over {
+				for _, id := range sortedKeys(g.unresolvedJobs) {
+					if _, over := r.terminalStates[id]; !over {
 						t.Fatalf("step %d: %s is taken to be over", step, id)
 					}
-					r.finals[id].tell(g, id)
+					r.terminalStates[id].applyTo(g, id)
 				}
-				if g.Apply(0, r.since(0), wallClock); len(g.unresolved) > 0 {
-					t.Fatalf("step %d: changes that were applied before are taken for news: %v", step, sortedKeys(g.unresolved))
+				if g.Apply(0, r.since(0), wallClock); len(g.unresolvedJobs) > 0 {
+					t.Fatalf("step %d: changes that were applied before are taken for news: %v", step, sortedKeys(g.unresolvedJobs))
 				}
 				for x, deps := range g.dependents {
 					for id, w := range deps {
-						if g.waiting[id] != w || !w.awaited[x] {
+						if g.blocked[id] != w || !w.pendingDependencies[x] {
 							t.Fatalf("step %d: %s is kept as waiting for %s", step, id, x)
 						}
 					}
@@ -218,7 +218,7 @@
 					if g.active[id] != (r.accepted[id] != 0) {
 						t.Fatalf("step %d: %s is active: %v", step, id, g.active[id])
 					}
-					w := g.waiting[id]
+					w := g.blocked[id]
 					if (w != nil) != (r.accepted[id] != 0 && len(r.jobs[id]) > 0) {
 						t.Fatalf("step %d: %s waits: %v", step, id, w)
 					}
@@ -228,13 +228,13 @@
 					got := wire.JobPhase("waits")
 					if w.Cancelled() {
 						got = wire.JobCancelled
-						if f := r.finals[w.CancelledRoot]; f.status != wire.JobCancelled {
+						if f := r.terminalStates[w.CancelledRoot]; f.status != wire.JobCancelled {
 							t.Fatalf("step %d: %s is cancelled with %s, which is %q", step, id, w.CancelledRoot, f.status)
 						}
 					} else if w.Ready() {
 						got = "ready"
 					}
-					if want := r.is(id); got != want {
+					if want := r.phaseOf(id); got != want {
 						t.Fatalf("step %d: %s is %s by the records, %s in the view", step, id, want, got)
 					}
 				}
@@ -246,9 +246,9 @@
 // rootOf finds a job that was cancelled before another.
 func (r *records) rootOf(id string) string {
 	for _, x := range r.jobs[id] {
-		if f, over := r.finals[x]; over && f.status == wire.JobCancelled {
+		if f, over := r.terminalStates[x]; over && f.status == wire.JobCancelled {
 			return f.root
-		} else if !over && r.is(x) == wire.JobCancelled {
+		} else if !over && r.phaseOf(x) == wire.JobCancelled {
 			return r.rootOf(x)
 		}
 	}
@@ -277,7 +277,7 @@
 func TestObserver(t *testing.T) {
 	seen := newRecorder()
 	g := New(seen, slog.Default())
-	if g.Apply(0, &kv.WatchResult{Revision: 1}, wallClock) || g.Synced() {
+	if g.Apply(0, &kv.WatchResult{Revision: 1}, wallClock) || g.IsSynced() {
 		t.Fatal("changes are taken without a listing")
 	}
 	g.Reset(nil, 0)
@@ -286,33 +286,33 @@
 	submit(t, g, testJob(b, a), 2)
 	submit(t, g, testJob(c, b), 3)
 	submit(t, g, testJob(d, c, a), 4)
-	if !g.Unsettled(b) || g.Unsettled(a) || g.Version(c) != 3 || len(seen.active) != 4 {
+	if !g.HasOpenDependencies(b) || g.HasOpenDependencies(a) || g.Version(c) != 3 || len(seen.active) != 4 {
 		t.Fatalf("after four submissions: %+v", seen)
 	}
 
 	apply(t, g, kv.Change{Delete: record.ActiveJobKey(a)})
-	if got := g.Unresolved(); !slices.Equal(got, []string{a}) || len(seen.ready) > 0 {
+	if got := g.UnresolvedJobs(); !slices.Equal(got, []string{a}) || len(seen.ready) > 0 {
 		t.Fatalf("one ended in a way not known: unresolved %v, ready %v", got, seen.ready)
 	}
-	g.Done(a, 77)
-	if !slices.Equal(seen.ready, []string{b}) || g.Waiting(b).LatestDone != 77 || g.HasUnresolved() {
+	g.MarkDone(a, 77)
+	if !slices.Equal(seen.ready, []string{b}) || g.Blocked(b).LatestDependencyDone != 77 || g.HasUnresolvedJobs() {
 		t.Fatalf("the first is done: ready %v", seen.ready)
 	}
 
 	apply(t, g, kv.Change{Delete: record.ActiveJobKey(b)})
-	g.Cancelled(b, b)
-	g.Cancelled(b, b)
-	if !slices.Equal(seen.cancelled, []string{c, d}) || g.Waiting(d).CancelledRoot != b {
+	g.MarkCancelled(b, b)
+	g.MarkCancelled(b, b)
+	if !slices.Equal(seen.cancelled, []string{c, d}) || g.Blocked(d).CancelledRoot != b {
 		t.Fatalf("the second is cancelled: cancelled %v", seen.cancelled)
 	}
-	g.Desync()
+	g.MarkUnsynced()
 	if g.Apply(g.Revision(), &kv.WatchResult{Revision: g.Revision() + 1}, wallClock) {
 		t.Fatal("changes are taken after some were missed")
 	}
 }
 
-// TestKnownDone guards that a job which the user knows to be done holds up nobody.
-func TestKnownDone(t *testing.T) {
+// TestIsDone guards that a job which the user knows to be done holds up nobody.
+func TestIsDone(t *testing.T) {
 	seen := newRecorder()
 	g := New(seen, slog.Default())
 	g.Reset(nil, 0)
@@ -322,8 +322,8 @@
 	seen.done[a] = true
 	apply(t, g, kv.Change{Delete: record.ActiveJobKey(a)})
 	submit(t, g, testJob(c, a), 3)
-	if !slices.Equal(seen.ready, []string{b, c}) || g.HasUnresolved() || g.Waiting(b).LatestDone != wallClock {
-		t.Fatalf("ready %v, unresolved %v", seen.ready, g.Unresolved())
+	if !slices.Equal(seen.ready, []string{b, c}) || g.HasUnresolvedJobs() || g.Blocked(b).LatestDependencyDone != wallClock {
+		t.Fatalf("ready %v, unresolved %v", seen.ready, g.UnresolvedJobs())
 	}
 }
 
@@ -338,21 +338,21 @@
 	value := wire.Encode(record.Job{AcceptedAt: 2, Blocked: &description, DependencyParts: 1})
 	apply(t, g, kv.Change{Put: record.ActiveJobKey(b), Value: value})
 	submit(t, g, testJob(c, b), 3)
-	partial, unresolved := g.MissingFor([]string{c})
-	if partial == nil || partial.ID != b || unresolved || partial.Ready() || g.FirstPartial() != partial {
+	partial, unresolved := g.FindUnresolved([]string{c})
+	if partial == nil || partial.ID != b || unresolved || partial.Ready() || g.FirstIncomplete() != partial {
 		t.Fatalf("missing: %+v, unresolved %v", partial, unresolved)
 	}
-	g.CompleteList(partial, []string{a})
-	if partial, unresolved = g.MissingFor([]string{c}); partial != nil || unresolved || g.FirstPartial() != nil {
+	g.SetDependencies(partial, []string{a})
+	if partial, unresolved = g.FindUnresolved([]string{c}); partial != nil || unresolved || g.FirstIncomplete() != nil {
 		t.Fatalf("with its list: %+v, unresolved %v", partial, unresolved)
 	}
 	apply(t, g, kv.Change{Delete: record.ActiveJobKey(a)})
-	if _, unresolved = g.MissingFor([]string{c}); !unresolved {
+	if _, unresolved = g.FindUnresolved([]string{c}); !unresolved {
 		t.Fatal("a job ended that c needs through b")
 	}
-	g.AssumeDone(g.Waiting(b))
-	if !g.Waiting(b).Ready() || g.HasUnresolved() || len(seen.ready) > 0 {
-		t.Fatalf("assumed done: ready %v, told %v", g.Waiting(b).Ready(), seen.ready)
+	g.AssumeDone(g.Blocked(b))
+	if !g.Blocked(b).Ready() || g.HasUnresolvedJobs() || len(seen.ready) > 0 {
+		t.Fatalf("assumed done: ready %v, told %v", g.Blocked(b).Ready(), seen.ready)
 	}
 }
 
@@ -375,26 +375,26 @@
 		entryOf(testJob(c, a, other.ID), 4), partial, entryOf(testJob(jobName(5), b), 6),
 	}
 	g.Reset(entries, 6)
-	g.CompleteList(g.Waiting(d), []string{other.ID})
+	g.SetDependencies(g.Blocked(d), []string{other.ID})
 	apply(t, g, kv.Change{Delete: record.ActiveJobKey(a)})
-	g.Done(a, 55)
+	g.MarkDone(a, 55)
 	apply(t, g, kv.Change{Delete: record.ActiveJobKey(b)})
-	g.Cancelled(b, b)
+	g.MarkCancelled(b, b)
 
 	g.Reset(entries[2:], 8)
-	if job := g.Waiting(c); job.LatestDone != 55 || len(job.awaited) != 1 || !slices.Equal(g.Unresolved(), []string{b}) {
-		t.Errorf("what is known of a job that is done is lost: %+v, unresolved %v", job, g.Unresolved())
+	if job := g.Blocked(c); job.LatestDependencyDone != 55 || len(job.pendingDependencies) != 1 || !slices.Equal(g.UnresolvedJobs(), []string{b}) {
+		t.Errorf("what is known of a job that is done is lost: %+v, unresolved %v", job, g.UnresolvedJobs())
 	}
-	if job := g.Waiting(d); !job.Complete() || !job.awaited[other.ID] {
+	if job := g.Blocked(d); !job.DependenciesKnown() || !job.pendingDependencies[other.ID] {
 		t.Errorf("a list is lost: %+v", job)
 	}
-	if job := g.Waiting(jobName(5)); job.CancelledRoot != b {
+	if job := g.Blocked(jobName(5)); job.CancelledRoot != b {
 		t.Errorf("a cancellation is lost: %+v", job)
 	}
 
 	entries[3].Version = 9 // the same name, and not the job that was known
 	g.Reset(entries[2:], 9)
-	if job := g.Waiting(c); job.LatestDone != 0 || len(job.awaited) != 2 {
+	if job := g.Blocked(c); job.LatestDependencyDone != 0 || len(job.pendingDependencies) != 2 {
 		t.Errorf("another record is taken for the one that was known: %+v", job)
 	}
 }
@@ -413,13 +413,13 @@
 		t.Fatalf("inherits %v, awaited %v", inherited, awaited)
 	}
 	apply(t, g, kv.Change{Delete: record.ActiveJobKey(a)})
-	g.Cancelled(a, a)
+	g.MarkCancelled(a, a)
 	if inherited, awaited := g.Inherited(b); !awaited || inherited != (Inheritance{}) {
 		t.Errorf("inherits %v from a cancelled job, awaited %v", inherited, awaited)
 	}
 	apply(t, g, kv.Change{Delete: record.ActiveJobKey(c)})
-	if g.HasUnresolved() {
-		t.Errorf("how %v ended is asked", g.Unresolved())
+	if g.HasUnresolvedJobs() {
+		t.Errorf("how %v ended is asked", g.UnresolvedJobs())
 	}
 	if _, awaited := g.Inherited(b); awaited {
 		t.Error("a job is taken to be awaited when nobody does any more")
@@ -433,8 +433,8 @@
 	description := wire.FromJob(testJob(jobName(1)))
 	value := wire.Encode(record.Job{AcceptedAt: 2, Blocked: &description, DependencyParts: 1})
 	apply(t, g, kv.Change{Put: record.ActiveJobKey(jobName(1)), Value: value})
-	g.AssumeDone(g.Waiting(jobName(1)))
-	if !g.Waiting(jobName(1)).Ready() || g.FirstPartial() != nil {
+	g.AssumeDone(g.Blocked(jobName(1)))
+	if !g.Blocked(jobName(1)).Ready() || g.FirstIncomplete() != nil {
 		t.Error("a job that was placed is not ready")
 	}
 }
@@ -456,16 +456,16 @@
 	}
 }
 
-// TestAwaitsOthers guards the difference between records of jobs that await others and those
+// TestHasDependencies guards the difference between records of jobs that await others and those
 // that do not.
-func TestAwaitsOthers(t *testing.T) {
+func TestHasDependencies(t *testing.T) {
 	for _, awaits := range [][]string{nil, {jobName(1)}} {
-		got, err := AwaitsOthers(recordOf(testJob(jobName(2), awaits...), 1))
+		got, err := HasDependencies(recordOf(testJob(jobName(2), awaits...), 1))
 		if err != nil || got != (len(awaits) > 0) {
 			t.Errorf("awaits %v: %v, %v", awaits, got, err)
 		}
 	}
-	if _, err := AwaitsOthers([]byte{0xff}); err == nil {
+	if _, err := HasDependencies([]byte{0xff}); err == nil {
 		t.Error("a record that cannot be read is read")
 	}
 }
--- a/internal/jobgraph/inheritance.go
+++ b/internal/dag/inheritance.go
@@ -1,4 +1,4 @@
-package jobgraph
+package dag
 
 import (
 	"container/heap"
@@ -19,33 +19,33 @@
 
 // Inheritance is what a job has from those that need it.
 type Inheritance struct {
-	Priority sched.Priority
-	MustEnd  micros.Micros // the latest end that lets all of them meet their deadlines, 0 for none
+	Priority     sched.Priority
+	LatestFinish micros.Micros // the latest end that lets all of them meet their deadlines, 0 for none
 }
 
 // merge is what is inherited from two.
 func (a Inheritance) merge(b Inheritance) Inheritance {
-	return Inheritance{max(a.Priority, b.Priority), Earlier(a.MustEnd, b.MustEnd)}
+	return Inheritance{max(a.Priority, b.Priority), EarlierDeadline(a.LatestFinish, b.LatestFinish)}
 }
 
-// decides tells whether what one passed may have been the reason for what is inherited, and
+// mayDetermine tells whether what one passed may have been the reason for what is inherited, and
 // is not any more with what it passes now.
-func (a Inheritance) decides(all, now Inheritance) bool {
+func (a Inheritance) mayDetermine(all, now Inheritance) bool {
 	return a.Priority == all.Priority && now.Priority < a.Priority ||
-		a.MustEnd != 0 && a.MustEnd == all.MustEnd && Earlier(a.MustEnd, now.MustEnd) != now.MustEnd
+		a.LatestFinish != 0 && a.LatestFinish == all.LatestFinish && EarlierDeadline(a.LatestFinish, now.LatestFinish) != now.LatestFinish
 }
 
-// Earlier is the earlier of two times, of which 0 stands for none.
-func Earlier(a, b micros.Micros) micros.Micros {
+// EarlierDeadline is the earlier of two times, of which 0 stands for none.
+func EarlierDeadline(a, b micros.Micros) micros.Micros {
 	if a == 0 || b == 0 {
 		return max(a, b)
 	}
 	return min(a, b)
 }
 
-// DueAt is when a job of its own must have ended, 0 for never. It counts from the submission,
+// AbsoluteDeadline is when a job of its own must have ended, 0 for never. It counts from the submission,
 // however long the job waits.
-func DueAt(accepted, deadline micros.Micros) micros.Micros {
+func AbsoluteDeadline(accepted, deadline micros.Micros) micros.Micros {
 	if deadline == 0 {
 		return 0
 	}
@@ -58,23 +58,23 @@
 	return inherited, awaited
 }
 
-// passes is what a job passes on to those that it awaits.
-func (g *Graph) passes(job *WaitingJob) Inheritance {
-	own := Inheritance{job.priority, DueAt(job.accepted, job.deadline)}
+// propagatedBy is what a job passes on to those that it awaits.
+func (g *Graph) propagatedBy(job *BlockedJob) Inheritance {
+	own := Inheritance{job.priority, AbsoluteDeadline(job.accepted, job.deadline)}
 	all := own.merge(g.inherited[job.ID])
-	if all.MustEnd != 0 {
-		all.MustEnd = max(1, all.MustEnd-job.corrected)
+	if all.LatestFinish != 0 {
+		all.LatestFinish = max(1, all.LatestFinish-job.correctedEstimate)
 	}
 	return all
 }
 
 // latestFirst is a queue of jobs of which each is taken before those that it awaits.
-type latestFirst []*WaitingJob
+type latestFirst []*BlockedJob
 
 func (l latestFirst) Len() int           { return len(l) }
 func (l latestFirst) Less(i, k int) bool { return l[i].Version > l[k].Version }
 func (l latestFirst) Swap(i, k int)      { l[i], l[k] = l[k], l[i] }
-func (l *latestFirst) Push(job any)      { *l = append(*l, job.(*WaitingJob)) }
+func (l *latestFirst) Push(job any)      { *l = append(*l, job.(*BlockedJob)) }
 
 func (l *latestFirst) Pop() any {
 	last := len(*l) - 1
@@ -83,43 +83,43 @@
 	return job
 }
 
-// passOn has a job pass on what it does by now, and so on for all for which that changes
+// propagateFrom has a job pass on what it does by now, and so on for all for which that changes
 // something.
-func (g *Graph) passOn(job *WaitingJob) {
-	if !job.passing {
-		job.corrected = g.observer.EstimateOf(job)
+func (g *Graph) propagateFrom(job *BlockedJob) {
+	if !job.propagating {
+		job.correctedEstimate = g.observer.EstimateOf(job)
 	}
 	g.propagate(job, true)
 }
 
-// stopPassing has a job that is over or cancelled pass on nothing any more.
-func (g *Graph) stopPassing(job *WaitingJob) {
-	if job.passing {
+// stopPropagating has a job that is over or cancelled pass on nothing any more.
+func (g *Graph) stopPropagating(job *BlockedJob) {
+	if job.propagating {
 		g.propagate(job, false)
 	}
 }
 
 // propagate carries a change from a job to those that it needs.
-func (g *Graph) propagate(first *WaitingJob, passing bool) {
+func (g *Graph) propagate(first *BlockedJob, passing bool) {
 	for queue := (latestFirst{first}); len(queue) > 0; {
-		job := heap.Pop(&queue).(*WaitingJob)
+		job := heap.Pop(&queue).(*BlockedJob)
 		job.queued = false
-		before, now, passedBefore := job.passed, g.passes(job), job.passing
-		job.passing = job != first || passing
-		job.passed = now
-		if passedBefore && job.passing && now == before {
+		before, now, passedBefore := job.propagated, g.propagatedBy(job), job.propagating
+		job.propagating = job != first || passing
+		job.propagated = now
+		if passedBefore && job.propagating && now == before {
 			continue
 		}
-		change := passedChange{passedBefore: passedBefore, passes: job.passing, before: before}
-		if job.passing {
+		change := propagationChange{propagatedBefore: passedBefore, propagates: job.propagating, before: before}
+		if job.propagating {
 			change.now = now
 		}
 		// The order does not matter: each job awaited takes the change for itself.
-		for id := range job.awaited {
-			if !g.takeChange(id, change) {
+		for id := range job.pendingDependencies {
+			if !g.applyPropagation(id, change) {
 				continue
 			}
-			if next := g.waiting[id]; next != nil && next.passing && !next.queued {
+			if next := g.blocked[id]; next != nil && next.propagating && !next.queued {
 				next.queued = true
 				heap.Push(&queue, next)
 			}
@@ -127,25 +127,25 @@
 	}
 }
 
-// passedChange is how what a job passes on has changed.
-type passedChange struct {
-	passedBefore, passes bool
-	before, now          Inheritance
+// propagationChange is how what a job passes on has changed.
+type propagationChange struct {
+	propagatedBefore, propagates bool
+	before, now                  Inheritance
 }
 
-// takeChange has a job inherit what one that awaits it passes on; it tells whether that
+// applyPropagation has a job inherit what one that awaits it passes on; it tells whether that
 // changed what the job inherits.
-func (g *Graph) takeChange(id string, change passedChange) bool {
+func (g *Graph) applyPropagation(id string, change propagationChange) bool {
 	g.work.Edges++
 	before, known := g.inherited[id]
 	now := before
-	if change.passes {
+	if change.propagates {
 		now = before.merge(change.now)
 	}
-	if change.passedBefore && change.before.decides(before, change.now) {
+	if change.propagatedBefore && change.before.mayDetermine(before, change.now) {
 		now = g.inheritedBy(id, before)
 	}
-	if known && now == before || !known && !change.passes {
+	if known && now == before || !known && !change.propagates {
 		return false
 	}
 	g.inherited[id] = now
@@ -159,10 +159,10 @@
 	var all Inheritance
 	for _, dependent := range g.dependents[id] {
 		g.work.Edges++
-		if !dependent.passing {
+		if !dependent.propagating {
 			continue
 		}
-		if all = all.merge(dependent.passed); all == most {
+		if all = all.merge(dependent.propagated); all == most {
 			break
 		}
 	}
--- a/internal/jobgraph/inheritance_test.go
+++ b/internal/dag/inheritance_test.go
@@ -1,4 +1,4 @@
-package jobgraph
+package dag
 
 import (
 	"testing"
@@ -9,20 +9,20 @@
 	"tamarindlead/sched"
 )
 
-// fans is a graph of jobs that all run for as long as estimated.
-type fans struct {
+// fanFixture is a graph of jobs that all run for as long as estimated.
+type fanFixture struct {
 	*testing.T
 	g *Graph
 }
 
-func newFans(t *testing.T) *fans {
+func newFanFixture(t *testing.T) *fanFixture {
 	g := newTestGraph(t)
 	g.Reset(nil, 0)
-	return &fans{t, g}
+	return &fanFixture{t, g}
 }
 
 // submit has a job accepted at a time, which awaits others.
-func (f *fans) submit(job sched.Job, at micros.Micros, awaits ...string) {
+func (f *fanFixture) submit(job sched.Job, at micros.Micros, awaits ...string) {
 	f.Helper()
 	job.Tasks, job.Class, job.Need, job.Image, job.Team = 1, "stage", sched.NewResources(1, 0, 1), "img", "red"
 	job.Awaits = awaits
@@ -34,19 +34,19 @@
 	cancelled = false
 )
 
-func (f *fans) end(id string, isDone bool) {
+func (f *fanFixture) end(id string, isDone bool) {
 	f.Helper()
 	apply(f, f.g, kv.Change{Delete: record.ActiveJobKey(id)})
 	if isDone {
-		f.g.Done(id, 1)
+		f.g.MarkDone(id, 1)
 	} else {
-		f.g.Cancelled(id, id)
+		f.g.MarkCancelled(id, id)
 	}
 }
 
 // check holds what a job of the lowest priority and without deadline inherits against what is
 // expected.
-func (f *fans) check(id string, priority sched.Priority, mustEnd float64) {
+func (f *fanFixture) check(id string, priority sched.Priority, mustEnd float64) {
 	f.Helper()
 	want := Inheritance{priority, micros.FromSeconds(mustEnd)}
 	if got, _ := f.g.Inherited(id); got != want {
@@ -64,7 +64,7 @@
 // Guards: the versions' order in propagate, the early end in inheritedBy.
 func TestInheritFans(t *testing.T) {
 	const many = 600
-	f := newFans(t)
+	f := newFanFixture(t)
 	var all []string
 	for i := range many {
 		f.submit(stage(i, 0, 10, 0), 0)
