--- a/controller/acceptance.go
+++ b/controller/acceptance.go
@@ -20,7 +20,7 @@
 		return
 	}
 	s.refuseExpired()
-	room := min(s.c.budget.WriteRoom(budget.Users, s.c.now), s.c.cfg.TxnOps)
+	room := min(s.c.budget.AvailableWrites(budget.UserRequests, s.c.now), s.c.cfg.TxnOps)
 	if s.c.now < s.commitAt || room == 0 || len(s.waiting) == 0 {
 		return
 	}
@@ -80,7 +80,7 @@
 	}
 	s.committing = true
 	sent := freshness.Evidence{Basis: freshness.OwnTransaction, SentAt: s.c.now, ViaPeer: s.c.store.UsesPeerRoute()}
-	s.c.store.Do(budget.Users, kv.Transaction(guards, writes), func(reply kv.Result) {
+	s.c.store.Do(budget.UserRequests, kv.Transaction(guards, writes), func(reply kv.Result) {
 		s.committing = false
 		s.committed(batch, reply, sent)
 	})
--- a/controller/cancellations.go
+++ b/controller/cancellations.go
@@ -33,7 +33,7 @@
 		c.refuse(request.id, wire.StatusUnavailable, reasonStoreSilent)
 		return
 	}
-	if c.budget.WriteRoom(budget.Users, c.now) < cancelWrites {
+	if c.budget.AvailableWrites(budget.UserRequests, c.now) < cancelWrites {
 		c.refuse(request.id, wire.StatusTooMany, reasonManyCancellations) // a read would be wasted
 		return
 	}
@@ -47,7 +47,7 @@
 
 // readRecord reads the job's record, and then cancels the job.
 func (r *cancellationRequest) readRecord() {
-	r.c.store.Get(budget.Users, record.ActiveJobKey(r.job), func(outcome kv.Outcome, entry kv.Entry) {
+	r.c.store.Get(budget.UserRequests, record.ActiveJobKey(r.job), func(outcome kv.Outcome, entry kv.Entry) {
 		switch outcome {
 		case kv.OK:
 			r.commit(entry.Version)
@@ -78,7 +78,7 @@
 		{Put: record.TerminalStateKey(r.job), Value: record.TerminalState{Status: record.StatusCancelled, FinishedAt: r.c.wallClock}},
 		{Delete: record.ActiveJobKey(r.job)},
 	}
-	r.c.store.Do(budget.Users, kv.Transaction(guards, writes), func(reply kv.Result) { r.committed(reply.Outcome) })
+	r.c.store.Do(budget.UserRequests, kv.Transaction(guards, writes), func(reply kv.Result) { r.committed(reply.Outcome) })
 }
 
 func (r *cancellationRequest) committed(outcome kv.Outcome) {
--- a/controller/cluster.go
+++ b/controller/cluster.go
@@ -64,11 +64,11 @@
 
 // shareLimits sets this node's part of the state service's limits by who is a member.
 func (c *Core) shareLimits() {
-	role := budget.Role{Nodes: len(c.cluster.Members()), Owners: c.cluster.LiveOwners(), Owns: c.owner != nil}
+	role := budget.Role{Nodes: len(c.cluster.Members()), Owners: c.cluster.LiveOwners(), OwnsTeams: c.owner != nil}
 	if !c.cluster.IsMember(c.cfg.Node) {
 		role.Nodes++
 	}
-	if role.Owns && role.Owners == 0 {
+	if role.OwnsTeams && role.Owners == 0 {
 		role.Owners = 1
 	}
 	c.budget.SetRole(role, c.now)
--- a/controller/commits.go
+++ b/controller/commits.go
@@ -35,11 +35,11 @@
 		return
 	}
 	t := &txn{guards: map[string]uint64{}}
-	purpose := budget.Work
+	purpose := budget.TaskUpdates
 	if o.claimsWait() {
 		purpose = budget.Ownership
 	}
-	most := min(c.budget.WriteRoom(purpose, c.now), c.cfg.TxnOps)
+	most := min(c.budget.AvailableWrites(purpose, c.now), c.cfg.TxnOps)
 	room := func() int { return most - len(t.writes) }
 	full := func() bool {
 		return room() < 1 || t.size > commitBytes/2 || len(t.guards) > 2*c.cfg.TxnOps
@@ -124,7 +124,7 @@
 
 // pauseAfterCommit is longer while writes are scarce.
 func (o *owner) pauseAfterCommit() micros.Micros {
-	if o.c.budget.WriteRoom(budget.Work, o.c.now) < o.c.cfg.TxnOps/2 {
+	if o.c.budget.AvailableWrites(budget.TaskUpdates, o.c.now) < o.c.cfg.TxnOps/2 {
 		return flushGapShort
 	}
 	return flushGap
@@ -194,7 +194,7 @@
 			o.stop(a, 0, "job's record has changed")
 		}
 	}
-	o.c.store.Get(budget.Users, record.ActiveJobKey(j.ID), func(out kv.Outcome, e kv.Entry) {
+	o.c.store.Get(budget.UserRequests, record.ActiveJobKey(j.ID), func(out kv.Outcome, e kv.Entry) {
 		switch {
 		case o.superseded():
 		case out == kv.NotFound:
@@ -296,7 +296,7 @@
 // tidy deletes what nobody reads any more, when writes are plentiful.
 func (o *owner) tidy() {
 	o.dropShards()
-	room := min(o.c.budget.WriteRoom(budget.Cleanup, o.c.now), o.c.cfg.TxnOps, len(o.obsoleteKeys))
+	room := min(o.c.budget.AvailableWrites(budget.Cleanup, o.c.now), o.c.cfg.TxnOps, len(o.obsoleteKeys))
 	if room < 1 {
 		return
 	}
--- a/controller/dependencies.go
+++ b/controller/dependencies.go
@@ -65,7 +65,7 @@
 
 // readParts reads a list that is kept under several keys.
 func (c *Core) readParts(job *dag.BlockedJob, done func(ok bool)) {
-	c.store.Do(budget.Users, kv.List(record.DependencyPartsPrefix(job.ID), ""), func(r kv.Result) {
+	c.store.Do(budget.UserRequests, kv.List(record.DependencyPartsPrefix(job.ID), ""), func(r kv.Result) {
 		var page kv.Page
 		if r.Outcome != kv.OK || !r.Decode(&page) {
 			done(false)
@@ -142,7 +142,7 @@
 			inactive = append(inactive, id)
 		}
 	}
-	d.c.readFinals(budget.Users, inactive, d.until, func(found map[string]record.TerminalState, ok bool) {
+	d.c.readFinals(budget.UserRequests, inactive, d.until, func(found map[string]record.TerminalState, ok bool) {
 		if !ok {
 			d.done(dependencyResult{})
 			return
--- a/controller/finalreads.go
+++ b/controller/finalreads.go
@@ -50,9 +50,9 @@
 		return
 	}
 	resolution.reading = true
-	purpose := budget.Work
+	purpose := budget.TaskUpdates
 	if done != nil {
-		purpose = budget.Users
+		purpose = budget.UserRequests
 	}
 	c.readFinals(purpose, c.graph.UnresolvedJobs(), c.now+acceptWithin, c.endsRead)
 }
--- a/controller/jobview.go
+++ b/controller/jobview.go
@@ -158,7 +158,7 @@
 	if queue.reading || len(queue.questions) == 0 {
 		return
 	}
-	if !c.budget.MayRequest(budget.Users, c.now) && c.now-queue.askedAt < acceptWithin {
+	if !c.budget.MayRequest(budget.UserRequests, c.now) && c.now-queue.askedAt < acceptWithin {
 		c.after(fastTick, c.sendRefresh)
 		return
 	}
@@ -169,7 +169,7 @@
 		return
 	}
 	queue.reading = true
-	c.store.Do(budget.Users, kv.Watch(record.ActiveJobPrefix, after, 0), func(r kv.Result) {
+	c.store.Do(budget.UserRequests, kv.Watch(record.ActiveJobPrefix, after, 0), func(r kv.Result) {
 		queue.reading = false
 		queue.askedAt = c.now // what came meanwhile goes out now
 		ok := c.takeChanges(after, r)
--- a/internal/budget/budget.go
+++ b/internal/budget/budget.go
@@ -16,16 +16,16 @@
 
 // The purposes of calls.
 const (
-	Leadership Purpose = iota // leases, leadership, assignment of teams
-	Ownership                 // reading the records after a takeover, claiming machines
-	Users                     // accepting and cancelling jobs
-	Work                      // placements and completions
-	Reads                     // answering queries
-	Cleanup                   // deleting records that nobody reads any more
+	Leadership   Purpose = iota // leases, leadership, assignment of teams
+	Ownership                   // reading the records after a takeover, claiming machines
+	UserRequests                // accepting and cancelling jobs
+	TaskUpdates                 // placements and completions
+	Reads                       // answering queries
+	Cleanup                     // deleting records that nobody reads any more
 )
 
 // reserves holds, for each purpose, the part of a burst that it must leave to more urgent ones.
-var reserves = [...]float64{Leadership: 0, Ownership: 0, Users: 0, Work: 0.1, Reads: 0.4, Cleanup: 0.6}
+var reserves = [...]float64{Leadership: 0, Ownership: 0, UserRequests: 0, TaskUpdates: 0.1, Reads: 0.4, Cleanup: 0.6}
 
 const (
 	// reservedUserWrites is the part of the write limit that owners, who record placements
@@ -52,9 +52,9 @@
 
 // Role is what a node's part of the limits depends on.
 type Role struct {
-	Nodes  int  // live controllers, this one among them
-	Owners int  // how many of them own teams
-	Owns   bool // this node owns teams
+	Nodes     int  // live controllers, this one among them
+	Owners    int  // how many of them own teams
+	OwnsTeams bool // this node owns teams
 }
 
 // Budget is the rate budget of one node.
@@ -97,7 +97,7 @@
 	nodes := float64(max(1, role.Nodes))
 	requests, writes = b.limits.Requests/nodes, b.limits.Writes*maxUserWrites/nodes
 	switch {
-	case role.Owns:
+	case role.OwnsTeams:
 		owners := float64(max(1, role.Owners))
 		writes = b.limits.Writes * (reservedUserWrites/nodes + (1-reservedUserWrites)/owners)
 	case role.Owners == 0:
@@ -117,8 +117,8 @@
 	return leavesReserve(b.requests, purpose, 1, now)
 }
 
-// WriteRoom returns how many writes a commit for a purpose may have now; 0 means to wait.
-func (b *Budget) WriteRoom(purpose Purpose, now micros.Micros) int {
+// AvailableWrites returns how many writes a commit for a purpose may have now; 0 means to wait.
+func (b *Budget) AvailableWrites(purpose Purpose, now micros.Micros) int {
 	if !b.MayRequest(purpose, now) {
 		return 0
 	}
--- a/internal/budget/budget_test.go
+++ b/internal/budget/budget_test.go
@@ -16,13 +16,13 @@
 	return New(Limits{Requests: requests, Writes: writes, MinWriteBurst: cancelWrites + 1}, nodes)
 }
 
-// TestLargeCommitIsOwed guards against commits that are larger than a burst: they would wait
+// TestLargeTransactionIsOwed guards against commits that are larger than a burst: they would wait
 // for ever. What they take beyond it is owed.
-func TestLargeCommitIsOwed(t *testing.T) {
+func TestLargeTransactionIsOwed(t *testing.T) {
 	b := newBudget(100, 15, 5)
 	now := start
 	b.SetRole(Role{Nodes: 5, Owners: 1}, now)
-	for _, purpose := range []Purpose{Users, Work} {
+	for _, purpose := range []Purpose{UserRequests, TaskUpdates} {
 		now += micros.Minute
 		if writes := b.WriteBurst() + 2; !b.Take(purpose, writes, now) {
 			t.Fatalf("purpose %d: %d writes are refused with a full burst of %d", purpose, writes, b.WriteBurst())
@@ -32,22 +32,22 @@
 		}
 	}
 	b.limits.Writes = 4
-	b.SetRole(Role{Nodes: 5, Owners: 5, Owns: true}, now)
-	if now += micros.Minute; b.WriteRoom(Users, now) < cancelWrites || b.WriteRoom(Work, now) < 2 {
-		t.Fatalf("room for %d and %d", b.WriteRoom(Users, now), b.WriteRoom(Work, now))
+	b.SetRole(Role{Nodes: 5, Owners: 5, OwnsTeams: true}, now)
+	if now += micros.Minute; b.AvailableWrites(UserRequests, now) < cancelWrites || b.AvailableWrites(TaskUpdates, now) < 2 {
+		t.Fatalf("room for %d and %d", b.AvailableWrites(UserRequests, now), b.AvailableWrites(TaskUpdates, now))
 	}
 }
 
 // TestReserves checks that a purpose stops where its reserve for more urgent ones begins.
 func TestReserves(t *testing.T) {
 	granted := map[Purpose]int{}
-	for _, purpose := range []Purpose{Leadership, Ownership, Users, Work, Reads, Cleanup} {
+	for _, purpose := range []Purpose{Leadership, Ownership, UserRequests, TaskUpdates, Reads, Cleanup} {
 		b := newBudget(100, 100, 1)
 		for b.Take(purpose, 0, start) {
 			granted[purpose]++
 		}
 	}
-	want := map[Purpose]int{Leadership: 100, Ownership: 100, Users: 100, Work: 90, Reads: 60, Cleanup: 40}
+	want := map[Purpose]int{Leadership: 100, Ownership: 100, UserRequests: 100, TaskUpdates: 90, Reads: 60, Cleanup: 40}
 	for purpose, n := range want {
 		if granted[purpose] != n {
 			t.Errorf("purpose %d: %d requests of a burst of 100, not %d", purpose, granted[purpose], n)
@@ -60,7 +60,7 @@
 	b := newBudget(10, 10, 1)
 	for b.Take(Reads, 0, start) {
 	}
-	if b.MayRequest(Reads, start) || !b.MayRequest(Users, start) || b.WriteRoom(Users, start) == 0 {
+	if b.MayRequest(Reads, start) || !b.MayRequest(UserRequests, start) || b.AvailableWrites(UserRequests, start) == 0 {
 		t.Fatal("queries leave nothing to users")
 	}
 }
@@ -68,9 +68,9 @@
 // TestLeadershipWithoutWrites checks that a node without any write left can still lead.
 func TestLeadershipWithoutWrites(t *testing.T) {
 	b := newBudget(100, 4, 1)
-	for b.Take(Users, 1, start) {
+	for b.Take(UserRequests, 1, start) {
 	}
-	if b.WriteRoom(Users, start) != 0 {
+	if b.AvailableWrites(UserRequests, start) != 0 {
 		t.Fatal("writes are left")
 	}
 	if !b.Take(Leadership, 2, start) {
@@ -86,8 +86,8 @@
 		requests, writes float64
 	}{
 		{Role{Nodes: 5, Owners: 1}, 20, 4},
-		{Role{Nodes: 5, Owners: 1, Owns: true}, 20, 42},
-		{Role{Nodes: 5, Owners: 5, Owns: true}, 20, 10},
+		{Role{Nodes: 5, Owners: 1, OwnsTeams: true}, 20, 42},
+		{Role{Nodes: 5, Owners: 5, OwnsTeams: true}, 20, 10},
 		{Role{Nodes: 5}, 20, 10},
 		{Role{}, 100, 50},
 	}
--- a/internal/kv/client_test.go
+++ b/internal/kv/client_test.go
@@ -78,7 +78,7 @@
 	for _, c := range cases {
 		client, n := newClient(100)
 		got := Outcome(-1)
-		client.Do(budget.Users, Get("k"), func(r Result) { got = r.Outcome })
+		client.Do(budget.UserRequests, Get("k"), func(r Result) { got = r.Outcome })
 		n.answer(t, c.response)
 		if got != c.want {
 			t.Errorf("%+v: outcome %d, not %d", c.response, got, c.want)
@@ -90,7 +90,7 @@
 	client, n := newClient(2)
 	limited := 0
 	for range 5 {
-		client.Do(budget.Users, Get("k"), func(r Result) {
+		client.Do(budget.UserRequests, Get("k"), func(r Result) {
 			if r.Outcome == Throttled {
 				limited++
 			}
@@ -125,7 +125,7 @@
 		t.Fatalf("served %t, down %t", client.DirectlyConnected(), client.Unavailable())
 	}
 	got := Unknown
-	client.Do(budget.Users, Get("k"), func(r Result) { got = r.Outcome })
+	client.Do(budget.UserRequests, Get("k"), func(r Result) { got = r.Outcome })
 	if c := n.answer(t, Response{Status: 200}); c.viaPeer != "b" || got != OK || c.timeout <= CallTimeout {
 		t.Fatalf("%+v: outcome %d", c, got)
 	}
@@ -148,7 +148,7 @@
 	if !client.DirectlyConnected() || client.LastSuccess() != n.now {
 		t.Fatal("the direct route is not taken again")
 	}
-	client.Do(budget.Users, Get("k"), func(Result) {})
+	client.Do(budget.UserRequests, Get("k"), func(Result) {})
 	if c := n.answer(t, Response{Status: 200}); c.viaPeer != "" {
 		t.Fatal("calls still go through the peer")
 	}
@@ -159,7 +159,7 @@
 	n.peer = "b"
 	fail(t, client, n, maxDirectFailures)
 	n.peer = ""
-	client.Do(budget.Users, Get("k"), func(Result) {})
+	client.Do(budget.UserRequests, Get("k"), func(Result) {})
 	if c := n.answer(t, Response{Status: 503}); c.viaPeer != "" {
 		t.Fatal("a call goes through a peer that is not served")
 	}
