--- a/cmd/tamarindlead/main_test.go
+++ b/cmd/tamarindlead/main_test.go
@@ -102,7 +102,7 @@
 	state, cloud := standin.NewState(), standin.NewCloud()
 	start := time.Now()
 	now := func() micros.Micros { return micros.FromDuration(time.Since(start)) }
-	cloud.Types = []wire.MachineType{{Name: "small", CPUs: 8, MemGB: 32, Hourly: 1, BootS: 1, Halls: []string{"a"}}}
+	cloud.Types = []wire.MachineType{{Name: "small", CPUs: 8, MemGB: 32, HourlyPrice: 1, BootS: 1, Zones: []string{"a"}}}
 	cloud.Capacity["small a false"] = 2
 	stateAddr := serve(t, func(w http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
--- a/controller/answers.go
+++ b/controller/answers.go
@@ -48,7 +48,7 @@
 func (c *Core) answerSubmission(r userRequest, httpStatus wire.Status, job string, status wire.JobPhase, evidence freshness.Evidence) {
 	shown := c.statusForUsers(job, status).Status
 	if c.checkAnswer(r, job, string(shown), evidence) {
-		c.respond(r.id, httpStatus, wire.JobState{Ref: job, Status: shown})
+		c.respond(r.id, httpStatus, wire.JobState{ID: job, Status: shown})
 	}
 }
 
@@ -63,7 +63,7 @@
 // answerCancellation answers a cancellation with the final state of its job.
 func (c *Core) answerCancellation(r userRequest, job string, status wire.JobPhase) {
 	if c.checkAnswer(r, job, string(status), freshness.OfTerminalState()) {
-		c.respond(r.id, wire.StatusOK, wire.JobState{Ref: job, Status: status})
+		c.respond(r.id, wire.StatusOK, wire.JobState{ID: job, Status: status})
 	}
 }
 
--- a/controller/answers_test.go
+++ b/controller/answers_test.go
@@ -107,7 +107,7 @@
 		cameAt micros.Micros // from the look at the awaited job
 		status int           // 0: it is looked up again
 	}{
-		{"came before", -1, wire.StatusNeverRuns},
+		{"came before", -1, wire.StatusUnprocessable},
 		{"joined after", 1, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
--- a/controller/bench_test.go
+++ b/controller/bench_test.go
@@ -94,9 +94,9 @@
 func (s *ownerStore) Watch(string, uint64, func(micros.Micros, kv.Result)) {}
 
 func benchReport(m *machine, seq uint64) []byte {
-	r := wire.Report{Machine: m.name, Endpoint: m.endpoint, Type: m.kind, Zone: m.zone, Spot: m.spot, Session: 1, Seq: seq, Token: 1}
+	r := wire.Heartbeat{Machine: m.name, Endpoint: m.endpoint, Type: m.kind, Zone: m.zone, Spot: m.spot, AgentEpoch: 1, HeartbeatSeq: seq, FencingToken: 1}
 	for _, a := range m.sorted() {
-		r.Tasks = append(r.Tasks, wire.TaskReport{Task: wire.TaskName(a.job.ID, a.index), Attempt: a.number, Phase: wire.PhaseRunning})
+		r.Tasks = append(r.Tasks, wire.TaskStatus{Task: wire.TaskName(a.job.ID, a.index), Attempt: a.number, Phase: wire.PhaseRunning})
 	}
 	return wire.Encode(r)
 }
--- a/controller/cancellations.go
+++ b/controller/cancellations.go
@@ -21,7 +21,7 @@
 
 // cancel handles a user's request to cancel a job.
 func (c *Core) cancel(request userRequest, job string) {
-	if !wire.ValidRef(job) {
+	if !wire.ValidJobID(job) {
 		c.reject(request.id, wire.StatusNotFound, reasonNoSuchJob)
 		return
 	}
@@ -34,7 +34,7 @@
 		return
 	}
 	if c.budget.AvailableWrites(budget.UserRequests, c.now) < cancelWrites {
-		c.refuse(request.id, wire.StatusTooMany, reasonManyCancellations) // a read would be wasted
+		c.refuse(request.id, wire.StatusTooManyRequests, reasonManyCancellations) // a read would be wasted
 		return
 	}
 	cancel := &cancellationRequest{c, request, job, c.now + acceptWithin}
--- a/controller/commands.go
+++ b/controller/commands.go
@@ -146,7 +146,7 @@
 func (o *owner) sendCommands(m *machine, commands []wire.Command) {
 	m.sending = true
 	o.openCommands++
-	body := wire.Encode(wire.Orders{Token: m.token, Session: m.session, Commands: commands})
+	body := wire.Encode(wire.CommandsRequest{FencingToken: m.token, AgentEpoch: m.session, Commands: commands})
 	o.c.call(Call{
 		Addr: m.endpoint, Method: "POST", Target: wire.PathCommands, Timeout: commandTimeout, MaxBody: wire.MaxBody, Body: body,
 	}, func(e CallDone) {
@@ -162,12 +162,12 @@
 // commandsAnswered takes the report with which a worker answers commands. Commands without
 // an answer may still be executed: the machine is fenced until it has seen a higher token.
 func (o *owner) commandsAnswered(m *machine, hadCommands bool, e CallDone) {
-	var report *wire.Report
+	var report *wire.Heartbeat
 	if e.Status == wire.StatusOK || e.Status == wire.StatusConflict {
-		report, _ = wire.DecodeReport(e.Body) // one that cannot be read counts as no answer
+		report, _ = wire.DecodeHeartbeat(e.Body) // one that cannot be read counts as no answer
 	}
 	switch {
-	case report != nil && report.Token > m.token:
+	case report != nil && report.FencingToken > m.token:
 		o.resync("a machine has seen a higher token")
 	case report != nil:
 		o.takeReport(m, report, false)
@@ -215,8 +215,8 @@
 		Addr: m.endpoint, Method: "GET", Target: wire.PathInspect, Timeout: commandTimeout, MaxBody: wire.MaxBody,
 	}, func(e CallDone) {
 		o.openCommands--
-		report, err := wire.DecodeReport(e.Body)
-		if o.superseded() || o.machines[m.name] != m || e.Status != wire.StatusOK || err != nil || report.Token > m.token {
+		report, err := wire.DecodeHeartbeat(e.Body)
+		if o.superseded() || o.machines[m.name] != m || e.Status != wire.StatusOK || err != nil || report.FencingToken > m.token {
 			return
 		}
 		if o.takeReport(m, report, false) && !m.synced {
--- a/controller/core.go
+++ b/controller/core.go
@@ -167,7 +167,7 @@
 // refuse answers at once that a request cannot be taken now.
 func (c *Core) refuse(id uint64, status wire.Status, reason refusalReason) {
 	c.count.refused++
-	c.out = append(c.out, Respond{ID: id, Status: status, Body: wire.Encode(wire.Problem{Error: string(reason)}), RetryAfter: retryAfter})
+	c.out = append(c.out, Respond{ID: id, Status: status, Body: wire.Encode(wire.ErrorResponse{Error: string(reason)}), RetryAfter: retryAfter})
 }
 
 // retryAfter is what users are told, in seconds: the least they wait anyway.
--- a/controller/dump_test.go
+++ b/controller/dump_test.go
@@ -48,7 +48,7 @@
 	Name    string
 	Attempt uint64
 	Phase   wire.TaskPhase
-	Cause   wire.Cause
+	Cause   wire.ExitCause
 	Saved   bool
 	Left    micros.Micros
 }
--- a/controller/incompatible_test.go
+++ b/controller/incompatible_test.go
@@ -63,7 +63,7 @@
 		record.CompletionSegmentKey("red", "1"): wire.Encode(record.CompletionSegment{Chunks: map[string]string{j.ID + "/0": record.Bitmap{3, 1}.Chunk(0)}}),
 		record.ScaleOutRequestKey("1"):          wire.Encode(record.ScaleOutRequest{Owner: "n1.2", Type: "big", Zone: "b", Spot: true, Count: 3}),
 		record.ReservationKey("req-000009"):     wire.Encode(record.Reservation{Machines: map[string]int{"m-000001": 2}}),
-		record.MachineTypesKey:                  wire.Encode(wire.MachineTypes{Builds: []wire.MachineType{{Name: "big", CPUs: 1, Cards: 2, MemGB: 3, LocalGB: 4, FetchGBPerS: 5, Hourly: 6, MarketPrice: 7, BootS: 8, Halls: []string{"a"}}}}),
+		record.MachineTypesKey:                  wire.Encode(wire.MachineTypes{Entries: []wire.MachineType{{Name: "big", CPUs: 1, GPUs: 2, MemGB: 3, CacheGB: 4, FetchGBPerS: 5, HourlyPrice: 6, SpotPrice: 7, BootS: 8, Zones: []string{"a"}}}}),
 	}
 }
 
--- a/controller/machine.go
+++ b/controller/machine.go
@@ -77,12 +77,12 @@
 	reports bool
 	// session and seq order its reports; tasks are those of the latest.
 	session, seq uint64
-	tasks        []wire.TaskReport
+	tasks        []wire.TaskStatus
 	// notice is when the cloud reclaims it; 0: not announced.
 	notice micros.Micros
 	// pendingRequest is the request of a report that waits for the claim.
 	pendingRequest uint64
-	pendingReport  *wire.Report
+	pendingReport  *wire.Heartbeat
 
 	// listed: the cloud's list has named it; unlisted counts lists in a row without it.
 	listed   bool
--- a/controller/pairs_test.go
+++ b/controller/pairs_test.go
@@ -135,8 +135,8 @@
 	w.cloud.Now = w.now
 	boot := []float64{1, 10}[r.IntN(2)]
 	w.cloud.Types = []wire.MachineType{
-		{Name: "small", CPUs: 8, MemGB: 32, LocalGB: 50, FetchGBPerS: 1, Hourly: 1, MarketPrice: 0.3, BootS: boot, Halls: zones},
-		{Name: "big", CPUs: 32, MemGB: 128, LocalGB: 50, FetchGBPerS: 1, Hourly: 4, MarketPrice: 1.2, BootS: boot * 1.5, Halls: zones},
+		{Name: "small", CPUs: 8, MemGB: 32, CacheGB: 50, FetchGBPerS: 1, HourlyPrice: 1, SpotPrice: 0.3, BootS: boot, Zones: zones},
+		{Name: "big", CPUs: 32, MemGB: 128, CacheGB: 50, FetchGBPerS: 1, HourlyPrice: 4, SpotPrice: 1.2, BootS: boot * 1.5, Zones: zones},
 	}
 	spots := 2 * r.IntN(2)
 	for _, typ := range []string{"small", "big"} {
--- a/controller/peercalls.go
+++ b/controller/peercalls.go
@@ -47,12 +47,12 @@
 func (c *Core) peerRequest(r Request) {
 	var message peer.Message
 	if r.Method != http.MethodPost || r.Path != peerPath || proto.Unmarshal(r.Body, &message) != nil {
-		c.respond(r.ID, wire.StatusMalformed, nil)
+		c.respond(r.ID, wire.StatusBadRequest, nil)
 		return
 	}
 	from := c.peers[message.From]
 	if from == nil {
-		c.respond(r.ID, wire.StatusMalformed, nil)
+		c.respond(r.ID, wire.StatusBadRequest, nil)
 		return
 	}
 	c.handlePeerMessage(r.ID, from, &message)
@@ -75,7 +75,7 @@
 			c.owner.receiveTransfer(body.Given.Block)
 		}
 	default:
-		c.respond(request, wire.StatusMalformed, nil)
+		c.respond(request, wire.StatusBadRequest, nil)
 		return
 	}
 	c.answerPeer(request, &peer.Message{})
--- a/controller/production_names_test.go
+++ b/controller/production_names_test.go
@@ -19,6 +19,16 @@
 	reflect.TypeFor[record.Leader](): {"Incarnation": "Life"},
 	reflect.TypeFor[record.Member](): {"Incarnation": "Life"},
 	reflect.TypeFor[record.Team]():   {"Incarnation": "Life", "Predecessors": "Heir"},
+	reflect.TypeFor[wire.MachineType](): {
+		"GPUs":        "Cards",
+		"CacheGB":     "LocalGB",
+		"HourlyPrice": "Hourly",
+		"SpotPrice":   "MarketPrice",
+		"Zones":       "Halls",
+	},
+	reflect.TypeFor[wire.MachineTypes](): {
+		"Entries": "Builds",
+	},
 	reflect.TypeFor[record.ScaleOutRequest](): {
 		"Count": "Number",
 	},
--- a/controller/queries.go
+++ b/controller/queries.go
@@ -7,7 +7,7 @@
 
 // query handles a user's question for the state of a job.
 func (c *Core) query(r userRequest, job string) {
-	if !wire.ValidRef(job) {
+	if !wire.ValidJobID(job) {
 		c.reject(r.id, wire.StatusNotFound, reasonNoSuchJob)
 		return
 	}
@@ -26,7 +26,7 @@
 // statusForUsers is a job's state as users see it: one that is not over may be running, and
 // shows how many tasks are done and run.
 func (c *Core) statusForUsers(job string, status wire.JobPhase) wire.JobStatus {
-	shown := wire.JobStatus{Ref: job, Status: status}
+	shown := wire.JobStatus{ID: job, Status: status}
 	if status == wire.JobQueued {
 		shown.Done, shown.Running = c.countsOf(job)
 		if shown.Running > 0 {
--- a/controller/refusals.go
+++ b/controller/refusals.go
@@ -38,7 +38,7 @@
 }
 
 // neverRuns refuses a submission for good.
-func neverRuns(reason refusalReason) *refusal { return &refusal{wire.StatusNeverRuns, reason} }
+func neverRuns(reason refusalReason) *refusal { return &refusal{wire.StatusUnprocessable, reason} }
 
 // unavailable refuses a request for now.
 func unavailable(reason refusalReason) *refusal { return &refusal{wire.StatusUnavailable, reason} }
@@ -48,5 +48,5 @@
 
 // reject answers that a request will never be served.
 func (c *Core) reject(request uint64, status wire.Status, reason refusalReason) {
-	c.respond(request, status, wire.Problem{Error: string(reason)})
+	c.respond(request, status, wire.ErrorResponse{Error: string(reason)})
 }
--- a/controller/rentals.go
+++ b/controller/rentals.go
@@ -135,7 +135,7 @@
 		return
 	}
 	r.asking = true
-	body := wire.RentalRequest{Hire: r.name, Type: r.offer.Type, Zone: r.offer.Zone, Spot: r.offer.Spot, Number: r.number}
+	body := wire.ScaleOutRequest{RequestID: r.name, Type: r.offer.Type, Zone: r.offer.Zone, Spot: r.offer.Spot, Number: r.number}
 	o.c.cloud("POST", pathRentals, body, func(status int, body []byte) {
 		if o.superseded() {
 			return
@@ -148,13 +148,13 @@
 // answered takes the cloud's answer to a rental. After any other answer it is asked again.
 func (o *owner) answered(r *rental, status wire.Status, body []byte) {
 	var names wire.MachineNames
-	var problem wire.Problem
+	var problem wire.ErrorResponse
 	switch {
 	case status == wire.StatusOK && wire.Decode(body, &names) == nil:
 		o.granted(r, names.Machines)
 	case status == wire.StatusUnavailable && wire.Decode(body, &problem) == nil && problem.Error == problemNoCapacity:
 		o.refused(r)
-	case status == wire.StatusMalformed:
+	case status == wire.StatusBadRequest:
 		o.c.log.Error("rental refused as malformed", "name", r.name)
 		o.refused(r)
 	}
--- a/controller/reports.go
+++ b/controller/reports.go
@@ -13,10 +13,10 @@
 // report handles a worker's report, whether this node owns machines or not.
 func (c *Core) report(r Request) {
 	c.count.reports++
-	report, err := wire.DecodeReport(r.Body)
+	report, err := wire.DecodeHeartbeat(r.Body)
 	if err != nil {
 		c.count.dropped++
-		c.respond(r.ID, wire.StatusMalformed, wire.Problem{Error: err.Error()})
+		c.respond(r.ID, wire.StatusBadRequest, wire.ErrorResponse{Error: err.Error()})
 		return
 	}
 	if len(c.recentReports) < maxHeard {
@@ -26,9 +26,9 @@
 	case c.owner != nil:
 		c.owner.report(r.ID, report)
 	case c.keepsLease(report):
-		c.respond(r.ID, wire.StatusOK, wire.ReportAnswer{Token: report.Token})
+		c.respond(r.ID, wire.StatusOK, wire.HeartbeatResponse{FencingToken: report.FencingToken})
 	default:
-		c.respond(r.ID, wire.StatusMisdirected, wire.Redirect{ReportTo: c.reportTo(report.Machine)})
+		c.respond(r.ID, wire.StatusMisdirected, wire.Redirect{HeartbeatNode: c.reportTo(report.Machine)})
 	}
 }
 
@@ -44,12 +44,12 @@
 // tasks of jobs that were not over when this node last followed the records are kept; for
 // those that were cancelled since, the machine's present owner has it deleted in time. A node
 // that is cut off alone hears workers of other zones too, and redirects all.
-func (c *Core) keepsLease(report *wire.Report) bool {
+func (c *Core) keepsLease(report *wire.Heartbeat) bool {
 	if report.Zone != c.cfg.Zone {
 		c.elsewhereAt = c.now
 		return false
 	}
-	if report.Token == 0 || len(report.Tasks) == 0 || !c.zonePartitioned() || !c.mayRenewLease() {
+	if report.FencingToken == 0 || len(report.Tasks) == 0 || !c.zonePartitioned() || !c.mayRenewLease() {
 		return false
 	}
 	for i := range report.Tasks {
@@ -76,7 +76,7 @@
 }
 
 // mayKeepTask tells whether a task has exited or belongs to a job that is known to be active.
-func (c *Core) mayKeepTask(task *wire.TaskReport) bool {
+func (c *Core) mayKeepTask(task *wire.TaskStatus) bool {
 	id, _, ok := wire.SplitTaskName(task.Task)
 	if !ok {
 		return false
@@ -85,7 +85,7 @@
 }
 
 // report handles the report of a machine at an owner.
-func (o *owner) report(req uint64, report *wire.Report) {
+func (o *owner) report(req uint64, report *wire.Heartbeat) {
 	c := o.c
 	if o.state != ownerActive {
 		c.refuse(req, wire.StatusUnavailable, "taking over")
@@ -94,7 +94,7 @@
 	m := o.machines[report.Machine]
 	if m == nil {
 		if to := c.claimant(report.Machine); to != "" || o.ownedElsewhere[report.Machine] != 0 {
-			c.respond(req, wire.StatusMisdirected, wire.Redirect{ReportTo: to})
+			c.respond(req, wire.StatusMisdirected, wire.Redirect{HeartbeatNode: to})
 			return
 		}
 		if o.recentlyReturned[report.Machine] != 0 {
@@ -117,9 +117,9 @@
 
 // waitForClaim keeps a report until its machine is claimed by a record of this owner. A newer
 // report takes the place of an older one, but a late copy does not.
-func (o *owner) waitForClaim(m *machine, req uint64, report *wire.Report) {
+func (o *owner) waitForClaim(m *machine, req uint64, report *wire.Heartbeat) {
 	if m.pendingRequest != 0 {
-		if older(report.Session, report.Seq, m.pendingReport.Session, m.pendingReport.Seq) {
+		if older(report.AgentEpoch, report.HeartbeatSeq, m.pendingReport.AgentEpoch, m.pendingReport.HeartbeatSeq) {
 			o.c.refuse(req, wire.StatusUnavailable, "superseded")
 			return
 		}
@@ -139,11 +139,11 @@
 }
 
 // answer takes a report and answers it with the machine's commands.
-func (o *owner) answer(m *machine, req uint64, report *wire.Report) {
-	if report.Token > m.token {
+func (o *owner) answer(m *machine, req uint64, report *wire.Heartbeat) {
+	if report.FencingToken > m.token {
 		// Another node owns the machine by now. Its worker drops this node's answers and would
 		// stay here until its lease ends, so it is redirected at once.
-		o.c.respond(req, wire.StatusMisdirected, wire.Redirect{ReportTo: o.c.claimant(m.name)})
+		o.c.respond(req, wire.StatusMisdirected, wire.Redirect{HeartbeatNode: o.c.claimant(m.name)})
 		o.resync("a machine has seen a higher token")
 		return
 	}
@@ -152,7 +152,7 @@
 		o.c.refuse(req, wire.StatusUnavailable, "cannot know what users were told")
 		return
 	}
-	answer := wire.ReportAnswer{Token: m.token}
+	answer := wire.HeartbeatResponse{FencingToken: m.token}
 	if o.takeReport(m, report, true) {
 		answer.Commands = o.commands(m)
 	}
@@ -164,13 +164,13 @@
 // A regular report is one that the worker sent by itself. Only such a report shows that starts
 // in the answer to the report before it were executed or dropped; the answer to a direct
 // command may have overtaken that answer.
-func (o *owner) takeReport(m *machine, report *wire.Report, regular bool) bool {
-	if !older(m.session, m.seq, report.Session, report.Seq) {
+func (o *owner) takeReport(m *machine, report *wire.Heartbeat, regular bool) bool {
+	if !older(m.session, m.seq, report.AgentEpoch, report.HeartbeatSeq) {
 		return false // a late copy tells nothing, not even that the machine is alive
 	}
 	o.noteContact(m, report, regular)
-	if report.NoticeS != nil {
-		o.noticed(m, micros.FromSeconds(*report.NoticeS))
+	if report.PreemptionNoticeS != nil {
+		o.noticed(m, micros.FromSeconds(*report.PreemptionNoticeS))
 	} else {
 		m.notice = 0
 	}
@@ -193,21 +193,21 @@
 
 // noteContact notes when and in which session the machine was heard, and which token it has
 // seen.
-func (o *owner) noteContact(m *machine, report *wire.Report, regular bool) {
+func (o *owner) noteContact(m *machine, report *wire.Heartbeat, regular bool) {
 	if regular {
 		o.lastHeard, m.reports = o.c.now, true
 	}
-	if report.Session > m.session && m.session != 0 {
+	if report.AgentEpoch > m.session && m.session != 0 {
 		o.setFence(m, fenceNone)
 	}
-	m.session, m.seq, m.tasks = report.Session, report.Seq, report.Tasks
+	m.session, m.seq, m.tasks = report.AgentEpoch, report.HeartbeatSeq, report.Tasks
 	// A machine that only answers commands is no use, since its lease is not renewed. Until it
 	// has reported here at all, an answer shows that it is up.
 	if regular || !m.reports {
 		m.heard = max(m.heard, o.c.now) // after a takeover it has longer
 	}
 	m.endpoint = cmp.Or(report.Endpoint, m.endpoint)
-	if m.synced = report.Token == m.token; m.synced {
+	if m.synced = report.FencingToken == m.token; m.synced {
 		m.tokenShownAt = max(m.tokenShownAt, o.c.now)
 	}
 	if m.synced && m.fence == fenceRaised {
@@ -220,7 +220,7 @@
 
 // takeTasks applies the reported tasks to the machine's attempts and returns which of these
 // were listed.
-func (o *owner) takeTasks(m *machine, report *wire.Report) map[taskKey]bool {
+func (o *owner) takeTasks(m *machine, report *wire.Heartbeat) map[taskKey]bool {
 	listed := make(map[taskKey]bool, len(report.Tasks))
 	for i := range report.Tasks {
 		task := &report.Tasks[i]
@@ -244,7 +244,7 @@
 }
 
 // sawTask applies what a report says of an attempt.
-func (o *owner) sawTask(a *attempt, t *wire.TaskReport) {
+func (o *owner) sawTask(a *attempt, t *wire.TaskStatus) {
 	a.seen, a.phase = true, t.Phase
 	switch a.state {
 	case attemptRecorded, attemptOrdered:
--- a/controller/routes.go
+++ b/controller/routes.go
@@ -15,7 +15,7 @@
 )
 
 // PathReport is where workers report.
-const PathReport = wire.PathReport
+const PathReport = wire.PathHeartbeat
 
 // request routes an inbound request to its handler.
 func (c *Core) request(r Request) {
@@ -41,7 +41,7 @@
 	job, cancel := strings.CutSuffix(rest, cancelSuffix)
 	switch {
 	case !found || strings.Contains(job, "/"):
-		c.respond(r.ID, wire.StatusNotFound, wire.Problem{Error: "no such path"})
+		c.respond(r.ID, wire.StatusNotFound, wire.ErrorResponse{Error: "no such path"})
 	case cancel:
 		c.handle(r, http.MethodPost, func() { c.cancel(c.requestOf(r), job) })
 	default:
@@ -52,7 +52,7 @@
 // handle calls a handler if the request has the method that it demands.
 func (c *Core) handle(r Request, method string, handler func()) {
 	if r.Method != method {
-		c.respond(r.ID, wire.StatusMethodNotAllowed, wire.Problem{Error: "method not allowed"})
+		c.respond(r.ID, wire.StatusMethodNotAllowed, wire.ErrorResponse{Error: "method not allowed"})
 		return
 	}
 	handler()
--- a/controller/scenario_figures_test.go
+++ b/controller/scenario_figures_test.go
@@ -80,7 +80,7 @@
 			"lost-answers": w.faults.lostDone,
 			"held-answers": w.faults.unevenState.held + w.faults.unevenPeers.held,
 			"answers":      w.crowd.answers[arg(t, d, "job", "")],
-			"refused-429":  w.crowd.refusals[wire.StatusTooMany],
+			"refused-429":  w.crowd.refusals[wire.StatusTooManyRequests],
 			"refused-503":  w.crowd.refusals[wire.StatusUnavailable],
 		}[what]
 		if least := arg(t, d, "least", 0); least > 0 && n >= least {
--- a/controller/scenario_setup_test.go
+++ b/controller/scenario_setup_test.go
@@ -47,8 +47,8 @@
 	w.cloud.Now = w.now
 	bigZones := zones[arg(t, d, "no-big-in", 0):] // the first zones may lack the big type
 	w.cloud.Types = []wire.MachineType{
-		{Name: "small", CPUs: 8, MemGB: 32, LocalGB: 50, FetchGBPerS: 1, Hourly: 1, MarketPrice: 0.3, BootS: 10, Halls: zones},
-		{Name: "big", CPUs: 32, MemGB: 128, LocalGB: 50, FetchGBPerS: 1, Hourly: 4, MarketPrice: 1.2, BootS: 15, Halls: bigZones},
+		{Name: "small", CPUs: 8, MemGB: 32, CacheGB: 50, FetchGBPerS: 1, HourlyPrice: 1, SpotPrice: 0.3, BootS: 10, Zones: zones},
+		{Name: "big", CPUs: 32, MemGB: 128, CacheGB: 50, FetchGBPerS: 1, HourlyPrice: 4, SpotPrice: 1.2, BootS: 15, Zones: bigZones},
 	}
 	for _, typ := range []string{"small", "big"} {
 		for _, z := range zones {
--- a/controller/submissions.go
+++ b/controller/submissions.go
@@ -51,7 +51,7 @@
 	job, err := wire.DecodeJob(r.Body)
 	if err != nil {
 		c.log.Info("submission refused as malformed", "error", err)
-		c.respond(r.ID, wire.StatusMalformed, wire.Problem{Error: err.Error()})
+		c.respond(r.ID, wire.StatusBadRequest, wire.ErrorResponse{Error: err.Error()})
 		return
 	}
 	if len(c.types.list) == 0 {
@@ -65,7 +65,7 @@
 	writes, size := record.JobWrites(job, c.wallClock, c.cfg.ValueBytes)
 	refused := c.unplaceable(job)
 	if c.tooLong(writes, size) {
-		refused = &refusal{wire.StatusMalformed, reasonTooLong}
+		refused = &refusal{wire.StatusBadRequest, reasonTooLong}
 	}
 	if refused != nil {
 		c.refuseSubmission(c.requestOf(r), job.ID, refused)
@@ -130,7 +130,7 @@
 		return
 	}
 	if len(s.waiting)+s.checking >= maxSubmissions {
-		s.c.refuse(request.id, wire.StatusTooMany, reasonManySubmissions)
+		s.c.refuse(request.id, wire.StatusTooManyRequests, reasonManySubmissions)
 		return
 	}
 	added := &submission{job: job, requests: []userRequest{request}, receivedAt: s.c.now, writes: writes, status: wire.JobQueued}
--- a/controller/task_exits.go
+++ b/controller/task_exits.go
@@ -20,7 +20,7 @@
 )
 
 // exited handles a task that the machine reports as ended.
-func (o *owner) exited(a *attempt, task *wire.TaskReport) {
+func (o *owner) exited(a *attempt, task *wire.TaskStatus) {
 	if task.Cause == wire.CauseDone {
 		o.completed(a)
 		return
@@ -28,13 +28,13 @@
 	switch task.Cause {
 	case wire.CauseError:
 		o.failed(a, true)
-	case wire.CauseUnknown:
+	case wire.CauseUnknownTask:
 		o.failed(a, false)
-	case wire.CauseNoRoom, wire.CauseBusy:
+	case wire.CauseInsufficientResources, wire.CauseBusy:
 		a.machine.pausedTo = o.c.now + refusalPause
 	}
 	o.c.log.Info("task ended", "task", task.Task, "machine", a.machine.name, "cause", task.Cause,
-		"saved", task.Saved, "why", a.why)
+		"saved", task.Checkpointed, "why", a.why)
 	o.lost(a, string(task.Cause))
 }
 
--- a/controller/users_test.go
+++ b/controller/users_test.go
@@ -74,7 +74,7 @@
 // Questions that cross may be answered in any order; two final states never differ.
 func (w *world) checkAnswer(id string, r Respond, sent micros.Micros) {
 	switch r.Status {
-	case wire.StatusNotFound, wire.StatusMalformed, wire.StatusNeverRuns:
+	case wire.StatusNotFound, wire.StatusBadRequest, wire.StatusUnprocessable:
 		if at, known := w.crowd.acceptedAt[id]; known && at <= sent {
 			w.breakRule("forgotten: %s is answered %d", id, r.Status)
 		}
@@ -102,7 +102,7 @@
 	users.answers[id]++
 	w.accepted[id], w.answered[id] = true, w.now
 	var st wire.JobState
-	if wire.Decode(body, &st) != nil || st.Ref != id {
+	if wire.Decode(body, &st) != nil || st.ID != id {
 		w.breakRule("answer: that for %s cannot be read", id)
 		return
 	}
@@ -180,7 +180,7 @@
 		if j.Need.CPUs() > t.CPUs || w.infos[j.ID].Mem > t.MemGB {
 			continue
 		}
-		if slices.ContainsFunc(t.Halls, func(z string) bool { return j.Allows(t.Name, z, false) }) {
+		if slices.ContainsFunc(t.Zones, func(z string) bool { return j.Allows(t.Name, z, false) }) {
 			return ""
 		}
 	}
--- a/controller/world_workers_test.go
+++ b/controller/world_workers_test.go
@@ -90,7 +90,7 @@
 	return n
 }
 
-func (w *world) onExit(k *standin.Worker, task string, cause wire.Cause) {
+func (w *world) onExit(k *standin.Worker, task string, cause wire.ExitCause) {
 	w.stops[string(cause)]++
 	if w.running[task] == k.Machine.Name {
 		delete(w.running, task)
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -74,7 +74,7 @@
 			Addrs:     []string{cfg.Listen, cfg.PeerListen},
 			MaxConns:  inbound,
 			KeepConns: int(keepShare * float64(inbound)),
-			Evictable: func(r *httpwire.Request) bool { return r.Path == wire.PathReport },
+			Evictable: func(r *httpwire.Request) bool { return r.Path == wire.PathHeartbeat },
 			MaxBody:   n.maxBody,
 			Idle:      idleLimit, Partial: partialLimit,
 			Handle: n.take, Log: log,
--- a/internal/record/job.go
+++ b/internal/record/job.go
@@ -62,7 +62,7 @@
 	if len(j.Awaits) == 0 || size <= valueBytes {
 		return []kv.Write{{Put: ActiveJobKey(j.ID), Value: rec}}, size
 	}
-	rec.Blocked.Awaits = nil
+	rec.Blocked.Dependencies = nil
 	parts, partsSize := partWrites(j.ID, j.Awaits, valueBytes)
 	rec.DependencyParts = len(parts)
 	writes := append([]kv.Write{{Put: ActiveJobKey(j.ID), Value: rec}}, parts...)
--- a/internal/record/job_test.go
+++ b/internal/record/job_test.go
@@ -74,7 +74,7 @@
 				t.Fatalf("%d ids: %d parts are %d writes", n, rec.DependencyParts, len(writes))
 			}
 			if rec.DependencyParts == 0 {
-				got = *rec.Blocked.Awaits
+				got = *rec.Blocked.Dependencies
 			}
 			if !slices.Equal(got, ids) {
 				t.Fatalf("%d ids become %d", n, len(got))
--- a/internal/soak/answers.go
+++ b/internal/soak/answers.go
@@ -35,7 +35,7 @@
 
 // decided tells whether the answer says anything about the job.
 func (o *operation) decided() bool {
-	return o.known() || o.status == wire.StatusNotFound || o.status == wire.StatusMalformed || o.status == wire.StatusNeverRuns
+	return o.known() || o.status == wire.StatusNotFound || o.status == wire.StatusBadRequest || o.status == wire.StatusUnprocessable
 }
 
 // pendingOperations are when requests were first sent that got no answer which decides: they may
@@ -51,7 +51,7 @@
 		c.answeredUnknown(o)
 		return
 	}
-	if (o.status == wire.StatusTooMany || o.status == wire.StatusUnavailable) && a.retryAfter == "" {
+	if (o.status == wire.StatusTooManyRequests || o.status == wire.StatusUnavailable) && a.retryAfter == "" {
 		c.broke(RuleRefusal, "%v of %s at %s is answered %d without Retry-After", o.kind, o.job, controllerName(o.node), o.status)
 	}
 	if !o.decided() {
--- a/internal/soak/checker.go
+++ b/internal/soak/checker.go
@@ -180,7 +180,7 @@
 	}
 }
 
-func (c *checker) taskExited(w *standin.Worker, task string, _ wire.Cause) {
+func (c *checker) taskExited(w *standin.Worker, task string, _ wire.ExitCause) {
 	if c.running[task] == w.Machine.Name {
 		delete(c.running, task)
 	}
--- a/internal/soak/deployment.go
+++ b/internal/soak/deployment.go
@@ -59,8 +59,8 @@
 // machineType is the only type of machine.
 func machineType() wire.MachineType {
 	return wire.MachineType{
-		Name: "standard", CPUs: machineCPUs, MemGB: machineMemGB, LocalGB: localGB, FetchGBPerS: fetchGBPerS,
-		Hourly: hourlyPrice, MarketPrice: marketPrice, BootS: bootS, Halls: zones,
+		Name: "standard", CPUs: machineCPUs, MemGB: machineMemGB, CacheGB: localGB, FetchGBPerS: fetchGBPerS,
+		HourlyPrice: hourlyPrice, SpotPrice: marketPrice, BootS: bootS, Zones: zones,
 	}
 }
 
--- a/internal/soak/users.go
+++ b/internal/soak/users.go
@@ -52,7 +52,7 @@
 	})
 	var told wire.JobState
 	o.status = a.status
-	if wire.Decode(a.body, &told) == nil && told.Ref == job {
+	if wire.Decode(a.body, &told) == nil && told.ID == job {
 		o.phase = told.Status
 	}
 	s.mu.Lock()
--- a/internal/soak/worker.go
+++ b/internal/soak/worker.go
@@ -83,7 +83,7 @@
 
 // sendReport brings a report to a controller.
 func (s *site) sendReport(node int, body []byte) answer {
-	return s.client.send(s.run, "POST", s.addrs.users(node), wire.PathReport, body, reportTimeout)
+	return s.client.send(s.run, "POST", s.addrs.users(node), wire.PathHeartbeat, body, reportTimeout)
 }
 
 // report sends a worker's report and hands it the answer.
--- a/internal/standin/cloud.go
+++ b/internal/standin/cloud.go
@@ -83,21 +83,21 @@
 // Handle executes a request.
 func (c *Cloud) Handle(method, target string, body []byte) Reply {
 	if c.Down {
-		return reply(503, wire.Problem{Error: "trouble"})
+		return reply(503, wire.ErrorResponse{Error: "trouble"})
 	}
 	u, err := url.ParseRequestURI(target)
 	if err != nil {
-		return reply(400, wire.Problem{Error: "target"})
+		return reply(400, wire.ErrorResponse{Error: "target"})
 	}
 	switch {
 	case method == "GET" && u.Path == "/machine_types":
-		return reply(200, wire.MachineTypes{Builds: c.Types})
+		return reply(200, wire.MachineTypes{Entries: c.Types})
 	case method == "POST" && u.Path == "/rentals":
 		return c.rent(body)
 	case method == "POST" && u.Path == "/rentals/release":
 		var req wire.MachineNames
 		if wire.Decode(body, &req) != nil {
-			return reply(400, wire.Problem{Error: "release"})
+			return reply(400, wire.ErrorResponse{Error: "release"})
 		}
 		for _, n := range req.Machines {
 			if m := c.Machines[n]; m != nil && !m.Gone {
@@ -108,7 +108,7 @@
 	case method == "GET" && u.Path == "/rentals":
 		return c.list(u.Query().Get("after"))
 	}
-	return reply(400, wire.Problem{Error: "unknown"})
+	return reply(400, wire.ErrorResponse{Error: "unknown"})
 }
 
 func (c *Cloud) take(m *CloudMachine) {
@@ -120,18 +120,18 @@
 func (c *Cloud) Take(name string) { c.take(c.Machines[name]) }
 
 func (c *Cloud) rent(body []byte) Reply {
-	var req wire.RentalRequest
+	var req wire.ScaleOutRequest
 	if wire.Decode(body, &req) != nil || req.Number < 1 || req.Number > 50 {
-		return reply(400, wire.Problem{Error: "rental"})
+		return reply(400, wire.ErrorResponse{Error: "rental"})
 	}
-	if names, ok := c.grants[req.Hire]; ok {
+	if names, ok := c.grants[req.RequestID]; ok {
 		return reply(200, wire.MachineNames{Machines: names})
 	}
 	key := OfferKey(req.Type, req.Zone, req.Spot)
 	n := min(req.Number, c.Capacity[key])
 	t := c.TypeOf(req.Type)
 	if n == 0 || t == nil {
-		return reply(503, wire.Problem{Error: "no capacity"})
+		return reply(503, wire.ErrorResponse{Error: "no capacity"})
 	}
 	c.Capacity[key] -= n
 	var names []string
@@ -142,7 +142,7 @@
 		}
 		names = append(names, c.Add(req.Type, req.Zone, req.Spot, boot).Name)
 	}
-	c.grants[req.Hire] = names
+	c.grants[req.RequestID] = names
 	return reply(200, wire.MachineNames{Machines: names})
 }
 
--- a/internal/standin/fleet.go
+++ b/internal/standin/fleet.go
@@ -25,7 +25,7 @@
 	// OnStart is called when a worker starts a task, OnExit when a task has left its machine,
 	// and OnDone when a task has completed.
 	OnStart func(w *Worker, task string, attempt uint64)
-	OnExit  func(w *Worker, task string, cause wire.Cause)
+	OnExit  func(w *Worker, task string, cause wire.ExitCause)
 	OnDone  func(task string)
 }
 
@@ -59,7 +59,7 @@
 }
 
 // exited notes that a task has left its machine. If one task of a gang is done, all are.
-func (f *Fleet) exited(w *Worker, task string, cause wire.Cause) {
+func (f *Fleet) exited(w *Worker, task string, cause wire.ExitCause) {
 	f.OnExit(w, task, cause)
 	if cause != wire.CauseDone {
 		return
@@ -92,14 +92,14 @@
 // gangReady tells whether all tasks of a gang's attempt have their image.
 func (f *Fleet) gangReady(task string, attempt uint64) bool {
 	return f.gangIs(task, attempt, func(_ *Worker, t *Task) bool {
-		return t.Phase == wire.PhaseWaiting || t.Phase == wire.PhaseRunning
+		return t.Phase == wire.PhaseWaitingForGang || t.Phase == wire.PhaseRunning
 	})
 }
 
 // gangWhole tells whether all tasks of a gang's attempt make progress, save or are done.
 func (f *Fleet) gangWhole(task string, attempt uint64) bool {
 	return f.gangIs(task, attempt, func(w *Worker, t *Task) bool {
-		return !w.Hung && (t.Phase == wire.PhaseRunning || t.Phase == wire.PhaseSaving || t.Cause == wire.CauseDone)
+		return !w.Hung && (t.Phase == wire.PhaseRunning || t.Phase == wire.PhaseCheckpointing || t.Cause == wire.CauseDone)
 	})
 }
 
@@ -122,7 +122,7 @@
 		if t.Told != 0 && (first == 0 || t.Told < first) {
 			first = t.Told
 		}
-		return t.Told != 0 && (t.Phase == wire.PhaseSaving || t.Cause == wire.CauseStopped)
+		return t.Told != 0 && (t.Phase == wire.PhaseCheckpointing || t.Cause == wire.CauseStopped)
 	})
 	return first, all
 }
--- a/internal/standin/state.go
+++ b/internal/standin/state.go
@@ -88,7 +88,7 @@
 
 func (s *State) limited() Reply {
 	s.Limited++
-	return reply(429, wire.Problem{Error: "too many"})
+	return reply(429, wire.ErrorResponse{Error: "too many"})
 }
 
 type stateLease struct{ ttl, ends micros.Micros }
@@ -166,13 +166,13 @@
 func (s *State) Handle(caller, method, target string, body []byte, last bool) (r Reply, ok bool) {
 	u, err := url.ParseRequestURI(target)
 	if err != nil {
-		return reply(400, wire.Problem{Error: "target"}), true
+		return reply(400, wire.ErrorResponse{Error: "target"}), true
 	}
 	if s.Down || s.Refused[caller] {
 		if u.Path == "/changes" && !last {
 			return Reply{}, false
 		}
-		return reply(503, wire.Problem{Error: "trouble"}), true
+		return reply(503, wire.ErrorResponse{Error: "trouble"}), true
 	}
 	q := u.Query()
 	// A watch is asked for again and again while it waits: it counts as nothing.
@@ -198,7 +198,7 @@
 			TTL int64 `cbor:"ttlMs"`
 		}
 		if wire.Decode(body, &req) != nil {
-			return reply(400, wire.Problem{Error: "ttl"}), true
+			return reply(400, wire.ErrorResponse{Error: "ttl"}), true
 		}
 		s.nextID++
 		ttl := micros.FromMillis(float64(req.TTL))
@@ -207,7 +207,7 @@
 	case strings.HasPrefix(u.Path, "/leases/"):
 		return s.lease(method, strings.TrimPrefix(u.Path, "/leases/")), true
 	}
-	return reply(400, wire.Problem{Error: "unknown"}), true
+	return reply(400, wire.ErrorResponse{Error: "unknown"}), true
 }
 
 func (s *State) lease(method, rest string) Reply {
@@ -250,7 +250,7 @@
 		s.Compact, s.events, s.oldest = false, nil, s.revision
 	}
 	if after < s.oldest {
-		return reply(410, wire.Problem{Error: "too old"}), true
+		return reply(410, wire.ErrorResponse{Error: "too old"}), true
 	}
 	events := []any{}
 	for _, e := range s.events {
@@ -313,19 +313,19 @@
 		} `cbor:"writes"`
 	}
 	if wire.Decode(body, &req) != nil {
-		return reply(400, wire.Problem{Error: "commit"})
+		return reply(400, wire.ErrorResponse{Error: "commit"})
 	}
 	if s.Ops > 0 && (len(req.Writes) > s.Ops || len(req.Guards) > 4*s.Ops) || JSONSize(body) > 64<<10 {
 		s.Invalid++
-		return reply(400, wire.Problem{Error: "too large"})
+		return reply(400, wire.ErrorResponse{Error: "too large"})
 	}
 	for _, w := range req.Writes {
 		if s.Value > 0 && w.Put != "" && JSONSize(w.Value) > s.Value {
 			s.Invalid++
-			return reply(400, wire.Problem{Error: "value too large"})
+			return reply(400, wire.ErrorResponse{Error: "value too large"})
 		}
 		if w.Lease != 0 && s.leases[w.Lease] == nil {
-			return reply(400, wire.Problem{Error: "no such lease"})
+			return reply(400, wire.ErrorResponse{Error: "no such lease"})
 		}
 	}
 	failed := []string{}
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -25,7 +25,7 @@
 	Name    string
 	Attempt uint64
 	Phase   wire.TaskPhase
-	Cause   wire.Cause
+	Cause   wire.ExitCause
 	Saved   bool
 	// Told is when it was told to stop and save, 0: it was not.
 	Told    micros.Micros
@@ -61,7 +61,7 @@
 	tokenAt   micros.Micros // when a higher token last counted as a change
 	Info      func(task string) (TaskInfo, bool)
 	OnStart   func(w *Worker, task string, attempt uint64)
-	OnExit    func(w *Worker, task string, cause wire.Cause)
+	OnExit    func(w *Worker, task string, cause wire.ExitCause)
 	GangReady func(task string, attempt uint64) bool
 	GangWhole func(task string, attempt uint64) bool // all its tasks run, or are done
 	GangPeer  micros.Micros                          // after which a task notices that they do not
@@ -73,19 +73,19 @@
 }
 
 // Report builds the worker's report.
-func (w *Worker) Report() wire.Report {
+func (w *Worker) Report() wire.Heartbeat {
 	w.Seq++
-	r := wire.Report{
+	r := wire.Heartbeat{
 		Machine: w.Machine.Name, Endpoint: w.Machine.Endpoint, Type: w.Machine.Type,
-		Zone: w.Machine.Zone, Spot: w.Machine.Spot, Session: w.Session, Seq: w.Seq, Token: w.Token,
-		NoticeS: w.Notice, Tasks: []wire.TaskReport{},
+		Zone: w.Machine.Zone, Spot: w.Machine.Spot, AgentEpoch: w.Session, HeartbeatSeq: w.Seq, FencingToken: w.Token,
+		PreemptionNoticeS: w.Notice, Tasks: []wire.TaskStatus{},
 	}
 	list := append([]*Task(nil), w.Past...)
 	for _, n := range w.names() {
 		list = append(list, w.Tasks[n])
 	}
 	for _, t := range list {
-		r.Tasks = append(r.Tasks, wire.TaskReport{Task: t.Name, Attempt: t.Attempt, Phase: t.Phase, Cause: t.Cause, Saved: t.Saved})
+		r.Tasks = append(r.Tasks, wire.TaskStatus{Task: t.Name, Attempt: t.Attempt, Phase: t.Phase, Cause: t.Cause, Checkpointed: t.Saved})
 	}
 	return r
 }
@@ -143,7 +143,7 @@
 		switch t.Phase {
 		case wire.PhaseFetching:
 			if now >= t.until {
-				t.Phase, t.waitsAt, w.Changed = wire.PhaseWaiting, now, true
+				t.Phase, t.waitsAt, w.Changed = wire.PhaseWaitingForGang, now, true
 			}
 		case wire.PhaseRunning:
 			// Tasks of a gang complete together or not at all.
@@ -152,7 +152,7 @@
 					t.partAt = now
 				}
 				if now-t.partAt > w.GangPeer {
-					w.exit(t, wire.CausePeers)
+					w.exit(t, wire.CauseGangMemberLost)
 				}
 				break
 			}
@@ -160,7 +160,7 @@
 			if now >= t.until {
 				w.exit(t, wire.CauseDone)
 			}
-		case wire.PhaseSaving:
+		case wire.PhaseCheckpointing:
 			if now < t.until {
 				break
 			}
@@ -174,7 +174,7 @@
 				w.exit(t, wire.CauseStopped)
 			}
 		}
-		if t.Phase != wire.PhaseWaiting {
+		if t.Phase != wire.PhaseWaitingForGang {
 			continue
 		}
 		switch {
@@ -190,7 +190,7 @@
 	}
 }
 
-func (w *Worker) exit(t *Task, cause wire.Cause) {
+func (w *Worker) exit(t *Task, cause wire.ExitCause) {
 	if t.Phase != wire.PhaseExited {
 		t.Phase, t.Cause, w.Changed = wire.PhaseExited, cause, true
 		w.OnExit(w, t.Name, cause)
@@ -221,8 +221,8 @@
 		case c.Verb == wire.VerbStop && t.Phase != wire.PhaseExited:
 			info, _ := w.Info(c.Task)
 			if t.Phase == wire.PhaseRunning && info.Saves && c.GraceS != nil && micros.FromSeconds(*c.GraceS) >= info.Save {
-				t.Phase, t.Told, t.until, w.Changed = wire.PhaseSaving, now, now+info.Save, true
-			} else if t.Phase != wire.PhaseSaving || c.GraceS == nil || *c.GraceS == 0 {
+				t.Phase, t.Told, t.until, w.Changed = wire.PhaseCheckpointing, now, now+info.Save, true
+			} else if t.Phase != wire.PhaseCheckpointing || c.GraceS == nil || *c.GraceS == 0 {
 				w.exit(t, wire.CauseStopped)
 			}
 		}
@@ -260,9 +260,9 @@
 		w.Past = append(w.Past, fresh)
 		return
 	case !known:
-		fresh.Cause = wire.CauseUnknown
+		fresh.Cause = wire.CauseUnknownTask
 	case cpu > w.CPU+1e-6 || mem > w.Mem+1e-6:
-		fresh.Cause = wire.CauseNoRoom
+		fresh.Cause = wire.CauseInsufficientResources
 	default:
 		fresh.Phase, fresh.until = wire.PhaseFetching, now+info.Fetch
 		w.OnStart(w, c.Task, c.Attempt)
@@ -275,15 +275,15 @@
 
 // Orders executes a direct command.
 func (w *Worker) Orders(now micros.Micros, body []byte) Reply {
-	var o wire.Orders
-	if wire.Decode(body, &o) != nil || o.Token == 0 || o.Session == 0 {
-		return reply(400, wire.Problem{Error: "orders"})
+	var o wire.CommandsRequest
+	if wire.Decode(body, &o) != nil || o.FencingToken == 0 || o.AgentEpoch == 0 {
+		return reply(400, wire.ErrorResponse{Error: "orders"})
 	}
 	w.goOn(now)
-	if o.Token < w.Token || o.Session != w.Session {
+	if o.FencingToken < w.Token || o.AgentEpoch != w.Session {
 		return reply(409, w.Report())
 	}
-	w.sawToken(now, o.Token)
+	w.sawToken(now, o.FencingToken)
 	w.Execute(now, o.Commands)
 	return reply(200, w.Report())
 }
@@ -323,17 +323,17 @@
 	}
 	switch status {
 	case 200:
-		var a wire.ReportAnswer
-		if wire.Decode(body, &a) != nil || a.Token == 0 || a.Token < w.Token || session != w.Session {
+		var a wire.HeartbeatResponse
+		if wire.Decode(body, &a) != nil || a.FencingToken == 0 || a.FencingToken < w.Token || session != w.Session {
 			return
 		}
-		w.sawToken(now, a.Token)
+		w.sawToken(now, a.FencingToken)
 		w.LastSent = w.sentAt
 		w.Execute(now, a.Commands)
 	case 421:
 		var r wire.Redirect
 		wire.Decode(body, &r)
-		if n, ok := nodeOf(r.ReportTo); ok && n != w.Node {
+		if n, ok := nodeOf(r.HeartbeatNode); ok && n != w.Node {
 			w.Node, w.NextAt = n, now
 			return
 		}
--- a/internal/wire/cloud.go
+++ b/internal/wire/cloud.go
@@ -9,44 +9,44 @@
 type MachineType struct {
 	Name        string   `cbor:"name"`
 	CPUs        float64  `cbor:"cpus"`
-	Cards       float64  `cbor:"cards"`
+	GPUs        float64  `cbor:"cards"`
 	MemGB       float64  `cbor:"memGb"`
-	LocalGB     float64  `cbor:"localGb"`
+	CacheGB     float64  `cbor:"localGb"`
 	FetchGBPerS float64  `cbor:"fetchGbPerS"`
-	Hourly      float64  `cbor:"hourly"`
-	MarketPrice float64  `cbor:"marketPrice"`
+	HourlyPrice float64  `cbor:"hourly"`
+	SpotPrice   float64  `cbor:"marketPrice"`
 	BootS       float64  `cbor:"bootS"`
-	Halls       []string `cbor:"halls"`
+	Zones       []string `cbor:"halls"`
 }
 
 // MachineTypes is the response of GET /machine_types.
 type MachineTypes struct {
-	Builds []MachineType `cbor:"builds"`
+	Entries []MachineType `cbor:"builds"`
 }
 
 // Types converts the list, leaving out entries without name or size.
 func (m MachineTypes) Types() []sched.MachineType {
 	var types []sched.MachineType
-	for _, b := range m.Builds {
+	for _, b := range m.Entries {
 		if b.Name == "" || !(b.CPUs > 0) || !(b.CPUs <= maxAmount) || !(b.MemGB <= maxAmount) {
 			continue
 		}
 		types = append(types, sched.MachineType{
-			Name: b.Name, Size: sched.NewResources(b.CPUs, b.Cards, b.MemGB), CacheGB: b.LocalGB,
-			FetchGBPerS: b.FetchGBPerS, Price: b.Hourly, SpotPrice: b.MarketPrice,
-			Boot: micros.FromSeconds(b.BootS), Zones: b.Halls,
+			Name: b.Name, Size: sched.NewResources(b.CPUs, b.GPUs, b.MemGB), CacheGB: b.CacheGB,
+			FetchGBPerS: b.FetchGBPerS, Price: b.HourlyPrice, SpotPrice: b.SpotPrice,
+			Boot: micros.FromSeconds(b.BootS), Zones: b.Zones,
 		})
 	}
 	return types
 }
 
-// RentalRequest is the body of POST /rentals.
-type RentalRequest struct {
-	Hire   string `cbor:"hire"`
-	Type   string `cbor:"build"`
-	Zone   string `cbor:"hall"`
-	Spot   bool   `cbor:"loaners"`
-	Number int    `cbor:"number"`
+// ScaleOutRequest is the body of POST /rentals.
+type ScaleOutRequest struct {
+	RequestID string `cbor:"hire"`
+	Type      string `cbor:"build"`
+	Zone      string `cbor:"hall"`
+	Spot      bool   `cbor:"loaners"`
+	Number    int    `cbor:"number"`
 }
 
 // MachineNames lists machines, in answers to rentals and in releases.
--- a/internal/wire/http.go
+++ b/internal/wire/http.go
@@ -5,7 +5,7 @@
 	PathJobs         = "/api/jobs" // on a controller: submissions, and below it jobs by id
 	PathCancelSuffix = "/cancel"   // after a job's path
 	PathHealth       = "/up"
-	PathReport       = "/hello"   // on a controller: a worker reports
+	PathHeartbeat    = "/hello"   // on a controller: a worker reports
 	PathCommands     = "/orders"  // on a worker: commands sent directly
 	PathInspect      = "/inspect" // on a worker: its report, without commands
 	PathMachineTypes = "/machine_types"
@@ -20,13 +20,13 @@
 const (
 	StatusOK               Status = 200
 	StatusAccepted         Status = 201 // a new job was accepted
-	StatusMalformed        Status = 400
+	StatusBadRequest       Status = 400
 	StatusNotFound         Status = 404
 	StatusMethodNotAllowed Status = 405
 	StatusConflict         Status = 409 // a guard, token or session did not match
 	StatusCompacted        Status = 410 // the revision to watch from is too old
 	StatusMisdirected      Status = 421 // a worker should report to another controller
-	StatusNeverRuns        Status = 422 // the job can never run
-	StatusTooMany          Status = 429
+	StatusUnprocessable    Status = 422 // the job can never run
+	StatusTooManyRequests  Status = 429
 	StatusUnavailable      Status = 503
 )
--- a/internal/wire/submission.go
+++ b/internal/wire/submission.go
@@ -21,34 +21,34 @@
 
 // Submission is the body of POST /api/jobs, and the form in which a job is kept.
 type Submission struct {
-	Ref       *string   `cbor:"ref"`
-	Queue     *string   `cbor:"queue"`
-	Desk      *string   `cbor:"desk"`
-	Shape     *string   `cbor:"shape"`
-	Urgency   *string   `cbor:"urgency"`
-	Legs      *int64    `cbor:"legs"`
-	CPUs      *float64  `cbor:"cpus"`
-	Cards     *float64  `cbor:"cards"`
-	MemGB     *float64  `cbor:"memGb"`
-	Bundle    *string   `cbor:"bundle"`
-	SizeGB    *float64  `cbor:"sizeGb"`
-	Builds    *[]string `cbor:"builds"`
-	Hall      *string   `cbor:"hall"`
-	SamePlace *bool     `cbor:"samePlace"`
-	Apart     *bool     `cbor:"apart"`
-	Loaners   *bool     `cbor:"loaners"`
-	ExpectS   *float64  `cbor:"expectS"`
-	SnapshotS *float64  `cbor:"snapshotS"`
-	StowS     *float64  `cbor:"stowS"`
-	DueS      *float64  `cbor:"dueS"`
-	Awaits    *[]string `cbor:"awaits,omitempty"`
+	ID                  *string   `cbor:"ref"`
+	Class               *string   `cbor:"queue"`
+	Team                *string   `cbor:"desk"`
+	Shape               *string   `cbor:"shape"`
+	Priority            *string   `cbor:"urgency"`
+	Tasks               *int64    `cbor:"legs"`
+	CPUs                *float64  `cbor:"cpus"`
+	GPUs                *float64  `cbor:"cards"`
+	MemGB               *float64  `cbor:"memGb"`
+	Image               *string   `cbor:"bundle"`
+	ImageGB             *float64  `cbor:"sizeGb"`
+	MachineTypes        *[]string `cbor:"builds"`
+	Zone                *string   `cbor:"hall"`
+	OneZone             *bool     `cbor:"samePlace"`
+	Spread              *bool     `cbor:"apart"`
+	Spot                *bool     `cbor:"loaners"`
+	EstimateS           *float64  `cbor:"expectS"`
+	CheckpointIntervalS *float64  `cbor:"snapshotS"`
+	CheckpointDurationS *float64  `cbor:"stowS"`
+	DeadlineS           *float64  `cbor:"dueS"`
+	Dependencies        *[]string `cbor:"awaits,omitempty"`
 }
 
-// refForm is the form of jobs' ids.
-var refForm = regexp.MustCompile(`^req-[0-9]{6,12}$`)
+// jobIDPattern is the form of jobs' ids.
+var jobIDPattern = regexp.MustCompile(`^req-[0-9]{6,12}$`)
 
-// ValidRef tells whether an id has the form that users' ids always have.
-func ValidRef(id string) bool { return refForm.MatchString(id) }
+// ValidJobID tells whether an id has the form that users' ids always have.
+func ValidJobID(id string) bool { return jobIDPattern.MatchString(id) }
 
 // DecodeJob reads and checks a submission.
 func DecodeJob(data []byte) (*sched.Job, error) {
@@ -112,38 +112,38 @@
 func (s *Submission) Job() (*sched.Job, error) {
 	var c checker
 	j := &sched.Job{
-		ID:         c.text("ref", s.Ref),
-		Class:      c.text("queue", s.Queue),
-		Team:       c.text("desk", s.Desk),
-		Need:       sched.NewResources(c.amount("cpus", s.CPUs, maxAmount), c.amount("cards", s.Cards, maxAmount), c.amount("memGb", s.MemGB, maxAmount)),
-		Image:      c.text("bundle", s.Bundle),
-		ImageGB:    c.amount("sizeGb", s.SizeGB, maxAmount),
-		OneZone:    c.flag("samePlace", s.SamePlace),
-		Spread:     c.flag("apart", s.Apart),
-		Spot:       c.flag("loaners", s.Loaners),
-		Estimate:   micros.FromSeconds(c.amount("expectS", s.ExpectS, maxSeconds)),
-		Checkpoint: micros.FromSeconds(c.amount("snapshotS", s.SnapshotS, maxSeconds)),
-		Save:       micros.FromSeconds(c.amount("stowS", s.StowS, maxSeconds)),
-	}
-	if c.err == nil && !ValidRef(j.ID) {
-		c.fail("ref", notARef)
+		ID:         c.text("ref", s.ID),
+		Class:      c.text("queue", s.Class),
+		Team:       c.text("desk", s.Team),
+		Need:       sched.NewResources(c.amount("cpus", s.CPUs, maxAmount), c.amount("cards", s.GPUs, maxAmount), c.amount("memGb", s.MemGB, maxAmount)),
+		Image:      c.text("bundle", s.Image),
+		ImageGB:    c.amount("sizeGb", s.ImageGB, maxAmount),
+		OneZone:    c.flag("samePlace", s.OneZone),
+		Spread:     c.flag("apart", s.Spread),
+		Spot:       c.flag("loaners", s.Spot),
+		Estimate:   micros.FromSeconds(c.amount("expectS", s.EstimateS, maxSeconds)),
+		Checkpoint: micros.FromSeconds(c.amount("snapshotS", s.CheckpointIntervalS, maxSeconds)),
+		Save:       micros.FromSeconds(c.amount("stowS", s.CheckpointDurationS, maxSeconds)),
+	}
+	if c.err == nil && !ValidJobID(j.ID) {
+		c.fail("ref", invalidJobID)
 	}
 	c.shape(s, j)
 	c.priority(s, j)
 	c.tasks(s, j)
 	c.placement(s, j)
-	if s.DueS != nil {
-		j.Deadline = micros.FromSeconds(c.amount("dueS", s.DueS, maxSeconds))
+	if s.DeadlineS != nil {
+		j.Deadline = micros.FromSeconds(c.amount("dueS", s.DeadlineS, maxSeconds))
 	}
-	c.awaits(s, j)
+	c.dependencies(s, j)
 	if c.err != nil {
 		return nil, c.err
 	}
 	return j, nil
 }
 
-// notARef is the problem of an id of the wrong form.
-const notARef = "not of the form req-000000"
+// invalidJobID is the problem of an id of the wrong form.
+const invalidJobID = "not of the form req-000000"
 
 // Shapes of jobs on the wire.
 const (
@@ -165,7 +165,7 @@
 }
 
 func (c *checker) priority(s *Submission, j *sched.Job) {
-	priority, ok := priorities[c.text("urgency", s.Urgency)]
+	priority, ok := priorities[c.text("urgency", s.Priority)]
 	if !ok {
 		c.fail("urgency", "unknown")
 	}
@@ -174,19 +174,19 @@
 
 func (c *checker) tasks(s *Submission, j *sched.Job) {
 	switch {
-	case s.Legs == nil:
+	case s.Tasks == nil:
 		c.fail("legs", "missing")
-	case *s.Legs < 1 || *s.Legs > maxTasks:
+	case *s.Tasks < 1 || *s.Tasks > maxTasks:
 		c.fail("legs", "out of range")
 	default:
-		j.Tasks = int(*s.Legs)
+		j.Tasks = int(*s.Tasks)
 	}
 }
 
 // placement reads where the tasks may run.
 func (c *checker) placement(s *Submission, j *sched.Job) {
-	if s.Builds != nil {
-		j.Types = append([]string{}, *s.Builds...)
+	if s.MachineTypes != nil {
+		j.Types = append([]string{}, *s.MachineTypes...)
 		if len(j.Types) > maxTypeList {
 			c.fail("builds", "too many")
 		}
@@ -194,20 +194,20 @@
 			c.text("builds", &j.Types[i])
 		}
 	}
-	if s.Hall != nil {
-		j.Zone = c.text("hall", s.Hall)
+	if s.Zone != nil {
+		j.Zone = c.text("hall", s.Zone)
 	}
 }
 
-// awaits reads the jobs that must be done before this one starts, each once and in order.
-func (c *checker) awaits(s *Submission, j *sched.Job) {
-	if s.Awaits == nil || len(*s.Awaits) == 0 {
+// dependencies reads the jobs that must be done before this one starts, each once and in order.
+func (c *checker) dependencies(s *Submission, j *sched.Job) {
+	if s.Dependencies == nil || len(*s.Dependencies) == 0 {
 		return
 	}
-	j.Awaits = slices.Clone(*s.Awaits)
+	j.Awaits = slices.Clone(*s.Dependencies)
 	for _, id := range j.Awaits {
-		if !ValidRef(id) {
-			c.fail("awaits", notARef)
+		if !ValidJobID(id) {
+			c.fail("awaits", invalidJobID)
 		}
 	}
 	slices.Sort(j.Awaits)
@@ -232,23 +232,23 @@
 	cpus, cards, mem := j.Need.Amounts()
 	expect, snap, stow := j.Estimate.Seconds(), j.Checkpoint.Seconds(), j.Save.Seconds()
 	s := Submission{
-		Ref: &j.ID, Queue: &j.Class, Desk: &j.Team, Shape: &shape, Urgency: &urgency, Legs: &legs,
-		CPUs: &cpus, Cards: &cards, MemGB: &mem, Bundle: &j.Image, SizeGB: &j.ImageGB,
-		SamePlace: &j.OneZone, Apart: &j.Spread, Loaners: &j.Spot,
-		ExpectS: &expect, SnapshotS: &snap, StowS: &stow,
+		ID: &j.ID, Class: &j.Class, Team: &j.Team, Shape: &shape, Priority: &urgency, Tasks: &legs,
+		CPUs: &cpus, GPUs: &cards, MemGB: &mem, Image: &j.Image, ImageGB: &j.ImageGB,
+		OneZone: &j.OneZone, Spread: &j.Spread, Spot: &j.Spot,
+		EstimateS: &expect, CheckpointIntervalS: &snap, CheckpointDurationS: &stow,
 	}
 	if j.Types != nil {
-		s.Builds = &j.Types
+		s.MachineTypes = &j.Types
 	}
 	if j.Zone != "" {
-		s.Hall = &j.Zone
+		s.Zone = &j.Zone
 	}
 	if j.Deadline > 0 {
 		due := j.Deadline.Seconds()
-		s.DueS = &due
+		s.DeadlineS = &due
 	}
 	if len(j.Awaits) > 0 {
-		s.Awaits = &j.Awaits
+		s.Dependencies = &j.Awaits
 	}
 	return s
 }
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -66,7 +66,7 @@
 
 // JobStatus answers a user.
 type JobStatus struct {
-	Ref     string   `cbor:"ref"`
+	ID      string   `cbor:"ref"`
 	Status  JobPhase `cbor:"status"`
 	Done    int      `cbor:"done"`
 	Running int      `cbor:"running"`
@@ -74,11 +74,11 @@
 
 // JobState is the short answer to a submission or cancellation.
 type JobState struct {
-	Ref    string   `cbor:"ref"`
+	ID     string   `cbor:"ref"`
 	Status JobPhase `cbor:"status"`
 }
 
-// Problem explains a refusal.
-type Problem struct {
+// ErrorResponse explains a refusal.
+type ErrorResponse struct {
 	Error string `cbor:"error"`
 }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -68,9 +68,9 @@
 	}
 }
 
-// TestAwaits guards that duplicates are one, that none has three forms, and that a job that
+// TestDependencies guards that duplicates are one, that none has three forms, and that a job that
 // awaits none is written as it always was.
-func TestAwaits(t *testing.T) {
+func TestDependencies(t *testing.T) {
 	for name, c := range map[string]struct {
 		value any
 		want  []string
@@ -104,15 +104,15 @@
 	}
 }
 
-func TestDecodeReportRefuses(t *testing.T) {
-	good := Report{Machine: "m-000001", Session: 1, Seq: 1}
-	if _, err := DecodeReport(Encode(good)); err != nil {
+func TestDecodeHeartbeatRefuses(t *testing.T) {
+	good := Heartbeat{Machine: "m-000001", AgentEpoch: 1, HeartbeatSeq: 1}
+	if _, err := DecodeHeartbeat(Encode(good)); err != nil {
 		t.Fatal(err)
 	}
-	for name, r := range map[string]Report{
-		"no name": {Session: 1}, "no session": {Machine: "m-1"}, "name with a slash": {Machine: "a/b", Session: 1},
+	for name, r := range map[string]Heartbeat{
+		"no name": {AgentEpoch: 1}, "no session": {Machine: "m-1"}, "name with a slash": {Machine: "a/b", AgentEpoch: 1},
 	} {
-		if _, err := DecodeReport(Encode(r)); err == nil {
+		if _, err := DecodeHeartbeat(Encode(r)); err == nil {
 			t.Errorf("%s: taken", name)
 		}
 	}
