--- a/controller/block_write.go
+++ b/controller/block_write.go
@@ -4,7 +4,7 @@
 	"maps"
 	"math"
 
-	"tamarindlead/internal/capacity"
+	"tamarindlead/internal/autoscaler"
 	"tamarindlead/internal/kv"
 	"tamarindlead/internal/record"
 )
@@ -21,7 +21,7 @@
 	data   *record.BlockData
 	guards map[string]uint64
 	// kinds and jobs are indexes in the lists of the data.
-	kinds map[capacity.Offer]int
+	kinds map[autoscaler.Offer]int
 	jobs  map[string]int
 	// maxTransfers is how many machines may be transferred: each takes a write of its own.
 	maxTransfers int
@@ -63,7 +63,7 @@
 		owner: o, block: b, maxTransfers: room - 1,
 		data:   &record.BlockData{LaunchTimeBase: int64(o.c.wallClock), AttemptBase: math.MaxUint64},
 		guards: map[string]uint64{record.BlockKey(b.name): b.version},
-		kinds:  map[capacity.Offer]int{}, jobs: map[string]int{},
+		kinds:  map[autoscaler.Offer]int{}, jobs: map[string]int{},
 	}
 	if b.hasUnclaimed() {
 		o.guardOwnTeams(w.guards)
--- a/controller/blocks.go
+++ b/controller/blocks.go
@@ -85,7 +85,7 @@
 func (o *owner) maxMachines(kind string) int {
 	tasks := assumedTasks
 	if t := o.c.types.find(kind); t != nil {
-		if n := o.classes.MostUsualTasks(t.Size, maxEntryTasks); n > 0 {
+		if n := o.classes.MaxAverageTasks(t.Size, maxEntryTasks); n > 0 {
 			tasks = n
 		}
 	}
--- a/controller/core.go
+++ b/controller/core.go
@@ -8,9 +8,9 @@
 	"golang.org/x/time/rate"
 
 	"tamarindlead/config"
+	"tamarindlead/internal/autoscaler"
 	"tamarindlead/internal/budget"
 	"tamarindlead/internal/cancellation"
-	"tamarindlead/internal/capacity"
 	"tamarindlead/internal/cluster"
 	"tamarindlead/internal/dag"
 	"tamarindlead/internal/kv"
@@ -60,7 +60,7 @@
 
 	// Machines in general.
 	types    machineTypeTable
-	spotRisk capacity.SpotRisk
+	spotRisk autoscaler.SpotRisk
 	// recentReports are arrivals of workers' reports, the latest last.
 	recentReports []micros.Micros
 	// elsewhereAt is when a worker of another zone reported last.
--- a/controller/entitlement_test.go
+++ b/controller/entitlement_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"tamarindlead/internal/capacity"
+	"tamarindlead/internal/autoscaler"
 	"tamarindlead/internal/cluster"
 	"tamarindlead/sched"
 )
@@ -70,7 +70,7 @@
 func TestRentalsRestOnRecords(t *testing.T) {
 	for state, want := range map[rentalState]bool{rentalNamed: false, rentalAsking: true, rentalGranted: false, rentalOver: false} {
 		o, _, _ := activeOwner()
-		r := &rental{name: "h-1", offer: capacity.Offer{Type: "small", Zone: "a"}, number: 1, state: state}
+		r := &rental{name: "h-1", offer: autoscaler.Offer{Type: "small", Zone: "a"}, number: 1, state: state}
 		if got := o.mayRent(r); got != want || o.c.Violations() != violationsIf(!want) {
 			t.Errorf("%v: allowed %t with %d violations", state, got, o.c.Violations())
 		}
--- a/controller/eviction.go
+++ b/controller/eviction.go
@@ -124,7 +124,7 @@
 			continue
 		}
 		for _, zone := range t.Zones {
-			if market.CanRent(j.Job, t.Name, zone) {
+			if market.CanScaleOut(j.Job, t.Name, zone) {
 				return true
 			}
 		}
--- a/controller/gang_reservations.go
+++ b/controller/gang_reservations.go
@@ -4,7 +4,7 @@
 	"cmp"
 	"slices"
 
-	"tamarindlead/internal/capacity"
+	"tamarindlead/internal/autoscaler"
 	"tamarindlead/micros"
 	"tamarindlead/sched"
 )
@@ -14,7 +14,7 @@
 // be ready for gangs to come. Only types that the gang depends on are reserved, but for a gang
 // that starves; without that, small tasks would fill every gap first.
 func (o *owner) reserveForGangs(view []*sched.Machine) {
-	ready := capacity.NewReadiness(o.c.now, o.classes, o.c.cfg.Objectives, o.c.catalog())
+	ready := autoscaler.NewWarmPool(o.c.now, o.classes, o.c.cfg.Objectives, o.c.catalog())
 	short := false
 	for _, j := range o.inTurn() {
 		if !j.Gang || j.state != jobActive || j.gang != gangNone || o.holds[j.ID] != nil || o.c.now < j.notUntil {
@@ -29,7 +29,7 @@
 		return
 	}
 	for _, v := range view {
-		if m := o.machines[v.Name]; !v.Kept && v.Scarce && o.onlySlack(m) && ready.Take(m.offer(), o.machineSize(m).Sub(m.used)) {
+		if m := o.machines[v.Name]; !v.Kept && v.Scarce && o.onlySlack(m) && ready.Claim(m.offer(), o.machineSize(m).Sub(m.used)) {
 			v.Kept = true
 		}
 	}
--- a/controller/gangs.go
+++ b/controller/gangs.go
@@ -1,7 +1,7 @@
 package controller
 
 import (
-	"tamarindlead/internal/capacity"
+	"tamarindlead/internal/autoscaler"
 	"tamarindlead/micros"
 	"tamarindlead/sched"
 )
@@ -20,7 +20,7 @@
 func (o *owner) noteSpotTime() {
 	for _, m := range o.list {
 		if m.spot && (m.state == machineUp || m.state == machineDraining) {
-			o.c.spotRisk.NoteUp(scaleEvery)
+			o.c.spotRisk.RecordUptime(scaleEvery)
 		}
 	}
 }
@@ -29,7 +29,7 @@
 func (o *owner) noteSpotLost(m *machine) {
 	if m.spot && !m.lost {
 		m.lost = true
-		o.c.spotRisk.NoteLost()
+		o.c.spotRisk.RecordLoss()
 	}
 }
 
@@ -40,21 +40,21 @@
 		return j.Tasks
 	}
 	catalog := o.c.catalog()
-	mix := capacity.GangMix{
+	mix := autoscaler.GangMix{
 		Tasks:         j.Tasks,
 		SpotPrice:     catalog.LowestPrice(j.Job, true),
-		OrdinaryPrice: catalog.LowestPrice(j.Job, false),
+		OnDemandPrice: catalog.LowestPrice(j.Job, false),
 		Estimate:      o.estimate(j),
 		Checkpoint:    j.Checkpoint,
 		Recovery:      catalog.BootTime(j.Job),
 		LossPerSecond: o.c.spotRisk.PerSecond(o.c.cfg.Tuning.SpotLoss),
 		MaxSpot:       o.waitsLong(j),
 	}
-	return mix.OrdinaryTasks()
+	return mix.OnDemandTasks()
 }
 
 // dependent tells that a class of jobs fits one machine type only.
-func (o *owner) dependent(j *job) bool { return o.classes.Dependent(j.Class) }
+func (o *owner) dependent(j *job) bool { return o.classes.SingleType(j.Class) }
 
 // slack is what is left of a machine once it is full of tasks of that size.
 func (m *machine) slack(need sched.Resources) sched.Resources {
@@ -75,7 +75,7 @@
 // no other task of theirs could use is paid for in any case, so short work goes there
 // first, and it never stands in a gang's way.
 func (o *owner) addSlack(view []*sched.Machine) []*sched.Machine {
-	needs := o.classes.LargestDependents(o.c.now)
+	needs := o.classes.LargestSingleTypeNeeds(o.c.now)
 	if len(needs) == 0 {
 		return view
 	}
--- a/controller/inherit_test.go
+++ b/controller/inherit_test.go
@@ -228,12 +228,12 @@
 		w.submit(stage(1, 0, 10, 0), w.c.wallClock)
 		w.submit(stage(2, 0, 25, due), w.c.wallClock, jobName(1))
 		g := w.o.demands()[0]
-		want := w.o.maxWait(w.o.jobs[g.First.ID])
+		want := w.o.maxWait(w.o.jobs[g.Representative.ID])
 		if due == 50 {
 			want = 15 * micros.Second // 50 s less both estimates
 		}
-		if g.MaxWait != want || (g.Low == 0) != (due == 50) {
-			t.Errorf("due in %v s: longest wait %v, low %v of %v", due, g.MaxWait, g.Low, g.Waiting)
+		if g.MaxWait != want || (g.LowPriorityCPUSeconds == 0) != (due == 50) {
+			t.Errorf("due in %v s: longest wait %v, low %v of %v", due, g.MaxWait, g.LowPriorityCPUSeconds, g.PendingCPUSeconds)
 		}
 	}
 }
--- a/controller/job_queue.go
+++ b/controller/job_queue.go
@@ -47,7 +47,7 @@
 	o.jobs[j.ID] = j
 	o.inherit(j)
 	o.queueJob(j)
-	o.classes.NoteJob(o.c.now, j.Job, o.c.catalog())
+	o.classes.RecordSubmission(o.c.now, j.Job, o.c.catalog())
 	o.scheduleWanted = true
 }
 
--- a/controller/jobview.go
+++ b/controller/jobview.go
@@ -68,7 +68,7 @@
 
 func (w jobObserver) EstimateOf(job *dag.BlockedJob) micros.Micros {
 	if o := w.c.owner; o != nil {
-		return o.classes.Corrected(job.Class, job.Estimate)
+		return o.classes.CorrectedEstimate(job.Class, job.Estimate)
 	}
 	return job.Estimate
 }
--- a/controller/owner.go
+++ b/controller/owner.go
@@ -5,7 +5,7 @@
 	"slices"
 
 	"tamarindlead/config"
-	"tamarindlead/internal/capacity"
+	"tamarindlead/internal/autoscaler"
 	"tamarindlead/internal/cluster"
 	"tamarindlead/internal/kv"
 	"tamarindlead/internal/record"
@@ -43,7 +43,7 @@
 	// endings are jobs that records name, of which it is not known how they ended.
 	endings []*job
 	holds   map[string]*hold // by job
-	classes *capacity.Classes
+	classes *autoscaler.Classes
 
 	// The watch of the jobs' records.
 	listed    bool // the jobs were listed; changes since are taken
@@ -57,13 +57,13 @@
 	list             []*machine // the same in the order of their names
 	listing          cloudList
 	rentals          map[string]*rental
-	refusedOffers    map[capacity.Offer]micros.Micros // not asked for until then
-	recentlyReturned map[string]micros.Micros         // machines that were returned, remembered until then
-	ownedElsewhere   map[string]micros.Micros         // machines that another owns, though no peer says so yet
-	unclaimed        map[string]micros.Micros         // listed machines that nobody claims, since when
-	partitioned      map[string]micros.Micros         // zones that are cut off, since when
-	releaseWanted    bool                             // machines are to be returned to the cloud
-	releasing        bool                             // a request for that is under way
+	refusedOffers    map[autoscaler.Offer]micros.Micros // not asked for until then
+	recentlyReturned map[string]micros.Micros           // machines that were returned, remembered until then
+	ownedElsewhere   map[string]micros.Micros           // machines that another owns, though no peer says so yet
+	unclaimed        map[string]micros.Micros           // listed machines that nobody claims, since when
+	partitioned      map[string]micros.Micros           // zones that are cut off, since when
+	releaseWanted    bool                               // machines are to be returned to the cloud
+	releasing        bool                               // a request for that is under way
 	releaseAt        micros.Micros
 	nextScale        micros.Micros
 	nextScaleDown    micros.Micros
@@ -113,9 +113,9 @@
 		rentals:          map[string]*rental{},
 		holds:            map[string]*hold{},
 		recentlyReturned: map[string]micros.Micros{},
-		refusedOffers:    map[capacity.Offer]micros.Micros{},
+		refusedOffers:    map[autoscaler.Offer]micros.Micros{},
 		partitioned:      map[string]micros.Micros{},
-		classes:          capacity.NewClasses(),
+		classes:          autoscaler.NewClasses(),
 		ownedElsewhere:   map[string]micros.Micros{},
 		unclaimed:        map[string]micros.Micros{},
 	}
--- a/controller/rentals.go
+++ b/controller/rentals.go
@@ -3,7 +3,7 @@
 import (
 	"strings"
 
-	"tamarindlead/internal/capacity"
+	"tamarindlead/internal/autoscaler"
 	"tamarindlead/internal/kv"
 	"tamarindlead/internal/record"
 	"tamarindlead/internal/wire"
@@ -25,7 +25,7 @@
 // rental is a request for machines.
 type rental struct {
 	name     string
-	offer    capacity.Offer
+	offer    autoscaler.Offer
 	number   int // of machines
 	state    rentalState
 	writing  bool          // its record is being written
@@ -70,7 +70,7 @@
 		}
 		name := strings.TrimPrefix(e.Key, record.ScaleOutRequestPrefix)
 		o.rentals[name] = &rental{
-			name: name, offer: capacity.Offer{Type: rec.Type, Zone: rec.Zone, Spot: rec.Spot}, number: rec.Count, state: rentalAsking,
+			name: name, offer: autoscaler.Offer{Type: rec.Type, Zone: rec.Zone, Spot: rec.Spot}, number: rec.Count, state: rentalAsking,
 		}
 	}
 }
@@ -112,7 +112,7 @@
 }
 
 // rent begins a rental.
-func (o *owner) rent(request capacity.Request) {
+func (o *owner) rent(request autoscaler.ScaleOutRequest) {
 	r := &rental{name: "h-" + record.FormatNumber(o.nextNumber()), offer: request.Offer, number: request.Number}
 	o.rentals[r.name] = r
 	o.c.log.Info("rental wanted", "name", r.name, "type", r.offer.Type, "zone", r.offer.Zone,
@@ -183,7 +183,7 @@
 }
 
 // pauseOffer has an offer not be asked for until there may be machines again.
-func (o *owner) pauseOffer(offer capacity.Offer) {
+func (o *owner) pauseOffer(offer autoscaler.Offer) {
 	o.refusedOffers[offer] = o.c.now + o.c.cfg.Tuning.RentalRetry
 }
 
--- a/controller/scale.go
+++ b/controller/scale.go
@@ -1,7 +1,7 @@
 package controller
 
 import (
-	"tamarindlead/internal/capacity"
+	"tamarindlead/internal/autoscaler"
 	"tamarindlead/micros"
 	"tamarindlead/sched"
 )
@@ -23,18 +23,18 @@
 )
 
 // catalog is what the cloud rents, as far as this node knows.
-func (c *Core) catalog() capacity.Catalog {
-	return capacity.Catalog{Types: c.types.list, MaxTasks: maxEntryTasks}
+func (c *Core) catalog() autoscaler.Catalog {
+	return autoscaler.Catalog{Types: c.types.list, MaxTasks: maxEntryTasks}
 }
 
 // market is what may be rented now.
-func (o *owner) market() capacity.Market {
-	return capacity.Market{Catalog: o.c.catalog(), Now: o.c.now, Refused: o.refusedOffers, Partitioned: o.partitioned}
+func (o *owner) market() autoscaler.Market {
+	return autoscaler.Market{Catalog: o.c.catalog(), Now: o.c.now, UnavailableUntil: o.refusedOffers, Partitioned: o.partitioned}
 }
 
 // offer is what the cloud rented a machine as.
-func (m *machine) offer() capacity.Offer {
-	return capacity.Offer{Type: m.kind, Zone: m.zone, Spot: m.spot}
+func (m *machine) offer() autoscaler.Offer {
+	return autoscaler.Offer{Type: m.kind, Zone: m.zone, Spot: m.spot}
 }
 
 // scarce tells that some recent class of jobs fits no other type than the machine's.
@@ -43,7 +43,7 @@
 // noteRun learns from a task that completed.
 func (o *owner) noteRun(a *attempt) {
 	if a.running != 0 {
-		o.classes.NoteRun(a.job.Class, o.c.now-a.running, a.job.Estimate)
+		o.classes.RecordRunTime(a.job.Class, o.c.now-a.running, a.job.Estimate)
 	}
 }
 
@@ -53,7 +53,7 @@
 	for _, j := range o.queue {
 		inUse[j.Class] = true
 	}
-	o.classes.Forget(o.c.now, inUse, o.c.catalog())
+	o.classes.RemoveExpired(o.c.now, inUse, o.c.catalog())
 }
 
 // tickScale asks for rentals and decides about more of them, and about machines to drain.
@@ -72,29 +72,29 @@
 	o.forgetClasses()
 	demands := o.demands()
 	planner := o.planner(demands)
-	if planner.MayScaleDown {
+	if planner.MayScaleIn {
 		o.nextScaleDown = o.c.now + scaleDownEvery
 	}
 	o.carryOut(planner.Plan(demands))
 }
 
 // planner describes what there is now.
-func (o *owner) planner(demands []*capacity.Demand) *capacity.Planner {
-	p := &capacity.Planner{
-		Market: o.market(), Classes: o.classes, Objectives: o.c.cfg.Objectives,
-		OpenRentals: len(o.rentals),
-		QueueTarget: o.c.cfg.Tuning.QueueTarget, IdleReturn: o.c.cfg.Tuning.IdleReturn,
-		MaxMachines:  o.c.cfg.Tuning.MaxMachines,
-		MayScaleDown: o.c.now >= o.nextScaleDown,
+func (o *owner) planner(demands []*autoscaler.Demand) *autoscaler.Planner {
+	p := &autoscaler.Planner{
+		Market: o.market(), Classes: o.classes, SLOs: o.c.cfg.Objectives,
+		OpenScaleOuts: len(o.rentals),
+		QueueTarget:   o.c.cfg.Tuning.QueueTarget, IdleTimeout: o.c.cfg.Tuning.IdleReturn,
+		MaxMachines: o.c.cfg.Tuning.MaxMachines,
+		MayScaleIn:  o.c.now >= o.nextScaleDown,
 	}
 	for _, name := range sortedKeys(o.rentals) {
 		if r := o.rentals[name]; r.state < rentalGranted {
-			p.Rentals = append(p.Rentals, capacity.Rental{Offer: r.offer, Number: r.number})
+			p.PendingScaleOuts = append(p.PendingScaleOuts, autoscaler.ScaleOut{Offer: r.offer, Number: r.number})
 		}
 	}
 	gangs := false
 	for _, d := range demands {
-		gangs = gangs || d.First.Gang
+		gangs = gangs || d.Representative.Gang
 	}
 	for _, m := range o.list {
 		p.Machines = append(p.Machines, o.describe(m, gangs))
@@ -104,20 +104,20 @@
 
 // describe tells planning about a machine. How long its tasks still take matters for gangs
 // only.
-func (o *owner) describe(m *machine, forGangs bool) *capacity.Machine {
-	d := &capacity.Machine{Name: m.name, Offer: m.offer()}
+func (o *owner) describe(m *machine, forGangs bool) *autoscaler.Machine {
+	d := &autoscaler.Machine{Name: m.name, Offer: m.offer()}
 	switch m.state {
 	case machineBooting:
-		d.State = capacity.MachineBooting
+		d.State = autoscaler.MachineBooting
 	case machineUp:
-		d.State = capacity.MachineUp
+		d.State = autoscaler.MachineReady
 	default:
 		return d
 	}
 	d.Size, d.Used = o.machineSize(m), m.used
 	d.Age, d.IdleFor = o.c.wallClock-m.rented, o.c.now-m.idleSince
 	d.Claimed, d.Busy = m.token != 0, len(m.attempts) > 0
-	d.Held = o.isHeld(m.name)
+	d.Reserved = o.isHeld(m.name)
 	d.OnlySlack = d.Busy && o.scarce(m) && o.onlySlack(m)
 	if forGangs {
 		d.BusyFor = o.busyFor(m)
@@ -137,8 +137,8 @@
 }
 
 // carryOut does what was decided about capacity.
-func (o *owner) carryOut(plan capacity.Plan) {
-	for _, request := range plan.Requests {
+func (o *owner) carryOut(plan autoscaler.Plan) {
+	for _, request := range plan.ScaleOutRequests {
 		o.rent(request)
 	}
 	for _, shortage := range plan.Shortages {
@@ -147,7 +147,7 @@
 	for _, drain := range plan.Drains {
 		m := o.machines[drain.Machine]
 		o.setMachine(m, machineDraining, drain.Reason.String())
-		if drain.Reason == capacity.DrainSurplus {
+		if drain.Reason == autoscaler.DrainSurplus {
 			o.consolidate(m)
 		}
 	}
@@ -155,7 +155,7 @@
 
 // requestForArray asks other owners for machines: nothing can be rented for an array, but
 // what they have idle may serve.
-func (o *owner) requestForArray(shortage capacity.Shortage) {
+func (o *owner) requestForArray(shortage autoscaler.Shortage) {
 	if o.c.now < o.nextArrayRequest {
 		return
 	}
@@ -183,13 +183,13 @@
 
 // maxWait tells how long a job may wait by its class's objectives.
 func (o *owner) maxWait(j *job) micros.Micros {
-	return capacity.WaitTarget(o.c.cfg.Objectives, j.Class, j.Gang, o.estimate(j), o.c.cfg.Tuning.QueueTarget)
+	return autoscaler.WaitTarget(o.c.cfg.Objectives, j.Class, j.Gang, o.estimate(j), o.c.cfg.Tuning.QueueTarget)
 }
 
 // estimate is the owner's estimate of a task's run time, corrected by what tasks of
 // its class really took.
 func (o *owner) estimate(j *job) micros.Micros {
-	return o.classes.Corrected(j.Class, j.Estimate)
+	return o.classes.CorrectedEstimate(j.Class, j.Estimate)
 }
 
 // demandKey tells which jobs fit the same machines.
@@ -199,10 +199,10 @@
 }
 
 // demands groups the jobs by the machine types that they fit.
-func (o *owner) demands() []*capacity.Demand {
-	byKey := map[demandKey]*capacity.Demand{}
+func (o *owner) demands() []*autoscaler.Demand {
+	byKey := map[demandKey]*autoscaler.Demand{}
 	counted := map[string]sched.Resources{} // of each team's limit, by the jobs before
-	var list []*capacity.Demand
+	var list []*autoscaler.Demand
 	for _, j := range o.queue {
 		if j.state != jobActive {
 			continue
@@ -210,7 +210,7 @@
 		key := demandKey{j.Gang, j.Spot, j.Zone, o.classes.TypesKey(j.Class)}
 		d := byKey[key]
 		if d == nil {
-			d = capacity.NewDemand(j.Job, o.waitLimit(j))
+			d = autoscaler.NewDemand(j.Job, o.waitLimit(j))
 			byKey[key] = d
 			list = append(list, d)
 		}
@@ -221,12 +221,12 @@
 
 // addDemand adds what runs and what waits of a job. Each job may use all that its team's limit
 // leaves, but all of them together may use it once only.
-func (o *owner) addDemand(d *capacity.Demand, j *job, counted map[string]sched.Resources) {
+func (o *owner) addDemand(d *autoscaler.Demand, j *job, counted map[string]sched.Resources) {
 	d.MaxWait = min(d.MaxWait, o.waitLimit(j))
 	for _, a := range j.attempts {
 		if !a.freed {
 			offer := a.machine.offer()
-			d.On[offer] = d.On[offer].Add(j.Need)
+			d.UsedByOffer[offer] = d.UsedByOffer[offer].Add(j.Need)
 		}
 	}
 	if j.Gang {
@@ -237,21 +237,21 @@
 		o.addWaitingWork(d, j, tasks)
 		once := min(tasks, o.withinTeam(j, counted[j.Team]))
 		counted[j.Team] = counted[j.Team].Add(j.Need.Times(once))
-		d.Room += float64(once) * capacity.TaskCPUs(j.Job)
-		d.Limited = d.Limited || once < j.pending
+		d.QuotaHeadroom += float64(once) * autoscaler.TaskCPUs(j.Job)
+		d.QuotaLimited = d.QuotaLimited || once < j.pending
 	}
 }
 
 // addWaitingWork adds so many tasks of a job that have no place.
-func (o *owner) addWaitingWork(d *capacity.Demand, j *job, tasks int) {
-	work := float64(tasks) * capacity.TaskCPUs(j.Job) * max(o.estimate(j).Seconds(), 1)
-	d.Waiting += work
+func (o *owner) addWaitingWork(d *autoscaler.Demand, j *job, tasks int) {
+	work := float64(tasks) * autoscaler.TaskCPUs(j.Job) * max(o.estimate(j).Seconds(), 1)
+	d.PendingCPUSeconds += work
 	if j.Priority == sched.Low && !o.urgent(j) {
-		d.Low += work
-		d.LowWait = max(d.LowWait, o.maxWait(j))
+		d.LowPriorityCPUSeconds += work
+		d.LowPriorityMaxWait = max(d.LowPriorityMaxWait, o.maxWait(j))
 	}
 	if j.Gang && tasks == j.Tasks {
-		d.Gangs = append(d.Gangs, capacity.Gang{Job: j.Job, Held: o.holds[j.ID] != nil})
+		d.Gangs = append(d.Gangs, autoscaler.Gang{Job: j.Job, Reserved: o.holds[j.ID] != nil})
 	}
 }
 
--- a/internal/capacity/capacity_test.go
+++ b/internal/autoscaler/autoscaler_test.go
@@ -1,4 +1,4 @@
-package capacity
+package autoscaler
 
 import (
 	"testing"
@@ -50,23 +50,23 @@
 
 func TestCorrectedEstimate(t *testing.T) {
 	c := NewClasses()
-	c.NoteJob(0, array("j", 1), testCatalog())
-	if got := c.Corrected("j", 10*micros.Second); got != 10*micros.Second {
+	c.RecordSubmission(0, array("j", 1), testCatalog())
+	if got := c.CorrectedEstimate("j", 10*micros.Second); got != 10*micros.Second {
 		t.Errorf("nothing was learned, but the estimate becomes %v", got)
 	}
 	for range 500 {
-		c.NoteRun("j", 20*micros.Second, 10*micros.Second)
+		c.RecordRunTime("j", 20*micros.Second, 10*micros.Second)
 	}
-	if got := c.Corrected("j", 10*micros.Second).Seconds(); got < 19.9 || got > 20 {
+	if got := c.CorrectedEstimate("j", 10*micros.Second).Seconds(); got < 19.9 || got > 20 {
 		t.Errorf("tasks take twice their estimates, the corrected one is %g s", got)
 	}
 	for range 500 {
-		c.NoteRun("j", micros.Hour, 10*micros.Second)
+		c.RecordRunTime("j", micros.Hour, 10*micros.Second)
 	}
-	if got := c.Corrected("j", 10*micros.Second).Seconds(); got > 30 {
+	if got := c.CorrectedEstimate("j", 10*micros.Second).Seconds(); got > 30 {
 		t.Errorf("the correction is not bounded: %g s", got)
 	}
-	if got := c.Corrected("other", micros.Second); got != micros.Second {
+	if got := c.CorrectedEstimate("other", micros.Second); got != micros.Second {
 		t.Errorf("an unknown class is corrected to %v", got)
 	}
 }
@@ -75,9 +75,9 @@
 	c, catalog := NewClasses(), testCatalog()
 	big := array("big", 16)
 	big.Spot = false
-	c.NoteJob(0, big, catalog)
-	c.NoteJob(0, array("any", 1), catalog)
-	if !c.Dependent("big") || c.Dependent("any") || c.Dependent("unknown") {
+	c.RecordSubmission(0, big, catalog)
+	c.RecordSubmission(0, array("any", 1), catalog)
+	if !c.SingleType("big") || c.SingleType("any") || c.SingleType("unknown") {
 		t.Error("only the class with large tasks depends on one type")
 	}
 	if !c.Scarce(1, "large", false) || c.Scarce(1, "large", true) || c.Scarce(1, "small", false) {
@@ -86,40 +86,40 @@
 	if !c.Avoids(1, "any", "large", false) || c.Avoids(1, "big", "large", false) {
 		t.Error("who may use another type avoids the scarce one")
 	}
-	if got := c.LargestDependents(1); len(got) != 1 || got["large"] != big.Need {
+	if got := c.LargestSingleTypeNeeds(1); len(got) != 1 || got["large"] != big.Need {
 		t.Errorf("what depends on a type: %v", got)
 	}
-	if c.Scarce(classMemory, "large", false) {
+	if c.Scarce(classRetention, "large", false) {
 		t.Error("nothing is scarce for a class that is not seen any more")
 	}
 }
 
-func TestForget(t *testing.T) {
+func TestRemoveExpired(t *testing.T) {
 	c := NewClasses()
-	c.NoteJob(0, array("old", 16), Catalog{}) // the types are not known yet
-	c.NoteJob(0, array("used", 16), Catalog{})
-	if c.Dependent("old") {
+	c.RecordSubmission(0, array("old", 16), Catalog{}) // the types are not known yet
+	c.RecordSubmission(0, array("used", 16), Catalog{})
+	if c.SingleType("old") {
 		t.Error("a class depends on a type before any is known")
 	}
-	c.Forget(1, nil, testCatalog())
-	if !c.Dependent("old") || c.TypesKey("old") != "large" {
+	c.RemoveExpired(1, nil, testCatalog())
+	if !c.SingleType("old") || c.TypesKey("old") != "large" {
 		t.Error("the types are not found once they are known")
 	}
-	c.Forget(classMemory+1, map[string]bool{"used": true}, testCatalog())
+	c.RemoveExpired(classRetention+1, map[string]bool{"used": true}, testCatalog())
 	if c.TypesKey("old") != "" || c.TypesKey("used") != "large" {
 		t.Error("classes without jobs are forgotten, those in use are not")
 	}
 }
 
-func TestUsualTasks(t *testing.T) {
+func TestAverageTasks(t *testing.T) {
 	c := NewClasses()
 	for range 200 {
-		c.NoteJob(0, array("j", 4), testCatalog())
+		c.RecordSubmission(0, array("j", 4), testCatalog())
 	}
-	if got := c.MostUsualTasks(sched.NewResources(32, 0, 256), 128); got != 8 {
+	if got := c.MaxAverageTasks(sched.NewResources(32, 0, 256), 128); got != 8 {
 		t.Errorf("a large machine takes %d usual tasks", got)
 	}
-	if got := c.MostUsualTasks(sched.NewResources(32, 0, 256), 5); got != 5 {
+	if got := c.MaxAverageTasks(sched.NewResources(32, 0, 256), 5); got != 5 {
 		t.Errorf("a machine takes %d tasks, more than any may", got)
 	}
 }
@@ -154,11 +154,11 @@
 	if got := r.PerSecond(36); got != 0.01 {
 		t.Errorf("before anything is seen, the operators' figure counts: %g", got)
 	}
-	r.NoteUp(3 * micros.Hour)
+	r.RecordUptime(3 * micros.Hour)
 	if got := r.PerSecond(36); got != 0.0025 {
 		t.Errorf("no machine was lost in three hours, yet the rate is %g", got)
 	}
-	r.NoteLost()
+	r.RecordLoss()
 	if got := r.PerSecond(0); got != 1.0/(4*3600) {
 		t.Errorf("one loss makes a rate of %g", got)
 	}
@@ -166,45 +166,45 @@
 
 func TestGangMix(t *testing.T) {
 	mix := GangMix{
-		Tasks: 8, SpotPrice: 0.25, OrdinaryPrice: 1,
+		Tasks: 8, SpotPrice: 0.25, OnDemandPrice: 1,
 		Estimate: 10 * micros.Minute, Checkpoint: 10 * micros.Second, Recovery: 20 * micros.Second,
 	}
-	if got := mix.OrdinaryTasks(); got != 0 {
+	if got := mix.OnDemandTasks(); got != 0 {
 		t.Errorf("nothing is ever lost, yet %d tasks are on ordinary machines", got)
 	}
 	mix.LossPerSecond = 0.1
-	if got := mix.OrdinaryTasks(); got != 8 {
+	if got := mix.OnDemandTasks(); got != 8 {
 		t.Errorf("losses every ten seconds, but only %d tasks are on ordinary machines", got)
 	}
 	mix.LossPerSecond = 0.005
-	some := mix.OrdinaryTasks()
+	some := mix.OnDemandTasks()
 	if some == 0 || some == 8 {
 		t.Errorf("with some losses, %d tasks are on ordinary machines", some)
 	}
 	mix.SpotPrice = 2 // dearer than ordinary machines
-	if got := mix.OrdinaryTasks(); got != 8 {
+	if got := mix.OnDemandTasks(); got != 8 {
 		t.Errorf("spot machines cost more, but %d tasks are on ordinary ones", got)
 	}
 	mix.MaxSpot = true
-	if got := mix.OrdinaryTasks(); got > some {
+	if got := mix.OnDemandTasks(); got > some {
 		t.Errorf("with as many spot machines as possible, %d tasks are on ordinary ones", got)
 	}
 }
 
-func TestReadiness(t *testing.T) {
+func TestWarmPool(t *testing.T) {
 	c, catalog := NewClasses(), testCatalog()
 	objectives := []config.Objective{{Kind: config.ObjectiveStart, Class: "g", Within: 30 * micros.Second, Share: 0.75}}
 	for _, tasks := range []int{6, 2, 4, 8} {
-		c.NoteJob(0, gang("g", tasks, 4), catalog)
+		c.RecordSubmission(0, gang("g", tasks, 4), catalog)
 	}
-	if n, _ := c.ReadySize(1, "g", objectives, catalog); n != 8 {
+	if n, _ := c.WarmPoolSize(1, "g", objectives, catalog); n != 8 {
 		t.Errorf("%d tasks are to be ready", n)
 	}
 	objectives[0].Share = 0.5
-	ready := NewReadiness(1, c, objectives, catalog)
+	ready := NewWarmPool(1, c, objectives, catalog)
 	small := sched.NewResources(8, 0, 32)
 	for i, want := range []bool{true, true, true, false} { // two tasks each, of six
-		if got := ready.Take(Offer{Type: "small", Zone: "a"}, small); got != want {
+		if got := ready.Claim(Offer{Type: "small", Zone: "a"}, small); got != want {
 			t.Errorf("machine %d is needed: %t", i, got)
 		}
 	}
@@ -212,17 +212,17 @@
 		t.Error("what is kept ready is forgotten once it is there")
 	}
 	objectives[0].Within = micros.Minute // machines boot in time
-	if !NewReadiness(1, c, objectives, catalog).Empty() {
+	if !NewWarmPool(1, c, objectives, catalog).Empty() {
 		t.Error("machines are kept ready although they boot in time")
 	}
 	objectives[0].Within = 30 * micros.Second
-	if !NewReadiness(readyMemory+1, c, objectives, catalog).Empty() {
+	if !NewWarmPool(warmPoolRetention+1, c, objectives, catalog).Empty() {
 		t.Error("machines are kept ready for gangs that do not come any more")
 	}
 }
 
-func TestZoneRoom(t *testing.T) {
-	room := gangRoom{}
+func TestZoneCapacity(t *testing.T) {
+	room := gangCapacity{}
 	room.add(Offer{Zone: "a"}, 2)
 	room.add(Offer{Zone: "a", Spot: true}, 5)
 	g := gang("g", 6, 4)
@@ -233,7 +233,7 @@
 	if ordinary, spot := room.zone("a").take(6, 3); ordinary != 2 || spot != 3 {
 		t.Errorf("%d and %d places are taken", ordinary, spot)
 	}
-	if got := room.zone("a"); got.ordinary != 0 || got.spot != 2 {
+	if got := room.zone("a"); got.onDemand != 0 || got.spot != 2 {
 		t.Errorf("left are %+v", *got)
 	}
 }
--- a/internal/capacity/catalog.go
+++ b/internal/autoscaler/catalog.go
@@ -5,7 +5,7 @@
 // and waiting work as plain values (Planner, Machine, Demand) and carries out what Plan
 // returns. What has to be remembered between two plans is in Classes (statistics of classes
 // of jobs) and in SpotRisk (losses of spot machines).
-package capacity
+package autoscaler
 
 import (
 	"slices"
@@ -95,15 +95,15 @@
 func (c Catalog) BootTime(job *sched.Job) micros.Micros {
 	least := micros.Micros(0)
 	for _, t := range c.Types {
-		if suits(job, t) && (least == 0 || t.Boot < least) {
+		if compatible(job, t) && (least == 0 || t.Boot < least) {
 			least = t.Boot
 		}
 	}
 	return least
 }
 
-// suits tells whether a task of a job may run on machines of a type and fits them.
-func suits(job *sched.Job, t sched.MachineType) bool {
+// compatible tells whether a task of a job may run on machines of a type and fits them.
+func compatible(job *sched.Job, t sched.MachineType) bool {
 	return job.Need.Fits(t.Size) && (job.Types == nil || slices.Contains(job.Types, t.Name))
 }
 
--- a/internal/capacity/planner.go
+++ b/internal/autoscaler/planner.go
@@ -1,4 +1,4 @@
-package capacity
+package autoscaler
 
 import (
 	"cmp"
@@ -10,26 +10,26 @@
 
 // Bounds of renting.
 const (
-	// maxPerRental is how many machines one rental may ask for, by the cloud's protocol.
-	maxPerRental = 50
-	// maxRentals is how many rentals may be under way at the same time.
-	maxRentals = 4
-	// minCharged is what the cloud charges at the least: shorter use costs as much.
-	minCharged = 60 * micros.Second
+	// maxMachinesPerScaleOut is how many machines one rental may ask for, by the cloud's protocol.
+	maxMachinesPerScaleOut = 50
+	// maxScaleOuts is how many rentals may be under way at the same time.
+	maxScaleOuts = 4
+	// minBilledTime is what the cloud charges at the least: shorter use costs as much.
+	minBilledTime = 60 * micros.Second
 )
 
 // Market is what may be rented at one moment.
 type Market struct {
 	Catalog
-	Now         micros.Micros
-	Refused     map[Offer]micros.Micros  // offers that the cloud refused: not asked for until then
-	Partitioned map[string]micros.Micros // zones that are cut off, since when
+	Now              micros.Micros
+	UnavailableUntil map[Offer]micros.Micros  // offers that the cloud refused: not asked for until then
+	Partitioned      map[string]micros.Micros // zones that are cut off, since when
 }
 
 // Available tells that a rental may get machines of use: it was not refused lately, and the
 // zone is not cut off.
 func (m Market) Available(offer Offer) bool {
-	return m.Now >= m.Refused[offer] && m.Partitioned[offer.Zone] == 0
+	return m.Now >= m.UnavailableUntil[offer] && m.Partitioned[offer.Zone] == 0
 }
 
 // MachineState tells how a machine counts for capacity.
@@ -39,22 +39,22 @@
 const (
 	MachineOther   MachineState = iota // takes no work any more, or not known to
 	MachineBooting                     // will take work
-	MachineUp                          // takes work
+	MachineReady                       // takes work
 )
 
 // Machine is what planning knows of a machine.
 type Machine struct {
 	Name string
 	Offer
-	State   MachineState
-	Size    sched.Resources
-	Used    sched.Resources
-	Age     micros.Micros // since it was rented
-	IdleFor micros.Micros // without any task
-	BusyFor micros.Micros // until all its tasks have ended, where gangs could use it
-	Claimed bool          // recorded as this node's, so that it may take work
-	Busy    bool          // has tasks
-	Held    bool          // for a gang for which work was stopped
+	State    MachineState
+	Size     sched.Resources
+	Used     sched.Resources
+	Age      micros.Micros // since it was rented
+	IdleFor  micros.Micros // without any task
+	BusyFor  micros.Micros // until all its tasks have ended, where gangs could use it
+	Claimed  bool          // recorded as this node's, so that it may take work
+	Busy     bool          // has tasks
+	Reserved bool          // for a gang for which work was stopped
 	// OnlySlack: no job that depends on the machine's type has tasks on it. Only known of busy
 	// machines of a scarce type.
 	OnlySlack bool
@@ -63,15 +63,15 @@
 // free is the room for more tasks.
 func (m *Machine) free() sched.Resources { return m.Size.Sub(m.Used) }
 
-// Rental is a number of machines of one offer that the cloud is or will be asked for.
-type Rental struct {
+// ScaleOut is a number of machines of one offer that the cloud is or will be asked for.
+type ScaleOut struct {
 	Offer
 	Number int
 }
 
-// Request is a rental to begin.
-type Request struct {
-	Rental
+// ScaleOutRequest is a rental to begin.
+type ScaleOutRequest struct {
+	ScaleOut
 	Job       *sched.Job // for which the machines are wanted
 	ShortCPUs float64    // how many processors it is short of
 }
@@ -101,23 +101,23 @@
 
 // Plan is what is to be done, in this order.
 type Plan struct {
-	Requests  []Request
-	Shortages []Shortage
-	Drains    []Drain
+	ScaleOutRequests []ScaleOutRequest
+	Shortages        []Shortage
+	Drains           []Drain
 }
 
 // Planner decides what is rented and drained at one moment.
 type Planner struct {
 	Market
-	Classes      *Classes
-	Objectives   []config.Objective
-	Machines     []*Machine // all of them, in the order of their names
-	Rentals      []Rental   // that the cloud has not answered
-	OpenRentals  int        // these, and those whose machines are not all recorded
-	QueueTarget  micros.Micros
-	IdleReturn   micros.Micros
-	MaxMachines  int  // 0: any number
-	MayScaleDown bool // machines that the others make superfluous may be drained now
+	Classes          *Classes
+	SLOs             []config.Objective
+	Machines         []*Machine // all of them, in the order of their names
+	PendingScaleOuts []ScaleOut // that the cloud has not answered
+	OpenScaleOuts    int        // these, and those whose machines are not all recorded
+	QueueTarget      micros.Micros
+	IdleTimeout      micros.Micros
+	MaxMachines      int  // 0: any number
+	MayScaleIn       bool // machines that the others make superfluous may be drained now
 
 	plan   Plan
 	inZone map[string]int // machines by zone
@@ -132,12 +132,12 @@
 	for _, d := range demands {
 		p.measure(d)
 	}
-	p.scaleUp(demands)
+	p.scaleOut(demands)
 	p.replaceExpensive(demands)
-	if p.MayScaleDown {
-		p.scaleDown(demands)
+	if p.MayScaleIn {
+		p.scaleIn(demands)
 	}
-	p.returnIdle(demands)
+	p.drainIdle(demands)
 	return p.plan
 }
 
@@ -194,12 +194,12 @@
 	return cmp.Or(cmp.Compare(a.price, b.price), cmp.Compare(p.inZone[a.Zone], p.inZone[b.Zone]))
 }
 
-// anyOffer and notAsked choose among offers: all, or those that no rental is under way for,
+// anyOffer and notRequested choose among offers: all, or those that no rental is under way for,
 // since its answer tells whether there are more.
 func anyOffer(Offer) bool { return true }
 
-func (p *Planner) notAsked(offer Offer) bool {
-	for _, r := range p.Rentals {
+func (p *Planner) notRequested(offer Offer) bool {
+	for _, r := range p.PendingScaleOuts {
 		if r.Offer == offer {
 			return false
 		}
@@ -207,21 +207,21 @@
 	return true
 }
 
-// mayAsk tells that one more rental may be under way.
-func (p *Planner) mayAsk() bool { return len(p.Rentals) < maxRentals }
+// canRequest tells that one more rental may be under way.
+func (p *Planner) canRequest() bool { return len(p.PendingScaleOuts) < maxScaleOuts }
 
-// rent asks for machines for the processors that a job is short of, and tells how many
+// requestScaleOut asks for machines for the processors that a job is short of, and tells how many
 // processors it asked for.
-func (p *Planner) rent(job *sched.Job, best *choice, shortCPUs float64) float64 {
-	number := min(int(shortCPUs/best.cpus)+1, maxPerRental)
+func (p *Planner) requestScaleOut(job *sched.Job, best *choice, shortCPUs float64) float64 {
+	number := min(int(shortCPUs/best.cpus)+1, maxMachinesPerScaleOut)
 	if p.MaxMachines > 0 {
 		number = min(number, p.MaxMachines-len(p.Machines))
 	}
 	if number <= 0 || shortCPUs <= 0 {
 		return 0
 	}
-	rental := Rental{Offer: best.Offer, Number: number}
-	p.Rentals = append(p.Rentals, rental)
-	p.plan.Requests = append(p.plan.Requests, Request{Rental: rental, Job: job, ShortCPUs: shortCPUs})
+	rental := ScaleOut{Offer: best.Offer, Number: number}
+	p.PendingScaleOuts = append(p.PendingScaleOuts, rental)
+	p.plan.ScaleOutRequests = append(p.plan.ScaleOutRequests, ScaleOutRequest{ScaleOut: rental, Job: job, ShortCPUs: shortCPUs})
 	return float64(number) * best.cpus
 }
--- a/internal/capacity/planner_test.go
+++ b/internal/autoscaler/planner_test.go
@@ -1,4 +1,4 @@
-package capacity
+package autoscaler
 
 import (
 	"slices"
@@ -15,13 +15,13 @@
 	p := &Planner{
 		Market: Market{
 			Catalog: testCatalog(), Now: testNow,
-			Refused: map[Offer]micros.Micros{}, Partitioned: map[string]micros.Micros{},
+			UnavailableUntil: map[Offer]micros.Micros{}, Partitioned: map[string]micros.Micros{},
 		},
 		Classes:     NewClasses(),
-		QueueTarget: 10 * micros.Second, IdleReturn: 30 * micros.Second, MayScaleDown: true,
+		QueueTarget: 10 * micros.Second, IdleTimeout: 30 * micros.Second, MayScaleIn: true,
 	}
 	for _, j := range jobs {
-		p.Classes.NoteJob(testNow, j, p.Catalog)
+		p.Classes.RecordSubmission(testNow, j, p.Catalog)
 	}
 	return p
 }
@@ -31,7 +31,7 @@
 	size := p.Find(offer.Type).Size
 	for _, name := range names {
 		p.Machines = append(p.Machines, &Machine{
-			Name: name, Offer: offer, State: MachineUp, Size: size,
+			Name: name, Offer: offer, State: MachineReady, Size: size,
 			Age: micros.Hour, IdleFor: micros.Hour, Claimed: true,
 		})
 	}
@@ -40,7 +40,7 @@
 // requested sums up by offer what a plan asks the cloud for.
 func requested(plan Plan) map[Offer]int {
 	sums := map[Offer]int{}
-	for _, r := range plan.Requests {
+	for _, r := range plan.ScaleOutRequests {
 		sums[r.Offer] += r.Number
 	}
 	return sums
@@ -58,7 +58,7 @@
 
 func waitingArray(job *sched.Job, cpuSeconds float64) *Demand {
 	d := NewDemand(job, micros.Minute)
-	d.Waiting = cpuSeconds
+	d.PendingCPUSeconds = cpuSeconds
 	return d
 }
 
@@ -70,7 +70,7 @@
 	return d
 }
 
-func TestRentForArray(t *testing.T) {
+func TestScaleOutForArray(t *testing.T) {
 	job := array("j", 1)
 	plan := testPlanner(job).Plan([]*Demand{waitingArray(job, 150)}) // 15 processors for 10 s
 	want := Offer{Type: "small", Zone: "a", Spot: true}
@@ -79,27 +79,27 @@
 	}
 }
 
-func TestRentCountsWhatThereIs(t *testing.T) {
+func TestScaleOutCountsExistingCapacity(t *testing.T) {
 	job := array("j", 1)
 	p := testPlanner(job)
 	spot := Offer{Type: "small", Zone: "a", Spot: true}
 	p.addMachines(spot, "m1")
-	p.Rentals, p.OpenRentals = []Rental{{Offer: spot, Number: 1}}, 1
-	if plan := p.Plan([]*Demand{waitingArray(job, 160)}); len(plan.Requests) != 0 {
+	p.PendingScaleOuts, p.OpenScaleOuts = []ScaleOut{{Offer: spot, Number: 1}}, 1
+	if plan := p.Plan([]*Demand{waitingArray(job, 160)}); len(plan.ScaleOutRequests) != 0 {
 		t.Errorf("16 processors are there or asked for, and more are: %v", requested(plan))
 	}
 }
 
-// TestWaitForAnswer guards against rentals of a dearer offer before the cloud has told whether
+// TestWaitForPendingScaleOut guards against rentals of a dearer offer before the cloud has told whether
 // there is more of the cheapest.
-func TestWaitForAnswer(t *testing.T) {
+func TestWaitForPendingScaleOut(t *testing.T) {
 	job := array("j", 16) // the large type only
 	p := testPlanner(job)
 	for _, zone := range []string{"a", "b"} {
-		p.Rentals = append(p.Rentals, Rental{Offer: Offer{Type: "large", Zone: zone, Spot: true}, Number: 1})
+		p.PendingScaleOuts = append(p.PendingScaleOuts, ScaleOut{Offer: Offer{Type: "large", Zone: zone, Spot: true}, Number: 1})
 	}
-	p.OpenRentals = len(p.Rentals)
-	if plan := p.Plan([]*Demand{waitingArray(job, 1e6)}); len(plan.Requests) != 0 {
+	p.OpenScaleOuts = len(p.PendingScaleOuts)
+	if plan := p.Plan([]*Demand{waitingArray(job, 1e6)}); len(plan.ScaleOutRequests) != 0 {
 		t.Errorf("requested %v", requested(plan))
 	}
 }
@@ -107,8 +107,8 @@
 func TestUnavailableOffers(t *testing.T) {
 	job := array("j", 16)
 	p := testPlanner(job)
-	p.Refused[Offer{Type: "large", Zone: "a", Spot: true}] = testNow + 1
-	p.Refused[Offer{Type: "large", Zone: "b", Spot: true}] = testNow // over
+	p.UnavailableUntil[Offer{Type: "large", Zone: "a", Spot: true}] = testNow + 1
+	p.UnavailableUntil[Offer{Type: "large", Zone: "b", Spot: true}] = testNow // over
 	plan := p.Plan([]*Demand{waitingArray(job, 160)})
 	if got := requested(plan); got[Offer{Type: "large", Zone: "b", Spot: true}] != 1 || len(got) != 1 {
 		t.Errorf("requested %v", got)
@@ -116,28 +116,28 @@
 	p = testPlanner(job)
 	p.Partitioned["a"], p.Partitioned["b"] = 1, 1
 	plan = p.Plan([]*Demand{waitingArray(job, 160)})
-	if len(plan.Requests) != 0 || len(plan.Shortages) != 1 || plan.Shortages[0].Tasks != 2 {
+	if len(plan.ScaleOutRequests) != 0 || len(plan.Shortages) != 1 || plan.Shortages[0].Tasks != 2 {
 		t.Errorf("all zones are cut off, the plan is %+v", plan)
 	}
 }
 
-func TestRentBounds(t *testing.T) {
+func TestScaleOutBounds(t *testing.T) {
 	job := array("j", 1)
 	p := testPlanner(job)
 	p.MaxMachines = 3
 	p.addMachines(Offer{Type: "small", Zone: "a"}, "m1")
 	p.Machines[0].State = MachineOther
-	for _, r := range p.Plan([]*Demand{waitingArray(job, 1e6)}).Requests {
+	for _, r := range p.Plan([]*Demand{waitingArray(job, 1e6)}).ScaleOutRequests {
 		if r.Number > 2 {
 			t.Errorf("one machine of three is there, %d are asked for", r.Number)
 		}
 	}
 	plan := testPlanner(job).Plan([]*Demand{waitingArray(job, 1e9)})
-	if len(plan.Requests) == 0 || len(plan.Requests) > maxRentals {
-		t.Errorf("%d rentals are begun at once", len(plan.Requests))
+	if len(plan.ScaleOutRequests) == 0 || len(plan.ScaleOutRequests) > maxScaleOuts {
+		t.Errorf("%d rentals are begun at once", len(plan.ScaleOutRequests))
 	}
-	for _, r := range plan.Requests {
-		if r.Number > maxPerRental {
+	for _, r := range plan.ScaleOutRequests {
+		if r.Number > maxMachinesPerScaleOut {
 			t.Errorf("a rental asks for %d machines", r.Number)
 		}
 	}
@@ -155,7 +155,7 @@
 	}
 }
 
-func TestRentForGangInOneZone(t *testing.T) {
+func TestScaleOutForGangInOneZone(t *testing.T) {
 	g := gang("g", 6, 4)
 	g.OneZone = true
 	p := testPlanner(g)
@@ -166,7 +166,7 @@
 	}
 }
 
-func TestRentForSpreadGang(t *testing.T) {
+func TestScaleOutForSpreadGang(t *testing.T) {
 	g := gang("g", 4, 4)
 	g.Spread = true
 	p := testPlanner(g)
@@ -194,11 +194,11 @@
 	}
 }
 
-func TestHeldGangRentsNothing(t *testing.T) {
+func TestReservedGangNoScaleOut(t *testing.T) {
 	g := gang("g", 6, 4)
 	d := waitingGang(g)
-	d.Gangs[0].Held = true
-	if plan := testPlanner(g).Plan([]*Demand{d}); len(plan.Requests) != 0 {
+	d.Gangs[0].Reserved = true
+	if plan := testPlanner(g).Plan([]*Demand{d}); len(plan.ScaleOutRequests) != 0 {
 		t.Errorf("requested %v", requested(plan))
 	}
 }
@@ -212,7 +212,7 @@
 		p := testPlanner(g)
 		p.addMachines(Offer{Type: "small", Zone: "a"}, "m1")
 		p.Machines[0].Used, p.Machines[0].Busy, p.Machines[0].BusyFor = p.Machines[0].Size, true, c.busy
-		if plan := p.Plan([]*Demand{waitingGang(g)}); len(plan.Requests) > 0 != c.rental {
+		if plan := p.Plan([]*Demand{waitingGang(g)}); len(plan.ScaleOutRequests) > 0 != c.rental {
 			t.Errorf("busy for %v: requested %v", c.busy, requested(plan))
 		}
 	}
@@ -224,20 +224,20 @@
 	ordinary := Offer{Type: "small", Zone: "a"}
 	p.addMachines(ordinary, "m1", "m2")
 	d := NewDemand(job, micros.Minute)
-	d.On[ordinary] = sched.NewResources(16, 0, 16)
+	d.UsedByOffer[ordinary] = sched.NewResources(16, 0, 16)
 	for _, m := range p.Machines {
 		m.Busy, m.Used = true, sched.NewResources(8, 0, 8)
 	}
 	if got := requested(p.Plan([]*Demand{d})); len(got) != 1 || got[Offer{Type: "small", Zone: "b", Spot: true}] != 2 {
 		t.Errorf("two ordinary machines are replaced by %v", got)
 	}
-	p.OpenRentals, p.plan = 1, Plan{}
+	p.OpenScaleOuts, p.plan = 1, Plan{}
 	if got := requested(p.Plan([]*Demand{d})); len(got) != 0 {
 		t.Errorf("replaced by %v while a rental is open", got)
 	}
 }
 
-func TestScaleDown(t *testing.T) {
+func TestScaleIn(t *testing.T) {
 	job := array("j", 1)
 	build := func() (*Planner, *Demand) {
 		p := testPlanner(job)
@@ -252,11 +252,11 @@
 		t.Errorf("drained are %v, not the one with the least work", got)
 	}
 	for what, change := range map[string]func(*Planner, *Demand){
-		"not yet":       func(p *Planner, _ *Demand) { p.MayScaleDown = false },
-		"work waits":    func(_ *Planner, d *Demand) { d.Waiting = 300 },
-		"a gang's":      func(_ *Planner, d *Demand) { d.First = gang("g", 2, 1) },
+		"not yet":       func(p *Planner, _ *Demand) { p.MayScaleIn = false },
+		"work waits":    func(_ *Planner, d *Demand) { d.PendingCPUSeconds = 300 },
+		"a gang's":      func(_ *Planner, d *Demand) { d.Representative = gang("g", 2, 1) },
 		"just rented":   func(p *Planner, _ *Demand) { setAll(p, func(m *Machine) { m.Age = 39 * micros.Second }) },
-		"reserved":      func(p *Planner, _ *Demand) { setAll(p, func(m *Machine) { m.Held = true }) },
+		"reserved":      func(p *Planner, _ *Demand) { setAll(p, func(m *Machine) { m.Reserved = true }) },
 		"spot machines": func(p *Planner, _ *Demand) { setAll(p, func(m *Machine) { m.Spot = true }) },
 	} {
 		p, d := build()
@@ -273,7 +273,7 @@
 	}
 }
 
-func TestReturnIdle(t *testing.T) {
+func TestDrainIdle(t *testing.T) {
 	build := func() *Planner {
 		p := testPlanner()
 		p.addMachines(Offer{Type: "small", Zone: "a"}, "m1")
@@ -287,7 +287,7 @@
 		"spot":              func(m *Machine) { m.Spot, m.IdleFor = true, 30*micros.Second },
 		"charged anyway":    func(m *Machine) { m.Age = 55 * micros.Second },
 		"busy":              func(m *Machine) { m.Busy = true },
-		"reserved":          func(m *Machine) { m.Held = true },
+		"reserved":          func(m *Machine) { m.Reserved = true },
 		"not claimed":       func(m *Machine) { m.Claimed = false },
 		"booting":           func(m *Machine) { m.State = MachineBooting },
 	} {
@@ -304,17 +304,17 @@
 func TestKeepIdleForWaitingGang(t *testing.T) {
 	g := gang("g", 3, 4) // two tasks fit a small machine
 	p := testPlanner(g)
-	p.MayScaleDown = false
+	p.MayScaleIn = false
 	p.addMachines(Offer{Type: "small", Zone: "a"}, "m1", "m2", "m3")
 	if got := drained(p.Plan([]*Demand{waitingGang(g)}), DrainIdle); len(got) != 1 {
 		t.Errorf("returned are %v of three machines, of which two are needed", got)
 	}
 }
 
-func TestKeepReady(t *testing.T) {
+func TestKeepWarmPool(t *testing.T) {
 	g := gang("g", 4, 4)
 	p := testPlanner(g)
-	p.Objectives = []config.Objective{{Kind: config.ObjectiveStart, Class: "g", Within: 10 * micros.Second, Share: 0.9}}
+	p.SLOs = []config.Objective{{Kind: config.ObjectiveStart, Class: "g", Within: 10 * micros.Second, Share: 0.9}}
 	p.addMachines(Offer{Type: "small", Zone: "a"}, "m1", "m2")
 	p.addMachines(Offer{Type: "small", Zone: "a", Spot: true}, "m3")
 	if got := drained(p.Plan([]*Demand{waitingGangless(g)}), DrainIdle); !slices.Equal(got, []string{"m2"}) {
@@ -325,9 +325,9 @@
 // waitingGangless is the demand of a gang that runs.
 func waitingGangless(g *sched.Job) *Demand { return NewDemand(g, micros.Minute) }
 
-// TestRentWithinLimits guards against machines for more than the teams' limits leave: the
+// TestScaleOutWithinQuota guards against machines for more than the teams' limits leave: the
 // limits are shared by all jobs that wait, and what is free already is used first.
-func TestRentWithinLimits(t *testing.T) {
+func TestScaleOutWithinQuota(t *testing.T) {
 	job := array("j", 1)
 	for _, c := range []struct {
 		name       string
@@ -344,8 +344,8 @@
 		p.addMachines(Offer{Type: "small", Zone: "a"}, "m1")
 		p.Machines[0].Used = sched.NewResources(c.used, 0, 0)
 		d := waitingArray(job, 1e6)
-		d.Limited, d.Room = c.limited, c.room
-		if rents := len(p.Plan([]*Demand{d}).Requests) > 0; rents != c.rents {
+		d.QuotaLimited, d.QuotaHeadroom = c.limited, c.room
+		if rents := len(p.Plan([]*Demand{d}).ScaleOutRequests) > 0; rents != c.rents {
 			t.Errorf("%s: rents %t", c.name, rents)
 		}
 	}
--- a/internal/capacity/scale_down.go
+++ b/internal/autoscaler/scale_in.go
@@ -1,4 +1,4 @@
-package capacity
+package autoscaler
 
 import (
 	"cmp"
@@ -16,30 +16,30 @@
 	// loadVariation is the room that is left when machines are drained, in parts of all, by
 	// the root of their number: the more machines, the less their load varies in proportion.
 	loadVariation = 0.85
-	// minRoom and maxRoom bound that part.
-	minRoom = 0.05
-	maxRoom = 0.5
+	// minHeadroom and maxHeadroom bound that part.
+	minHeadroom = 0.05
+	maxHeadroom = 0.5
 	// drainShare is the part of all machines that is drained at once, one at least.
 	drainShare = 0.03
-	// drainBefore and returnBefore tell how long before the end of the time that is charged
+	// drainBefore and idleDrainBefore tell how long before the end of the time that is charged
 	// in any case a machine may be drained: one with tasks needs time to become empty.
-	drainBefore  = 20 * micros.Second
-	returnBefore = 5 * micros.Second
+	drainBefore     = 20 * micros.Second
+	idleDrainBefore = 5 * micros.Second
 )
 
 // replaceExpensive rents cheaper machines for work that runs on expensive ones, which then
 // become empty and are returned.
 func (p *Planner) replaceExpensive(demands []*Demand) {
-	if p.OpenRentals+len(p.plan.Requests) > 0 {
+	if p.OpenScaleOuts+len(p.plan.ScaleOutRequests) > 0 {
 		return
 	}
 	for _, d := range demands {
-		best := p.cheapestOf(d.First, false, anyOffer)
-		if best == nil || len(d.On) == 0 || d.First.Gang {
+		best := p.cheapestOf(d.Representative, false, anyOffer)
+		if best == nil || len(d.UsedByOffer) == 0 || d.Representative.Gang {
 			continue
 		}
 		if cpus := p.replaceableCPUs(d, best); cpus >= best.cpus/2 {
-			p.rent(d.First, best, cpus-best.cpus/2)
+			p.requestScaleOut(d.Representative, best, cpus-best.cpus/2)
 			return
 		}
 	}
@@ -49,7 +49,7 @@
 // what is free already on machines that are not.
 func (p *Planner) replaceableCPUs(d *Demand, best *choice) float64 {
 	var expensive sched.Resources
-	for offer, used := range d.On {
+	for offer, used := range d.UsedByOffer {
 		if p.worthReplacing(offer, best) {
 			expensive = expensive.Add(used)
 		}
@@ -67,19 +67,19 @@
 	return p.PricePerCPU(offer.Type, offer.Spot)*replacePrice >= best.price
 }
 
-// scaleDown drains the most expensive machines once the others can carry the work: some at a
+// scaleIn drains the most expensive machines once the others can carry the work: some at a
 // time, so that what leaves them finds its place.
-func (p *Planner) scaleDown(demands []*Demand) {
+func (p *Planner) scaleIn(demands []*Demand) {
 	most := max(1, int(drainShare*float64(len(p.Machines))))
-	room := max(minRoom, loadVariation/math.Sqrt(float64(max(1, len(p.Machines)))))
-	limit := max(1-room, 1-maxRoom)
+	room := max(minHeadroom, loadVariation/math.Sqrt(float64(max(1, len(p.Machines)))))
+	limit := max(1-room, 1-maxHeadroom)
 	for _, d := range demands {
-		if d.First.Gang {
+		if d.Representative.Gang {
 			continue
 		}
-		needed := d.Used + d.Waiting/p.targetSeconds()
+		needed := d.Used + d.PendingCPUSeconds/p.targetSeconds()
 		for ; most > 0; most-- {
-			m := p.mostExpensive(d.First)
+			m := p.mostExpensive(d.Representative)
 			if m == nil {
 				break
 			}
@@ -117,7 +117,7 @@
 // mayDrain tells whether a machine that a job could use may be drained: spot machines cost
 // little, and one that is charged for in any case may as well stay.
 func (p *Planner) mayDrain(m *Machine, job *sched.Job) bool {
-	return m.State == MachineUp && !m.Spot && !m.Held && m.Age >= minCharged-drainBefore &&
+	return m.State == MachineReady && !m.Spot && !m.Reserved && m.Age >= minBilledTime-drainBefore &&
 		!p.avoids(job, m.Offer) && p.UsableCPUs(job, m.Offer) > 0
 }
 
@@ -125,29 +125,29 @@
 	return cmp.Compare(p.PricePerCPU(a.Type, a.Spot), p.PricePerCPU(b.Type, b.Spot))
 }
 
-// returnIdle drains machines that have had nothing to do for a while, but for those that are
+// drainIdle drains machines that have had nothing to do for a while, but for those that are
 // kept ready for gangs and those that waiting work could use.
-func (p *Planner) returnIdle(demands []*Demand) {
-	ready := p.readinessLeft()
+func (p *Planner) drainIdle(demands []*Demand) {
+	ready := p.remainingWarmPool()
 	waiting := map[*Demand]int{} // tasks of gangs that wait
 	for _, d := range demands {
-		waiting[d] = d.waitingTasks()
+		waiting[d] = d.pendingTasks()
 	}
 	for _, m := range p.idleMachines() {
-		needed := ready.Take(m.Offer, m.free()) || p.hasUseFor(m, demands, waiting)
-		if !needed && m.IdleFor > p.idleLimit(m) && m.Age > minCharged-returnBefore {
+		needed := ready.Claim(m.Offer, m.free()) || p.neededByPendingWork(m, demands, waiting)
+		if !needed && m.IdleFor > p.idleTimeout(m) && m.Age > minBilledTime-idleDrainBefore {
 			p.drain(m, DrainIdle)
 		}
 	}
 }
 
-// readinessLeft is what idle machines must still be kept ready for: what only finishes short
+// remainingWarmPool is what idle machines must still be kept ready for: what only finishes short
 // work is ready too.
-func (p *Planner) readinessLeft() *Readiness {
-	ready := NewReadiness(p.Now, p.Classes, p.Objectives, p.Catalog)
+func (p *Planner) remainingWarmPool() *WarmPool {
+	ready := NewWarmPool(p.Now, p.Classes, p.SLOs, p.Catalog)
 	for _, m := range p.Machines {
-		if m.State == MachineUp && m.Busy && m.OnlySlack && p.Classes.Scarce(p.Now, m.Type, m.Spot) {
-			ready.Take(m.Offer, m.free())
+		if m.State == MachineReady && m.Busy && m.OnlySlack && p.Classes.Scarce(p.Now, m.Type, m.Spot) {
+			ready.Claim(m.Offer, m.free())
 		}
 	}
 	return ready
@@ -158,7 +158,7 @@
 func (p *Planner) idleMachines() []*Machine {
 	var idle []*Machine
 	for _, m := range p.Machines {
-		if m.State == MachineUp && !m.Busy && m.Claimed && !m.Held {
+		if m.State == MachineReady && !m.Busy && m.Claimed && !m.Reserved {
 			idle = append(idle, m)
 		}
 	}
@@ -166,27 +166,27 @@
 	return idle
 }
 
-// idleLimit is how long a machine may be idle: an ordinary one half as long as a spot machine.
-func (p *Planner) idleLimit(m *Machine) micros.Micros {
+// idleTimeout is how long a machine may be idle: an ordinary one half as long as a spot machine.
+func (p *Planner) idleTimeout(m *Machine) micros.Micros {
 	if m.Spot {
-		return p.IdleReturn
+		return p.IdleTimeout
 	}
-	return p.IdleReturn / 2
+	return p.IdleTimeout / 2
 }
 
-// hasUseFor tells that work waits which an idle machine could take: for its record to be
+// neededByPendingWork tells that work waits which an idle machine could take: for its record to be
 // written, or for more machines that a gang needs. To return machines and rent others would
 // cost writes and boot times, and make it wait longer.
-func (p *Planner) hasUseFor(m *Machine, demands []*Demand, waiting map[*Demand]int) bool {
+func (p *Planner) neededByPendingWork(m *Machine, demands []*Demand, waiting map[*Demand]int) bool {
 	for _, d := range demands {
 		switch {
 		case d.usableCPUs(p.Catalog, m.Offer) == 0:
-		case !d.First.Gang:
-			if d.Waiting > 0 && !p.avoids(d.First, m.Offer) {
+		case !d.Representative.Gang:
+			if d.PendingCPUSeconds > 0 && !p.avoids(d.Representative, m.Offer) {
 				return true
 			}
 		case waiting[d] > 0:
-			waiting[d] -= p.tasksOn(d.First, m.Size)
+			waiting[d] -= p.tasksOn(d.Representative, m.Size)
 			return true
 		}
 	}
--- a/internal/capacity/objectives.go
+++ b/internal/autoscaler/slo.go
@@ -1,4 +1,4 @@
-package capacity
+package autoscaler
 
 import (
 	"tamarindlead/config"
@@ -15,8 +15,8 @@
 // minSlack is what waiting may take at the least, also of an objective that is missed already.
 const minSlack = micros.Second
 
-// shortestWait finds the objective for a class that allows the shortest wait.
-func shortestWait(objectives []config.Objective, class string) (config.Objective, bool) {
+// shortestWaitSLO finds the objective for a class that allows the shortest wait.
+func shortestWaitSLO(objectives []config.Objective, class string) (config.Objective, bool) {
 	var shortest config.Objective
 	for _, o := range objectives {
 		if o.Kind == config.ObjectiveStart && o.Class == class && (shortest.Within == 0 || o.Within < shortest.Within) {
--- a/internal/capacity/zone.go
+++ b/internal/autoscaler/zone.go
@@ -1,4 +1,4 @@
-package capacity
+package autoscaler
 
 import (
 	"cmp"
@@ -9,15 +9,15 @@
 
 // zoneOption is a zone where a gang could go.
 type zoneOption struct {
-	zone     string
-	complete int // 1: there is room for all of it
-	more     int // 1: more machines can be rented
-	fits     int // how many of its tasks there is room for
+	zone        string
+	complete    int // 1: there is room for all of it
+	canScaleOut int // 1: more machines can be rented
+	fits        int // how many of its tasks there is room for
 }
 
 // bestZone is where a gang should go: where there is room for all of it, else where more
 // can be rented, else where there is most.
-func (p *Planner) bestZone(job *sched.Job, room gangRoom, tasks int) string {
+func (p *Planner) bestZone(job *sched.Job, room gangCapacity, tasks int) string {
 	var options []zoneOption
 	for _, t := range p.Types {
 		for _, zone := range t.Zones {
@@ -28,8 +28,8 @@
 			if option.fits >= tasks {
 				option.complete = 1
 			}
-			if p.CanRent(job, t.Name, zone) {
-				option.more = 1
+			if p.CanScaleOut(job, t.Name, zone) {
+				option.canScaleOut = 1
 			}
 			options = append(options, option)
 		}
@@ -40,8 +40,8 @@
 	return slices.MaxFunc(options, compareZones).zone
 }
 
-// CanRent tells whether spot or ordinary machines of a type may be had for a job.
-func (m Market) CanRent(job *sched.Job, typeName, zone string) bool {
+// CanScaleOut tells whether spot or ordinary machines of a type may be had for a job.
+func (m Market) CanScaleOut(job *sched.Job, typeName, zone string) bool {
 	for _, spot := range []bool{false, true} {
 		if job.Allows(typeName, zone, spot) && m.Available(Offer{Type: typeName, Zone: zone, Spot: spot}) {
 			return true
@@ -51,6 +51,6 @@
 }
 
 func compareZones(a, b zoneOption) int {
-	return cmp.Or(cmp.Compare(a.complete, b.complete), cmp.Compare(a.more, b.more),
+	return cmp.Or(cmp.Compare(a.complete, b.complete), cmp.Compare(a.canScaleOut, b.canScaleOut),
 		cmp.Compare(a.fits, b.fits), -cmp.Compare(a.zone, b.zone))
 }
