--- a/controller/eviction.go
+++ b/controller/eviction.go
@@ -47,7 +47,7 @@
 
 // planRoom looks for work to stop: of the gang's own team, else of teams that use more than
 // their guarantees if the gang is covered by its team's.
-func (o *owner) planRoom(j *job, covered map[*job]bool) *sched.Plan {
+func (o *owner) planRoom(j *job, covered map[*job]bool) *sched.PreemptionPlan {
 	machines := o.evictView()
 	plan := o.evictPlan(j.Job, machines, sched.Preempt, covered)
 	if plan == nil && covered[j] {
@@ -57,42 +57,42 @@
 }
 
 // newHold returns a hold for the places of a plan, not recorded yet.
-func newHold(j *job, plan *sched.Plan) *hold {
-	h := &hold{job: j.ID, machines: map[string]int{}, need: j.Need, stop: plan.Stop}
-	for _, a := range plan.Place {
+func newHold(j *job, plan *sched.PreemptionPlan) *hold {
+	h := &hold{job: j.ID, machines: map[string]int{}, need: j.Need, stop: plan.Victims}
+	for _, a := range plan.Placement {
 		h.machines[a.Machine.Name] = a.Count
 	}
 	return h
 }
 
-func (o *owner) logPlan(j *job, plan *sched.Plan) {
+func (o *owner) logPlan(j *job, plan *sched.PreemptionPlan) {
 	stops := 0
-	for _, b := range plan.Stop {
+	for _, b := range plan.Victims {
 		stops += len(b.Tasks)
 		o.c.log.Info("victim", "job", b.Victim.Job, "team", b.Victim.Team, "safe", b.Safe, "tasks", len(b.Tasks), "for", j.ID)
 	}
 	o.c.log.Info("making room", "job", j.ID, "class", j.Class, "ground", plan.Mode.String(), "domain", plan.Domain,
-		"machines", len(plan.Place), "stops", stops)
+		"machines", len(plan.Placement), "stops", stops)
 }
 
 // evictPlan looks for victims on a ground and for the cheapest set of them.
-func (o *owner) evictPlan(j *sched.Job, machines []*sched.Machine, mode sched.Mode, covered map[*job]bool) *sched.Plan {
+func (o *owner) evictPlan(j *sched.Job, machines []*sched.Machine, mode sched.PreemptionMode, covered map[*job]bool) *sched.PreemptionPlan {
 	victims := o.victims(j, mode, covered)
 	if len(victims) == 0 {
 		return nil
 	}
-	rules := sched.Rules{Mode: mode, Threshold: o.c.cfg.Tuning.ROIThreshold, Teams: map[string]sched.TeamUse{}}
+	rules := sched.PreemptionRules{Mode: mode, ROIThreshold: o.c.cfg.Tuning.ROIThreshold, Teams: map[string]sched.TeamUsage{}}
 	for name, t := range o.teams {
 		rules.Teams[name] = o.teamUse(t)
 	}
 	domains := sched.Domains(j, machines, victims, o.c.cfg.Tuning.DomainList)
-	return sched.Evict(j, domains, victims, rules)
+	return sched.PlanPreemption(j, domains, victims, rules)
 }
 
 // teamUse is what a team uses and will go on using: what is being stopped already must
 // not be counted as surplus once more.
-func (o *owner) teamUse(t *team) sched.TeamUse {
-	return sched.TeamUse{Used: t.used.Sub(t.stopping), Guarantee: t.Guarantee}
+func (o *owner) teamUse(t *team) sched.TeamUsage {
+	return sched.TeamUsage{Used: t.used.Sub(t.stopping), GuaranteedQuota: t.Guarantee}
 }
 
 // guaranteed finds the jobs that their teams' guarantees cover: each team's earliest
@@ -199,14 +199,14 @@
 }
 
 // victims lists jobs that may be stopped for j.
-func (o *owner) victims(j *sched.Job, mode sched.Mode, covered map[*job]bool) []*sched.Victim {
+func (o *owner) victims(j *sched.Job, mode sched.PreemptionMode, covered map[*job]bool) []*sched.Victim {
 	var list []*sched.Victim
 	for _, id := range sortedKeys(o.jobs) {
 		candidate := o.jobs[id]
 		if candidate.Job == j || !mayStopFor(j, candidate, mode, covered) || o.holds[id] != nil {
 			continue
 		}
-		if victim := o.describeVictim(candidate); victim.Ready > 0 {
+		if victim := o.describeVictim(candidate); victim.ReadyTasks > 0 {
 			list = append(list, victim)
 		}
 	}
@@ -215,7 +215,7 @@
 
 // mayStopFor tells whether a job may be stopped for j. What another team's guarantee covers is
 // not reclaimed: the part that it runs beyond is its later work.
-func mayStopFor(j *sched.Job, candidate *job, mode sched.Mode, covered map[*job]bool) bool {
+func mayStopFor(j *sched.Job, candidate *job, mode sched.PreemptionMode, covered map[*job]bool) bool {
 	if candidate.state != jobActive || candidate.gang == gangStopping || candidate.gang == gangPlacing {
 		return false
 	}
@@ -233,17 +233,17 @@
 func (o *owner) describeVictim(j *job) *sched.Victim {
 	victim := &sched.Victim{Job: j.ID, Team: j.Team, Priority: j.Priority}
 	if j.Gang {
-		victim.Min = j.Tasks
+		victim.MinTasks = j.Tasks
 	}
 	for _, a := range j.sorted() {
 		if o.leavingSoon(a) || a.state == attemptProposed {
 			continue
 		}
-		victim.Ready++
-		victim.Whole = victim.Whole.Add(j.Need)
+		victim.ReadyTasks++
+		victim.TotalResources = victim.TotalResources.Add(j.Need)
 		victim.Since = max(victim.Since, a.since)
 		victim.Tasks = append(victim.Tasks, sched.VictimTask{
-			Index: a.index, Machine: a.machine.name, Res: j.Need, Since: a.since, Lost: o.lostWork(a),
+			Index: a.index, Machine: a.machine.name, Resources: j.Need, Since: a.since, LostWork: o.lostWork(a),
 		})
 	}
 	return victim
@@ -252,8 +252,8 @@
 // lostWork is what a stop of an attempt undoes: all of its progress, or the time for
 // saving.
 func (o *owner) lostWork(a *attempt) float64 {
-	lost := a.job.Save
-	if a.job.Checkpoint == 0 && a.running != 0 {
+	lost := a.job.CheckpointDuration
+	if a.job.CheckpointInterval == 0 && a.running != 0 {
 		lost = o.c.now - a.running
 	}
 	return a.job.Need.CPUs() * lost.Seconds()
--- a/controller/eviction_test.go
+++ b/controller/eviction_test.go
@@ -15,7 +15,7 @@
 	o = testOwner()
 	o.c.types.list[0].Zones = nil // nothing can be rented
 	array = addTestJob(o, 1, &sched.Job{
-		Tasks: 2, Priority: sched.Low, Need: sched.NewResources(14, 0, 14), Estimate: 30 * micros.Second, Checkpoint: checkpoint, Save: micros.Second,
+		Tasks: 2, Priority: sched.Low, Need: sched.NewResources(14, 0, 14), Estimate: 30 * micros.Second, CheckpointInterval: checkpoint, CheckpointDuration: micros.Second,
 	})
 	gang = addTestJob(o, 2, &sched.Job{
 		Tasks: 1, Gang: true, Priority: sched.High, Need: sched.NewResources(28, 0, 28), Estimate: 30 * micros.Second,
@@ -88,7 +88,7 @@
 	for checkpoint, want := range map[micros.Micros]float64{0: 14 * 20, 15 * micros.Second: 14 * 1} {
 		o, gang, _ := evictionOwner(checkpoint)
 		list := o.victims(gang.Job, sched.Preempt, nil)
-		if len(list) != 1 || list[0].Tasks[0].Lost != want {
+		if len(list) != 1 || list[0].Tasks[0].LostWork != want {
 			t.Errorf("checkpoints every %v: victims %+v, lost should be %g", checkpoint, list, want)
 		}
 	}
--- a/controller/gang_reservations.go
+++ b/controller/gang_reservations.go
@@ -29,8 +29,8 @@
 		return
 	}
 	for _, v := range view {
-		if m := o.machines[v.Name]; !v.Kept && v.Scarce && o.onlySlack(m) && ready.Claim(m.offer(), o.machineSize(m).Sub(m.used)) {
-			v.Kept = true
+		if m := o.machines[v.Name]; !v.ReservedForGangs && v.Scarce && o.onlySlack(m) && ready.Claim(m.offer(), o.machineSize(m).Sub(m.used)) {
+			v.ReservedForGangs = true
 		}
 	}
 }
@@ -52,9 +52,9 @@
 		return false
 	}
 	for _, v := range chosen {
-		v.Kept = true
+		v.ReservedForGangs = true
 		if starves || o.waitsLong(j) {
-			v.For = j.ID
+			v.ReservedForJob = j.ID
 		}
 	}
 	return tasks >= j.Tasks
@@ -65,7 +65,7 @@
 	byZone := map[string][]gangCandidate{}
 	for _, v := range view {
 		m := o.machines[v.Name]
-		if v.Slack || v.Kept || !v.Scarce && !starves || !j.Allows(v.Type, v.Zone, v.Spot) || o.isHeld(v.Name) {
+		if v.Slack || v.ReservedForGangs || !v.Scarce && !starves || !j.Allows(v.Type, v.Zone, v.Spot) || o.isHeld(v.Name) {
 			continue // what a hold reserves is spoken for
 		}
 		fits := j.Need.Count(m.size, j.Tasks)
@@ -113,7 +113,7 @@
 // chooseCandidates takes candidates in their order until all tasks of a gang have a place,
 // and tells for how many that is the case.
 func chooseCandidates(j *job, candidates []gangCandidate) (chosen []*sched.Machine, tasks int) {
-	spotLeft := j.Tasks - j.Ordinary
+	spotLeft := j.Tasks - j.MinOnDemandTasks
 	inZone := map[string]int{}
 	for _, c := range candidates {
 		if tasks >= j.Tasks {
--- a/controller/gangs.go
+++ b/controller/gangs.go
@@ -45,7 +45,7 @@
 		SpotPrice:     catalog.LowestPrice(j.Job, true),
 		OnDemandPrice: catalog.LowestPrice(j.Job, false),
 		Estimate:      o.estimate(j),
-		Checkpoint:    j.Checkpoint,
+		Checkpoint:    j.CheckpointInterval,
 		Recovery:      catalog.BootTime(j.Job),
 		LossPerSecond: o.c.spotRisk.PerSecond(o.c.cfg.Tuning.SpotLoss),
 		MaxSpot:       o.waitsLong(j),
@@ -112,7 +112,7 @@
 // splitSlack takes a part off a machine in the view, which only short work uses.
 func splitSlack(v *sched.Machine, left sched.Resources) *sched.Machine {
 	part := *v
-	part.Free, part.Slack, part.Scarce, part.Kept, part.For, part.Price = left, true, false, false, "", 0
+	part.Free, part.Slack, part.Scarce, part.ReservedForGangs, part.ReservedForJob, part.Price = left, true, false, false, "", 0
 	part.Slots = v.Slots / 2
 	v.Free, v.Slots = v.Free.Sub(left), v.Slots-part.Slots
 	return &part
--- a/controller/gangs_test.go
+++ b/controller/gangs_test.go
@@ -25,12 +25,12 @@
 	}
 	j := o.jobs[gang.ID]
 	for ordinary, most := range map[int]int{4: 0, 3: 1, 0: 4} {
-		j.Ordinary = ordinary
+		j.MinOnDemandTasks = ordinary
 		view := o.view()
 		o.reserveForGang(j, view, false)
 		spots := 0
 		for _, v := range view {
-			if v.Kept && v.Spot {
+			if v.ReservedForGangs && v.Spot {
 				spots++
 			}
 		}
@@ -39,13 +39,13 @@
 		}
 	}
 	// A gang that they do not suffice for, behind another such, keeps none.
-	j.Ordinary = 3
+	j.MinOnDemandTasks = 3
 	view := o.view()
 	if o.reserveForGang(j, view, true) {
 		t.Error("one ordinary machine is not enough for three tasks")
 	}
 	for _, v := range view {
-		if v.Kept {
+		if v.ReservedForGangs {
 			t.Errorf("%s is kept in vain", v.Name)
 		}
 	}
--- a/controller/holds.go
+++ b/controller/holds.go
@@ -75,7 +75,7 @@
 		if n := h.machines[v.Name]; n > 0 {
 			c := *v
 			c.Free = c.Free.Add(h.need.Times(n))
-			c.Kept, c.For = false, "" // the hold comes before what is kept for others
+			c.ReservedForGangs, c.ReservedForJob = false, "" // the hold comes before what is kept for others
 			out = append(out, &c)
 		}
 	}
--- a/controller/incompatible_test.go
+++ b/controller/incompatible_test.go
@@ -45,7 +45,7 @@
 	j := &sched.Job{
 		ID: "req-000009", Class: "work", Team: "red", Gang: true, Priority: sched.High, Tasks: 3,
 		Need: sched.NewResources(2, 1, 3), Image: "img", ImageGB: 1, Types: []string{"big"}, Zone: "a", OneZone: true,
-		Spread: true, Spot: true, Estimate: 7e6, Checkpoint: 8e6, Save: 9e6, Deadline: 10e6,
+		Spread: true, Spot: true, Estimate: 7e6, CheckpointInterval: 8e6, CheckpointDuration: 9e6, Deadline: 10e6,
 	}
 	d := &record.BlockData{
 		AttemptBase: 5, LaunchTimeBase: 6, MachineTypes: []record.BlockMachineType{{Type: "small", Zone: "a"}, {Type: "big", Zone: "b", Spot: true}},
--- a/controller/inherit_test.go
+++ b/controller/inherit_test.go
@@ -31,7 +31,7 @@
 
 // submit has a job accepted at a second, which awaits others.
 func (w *tree) submit(j sched.Job, at micros.Micros, awaits ...string) {
-	j.Tasks, j.Class, j.Need, j.Image, j.Awaits = 1, "stage", sched.NewResources(1, 0, 1), "img", awaits
+	j.Tasks, j.Class, j.Need, j.Image, j.Dependencies = 1, "stage", sched.NewResources(1, 0, 1), "img", awaits
 	if j.Team == "" {
 		j.Team = "red"
 	}
@@ -199,7 +199,7 @@
 		if in.LatestFinish != 0 {
 			in.LatestFinish = max(1, in.LatestFinish-j.Estimate)
 		}
-		for _, x := range j.Awaits {
+		for _, x := range j.Dependencies {
 			if w.jobs[x] != nil {
 				want[x] = with(want[x], in)
 			}
--- a/controller/machine_requests.go
+++ b/controller/machine_requests.go
@@ -133,8 +133,8 @@
 		if !ok || team.Team == asking {
 			continue
 		}
-		use := sched.TeamUse{Used: sched.Resources{CPU: team.Cpu, GPU: team.Gpu}, Guarantee: settings.Guarantee}
-		most = max(most, use.Over())
+		use := sched.TeamUsage{Used: sched.Resources{CPU: team.Cpu, GPU: team.Gpu}, GuaranteedQuota: settings.Guarantee}
+		most = max(most, use.OverQuotaRatio())
 	}
 	return most
 }
--- a/controller/machine_transfers.go
+++ b/controller/machine_transfers.go
@@ -53,13 +53,13 @@
 		return
 	}
 	o.c.log.Info("making room", "job", job.ID, "ground", plan.Mode.String(), "domain", plan.Domain,
-		"machines", len(plan.Place), "owner", newOwner)
-	for _, a := range plan.Place {
+		"machines", len(plan.Placement), "owner", newOwner)
+	for _, a := range plan.Placement {
 		o.startTransfer(o.machines[a.Machine.Name], newOwner)
 	}
 	why := "room for " + job.ID
-	o.stopBundles(plan.Stop, why)
-	for _, a := range plan.Place {
+	o.stopBundles(plan.Victims, why)
+	for _, a := range plan.Placement {
 		o.stopLongTasks(o.machines[a.Machine.Name], why)
 	}
 }
@@ -72,7 +72,7 @@
 			continue
 		}
 		use := o.teamUse(o.teams[a.job.Team])
-		if use.Used = use.Used.Sub(a.job.Need); use.Covers() {
+		if use.Used = use.Used.Sub(a.job.Need); use.MeetsGuarantee() {
 			o.evict(a, why)
 		}
 	}
--- a/controller/pairs_jobs_test.go
+++ b/controller/pairs_jobs_test.go
@@ -34,7 +34,7 @@
 	j.OneZone = r.IntN(4) == 0
 	j.Spread = !j.OneZone && r.IntN(4) == 0
 	if r.IntN(2) == 0 {
-		j.Checkpoint, j.Save = 5*micros.Second, 2*micros.Second
+		j.CheckpointInterval, j.CheckpointDuration = 5*micros.Second, 2*micros.Second
 	}
 	at := p.seconds(0, 10)
 	if r.IntN(2) == 0 {
@@ -65,14 +65,14 @@
 	w.submitted[id] = j
 	w.bodies[id] = wire.Encode(wire.FromJob(j))
 	w.infos[id] = standin.TaskInfo{
-		CPU: j.Need.CPUs(), Mem: mem, Run: run, Fetch: micros.Second, Save: j.Save,
-		Saves: j.Checkpoint > 0, Gang: j.Gang, Tasks: j.Tasks,
+		CPU: j.Need.CPUs(), Mem: mem, Run: run, Fetch: micros.Second, Save: j.CheckpointDuration,
+		Saves: j.CheckpointInterval > 0, Gang: j.Gang, Tasks: j.Tasks,
 	}
 	text := fmt.Sprintf("%s at %v: %d tasks of %v, priority %d, team %s", id, at, j.Tasks, run, j.Priority, j.Team)
 	for _, f := range []struct {
 		set  bool
 		name string
-	}{{j.Gang, "gang"}, {j.OneZone, "one zone"}, {j.Spread, "spread"}, {j.Spot, "spot"}, {j.Checkpoint > 0, "saves"}, {atOnce, "cancelled at once"}} {
+	}{{j.Gang, "gang"}, {j.OneZone, "one zone"}, {j.Spread, "spread"}, {j.Spot, "spot"}, {j.CheckpointInterval > 0, "saves"}, {atOnce, "cancelled at once"}} {
 		if f.set {
 			text += ", " + f.name
 		}
--- a/controller/pairs_pipelines_test.go
+++ b/controller/pairs_pipelines_test.go
@@ -106,14 +106,14 @@
 	}
 	j.OneZone = j.Gang && r.IntN(2) == 0
 	if r.IntN(3) == 0 {
-		j.Checkpoint, j.Save = 5*micros.Second, micros.Second
+		j.CheckpointInterval, j.CheckpointDuration = 5*micros.Second, micros.Second
 	}
 	if r.IntN(2) == 0 {
 		j.Deadline = micros.FromSeconds(30 + r.Float64()*120)
 	}
 	w.submitted[id], w.bodies[id] = j, wire.Encode(wire.FromJob(j))
 	w.infos[id] = standin.TaskInfo{
-		CPU: 1, Mem: 1, Run: run, Fetch: micros.Second, Save: j.Save, Saves: j.Checkpoint > 0, Gang: j.Gang, Tasks: j.Tasks,
+		CPU: 1, Mem: 1, Run: run, Fetch: micros.Second, Save: j.CheckpointDuration, Saves: j.CheckpointInterval > 0, Gang: j.Gang, Tasks: j.Tasks,
 	}
 	w.noteAwaits(id, awaits)
 	when := w.whenAccepted
--- a/controller/production_names_test.go
+++ b/controller/production_names_test.go
@@ -7,6 +7,7 @@
 	"tamarindlead/internal/record"
 	"tamarindlead/internal/wire"
 	"tamarindlead/micros"
+	"tamarindlead/sched"
 )
 
 // Dumps of the version in production, and the messages that its test program exchanges, name
@@ -19,6 +20,12 @@
 	reflect.TypeFor[record.Leader](): {"Incarnation": "Life"},
 	reflect.TypeFor[record.Member](): {"Incarnation": "Life"},
 	reflect.TypeFor[record.Team]():   {"Incarnation": "Life", "Predecessors": "Heir"},
+	reflect.TypeFor[sched.Job](): {
+		"MinOnDemandTasks":   "Ordinary",
+		"CheckpointInterval": "Checkpoint",
+		"CheckpointDuration": "Save",
+		"Dependencies":       "Awaits",
+	},
 	reflect.TypeFor[wire.MachineType](): {
 		"GPUs":        "Cards",
 		"CacheGB":     "LocalGB",
--- a/controller/proposals.go
+++ b/controller/proposals.go
@@ -89,7 +89,7 @@
 	}
 	o.setGang(j, gangStarting)
 	j.began = true
-	o.c.log.Info("gang placed", "job", j.ID, "class", j.Class, "tasks", j.Tasks, "ordinary", j.Ordinary,
+	o.c.log.Info("gang placed", "job", j.ID, "class", j.Class, "tasks", j.Tasks, "ordinary", j.MinOnDemandTasks,
 		"since_accepted_s", math.Round((o.c.wallClock - j.since).Seconds()))
 	for _, b := range j.attempts {
 		o.queueDispatch(b.machine)
--- a/controller/scale.go
+++ b/controller/scale.go
@@ -168,10 +168,10 @@
 func (o *owner) consolidate(m *machine) {
 	longest := micros.Micros(0)
 	for _, a := range m.attempts {
-		if a.job.Gang || a.job.Checkpoint == 0 {
+		if a.job.Gang || a.job.CheckpointInterval == 0 {
 			return
 		}
-		longest = max(longest, o.remaining(a)-a.job.Save)
+		longest = max(longest, o.remaining(a)-a.job.CheckpointDuration)
 	}
 	if longest < worthMoving {
 		return
@@ -230,7 +230,7 @@
 		}
 	}
 	if j.Gang {
-		j.Ordinary = o.ordinaryFor(j)
+		j.MinOnDemandTasks = o.ordinaryFor(j)
 	}
 	tasks := min(j.pending, o.withinTeam(j, sched.Resources{}))
 	if tasks > 0 && o.c.now+soonRetried >= j.notUntil {
--- a/controller/scenario_jobs_test.go
+++ b/controller/scenario_jobs_test.go
@@ -67,7 +67,7 @@
 		Tasks: arg(t, d, "tasks", 1),
 		Need:  sched.NewResources(argNumber(t, d, "cpus", 2), 0, argNumber(t, d, "mem", 2)),
 		Image: "img", ImageGB: 1, OneZone: d.HasArg("one-zone"), Spread: d.HasArg("spread"), Spot: d.HasArg("spot"),
-		Estimate: argSeconds(t, d, "estimate", run.Seconds()), Checkpoint: argSeconds(t, d, "checkpoint", 0), Save: argSeconds(t, d, "save", 0),
+		Estimate: argSeconds(t, d, "estimate", run.Seconds()), CheckpointInterval: argSeconds(t, d, "checkpoint", 0), CheckpointDuration: argSeconds(t, d, "save", 0),
 		Zone: arg(t, d, "zone", ""), Deadline: argSeconds(t, d, "due", 0),
 	}
 	for i := range arg(t, d, "types", 0) { // so many names of types, of which one is on offer
@@ -79,8 +79,8 @@
 	w.submitted[id], w.asked[id] = j, w.now
 	w.bodies[id] = wire.Encode(wire.FromJob(j))
 	w.infos[id] = standin.TaskInfo{
-		CPU: j.Need.CPUs(), Mem: argNumber(t, d, "mem", 2), Run: run, Fetch: micros.Second, Save: j.Save,
-		Saves: j.Checkpoint > 0, Gang: j.Gang, Tasks: j.Tasks, Fails: d.HasArg("fails"),
+		CPU: j.Need.CPUs(), Mem: argNumber(t, d, "mem", 2), Run: run, Fetch: micros.Second, Save: j.CheckpointDuration,
+		Saves: j.CheckpointInterval > 0, Gang: j.Gang, Tasks: j.Tasks, Fails: d.HasArg("fails"),
 	}
 	w.noteApart(id, argSeconds(t, d, "apart", 0))
 	w.noteAwaits(id, awaitsArg(t, d))
--- a/controller/schedule.go
+++ b/controller/schedule.go
@@ -194,13 +194,13 @@
 func placeAmongKept(j *job, view []*sched.Machine, want int) []sched.Assignment {
 	var kept []*sched.Machine
 	for _, m := range view {
-		if m.Kept {
-			kept, m.Kept = append(kept, m), false
+		if m.ReservedForGangs {
+			kept, m.ReservedForGangs = append(kept, m), false
 		}
 	}
 	got := sched.Place(j.Job, view, want, j.zones())
 	for _, m := range kept {
-		m.Kept = true
+		m.ReservedForGangs = true
 	}
 	return got
 }
--- a/controller/submissions.go
+++ b/controller/submissions.go
@@ -135,7 +135,7 @@
 	}
 	added := &submission{job: job, requests: []userRequest{request}, receivedAt: s.c.now, writes: writes, status: wire.JobQueued}
 	s.byJob[job.ID] = added
-	if len(job.Awaits) > 0 {
+	if len(job.Dependencies) > 0 {
 		s.checkAwaited(added)
 		return
 	}
@@ -147,7 +147,7 @@
 func (s *submissions) checkAwaited(sub *submission) {
 	c, id := s.c, sub.job.ID
 	switch {
-	case slices.Contains(sub.job.Awaits, id):
+	case slices.Contains(sub.job.Dependencies, id):
 		s.answerKnownOr(sub, neverRuns(reasonAwaitsItself))
 		return
 	case c.finals.of(id) != "" || c.knownVersion(id) != 0:
@@ -159,7 +159,7 @@
 	}
 	s.checking++
 	sub.dependenciesAsked = c.now
-	c.checkDependencies(sub.job.Awaits, c.now+acceptWithin, func(result dependencyResult) {
+	c.checkDependencies(sub.job.Dependencies, c.now+acceptWithin, func(result dependencyResult) {
 		s.checking--
 		s.awaitedChecked(sub, result)
 	})
--- a/controller/task_exits.go
+++ b/controller/task_exits.go
@@ -99,8 +99,8 @@
 // evict stops an attempt with time to save its progress; of a gang, all attempts.
 func (o *owner) evict(a *attempt, why string) {
 	grace := micros.Micros(0)
-	if a.job.Checkpoint > 0 {
-		grace = a.job.Save + micros.Second
+	if a.job.CheckpointInterval > 0 {
+		grace = a.job.CheckpointDuration + micros.Second
 	}
 	if a.job.Gang {
 		o.stopJob(a.job, grace, why)
@@ -125,7 +125,7 @@
 		// starts elsewhere the sooner. One that cannot save and has run for long may still
 		// complete, so it goes on.
 		ran := micros.Micros(0)
-		if a.running != 0 && a.job.Checkpoint == 0 {
+		if a.running != 0 && a.job.CheckpointInterval == 0 {
 			ran = o.c.now - a.running
 		}
 		if o.remaining(a) > left-micros.Second && ran < left {
--- a/internal/autoscaler/autoscaler_test.go
+++ b/internal/autoscaler/autoscaler_test.go
@@ -23,7 +23,7 @@
 
 func gang(class string, tasks int, cpus float64) *sched.Job {
 	j := array(class, cpus)
-	j.Gang, j.Tasks, j.Ordinary = true, tasks, tasks
+	j.Gang, j.Tasks, j.MinOnDemandTasks = true, tasks, tasks
 	return j
 }
 
@@ -226,7 +226,7 @@
 	room.add(Offer{Zone: "a"}, 2)
 	room.add(Offer{Zone: "a", Spot: true}, 5)
 	g := gang("g", 6, 4)
-	g.Ordinary = 3
+	g.MinOnDemandTasks = 3
 	if got := room.zone("a").fits(g); got != 5 {
 		t.Errorf("%d of six tasks fit, of which three may be on spot machines", got)
 	}
--- a/internal/autoscaler/gang_capacity.go
+++ b/internal/autoscaler/gang_capacity.go
@@ -32,7 +32,7 @@
 
 // fits tells how many tasks of a gang the zone takes.
 func (z *zoneCapacity) fits(job *sched.Job) int {
-	return min(job.Tasks, z.onDemand+min(z.spot, job.Tasks-job.Ordinary))
+	return min(job.Tasks, z.onDemand+min(z.spot, job.Tasks-job.MinOnDemandTasks))
 }
 
 // take uses up room for n tasks, of which at most spotMax on spot machines, and tells how
--- a/internal/autoscaler/planner_test.go
+++ b/internal/autoscaler/planner_test.go
@@ -179,7 +179,7 @@
 
 func TestGangSpotMix(t *testing.T) {
 	g := gang("g", 6, 4)
-	g.Ordinary = 4
+	g.MinOnDemandTasks = 4
 	plan := testPlanner(g).Plan([]*Demand{waitingGang(g)})
 	spot, ordinary := 0, 0
 	for offer, n := range requested(plan) {
--- a/internal/autoscaler/scale_out.go
+++ b/internal/autoscaler/scale_out.go
@@ -70,7 +70,7 @@
 	room := p.gangCapacityFor(d)
 	for _, gang := range d.Gangs {
 		if !gang.Reserved {
-			p.scaleOutForGang(gang.Job, room, gang.Job.Tasks, gang.Job.Tasks-gang.Job.Ordinary)
+			p.scaleOutForGang(gang.Job, room, gang.Job.Tasks, gang.Job.Tasks-gang.Job.MinOnDemandTasks)
 		}
 	}
 	if n, job := p.Classes.WarmPoolSize(p.Now, d.Representative.Class, p.SLOs, p.Catalog); n > 0 {
--- a/internal/dag/blocked.go
+++ b/internal/dag/blocked.go
@@ -87,7 +87,7 @@
 		g.incomplete[id] = true
 		return job
 	}
-	g.setPendingDependencies(job, spec.Awaits)
+	g.setPendingDependencies(job, spec.Dependencies)
 	return job
 }
 
--- a/internal/dag/inheritance_test.go
+++ b/internal/dag/inheritance_test.go
@@ -25,7 +25,7 @@
 func (f *fanFixture) submit(job sched.Job, at micros.Micros, awaits ...string) {
 	f.Helper()
 	job.Tasks, job.Class, job.Need, job.Image, job.Team = 1, "stage", sched.NewResources(1, 0, 1), "img", "red"
-	job.Awaits = awaits
+	job.Dependencies = awaits
 	submit(f, f.g, &job, at)
 }
 
--- a/internal/record/job.go
+++ b/internal/record/job.go
@@ -55,15 +55,15 @@
 // values. A dependency list that does not fit in a value of valueBytes goes to Parts.
 func JobWrites(j *sched.Job, accepted micros.Micros, valueBytes int) ([]kv.Write, int) {
 	rec := NewJob(j, accepted)
-	if len(j.Awaits) > 0 {
+	if len(j.Dependencies) > 0 {
 		rec.Ready, rec.Blocked = nil, rec.Ready
 	}
 	size := kv.EncodedSizeBound(rec)
-	if len(j.Awaits) == 0 || size <= valueBytes {
+	if len(j.Dependencies) == 0 || size <= valueBytes {
 		return []kv.Write{{Put: ActiveJobKey(j.ID), Value: rec}}, size
 	}
 	rec.Blocked.Dependencies = nil
-	parts, partsSize := partWrites(j.ID, j.Awaits, valueBytes)
+	parts, partsSize := partWrites(j.ID, j.Dependencies, valueBytes)
 	rec.DependencyParts = len(parts)
 	writes := append([]kv.Write{{Put: ActiveJobKey(j.ID), Value: rec}}, parts...)
 	return writes, partsSize + kv.EncodedSizeBound(rec)
--- a/internal/record/job_test.go
+++ b/internal/record/job_test.go
@@ -19,7 +19,7 @@
 func testJob(id string, awaits ...string) *sched.Job {
 	return &sched.Job{
 		ID: id, Class: "work", Team: "red", Priority: sched.Normal, Tasks: 3, Need: sched.NewResources(2, 0, 2),
-		Image: "img", ImageGB: 1, Estimate: 10 * micros.Second, Awaits: awaits,
+		Image: "img", ImageGB: 1, Estimate: 10 * micros.Second, Dependencies: awaits,
 	}
 }
 
--- a/internal/wire/submission.go
+++ b/internal/wire/submission.go
@@ -112,18 +112,18 @@
 func (s *Submission) Job() (*sched.Job, error) {
 	var c checker
 	j := &sched.Job{
-		ID:         c.text("ref", s.ID),
-		Class:      c.text("queue", s.Class),
-		Team:       c.text("desk", s.Team),
-		Need:       sched.NewResources(c.amount("cpus", s.CPUs, maxAmount), c.amount("cards", s.GPUs, maxAmount), c.amount("memGb", s.MemGB, maxAmount)),
-		Image:      c.text("bundle", s.Image),
-		ImageGB:    c.amount("sizeGb", s.ImageGB, maxAmount),
-		OneZone:    c.flag("samePlace", s.OneZone),
-		Spread:     c.flag("apart", s.Spread),
-		Spot:       c.flag("loaners", s.Spot),
-		Estimate:   micros.FromSeconds(c.amount("expectS", s.EstimateS, maxSeconds)),
-		Checkpoint: micros.FromSeconds(c.amount("snapshotS", s.CheckpointIntervalS, maxSeconds)),
-		Save:       micros.FromSeconds(c.amount("stowS", s.CheckpointDurationS, maxSeconds)),
+		ID:                 c.text("ref", s.ID),
+		Class:              c.text("queue", s.Class),
+		Team:               c.text("desk", s.Team),
+		Need:               sched.NewResources(c.amount("cpus", s.CPUs, maxAmount), c.amount("cards", s.GPUs, maxAmount), c.amount("memGb", s.MemGB, maxAmount)),
+		Image:              c.text("bundle", s.Image),
+		ImageGB:            c.amount("sizeGb", s.ImageGB, maxAmount),
+		OneZone:            c.flag("samePlace", s.OneZone),
+		Spread:             c.flag("apart", s.Spread),
+		Spot:               c.flag("loaners", s.Spot),
+		Estimate:           micros.FromSeconds(c.amount("expectS", s.EstimateS, maxSeconds)),
+		CheckpointInterval: micros.FromSeconds(c.amount("snapshotS", s.CheckpointIntervalS, maxSeconds)),
+		CheckpointDuration: micros.FromSeconds(c.amount("stowS", s.CheckpointDurationS, maxSeconds)),
 	}
 	if c.err == nil && !ValidJobID(j.ID) {
 		c.fail("ref", invalidJobID)
@@ -204,14 +204,14 @@
 	if s.Dependencies == nil || len(*s.Dependencies) == 0 {
 		return
 	}
-	j.Awaits = slices.Clone(*s.Dependencies)
-	for _, id := range j.Awaits {
+	j.Dependencies = slices.Clone(*s.Dependencies)
+	for _, id := range j.Dependencies {
 		if !ValidJobID(id) {
 			c.fail("awaits", invalidJobID)
 		}
 	}
-	slices.Sort(j.Awaits)
-	j.Awaits = slices.Compact(j.Awaits)
+	slices.Sort(j.Dependencies)
+	j.Dependencies = slices.Compact(j.Dependencies)
 }
 
 // FromJob is the inverse of Submission.Job, for the record of a job.
@@ -230,7 +230,7 @@
 	}
 	legs := int64(j.Tasks)
 	cpus, cards, mem := j.Need.Amounts()
-	expect, snap, stow := j.Estimate.Seconds(), j.Checkpoint.Seconds(), j.Save.Seconds()
+	expect, snap, stow := j.Estimate.Seconds(), j.CheckpointInterval.Seconds(), j.CheckpointDuration.Seconds()
 	s := Submission{
 		ID: &j.ID, Class: &j.Class, Team: &j.Team, Shape: &shape, Priority: &urgency, Tasks: &legs,
 		CPUs: &cpus, GPUs: &cards, MemGB: &mem, Image: &j.Image, ImageGB: &j.ImageGB,
@@ -247,8 +247,8 @@
 		due := j.Deadline.Seconds()
 		s.DeadlineS = &due
 	}
-	if len(j.Awaits) > 0 {
-		s.Dependencies = &j.Awaits
+	if len(j.Dependencies) > 0 {
+		s.Dependencies = &j.Dependencies
 	}
 	return s
 }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -91,14 +91,14 @@
 		if err != nil {
 			t.Fatalf("%s: %v", name, err)
 		}
-		if !slices.Equal(j.Awaits, c.want) {
-			t.Errorf("%s: taken as %v", name, j.Awaits)
+		if !slices.Equal(j.Dependencies, c.want) {
+			t.Errorf("%s: taken as %v", name, j.Dependencies)
 		}
 		if same := bytes.Equal(Encode(FromJob(j)), Encode(FromJob(plain))); same != (c.want == nil) {
 			t.Errorf("%s: written like a job that awaits none: %v", name, same)
 		}
 		back := FromJob(j)
-		if again, err := back.Job(); err != nil || !slices.Equal(again.Awaits, c.want) {
+		if again, err := back.Job(); err != nil || !slices.Equal(again.Dependencies, c.want) {
 			t.Errorf("%s: not kept: %v", name, err)
 		}
 	}
--- a/sched/bundles.go
+++ b/sched/bundles.go
@@ -9,12 +9,12 @@
 
 // VictimTask is a task of a victim on a machine.
 type VictimTask struct {
-	Index   int
-	Machine string
-	Role    string
-	Res     Resources
-	Since   micros.Micros
-	Lost    float64 // work that a stop undoes, in processor seconds
+	Index     int
+	Machine   string
+	Role      string
+	Resources Resources
+	Since     micros.Micros
+	LostWork  float64 // work that a stop undoes, in processor seconds
 }
 
 // Role is a part of a gang with a minimum of its own.
@@ -23,25 +23,25 @@
 // Victim is a job whose tasks could be stopped. An array has the minimum 0: all of it
 // is surplus.
 type Victim struct {
-	Job      string
-	Team     string
-	Priority Priority
-	Min      int
-	Ready    int
-	Roles    map[string]Role
-	Whole    Resources // of the whole job, wherever it runs
-	Since    micros.Micros
-	Tasks    []VictimTask
+	Job            string
+	Team           string
+	Priority       Priority
+	MinTasks       int
+	ReadyTasks     int
+	Roles          map[string]Role
+	TotalResources Resources // of the whole job, wherever it runs
+	Since          micros.Micros
+	Tasks          []VictimTask
 }
 
 // Bundle is a part of a victim that is stopped together or, if it is safe, in part.
 type Bundle struct {
-	Victim *Victim
-	Safe   bool
-	Tasks  []VictimTask
-	Local  Resources // what it frees in the domain
-	roi    float64
-	group  int // rank of its ROI, see rankROI
+	Victim        *Victim
+	Safe          bool
+	Tasks         []VictimTask
+	FreedInDomain Resources // what it frees in the domain
+	roi           float64
+	group         int // rank of its ROI, see rankROI
 }
 
 // each calls f with each amount and a way to read the same amount of others.
@@ -83,8 +83,8 @@
 	return Gain(local, need) / cost
 }
 
-// Split parts a victim's tasks in a domain into a safe and a whole bundle.
-func Split(v *Victim, in func(machine string) bool, need Resources) []Bundle {
+// SplitVictim parts a victim's tasks in a domain into a safe and a whole bundle.
+func SplitVictim(v *Victim, in func(machine string) bool, need Resources) []Bundle {
 	var local []VictimTask
 	for _, t := range v.Tasks {
 		if in(t.Machine) {
@@ -96,13 +96,13 @@
 	}
 	slices.SortStableFunc(local, func(a, b VictimTask) int {
 		return cmp.Or(
-			-cmp.Compare(Gain(a.Res, need), Gain(b.Res, need)),                        // the most useful
-			cmp.Compare(a.Res.CPU+a.Res.GPU+a.Res.Mem, b.Res.CPU+b.Res.GPU+b.Res.Mem), // the least waste
-			-cmp.Compare(a.Since, b.Since),                                            // the youngest
+			-cmp.Compare(Gain(a.Resources, need), Gain(b.Resources, need)),                                                // the most useful
+			cmp.Compare(a.Resources.CPU+a.Resources.GPU+a.Resources.Mem, b.Resources.CPU+b.Resources.GPU+b.Resources.Mem), // the least waste
+			-cmp.Compare(a.Since, b.Since), // the youngest
 			cmp.Compare(a.Index, b.Index),
 		)
 	})
-	surplus := v.Ready - v.Min
+	surplus := v.ReadyTasks - v.MinTasks
 	if surplus < 0 { // broken already: nothing more is lost
 		return []Bundle{newBundle(v, true, local)}
 	}
@@ -112,7 +112,7 @@
 		minimum += r.Min
 		left[name] = r.Ready - r.Min
 	}
-	enforce := len(v.Roles) > 0 && v.Min >= minimum
+	enforce := len(v.Roles) > 0 && v.MinTasks >= minimum
 	var safe, core []VictimTask
 	for _, t := range local {
 		if surplus > 0 && (!enforce || left[t.Role] > 0) {
@@ -137,7 +137,7 @@
 func newBundle(v *Victim, safe bool, tasks []VictimTask) Bundle {
 	b := Bundle{Victim: v, Safe: safe, Tasks: tasks}
 	for _, t := range tasks {
-		b.Local = b.Local.Add(t.Res)
+		b.FreedInDomain = b.FreedInDomain.Add(t.Resources)
 	}
 	return b
 }
--- a/sched/domains.go
+++ b/sched/domains.go
@@ -20,14 +20,14 @@
 	onMachine := map[string][]VictimTask{}
 	for _, v := range victims {
 		for _, t := range v.Tasks {
-			if v.Min > 0 { // the rest of its gang is stopped with it
-				t.Lost = lostBy(v)
+			if v.MinTasks > 0 { // the rest of its gang is stopped with it
+				t.LostWork = totalLostWork(v)
 			}
 			onMachine[t.Machine] = append(onMachine[t.Machine], t)
 		}
 	}
 	for _, tasks := range onMachine {
-		slices.SortStableFunc(tasks, func(a, b VictimTask) int { return cmp.Compare(a.Lost, b.Lost) })
+		slices.SortStableFunc(tasks, func(a, b VictimTask) int { return cmp.Compare(a.LostWork, b.LostWork) })
 	}
 	byName := map[string][]*Machine{}
 	for _, m := range machines {
@@ -57,7 +57,7 @@
 	var out []Domain
 	for _, d := range wide {
 		out = append(out, d)
-		if n := narrow(j, d, onMachine); len(n.Machines) > 0 {
+		if n := narrowDomain(j, d, onMachine); len(n.Machines) > 0 {
 			out = append(out, n)
 		}
 	}
@@ -69,17 +69,17 @@
 	return Resources{max(r.CPU, 0), max(r.GPU, 0), max(r.Mem, 0)}
 }
 
-// lostBy is the work that is undone when all of a victim is stopped.
-func lostBy(v *Victim) float64 {
+// totalLostWork is the work that is undone when all of a victim is stopped.
+func totalLostWork(v *Victim) float64 {
 	sum := 0.0
 	for _, t := range v.Tasks {
-		sum += t.Lost
+		sum += t.LostWork
 	}
 	return sum
 }
 
-// narrow takes the machines on which the least work is undone for each task of the gang.
-func narrow(j *Job, d Domain, onMachine map[string][]VictimTask) Domain {
+// narrowDomain takes the machines on which the least work is undone for each task of the gang.
+func narrowDomain(j *Job, d Domain, onMachine map[string][]VictimTask) Domain {
 	type option struct {
 		m     *Machine
 		slots int
@@ -95,7 +95,7 @@
 		}
 		note()
 		for _, t := range onMachine[m.Name] {
-			free, lost = free.Add(t.Res), lost+t.Lost
+			free, lost = free.Add(t.Resources), lost+t.LostWork
 			note()
 		}
 		if best.slots > 0 {
--- a/sched/place.go
+++ b/sched/place.go
@@ -26,10 +26,10 @@
 	// Slack tells that this is only the part of a machine that the jobs which fit no other
 	// type cannot use.
 	Slack bool
-	// Kept tells that it is reserved for gangs.
-	Kept bool
-	// For is the gang for which it is reserved from all others, or "".
-	For string
+	// ReservedForGangs tells that it is reserved for gangs.
+	ReservedForGangs bool
+	// ReservedForJob is the gang for which it is reserved from all others, or "".
+	ReservedForJob string
 }
 
 // Assignment gives Count tasks to a machine.
@@ -60,19 +60,19 @@
 	return assignments
 }
 
-// gangRoom is how many tasks of a gang there is room for at the most.
-type gangRoom struct {
+// gangCapacity is how many tasks of a gang there is room for at the most.
+type gangCapacity struct {
 	total  int
 	byZone map[string]int
 }
 
 // candidatesFor finds the machines that take at least one task of the job now, and for a gang
 // how many tasks they have room for.
-func candidatesFor(j *Job, machines []*Machine, want int) ([]*Machine, gangRoom) {
+func candidatesFor(j *Job, machines []*Machine, want int) ([]*Machine, gangCapacity) {
 	candidates := make([]*Machine, 0, len(machines))
-	room := gangRoom{byZone: map[string]int{}}
+	room := gangCapacity{byZone: map[string]int{}}
 	for _, m := range machines {
-		reserved := m.Kept && !j.Gang || m.For != "" && m.For != j.ID
+		reserved := m.ReservedForGangs && !j.Gang || m.ReservedForJob != "" && m.ReservedForJob != j.ID
 		if reserved || m.Slots <= 0 || !j.Allows(m.Type, m.Zone, m.Spot) || !j.Need.Fits(m.Free) {
 			continue
 		}
@@ -89,7 +89,7 @@
 // zonesFor lists the zones in which a job may go whose tasks must all be in one zone: the one
 // where tasks of it are, or else all that have room. A gang tries the zone with the least
 // room first, so that larger gangs find more of it in another.
-func zonesFor(j *Job, candidates []*Machine, want int, inZone map[string]int, room gangRoom) []string {
+func zonesFor(j *Job, candidates []*Machine, want int, inZone map[string]int, room gangCapacity) []string {
 	var zones []string
 	for zone, tasks := range inZone {
 		if tasks > 0 {
@@ -115,7 +115,7 @@
 }
 
 // placeInOneZone places tasks in the first of the zones that takes the most.
-func placeInOneZone(j *Job, list *sequence, want int, inZone map[string]int, zones []string) []Assignment {
+func placeInOneZone(j *Job, list *preferenceQueue, want int, inZone map[string]int, zones []string) []Assignment {
 	var best []Assignment
 	most := 0
 	for _, zone := range zones {
@@ -129,28 +129,28 @@
 	return best
 }
 
-// sequence hands out machines by preference: not scarce, cheap (so that expensive machines
+// preferenceQueue hands out machines by preference: not scarce, cheap (so that expensive machines
 // become idle and can be returned), image present, busy before idle, then the tightest,
 // then as given. Most jobs need few of thousands of machines, so these are sorted only as
 // far as they are asked for (a heap), and all that is compared is put into one number.
-type sequence struct {
-	heap []option
+type preferenceQueue struct {
+	heap []queueEntry
 	out  []*Machine // handed out so far
 }
 
-// option is a machine in the heap with its place in the order.
-type option struct {
-	key uint64
-	at  int // where the machine was given, for equal keys
-	m   *Machine
+// queueEntry is a machine in the heap with its place in the order.
+type queueEntry struct {
+	key     uint64
+	index   int // where the machine was given, for equal keys
+	machine *Machine
 }
 
-func (a *option) before(b *option) bool {
-	return a.key < b.key || a.key == b.key && a.at < b.at
+func (a *queueEntry) less(b *queueEntry) bool {
+	return a.key < b.key || a.key == b.key && a.index < b.index
 }
 
 // newSequence orders machines for a job.
-func newSequence(j *Job, machines []*Machine) *sequence {
+func newSequence(j *Job, machines []*Machine) *preferenceQueue {
 	var prices []float64 // few: one for each type and kind
 	for _, m := range machines {
 		if !slices.Contains(prices, m.Price) {
@@ -165,32 +165,32 @@
 		return 0
 	}
 	const cpuBits, rankBits = 48, 12
-	s := &sequence{heap: make([]option, len(machines))}
+	s := &preferenceQueue{heap: make([]queueEntry, len(machines))}
 	for i, m := range machines {
 		key := bit(m.Scarce)
 		key = key<<rankBits | uint64(min(slices.Index(prices, m.Price), 1<<rankBits-1))
 		key = key<<1 | bit(!slices.Contains(m.Images, j.Image))
 		key = key<<1 | bit(m.Idle)
 		key = key<<cpuBits | uint64(min(max(m.Free.CPU, 0), 1<<cpuBits-1))
-		s.heap[i] = option{key, i, m}
+		s.heap[i] = queueEntry{key, i, m}
 	}
 	for i := len(s.heap)/2 - 1; i >= 0; i-- {
-		s.sink(i)
+		s.siftDown(i)
 	}
 	return s
 }
 
-// sink moves an option down the heap to its place.
-func (s *sequence) sink(i int) {
+// siftDown moves an option down the heap to its place.
+func (s *preferenceQueue) siftDown(i int) {
 	for {
 		least := 2*i + 1
 		if least >= len(s.heap) {
 			return
 		}
-		if next := least + 1; next < len(s.heap) && s.heap[next].before(&s.heap[least]) {
+		if next := least + 1; next < len(s.heap) && s.heap[next].less(&s.heap[least]) {
 			least = next
 		}
-		if s.heap[i].before(&s.heap[least]) {
+		if s.heap[i].less(&s.heap[least]) {
 			return
 		}
 		s.heap[i], s.heap[least] = s.heap[least], s.heap[i]
@@ -199,29 +199,29 @@
 }
 
 // at returns the machine in a place of the sequence, or nil past its end.
-func (s *sequence) at(i int) *Machine {
+func (s *preferenceQueue) at(i int) *Machine {
 	for len(s.out) <= i {
 		if len(s.heap) == 0 {
 			return nil
 		}
-		s.out = append(s.out, s.heap[0].m)
+		s.out = append(s.out, s.heap[0].machine)
 		last := len(s.heap) - 1
 		s.heap[0] = s.heap[last]
 		s.heap = s.heap[:last]
-		s.sink(0)
+		s.siftDown(0)
 	}
 	return s.out[i]
 }
 
 // fill gives up to want tasks to machines in the order of the sequence, in one zone or in all
 // (""), and returns how many it gave.
-func fill(j *Job, list *sequence, want int, inZone map[string]int, zone string) ([]Assignment, int) {
+func fill(j *Job, list *preferenceQueue, want int, inZone map[string]int, zone string) ([]Assignment, int) {
 	var got []Assignment
 	total := 0
 	used := map[string]int{}
 	spots := want
 	if j.Gang {
-		spots = want - j.Ordinary
+		spots = want - j.MinOnDemandTasks
 	}
 	for i := 0; ; i++ {
 		m := list.at(i)
--- a/sched/place_property_test.go
+++ b/sched/place_property_test.go
@@ -22,15 +22,15 @@
 func drawMachines(t *rapid.T) []*Machine {
 	return rapid.SliceOfN(rapid.Custom(func(t *rapid.T) *Machine {
 		return &Machine{
-			Name:   fmt.Sprintf("m-%06d", rapid.IntRange(0, 1<<20).Draw(t, "name")),
-			Type:   rapid.SampledFrom([]string{"small", "big"}).Draw(t, "type"),
-			Zone:   rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "zone"),
-			Spot:   rapid.Bool().Draw(t, "spot"),
-			Free:   NewResources(float64(rapid.IntRange(-2, 16).Draw(t, "cpus")), 0, float64(rapid.IntRange(0, 64).Draw(t, "mem"))),
-			Slots:  rapid.IntRange(0, 5).Draw(t, "slots"),
-			Scarce: rapid.Bool().Draw(t, "scarce"),
-			Kept:   rapid.IntRange(0, 3).Draw(t, "kept") == 0,
-			For:    rapid.SampledFrom([]string{"", "", "", "job", "other"}).Draw(t, "for"),
+			Name:             fmt.Sprintf("m-%06d", rapid.IntRange(0, 1<<20).Draw(t, "name")),
+			Type:             rapid.SampledFrom([]string{"small", "big"}).Draw(t, "type"),
+			Zone:             rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "zone"),
+			Spot:             rapid.Bool().Draw(t, "spot"),
+			Free:             NewResources(float64(rapid.IntRange(-2, 16).Draw(t, "cpus")), 0, float64(rapid.IntRange(0, 64).Draw(t, "mem"))),
+			Slots:            rapid.IntRange(0, 5).Draw(t, "slots"),
+			Scarce:           rapid.Bool().Draw(t, "scarce"),
+			ReservedForGangs: rapid.IntRange(0, 3).Draw(t, "kept") == 0,
+			ReservedForJob:   rapid.SampledFrom([]string{"", "", "", "job", "other"}).Draw(t, "for"),
 		}
 	}), 0, 12).Draw(t, "machines")
 }
@@ -53,7 +53,7 @@
 		j.Types = []string{"big"}
 	}
 	if j.Gang && j.Spot {
-		j.Ordinary = rapid.IntRange(0, j.Tasks).Draw(t, "ordinary")
+		j.MinOnDemandTasks = rapid.IntRange(0, j.Tasks).Draw(t, "ordinary")
 	}
 	return j
 }
@@ -78,7 +78,7 @@
 				t.Fatalf("%d tasks do not fit on %+v", a.Count, *m)
 			case !j.Allows(m.Type, m.Zone, m.Spot):
 				t.Fatalf("the job may not run on %+v", *m)
-			case m.Kept && !j.Gang || m.For != "" && m.For != j.ID:
+			case m.ReservedForGangs && !j.Gang || m.ReservedForJob != "" && m.ReservedForJob != j.ID:
 				t.Fatalf("%+v is reserved for others", *m)
 			}
 			total += a.Count
@@ -99,8 +99,8 @@
 	if total > want || j.Gang && total != 0 && total != j.Tasks {
 		t.Fatalf("%d of %d tasks placed", total, want)
 	}
-	if j.Gang && spots > j.Tasks-j.Ordinary {
-		t.Fatalf("%d tasks on spot machines, %d must be on ordinary ones", spots, j.Ordinary)
+	if j.Gang && spots > j.Tasks-j.MinOnDemandTasks {
+		t.Fatalf("%d tasks on spot machines, %d must be on ordinary ones", spots, j.MinOnDemandTasks)
 	}
 	if j.OneZone && len(byZone) > 1 {
 		t.Fatalf("tasks in several zones: %v", byZone)
--- a/sched/evict.go
+++ b/sched/preempt.go
@@ -7,29 +7,29 @@
 // was changed. Victims are split into bundles (bundles.go), which are ranked and checked against
 // guarantees (ranking.go) in one domain after the other (domains.go).
 
-// Plan is what to stop, and where the gang goes then.
-type Plan struct {
-	Mode   Mode
-	Domain string
-	Stop   []Bundle
-	Place  []Assignment
+// PreemptionPlan is what to stop, and where the gang goes then.
+type PreemptionPlan struct {
+	Mode      PreemptionMode
+	Domain    string
+	Victims   []Bundle
+	Placement []Assignment
 }
 
-// Evict walks the domains and returns the first plan whose dry run passes, or nil.
-func Evict(j *Job, domains []Domain, victims []*Victim, r Rules) *Plan {
+// PlanPreemption walks the domains and returns the first plan whose dry run passes, or nil.
+func PlanPreemption(j *Job, domains []Domain, victims []*Victim, r PreemptionRules) *PreemptionPlan {
 	for _, d := range domains {
-		if p := evictIn(j, d, victims, r); p != nil {
+		if p := planPreemptionIn(j, d, victims, r); p != nil {
 			return p
 		}
 	}
 	return nil
 }
 
-// evictIn plans in one domain: bundles are taken until they cover what is missing, and a dry
+// planPreemptionIn plans in one domain: bundles are taken until they cover what is missing, and a dry
 // run must place the gang.
-func evictIn(j *Job, d Domain, victims []*Victim, r Rules) *Plan {
-	need, total := missing(j, d)
-	taken, covered := Select(rankedBundles(d, victims, need, r), need)
+func planPreemptionIn(j *Job, d Domain, victims []*Victim, r PreemptionRules) *PreemptionPlan {
+	need, total := resourceDeficit(j, d)
+	taken, covered := SelectBundles(rankedBundles(d, victims, need, r), need)
 	if !covered && need != total {
 		return nil
 	}
@@ -37,13 +37,13 @@
 	if place == nil {
 		return nil
 	}
-	taken, place = dropUnneeded(j, d, taken, place)
-	return &Plan{Mode: r.Mode, Domain: d.Name, Stop: spare(j, d, taken, place), Place: place}
+	taken, place = dropUnneededBundles(j, d, taken, place)
+	return &PreemptionPlan{Mode: r.Mode, Domain: d.Name, Victims: trimSafeBundles(j, d, taken, place), Placement: place}
 }
 
-// missing is what a gang lacks in a domain, and what it needs in total. If there is room
+// resourceDeficit is what a gang lacks in a domain, and what it needs in total. If there is room
 // enough, but not where a task could use it, it lacks all.
-func missing(j *Job, d Domain) (need, total Resources) {
+func resourceDeficit(j *Job, d Domain) (need, total Resources) {
 	var free Resources
 	for _, m := range d.Machines {
 		free = free.Add(positive(m.Free))
@@ -57,24 +57,24 @@
 }
 
 // rankedBundles are the bundles of a domain that the guarantees allow to stop, in order.
-func rankedBundles(d Domain, victims []*Victim, need Resources, r Rules) []Bundle {
+func rankedBundles(d Domain, victims []*Victim, need Resources, r PreemptionRules) []Bundle {
 	inDomain := map[string]bool{}
 	for _, m := range d.Machines {
 		inDomain[m.Name] = true
 	}
 	var bundles []Bundle
 	for _, v := range victims {
-		bundles = append(bundles, Split(v, func(m string) bool { return inDomain[m] }, need)...)
+		bundles = append(bundles, SplitVictim(v, func(m string) bool { return inDomain[m] }, need)...)
 	}
 	r.Sort(bundles, need)
-	bundles = r.Check(bundles)
+	bundles = r.FilterByGuarantee(bundles)
 	r.Sort(bundles, need)
 	return bundles
 }
 
-// dropUnneeded spares the bundles without which the dry run passes too, the last in order
+// dropUnneededBundles spares the bundles without which the dry run passes too, the last in order
 // first (ours).
-func dropUnneeded(j *Job, d Domain, taken []Bundle, place []Assignment) ([]Bundle, []Assignment) {
+func dropUnneededBundles(j *Job, d Domain, taken []Bundle, place []Assignment) ([]Bundle, []Assignment) {
 	for i := len(taken) - 1; i >= 0; i-- {
 		rest := slices.Delete(slices.Clone(taken), i, i+1)
 		if p := DryRun(j, d, rest); p != nil {
@@ -84,8 +84,8 @@
 	return taken, place
 }
 
-// spare drops tasks of safe bundles that the placement does not need.
-func spare(j *Job, d Domain, taken []Bundle, place []Assignment) []Bundle {
+// trimSafeBundles drops tasks of safe bundles that the placement does not need.
+func trimSafeBundles(j *Job, d Domain, taken []Bundle, place []Assignment) []Bundle {
 	wants := map[string]Resources{}
 	for _, a := range place {
 		wants[a.Machine.Name] = j.Need.Times(a.Count)
@@ -97,7 +97,7 @@
 	for _, b := range taken {
 		if !b.Safe {
 			for _, t := range b.Tasks {
-				wants[t.Machine] = positive(wants[t.Machine].Sub(t.Res))
+				wants[t.Machine] = positive(wants[t.Machine].Sub(t.Resources))
 			}
 			out = append(out, b)
 		}
@@ -109,7 +109,7 @@
 		var kept []VictimTask
 		for _, t := range b.Tasks {
 			if wants[t.Machine] != (Resources{}) {
-				wants[t.Machine] = positive(wants[t.Machine].Sub(t.Res))
+				wants[t.Machine] = positive(wants[t.Machine].Sub(t.Resources))
 				kept = append(kept, t)
 			}
 		}
@@ -125,7 +125,7 @@
 	freed := map[string]Resources{}
 	for _, b := range stopped {
 		for _, t := range b.Tasks {
-			freed[t.Machine] = freed[t.Machine].Add(t.Res)
+			freed[t.Machine] = freed[t.Machine].Add(t.Resources)
 		}
 	}
 	view := make([]*Machine, 0, len(d.Machines))
--- a/sched/evict_test.go
+++ b/sched/preempt_test.go
@@ -14,7 +14,7 @@
 func tasks(role string, from, n int) []VictimTask {
 	var list []VictimTask
 	for i := range n {
-		list = append(list, VictimTask{Index: from + i, Machine: "m", Role: role, Res: cpus(1)})
+		list = append(list, VictimTask{Index: from + i, Machine: "m", Role: role, Resources: cpus(1)})
 	}
 	return list
 }
@@ -27,18 +27,18 @@
 		safe, core int
 		role       string // of the safe task
 	}{
-		{"surplus above the minimum", Victim{Min: 3, Ready: 5, Tasks: tasks("", 0, 5)}, 2, 3, ""},
-		{"roles", Victim{Min: 4, Ready: 5,
+		{"surplus above the minimum", Victim{MinTasks: 3, ReadyTasks: 5, Tasks: tasks("", 0, 5)}, 2, 3, ""},
+		{"roles", Victim{MinTasks: 4, ReadyTasks: 5,
 			Roles: map[string]Role{"driver": {1, 1}, "worker": {4, 3}},
 			Tasks: append(tasks("driver", 0, 1), tasks("worker", 1, 4)...)}, 1, 4, "worker"},
-		{"broken already", Victim{Min: 3, Ready: 2, Tasks: tasks("", 0, 2)}, 2, 0, ""},
-		{"array", Victim{Min: 0, Ready: 4, Tasks: tasks("", 0, 4)}, 4, 0, ""},
-		{"gang", Victim{Min: 4, Ready: 4, Tasks: tasks("", 0, 4)}, 0, 4, ""},
+		{"broken already", Victim{MinTasks: 3, ReadyTasks: 2, Tasks: tasks("", 0, 2)}, 2, 0, ""},
+		{"array", Victim{MinTasks: 0, ReadyTasks: 4, Tasks: tasks("", 0, 4)}, 4, 0, ""},
+		{"gang", Victim{MinTasks: 4, ReadyTasks: 4, Tasks: tasks("", 0, 4)}, 0, 4, ""},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			safe, core := 0, 0
-			for _, b := range Split(&c.v, all, cpus(10)) {
+			for _, b := range SplitVictim(&c.v, all, cpus(10)) {
 				if !b.Safe {
 					core += len(b.Tasks)
 					continue
@@ -84,14 +84,14 @@
 // ROI decides only beyond the threshold; within it, the next criterion does.
 func TestSortThreshold(t *testing.T) {
 	victim := func(job string, whole float64, p Priority) *Victim {
-		return &Victim{Job: job, Team: "x", Priority: p, Min: 1, Ready: 1, Whole: cpus(whole),
-			Tasks: []VictimTask{{Machine: "m", Res: cpus(10)}}}
+		return &Victim{Job: job, Team: "x", Priority: p, MinTasks: 1, ReadyTasks: 1, TotalResources: cpus(whole),
+			Tasks: []VictimTask{{Machine: "m", Resources: cpus(10)}}}
 	}
-	r := Rules{Mode: Reclaim, Threshold: 0.05, Teams: map[string]TeamUse{"x": {Used: cpus(100)}}}
+	r := PreemptionRules{Mode: Reclaim, ROIThreshold: 0.05, Teams: map[string]TeamUsage{"x": {Used: cpus(100)}}}
 	sorted := func(vs ...*Victim) string {
 		var bs []Bundle
 		for _, v := range vs {
-			bs = append(bs, Split(v, all, cpus(10))...)
+			bs = append(bs, SplitVictim(v, all, cpus(10))...)
 		}
 		r.Sort(bs, cpus(10))
 		out := ""
@@ -110,15 +110,15 @@
 	}
 }
 
-// TestEvictProperties draws worlds and checks what must hold in all of them.
-func TestEvictProperties(t *testing.T) {
+// TestPreemptionProperties draws worlds and checks what must hold in all of them.
+func TestPreemptionProperties(t *testing.T) {
 	rng := rand.New(rand.NewPCG(7, 7))
 	plans := 0
 	for n := range 3000 {
 		machines, victims, teams := drawWorld(rng)
 		j := &Job{ID: "new", Team: "red", Gang: true, Priority: High, Tasks: 1 + rng.IntN(4),
 			Need: NewResources(float64(2+rng.IntN(7)), 0, 4), OneZone: rng.IntN(2) == 0, Spot: true}
-		mode := Mode(rng.IntN(2))
+		mode := PreemptionMode(rng.IntN(2))
 		var list []*Victim
 		for _, v := range victims {
 			if mode == Preempt && (v.Team != "red" || v.Priority >= j.Priority) || mode == Reclaim && v.Team == "red" {
@@ -126,7 +126,7 @@
 			}
 			list = append(list, v)
 		}
-		p := Evict(j, Domains(j, machines, list, 8), list, Rules{mode, 0.05, teams})
+		p := PlanPreemption(j, Domains(j, machines, list, 8), list, PreemptionRules{mode, 0.05, teams})
 		if p == nil {
 			continue
 		}
@@ -140,14 +140,14 @@
 	}
 }
 
-func drawWorld(rng *rand.Rand) ([]*Machine, []*Victim, map[string]TeamUse) {
+func drawWorld(rng *rand.Rand) ([]*Machine, []*Victim, map[string]TeamUsage) {
 	var machines []*Machine
 	for i := range 6 {
 		machines = append(machines, &Machine{Name: fmt.Sprint("m", i), Type: "t", Zone: string(rune('a' + i%2)),
 			Free: NewResources(8, 0, 32), Slots: 100})
 	}
 	var victims []*Victim
-	teams := map[string]TeamUse{}
+	teams := map[string]TeamUsage{}
 	for i := range 8 {
 		team := []string{"red", "blue", "green"}[rng.IntN(3)]
 		v := &Victim{Job: fmt.Sprint("j", i), Team: team, Priority: Priority(rng.IntN(4))}
@@ -158,23 +158,23 @@
 				continue
 			}
 			m.Free = m.Free.Sub(res)
-			v.Tasks = append(v.Tasks, VictimTask{Index: k, Machine: m.Name, Res: res})
-			v.Whole = v.Whole.Add(res)
+			v.Tasks = append(v.Tasks, VictimTask{Index: k, Machine: m.Name, Resources: res})
+			v.TotalResources = v.TotalResources.Add(res)
 		}
-		v.Ready = len(v.Tasks)
+		v.ReadyTasks = len(v.Tasks)
 		if rng.IntN(2) == 0 {
-			v.Min = v.Ready
+			v.MinTasks = v.ReadyTasks
 		}
 		use := teams[team]
-		use.Used = use.Used.Add(v.Whole)
-		use.Guarantee = cpus(float64(rng.IntN(12)))
+		use.Used = use.Used.Add(v.TotalResources)
+		use.GuaranteedQuota = cpus(float64(rng.IntN(12)))
 		teams[team] = use
 		victims = append(victims, v)
 	}
 	return machines, victims, teams
 }
 
-func checkPlan(j *Job, machines []*Machine, p *Plan, teams map[string]TeamUse) error {
+func checkPlan(j *Job, machines []*Machine, p *PreemptionPlan, teams map[string]TeamUsage) error {
 	free := map[string]Resources{}
 	for _, m := range machines {
 		free[m.Name] = m.Free
@@ -183,25 +183,25 @@
 	for name, t := range teams {
 		left[name] = t.Used
 	}
-	for _, b := range p.Stop {
-		gone := b.Local
+	for _, b := range p.Victims {
+		gone := b.FreedInDomain
 		if !b.Safe {
-			gone = b.Victim.Whole
+			gone = b.Victim.TotalResources
 		}
 		left[b.Victim.Team] = left[b.Victim.Team].Sub(gone)
-		if p.Mode == Reclaim && !coversGuarantee(left[b.Victim.Team], teams[b.Victim.Team].Guarantee) {
+		if p.Mode == Reclaim && !meetsGuarantee(left[b.Victim.Team], teams[b.Victim.Team].GuaranteedQuota) {
 			return fmt.Errorf("team %s falls below its guarantee", b.Victim.Team)
 		}
 		if p.Mode == Preempt && b.Victim.Priority >= j.Priority {
 			return fmt.Errorf("victim %s has the same or a higher priority", b.Victim.Job)
 		}
 		for _, t := range b.Tasks {
-			free[t.Machine] = free[t.Machine].Add(t.Res)
+			free[t.Machine] = free[t.Machine].Add(t.Resources)
 		}
 	}
 	placed := 0
 	var zones []string
-	for _, a := range p.Place {
+	for _, a := range p.Placement {
 		placed += a.Count
 		if !j.Need.Times(a.Count).Fits(free[a.Machine.Name]) {
 			return fmt.Errorf("%s does not fit on %s", j.ID, a.Machine.Name)
--- a/sched/ranking.go
+++ b/sched/ranking.go
@@ -5,46 +5,46 @@
 	"slices"
 )
 
-// Mode tells on what ground work is stopped.
-type Mode int
+// PreemptionMode tells on what ground work is stopped.
+type PreemptionMode int
 
 const (
 	// Preempt stops work of lower priority in the same team.
-	Preempt Mode = iota
+	Preempt PreemptionMode = iota
 	// Reclaim stops work that other teams run beyond their guarantees.
 	Reclaim
 )
 
-func (m Mode) String() string { return [...]string{"preempt", "reclaim"}[m] }
+func (m PreemptionMode) String() string { return [...]string{"preempt", "reclaim"}[m] }
 
-// TeamUse is what a team uses and what is guaranteed to it.
-type TeamUse struct {
-	Used      Resources
-	Guarantee Resources
+// TeamUsage is what a team uses and what is guaranteed to it.
+type TeamUsage struct {
+	Used            Resources
+	GuaranteedQuota Resources
 }
 
-// Over is how far a team is above its guarantee, relative to the guarantee.
-func (t TeamUse) Over() float64 {
+// OverQuotaRatio is how far a team is above its guarantee, relative to the guarantee.
+func (t TeamUsage) OverQuotaRatio() float64 {
 	ratio := func(used, guarantee int64) float64 {
 		return float64(used-guarantee) / float64(max(guarantee, 1))
 	}
-	return max(ratio(t.Used.CPU, t.Guarantee.CPU), ratio(t.Used.GPU, t.Guarantee.GPU))
+	return max(ratio(t.Used.CPU, t.GuaranteedQuota.CPU), ratio(t.Used.GPU, t.GuaranteedQuota.GPU))
 }
 
-// Covers tells whether a team still uses all that is guaranteed to it.
-func (t TeamUse) Covers() bool { return coversGuarantee(t.Used, t.Guarantee) }
+// MeetsGuarantee tells whether a team still uses all that is guaranteed to it.
+func (t TeamUsage) MeetsGuarantee() bool { return meetsGuarantee(t.Used, t.GuaranteedQuota) }
 
-// coversGuarantee tells whether used still holds all that is guaranteed. Resources
+// meetsGuarantee tells whether used still holds all that is guaranteed. Resources
 // that have no guarantee do not count.
-func coversGuarantee(used, guarantee Resources) bool {
+func meetsGuarantee(used, guarantee Resources) bool {
 	return used.CPU >= guarantee.CPU && used.GPU >= guarantee.GPU
 }
 
-// Rules are what selection must respect.
-type Rules struct {
-	Mode      Mode
-	Threshold float64 // ROIs that differ by no more count as equal
-	Teams     map[string]TeamUse
+// PreemptionRules are what selection must respect.
+type PreemptionRules struct {
+	Mode         PreemptionMode
+	ROIThreshold float64 // ROIs that differ by no more count as equal
+	Teams        map[string]TeamUsage
 }
 
 // rankROI gives whole bundles the rank of their ROI. "Differs by more than the
@@ -52,20 +52,20 @@
 // Instead a group is opened by the highest ROI left and takes all that are within the
 // threshold of it. Two bundles that differ by more are always ordered by ROI; two in
 // one group never are.
-func (r Rules) rankROI(bundles []Bundle, need Resources) {
+func (r PreemptionRules) rankROI(bundles []Bundle, need Resources) {
 	var whole []int
 	for i := range bundles {
 		b := &bundles[i]
 		b.group, b.roi = 0, 0
 		if !b.Safe {
-			b.roi = ROI(b.Local, b.Victim.Whole, need)
+			b.roi = ROI(b.FreedInDomain, b.Victim.TotalResources, need)
 			whole = append(whole, i)
 		}
 	}
 	slices.SortStableFunc(whole, func(x, y int) int { return -cmp.Compare(bundles[x].roi, bundles[y].roi) })
 	group, head := 0, 0.0
 	for n, i := range whole {
-		if b := &bundles[i]; n == 0 || head-b.roi > r.Threshold {
+		if b := &bundles[i]; n == 0 || head-b.roi > r.ROIThreshold {
 			group, head = group+1, b.roi
 		}
 		bundles[i].group = group
@@ -73,7 +73,7 @@
 }
 
 // Sort orders bundles: safe ones first, then as the mode asks.
-func (r Rules) Sort(bundles []Bundle, need Resources) {
+func (r PreemptionRules) Sort(bundles []Bundle, need Resources) {
 	r.rankROI(bundles, need)
 	slices.SortStableFunc(bundles, func(a, b Bundle) int {
 		if a.Safe != b.Safe {
@@ -88,15 +88,15 @@
 		if r.Mode == Preempt {
 			return cmp.Or(priority, roi, last)
 		}
-		fair := -cmp.Compare(r.Teams[a.Victim.Team].Over(), r.Teams[b.Victim.Team].Over())
+		fair := -cmp.Compare(r.Teams[a.Victim.Team].OverQuotaRatio(), r.Teams[b.Victim.Team].OverQuotaRatio())
 		return cmp.Or(fair, roi, priority, last)
 	})
 }
 
-// Check is the one guarantee check over the ordered bundles. It drops whole bundles
+// FilterByGuarantee is the one guarantee check over the ordered bundles. It drops whole bundles
 // with any refused task and trims safe ones. A whole bundle counts with all that its
 // gang runs anywhere, since all of that is stopped; once refused it uses up nothing.
-func (r Rules) Check(bundles []Bundle) []Bundle {
+func (r PreemptionRules) FilterByGuarantee(bundles []Bundle) []Bundle {
 	if r.Mode == Preempt {
 		return bundles // the room stays within the team
 	}
@@ -107,9 +107,9 @@
 	var out []Bundle
 	for _, b := range bundles {
 		team := b.Victim.Team
-		guarantee := r.Teams[team].Guarantee
+		guarantee := r.Teams[team].GuaranteedQuota
 		if !b.Safe {
-			if left := used[team].Sub(b.Victim.Whole); coversGuarantee(left, guarantee) {
+			if left := used[team].Sub(b.Victim.TotalResources); meetsGuarantee(left, guarantee) {
 				used[team] = left
 				out = append(out, b)
 			}
@@ -117,7 +117,7 @@
 		}
 		var allowed []VictimTask
 		for _, t := range b.Tasks {
-			if left := used[team].Sub(t.Res); coversGuarantee(left, guarantee) {
+			if left := used[team].Sub(t.Resources); meetsGuarantee(left, guarantee) {
 				used[team] = left
 				allowed = append(allowed, t)
 			}
@@ -129,15 +129,15 @@
 	return out
 }
 
-// Select takes bundles in order until they cover the need.
-func Select(bundles []Bundle, need Resources) (taken []Bundle, covered bool) {
+// SelectBundles takes bundles in order until they cover the need.
+func SelectBundles(bundles []Bundle, need Resources) (taken []Bundle, covered bool) {
 	var freed Resources
 	for _, b := range bundles {
 		if need.Fits(freed) {
 			break
 		}
 		taken = append(taken, b)
-		freed = freed.Add(b.Local)
+		freed = freed.Add(b.FreedInDomain)
 	}
 	return taken, need.Fits(freed)
 }
--- a/sched/types.go
+++ b/sched/types.go
@@ -78,28 +78,28 @@
 
 // Job is a job as its user described it.
 type Job struct {
-	ID       string
-	Class    string
-	Team     string
-	Gang     bool
-	Service  bool // independent tasks that run until they are cancelled
-	Priority Priority
-	Tasks    int
-	Need     Resources // of each task
-	Image    string
-	ImageGB  float64
-	Types    []string // allowed machine types, nil for any
-	Zone     string   // the only allowed zone, or ""
-	OneZone  bool
-	Spread   bool
-	Spot     bool // may use spot machines
-	Ordinary int  // so many of a gang's tasks must not be on spot machines
-	Estimate micros.Micros
-	// Checkpoint is the progress after which a running task saves by itself; 0: never.
-	Checkpoint micros.Micros
-	Save       micros.Micros
-	Deadline   micros.Micros // from submission, 0 for none
-	Awaits     []string      // jobs that must be done before any of its tasks starts, in order
+	ID               string
+	Class            string
+	Team             string
+	Gang             bool
+	Service          bool // independent tasks that run until they are cancelled
+	Priority         Priority
+	Tasks            int
+	Need             Resources // of each task
+	Image            string
+	ImageGB          float64
+	Types            []string // allowed machine types, nil for any
+	Zone             string   // the only allowed zone, or ""
+	OneZone          bool
+	Spread           bool
+	Spot             bool // may use spot machines
+	MinOnDemandTasks int  // so many of a gang's tasks must not be on spot machines
+	Estimate         micros.Micros
+	// CheckpointInterval is the progress after which a running task saves by itself; 0: never.
+	CheckpointInterval micros.Micros
+	CheckpointDuration micros.Micros
+	Deadline           micros.Micros // from submission, 0 for none
+	Dependencies       []string      // jobs that must be done before any of its tasks starts, in order
 }
 
 // Allows tells whether the job's tasks may run on a kind of machine.
