--- a/config/config.go
+++ b/config/config.go
@@ -25,26 +25,26 @@
 
 // Team is a group of users with a guarantee and a limit; zero means none.
 type Team struct {
-	Name      string
-	Guarantee sched.Resources
-	Limit     sched.Resources
+	Name            string
+	GuaranteedQuota sched.Resources
+	QuotaLimit      sched.Resources
 }
 
-// ObjectiveKind is what an objective measures. Kinds that are not listed here are ignored.
-type ObjectiveKind string
+// SLOKind is what an objective measures. Kinds that are not listed here are ignored.
+type SLOKind string
 
 // Kinds of objectives that scheduling takes into account.
 const (
-	ObjectiveStart  ObjectiveKind = "wait"     // from submission to the start of a task
-	ObjectiveFinish ObjectiveKind = "finished" // from submission to the end of the job
+	SLOWaitTime       SLOKind = "wait"     // from submission to the start of a task
+	SLOCompletionTime SLOKind = "finished" // from submission to the end of the job
 )
 
-// Objective is a service level objective of a class of jobs.
-type Objective struct {
-	Kind   ObjectiveKind
-	Class  string
-	Within micros.Micros
-	Share  float64 // of the tasks or jobs of the class
+// SLO is a service level objective of a class of jobs.
+type SLO struct {
+	Kind      SLOKind
+	Class     string
+	Threshold micros.Micros
+	Fraction  float64 // of the tasks or jobs of the class
 }
 
 // Settings are all settings of a controller.
@@ -58,34 +58,34 @@
 	PeerListen string
 	// Siblings are the other controllers.
 	Siblings []Sibling
-	// CloudAddr and StateAddr are the addresses of the cloud and the state service.
+	// CloudAddr and KVAddr are the addresses of the cloud and the state service.
 	CloudAddr string
-	StateAddr string
+	KVAddr    string
 	// Zones are all zones of the deployment.
 	Zones []string
-	// ClockBound is how far the time of day may be from true time.
-	ClockBound micros.Micros
-	Teams      []Team
-	Objectives []Objective
-	// ReportEvery is the interval of workers' reports.
-	ReportEvery micros.Micros
-	// Lease is the time after its last answered report at which a worker kills its tasks.
-	Lease micros.Micros
-	// GangWait is how long a task waits for the other tasks of its gang.
-	GangWait micros.Micros
-	// GangPeer is the time within which tasks notice that their gang lost one.
-	GangPeer micros.Micros
-	// CancelIn is the time within which the tasks of a cancelled job must be gone.
-	CancelIn micros.Micros
-	// StateRPS and WriteRPS are the state service's limits on requests and writes a second.
-	StateRPS float64
-	WriteRPS float64
-	// ValueBytes is the largest value, and TxnOps the most writes of one transaction.
-	ValueBytes int
-	TxnOps     int
-	// CloudRPS is the cloud's limit on requests a second, and ListLag how old its list may be.
-	CloudRPS float64
-	ListLag  micros.Micros
+	// MaxClockError is how far the time of day may be from true time.
+	MaxClockError micros.Micros
+	Teams         []Team
+	SLOs          []SLO
+	// HeartbeatInterval is the interval of workers' reports.
+	HeartbeatInterval micros.Micros
+	// WorkerLease is the time after its last answered report at which a worker kills its tasks.
+	WorkerLease micros.Micros
+	// GangStartTimeout is how long a task waits for the other tasks of its gang.
+	GangStartTimeout micros.Micros
+	// GangFailureTimeout is the time within which tasks notice that their gang lost one.
+	GangFailureTimeout micros.Micros
+	// CancellationDeadline is the time within which the tasks of a cancelled job must be gone.
+	CancellationDeadline micros.Micros
+	// KVRequestRate and KVWriteRate are the state service's limits on requests and writes a second.
+	KVRequestRate float64
+	KVWriteRate   float64
+	// MaxValueBytes is the largest value, and MaxTransactionOps the most writes of one transaction.
+	MaxValueBytes     int
+	MaxTransactionOps int
+	// CloudRequestRate is the cloud's limit on requests a second, and CloudListLag how old its list may be.
+	CloudRequestRate float64
+	CloudListLag     micros.Micros
 	// MemoryBytes, Cores and Sockets are this process's quota; Cores is a share of one processor.
 	MemoryBytes int64
 	Cores       float64
@@ -94,16 +94,16 @@
 	Tuning Tuning
 }
 
-// SilentAfter is the silence after which a machine is given up: never less than two
+// HeartbeatTimeout is the silence after which a machine is given up: never less than two
 // reports, since one may be lost.
-func (s *Settings) SilentAfter() micros.Micros {
-	return max(s.Tuning.SilentAfter, 2*s.ReportEvery)
+func (s *Settings) HeartbeatTimeout() micros.Micros {
+	return max(s.Tuning.HeartbeatTimeout, 2*s.HeartbeatInterval)
 }
 
-// TakeoverGrace is added to it after a takeover: a worker that tries nodes that are down
+// FailoverGrace is added to it after a takeover: a worker that tries nodes that are down
 // needs a second report's time at least.
-func (s *Settings) TakeoverGrace() micros.Micros {
-	return max(s.Tuning.TakeoverGrace, s.ReportEvery*8/5)
+func (s *Settings) FailoverGrace() micros.Micros {
+	return max(s.Tuning.FailoverGrace, s.HeartbeatInterval*8/5)
 }
 
 // Team finds a team by its name.
@@ -116,9 +116,9 @@
 	return Team{}, false
 }
 
-// nextLimits are the limits that the state service has from some moment on, without notice.
+// upcomingLimits are the limits that the state service has from some moment on, without notice.
 // Each may be absent.
-type nextLimits struct {
+type upcomingLimits struct {
 	RPS      *float64 `toml:"rps"`
 	WriteRPS *float64 `toml:"write_rps"`
 	ValueKB  *float64 `toml:"value_kb"`
@@ -127,8 +127,8 @@
 
 // The least limits of the state service with which a controller can work.
 const (
-	leastValue = 1024
-	leastOps   = 4
+	minValueBytes     = 1024
+	minTransactionOps = 4
 )
 
 // file is the form of the platform's file.
@@ -171,11 +171,11 @@
 			CancelS   float64 `toml:"cancel_s"`
 		} `toml:"workers"`
 		State struct {
-			RPS      float64    `toml:"rps"`
-			WriteRPS float64    `toml:"write_rps"`
-			ValueKB  float64    `toml:"value_kb"`
-			TxnOps   int        `toml:"txn_ops"`
-			Next     nextLimits `toml:"next"`
+			RPS      float64        `toml:"rps"`
+			WriteRPS float64        `toml:"write_rps"`
+			ValueKB  float64        `toml:"value_kb"`
+			TxnOps   int            `toml:"txn_ops"`
+			Next     upcomingLimits `toml:"next"`
 		} `toml:"state"`
 		Cloud struct {
 			RPS      float64 `toml:"rps"`
@@ -248,9 +248,9 @@
 	return micros.FromSeconds(c.positive(key, v))
 }
 
-// next lowers the limits to those to come: from the start nothing is written that these
+// applyUpcomingLimits lowers the limits to those to come: from the start nothing is written that these
 // would not let be written again.
-func (c *checker) next(s *Settings, n *nextLimits) {
+func (c *checker) applyUpcomingLimits(s *Settings, n *upcomingLimits) {
 	const key = "params.state.next."
 	smaller := func(name string, now float64, next *float64) float64 {
 		if next == nil {
@@ -258,16 +258,16 @@
 		}
 		return min(now, c.positive(key+name, *next))
 	}
-	s.StateRPS = smaller("rps", s.StateRPS, n.RPS)
-	s.WriteRPS = smaller("write_rps", s.WriteRPS, n.WriteRPS)
+	s.KVRequestRate = smaller("rps", s.KVRequestRate, n.RPS)
+	s.KVWriteRate = smaller("write_rps", s.KVWriteRate, n.WriteRPS)
 	if n.ValueKB != nil {
 		bytes := c.positive(key+"value_kb", *n.ValueKB) * 1024
-		c.require(bytes >= leastValue, key+"value_kb", "must be at least 1")
-		s.ValueBytes = int(min(float64(s.ValueBytes), bytes))
+		c.require(bytes >= minValueBytes, key+"value_kb", "must be at least 1")
+		s.MaxValueBytes = int(min(float64(s.MaxValueBytes), bytes))
 	}
 	if n.TxnOps != nil {
-		c.require(*n.TxnOps >= leastOps, key+"txn_ops", "must be at least 4")
-		s.TxnOps = min(s.TxnOps, *n.TxnOps)
+		c.require(*n.TxnOps >= minTransactionOps, key+"txn_ops", "must be at least 4")
+		s.MaxTransactionOps = min(s.MaxTransactionOps, *n.TxnOps)
 	}
 }
 
@@ -284,39 +284,39 @@
 	var c checker
 	p := &f.Params
 	s := &Settings{
-		Node:        c.text("node", f.Node),
-		Zone:        c.text("zone", f.Zone),
-		Listen:      c.addr("listen", f.Listen),
-		PeerListen:  c.addr("cluster_listen", f.ClusterListen),
-		CloudAddr:   c.addr("services.cloud", f.Services.Cloud),
-		StateAddr:   c.addr("services.state", f.Services.State),
-		Zones:       p.Zones,
-		ClockBound:  micros.FromMillis(c.atLeastZero("params.time_bound_ms", p.TimeBoundMS)),
-		ReportEvery: c.seconds("params.workers.report_s", p.Workers.ReportS),
-		Lease:       c.seconds("params.workers.lease_s", p.Workers.LeaseS),
-		GangWait:    c.seconds("params.workers.gang_wait_s", p.Workers.GangWaitS),
-		GangPeer:    c.seconds("params.workers.gang_peer_s", p.Workers.GangPeerS),
-		CancelIn:    c.seconds("params.workers.cancel_s", p.Workers.CancelS),
-		StateRPS:    c.positive("params.state.rps", p.State.RPS),
-		WriteRPS:    c.positive("params.state.write_rps", p.State.WriteRPS),
-		ValueBytes:  int(c.positive("params.state.value_kb", p.State.ValueKB) * 1024),
-		TxnOps:      p.State.TxnOps,
-		CloudRPS:    c.positive("params.cloud.rps", p.Cloud.RPS),
-		ListLag:     micros.FromSeconds(c.atLeastZero("params.cloud.list_lag_s", p.Cloud.ListLagS)),
-		Cores:       c.positive("params.quota.cores", p.Quota.Cores),
-		MemoryBytes: int64(c.positive("params.quota.ram_mb", p.Quota.RAMMB) * 1e6),
-		Sockets:     p.Quota.Sockets,
+		Node:                 c.text("node", f.Node),
+		Zone:                 c.text("zone", f.Zone),
+		Listen:               c.addr("listen", f.Listen),
+		PeerListen:           c.addr("cluster_listen", f.ClusterListen),
+		CloudAddr:            c.addr("services.cloud", f.Services.Cloud),
+		KVAddr:               c.addr("services.state", f.Services.State),
+		Zones:                p.Zones,
+		MaxClockError:        micros.FromMillis(c.atLeastZero("params.time_bound_ms", p.TimeBoundMS)),
+		HeartbeatInterval:    c.seconds("params.workers.report_s", p.Workers.ReportS),
+		WorkerLease:          c.seconds("params.workers.lease_s", p.Workers.LeaseS),
+		GangStartTimeout:     c.seconds("params.workers.gang_wait_s", p.Workers.GangWaitS),
+		GangFailureTimeout:   c.seconds("params.workers.gang_peer_s", p.Workers.GangPeerS),
+		CancellationDeadline: c.seconds("params.workers.cancel_s", p.Workers.CancelS),
+		KVRequestRate:        c.positive("params.state.rps", p.State.RPS),
+		KVWriteRate:          c.positive("params.state.write_rps", p.State.WriteRPS),
+		MaxValueBytes:        int(c.positive("params.state.value_kb", p.State.ValueKB) * 1024),
+		MaxTransactionOps:    p.State.TxnOps,
+		CloudRequestRate:     c.positive("params.cloud.rps", p.Cloud.RPS),
+		CloudListLag:         micros.FromSeconds(c.atLeastZero("params.cloud.list_lag_s", p.Cloud.ListLagS)),
+		Cores:                c.positive("params.quota.cores", p.Quota.Cores),
+		MemoryBytes:          int64(c.positive("params.quota.ram_mb", p.Quota.RAMMB) * 1e6),
+		Sockets:              p.Quota.Sockets,
 	}
 	c.require(len(p.Zones) > 0, "params.zones", "missing")
 	c.require(p.Count == len(f.Siblings)+1, "params.count", "must be the number of siblings and this node")
-	c.require(s.ValueBytes >= leastValue, "params.state.value_kb", "must be at least 1")
-	c.require(s.TxnOps >= leastOps, "params.state.txn_ops", "must be at least 4")
-	c.next(s, &p.State.Next)
+	c.require(s.MaxValueBytes >= minValueBytes, "params.state.value_kb", "must be at least 1")
+	c.require(s.MaxTransactionOps >= minTransactionOps, "params.state.txn_ops", "must be at least 4")
+	c.applyUpcomingLimits(s, &p.State.Next)
 	c.require(s.Sockets >= 32, "params.quota.sockets", "must be at least 32")
-	c.require(s.Lease > s.ReportEvery, "params.workers.lease_s", "must be above params.workers.report_s")
+	c.require(s.WorkerLease > s.HeartbeatInterval, "params.workers.lease_s", "must be above params.workers.report_s")
 	s.Siblings = c.siblings(&f)
 	s.Teams = c.teams(&f)
-	s.Objectives = c.objectives(&f)
+	s.SLOs = c.slos(&f)
 	if c.err != nil {
 		return nil, c.err
 	}
@@ -346,21 +346,21 @@
 		c.require(!names[t.Name], key+"name", "must be unique")
 		names[t.Name] = true
 		teams = append(teams, Team{
-			Name:      c.text(key+"name", t.Name),
-			Guarantee: sched.NewResources(c.atLeastZero(key+"cpus", t.CPUs), c.atLeastZero(key+"gpus", t.GPUs), 0),
-			Limit:     sched.NewResources(c.atLeastZero(key+"cpus_max", t.CPUsMax), c.atLeastZero(key+"gpus_max", t.GPUsMax), 0),
+			Name:            c.text(key+"name", t.Name),
+			GuaranteedQuota: sched.NewResources(c.atLeastZero(key+"cpus", t.CPUs), c.atLeastZero(key+"gpus", t.GPUs), 0),
+			QuotaLimit:      sched.NewResources(c.atLeastZero(key+"cpus_max", t.CPUsMax), c.atLeastZero(key+"gpus_max", t.GPUsMax), 0),
 		})
 	}
 	return teams
 }
 
-// objectives reads the users' service level objectives.
-func (c *checker) objectives(f *file) []Objective {
-	var objectives []Objective
+// slos reads the users' service level objectives.
+func (c *checker) slos(f *file) []SLO {
+	var objectives []SLO
 	for i, o := range f.Params.Objectives {
 		key := fmt.Sprintf("params.objectives[%d].", i)
-		objectives = append(objectives, Objective{
-			ObjectiveKind(c.text(key+"kind", o.Kind)), o.Class,
+		objectives = append(objectives, SLO{
+			SLOKind(c.text(key+"kind", o.Kind)), o.Class,
 			micros.FromSeconds(c.atLeastZero(key+"within_s", o.WithinS)),
 			c.atLeastZero(key+"share", o.Share),
 		})
--- a/config/config_test.go
+++ b/config/config_test.go
@@ -66,7 +66,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if s.Lease != 17*micros.Second || s.ValueBytes != 8192 || s.MemoryBytes != 125e6 || s.Teams[0].Limit.CPUs() != 16 {
+	if s.WorkerLease != 17*micros.Second || s.MaxValueBytes != 8192 || s.MemoryBytes != 125e6 || s.Teams[0].QuotaLimit.CPUs() != 16 {
 		t.Fatalf("read as %+v", s)
 	}
 }
@@ -96,9 +96,9 @@
 	}
 }
 
-// TestParseNext guards against records and requests that the limits to come would not allow,
+// TestParseUpcomingLimits guards against records and requests that the limits to come would not allow,
 // and against limits that cannot be meant.
-func TestParseNext(t *testing.T) {
+func TestParseUpcomingLimits(t *testing.T) {
 	with := func(lines string) string {
 		return strings.Replace(platform, "[params.cloud]", "[params.state.next]\n"+lines+"\n\n[params.cloud]", 1)
 	}
@@ -124,7 +124,7 @@
 			t.Errorf("%q: %v", c.lines, err)
 			continue
 		}
-		if got := (limits{s.StateRPS, s.WriteRPS, s.ValueBytes, s.TxnOps}); got != c.want {
+		if got := (limits{s.KVRequestRate, s.KVWriteRate, s.MaxValueBytes, s.MaxTransactionOps}); got != c.want {
 			t.Errorf("%q: read as %v", c.lines, got)
 		}
 	}
@@ -142,7 +142,7 @@
 
 func TestParseTuning(t *testing.T) {
 	tu, err := ParseTuning([]byte("# ours\nmachine.idle_s = 45\npreempt.domains: 2\n"))
-	if err != nil || tu.IdleReturn != 45*micros.Second || tu.DomainList != 2 || tu.HoldWait != DefaultTuning().HoldWait {
+	if err != nil || tu.IdleTimeout != 45*micros.Second || tu.MaxDomains != 2 || tu.ReservationTimeout != DefaultTuning().ReservationTimeout {
 		t.Fatalf("read as %+v, %v", tu, err)
 	}
 	for text, key := range map[string]string{
@@ -161,8 +161,8 @@
 		t.Fatal(err)
 	}
 	for key, p := range tuningProperties {
-		if !strings.Contains(string(page), "`"+key+"`") || !strings.Contains(string(page), p.about) {
-			t.Errorf("docs/operating.md lacks %s (%s)", key, p.about)
+		if !strings.Contains(string(page), "`"+key+"`") || !strings.Contains(string(page), p.description) {
+			t.Errorf("docs/operating.md lacks %s (%s)", key, p.description)
 		}
 	}
 	for old := range aliases {
@@ -187,7 +187,7 @@
 			t.Errorf("%s is read as %+v, %s as %+v, %v", old, byOld, current, byCurrent, err)
 		}
 		_, err = ParseTuning([]byte(old + " = 7\n" + current + " = 7"))
-		if !errors.Is(err, ErrSetTwice) {
+		if !errors.Is(err, ErrDuplicateProperty) {
 			t.Errorf("%s with %s: error %v", old, current, err)
 		}
 	}
@@ -196,13 +196,13 @@
 	}
 }
 
-// TestPatienceFollowsReports guards against giving up machines whose reports come too
+// TestTimeoutsFollowHeartbeats guards against giving up machines whose reports come too
 // seldom for the defaults.
-func TestPatienceFollowsReports(t *testing.T) {
+func TestTimeoutsFollowHeartbeats(t *testing.T) {
 	for _, c := range []struct{ report, silent, grace float64 }{{3, 10, 8}, {5, 10, 8}, {10, 20, 16}} {
-		s := Settings{ReportEvery: micros.FromSeconds(c.report), Tuning: DefaultTuning()}
-		if s.SilentAfter() != micros.FromSeconds(c.silent) || s.TakeoverGrace() != micros.FromSeconds(c.grace) {
-			t.Errorf("reports every %g s: %v and %v", c.report, s.SilentAfter(), s.TakeoverGrace())
+		s := Settings{HeartbeatInterval: micros.FromSeconds(c.report), Tuning: DefaultTuning()}
+		if s.HeartbeatTimeout() != micros.FromSeconds(c.silent) || s.FailoverGrace() != micros.FromSeconds(c.grace) {
+			t.Errorf("reports every %g s: %v and %v", c.report, s.HeartbeatTimeout(), s.FailoverGrace())
 		}
 	}
 }
--- a/config/tuning.go
+++ b/config/tuning.go
@@ -15,37 +15,37 @@
 type Tuning struct {
 	// LeaderTTL is the time to live of the leader's lease in the state service.
 	LeaderTTL micros.Micros
-	// SilentAfter is the time without a report after which a machine is given up.
-	SilentAfter micros.Micros
-	// TakeoverGrace is added to SilentAfter after a change of owner.
-	TakeoverGrace micros.Micros
-	// PartitionPatience replaces SilentAfter for a machine that runs a gang while its
+	// HeartbeatTimeout is the time without a report after which a machine is given up.
+	HeartbeatTimeout micros.Micros
+	// FailoverGrace is added to HeartbeatTimeout after a change of owner.
+	FailoverGrace micros.Micros
+	// PartitionTimeout replaces HeartbeatTimeout for a machine that runs a gang while its
 	// whole zone is silent.
-	PartitionPatience micros.Micros
-	// IdleReturn is the idle time after which a machine is returned.
-	IdleReturn micros.Micros
+	PartitionTimeout micros.Micros
+	// IdleTimeout is the idle time after which a machine is returned.
+	IdleTimeout micros.Micros
 	// QueueTarget is the queueing delay that justifies no further machine.
 	QueueTarget micros.Micros
-	// BootPatience is the multiple of the nominal boot time after which a machine that
+	// BootTimeoutFactor is the multiple of the nominal boot time after which a machine that
 	// has not come up is given up.
-	BootPatience float64
-	// RentalRetry is the pause after a rental was refused for lack of capacity.
-	RentalRetry micros.Micros
-	// FaultyAfter is the number of failures in a row after which a machine is drained.
-	FaultyAfter int
-	// HoldWait is how long freed machines are held for a gang after the last stop.
-	HoldWait micros.Micros
-	// DomainList is the number of domains tried for one gang at a time.
-	DomainList int
+	BootTimeoutFactor float64
+	// ScaleOutRetryDelay is the pause after a rental was refused for lack of capacity.
+	ScaleOutRetryDelay micros.Micros
+	// QuarantineThreshold is the number of failures in a row after which a machine is drained.
+	QuarantineThreshold int
+	// ReservationTimeout is how long freed machines are held for a gang after the last stop.
+	ReservationTimeout micros.Micros
+	// MaxDomains is the number of domains tried for one gang at a time.
+	MaxDomains int
 	// ROIThreshold is the difference below which two ROIs count as equal.
 	ROIThreshold float64
 	// MaxMachines bounds the machines rented at a time; 0 means no bound.
 	MaxMachines int
-	// StarveAfter is the wait after which a job that has not begun is placed first.
-	StarveAfter micros.Micros
-	// SpotLoss is the expected number of losses of a spot machine per hour, until
+	// StarvationTimeout is the wait after which a job that has not begun is placed first.
+	StarvationTimeout micros.Micros
+	// SpotLossesPerHour is the expected number of losses of a spot machine per hour, until
 	// enough losses were observed.
-	SpotLoss float64
+	SpotLossesPerHour float64
 	// SpreadTeams spreads the teams over all controllers instead of one.
 	SpreadTeams bool
 }
@@ -53,30 +53,30 @@
 // DefaultTuning returns the documented defaults.
 func DefaultTuning() Tuning {
 	return Tuning{
-		LeaderTTL:         3 * micros.Second,
-		SilentAfter:       10 * micros.Second,
-		TakeoverGrace:     8 * micros.Second,
-		PartitionPatience: 90 * micros.Second,
-		IdleReturn:        30 * micros.Second,
-		QueueTarget:       20 * micros.Second,
-		BootPatience:      3,
-		RentalRetry:       15 * micros.Second,
-		FaultyAfter:       3,
-		HoldWait:          30 * micros.Second,
-		DomainList:        4,
-		ROIThreshold:      0.05,
-		MaxMachines:       0,
-		StarveAfter:       100 * micros.Second,
-		SpotLoss:          2,
-		SpreadTeams:       false,
+		LeaderTTL:           3 * micros.Second,
+		HeartbeatTimeout:    10 * micros.Second,
+		FailoverGrace:       8 * micros.Second,
+		PartitionTimeout:    90 * micros.Second,
+		IdleTimeout:         30 * micros.Second,
+		QueueTarget:         20 * micros.Second,
+		BootTimeoutFactor:   3,
+		ScaleOutRetryDelay:  15 * micros.Second,
+		QuarantineThreshold: 3,
+		ReservationTimeout:  30 * micros.Second,
+		MaxDomains:          4,
+		ROIThreshold:        0.05,
+		MaxMachines:         0,
+		StarvationTimeout:   100 * micros.Second,
+		SpotLossesPerHour:   2,
+		SpreadTeams:         false,
 	}
 }
 
 // property is one key of the operators' file: what it means, and how its text is checked
 // and stored.
 type property struct {
-	about string // shown in docs/operating.md
-	set   func(t *Tuning, text string) error
+	description string // shown in docs/operating.md
+	set         func(t *Tuning, text string) error
 }
 
 // seconds stores decimal seconds within bounds.
@@ -129,42 +129,42 @@
 
 // Keys that were renamed, old and new. Files with the old key stay valid.
 const (
-	keyPartitionPatience = "machine.partition_s"
-	keyFaultyAfter       = "machine.faulty_after"
-	keyMaxMachines       = "machine.max"
+	keyPartitionTimeout    = "machine.partition_s"
+	keyQuarantineThreshold = "machine.faulty_after"
+	keyMaxMachines         = "machine.max"
 )
 
 // aliases are the old names of properties, by their old key.
 var aliases = map[string]string{
-	"machine.dark_s":     keyPartitionPatience,
-	"machine.sick_after": keyFaultyAfter,
+	"machine.dark_s":     keyPartitionTimeout,
+	"machine.sick_after": keyQuarantineThreshold,
 	"machine.most":       keyMaxMachines,
 }
 
 // tuningProperties are all keys of the operators' file.
 var tuningProperties = map[string]property{
 	"leader.ttl_s":          {"life of the leader's lease", seconds(func(t *Tuning) *micros.Micros { return &t.LeaderTTL }, 1, 60)},
-	"machine.silent_s":      {"silence after which a machine is given up", seconds(func(t *Tuning) *micros.Micros { return &t.SilentAfter }, 2, 600)},
-	"machine.takeover_s":    {"added to machine.silent_s after a takeover", seconds(func(t *Tuning) *micros.Micros { return &t.TakeoverGrace }, 0, 600)},
-	keyPartitionPatience:    {"the same for a machine with a gang whose whole zone is silent", seconds(func(t *Tuning) *micros.Micros { return &t.PartitionPatience }, 0, 3600)},
-	"machine.idle_s":        {"idle time after which a machine is returned", seconds(func(t *Tuning) *micros.Micros { return &t.IdleReturn }, 0, 3600)},
-	"machine.boot_patience": {"times the nominal boot time until a machine is given up", number(func(t *Tuning) *float64 { return &t.BootPatience }, 1, 20)},
-	keyFaultyAfter:          {"failures in a row after which a machine is drained", count(func(t *Tuning) *int { return &t.FaultyAfter }, 1, 100)},
+	"machine.silent_s":      {"silence after which a machine is given up", seconds(func(t *Tuning) *micros.Micros { return &t.HeartbeatTimeout }, 2, 600)},
+	"machine.takeover_s":    {"added to machine.silent_s after a takeover", seconds(func(t *Tuning) *micros.Micros { return &t.FailoverGrace }, 0, 600)},
+	keyPartitionTimeout:     {"the same for a machine with a gang whose whole zone is silent", seconds(func(t *Tuning) *micros.Micros { return &t.PartitionTimeout }, 0, 3600)},
+	"machine.idle_s":        {"idle time after which a machine is returned", seconds(func(t *Tuning) *micros.Micros { return &t.IdleTimeout }, 0, 3600)},
+	"machine.boot_patience": {"times the nominal boot time until a machine is given up", number(func(t *Tuning) *float64 { return &t.BootTimeoutFactor }, 1, 20)},
+	keyQuarantineThreshold:  {"failures in a row after which a machine is drained", count(func(t *Tuning) *int { return &t.QuarantineThreshold }, 1, 100)},
 	keyMaxMachines:          {"most machines rented at once, 0 for no bound", count(func(t *Tuning) *int { return &t.MaxMachines }, 0, 100000)},
 	"rental.queue_target_s": {"waiting work that justifies no further machine", seconds(func(t *Tuning) *micros.Micros { return &t.QueueTarget }, 0, 3600)},
-	"rental.retry_s":        {"pause after a refusal for want of capacity", seconds(func(t *Tuning) *micros.Micros { return &t.RentalRetry }, 1, 600)},
-	"jobs.starve_s":         {"wait after which a job that has not begun comes first", seconds(func(t *Tuning) *micros.Micros { return &t.StarveAfter }, 1, 86400)},
-	"spot.losses_per_h":     {"losses of a spot machine an hour, until enough are seen", number(func(t *Tuning) *float64 { return &t.SpotLoss }, 0, 1000)},
+	"rental.retry_s":        {"pause after a refusal for want of capacity", seconds(func(t *Tuning) *micros.Micros { return &t.ScaleOutRetryDelay }, 1, 600)},
+	"jobs.starve_s":         {"wait after which a job that has not begun comes first", seconds(func(t *Tuning) *micros.Micros { return &t.StarvationTimeout }, 1, 86400)},
+	"spot.losses_per_h":     {"losses of a spot machine an hour, until enough are seen", number(func(t *Tuning) *float64 { return &t.SpotLossesPerHour }, 0, 1000)},
 	"teams.spread":          {"spread the teams over all controllers instead of gathering them", boolean(func(t *Tuning) *bool { return &t.SpreadTeams })},
-	"preempt.hold_s":        {"how long freed machines are held after the last stop", seconds(func(t *Tuning) *micros.Micros { return &t.HoldWait }, 1, 600)},
-	"preempt.domains":       {"domains tried for one gang at a time", count(func(t *Tuning) *int { return &t.DomainList }, 1, 100)},
+	"preempt.hold_s":        {"how long freed machines are held after the last stop", seconds(func(t *Tuning) *micros.Micros { return &t.ReservationTimeout }, 1, 600)},
+	"preempt.domains":       {"domains tried for one gang at a time", count(func(t *Tuning) *int { return &t.MaxDomains }, 1, 100)},
 	"preempt.roi_threshold": {"ROIs that differ by less count as equal", number(func(t *Tuning) *float64 { return &t.ROIThreshold }, 0, 1)},
 }
 
 // Errors of the operators' file, wrapped with the key they are about.
 var (
-	ErrUnknownProperty = errors.New("unknown property")
-	ErrSetTwice        = errors.New("set twice, also under its old name")
+	ErrUnknownProperty   = errors.New("unknown property")
+	ErrDuplicateProperty = errors.New("set twice, also under its old name")
 )
 
 // ParseTuning reads the operators' properties over the defaults. Unknown keys are
@@ -189,7 +189,7 @@
 		case !ok:
 			return tuning, fmt.Errorf("%s: %w", key, ErrUnknownProperty)
 		case set[current]:
-			return tuning, fmt.Errorf("%s: %w", key, ErrSetTwice)
+			return tuning, fmt.Errorf("%s: %w", key, ErrDuplicateProperty)
 		}
 		set[current] = true
 		text, _ := file.Get(key)
--- a/controller/acceptance.go
+++ b/controller/acceptance.go
@@ -20,7 +20,7 @@
 		return
 	}
 	s.refuseExpired()
-	room := min(s.c.budget.AvailableWrites(budget.UserRequests, s.c.now), s.c.cfg.TxnOps)
+	room := min(s.c.budget.AvailableWrites(budget.UserRequests, s.c.now), s.c.cfg.MaxTransactionOps)
 	if s.c.now < s.commitAt || room == 0 || len(s.waiting) == 0 {
 		return
 	}
@@ -68,7 +68,7 @@
 	var writes []kv.Write
 	size := 0
 	for i, sub := range batch {
-		puts, bytes := record.JobWrites(sub.job, s.c.wallClock, s.c.cfg.ValueBytes)
+		puts, bytes := record.JobWrites(sub.job, s.c.wallClock, s.c.cfg.MaxValueBytes)
 		if size += bytes; i > 0 && size > acceptBytes {
 			s.waitAgain(batch[i:])
 			batch = batch[:i]
--- a/controller/announcements.go
+++ b/controller/announcements.go
@@ -11,7 +11,7 @@
 // was told that its job is cancelled, with this node's records, peers and users.
 
 func newCancellations(c *Core) *cancellation.Tracker {
-	settings := cancellation.Settings{Lease: c.cfg.Lease, CancelWithin: c.cfg.CancelIn}
+	settings := cancellation.Settings{Lease: c.cfg.WorkerLease, CancelWithin: c.cfg.CancellationDeadline}
 	for _, peer := range c.cfg.Siblings {
 		settings.Peers = append(settings.Peers, peer.Node)
 	}
--- a/controller/answers_test.go
+++ b/controller/answers_test.go
@@ -13,9 +13,9 @@
 // answeringCore returns the core of a node that has just started alone.
 func answeringCore() *Core {
 	cfg := &config.Settings{
-		Node: "n0", Zone: "a", StateAddr: "state", CloudAddr: "cloud", Zones: []string{"a"}, Sockets: 400,
-		StateRPS: 150, WriteRPS: 40, CloudRPS: 5, TxnOps: 12, ValueBytes: 8 << 10, Lease: 15 * micros.Second,
-		CancelIn: 45 * micros.Second, ReportEvery: 3 * micros.Second, Tuning: config.DefaultTuning(),
+		Node: "n0", Zone: "a", KVAddr: "state", CloudAddr: "cloud", Zones: []string{"a"}, Sockets: 400,
+		KVRequestRate: 150, KVWriteRate: 40, CloudRequestRate: 5, MaxTransactionOps: 12, MaxValueBytes: 8 << 10, WorkerLease: 15 * micros.Second,
+		CancellationDeadline: 45 * micros.Second, HeartbeatInterval: 3 * micros.Second, Tuning: config.DefaultTuning(),
 	}
 	w := newWorld(1, cfg)
 	w.run(micros.Second)
--- a/controller/bench_test.go
+++ b/controller/bench_test.go
@@ -49,10 +49,10 @@
 // testOwner is an owner of one team without machines and jobs.
 func testOwner() *owner {
 	cfg := &config.Settings{
-		Node: "n0", Zone: "a", StateAddr: "state", CloudAddr: "cloud", Zones: []string{"a", "b"},
-		Teams:       []config.Team{{Name: "red"}},
-		ReportEvery: 3 * micros.Second, Lease: 15 * micros.Second,
-		StateRPS: 1e6, WriteRPS: 1e6, ValueBytes: 8 << 10, TxnOps: 16, CloudRPS: 5, ListLag: 6 * micros.Second,
+		Node: "n0", Zone: "a", KVAddr: "state", CloudAddr: "cloud", Zones: []string{"a", "b"},
+		Teams:             []config.Team{{Name: "red"}},
+		HeartbeatInterval: 3 * micros.Second, WorkerLease: 15 * micros.Second,
+		KVRequestRate: 1e6, KVWriteRate: 1e6, MaxValueBytes: 8 << 10, MaxTransactionOps: 16, CloudRequestRate: 5, CloudListLag: 6 * micros.Second,
 		Tuning: config.DefaultTuning(),
 	}
 	c := New(cfg, 1, slog.New(slog.NewTextHandler(io.Discard, &slog.HandlerOptions{Level: slog.LevelError})), micros.Hour, micros.Hour)
--- a/controller/block_split.go
+++ b/controller/block_split.go
@@ -47,8 +47,8 @@
 func (o *owner) retireOversized(b *block, size int) {
 	m := b.machines[0]
 	b.retryAt = o.c.now + oversizedRetry
-	o.c.log.Error("a machine's entry fits no value", "machine", m.name, "bytes", size, "most", o.c.cfg.ValueBytes, "tasks", len(m.attempts))
-	leaseEnded := o.c.now-b.dirtySince > o.c.cfg.Lease+o.c.cfg.SilentAfter()
+	o.c.log.Error("a machine's entry fits no value", "machine", m.name, "bytes", size, "most", o.c.cfg.MaxValueBytes, "tasks", len(m.attempts))
+	leaseEnded := o.c.now-b.dirtySince > o.c.cfg.WorkerLease+o.c.cfg.HeartbeatTimeout()
 	if m.token == 0 && m.state < machineReleasing && leaseEnded {
 		o.setMachine(m, machineReleasing, "its entry fits no value")
 	}
@@ -58,7 +58,7 @@
 // part takes about the same. The old record is written again only after the new ones hold
 // the machines that left it.
 func (o *owner) split(b *block, size int) {
-	parts := int(math.Ceil(float64(size) / (taskFill * float64(o.c.cfg.ValueBytes))))
+	parts := int(math.Ceil(float64(size) / (taskFill * float64(o.c.cfg.MaxValueBytes))))
 	parts = min(max(2, parts), len(b.machines))
 	all := b.machines
 	share := b.estimatedBytes() / float64(parts)
--- a/controller/block_write.go
+++ b/controller/block_write.go
@@ -47,11 +47,11 @@
 	}
 	value := w.data.Block(o.c.node.ID())
 	w.noteTaskSize(value.Size())
-	if value.Size() > o.c.cfg.ValueBytes && len(w.stored) > 0 {
+	if value.Size() > o.c.cfg.MaxValueBytes && len(w.stored) > 0 {
 		o.handleOversized(b, value.Size(), w.proposed)
 		return
 	}
-	if !t.takes(w.guards, value.Size(), o.c.cfg.TxnOps) {
+	if !t.takes(w.guards, value.Size(), o.c.cfg.MaxTransactionOps) {
 		return
 	}
 	w.addTo(t, value)
@@ -86,7 +86,7 @@
 			n++
 		}
 	}
-	return n < maxGuardsPerOp*w.owner.c.cfg.TxnOps
+	return n < maxGuardsPerOp*w.owner.c.cfg.MaxTransactionOps
 }
 
 // addMachine adds a machine's entry, unless the machine is gone, goes to another owner or
--- a/controller/blocks.go
+++ b/controller/blocks.go
@@ -89,7 +89,7 @@
 			tasks = n
 		}
 	}
-	fillBytes := int(float64(o.c.cfg.ValueBytes) * machineFill)
+	fillBytes := int(float64(o.c.cfg.MaxValueBytes) * machineFill)
 	fitting := fillBytes / (machineEntryBytes + tasks*taskEntryBytes)
 	return min(max(1, fitting), maxBlockMachines)
 }
@@ -115,7 +115,7 @@
 // not recorded yet, one of each job is taken to bring the job's description: were all taken for
 // that, a block would get few tasks with each write.
 func (o *owner) freeBytes(b *block) float64 {
-	free := float64(o.c.cfg.ValueBytes) * taskFill
+	free := float64(o.c.cfg.MaxValueBytes) * taskFill
 	newJobs := map[*job]bool{}
 	for _, m := range b.machines {
 		free -= b.entryBytes(m)
--- a/controller/blocks_test.go
+++ b/controller/blocks_test.go
@@ -13,7 +13,7 @@
 func TestSplit(t *testing.T) {
 	o := benchOwner()
 	b := o.blocks[0]
-	o.c.cfg.ValueBytes = 400
+	o.c.cfg.MaxValueBytes = 400
 	stored := map[string][]string{} // block -> machines, as the store has them
 	for _, bl := range o.blocks {
 		for _, m := range bl.machines {
@@ -28,7 +28,7 @@
 			o.markDirty(m)
 		}
 		tx := &txn{guards: map[string]uint64{}}
-		o.flushRecords(tx, func() int { return o.c.cfg.TxnOps - len(tx.writes) })
+		o.flushRecords(tx, func() int { return o.c.cfg.MaxTransactionOps - len(tx.writes) })
 		for _, w := range tx.writes {
 			name := (w.Put + w.Delete)[len(record.BlockPrefix):]
 			delete(stored, name)
@@ -36,7 +36,7 @@
 				continue
 			}
 			rec := w.Value.(record.Block)
-			if rec.Size() > o.c.cfg.ValueBytes {
+			if rec.Size() > o.c.cfg.MaxValueBytes {
 				t.Fatalf("%s has %d bytes", w.Put, rec.Size())
 			}
 			d, err := rec.Decode()
@@ -130,7 +130,7 @@
 	m.token, m.recorded, m.state = 7, true, machineUp
 	write := func() []string {
 		tx := &txn{guards: map[string]uint64{}}
-		o.flushRecords(tx, func() int { return o.c.cfg.TxnOps - len(tx.writes) })
+		o.flushRecords(tx, func() int { return o.c.cfg.MaxTransactionOps - len(tx.writes) })
 		var deleted []string
 		for _, w := range tx.writes {
 			if w.Delete != "" {
@@ -155,7 +155,7 @@
 // written in several steps, and every attempt is recorded in the end.
 func TestGuardsOfBlock(t *testing.T) {
 	o := benchOwner()
-	o.c.cfg.TxnOps = 3
+	o.c.cfg.MaxTransactionOps = 3
 	b := o.blocks[0]
 	var proposed []*attempt
 	for range 20 {
@@ -170,8 +170,8 @@
 			t.Fatalf("%d attempts are not recorded after %d commits", waiting, commits)
 		}
 		tx := &txn{guards: map[string]uint64{}}
-		o.writeBlock(tx, b, o.c.cfg.TxnOps)
-		if most := maxGuardsPerOp * o.c.cfg.TxnOps; len(tx.writes) != 1 || len(tx.guards) > most {
+		o.writeBlock(tx, b, o.c.cfg.MaxTransactionOps)
+		if most := maxGuardsPerOp * o.c.cfg.MaxTransactionOps; len(tx.writes) != 1 || len(tx.guards) > most {
 			t.Fatalf("%d writes under %d guards", len(tx.writes), len(tx.guards))
 		}
 		o.settle(tx, true, 10)
--- a/controller/claims.go
+++ b/controller/claims.go
@@ -14,7 +14,7 @@
 // so when there are more teams than a commit takes guards, some suffice.
 func (o *owner) guardOwnTeams(guards map[string]uint64) {
 	for i, name := range sortedKeys(o.teams) {
-		if i == o.c.cfg.TxnOps {
+		if i == o.c.cfg.MaxTransactionOps {
 			return
 		}
 		guards[record.TeamKey(name)] = o.teams[name].record.Version
--- a/controller/cloud_list.go
+++ b/controller/cloud_list.go
@@ -53,7 +53,7 @@
 // takePage takes one page of the list. A reading that fails is dropped.
 func (o *owner) takePage(status wire.Status, body []byte) {
 	l := &o.listing
-	l.next = o.c.now + max(o.c.cfg.ListLag, minListPause)
+	l.next = o.c.now + max(o.c.cfg.CloudListLag, minListPause)
 	var page wire.MachineList
 	if status != wire.StatusOK || wire.Decode(body, &page) != nil {
 		l.asking = false
@@ -81,7 +81,7 @@
 	if o.unclaimed[name] == 0 {
 		o.unclaimed[name] = o.c.now
 	}
-	return o.c.now-o.unclaimed[name] > unclaimedLags*o.c.cfg.ListLag
+	return o.c.now-o.unclaimed[name] > unclaimedLags*o.c.cfg.CloudListLag
 }
 
 // takeList takes what the cloud lists, and adopts machines that nobody owns.
--- a/controller/commits.go
+++ b/controller/commits.go
@@ -39,10 +39,10 @@
 	if o.claimsWait() {
 		purpose = budget.Ownership
 	}
-	most := min(c.budget.AvailableWrites(purpose, c.now), c.cfg.TxnOps)
+	most := min(c.budget.AvailableWrites(purpose, c.now), c.cfg.MaxTransactionOps)
 	room := func() int { return most - len(t.writes) }
 	full := func() bool {
-		return room() < 1 || t.size > commitBytes/2 || len(t.guards) > 2*c.cfg.TxnOps
+		return room() < 1 || t.size > commitBytes/2 || len(t.guards) > 2*c.cfg.MaxTransactionOps
 	}
 	if most > 0 {
 		o.flushClaims(t, room)
@@ -124,7 +124,7 @@
 
 // pauseAfterCommit is longer while writes are scarce.
 func (o *owner) pauseAfterCommit() micros.Micros {
-	if o.c.budget.AvailableWrites(budget.TaskUpdates, o.c.now) < o.c.cfg.TxnOps/2 {
+	if o.c.budget.AvailableWrites(budget.TaskUpdates, o.c.now) < o.c.cfg.MaxTransactionOps/2 {
 		return flushGapShort
 	}
 	return flushGap
@@ -296,7 +296,7 @@
 // tidy deletes what nobody reads any more, when writes are plentiful.
 func (o *owner) tidy() {
 	o.dropShards()
-	room := min(o.c.budget.AvailableWrites(budget.Cleanup, o.c.now), o.c.cfg.TxnOps, len(o.obsoleteKeys))
+	room := min(o.c.budget.AvailableWrites(budget.Cleanup, o.c.now), o.c.cfg.MaxTransactionOps, len(o.obsoleteKeys))
 	if room < 1 {
 		return
 	}
--- a/controller/core.go
+++ b/controller/core.go
@@ -82,7 +82,7 @@
 		debug: log.Enabled(context.Background(), slog.LevelDebug),
 		peers: map[string]*peerNode{},
 	}
-	c.cloudRate = rate.NewLimiter(rate.Limit(cfg.CloudRPS), max(1, int(cfg.CloudRPS)))
+	c.cloudRate = rate.NewLimiter(rate.Limit(cfg.CloudRequestRate), max(1, int(cfg.CloudRequestRate)))
 	c.node = cluster.New(cfg, clusterStore{c}, clusterHost{c}, rand.New(rand.NewPCG(seed, randomStream)), log)
 	c.cluster = c.node.View()
 	for _, s := range cfg.Siblings {
@@ -90,7 +90,7 @@
 	}
 	c.cancellations = newCancellations(c)
 	c.budget = budget.New(budget.Limits{
-		Requests: cfg.StateRPS, Writes: cfg.WriteRPS, MinWriteBurst: cancelWrites + 1,
+		Requests: cfg.KVRequestRate, Writes: cfg.KVWriteRate, MinWriteBurst: cancelWrites + 1,
 	}, len(cfg.Siblings)+1)
 	c.store = kv.New(kvHost{c}, c.budget, record.LeaderKey, log)
 	c.submissions, c.finals = newSubmissions(c), newFinalStates()
--- a/controller/eviction.go
+++ b/controller/eviction.go
@@ -36,7 +36,7 @@
 		return false
 	}
 	h := newHold(j, plan)
-	if kv.EncodedSizeBound(record.Reservation{Machines: h.machines}) > o.c.cfg.ValueBytes {
+	if kv.EncodedSizeBound(record.Reservation{Machines: h.machines}) > o.c.cfg.MaxValueBytes {
 		j.evictAt = o.c.now + roomRetry
 		return false // it could never be recorded
 	}
@@ -85,14 +85,14 @@
 	for name, t := range o.teams {
 		rules.Teams[name] = o.teamUse(t)
 	}
-	domains := sched.Domains(j, machines, victims, o.c.cfg.Tuning.DomainList)
+	domains := sched.Domains(j, machines, victims, o.c.cfg.Tuning.MaxDomains)
 	return sched.PlanPreemption(j, domains, victims, rules)
 }
 
 // teamUse is what a team uses and will go on using: what is being stopped already must
 // not be counted as surplus once more.
 func (o *owner) teamUse(t *team) sched.TeamUsage {
-	return sched.TeamUsage{Used: t.used.Sub(t.stopping), GuaranteedQuota: t.Guarantee}
+	return sched.TeamUsage{Used: t.used.Sub(t.stopping), GuaranteedQuota: t.GuaranteedQuota}
 }
 
 // guaranteed finds the jobs that their teams' guarantees cover: each team's earliest
@@ -105,12 +105,12 @@
 	covered, sums := map[*job]bool{}, map[string]sched.Resources{}
 	for _, j := range list {
 		t := o.teams[j.Team]
-		if t == nil || j.state != jobActive || t.Guarantee.CPU == 0 && t.Guarantee.GPU == 0 {
+		if t == nil || j.state != jobActive || t.GuaranteedQuota.CPU == 0 && t.GuaranteedQuota.GPU == 0 {
 			continue
 		}
 		sum := sums[j.Team].Add(j.Need.Times(j.Tasks - j.doneN))
 		sums[j.Team] = sum
-		covered[j] = sum.CPU <= t.Guarantee.CPU && (sum.GPU <= t.Guarantee.GPU || j.Need.GPU == 0)
+		covered[j] = sum.CPU <= t.GuaranteedQuota.CPU && (sum.GPU <= t.GuaranteedQuota.GPU || j.Need.GPU == 0)
 	}
 	return covered
 }
@@ -134,10 +134,10 @@
 
 // startLimit is how long a gang should wait at the most.
 func (o *owner) startLimit(j *job) micros.Micros {
-	limit := o.c.cfg.Tuning.HoldWait
-	for _, objective := range o.c.cfg.Objectives {
-		if objective.Kind == config.ObjectiveStart && objective.Class == j.Class {
-			limit = objective.Within
+	limit := o.c.cfg.Tuning.ReservationTimeout
+	for _, objective := range o.c.cfg.SLOs {
+		if objective.Kind == config.SLOWaitTime && objective.Class == j.Class {
+			limit = objective.Threshold
 		}
 	}
 	return limit
--- a/controller/eviction_test.go
+++ b/controller/eviction_test.go
@@ -38,7 +38,7 @@
 // it never starts: each hold in vain doubles the pause before the next eviction.
 func TestEvictionInVainBacksOff(t *testing.T) {
 	o, gang, _ := evictionOwner(0)
-	wait := o.c.cfg.Tuning.HoldWait
+	wait := o.c.cfg.Tuning.ReservationTimeout
 	for n := range 3 {
 		if !o.makeRoom(gang) {
 			t.Fatalf("hold %d: no room is made", n)
--- a/controller/faults_workers_test.go
+++ b/controller/faults_workers_test.go
@@ -65,7 +65,7 @@
 			}
 		} else {
 			to := w.rng.IntN(len(w.nodes))
-			w.after(w.between(2*micros.Second, 2*w.cfg.Lease), func() { w.deliver(to, body) })
+			w.after(w.between(2*micros.Second, 2*w.cfg.WorkerLease), func() { w.deliver(to, body) })
 		}
 	}
 	i := slices.Index(w.holdOf, k.Machine.Name)
--- a/controller/gang_reservations.go
+++ b/controller/gang_reservations.go
@@ -14,7 +14,7 @@
 // be ready for gangs to come. Only types that the gang depends on are reserved, but for a gang
 // that starves; without that, small tasks would fill every gap first.
 func (o *owner) reserveForGangs(view []*sched.Machine) {
-	ready := autoscaler.NewWarmPool(o.c.now, o.classes, o.c.cfg.Objectives, o.c.catalog())
+	ready := autoscaler.NewWarmPool(o.c.now, o.classes, o.c.cfg.SLOs, o.c.catalog())
 	short := false
 	for _, j := range o.inTurn() {
 		if !j.Gang || j.state != jobActive || j.gang != gangNone || o.holds[j.ID] != nil || o.c.now < j.notUntil {
--- a/controller/gangs.go
+++ b/controller/gangs.go
@@ -47,7 +47,7 @@
 		Estimate:      o.estimate(j),
 		Checkpoint:    j.CheckpointInterval,
 		Recovery:      catalog.BootTime(j.Job),
-		LossPerSecond: o.c.spotRisk.PerSecond(o.c.cfg.Tuning.SpotLoss),
+		LossPerSecond: o.c.spotRisk.PerSecond(o.c.cfg.Tuning.SpotLossesPerHour),
 		MaxSpot:       o.waitsLong(j),
 	}
 	return mix.OnDemandTasks()
--- a/controller/gangs_test.go
+++ b/controller/gangs_test.go
@@ -76,7 +76,7 @@
 // team's earliest unfinished jobs, whether they run at the moment or not.
 func TestGuaranteed(t *testing.T) {
 	o := testOwner()
-	o.teams["red"].Guarantee = sched.NewResources(100, 0, 0)
+	o.teams["red"].GuaranteedQuota = sched.NewResources(100, 0, 0)
 	for i, cpus := range []float64{60, 30, 20, 5} {
 		spec := &sched.Job{
 			ID: fmt.Sprintf("req-%06d", 9-i), Class: "merge", Team: "red", Tasks: 1,
--- a/controller/holds.go
+++ b/controller/holds.go
@@ -48,9 +48,9 @@
 	h.state = s
 	switch s {
 	case holdStopping:
-		h.until = o.c.now + stopPatience*o.c.cfg.Tuning.HoldWait
+		h.until = o.c.now + stopPatience*o.c.cfg.Tuning.ReservationTimeout
 	case holdWaiting:
-		h.until = o.c.now + o.c.cfg.Tuning.HoldWait
+		h.until = o.c.now + o.c.cfg.Tuning.ReservationTimeout
 	case holdOver:
 		o.scheduleWanted = true
 	}
@@ -102,7 +102,7 @@
 			o.setHold(h, holdOver, "its room does not come free")
 		case h.state == holdWaiting && j.gang == gangNone && o.c.now > h.until:
 			// Each eviction in vain doubles the pause before the next (ours).
-			j.evictAt = o.c.now + o.c.cfg.Tuning.HoldWait<<min(j.evictions, 4)
+			j.evictAt = o.c.now + o.c.cfg.Tuning.ReservationTimeout<<min(j.evictions, 4)
 			j.evictions++
 			o.setHold(h, holdOver, "the gang has not started")
 		}
@@ -190,7 +190,7 @@
 			continue
 		}
 		h := &hold{job: id, machines: rec.Machines, need: j.Need, state: holdWaiting}
-		h.until = o.c.now + o.c.cfg.Tuning.HoldWait
+		h.until = o.c.now + o.c.cfg.Tuning.ReservationTimeout
 		o.holds[id] = h
 	}
 }
--- a/controller/limits_test.go
+++ b/controller/limits_test.go
@@ -40,16 +40,16 @@
 		return
 	}
 	if n.value > 0 {
-		cfg.ValueBytes = min(cfg.ValueBytes, n.value)
+		cfg.MaxValueBytes = min(cfg.MaxValueBytes, n.value)
 	}
 	if n.ops > 0 {
-		cfg.TxnOps = min(cfg.TxnOps, n.ops)
+		cfg.MaxTransactionOps = min(cfg.MaxTransactionOps, n.ops)
 	}
 	if n.writes > 0 {
-		cfg.WriteRPS = min(cfg.WriteRPS, n.writes)
+		cfg.KVWriteRate = min(cfg.KVWriteRate, n.writes)
 	}
 	if n.rps > 0 {
-		cfg.StateRPS = min(cfg.StateRPS, n.rps)
+		cfg.KVRequestRate = min(cfg.KVRequestRate, n.rps)
 	}
 }
 
@@ -88,7 +88,7 @@
 // are of different jobs, on machines whose block is new, and the smallest values are meant.
 func TestSlotsFitValue(t *testing.T) {
 	o := testOwner()
-	o.c.cfg.ValueBytes, o.c.cfg.TxnOps = 2<<10, 500
+	o.c.cfg.MaxValueBytes, o.c.cfg.MaxTransactionOps = 2<<10, 500
 	for i := range 400 {
 		id := fmt.Sprintf("req-%06d", i*7919%1000000)
 		o.loadJob(record.ActiveJobKey(id), wire.Encode(record.NewJob(&sched.Job{
@@ -113,7 +113,7 @@
 			if len(tx.writes) != 1 || b.oversized {
 				t.Fatalf("block %s is not written", b.name)
 			}
-			if n := tx.writes[0].Value.(record.Block).Size(); n > o.c.cfg.ValueBytes {
+			if n := tx.writes[0].Value.(record.Block).Size(); n > o.c.cfg.MaxValueBytes {
 				t.Fatalf("block %s has %d bytes", b.name, n)
 			}
 			o.settle(tx, true, 10)
@@ -135,7 +135,7 @@
 	b := o.blocks[0]
 	m := b.machines[0]
 	b.machines = b.machines[:1]
-	m.token, o.c.cfg.ValueBytes = 0, 60
+	m.token, o.c.cfg.MaxValueBytes = 0, 60
 	o.markDirty(m)
 	tries := 0
 	for end := o.c.now + micros.Minute; o.c.now < end && m.state < machineReleasing; o.c.now += 100 * micros.Millisecond {
@@ -158,7 +158,7 @@
 // written.
 func TestShardsMove(t *testing.T) {
 	o := testOwner()
-	o.c.cfg.ValueBytes = 1024
+	o.c.cfg.MaxValueBytes = 1024
 	var entries []kv.Entry
 	rec := record.CompletionSegment{Chunks: map[string]string{}}
 	for i := range 12 {
@@ -186,7 +186,7 @@
 		tx := &txn{guards: map[string]uint64{}}
 		o.flushRecords(tx, func() int { return 1 - len(tx.writes) })
 		for _, w := range tx.writes {
-			if kv.EncodedSizeBound(w.Value) > 2*o.c.cfg.ValueBytes {
+			if kv.EncodedSizeBound(w.Value) > 2*o.c.cfg.MaxValueBytes {
 				t.Fatalf("%s is too large", w.Put)
 			}
 		}
@@ -201,7 +201,7 @@
 // holds few tasks, its size is that of the entries, not of tasks.
 func TestSlotsOfIdle(t *testing.T) {
 	o := testOwner()
-	o.c.cfg.ValueBytes = 2 << 10
+	o.c.cfg.MaxValueBytes = 2 << 10
 	id := jobName(1)
 	o.loadJob(record.ActiveJobKey(id), wire.Encode(record.NewJob(&sched.Job{
 		ID: id, Class: "work", Team: "red", Tasks: 40, Need: sched.NewResources(2, 0, 2), Image: "img", Estimate: micros.Second,
@@ -229,7 +229,7 @@
 // tasks that are not recorded yet share the description of their job, and take little else.
 func TestFillsIdleMachines(t *testing.T) {
 	o := testOwner()
-	o.c.cfg.ValueBytes, o.c.cfg.TxnOps = 4<<10, 12
+	o.c.cfg.MaxValueBytes, o.c.cfg.MaxTransactionOps = 4<<10, 12
 	for i := range 5 {
 		id := jobName(i)
 		o.loadJob(record.ActiveJobKey(id), wire.Encode(record.NewJob(&sched.Job{
@@ -247,14 +247,14 @@
 		t.Errorf("%d of %d tasks were placed", o.proposed, machines*tasksEach)
 	}
 	tx := &txn{guards: map[string]uint64{}}
-	o.flushRecords(tx, func() int { return o.c.cfg.TxnOps - len(tx.writes) })
+	o.flushRecords(tx, func() int { return o.c.cfg.MaxTransactionOps - len(tx.writes) })
 	for _, b := range o.blocks {
 		if b.oversized || !b.writing {
 			t.Errorf("block %s of %d machines was not written", b.name, len(b.machines))
 		}
 	}
 	for _, w := range tx.writes {
-		if n := w.Value.(record.Block).Size(); n > o.c.cfg.ValueBytes {
+		if n := w.Value.(record.Block).Size(); n > o.c.cfg.MaxValueBytes {
 			t.Errorf("%s has %d bytes", w.Put, n)
 		}
 	}
--- a/controller/load_machines.go
+++ b/controller/load_machines.go
@@ -160,7 +160,7 @@
 	}
 	sinceEnd := o.c.wallClock - final.FinishedAt
 	if final.FinishedAt == 0 { // an older version did not record it: as early as need be assumed
-		sinceEnd = o.c.cfg.CancelIn
+		sinceEnd = o.c.cfg.CancellationDeadline
 	}
 	j.endedAt = max(1, o.c.now-sinceEnd)
 }
--- a/controller/lookups.go
+++ b/controller/lookups.go
@@ -150,7 +150,7 @@
 
 // hasRoomToCompare tells whether a job's version can be compared with a batch.
 func (c *Core) hasRoomToCompare(batch *lookupBatch, id string, version uint64) bool {
-	return batch.versions[record.ActiveJobKey(id)] == version || len(batch.versions) < comparedPerOp*c.cfg.TxnOps
+	return batch.versions[record.ActiveJobKey(id)] == version || len(batch.versions) < comparedPerOp*c.cfg.MaxTransactionOps
 }
 
 // sendLookupBatch sends what the budget allows of a batch and hands back the rest, in the
--- a/controller/machine_health.go
+++ b/controller/machine_health.go
@@ -74,7 +74,7 @@
 		}
 	}
 	return fleetHealth{
-		isolated:        o.c.now-max(o.lastHeard, o.since) > silentReports*o.c.cfg.ReportEvery,
+		isolated:        o.c.now-max(o.lastHeard, o.since) > silentReports*o.c.cfg.HeartbeatInterval,
 		manyUnreachable: unreachable > max(minUnreachable, len(o.list)/unreachableDivisor),
 	}
 }
@@ -84,13 +84,13 @@
 // paid for.
 func (o *owner) isUnreachable(m *machine) bool {
 	return m.token != 0 && m.state >= machineUp && m.state <= machineTransferring && !m.synced &&
-		o.c.now-m.tokenShownAt > o.c.cfg.SilentAfter()+silentReports*o.c.cfg.ReportEvery
+		o.c.now-m.tokenShownAt > o.c.cfg.HeartbeatTimeout()+silentReports*o.c.cfg.HeartbeatInterval
 }
 
 // overdue tells that so much of the time has passed in which a task on the machine, whose
 // job was cancelled, has to be gone.
 func (o *owner) overdue(m *machine, share float64) bool {
-	limit := micros.Micros(share * float64(o.c.cfg.CancelIn))
+	limit := micros.Micros(share * float64(o.c.cfg.CancellationDeadline))
 	for _, a := range m.attempts {
 		if a.job.state == jobEnded && a.job.endedAt != 0 && !a.freed && o.c.now-a.job.endedAt > limit {
 			return true
@@ -156,7 +156,7 @@
 	if m.state >= machineCondemned || !o.overdue(m, overdueCondemnShare) {
 		return false
 	}
-	patience := silentReports * o.c.cfg.ReportEvery
+	patience := silentReports * o.c.cfg.HeartbeatInterval
 	if m.session == 0 && o.overdue(m, overdueReleaseShare) {
 		patience = inspectPatience
 	}
@@ -173,8 +173,8 @@
 	if t := o.c.types.find(m.kind); t != nil {
 		boot = t.Boot
 	}
-	patience := micros.Micros(o.c.cfg.Tuning.BootPatience*float64(boot)) + o.c.cfg.SilentAfter()
-	if m.failed || o.c.wallClock-m.rented > patience && o.silentFor(m) > o.c.cfg.SilentAfter() {
+	patience := micros.Micros(o.c.cfg.Tuning.BootTimeoutFactor*float64(boot)) + o.c.cfg.HeartbeatTimeout()
+	if m.failed || o.c.wallClock-m.rented > patience && o.silentFor(m) > o.c.cfg.HeartbeatTimeout() {
 		return condemnedNeverUp
 	}
 	return notCondemned
@@ -186,7 +186,7 @@
 	switch {
 	case m.failed:
 		return condemnedFailed
-	case m.unlisted >= unlistedReadings && silent > silentReports*o.c.cfg.ReportEvery:
+	case m.unlisted >= unlistedReadings && silent > silentReports*o.c.cfg.HeartbeatInterval:
 		return condemnedUnlisted
 	case silent > limit && (o.keptInPartition(m) || o.keptForGangs(m)):
 		return notCondemned
@@ -203,15 +203,15 @@
 // silenceLimit is how long a machine may be silent: not for long once the cloud takes it.
 func (o *owner) silenceLimit(m *machine) micros.Micros {
 	if m.notice != 0 && o.c.now > m.notice {
-		return o.c.cfg.ReportEvery * 3 / 2
+		return o.c.cfg.HeartbeatInterval * 3 / 2
 	}
-	return o.c.cfg.SilentAfter()
+	return o.c.cfg.HeartbeatTimeout()
 }
 
 // givesUpUnreachable tells whether an unreachable machine is given up. With many of them the
 // fault is likely on this side: answers that come too late are dropped too.
 func (o *owner) givesUpUnreachable(m *machine, fleet fleetHealth) bool {
-	return !fleet.manyUnreachable || o.c.now-m.tokenShownAt > unreachablePatience*o.c.cfg.SilentAfter()
+	return !fleet.manyUnreachable || o.c.now-m.tokenShownAt > unreachablePatience*o.c.cfg.HeartbeatTimeout()
 }
 
 // keptForGangs tells that a silent machine is kept since it works on, as others show: tasks
@@ -220,7 +220,7 @@
 // it up would stop whole gangs. Not one with tasks of a job that is over, nor one that the
 // cloud takes.
 func (o *owner) keptForGangs(m *machine) bool {
-	if o.silentFor(m) > o.c.cfg.Lease || m.failed || m.notice != 0 {
+	if o.silentFor(m) > o.c.cfg.WorkerLease || m.failed || m.notice != 0 {
 		return false
 	}
 	gang := false
@@ -243,7 +243,7 @@
 func (o *owner) runsElsewhere(a *attempt) bool {
 	for _, b := range a.job.attempts {
 		if b.machine != a.machine && b.state == attemptLive && b.phase == wire.PhaseRunning &&
-			b.machine.heard > a.machine.heard+o.c.cfg.GangPeer {
+			b.machine.heard > a.machine.heard+o.c.cfg.GangFailureTimeout {
 			return true
 		}
 	}
--- a/controller/machine_requests.go
+++ b/controller/machine_requests.go
@@ -133,7 +133,7 @@
 		if !ok || team.Team == asking {
 			continue
 		}
-		use := sched.TeamUsage{Used: sched.Resources{CPU: team.Cpu, GPU: team.Gpu}, GuaranteedQuota: settings.Guarantee}
+		use := sched.TeamUsage{Used: sched.Resources{CPU: team.Cpu, GPU: team.Gpu}, GuaranteedQuota: settings.GuaranteedQuota}
 		most = max(most, use.OverQuotaRatio())
 	}
 	return most
--- a/controller/machine_types.go
+++ b/controller/machine_types.go
@@ -92,7 +92,7 @@
 // recordMachineTypes keeps the types in the state service, once in an owner's incarnation.
 func (c *Core) recordMachineTypes() {
 	t := &c.types
-	if c.owner == nil || t.recorded || kv.EncodedSizeBound(t.answer) > c.cfg.ValueBytes {
+	if c.owner == nil || t.recorded || kv.EncodedSizeBound(t.answer) > c.cfg.MaxValueBytes {
 		return
 	}
 	write := []kv.Write{{Put: record.MachineTypesKey, Value: t.answer}}
--- a/controller/owner.go
+++ b/controller/owner.go
@@ -253,9 +253,9 @@
 // allSilentLimit is how long all machines may be silent.
 func (o *owner) allSilentLimit(machines int) micros.Micros {
 	if machines == 1 { // more likely it is the machine; it is given up before then
-		return o.c.cfg.SilentAfter() + o.c.cfg.ReportEvery
+		return o.c.cfg.HeartbeatTimeout() + o.c.cfg.HeartbeatInterval
 	}
-	return max(allSilentAfter, o.c.cfg.ReportEvery*5/4)
+	return max(allSilentAfter, o.c.cfg.HeartbeatInterval*5/4)
 }
 
 // shouldReport tells that a machine is up as far as is known. Nothing can be concluded from the
--- a/controller/pairs_jobs_test.go
+++ b/controller/pairs_jobs_test.go
@@ -114,7 +114,7 @@
 		if j.Gang {
 			need *= float64(j.Tasks)
 		}
-		if team.Limit.CPU > 0 && used[j.Team]+need > team.Limit.CPUs()+1e-6 {
+		if team.QuotaLimit.CPU > 0 && used[j.Team]+need > team.QuotaLimit.CPUs()+1e-6 {
 			continue
 		}
 		room, inZone := 0, map[string]int{}
--- a/controller/pairs_test.go
+++ b/controller/pairs_test.go
@@ -117,16 +117,16 @@
 	zones := []string{"a", "b", "c"}[:2+r.IntN(2)]
 	nodes := 3 + 2*r.IntN(2)
 	cfg := &config.Settings{
-		Zone: "a", StateAddr: "state", CloudAddr: "cloud", Zones: zones,
+		Zone: "a", KVAddr: "state", CloudAddr: "cloud", Zones: zones,
 		Siblings: make([]config.Sibling, nodes-1),
 		Teams: []config.Team{
-			{Name: "red", Guarantee: sched.NewResources(float64(8*r.IntN(3)), 0, 0), Limit: sched.NewResources(float64(24+8*r.IntN(3)), 0, 0)},
-			{Name: "blue", Guarantee: sched.NewResources(float64(8*r.IntN(3)), 0, 0), Limit: sched.NewResources([]float64{0, 24, 32}[r.IntN(3)], 0, 0)},
+			{Name: "red", GuaranteedQuota: sched.NewResources(float64(8*r.IntN(3)), 0, 0), QuotaLimit: sched.NewResources(float64(24+8*r.IntN(3)), 0, 0)},
+			{Name: "blue", GuaranteedQuota: sched.NewResources(float64(8*r.IntN(3)), 0, 0), QuotaLimit: sched.NewResources([]float64{0, 24, 32}[r.IntN(3)], 0, 0)},
 		},
-		ReportEvery: 3 * micros.Second, Lease: 15 * micros.Second, GangWait: 30 * micros.Second,
-		GangPeer: 5 * micros.Second, CancelIn: 45 * micros.Second,
-		Sockets: 400, StateRPS: 150, WriteRPS: 40,
-		ValueBytes: 8 << 10, TxnOps: 12, CloudRPS: 5, ListLag: 6 * micros.Second,
+		HeartbeatInterval: 3 * micros.Second, WorkerLease: 15 * micros.Second, GangStartTimeout: 30 * micros.Second,
+		GangFailureTimeout: 5 * micros.Second, CancellationDeadline: 45 * micros.Second,
+		Sockets: 400, KVRequestRate: 150, KVWriteRate: 40,
+		MaxValueBytes: 8 << 10, MaxTransactionOps: 12, CloudRequestRate: 5, CloudListLag: 6 * micros.Second,
 		Tuning: config.DefaultTuning(),
 	}
 	cfg.Tuning.SpreadTeams = r.IntN(2) == 0
@@ -150,7 +150,7 @@
 		w.cloud.Add("small", zones[i%len(zones)], false, 0)
 	}
 	p.note("%d nodes, %d zones, %d machines, spot %d, boot %g s, spread %t, limits %g and %g, guarantees %g and %g", nodes, len(zones), machines, spots, boot,
-		cfg.Tuning.SpreadTeams, cfg.Teams[0].Limit.CPUs(), cfg.Teams[1].Limit.CPUs(), cfg.Teams[0].Guarantee.CPUs(), cfg.Teams[1].Guarantee.CPUs())
+		cfg.Tuning.SpreadTeams, cfg.Teams[0].QuotaLimit.CPUs(), cfg.Teams[1].QuotaLimit.CPUs(), cfg.Teams[0].GuaranteedQuota.CPUs(), cfg.Teams[1].GuaranteedQuota.CPUs())
 	return p
 }
 
--- a/controller/partitions.go
+++ b/controller/partitions.go
@@ -52,7 +52,7 @@
 		}
 		switch {
 		case !hasBooted(m):
-		case o.c.now-m.heard > silentReports*o.c.cfg.ReportEvery:
+		case o.c.now-m.heard > silentReports*o.c.cfg.HeartbeatInterval:
 			zone.silent++
 		case m.session != 0:
 			zone.heard++
@@ -66,7 +66,7 @@
 func (o *owner) spareZone(zone string) {
 	for _, m := range o.list {
 		if m.zone == zone {
-			m.spared = o.c.now + o.c.cfg.TakeoverGrace()
+			m.spared = o.c.now + o.c.cfg.FailoverGrace()
 		}
 	}
 }
@@ -75,7 +75,7 @@
 // which would lose its work and find no other machine, or gangs will want it as soon as the
 // partition ends. Not one with tasks of a job that is over, which must be gone in time.
 func (o *owner) keptInPartition(m *machine) bool {
-	if o.partitioned[m.zone] == 0 || o.silentFor(m) > o.c.cfg.Tuning.PartitionPatience || m.failed || m.notice != 0 {
+	if o.partitioned[m.zone] == 0 || o.silentFor(m) > o.c.cfg.Tuning.PartitionTimeout || m.failed || m.notice != 0 {
 		return false
 	}
 	gang := len(m.attempts) == 0 && o.scarce(m) && m.state <= machineUp
--- a/controller/pipelines_test.go
+++ b/controller/pipelines_test.go
@@ -138,7 +138,7 @@
 // checkOrphans finds tasks on machines long after a job that they need was cancelled.
 func (w *world) checkOrphans(task, id string) {
 	for _, a := range w.pipelines.ancestors[id] {
-		if at, ok := w.cancelled[a]; ok && w.now > at+w.cfg.CancelIn {
+		if at, ok := w.cancelled[a]; ok && w.now > at+w.cfg.CancellationDeadline {
 			w.breakRule("ran_cancelled: %s is still on %s, %s before it is cancelled", task, w.running[task], a)
 		}
 	}
@@ -177,7 +177,7 @@
 		return
 	}
 	for _, a := range p.ancestors[id] {
-		if at, ok := w.cancelled[a]; ok && w.now > at+w.cfg.CancelIn {
+		if at, ok := w.cancelled[a]; ok && w.now > at+w.cfg.CancellationDeadline {
 			w.breakRule("orphaned: %s is called %s %v after the user of %s was told that it is cancelled", id, status, w.now-at, a)
 		}
 	}
--- a/controller/production_names_test.go
+++ b/controller/production_names_test.go
@@ -4,6 +4,7 @@
 	"reflect"
 	"testing"
 
+	"tamarindlead/config"
 	"tamarindlead/internal/record"
 	"tamarindlead/internal/wire"
 	"tamarindlead/micros"
@@ -20,6 +21,43 @@
 	reflect.TypeFor[record.Leader](): {"Incarnation": "Life"},
 	reflect.TypeFor[record.Member](): {"Incarnation": "Life"},
 	reflect.TypeFor[record.Team]():   {"Incarnation": "Life", "Predecessors": "Heir"},
+	reflect.TypeFor[config.Settings](): {
+		"SLOs":                 "Objectives",
+		"MaxClockError":        "ClockBound",
+		"HeartbeatInterval":    "ReportEvery",
+		"WorkerLease":          "Lease",
+		"GangStartTimeout":     "GangWait",
+		"GangFailureTimeout":   "GangPeer",
+		"CancellationDeadline": "CancelIn",
+		"KVAddr":               "StateAddr",
+		"KVRequestRate":        "StateRPS",
+		"KVWriteRate":          "WriteRPS",
+		"MaxValueBytes":        "ValueBytes",
+		"MaxTransactionOps":    "TxnOps",
+		"CloudRequestRate":     "CloudRPS",
+		"CloudListLag":         "ListLag",
+	},
+	reflect.TypeFor[config.Team](): {
+		"GuaranteedQuota": "Guarantee",
+		"QuotaLimit":      "Limit",
+	},
+	reflect.TypeFor[config.SLO](): {
+		"Threshold": "Within",
+		"Fraction":  "Share",
+	},
+	reflect.TypeFor[config.Tuning](): {
+		"HeartbeatTimeout":    "SilentAfter",
+		"FailoverGrace":       "TakeoverGrace",
+		"PartitionTimeout":    "PartitionPatience",
+		"IdleTimeout":         "IdleReturn",
+		"BootTimeoutFactor":   "BootPatience",
+		"ScaleOutRetryDelay":  "RentalRetry",
+		"QuarantineThreshold": "FaultyAfter",
+		"ReservationTimeout":  "HoldWait",
+		"MaxDomains":          "DomainList",
+		"StarvationTimeout":   "StarveAfter",
+		"SpotLossesPerHour":   "SpotLoss",
+	},
 	reflect.TypeFor[sched.Job](): {
 		"MinOnDemandTasks":   "Ordinary",
 		"CheckpointInterval": "Checkpoint",
--- a/controller/rentals.go
+++ b/controller/rentals.go
@@ -184,7 +184,7 @@
 
 // pauseOffer has an offer not be asked for until there may be machines again.
 func (o *owner) pauseOffer(offer autoscaler.Offer) {
-	o.refusedOffers[offer] = o.c.now + o.c.cfg.Tuning.RentalRetry
+	o.refusedOffers[offer] = o.c.now + o.c.cfg.Tuning.ScaleOutRetryDelay
 }
 
 // release asks the cloud to delete machines that are to go.
--- a/controller/reports.go
+++ b/controller/reports.go
@@ -63,8 +63,8 @@
 // zonePartitioned tells whether this node reaches neither the state service nor a peer of
 // another zone, nor is reached by workers of another zone, and has not been for too long.
 func (c *Core) zonePartitioned() bool {
-	if !c.store.Unavailable() || c.now-c.elsewhereAt < otherZoneReports*c.cfg.ReportEvery ||
-		c.now-c.store.LastSuccess() > c.cfg.Tuning.PartitionPatience {
+	if !c.store.Unavailable() || c.now-c.elsewhereAt < otherZoneReports*c.cfg.HeartbeatInterval ||
+		c.now-c.store.LastSuccess() > c.cfg.Tuning.PartitionTimeout {
 		return false
 	}
 	for _, s := range c.peers {
--- a/controller/scale.go
+++ b/controller/scale.go
@@ -81,9 +81,9 @@
 // planner describes what there is now.
 func (o *owner) planner(demands []*autoscaler.Demand) *autoscaler.Planner {
 	p := &autoscaler.Planner{
-		Market: o.market(), Classes: o.classes, SLOs: o.c.cfg.Objectives,
+		Market: o.market(), Classes: o.classes, SLOs: o.c.cfg.SLOs,
 		OpenScaleOuts: len(o.rentals),
-		QueueTarget:   o.c.cfg.Tuning.QueueTarget, IdleTimeout: o.c.cfg.Tuning.IdleReturn,
+		QueueTarget:   o.c.cfg.Tuning.QueueTarget, IdleTimeout: o.c.cfg.Tuning.IdleTimeout,
 		MaxMachines: o.c.cfg.Tuning.MaxMachines,
 		MayScaleIn:  o.c.now >= o.nextScaleDown,
 	}
@@ -183,7 +183,7 @@
 
 // maxWait tells how long a job may wait by its class's objectives.
 func (o *owner) maxWait(j *job) micros.Micros {
-	return autoscaler.WaitTarget(o.c.cfg.Objectives, j.Class, j.Gang, o.estimate(j), o.c.cfg.Tuning.QueueTarget)
+	return autoscaler.WaitTarget(o.c.cfg.SLOs, j.Class, j.Gang, o.estimate(j), o.c.cfg.Tuning.QueueTarget)
 }
 
 // estimate is the owner's estimate of a task's run time, corrected by what tasks of
--- a/controller/scenario_setup_test.go
+++ b/controller/scenario_setup_test.go
@@ -19,21 +19,21 @@
 func scenarioWorld(t *testing.T, d *datadriven.TestData) *world {
 	team := func(name string) config.Team {
 		return config.Team{
-			Name:      name,
-			Guarantee: sched.NewResources(argNumber(t, d, "guarantee", 0), 0, 0),
-			Limit:     sched.NewResources(argNumber(t, d, "limit", 0), 0, 0),
+			Name:            name,
+			GuaranteedQuota: sched.NewResources(argNumber(t, d, "guarantee", 0), 0, 0),
+			QuotaLimit:      sched.NewResources(argNumber(t, d, "limit", 0), 0, 0),
 		}
 	}
 	zones := []string{"a", "b", "c"}[:arg(t, d, "zones", 2)]
 	cfg := &config.Settings{
-		Zone: "a", StateAddr: "state", CloudAddr: "cloud", Zones: zones,
-		Siblings:    make([]config.Sibling, arg(t, d, "nodes", 3)-1),
-		Teams:       []config.Team{team("red"), team("blue")},
-		ReportEvery: argSeconds(t, d, "report", 3), Lease: argSeconds(t, d, "lease", 15), GangWait: 30 * micros.Second,
-		GangPeer: 5 * micros.Second, CancelIn: argSeconds(t, d, "cancel", 45),
-		Sockets:  arg(t, d, "sockets", 400),
-		StateRPS: argNumber(t, d, "rps", 150), WriteRPS: argNumber(t, d, "writes", 40),
-		ValueBytes: arg(t, d, "value", 8<<10), TxnOps: arg(t, d, "ops", 12), CloudRPS: 5, ListLag: 6 * micros.Second,
+		Zone: "a", KVAddr: "state", CloudAddr: "cloud", Zones: zones,
+		Siblings:          make([]config.Sibling, arg(t, d, "nodes", 3)-1),
+		Teams:             []config.Team{team("red"), team("blue")},
+		HeartbeatInterval: argSeconds(t, d, "report", 3), WorkerLease: argSeconds(t, d, "lease", 15), GangStartTimeout: 30 * micros.Second,
+		GangFailureTimeout: 5 * micros.Second, CancellationDeadline: argSeconds(t, d, "cancel", 45),
+		Sockets:       arg(t, d, "sockets", 400),
+		KVRequestRate: argNumber(t, d, "rps", 150), KVWriteRate: argNumber(t, d, "writes", 40),
+		MaxValueBytes: arg(t, d, "value", 8<<10), MaxTransactionOps: arg(t, d, "ops", 12), CloudRequestRate: 5, CloudListLag: 6 * micros.Second,
 		Tuning: config.DefaultTuning(),
 	}
 	for i := range arg(t, d, "teams", 0) {
--- a/controller/schedule.go
+++ b/controller/schedule.go
@@ -49,7 +49,7 @@
 
 // full tells whether the pass has done as much as one may: the guards of a commit are bounded.
 func (p *schedulingPass) full() bool {
-	return p.looked >= jobsPerPass || p.o.proposedJobs >= max(2*p.o.c.cfg.TxnOps, minProposedJobs)
+	return p.looked >= jobsPerPass || p.o.proposedJobs >= max(2*p.o.c.cfg.MaxTransactionOps, minProposedJobs)
 }
 
 // place looks for places for the waiting tasks of a job.
@@ -207,7 +207,7 @@
 
 // starves tells that a job has waited for long and not begun.
 func (o *owner) starves(j *job) bool {
-	return !j.began && j.state == jobActive && o.c.wallClock-j.since > o.c.cfg.Tuning.StarveAfter
+	return !j.began && j.state == jobActive && o.c.wallClock-j.since > o.c.cfg.Tuning.StarvationTimeout
 }
 
 // inTurn lists the jobs in the order in which they are placed. Those that starve come first,
@@ -249,11 +249,11 @@
 	if t == nil {
 		return 0
 	}
-	free := t.Limit.Sub(t.used).Sub(kept)
-	if t.Limit.CPU == 0 {
+	free := t.QuotaLimit.Sub(t.used).Sub(kept)
+	if t.QuotaLimit.CPU == 0 {
 		free.CPU = 1 << 60
 	}
-	if t.Limit.GPU == 0 {
+	if t.QuotaLimit.GPU == 0 {
 		free.GPU = 1 << 60
 	}
 	free.Mem = 1 << 60
--- a/controller/shards.go
+++ b/controller/shards.go
@@ -105,7 +105,7 @@
 }
 
 // maxShardBytes is how much the chunks of a shard may take.
-func (o *owner) maxShardBytes() int { return o.c.cfg.ValueBytes - shardSpareBytes }
+func (o *owner) maxShardBytes() int { return o.c.cfg.MaxValueBytes - shardSpareBytes }
 
 // shardWithRoom finds a shard that can take a chunk, or makes one. It may not be one that
 // waits for others, nor the one that the chunk leaves.
@@ -166,7 +166,7 @@
 func (o *owner) writeShard(t *txn, s *shard) {
 	guards := map[string]uint64{s.key(): s.version}
 	size := s.bytes + shardFrameBytes
-	if !t.takes(guards, size, o.c.cfg.TxnOps) {
+	if !t.takes(guards, size, o.c.cfg.MaxTransactionOps) {
 		return
 	}
 	maps.Copy(t.guards, guards)
--- a/controller/status.go
+++ b/controller/status.go
@@ -100,7 +100,7 @@
 			gangs++
 		}
 	}
-	lossesPerHour := o.c.spotRisk.PerSecond(o.c.cfg.Tuning.SpotLoss) * secondsPerHour
+	lossesPerHour := o.c.spotRisk.PerSecond(o.c.cfg.Tuning.SpotLossesPerHour) * secondsPerHour
 	o.c.log.Info("work", "jobs", len(o.queue), "waiting_jobs", jobs, "waiting_gangs", gangs, "waiting_tasks", tasks,
 		"awaiting_others", len(o.waiting), "proposed", o.proposed, "blocks", len(o.blocks), "shards", len(o.shards),
 		"holds", len(o.holds), "spot_losses_per_h", math.Round(lossesPerHour*10)/10)
--- a/controller/store.go
+++ b/controller/store.go
@@ -18,7 +18,7 @@
 
 func (h kvHost) Send(request kv.Request, timeout micros.Micros, done func(kv.Response)) {
 	h.c.call(Call{
-		Addr: h.c.cfg.StateAddr, Method: request.Method, Target: request.Target, Body: request.Body,
+		Addr: h.c.cfg.KVAddr, Method: request.Method, Target: request.Target, Body: request.Body,
 		Timeout: timeout, MaxBody: kv.MaxResponseBytes,
 	}, func(e CallDone) { done(kv.Response{Status: e.Status, Body: e.Body, Sent: e.Sent}) })
 }
--- a/controller/submissions.go
+++ b/controller/submissions.go
@@ -62,7 +62,7 @@
 		c.refuse(r.ID, wire.StatusUnavailable, reasonStoreSilent)
 		return
 	}
-	writes, size := record.JobWrites(job, c.wallClock, c.cfg.ValueBytes)
+	writes, size := record.JobWrites(job, c.wallClock, c.cfg.MaxValueBytes)
 	refused := c.unplaceable(job)
 	if c.tooLong(writes, size) {
 		refused = &refusal{wire.StatusBadRequest, reasonTooLong}
@@ -96,7 +96,7 @@
 
 // tooLong tells that the records of a job exceed the limits of the state service.
 func (c *Core) tooLong(writes []kv.Write, size int) bool {
-	return len(writes) > c.cfg.TxnOps || size > commitBytes || kv.EncodedSizeBound(writes[0].Value) > c.cfg.ValueBytes
+	return len(writes) > c.cfg.MaxTransactionOps || size > commitBytes || kv.EncodedSizeBound(writes[0].Value) > c.cfg.MaxValueBytes
 }
 
 // unplaceable tells why a job could never run, or returns nil.
@@ -112,7 +112,7 @@
 	if job.Gang {
 		need = need.Times(job.Tasks)
 	}
-	if !withinLimit(need, team.Limit) {
+	if !withinLimit(need, team.QuotaLimit) {
 		return neverRuns(reasonAboveTeamLimit)
 	}
 	return nil
--- a/controller/task_exits.go
+++ b/controller/task_exits.go
@@ -82,7 +82,7 @@
 	if machineToo && len(j.failedOn) <= maxFaultyMachines {
 		m.errors++
 	}
-	if m.errors >= o.c.cfg.Tuning.FaultyAfter && m.state == machineUp {
+	if m.errors >= o.c.cfg.Tuning.QuarantineThreshold && m.state == machineUp {
 		o.setMachine(m, machineDraining, "fails task after task")
 		for _, b := range m.sorted() {
 			if b != a {
--- a/controller/users_requests_test.go
+++ b/controller/users_requests_test.go
@@ -114,7 +114,7 @@
 		}
 		return badJob{id, why, wire.Encode(fields)}
 	}
-	limit := w.cfg.Teams[0].Limit.CPUs()
+	limit := w.cfg.Teams[0].QuotaLimit.CPUs()
 	switch n % 6 {
 	case 0:
 		return set("no such team", "desk", "green")
--- a/controller/users_test.go
+++ b/controller/users_test.go
@@ -170,7 +170,7 @@
 	if j.Gang {
 		need *= float64(j.Tasks)
 	}
-	if limit := w.cfg.Teams[i].Limit; limit.CPU > 0 && need > limit.CPUs() {
+	if limit := w.cfg.Teams[i].QuotaLimit; limit.CPU > 0 && need > limit.CPUs() {
 		return "more than the team's limit"
 	}
 	if j.Tasks < 1 || j.Tasks > 100000 {
@@ -307,7 +307,7 @@
 			used += w.infos[other].CPU
 		}
 	}
-	if limit := team.Limit.CPUs(); limit > 0 && used+float64(need)*info.CPU > limit+1e-6 {
+	if limit := team.QuotaLimit.CPUs(); limit > 0 && used+float64(need)*info.CPU > limit+1e-6 {
 		return false
 	}
 	byZone := map[string]int{}
--- a/controller/world_network_test.go
+++ b/controller/world_network_test.go
@@ -163,10 +163,10 @@
 		i, _ := strconv.Atoi(strings.TrimPrefix(c.Addr, "peer:"))
 		peer = n.alone || w.nodes[i].alone || w.peerLost(c, false) || w.parted(w.nodeZone(n.index), w.nodeZone(i))
 	}
-	outside := c.Addr == w.cfg.StateAddr || c.Addr == w.cfg.CloudAddr
+	outside := c.Addr == w.cfg.KVAddr || c.Addr == w.cfg.CloudAddr
 	switch {
-	case peer, n.alone && c.Addr == w.cfg.StateAddr, outside && w.parted(w.nodeZone(n.index), ""): // lost
-	case c.Addr == w.cfg.StateAddr:
+	case peer, n.alone && c.Addr == w.cfg.KVAddr, outside && w.parted(w.nodeZone(n.index), ""): // lost
+	case c.Addr == w.cfg.KVAddr:
 		w.afterLag(c, func() { w.stateCall(n, c, answer) })
 	case c.Addr == w.cfg.CloudAddr:
 		w.cloud.Now = w.now
--- a/controller/world_test.go
+++ b/controller/world_test.go
@@ -98,11 +98,11 @@
 		faults: newStateFaults(seed), crowd: newCrowd(seed), pipelines: newPipelines(seed),
 		stops: map[string]int{}, answered: map[string]micros.Micros{}, began: map[string]micros.Micros{},
 	}
-	w.fleet = standin.NewFleet(standin.FleetTimes{Lease: cfg.Lease, GangPeer: cfg.GangPeer, GangWait: cfg.GangWait})
+	w.fleet = standin.NewFleet(standin.FleetTimes{Lease: cfg.WorkerLease, GangPeer: cfg.GangFailureTimeout, GangWait: cfg.GangStartTimeout})
 	w.fleet.Info, w.fleet.OnStart, w.fleet.OnExit, w.fleet.OnDone = w.info, w.onStart, w.onExit, w.onDone
 	w.workers, w.done = w.fleet.Workers, w.fleet.Done
-	w.state.Ops, w.state.Value = cfg.TxnOps, cfg.ValueBytes
-	w.cloud.Lag = cfg.ListLag
+	w.state.Ops, w.state.Value = cfg.MaxTransactionOps, cfg.MaxValueBytes
+	w.cloud.Lag = cfg.CloudListLag
 	for i := range len(cfg.Siblings) + 1 {
 		w.nodes = append(w.nodes, &simNode{index: i})
 	}
@@ -201,13 +201,13 @@
 	for task := range w.running {
 		id, _, _ := wire.SplitTaskName(task)
 		used[w.submitted[id].Team] += w.infos[id].CPU
-		if at, ok := w.cancelled[id]; ok && w.now > at+w.cfg.CancelIn {
+		if at, ok := w.cancelled[id]; ok && w.now > at+w.cfg.CancellationDeadline {
 			w.breakRule("ran_cancelled: %s is still on %s", task, w.running[task])
 		}
 		w.checkOrphans(task, id)
 	}
 	for _, t := range w.cfg.Teams {
-		if t.Limit.CPU > 0 && used[t.Name] > t.Limit.CPUs()+1e-6 {
+		if t.QuotaLimit.CPU > 0 && used[t.Name] > t.QuotaLimit.CPUs()+1e-6 {
 			w.breakRule("quota: %s uses %g", t.Name, used[t.Name])
 		}
 	}
--- a/controller/world_workers_test.go
+++ b/controller/world_workers_test.go
@@ -58,7 +58,7 @@
 	if other, ok := w.running[task]; ok && other != k.Machine.Name {
 		w.breakRule("ran_twice: %s starts on %s while on %s", task, k.Machine.Name, other)
 	}
-	if at, ok := w.cancelled[id]; ok && w.now > at+w.cfg.CancelIn {
+	if at, ok := w.cancelled[id]; ok && w.now > at+w.cfg.CancellationDeadline {
 		w.breakRule("ran_cancelled: %s starts", task)
 	}
 	w.running[task] = k.Machine.Name
@@ -111,7 +111,7 @@
 	if k.Cut || !k.Due(w.now) {
 		return
 	}
-	k.Sent(w.now, w.cfg.ReportEvery)
+	k.Sent(w.now, w.cfg.HeartbeatInterval)
 	session := k.Session
 	node := w.nodes[k.Node]
 	body := wire.Encode(k.Report())
--- a/internal/autoscaler/autoscaler_test.go
+++ b/internal/autoscaler/autoscaler_test.go
@@ -125,11 +125,11 @@
 }
 
 func TestWaitTarget(t *testing.T) {
-	objectives := []config.Objective{
-		{Kind: config.ObjectiveStart, Class: "j", Within: 50 * micros.Second},
-		{Kind: config.ObjectiveFinish, Class: "j", Within: 70 * micros.Second},
-		{Kind: "other", Class: "j", Within: micros.Second},
-		{Kind: config.ObjectiveStart, Class: "k", Within: micros.Second},
+	objectives := []config.SLO{
+		{Kind: config.SLOWaitTime, Class: "j", Threshold: 50 * micros.Second},
+		{Kind: config.SLOCompletionTime, Class: "j", Threshold: 70 * micros.Second},
+		{Kind: "other", Class: "j", Threshold: micros.Second},
+		{Kind: config.SLOWaitTime, Class: "k", Threshold: micros.Second},
 	}
 	for _, c := range []struct {
 		class    string
@@ -193,14 +193,14 @@
 
 func TestWarmPool(t *testing.T) {
 	c, catalog := NewClasses(), testCatalog()
-	objectives := []config.Objective{{Kind: config.ObjectiveStart, Class: "g", Within: 30 * micros.Second, Share: 0.75}}
+	objectives := []config.SLO{{Kind: config.SLOWaitTime, Class: "g", Threshold: 30 * micros.Second, Fraction: 0.75}}
 	for _, tasks := range []int{6, 2, 4, 8} {
 		c.RecordSubmission(0, gang("g", tasks, 4), catalog)
 	}
 	if n, _ := c.WarmPoolSize(1, "g", objectives, catalog); n != 8 {
 		t.Errorf("%d tasks are to be ready", n)
 	}
-	objectives[0].Share = 0.5
+	objectives[0].Fraction = 0.5
 	ready := NewWarmPool(1, c, objectives, catalog)
 	small := sched.NewResources(8, 0, 32)
 	for i, want := range []bool{true, true, true, false} { // two tasks each, of six
@@ -211,11 +211,11 @@
 	if ready.Empty() {
 		t.Error("what is kept ready is forgotten once it is there")
 	}
-	objectives[0].Within = micros.Minute // machines boot in time
+	objectives[0].Threshold = micros.Minute // machines boot in time
 	if !NewWarmPool(1, c, objectives, catalog).Empty() {
 		t.Error("machines are kept ready although they boot in time")
 	}
-	objectives[0].Within = 30 * micros.Second
+	objectives[0].Threshold = 30 * micros.Second
 	if !NewWarmPool(warmPoolRetention+1, c, objectives, catalog).Empty() {
 		t.Error("machines are kept ready for gangs that do not come any more")
 	}
--- a/internal/autoscaler/classes.go
+++ b/internal/autoscaler/classes.go
@@ -185,18 +185,18 @@
 // WarmPoolSize tells how many tasks of a class should find machines at once, and a job of that
 // class: when gangs should start sooner than a machine boots, as many as the size of gang
 // that the objective's share of them does not exceed.
-func (c *Classes) WarmPoolSize(now micros.Micros, name string, objectives []config.Objective, catalog Catalog) (int, *sched.Job) {
+func (c *Classes) WarmPoolSize(now micros.Micros, name string, objectives []config.SLO, catalog Catalog) (int, *sched.Job) {
 	k := c.byName[name]
 	if k == nil || len(k.gangSizes) == 0 || now-k.lastSubmission > warmPoolRetention {
 		return 0, nil
 	}
 	objective, ok := shortestWaitSLO(objectives, name)
 	boot := catalog.BootTime(k.latest)
-	if !ok || objective.Within > micros.Micros(slowBootFactor*float64(boot)) {
+	if !ok || objective.Threshold > micros.Micros(slowBootFactor*float64(boot)) {
 		return 0, nil
 	}
 	sizes := slices.Sorted(slices.Values(k.gangSizes))
-	return sizes[min(int(objective.Share*float64(len(sizes))), len(sizes)-1)], k.latest
+	return sizes[min(int(objective.Fraction*float64(len(sizes))), len(sizes)-1)], k.latest
 }
 
 func sortedKeys[K cmp.Ordered, V any](m map[K]V) []K {
--- a/internal/autoscaler/planner.go
+++ b/internal/autoscaler/planner.go
@@ -110,7 +110,7 @@
 type Planner struct {
 	Market
 	Classes          *Classes
-	SLOs             []config.Objective
+	SLOs             []config.SLO
 	Machines         []*Machine // all of them, in the order of their names
 	PendingScaleOuts []ScaleOut // that the cloud has not answered
 	OpenScaleOuts    int        // these, and those whose machines are not all recorded
--- a/internal/autoscaler/planner_test.go
+++ b/internal/autoscaler/planner_test.go
@@ -314,7 +314,7 @@
 func TestKeepWarmPool(t *testing.T) {
 	g := gang("g", 4, 4)
 	p := testPlanner(g)
-	p.SLOs = []config.Objective{{Kind: config.ObjectiveStart, Class: "g", Within: 10 * micros.Second, Share: 0.9}}
+	p.SLOs = []config.SLO{{Kind: config.SLOWaitTime, Class: "g", Threshold: 10 * micros.Second, Fraction: 0.9}}
 	p.addMachines(Offer{Type: "small", Zone: "a"}, "m1", "m2")
 	p.addMachines(Offer{Type: "small", Zone: "a", Spot: true}, "m3")
 	if got := drained(p.Plan([]*Demand{waitingGangless(g)}), DrainIdle); !slices.Equal(got, []string{"m2"}) {
--- a/internal/autoscaler/slo.go
+++ b/internal/autoscaler/slo.go
@@ -16,28 +16,28 @@
 const minSlack = micros.Second
 
 // shortestWaitSLO finds the objective for a class that allows the shortest wait.
-func shortestWaitSLO(objectives []config.Objective, class string) (config.Objective, bool) {
-	var shortest config.Objective
+func shortestWaitSLO(objectives []config.SLO, class string) (config.SLO, bool) {
+	var shortest config.SLO
 	for _, o := range objectives {
-		if o.Kind == config.ObjectiveStart && o.Class == class && (shortest.Within == 0 || o.Within < shortest.Within) {
+		if o.Kind == config.SLOWaitTime && o.Class == class && (shortest.Threshold == 0 || o.Threshold < shortest.Threshold) {
 			shortest = o
 		}
 	}
-	return shortest, shortest.Within != 0
+	return shortest, shortest.Threshold != 0
 }
 
 // WaitTarget tells how long jobs of a class may wait by their objectives, given the estimate
 // of their run time. A class without objectives may wait for the usual time.
-func WaitTarget(objectives []config.Objective, class string, gang bool, estimate, usual micros.Micros) micros.Micros {
+func WaitTarget(objectives []config.SLO, class string, gang bool, estimate, usual micros.Micros) micros.Micros {
 	least := micros.Micros(0)
 	for _, o := range objectives {
 		if o.Class != class {
 			continue
 		}
-		slack := o.Within
+		slack := o.Threshold
 		switch o.Kind {
-		case config.ObjectiveStart:
-		case config.ObjectiveFinish:
+		case config.SLOWaitTime:
+		case config.SLOCompletionTime:
 			slack -= estimate
 		default:
 			continue
--- a/internal/autoscaler/warm_pool.go
+++ b/internal/autoscaler/warm_pool.go
@@ -13,7 +13,7 @@
 }
 
 // NewWarmPool tells how many tasks of which classes machines are kept ready for.
-func NewWarmPool(now micros.Micros, classes *Classes, objectives []config.Objective, catalog Catalog) *WarmPool {
+func NewWarmPool(now micros.Micros, classes *Classes, objectives []config.SLO, catalog Catalog) *WarmPool {
 	r := &WarmPool{classes: classes, tasks: map[string]int{}}
 	for name := range classes.byName {
 		if n, _ := classes.WarmPoolSize(now, name, objectives, catalog); n > 0 {
--- a/internal/cluster/assign.go
+++ b/internal/cluster/assign.go
@@ -83,7 +83,7 @@
 			if successor == "" || lostOwner == noOwner {
 				successor = n.chooseOwner(assigned)
 			}
-			if successor == "" || len(writes) >= n.config.TxnOps {
+			if successor == "" || len(writes) >= n.config.MaxTransactionOps {
 				continue
 			}
 			assigned[successor]++
--- a/internal/cluster/assign_test.go
+++ b/internal/cluster/assign_test.go
@@ -121,7 +121,7 @@
 
 func TestAssignmentFitsATransaction(t *testing.T) {
 	settings := testSettings("a", "b", "c")
-	settings.TxnOps = 2
+	settings.MaxTransactionOps = 2
 	f := newFixture(t, settings)
 	f.leading()
 	f.tick(0)
--- a/internal/cluster/stub_test.go
+++ b/internal/cluster/stub_test.go
@@ -57,7 +57,7 @@
 
 func testSettings(teams ...string) *config.Settings {
 	settings := &config.Settings{
-		Node: "n0", Siblings: []config.Sibling{{Node: "n1"}, {Node: "n2"}}, TxnOps: 16,
+		Node: "n0", Siblings: []config.Sibling{{Node: "n1"}, {Node: "n2"}}, MaxTransactionOps: 16,
 		Tuning: config.Tuning{LeaderTTL: testTTL},
 	}
 	for _, name := range teams {
--- a/internal/soak/checker.go
+++ b/internal/soak/checker.go
@@ -210,7 +210,7 @@
 		}
 	}
 	for _, t := range teams(c.site.options.Machines) {
-		if limit := t.Limit.CPUs(); limit > 0 && used[t.Name] > limit+roundingCPUs {
+		if limit := t.QuotaLimit.CPUs(); limit > 0 && used[t.Name] > limit+roundingCPUs {
 			c.broke(RuleQuota, "%s uses %g of %g CPUs", t.Name, used[t.Name], limit)
 		}
 	}
--- a/internal/soak/deployment.go
+++ b/internal/soak/deployment.go
@@ -51,8 +51,8 @@
 func teams(machines int) []config.Team {
 	half := sched.NewResources(machineCPUs*float64(machines)/2, 0, 0)
 	return []config.Team{
-		{Name: "research", Guarantee: sched.NewResources(machineCPUs, 0, 0)},
-		{Name: "service", Limit: half},
+		{Name: "research", GuaranteedQuota: sched.NewResources(machineCPUs, 0, 0)},
+		{Name: "service", QuotaLimit: half},
 	}
 }
 
@@ -129,7 +129,7 @@
 	line("[services]\ncloud = %q\nstate = %q", a.cloud(node), a.state(node))
 	line("[params]\ncount = %d\nzones = [%q, %q]\ntime_bound_ms = %d", controllers, zones[0], zones[1], clockBoundMS)
 	for _, t := range teams(o.Machines) {
-		line("[[params.teams]]\nname = %q\ncpus = %.1f\ncpus_max = %.1f", t.Name, t.Guarantee.CPUs(), t.Limit.CPUs())
+		line("[[params.teams]]\nname = %q\ncpus = %.1f\ncpus_max = %.1f", t.Name, t.GuaranteedQuota.CPUs(), t.QuotaLimit.CPUs())
 	}
 	line("[params.workers]\nreport_s = %g\nlease_s = %g\ngang_wait_s = %g\ngang_peer_s = %g\ncancel_s = %g",
 		reportEvery.Seconds(), workerLease.Seconds(), gangWait.Seconds(), gangPeer.Seconds(), cancelWithin.Seconds())
