--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -22,18 +22,18 @@
 
 // Sizes of the stages before and after the core.
 const (
-	outShare     = 0.25    // of the sockets, for outbound connections
-	keepShare    = 0.8     // of the others: with more, workers connect anew for each report
-	idleShare    = 0.1     // of the sockets, for those of them that idle
-	maxPeerBody  = 1 << 20 // bodies from other controllers
-	idleLimit    = 90 * micros.Second
-	partialLimit = 10 * micros.Second
-	keepIdle     = 6 // outbound connections kept for each address
+	outboundFraction      = 0.25    // of the sockets, for outbound connections
+	keepAliveFraction     = 0.8     // of the others: with more, workers connect anew for each report
+	idleFraction          = 0.1     // of the sockets, for those of them that idle
+	maxPeerBody           = 1 << 20 // bodies from other controllers
+	idleTimeout           = 90 * micros.Second
+	partialRequestTimeout = 10 * micros.Second
+	maxIdlePerAddr        = 6 // outbound connections kept for each address
 )
 
-// memoryShare is the part of the node's memory that the heap may use before the
+// memoryFraction is the part of the node's memory that the heap may use before the
 // collector works harder; the rest is for stacks, code and the system.
-const memoryShare = 0.6
+const memoryFraction = 0.6
 
 // node feeds the core with one event at a time, from whatever goroutine it comes: requests
 // on the event loop, so that most are answered without waking another thread.
@@ -43,15 +43,15 @@
 	client *reactor.Client
 	start  time.Time
 
-	mu     sync.Mutex
-	core   *controller.Core
-	open   map[uint64]*reactor.Exchange
-	nextID uint64
+	mu      sync.Mutex
+	core    *controller.Core
+	pending map[uint64]*reactor.Exchange
+	nextID  uint64
 }
 
 // Run serves until ctx ends.
 func Run(ctx context.Context, cfg *config.Settings, log *slog.Logger) error {
-	debug.SetMemoryLimit(int64(float64(cfg.MemoryBytes) * memoryShare))
+	debug.SetMemoryLimit(int64(float64(cfg.MemoryBytes) * memoryFraction))
 	if cfg.Cores <= 1 {
 		// With at most one processor, waking threads to run goroutines side by side
 		// only costs time.
@@ -63,25 +63,25 @@
 	}
 	n := &node{
 		cfg: cfg, log: log, start: time.Now(),
-		client: reactor.NewClient(wire.ContentType, keepIdle, max(8, int(idleShare*float64(cfg.Sockets)))),
-		open:   map[uint64]*reactor.Exchange{},
+		client:  reactor.NewClient(wire.ContentType, maxIdlePerAddr, max(8, int(idleFraction*float64(cfg.Sockets)))),
+		pending: map[uint64]*reactor.Exchange{},
 	}
-	n.core = controller.New(cfg, binary.LittleEndian.Uint64(seed[:]), log, n.now(), n.day())
+	n.core = controller.New(cfg, binary.LittleEndian.Uint64(seed[:]), log, n.now(), n.wallClock())
 	served := make(chan error, 1)
-	inbound := cfg.Sockets - int(outShare*float64(cfg.Sockets))
+	inbound := cfg.Sockets - int(outboundFraction*float64(cfg.Sockets))
 	go func() {
 		served <- reactor.Serve(ctx, reactor.Options{
 			Addrs:     []string{cfg.Listen, cfg.PeerListen},
 			MaxConns:  inbound,
-			KeepConns: int(keepShare * float64(inbound)),
+			KeepConns: int(keepAliveFraction * float64(inbound)),
 			Evictable: func(r *httpwire.Request) bool { return r.Path == wire.PathHeartbeat },
 			MaxBody:   n.maxBody,
-			Idle:      idleLimit, Partial: partialLimit,
-			Handle: n.take, Log: log,
+			Idle:      idleTimeout, Partial: partialRequestTimeout,
+			Handle: n.handleExchange, Log: log,
 		})
 	}()
 	log.Info("started", "node", cfg.Node, "zone", cfg.Zone, "listen", cfg.Listen)
-	n.loop(ctx)
+	n.runTicks(ctx)
 	return <-served
 }
 
@@ -91,8 +91,8 @@
 	return 24*micros.Hour + micros.FromDuration(time.Since(n.start))
 }
 
-// day is the time of day.
-func (n *node) day() micros.Micros { return micros.Micros(time.Now().UnixMicro()) }
+// wallClock is the time of day.
+func (n *node) wallClock() micros.Micros { return micros.Micros(time.Now().UnixMicro()) }
 
 // maxBody is the largest body that a listener takes.
 func (n *node) maxBody(listener string) int {
@@ -102,20 +102,20 @@
 	return wire.MaxBody
 }
 
-// take is called on the event loop and never waits.
-func (n *node) take(x *reactor.Exchange, loop *reactor.Loop) {
+// handleExchange is called on the event loop and never waits.
+func (n *node) handleExchange(x *reactor.Exchange, loop *reactor.Loop) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.nextID++
-	n.open[n.nextID] = x
+	n.pending[n.nextID] = x
 	n.handle(loop, controller.Request{
 		ID: n.nextID, Peer: x.Listener == n.cfg.PeerListen,
 		Method: x.Request.Method, Path: x.Request.Path, Body: x.Request.Body,
 	})
 }
 
-// loop passes the time to the core, as often as it asks for.
-func (n *node) loop(ctx context.Context) {
+// runTicks passes the time to the core, as often as it asks for.
+func (n *node) runTicks(ctx context.Context) {
 	tick := time.NewTimer(0)
 	defer tick.Stop()
 	sweep := time.NewTicker(10 * time.Second)
@@ -138,21 +138,21 @@
 // handle lets the core handle an event and carries out what it returns. The caller holds
 // the lock.
 func (n *node) handle(loop *reactor.Loop, ev controller.Event) {
-	for _, e := range n.core.Handle(n.now(), n.day(), ev) {
+	for _, e := range n.core.Handle(n.now(), n.wallClock(), ev) {
 		switch e := e.(type) {
 		case controller.Call:
-			go n.do(e)
+			go n.execute(e)
 		case controller.Respond:
-			if x := n.open[e.ID]; x != nil {
-				delete(n.open, e.ID)
+			if x := n.pending[e.ID]; x != nil {
+				delete(n.pending, e.ID)
 				x.Reply(loop, e.Status, wire.ContentType, e.Body, e.RetryAfter)
 			}
 		}
 	}
 }
 
-// do makes a call and feeds its result to the core.
-func (n *node) do(call controller.Call) {
+// execute makes a call and feeds its result to the core.
+func (n *node) execute(call controller.Call) {
 	res := n.client.Do(reactor.Call{
 		Addr: call.Addr, Method: call.Method, Target: call.Target, Body: call.Body,
 		Timeout: call.Timeout, MaxBody: call.MaxBody + httpwire.MaxHead,
--- a/internal/reactor/client.go
+++ b/internal/reactor/client.go
@@ -33,10 +33,10 @@
 // Client makes calls over kept connections.
 type Client struct {
 	contentType string
-	// keep is the number of idle connections kept for each address, and most that for all
+	// maxIdlePerAddr is the number of idle connections kept for each address, and most that for all
 	// addresses: hundreds of machines must not use up the sockets.
-	keep int
-	most int
+	maxIdlePerAddr int
+	maxIdle        int
 
 	mu    sync.Mutex
 	idle  map[string][]idleConn
@@ -50,13 +50,13 @@
 	since time.Time
 }
 
-// idleLife is how long a connection is kept without use; servers may drop older ones.
-const idleLife = 20 * time.Second
+// idleTimeout is how long a connection is kept without use; servers may drop older ones.
+const idleTimeout = 20 * time.Second
 
 // NewClient returns a client that keeps a few idle connections for each address, and so
 // many in all.
 func NewClient(contentType string, keep, most int) *Client {
-	return &Client{contentType: contentType, keep: keep, most: most, idle: map[string][]idleConn{}}
+	return &Client{contentType: contentType, maxIdlePerAddr: keep, maxIdle: most, idle: map[string][]idleConn{}}
 }
 
 // Do makes the call and returns by its deadline.
@@ -121,7 +121,7 @@
 		last := list[len(list)-1]
 		c.idle[addr] = list[:len(list)-1]
 		c.count--
-		if time.Since(last.since) < idleLife {
+		if time.Since(last.since) < idleTimeout {
 			return last.conn, true
 		}
 		last.conn.Close()
@@ -134,11 +134,11 @@
 func (c *Client) put(addr string, conn net.Conn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if len(c.idle[addr]) >= c.keep {
+	if len(c.idle[addr]) >= c.maxIdlePerAddr {
 		conn.Close()
 		return
 	}
-	for len(c.order) > 0 && c.count >= c.most {
+	for len(c.order) > 0 && c.count >= c.maxIdle {
 		oldest := c.order[0]
 		c.order = c.order[1:]
 		if list := c.idle[oldest]; len(list) > 0 {
@@ -150,7 +150,7 @@
 	c.idle[addr] = append(c.idle[addr], idleConn{conn, time.Now()})
 	c.count++
 	c.order = append(c.order, addr)
-	if len(c.order) > 4*c.most {
+	if len(c.order) > 4*c.maxIdle {
 		c.sweep()
 	}
 }
@@ -173,7 +173,7 @@
 	for addr, list := range c.idle {
 		var kept []idleConn
 		for _, ic := range list {
-			if time.Since(ic.since) < idleLife {
+			if time.Since(ic.since) < idleTimeout {
 				kept = append(kept, ic)
 			} else {
 				ic.conn.Close()
--- a/internal/reactor/reactor_test.go
+++ b/internal/reactor/reactor_test.go
@@ -14,9 +14,9 @@
 	"tamarindlead/micros"
 )
 
-// TestCrowd guards against workers that take all connections: beyond a bound each is told
+// TestManyConnections guards against workers that take all connections: beyond a bound each is told
 // to connect anew, and when all are taken an idle one is ended for a user.
-func TestCrowd(t *testing.T) {
+func TestManyConnections(t *testing.T) {
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/reactor/server.go
+++ b/internal/reactor/server.go
@@ -31,8 +31,8 @@
 	retryAfter        = 1
 )
 
-// restartPause is the pause before a failed event loop is started again.
-const restartPause = time.Second
+// restartDelay is the pause before a failed event loop is started again.
+const restartDelay = time.Second
 
 // Exchange is one request that waits for its response.
 type Exchange struct {
@@ -75,19 +75,19 @@
 	busy      bool // a request waits for its response
 	evictable bool // its latest request was of those that may lose their connection
 	closing   bool // no more requests are taken
-	gone      bool // the connection has ended
+	closed    bool // the connection has ended
 	since     time.Time
 	partial   bool
 }
 
 type server struct {
 	gnet.BuiltinEventEngine
-	opts  Options
-	conns map[gnet.Conn]*connState
-	open  atomic.Int64    // how many these are, for other goroutines
-	idle  []idleEvictable // the longest idle first; some are in use again, or gone
-	now   gnet.Conn       // the connection whose request is being handled
-	eng   gnet.Engine
+	opts    Options
+	conns   map[gnet.Conn]*connState
+	open    atomic.Int64    // how many these are, for other goroutines
+	idle    []idleEvictable // the longest idle first; some are in use again, or gone
+	current gnet.Conn       // the connection whose request is being handled
+	eng     gnet.Engine
 }
 
 // idleEvictable is a connection that may be ended for another one, unless it was used since.
@@ -114,7 +114,7 @@
 			gnet.WithTCPNoDelay(gnet.TCPNoDelay),
 			gnet.WithReadBufferCap(16<<10),
 			gnet.WithWriteBufferCap(16<<10),
-			gnet.WithLogger(quiet{opts.Log}),
+			gnet.WithLogger(errorLogger{opts.Log}),
 			gnet.WithLogLevel(logging.ErrorLevel))
 		stop()
 		if ctx.Err() != nil {
@@ -124,7 +124,7 @@
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-time.After(restartPause):
+		case <-time.After(restartDelay):
 		}
 	}
 }
@@ -155,7 +155,7 @@
 		i := s.idle[0]
 		s.idle = s.idle[1:]
 		if i.valid() {
-			i.state.closing, i.state.gone = true, true
+			i.state.closing, i.state.closed = true, true
 			delete(s.conns, i.conn)
 			i.conn.Close()
 			return true
@@ -166,11 +166,11 @@
 
 // valid tells whether the connection is still open and was not used since it was noted.
 func (i idleEvictable) valid() bool {
-	return !i.state.gone && !i.state.busy && !i.state.partial && i.state.since.Equal(i.since)
+	return !i.state.closed && !i.state.busy && !i.state.partial && i.state.since.Equal(i.since)
 }
 
-// noteIdle notes that a connection which may be ended is idle.
-func (s *server) noteIdle(c gnet.Conn, st *connState) {
+// trackIdle notes that a connection which may be ended is idle.
+func (s *server) trackIdle(c gnet.Conn, st *connState) {
 	if len(s.idle) > 4*s.opts.MaxConns {
 		s.idle = slices.DeleteFunc(s.idle, func(i idleEvictable) bool { return !i.valid() })
 	}
@@ -180,7 +180,7 @@
 // OnClose implements gnet.EventHandler.
 func (s *server) OnClose(c gnet.Conn, _ error) gnet.Action {
 	if st := s.conns[c]; st != nil {
-		st.gone = true
+		st.closed = true
 	}
 	delete(s.conns, c)
 	s.open.Store(int64(len(s.conns)))
@@ -234,9 +234,9 @@
 func (s *server) handle(c gnet.Conn, st *connState, req httpwire.Request) gnet.Action {
 	st.busy, st.partial, st.since = true, false, time.Now()
 	st.evictable = s.opts.Evictable(&req)
-	s.now = c
+	s.current = c
 	s.opts.Handle(&Exchange{Listener: st.listener, Request: req, conn: c, state: st, server: s}, &Loop{})
-	s.now = nil
+	s.current = nil
 	if st.closing && !st.busy {
 		return gnet.Close
 	}
@@ -269,7 +269,7 @@
 		e.conn.AsyncWrite(data, func(c gnet.Conn, err error) error { return e.replied(err) })
 		return
 	}
-	if e.state.gone {
+	if e.state.closed {
 		return
 	}
 	_, err := e.conn.Write(data)
@@ -280,31 +280,31 @@
 func (e *Exchange) replied(err error) error {
 	e.state.busy, e.state.since = false, time.Now()
 	switch {
-	case e.state.gone:
+	case e.state.closed:
 		return nil
 	case e.Request.Close || err != nil:
 		e.state.closing = true
-		if e.conn == e.server.now {
+		if e.conn == e.server.current {
 			return nil // it is closed once its request has been handled
 		}
 		return e.conn.Close()
 	case e.conn.InboundBuffered() > 0:
 		return e.conn.Wake(nil)
 	case e.state.evictable:
-		e.server.noteIdle(e.conn, e.state)
+		e.server.trackIdle(e.conn, e.state)
 	}
 	return nil
 }
 
-// quiet passes the library's errors to our log and drops the rest.
-type quiet struct{ log *slog.Logger }
+// errorLogger passes the library's errors to our log and drops the rest.
+type errorLogger struct{ log *slog.Logger }
 
-func (q quiet) Debugf(string, ...any) {}
-func (q quiet) Infof(string, ...any)  {}
-func (q quiet) Warnf(string, ...any)  {}
-func (q quiet) Errorf(format string, args ...any) {
+func (q errorLogger) Debugf(string, ...any) {}
+func (q errorLogger) Infof(string, ...any)  {}
+func (q errorLogger) Warnf(string, ...any)  {}
+func (q errorLogger) Errorf(format string, args ...any) {
 	q.log.Debug("event loop", "message", format, "args", args)
 }
-func (q quiet) Fatalf(format string, args ...any) {
+func (q errorLogger) Fatalf(format string, args ...any) {
 	q.log.Error("event loop", "message", format, "args", args)
 }
