--- a/cmd/tamarindlead/main_test.go
+++ b/cmd/tamarindlead/main_test.go
@@ -14,7 +14,7 @@
 	"testing"
 	"time"
 
-	"tamarindlead/internal/standin"
+	"tamarindlead/internal/fake"
 	"tamarindlead/internal/wire"
 	"tamarindlead/micros"
 )
@@ -99,7 +99,7 @@
 // job, rents nothing it does not need, and keeps answering after bad input.
 func TestProgram(t *testing.T) {
 	var mu sync.Mutex
-	state, cloud := standin.NewState(), standin.NewCloud()
+	state, cloud := fake.NewKVStore(), fake.NewCloud()
 	start := time.Now()
 	now := func() micros.Micros { return micros.FromDuration(time.Since(start)) }
 	cloud.Types = []wire.MachineType{{Name: "small", CPUs: 8, MemGB: 32, HourlyPrice: 1, BootS: 1, Zones: []string{"a"}}}
--- a/controller/dump_test.go
+++ b/controller/dump_test.go
@@ -8,8 +8,8 @@
 	"testing"
 
 	"tamarindlead/config"
+	"tamarindlead/internal/fake"
 	"tamarindlead/internal/record"
-	"tamarindlead/internal/standin"
 	"tamarindlead/internal/wire"
 	"tamarindlead/micros"
 	"tamarindlead/sched"
@@ -24,7 +24,7 @@
 	Settings config.Settings
 	Now      micros.Micros
 	Revision uint64
-	Records  []standin.Record
+	Records  []fake.Record
 	Readings []string
 	Messages [][]byte
 	Said     []string // what is read in those
@@ -38,7 +38,7 @@
 }
 
 type dumpMachine struct {
-	standin.CloudMachine
+	fake.CloudMachine
 	Worker, Hung        bool
 	Session, Seq, Token uint64
 	Tasks               []dumpTask
@@ -55,7 +55,7 @@
 
 type dumpJob struct {
 	Job       sched.Job
-	Info      standin.TaskInfo
+	Info      fake.TaskInfo
 	Accepted  bool
 	WantsEnd  bool
 	Told      wire.JobPhase
@@ -79,7 +79,7 @@
 	w.now, w.state.Now, w.cloud.Now = d.Now, d.Now, d.Now
 	w.state.Load(d.Records, d.Revision, dumpLease)
 	w.cloud.Types, w.cloud.Capacity = d.Types, d.Capacity
-	w.cloud.Granted(d.Grants, d.Rented)
+	w.cloud.RestoreGrants(d.Grants, d.Rented)
 	for _, task := range d.Done {
 		w.done[task] = true
 	}
@@ -107,16 +107,16 @@
 	}
 	for _, m := range d.Machines {
 		cm := m.CloudMachine
-		cm.Endpoint = standin.Endpoint(cm.Name) // dumps do not hold it
+		cm.Endpoint = fake.Endpoint(cm.Name) // dumps do not hold it
 		w.cloud.Machines[cm.Name] = &cm
 		if !m.Worker {
 			continue
 		}
 		k := w.bootWorker(&cm, w.typeOf(cm.Type))
-		k.Hung, k.Session, k.Seq, k.Token = m.Hung, m.Session, m.Seq, m.Token
+		k.Hung, k.AgentEpoch, k.HeartbeatSeq, k.FencingToken = m.Hung, m.Session, m.Seq, m.Token
 		for _, t := range m.Tasks {
-			task := &standin.Task{Name: t.Name, Attempt: t.Attempt, Phase: t.Phase, Cause: t.Cause, Saved: t.Saved}
-			task.Lasts(w.now, t.Left)
+			task := &fake.Task{Name: t.Name, Attempt: t.Attempt, Phase: t.Phase, Cause: t.Cause, Checkpointed: t.Saved}
+			task.SetPhaseRemaining(w.now, t.Left)
 			k.Tasks[t.Name] = task
 			if t.Phase != wire.PhaseExited && !cm.Gone {
 				w.running[t.Name] = cm.Name
@@ -177,7 +177,7 @@
 			playOut(t, loadWorld(d))
 			w := loadWorld(d) // and with the smaller limits at once
 			w.next = nextLimits{on: true, value: 1 << 10, ops: 5, writes: 15, rps: 150}
-			w.state.Value, w.state.Ops, w.state.WriteRate, w.state.Rate = 1<<10, 5, 15, 150
+			w.state.MaxValueBytes, w.state.MaxOps, w.state.WriteRate, w.state.RequestRate = 1<<10, 5, 15, 150
 			playOut(t, w)
 		})
 	}
@@ -325,9 +325,9 @@
 	id := "req-000099"
 	j := sched.Job{ID: id, Class: "work", Team: "red", Tasks: 2, Need: sched.NewResources(1, 0, 1), Image: "img", ImageGB: 1, Estimate: micros.Second}
 	value := wire.Encode(map[string]any{"w": wire.FromJob(&j), "at": int64(d.Now)})
-	d.Records = append(d.Records, standin.Record{Key: record.ActiveJobKey(id), Value: value, Version: d.Revision + 1})
+	d.Records = append(d.Records, fake.Record{Key: record.ActiveJobKey(id), Value: value, Version: d.Revision + 1})
 	d.Revision++
-	d.Jobs = append(d.Jobs, dumpJob{Job: j, Info: standin.TaskInfo{CPU: 1, Mem: 1, Run: micros.Second, Fetch: micros.Second, Tasks: 2}, Accepted: true})
+	d.Jobs = append(d.Jobs, dumpJob{Job: j, Info: fake.TaskInfo{CPU: 1, Mem: 1, Run: micros.Second, Fetch: micros.Second, Tasks: 2}, Accepted: true})
 	w := loadWorld(d)
 	w.beginOld(t, len(w.nodes))
 	if old := w.production.reads(record.ActiveJobKey(id), value); !strings.HasPrefix(old, "error") {
--- a/controller/dump_write_test.go
+++ b/controller/dump_write_test.go
@@ -65,10 +65,10 @@
 	for _, name := range w.cloud.Names() {
 		m := dumpMachine{CloudMachine: *w.cloud.Machines[name]}
 		if k := w.workers[name]; k != nil {
-			m.Worker, m.Hung, m.Session, m.Seq, m.Token = true, k.Hung, k.Session, k.Seq, k.Token
+			m.Worker, m.Hung, m.Session, m.Seq, m.Token = true, k.Hung, k.AgentEpoch, k.HeartbeatSeq, k.FencingToken
 			for _, n := range sortedKeys(k.Tasks) {
 				t := k.Tasks[n]
-				m.Tasks = append(m.Tasks, dumpTask{t.Name, t.Attempt, t.Phase, t.Cause, t.Saved, t.Left(w.now)})
+				m.Tasks = append(m.Tasks, dumpTask{t.Name, t.Attempt, t.Phase, t.Cause, t.Checkpointed, t.PhaseRemaining(w.now)})
 			}
 		}
 		d.Machines = append(d.Machines, m)
--- a/controller/faults_state_test.go
+++ b/controller/faults_state_test.go
@@ -8,8 +8,8 @@
 	"github.com/cockroachdb/datadriven"
 	"google.golang.org/protobuf/proto"
 
+	"tamarindlead/internal/fake"
 	"tamarindlead/internal/peer"
-	"tamarindlead/internal/standin"
 	"tamarindlead/micros"
 )
 
@@ -46,38 +46,38 @@
 )
 
 // stateCall brings a call to the state service, with the troubles of the moment.
-func (w *world) stateCall(n *simNode, c Call, answer func(standin.Reply)) {
+func (w *world) stateCall(n *simNode, c Call, answer func(fake.Response)) {
 	f := &w.faults
 	whole := f.unevenState.hold(w, n, answer)
-	answer = func(r standin.Reply) {
+	answer = func(r fake.Response) {
 		if !n.alone { // the cut holds answers too, those of open watches among them
 			whole(r)
 		}
 	}
-	deliver := func(answer func(standin.Reply)) { w.executeState(n, c, w.now, answer) }
+	deliver := func(answer func(fake.Response)) { w.executeState(n, c, w.now, answer) }
 	commit := strings.HasPrefix(c.Target, "/commit")
 	if commit && f.lateShare > 0 && f.rng.Float64() < f.lateShare {
 		if f.atOnce {
-			deliver(func(r standin.Reply) { f.lostDone += held(r) })
+			deliver(func(r fake.Response) { f.lostDone += held(r) })
 			return
 		}
 		span := int64(lateWriteTo - lateWriteFrom)
 		w.after(lateWriteFrom+micros.Micros(f.rng.Int64N(span)), func() {
-			deliver(func(r standin.Reply) { f.lateDone += held(r) })
+			deliver(func(r fake.Response) { f.lateDone += held(r) })
 		})
 		return
 	}
 	if f.slow > 0 && !strings.HasPrefix(c.Target, "/changes") {
 		half := f.slow / 2
 		w.after(half, func() {
-			deliver(func(r standin.Reply) { w.after(half, func() { answer(r) }) })
+			deliver(func(r fake.Response) { w.after(half, func() { answer(r) }) })
 		})
 		return
 	}
 	deliver(answer)
 }
 
-func held(r standin.Reply) int {
+func held(r fake.Response) int {
 	if r.Status == 200 {
 		return 1
 	}
--- a/controller/faults_uneven_test.go
+++ b/controller/faults_uneven_test.go
@@ -8,7 +8,7 @@
 
 	"github.com/cockroachdb/datadriven"
 
-	"tamarindlead/internal/standin"
+	"tamarindlead/internal/fake"
 	"tamarindlead/micros"
 )
 
@@ -38,7 +38,7 @@
 }
 
 // hold returns an answer that is held back if its turn comes.
-func (u *unevenDelay) hold(w *world, n *simNode, answer func(standin.Reply)) func(standin.Reply) {
+func (u *unevenDelay) hold(w *world, n *simNode, answer func(fake.Response)) func(fake.Response) {
 	if u.share == 0 || u.node != everyNode && u.node != n.index || u.rng.Float64() >= u.share {
 		return answer
 	}
@@ -46,7 +46,7 @@
 	if !u.exact {
 		delay = micros.Micros(u.rng.Int64N(int64(u.most)))
 	}
-	return func(r standin.Reply) {
+	return func(r fake.Response) {
 		u.held++
 		w.after(delay, func() { answer(r) })
 	}
--- a/controller/faults_workers_test.go
+++ b/controller/faults_workers_test.go
@@ -8,7 +8,7 @@
 
 	"github.com/cockroachdb/datadriven"
 
-	"tamarindlead/internal/standin"
+	"tamarindlead/internal/fake"
 	"tamarindlead/internal/wire"
 	"tamarindlead/micros"
 )
@@ -57,7 +57,7 @@
 
 // keepCopies makes the copies of a report that come later. It returns true if the report
 // itself does not arrive now.
-func (w *world) keepCopies(k *standin.Worker, body []byte) bool {
+func (w *world) keepCopies(k *fake.Worker, body []byte) bool {
 	if w.lateShare > 0 && w.rng.Float64() < w.lateShare {
 		if w.forNext {
 			if w.kept = append(w.kept, keptReport{body}); len(w.kept) > mostKept {
@@ -114,7 +114,7 @@
 
 // heldUp holds up a direct command, or its answer. It returns how to answer, or nil if the
 // command comes later.
-func (w *world) heldUp(n *simNode, c Call, answer func(standin.Reply)) func(standin.Reply) {
+func (w *world) heldUp(n *simNode, c Call, answer func(fake.Response)) func(fake.Response) {
 	if w.slowShare == 0 || w.rng.Float64() >= w.slowShare {
 		return answer
 	}
@@ -124,19 +124,19 @@
 		w.after(wait, func() { w.toWorker(k, c, answer) })
 		return nil
 	}
-	return func(r standin.Reply) { w.after(wait, func() { answer(r) }) }
+	return func(r fake.Response) { w.after(wait, func() { answer(r) }) }
 }
 
 // toWorker executes a command that was held up on its way, once the machine goes on.
-func (w *world) toWorker(k *standin.Worker, c Call, answer func(standin.Reply)) {
+func (w *world) toWorker(k *fake.Worker, c Call, answer func(fake.Response)) {
 	switch {
 	case k.Machine.Gone:
-	case k.Hung || k.Cut:
+	case k.Hung || k.Partitioned:
 		w.after(worldStep, func() { w.toWorker(k, c, answer) })
 	case c.Target == "/inspect":
-		answer(standin.Reply{Status: 200, Body: wire.Encode(k.Report())})
+		answer(fake.Response{Status: 200, Body: wire.Encode(k.BuildHeartbeat())})
 	default:
-		answer(k.Orders(w.now, c.Body))
+		answer(k.ExecuteDirect(w.now, c.Body))
 	}
 }
 
@@ -194,7 +194,7 @@
 	case "capture-reports":
 		w.captured = nil
 		for _, n := range w.workerNames() {
-			w.captured = append(w.captured, wire.Encode(w.workers[n].Report()))
+			w.captured = append(w.captured, wire.Encode(w.workers[n].BuildHeartbeat()))
 		}
 	case "replay-reports": // at all nodes, again and again
 		for at := micros.Micros(0); at < argSeconds(t, d, "for", 10); at += 50 * micros.Millisecond {
@@ -214,8 +214,8 @@
 		w.lag = argSeconds(t, d, "s", 0)
 		during(func() { w.lag = 0 })
 	case "fast-boot":
-		w.cloud.Boot = func(micros.Micros) micros.Micros { return w.between(micros.Second/2, 2*micros.Second) }
-		during(func() { w.cloud.Boot = nil })
+		w.cloud.BootTime = func(micros.Micros) micros.Micros { return w.between(micros.Second/2, 2*micros.Second) }
+		during(func() { w.cloud.BootTime = nil })
 	case "cancel-now":
 		w.cancelNow(arg(t, d, "count", 1), argSeconds(t, d, "hang", 0), d.HasArg("cut"))
 	case "change-leader":
@@ -254,8 +254,8 @@
 		hung[name] = true
 		k := w.workers[name]
 		if cut {
-			k.Cut = true
-			w.after(hang, func() { k.Cut = false })
+			k.Partitioned = true
+			w.after(hang, func() { k.Partitioned = false })
 			continue
 		}
 		k.Hung = true
--- a/controller/finalreads_test.go
+++ b/controller/finalreads_test.go
@@ -9,9 +9,9 @@
 	"github.com/cockroachdb/datadriven"
 
 	"tamarindlead/internal/budget"
+	"tamarindlead/internal/fake"
 	"tamarindlead/internal/kv"
 	"tamarindlead/internal/record"
-	"tamarindlead/internal/standin"
 	"tamarindlead/internal/wire"
 	"tamarindlead/micros"
 )
@@ -21,7 +21,7 @@
 func TestReadFinals(t *testing.T) {
 	for seed := range uint64(40) {
 		rng := rand.New(rand.NewPCG(seed, 10))
-		c, s := testOwner().c, standin.NewState()
+		c, s := testOwner().c, fake.NewKVStore()
 		var ids []string
 		want := map[string]bool{}
 		for i := range 3000 {
@@ -78,9 +78,9 @@
 // TestSweepsAllParts guards against leftovers of long lists beyond the first page of a listing.
 func TestSweepsAllParts(t *testing.T) {
 	w := scenarioWorld(t, &datadriven.TestData{Pos: "finalreads_test.go", Cmd: "world"})
-	var leftovers []standin.Record
+	var leftovers []fake.Record
 	for i := range 2*kv.PageSize + 1 {
-		leftovers = append(leftovers, standin.Record{
+		leftovers = append(leftovers, fake.Record{
 			Key: record.DependencyPartKey(jobName(i), 0), Value: wire.Encode(record.DependencyPart{JobIDs: []string{jobName(i + 1)}}), Version: uint64(i + 1),
 		})
 	}
--- a/controller/limits_test.go
+++ b/controller/limits_test.go
@@ -8,9 +8,9 @@
 	"github.com/cockroachdb/datadriven"
 
 	"tamarindlead/config"
+	"tamarindlead/internal/fake"
 	"tamarindlead/internal/kv"
 	"tamarindlead/internal/record"
-	"tamarindlead/internal/standin"
 	"tamarindlead/internal/wire"
 	"tamarindlead/micros"
 	"tamarindlead/sched"
@@ -59,8 +59,8 @@
 	case "state-limits":
 		// The state service has other limits from now on.
 		s := w.state
-		s.Value, s.Ops = arg(t, d, "value", s.Value), arg(t, d, "ops", s.Ops)
-		s.WriteRate, s.Rate = argNumber(t, d, "writes", s.WriteRate), argNumber(t, d, "rps", s.Rate)
+		s.MaxValueBytes, s.MaxOps = arg(t, d, "value", s.MaxValueBytes), arg(t, d, "ops", s.MaxOps)
+		s.WriteRate, s.RequestRate = argNumber(t, d, "writes", s.WriteRate), argNumber(t, d, "rps", s.RequestRate)
 	case "settings":
 		// Nodes that start from now on have the settings with the limits to come.
 		w.next.on = d.HasArg("next")
@@ -74,7 +74,7 @@
 func (w *world) recordsAbove(prefix string, bytes, least int) string {
 	n := 0
 	for _, k := range w.state.Keys(prefix) {
-		if v, _ := w.state.Get(k); standin.JSONSize(v) > bytes {
+		if v, _ := w.state.Get(k); fake.JSONSize(v) > bytes {
 			n++
 		}
 	}
--- a/controller/pairs_jobs_test.go
+++ b/controller/pairs_jobs_test.go
@@ -5,7 +5,7 @@
 	"maps"
 	"slices"
 
-	"tamarindlead/internal/standin"
+	"tamarindlead/internal/fake"
 	"tamarindlead/internal/wire"
 	"tamarindlead/micros"
 	"tamarindlead/sched"
@@ -64,7 +64,7 @@
 	j.Estimate = micros.FromSeconds(run.Seconds() * (0.5 + r.Float64()))
 	w.submitted[id] = j
 	w.bodies[id] = wire.Encode(wire.FromJob(j))
-	w.infos[id] = standin.TaskInfo{
+	w.infos[id] = fake.TaskInfo{
 		CPU: j.Need.CPUs(), Mem: mem, Run: run, Fetch: micros.Second, Save: j.CheckpointDuration,
 		Saves: j.CheckpointInterval > 0, Gang: j.Gang, Tasks: j.Tasks,
 	}
@@ -153,10 +153,10 @@
 }
 
 // roomOn tells how many tasks of a job fit on a machine now.
-func (p *pairs) roomOn(k *standin.Worker, j *sched.Job) int {
+func (p *pairs) roomOn(k *fake.Worker, j *sched.Job) int {
 	w := p.w
 	m := k.Machine
-	if m.Gone || k.Hung || k.Cut || k.Deaf || k.Sick || k.Notice != nil || !j.Allows(m.Type, m.Zone, m.Spot) {
+	if m.Gone || k.Hung || k.Partitioned || k.InboundBlocked || k.FailsTasks || k.Notice != nil || !j.Allows(m.Type, m.Zone, m.Spot) {
 		return 0
 	}
 	return roomOn(k, w.infos[j.ID])
@@ -181,7 +181,7 @@
 		Tasks: 1, Need: sched.NewResources(1, 0, 1), Image: "img", ImageGB: 1, Estimate: 3 * micros.Second,
 	}
 	w.submitted[id], w.bodies[id] = j, wire.Encode(wire.FromJob(j))
-	w.infos[id] = standin.TaskInfo{CPU: 1, Mem: 1, Run: p.seconds(1, 5), Fetch: micros.Second, Tasks: 1}
+	w.infos[id] = fake.TaskInfo{CPU: 1, Mem: 1, Run: p.seconds(1, 5), Fetch: micros.Second, Tasks: 1}
 	w.after(in, func() { w.asked[id] = w.now; p.submit(id, false) })
 	w.after(in+2*micros.Second, func() { p.poll(id) })
 	if p.rng.IntN(4) == 0 {
--- a/controller/pairs_pipelines_test.go
+++ b/controller/pairs_pipelines_test.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"math/rand/v2"
 
-	"tamarindlead/internal/standin"
+	"tamarindlead/internal/fake"
 	"tamarindlead/internal/wire"
 	"tamarindlead/micros"
 	"tamarindlead/sched"
@@ -112,7 +112,7 @@
 		j.Deadline = micros.FromSeconds(30 + r.Float64()*120)
 	}
 	w.submitted[id], w.bodies[id] = j, wire.Encode(wire.FromJob(j))
-	w.infos[id] = standin.TaskInfo{
+	w.infos[id] = fake.TaskInfo{
 		CPU: 1, Mem: 1, Run: run, Fetch: micros.Second, Save: j.CheckpointDuration, Saves: j.CheckpointInterval > 0, Gang: j.Gang, Tasks: j.Tasks,
 	}
 	w.noteAwaits(id, awaits)
--- a/controller/pairs_troubles_test.go
+++ b/controller/pairs_troubles_test.go
@@ -6,7 +6,7 @@
 	"slices"
 	"strings"
 
-	"tamarindlead/internal/standin"
+	"tamarindlead/internal/fake"
 	"tamarindlead/internal/wire"
 	"tamarindlead/micros"
 )
@@ -85,9 +85,9 @@
 }
 
 // machinesHit picks machines: mostly those of jobs that are cancelled or are to be.
-func (p *pairs) machinesHit() []*standin.Worker {
+func (p *pairs) machinesHit() []*fake.Worker {
 	w := p.w
-	var all, likely []*standin.Worker
+	var all, likely []*fake.Worker
 	for _, name := range w.workerNames() {
 		k := w.workers[name]
 		if k.Machine.Gone {
@@ -137,7 +137,7 @@
 }
 
 // machineTrouble is one that befalls machines.
-func machineTrouble(name string, from, to float64, set func(k *standin.Worker, on bool)) pairTrouble {
+func machineTrouble(name string, from, to float64, set func(k *fake.Worker, on bool)) pairTrouble {
 	return pairTrouble{name: name, begin: func(p *pairs) (string, micros.Micros, func()) {
 		list := p.machinesHit()
 		var names []string
@@ -163,7 +163,7 @@
 
 // stateOutage lets the state service refuse everybody.
 func stateOutage(name string, from, to float64) pairTrouble {
-	t := worldTrouble(name, from, to, func(w *world, on bool) { w.state.Down = on })
+	t := worldTrouble(name, from, to, func(w *world, on bool) { w.state.Unavailable = on })
 	t.outage = true
 	return t
 }
@@ -216,9 +216,9 @@
 		p.onTold = func(id string) {
 			refused = nodeName(p.victim().index)
 			p.note("%s is told to be cancelled: %s is refused", id, refused)
-			p.w.state.Refused[refused] = true
+			p.w.state.RefusedCallers[refused] = true
 		}
-		return "", 30 * micros.Second, func() { p.onTold = nil; delete(p.w.state.Refused, refused) }
+		return "", 30 * micros.Second, func() { p.onTold = nil; delete(p.w.state.RefusedCallers, refused) }
 	}},
 	nodeTrouble("node cut off", 2, 30, func(_ *world, n *simNode, on bool) { n.cut = on }),
 	nodeTrouble("node cut off, its messages held", 2, 30, func(_ *world, n *simNode, on bool) { n.cut, n.hold = on, on }),
@@ -226,9 +226,9 @@
 	nodeTrouble("node reaches neither state service nor siblings", 5, 40, func(_ *world, n *simNode, on bool) { n.alone = on }),
 	nodeTrouble("state service refuses node", 3, 25, func(w *world, n *simNode, on bool) {
 		if on {
-			w.state.Refused[nodeName(n.index)] = true
+			w.state.RefusedCallers[nodeName(n.index)] = true
 		} else {
-			delete(w.state.Refused, nodeName(n.index))
+			delete(w.state.RefusedCallers, nodeName(n.index))
 		}
 	}),
 	stateOutage("state service down", 5, 15),
@@ -243,14 +243,14 @@
 		p.w.dark = p.w.cfg.Zones[p.rng.IntN(len(p.w.cfg.Zones))]
 		return p.w.dark, p.seconds(8, 45), func() { p.w.dark = "" }
 	}},
-	machineTrouble("machines hang", 3, 30, func(k *standin.Worker, on bool) { k.Hung = on }),
-	machineTrouble("machines hang for long", 50, 70, func(k *standin.Worker, on bool) { k.Hung = on }),
-	machineTrouble("machines cut off", 5, 40, func(k *standin.Worker, on bool) { k.Cut = on }),
-	machineTrouble("machines deaf", 5, 30, func(k *standin.Worker, on bool) { k.Deaf = on }),
+	machineTrouble("machines hang", 3, 30, func(k *fake.Worker, on bool) { k.Hung = on }),
+	machineTrouble("machines hang for long", 50, 70, func(k *fake.Worker, on bool) { k.Hung = on }),
+	machineTrouble("machines cut off", 5, 40, func(k *fake.Worker, on bool) { k.Partitioned = on }),
+	machineTrouble("machines deaf", 5, 30, func(k *fake.Worker, on bool) { k.InboundBlocked = on }),
 	{name: "machines taken without notice", begin: func(p *pairs) (string, micros.Micros, func()) {
 		names := ""
 		for _, k := range p.machinesHit() {
-			p.w.cloud.Take(k.Machine.Name)
+			p.w.cloud.Reclaim(k.Machine.Name)
 			names += " " + k.Machine.Name
 		}
 		p.w.noteGone()
@@ -285,10 +285,10 @@
 		p.cancelEnding(over, map[string]bool{})
 		return "", over - p.w.now, nil
 	}},
-	worldTrouble("cloud down", 10, 40, func(w *world, on bool) { w.cloud.Down = on }),
+	worldTrouble("cloud down", 10, 40, func(w *world, on bool) { w.cloud.Unavailable = on }),
 	worldTrouble("the next machines never come up", 10, 10, func(w *world, on bool) {
 		if on {
-			w.cloud.NeverUp = 3
+			w.cloud.FailedBoots = 3
 		}
 	}),
 }
--- a/controller/scenario_figures_test.go
+++ b/controller/scenario_figures_test.go
@@ -88,7 +88,7 @@
 		}
 		return fmt.Sprint(n)
 	case "limited":
-		return fmt.Sprint(w.state.Limited)
+		return fmt.Sprint(w.state.Throttled)
 	case "records-above": // a size, in the form in which the limits count it
 		return w.recordsAbove(arg(t, d, "prefix", ""), arg(t, d, "bytes", 0), arg(t, d, "least", 0))
 	case "records":
--- a/controller/scenario_jobs_test.go
+++ b/controller/scenario_jobs_test.go
@@ -6,7 +6,7 @@
 
 	"github.com/cockroachdb/datadriven"
 
-	"tamarindlead/internal/standin"
+	"tamarindlead/internal/fake"
 	"tamarindlead/internal/wire"
 	"tamarindlead/micros"
 	"tamarindlead/sched"
@@ -78,7 +78,7 @@
 	}
 	w.submitted[id], w.asked[id] = j, w.now
 	w.bodies[id] = wire.Encode(wire.FromJob(j))
-	w.infos[id] = standin.TaskInfo{
+	w.infos[id] = fake.TaskInfo{
 		CPU: j.Need.CPUs(), Mem: argNumber(t, d, "mem", 2), Run: run, Fetch: micros.Second, Save: j.CheckpointDuration,
 		Saves: j.CheckpointInterval > 0, Gang: j.Gang, Tasks: j.Tasks, Fails: d.HasArg("fails"),
 	}
--- a/controller/scenario_machines_test.go
+++ b/controller/scenario_machines_test.go
@@ -17,10 +17,10 @@
 	case "machine":
 		machineCommand(t, w, d, during)
 	case "cloud-down":
-		w.cloud.Down = true
-		during(func() { w.cloud.Down = false })
+		w.cloud.Unavailable = true
+		during(func() { w.cloud.Unavailable = false })
 	case "never-up":
-		w.cloud.NeverUp = arg(t, d, "count", 1)
+		w.cloud.FailedBoots = arg(t, d, "count", 1)
 	default:
 		return false
 	}
@@ -60,24 +60,24 @@
 		k.Hung = true
 		during(func() { k.Hung = false })
 	case d.HasArg("cut"):
-		k.Cut = true
-		during(func() { k.Cut = false })
+		k.Partitioned = true
+		during(func() { k.Partitioned = false })
 	case d.HasArg("deaf"):
-		k.Deaf = true
-		during(func() { k.Deaf = false })
+		k.InboundBlocked = true
+		during(func() { k.InboundBlocked = false })
 	case d.HasArg("mute"):
-		k.Mute = true
-		during(func() { k.Mute = false })
+		k.HeartbeatsBlocked = true
+		during(func() { k.HeartbeatsBlocked = false })
 	case d.HasArg("sick"):
-		k.Sick = true
-		during(func() { k.Sick = false })
+		k.FailsTasks = true
+		during(func() { k.FailsTasks = false })
 	case d.HasArg("taken"):
-		w.cloud.Take(which)
+		w.cloud.Reclaim(which)
 		w.noteGone()
 	case d.HasArg("notice"):
 		left := argNumber(t, d, "notice", 20)
 		k.Notice, k.Changed = &left, true
-		w.after(micros.FromSeconds(left), func() { w.cloud.Take(which); w.noteGone() })
+		w.after(micros.FromSeconds(left), func() { w.cloud.Reclaim(which); w.noteGone() })
 	default:
 		d.Fatalf(t, "what happens to the machine?")
 	}
--- a/controller/scenario_nodes_test.go
+++ b/controller/scenario_nodes_test.go
@@ -55,17 +55,17 @@
 		during(func() { n.deaf = false })
 	case "refuse-node":
 		n := nodeName(node().index)
-		w.state.Refused[n] = true
-		during(func() { delete(w.state.Refused, n) })
+		w.state.RefusedCallers[n] = true
+		during(func() { delete(w.state.RefusedCallers, n) })
 	case "isolate-node":
 		n := node()
 		n.alone = true
 		during(func() { n.alone = false })
 	case "state-down":
-		w.state.Down = true
-		during(func() { w.state.Down = false })
+		w.state.Unavailable = true
+		during(func() { w.state.Unavailable = false })
 	case "state-compact":
-		w.state.Compact = true
+		w.state.CompactHistory = true
 	case "late-copies":
 		w.copies, w.copyBy = argNumber(t, d, "share", 0), argSeconds(t, d, "by", 20)
 	case "faults":
--- a/controller/users_test.go
+++ b/controller/users_test.go
@@ -7,7 +7,7 @@
 	"strings"
 
 	"tamarindlead/config"
-	"tamarindlead/internal/standin"
+	"tamarindlead/internal/fake"
 	"tamarindlead/internal/wire"
 	"tamarindlead/micros"
 	"tamarindlead/sched"
@@ -312,7 +312,7 @@
 	}
 	byZone := map[string]int{}
 	for _, k := range w.workers {
-		if k.Machine.Gone || k.Hung || k.Cut || k.Deaf || k.Sick || k.Notice != nil || !j.Allows(k.Machine.Type, k.Machine.Zone, k.Machine.Spot) {
+		if k.Machine.Gone || k.Hung || k.Partitioned || k.InboundBlocked || k.FailsTasks || k.Notice != nil || !j.Allows(k.Machine.Type, k.Machine.Zone, k.Machine.Spot) {
 			continue
 		}
 		byZone[k.Machine.Zone] += roomOn(k, info)
@@ -330,7 +330,7 @@
 }
 
 // roomOn counts the tasks of a kind for which a worker has room.
-func roomOn(k *standin.Worker, info standin.TaskInfo) int {
+func roomOn(k *fake.Worker, info fake.TaskInfo) int {
 	cpu, mem := k.CPU, k.Mem
 	for name, t := range k.Tasks {
 		if t.Phase != wire.PhaseExited {
--- a/controller/world_network_test.go
+++ b/controller/world_network_test.go
@@ -6,7 +6,7 @@
 	"strconv"
 	"strings"
 
-	"tamarindlead/internal/standin"
+	"tamarindlead/internal/fake"
 	"tamarindlead/internal/wire"
 	"tamarindlead/micros"
 )
@@ -108,7 +108,7 @@
 	if n.open++; n.open > w.cfg.Sockets/4 {
 		w.breakRule("sockets: node %d has %d calls under way", n.index, n.open)
 	}
-	finish := func(r standin.Reply, sent bool) {
+	finish := func(r fake.Response, sent bool) {
 		if answered || n.life != life {
 			return
 		}
@@ -116,8 +116,8 @@
 		n.open--
 		w.feed(n, CallDone{ID: c.ID, Status: r.Status, Body: r.Body, Sent: sent})
 	}
-	w.after(c.Timeout, func() { finish(standin.Reply{}, true) })
-	back := func(r standin.Reply) {
+	w.after(c.Timeout, func() { finish(fake.Response{}, true) })
+	back := func(r fake.Response) {
 		if w.rng.Float64() < w.loss {
 			return
 		}
@@ -127,20 +127,20 @@
 			}
 		})
 	}
-	execute := func(answer func(standin.Reply)) { w.execute(n, c, answer) }
+	execute := func(answer func(fake.Response)) { w.execute(n, c, answer) }
 	watch := strings.HasPrefix(c.Target, "/changes")
 	w.after(w.latency(), func() {
 		p := w.rng.Float64()
 		switch {
 		case n.cut && n.hold:
-			w.whenWhole(n, func() { execute(func(standin.Reply) {}) })
+			w.whenWhole(n, func() { execute(func(fake.Response) {}) })
 		case n.cut || p < w.loss:
 		case p < w.loss+w.late && !watch:
 			delay := 2*micros.Second + micros.Micros(w.rng.Int64N(int64(20*micros.Second)))
-			w.after(delay, func() { execute(func(standin.Reply) {}) })
+			w.after(delay, func() { execute(func(fake.Response) {}) })
 		case p < w.loss+w.late+w.dup && !watch:
 			delay := 2*micros.Second + micros.Micros(w.rng.Int64N(int64(20*micros.Second)))
-			w.after(delay, func() { execute(func(standin.Reply) {}) })
+			w.after(delay, func() { execute(func(fake.Response) {}) })
 			execute(back)
 		default:
 			execute(back)
@@ -157,7 +157,7 @@
 	do()
 }
 
-func (w *world) execute(n *simNode, c Call, answer func(standin.Reply)) {
+func (w *world) execute(n *simNode, c Call, answer func(fake.Response)) {
 	peer := strings.HasPrefix(c.Addr, "peer:")
 	if peer {
 		i, _ := strconv.Atoi(strings.TrimPrefix(c.Addr, "peer:"))
@@ -180,12 +180,12 @@
 		w.ask(to, Request{Peer: true, Method: c.Method, Path: c.Target, Body: c.Body}, c.Timeout, func(r Respond) {
 			w.noteMessage(r.Body)
 			if r.Status != 0 && !w.peerLost(c, true) {
-				answer(standin.Reply{Status: r.Status, Body: r.Body})
+				answer(fake.Response{Status: r.Status, Body: r.Body})
 			}
 		})
 	default:
 		k := w.workers[strings.TrimPrefix(c.Addr, "worker:")]
-		if k == nil || k.Machine.Gone || k.Cut || k.Deaf || n.deaf || w.parted(w.nodeZone(n.index), k.Machine.Zone) {
+		if k == nil || k.Machine.Gone || k.Partitioned || k.InboundBlocked || n.deaf || w.parted(w.nodeZone(n.index), k.Machine.Zone) {
 			return
 		}
 		if k.Hung { // it executes when it continues
@@ -196,14 +196,14 @@
 			return
 		}
 		if c.Target == "/inspect" {
-			answer(standin.Reply{Status: 200, Body: wire.Encode(k.Report())})
+			answer(fake.Response{Status: 200, Body: wire.Encode(k.BuildHeartbeat())})
 			return
 		}
-		answer(k.Orders(w.now, c.Body))
+		answer(k.ExecuteDirect(w.now, c.Body))
 	}
 }
 
-func (w *world) executeState(n *simNode, c Call, since micros.Micros, answer func(standin.Reply)) {
+func (w *world) executeState(n *simNode, c Call, since micros.Micros, answer func(fake.Response)) {
 	wait := micros.Micros(0)
 	if u, err := url.ParseRequestURI(c.Target); err == nil {
 		ms, _ := strconv.ParseFloat(u.Query().Get("waitMs"), 64)
--- a/controller/world_test.go
+++ b/controller/world_test.go
@@ -11,7 +11,7 @@
 	"strconv"
 
 	"tamarindlead/config"
-	"tamarindlead/internal/standin"
+	"tamarindlead/internal/fake"
 	"tamarindlead/internal/wire"
 	"tamarindlead/micros"
 	"tamarindlead/sched"
@@ -24,10 +24,10 @@
 	rng     *rand.Rand
 	cfg     *config.Settings
 	nodes   []*simNode
-	state   *standin.State
-	cloud   *standin.Cloud
-	fleet   *standin.Fleet
-	workers map[string]*standin.Worker // of the fleet
+	state   *fake.KVStore
+	cloud   *fake.Cloud
+	fleet   *fake.Fleet
+	workers map[string]*fake.Worker // of the fleet
 	queue   deliveries
 	seq     int
 	loss    float64 // a message gets lost
@@ -38,7 +38,7 @@
 	dark    string        // a zone that is cut off from everything else
 	calm    micros.Micros // troubles are over since then, 0: not yet
 
-	infos     map[string]standin.TaskInfo
+	infos     map[string]fake.TaskInfo
 	submitted map[string]*sched.Job
 	asked     map[string]micros.Micros // when they were
 	bodies    map[string][]byte
@@ -91,18 +91,18 @@
 func newWorld(seed uint64, cfg *config.Settings) *world {
 	w := &world{
 		now: micros.Hour, rng: rand.New(rand.NewPCG(seed, 1)), cfg: cfg,
-		state: standin.NewState(), cloud: standin.NewCloud(),
-		infos: map[string]standin.TaskInfo{}, submitted: map[string]*sched.Job{}, asked: map[string]micros.Micros{}, bodies: map[string][]byte{},
+		state: fake.NewKVStore(), cloud: fake.NewCloud(),
+		infos: map[string]fake.TaskInfo{}, submitted: map[string]*sched.Job{}, asked: map[string]micros.Micros{}, bodies: map[string][]byte{},
 		told: map[string]wire.JobPhase{}, accepted: map[string]bool{}, cancelled: map[string]micros.Micros{},
 		wantsEnd: map[string]bool{}, running: map[string]string{},
 		faults: newStateFaults(seed), crowd: newCrowd(seed), pipelines: newPipelines(seed),
 		stops: map[string]int{}, answered: map[string]micros.Micros{}, began: map[string]micros.Micros{},
 	}
-	w.fleet = standin.NewFleet(standin.FleetTimes{Lease: cfg.WorkerLease, GangPeer: cfg.GangFailureTimeout, GangWait: cfg.GangStartTimeout})
+	w.fleet = fake.NewFleet(fake.FleetTimeouts{Lease: cfg.WorkerLease, GangPeerTimeout: cfg.GangFailureTimeout, GangWaitTimeout: cfg.GangStartTimeout})
 	w.fleet.Info, w.fleet.OnStart, w.fleet.OnExit, w.fleet.OnDone = w.info, w.onStart, w.onExit, w.onDone
 	w.workers, w.done = w.fleet.Workers, w.fleet.Done
-	w.state.Ops, w.state.Value = cfg.MaxTransactionOps, cfg.MaxValueBytes
-	w.cloud.Lag = cfg.CloudListLag
+	w.state.MaxOps, w.state.MaxValueBytes = cfg.MaxTransactionOps, cfg.MaxValueBytes
+	w.cloud.ListDelay = cfg.CloudListLag
 	for i := range len(cfg.Siblings) + 1 {
 		w.nodes = append(w.nodes, &simNode{index: i})
 	}
@@ -211,7 +211,7 @@
 			w.breakRule("quota: %s uses %g", t.Name, used[t.Name])
 		}
 	}
-	if w.state.Invalid > 0 {
+	if w.state.OversizedTransactions > 0 {
 		w.breakRule("limits: a commit was too large")
 	}
 	// Once troubles are over, a job about which no question is answered is forgotten.
--- a/controller/world_workers_test.go
+++ b/controller/world_workers_test.go
@@ -1,7 +1,7 @@
 package controller
 
 import (
-	"tamarindlead/internal/standin"
+	"tamarindlead/internal/fake"
 	"tamarindlead/internal/wire"
 	"tamarindlead/micros"
 )
@@ -29,7 +29,7 @@
 	}
 }
 
-func (w *world) bootWorker(m *standin.CloudMachine, t wire.MachineType) *standin.Worker {
+func (w *world) bootWorker(m *fake.CloudMachine, t wire.MachineType) *fake.Worker {
 	return w.fleet.Boot(m, t, w.rng.IntN(len(w.nodes)), w.now)
 }
 
@@ -42,14 +42,14 @@
 	return wire.MachineType{}
 }
 
-func (w *world) info(task string) (standin.TaskInfo, bool) {
+func (w *world) info(task string) (fake.TaskInfo, bool) {
 	id, index, _ := wire.SplitTaskName(task)
 	i, ok := w.infos[id]
 	i.Run += micros.Micros(index) * w.apart[id]
 	return i, ok
 }
 
-func (w *world) onStart(k *standin.Worker, task string, attempt uint64) {
+func (w *world) onStart(k *fake.Worker, task string, attempt uint64) {
 	w.starts++
 	id, _, _ := wire.SplitTaskName(task)
 	w.noteStart(id)
@@ -90,7 +90,7 @@
 	return n
 }
 
-func (w *world) onExit(k *standin.Worker, task string, cause wire.ExitCause) {
+func (w *world) onExit(k *fake.Worker, task string, cause wire.ExitCause) {
 	w.stops[string(cause)]++
 	if w.running[task] == k.Machine.Name {
 		delete(w.running, task)
@@ -103,36 +103,36 @@
 	w.noteTaskDone(id)
 }
 
-func (w *world) stepWorker(k *standin.Worker) {
+func (w *world) stepWorker(k *fake.Worker) {
 	if k.Machine.Gone {
 		return
 	}
 	k.Advance(w.now)
-	if k.Cut || !k.Due(w.now) {
+	if k.Partitioned || !k.HeartbeatDue(w.now) {
 		return
 	}
-	k.Sent(w.now, w.cfg.HeartbeatInterval)
-	session := k.Session
+	k.HeartbeatSent(w.now, w.cfg.HeartbeatInterval)
+	session := k.AgentEpoch
 	node := w.nodes[k.Node]
-	body := wire.Encode(k.Report())
+	body := wire.Encode(k.BuildHeartbeat())
 	if w.rng.Float64() < w.copies {
 		copyTo := w.nodes[w.rng.IntN(len(w.nodes))]
 		w.after(micros.Micros(w.rng.Int64N(int64(w.copyBy))), func() {
 			w.ask(copyTo, Request{Method: "POST", Path: "/hello", Body: body}, micros.Second, func(Respond) {})
 		})
 	}
-	if w.keepCopies(k, body) || k.Mute || node.deaf || w.parted(w.nodeZone(k.Node), k.Machine.Zone) || w.rng.Float64() < w.loss {
-		w.after(4*micros.Second, func() { k.Answered(w.now, 0, nil, session, w.nodeOf, len(w.nodes)) })
+	if w.keepCopies(k, body) || k.HeartbeatsBlocked || node.deaf || w.parted(w.nodeZone(k.Node), k.Machine.Zone) || w.rng.Float64() < w.loss {
+		w.after(4*micros.Second, func() { k.HandleHeartbeatResponse(w.now, 0, nil, session, w.nodeOf, len(w.nodes)) })
 		return
 	}
 	w.ask(node, Request{Method: "POST", Path: "/hello", Body: body}, 4*micros.Second, func(r Respond) {
-		if k.Deaf {
-			w.after(4*micros.Second, func() { k.Answered(w.now, 0, nil, session, w.nodeOf, len(w.nodes)) })
+		if k.InboundBlocked {
+			w.after(4*micros.Second, func() { k.HandleHeartbeatResponse(w.now, 0, nil, session, w.nodeOf, len(w.nodes)) })
 			return
 		}
-		if k.Cut || k.Hung || k.Machine.Gone {
+		if k.Partitioned || k.Hung || k.Machine.Gone {
 			r = Respond{}
 		}
-		k.Answered(w.now, r.Status, r.Body, session, w.nodeOf, len(w.nodes))
+		k.HandleHeartbeatResponse(w.now, r.Status, r.Body, session, w.nodeOf, len(w.nodes))
 	})
 }
--- a/internal/standin/cloud.go
+++ b/internal/fake/cloud.go
@@ -1,4 +1,4 @@
-package standin
+package fake
 
 import (
 	"fmt"
@@ -11,17 +11,17 @@
 
 // Cloud rents machines.
 type Cloud struct {
-	Now      micros.Micros
-	Down     bool
-	Lag      micros.Micros
-	Types    []wire.MachineType
-	Capacity map[string]int                          // "type zone spot" -> how many more
-	NeverUp  int                                     // so many of the next machines never come up
-	Boot     func(usual micros.Micros) micros.Micros // how long a machine boots; nil: as usual
-	Endpoint func(machine string) string             // the address of a machine's worker
-	Machines map[string]*CloudMachine
-	grants   map[string][]string
-	next     int
+	Now         micros.Micros
+	Unavailable bool
+	ListDelay   micros.Micros
+	Types       []wire.MachineType
+	Capacity    map[string]int                          // "type zone spot" -> how many more
+	FailedBoots int                                     // so many of the next machines never come up
+	BootTime    func(usual micros.Micros) micros.Micros // how long a machine boots; nil: as usual
+	Endpoint    func(machine string) string             // the address of a machine's worker
+	Machines    map[string]*CloudMachine
+	grants      map[string][]string
+	next        int
 }
 
 // CloudMachine is a machine as the cloud sees it.
@@ -52,8 +52,8 @@
 	m := &CloudMachine{Name: name, Endpoint: c.Endpoint(name), Type: kind, Zone: zone, Spot: spot, Rented: c.Now}
 	c.next++
 	m.UpAt = c.Now + boot
-	if c.NeverUp > 0 {
-		c.NeverUp--
+	if c.FailedBoots > 0 {
+		c.FailedBoots--
 		m.UpAt = 0
 	}
 	c.Machines[m.Name] = m
@@ -81,73 +81,73 @@
 }
 
 // Handle executes a request.
-func (c *Cloud) Handle(method, target string, body []byte) Reply {
-	if c.Down {
-		return reply(503, wire.ErrorResponse{Error: "trouble"})
+func (c *Cloud) Handle(method, target string, body []byte) Response {
+	if c.Unavailable {
+		return newResponse(503, wire.ErrorResponse{Error: "trouble"})
 	}
 	u, err := url.ParseRequestURI(target)
 	if err != nil {
-		return reply(400, wire.ErrorResponse{Error: "target"})
+		return newResponse(400, wire.ErrorResponse{Error: "target"})
 	}
 	switch {
 	case method == "GET" && u.Path == "/machine_types":
-		return reply(200, wire.MachineTypes{Entries: c.Types})
+		return newResponse(200, wire.MachineTypes{Entries: c.Types})
 	case method == "POST" && u.Path == "/rentals":
-		return c.rent(body)
+		return c.scaleOut(body)
 	case method == "POST" && u.Path == "/rentals/release":
 		var req wire.MachineNames
 		if wire.Decode(body, &req) != nil {
-			return reply(400, wire.ErrorResponse{Error: "release"})
+			return newResponse(400, wire.ErrorResponse{Error: "release"})
 		}
 		for _, n := range req.Machines {
 			if m := c.Machines[n]; m != nil && !m.Gone {
-				c.take(m)
+				c.reclaim(m)
 			}
 		}
-		return reply(200, map[string]any{})
+		return newResponse(200, map[string]any{})
 	case method == "GET" && u.Path == "/rentals":
 		return c.list(u.Query().Get("after"))
 	}
-	return reply(400, wire.ErrorResponse{Error: "unknown"})
+	return newResponse(400, wire.ErrorResponse{Error: "unknown"})
 }
 
-func (c *Cloud) take(m *CloudMachine) {
+func (c *Cloud) reclaim(m *CloudMachine) {
 	m.Gone, m.GoneAt = true, c.Now
 	c.Capacity[OfferKey(m.Type, m.Zone, m.Spot)]++
 }
 
-// Take makes a machine vanish, as the cloud does with spot machines.
-func (c *Cloud) Take(name string) { c.take(c.Machines[name]) }
+// Reclaim makes a machine vanish, as the cloud does with spot machines.
+func (c *Cloud) Reclaim(name string) { c.reclaim(c.Machines[name]) }
 
-func (c *Cloud) rent(body []byte) Reply {
+func (c *Cloud) scaleOut(body []byte) Response {
 	var req wire.ScaleOutRequest
 	if wire.Decode(body, &req) != nil || req.Number < 1 || req.Number > 50 {
-		return reply(400, wire.ErrorResponse{Error: "rental"})
+		return newResponse(400, wire.ErrorResponse{Error: "rental"})
 	}
 	if names, ok := c.grants[req.RequestID]; ok {
-		return reply(200, wire.MachineNames{Machines: names})
+		return newResponse(200, wire.MachineNames{Machines: names})
 	}
 	key := OfferKey(req.Type, req.Zone, req.Spot)
 	n := min(req.Number, c.Capacity[key])
 	t := c.TypeOf(req.Type)
 	if n == 0 || t == nil {
-		return reply(503, wire.ErrorResponse{Error: "no capacity"})
+		return newResponse(503, wire.ErrorResponse{Error: "no capacity"})
 	}
 	c.Capacity[key] -= n
 	var names []string
 	for range n {
 		boot := micros.FromSeconds(t.BootS)
-		if c.Boot != nil {
-			boot = c.Boot(boot)
+		if c.BootTime != nil {
+			boot = c.BootTime(boot)
 		}
 		names = append(names, c.Add(req.Type, req.Zone, req.Spot, boot).Name)
 	}
 	c.grants[req.RequestID] = names
-	return reply(200, wire.MachineNames{Machines: names})
+	return newResponse(200, wire.MachineNames{Machines: names})
 }
 
-func (c *Cloud) list(after string) Reply {
-	at := c.Now - c.Lag
+func (c *Cloud) list(after string) Response {
+	at := c.Now - c.ListDelay
 	list := wire.MachineList{Machines: []wire.ListedMachine{}}
 	for _, n := range c.Names() {
 		m := c.Machines[n]
@@ -163,7 +163,7 @@
 			Status: status, AgeS: (at - m.Rented).Seconds(),
 		})
 	}
-	return reply(200, list)
+	return newResponse(200, list)
 }
 
 // Endpoint is the address of a machine's worker where there is no network.
--- a/internal/standin/dump.go
+++ b/internal/fake/dump.go
@@ -1,4 +1,4 @@
-package standin
+package fake
 
 import (
 	"github.com/fxamacker/cbor/v2"
@@ -15,7 +15,7 @@
 }
 
 // Records lists all keys in order, and tells the revision.
-func (s *State) Records() (list []Record, revision uint64) {
+func (s *KVStore) Records() (list []Record, revision uint64) {
 	for _, k := range s.Keys("") {
 		e := s.keys[k]
 		list = append(list, Record{k, e.value, e.version, e.lease})
@@ -25,12 +25,12 @@
 
 // Load starts the state service from records. Their leases end after the given time unless
 // somebody extends them.
-func (s *State) Load(list []Record, revision uint64, ttl micros.Micros) {
-	s.revision, s.oldest = revision, revision
+func (s *KVStore) Load(list []Record, revision uint64, ttl micros.Micros) {
+	s.revision, s.compactedRevision = revision, revision
 	for _, r := range list {
 		s.keys[r.Key] = kvEntry{r.Value, r.Version, r.Lease}
 		if r.Lease != 0 {
-			s.leases[r.Lease] = &stateLease{ttl, s.Now + ttl}
+			s.leases[r.Lease] = &kvLease{ttl, s.Now + ttl}
 			s.nextID = max(s.nextID, r.Lease)
 		}
 	}
@@ -39,16 +39,18 @@
 // Grants tells which rentals were granted, and how many machines there were.
 func (c *Cloud) Grants() (grants map[string][]string, machines int) { return c.grants, c.next }
 
-// Granted starts the cloud from what Grants told.
-func (c *Cloud) Granted(grants map[string][]string, machines int) {
+// RestoreGrants starts the cloud from what Grants told.
+func (c *Cloud) RestoreGrants(grants map[string][]string, machines int) {
 	if grants != nil {
 		c.grants = grants
 	}
 	c.next = machines
 }
 
-// Left is how long a task's phase lasts still.
-func (t *Task) Left(now micros.Micros) micros.Micros { return t.until - now }
+// PhaseRemaining is how long a task's phase lasts still.
+func (t *Task) PhaseRemaining(now micros.Micros) micros.Micros { return t.phaseEndsAt - now }
 
-// Lasts sets it.
-func (t *Task) Lasts(now, left micros.Micros) { t.until, t.waitsAt = now+left, now }
+// SetPhaseRemaining sets it.
+func (t *Task) SetPhaseRemaining(now, left micros.Micros) {
+	t.phaseEndsAt, t.gangWaitSince = now+left, now
+}
--- a/internal/standin/fleet.go
+++ b/internal/fake/fleet.go
@@ -1,4 +1,4 @@
-package standin
+package fake
 
 import (
 	"slices"
@@ -7,19 +7,19 @@
 	"tamarindlead/micros"
 )
 
-// FleetTimes are the times of the workers of a deployment.
-type FleetTimes struct {
-	Lease    micros.Micros
-	GangPeer micros.Micros
-	GangWait micros.Micros
+// FleetTimeouts are the times of the workers of a deployment.
+type FleetTimeouts struct {
+	Lease           micros.Micros
+	GangPeerTimeout micros.Micros
+	GangWaitTimeout micros.Micros
 }
 
 // Fleet is the workers of a deployment. It knows which tasks completed, and has the tasks of a
 // gang start and complete together.
 type Fleet struct {
-	Times   FleetTimes
-	Workers map[string]*Worker
-	Done    map[string]bool // tasks that completed
+	Timeouts FleetTimeouts
+	Workers  map[string]*Worker
+	Done     map[string]bool // tasks that completed
 	// Info tells what users uploaded about a task.
 	Info func(task string) (TaskInfo, bool)
 	// OnStart is called when a worker starts a task, OnExit when a task has left its machine,
@@ -30,18 +30,18 @@
 }
 
 // NewFleet returns a fleet without workers. Its functions must be set before a worker boots.
-func NewFleet(times FleetTimes) *Fleet {
-	return &Fleet{Times: times, Workers: map[string]*Worker{}, Done: map[string]bool{}}
+func NewFleet(times FleetTimeouts) *Fleet {
+	return &Fleet{Timeouts: times, Workers: map[string]*Worker{}, Done: map[string]bool{}}
 }
 
 // Boot adds the worker of a machine that is up. It reports first to the given controller.
 func (f *Fleet) Boot(m *CloudMachine, t wire.MachineType, node int, now micros.Micros) *Worker {
 	w := &Worker{
-		Machine: m, CPU: t.CPUs, Mem: t.MemGB, Session: 1, Tasks: map[string]*Task{},
-		Lease: f.Times.Lease, LastSent: now, Changed: true, Node: node, NextAt: now,
-		Info: f.Info, OnStart: f.OnStart, OnExit: f.exited,
-		GangReady: f.gangReady, GangWhole: f.gangWhole, GangTold: f.gangTold,
-		GangPeer: f.Times.GangPeer, GangWait: f.Times.GangWait,
+		Machine: m, CPU: t.CPUs, Mem: t.MemGB, AgentEpoch: 1, Tasks: map[string]*Task{},
+		Lease: f.Timeouts.Lease, LastAnsweredHeartbeat: now, Changed: true, Node: node, NextHeartbeat: now,
+		Info: f.Info, OnStart: f.OnStart, OnExit: f.taskExited,
+		GangReady: f.gangReady, GangComplete: f.gangComplete, GangStopRequested: f.gangStopRequested,
+		GangPeerTimeout: f.Timeouts.GangPeerTimeout, GangWaitTimeout: f.Timeouts.GangWaitTimeout,
 		Completed: func(task string) bool { return f.Done[task] },
 	}
 	f.Workers[m.Name] = w
@@ -58,8 +58,8 @@
 	return names
 }
 
-// exited notes that a task has left its machine. If one task of a gang is done, all are.
-func (f *Fleet) exited(w *Worker, task string, cause wire.ExitCause) {
+// taskExited notes that a task has left its machine. If one task of a gang is done, all are.
+func (f *Fleet) taskExited(w *Worker, task string, cause wire.ExitCause) {
 	f.OnExit(w, task, cause)
 	if cause != wire.CauseDone {
 		return
@@ -67,12 +67,12 @@
 	f.Done[task] = true
 	f.OnDone(task)
 	if info, _ := f.Info(task); info.Gang {
-		f.completeMates(task, w.Tasks[task].Attempt)
+		f.completeGang(task, w.Tasks[task].Attempt)
 	}
 }
 
-// completeMates completes the running tasks of the gang that a task belongs to.
-func (f *Fleet) completeMates(task string, attempt uint64) {
+// completeGang completes the running tasks of the gang that a task belongs to.
+func (f *Fleet) completeGang(task string, attempt uint64) {
 	id, _, _ := wire.SplitTaskName(task)
 	info, _ := f.Info(task)
 	for _, name := range f.Names() {
@@ -91,23 +91,23 @@
 
 // gangReady tells whether all tasks of a gang's attempt have their image.
 func (f *Fleet) gangReady(task string, attempt uint64) bool {
-	return f.gangIs(task, attempt, func(_ *Worker, t *Task) bool {
+	return f.allOfGang(task, attempt, func(_ *Worker, t *Task) bool {
 		return t.Phase == wire.PhaseWaitingForGang || t.Phase == wire.PhaseRunning
 	})
 }
 
-// gangWhole tells whether all tasks of a gang's attempt make progress, save or are done.
-func (f *Fleet) gangWhole(task string, attempt uint64) bool {
-	return f.gangIs(task, attempt, func(w *Worker, t *Task) bool {
+// gangComplete tells whether all tasks of a gang's attempt make progress, save or are done.
+func (f *Fleet) gangComplete(task string, attempt uint64) bool {
+	return f.allOfGang(task, attempt, func(w *Worker, t *Task) bool {
 		return !w.Hung && (t.Phase == wire.PhaseRunning || t.Phase == wire.PhaseCheckpointing || t.Cause == wire.CauseDone)
 	})
 }
 
-// gangIs tells whether something holds for all tasks of a gang's attempt.
-func (f *Fleet) gangIs(task string, attempt uint64, holds func(*Worker, *Task) bool) bool {
+// allOfGang tells whether something holds for all tasks of a gang's attempt.
+func (f *Fleet) allOfGang(task string, attempt uint64, holds func(*Worker, *Task) bool) bool {
 	info, _ := f.Info(task)
 	n := 0
-	f.eachOfGang(task, attempt, func(w *Worker, t *Task) {
+	f.forEachGangTask(task, attempt, func(w *Worker, t *Task) {
 		if holds(w, t) {
 			n++
 		}
@@ -115,20 +115,20 @@
 	return n == info.Tasks
 }
 
-// gangTold tells when the first task of a gang's attempt was told to stop and save, and whether
+// gangStopRequested tells when the first task of a gang's attempt was told to stop and save, and whether
 // all were.
-func (f *Fleet) gangTold(task string, attempt uint64) (first micros.Micros, all bool) {
-	all = f.gangIs(task, attempt, func(_ *Worker, t *Task) bool {
-		if t.Told != 0 && (first == 0 || t.Told < first) {
-			first = t.Told
+func (f *Fleet) gangStopRequested(task string, attempt uint64) (first micros.Micros, all bool) {
+	all = f.allOfGang(task, attempt, func(_ *Worker, t *Task) bool {
+		if t.StopRequestedAt != 0 && (first == 0 || t.StopRequestedAt < first) {
+			first = t.StopRequestedAt
 		}
-		return t.Told != 0 && (t.Phase == wire.PhaseCheckpointing || t.Cause == wire.CauseStopped)
+		return t.StopRequestedAt != 0 && (t.Phase == wire.PhaseCheckpointing || t.Cause == wire.CauseStopped)
 	})
 	return first, all
 }
 
-// eachOfGang visits the tasks of a gang's attempt that are on machines.
-func (f *Fleet) eachOfGang(task string, attempt uint64, visit func(*Worker, *Task)) {
+// forEachGangTask visits the tasks of a gang's attempt that are on machines.
+func (f *Fleet) forEachGangTask(task string, attempt uint64, visit func(*Worker, *Task)) {
 	id, _, _ := wire.SplitTaskName(task)
 	for _, w := range f.Workers {
 		if w.Machine.Gone {
--- a/internal/record/job_test.go
+++ b/internal/record/job_test.go
@@ -7,8 +7,8 @@
 	"slices"
 	"testing"
 
+	"tamarindlead/internal/fake"
 	"tamarindlead/internal/kv"
-	"tamarindlead/internal/standin"
 	"tamarindlead/internal/wire"
 	"tamarindlead/micros"
 	"tamarindlead/sched"
@@ -56,8 +56,8 @@
 			for i := range n {
 				ids = append(ids, jobName(100+i))
 			}
-			s := standin.NewState()
-			s.Value = limit
+			s := fake.NewKVStore()
+			s.MaxValueBytes = limit
 			writes, size := JobWrites(testJob(jobName(1), ids...), 5, limit)
 			var got []string
 			for _, w := range writes {
--- a/internal/soak/checker.go
+++ b/internal/soak/checker.go
@@ -3,7 +3,7 @@
 import (
 	"fmt"
 
-	"tamarindlead/internal/standin"
+	"tamarindlead/internal/fake"
 	"tamarindlead/internal/wire"
 	"tamarindlead/micros"
 	"tamarindlead/sched"
@@ -69,7 +69,7 @@
 // jobTruth is what is certain about a job.
 type jobTruth struct {
 	job          *sched.Job
-	info         standin.TaskInfo
+	info         fake.TaskInfo
 	body         []byte
 	acceptedAt   micros.Micros // when a user was first told so
 	final        wire.JobPhase // that a user was told
@@ -130,17 +130,17 @@
 }
 
 // taskInfo tells what users uploaded about a task.
-func (c *checker) taskInfo(task string) (standin.TaskInfo, bool) {
+func (c *checker) taskInfo(task string) (fake.TaskInfo, bool) {
 	id, _, ok := wire.SplitTaskName(task)
 	truth := c.jobs[id]
 	if !ok || truth == nil {
-		return standin.TaskInfo{}, false
+		return fake.TaskInfo{}, false
 	}
 	return truth.info, true
 }
 
 // taskStarted checks the start of a task.
-func (c *checker) taskStarted(w *standin.Worker, task string, attempt uint64) {
+func (c *checker) taskStarted(w *fake.Worker, task string, attempt uint64) {
 	c.figures.Starts++
 	id, _, _ := wire.SplitTaskName(task)
 	truth := c.jobs[id]
@@ -157,7 +157,7 @@
 }
 
 // checkPlace checks that a task may be where it starts, given the others of its job.
-func (c *checker) checkPlace(task, id string, truth *jobTruth, machine *standin.CloudMachine) {
+func (c *checker) checkPlace(task, id string, truth *jobTruth, machine *fake.CloudMachine) {
 	if !truth.job.Allows(machine.Type, machine.Zone, machine.Spot) {
 		c.broke(RuleWrongPlace, "%s starts on %s", task, machine.Name)
 	}
@@ -180,7 +180,7 @@
 	}
 }
 
-func (c *checker) taskExited(w *standin.Worker, task string, _ wire.ExitCause) {
+func (c *checker) taskExited(w *fake.Worker, task string, _ wire.ExitCause) {
 	if c.running[task] == w.Machine.Name {
 		delete(c.running, task)
 	}
@@ -214,9 +214,9 @@
 			c.broke(RuleQuota, "%s uses %g of %g CPUs", t.Name, used[t.Name], limit)
 		}
 	}
-	if c.site.state.Invalid > 0 {
-		c.broke(RuleLimits, "%d commits were too large", c.site.state.Invalid)
-		c.site.state.Invalid = 0
+	if c.site.state.OversizedTransactions > 0 {
+		c.broke(RuleLimits, "%d commits were too large", c.site.state.OversizedTransactions)
+		c.site.state.OversizedTransactions = 0
 	}
 }
 
--- a/internal/soak/checker_test.go
+++ b/internal/soak/checker_test.go
@@ -6,8 +6,8 @@
 	"testing"
 	"time"
 
+	"tamarindlead/internal/fake"
 	"tamarindlead/internal/record"
-	"tamarindlead/internal/standin"
 	"tamarindlead/internal/wire"
 	"tamarindlead/micros"
 	"tamarindlead/sched"
@@ -20,16 +20,16 @@
 func checkedSite() (*site, *jobTruth) {
 	s := &site{
 		options: Options{Seed: 1, Controllers: 3, Machines: 4}, started: time.Now().Add(-10 * time.Minute),
-		rng: rand.New(rand.NewPCG(1, 1)), state: standin.NewState(), cloud: standin.NewCloud(),
+		rng: rand.New(rand.NewPCG(1, 1)), state: fake.NewKVStore(), cloud: fake.NewCloud(),
 	}
 	s.cloud.Types = []wire.MachineType{machineType()}
 	s.check = newChecker(s)
-	s.fleet = standin.NewFleet(standin.FleetTimes{Lease: workerLease, GangPeer: gangPeer, GangWait: gangWait})
+	s.fleet = fake.NewFleet(fake.FleetTimeouts{Lease: workerLease, GangPeerTimeout: gangPeer, GangWaitTimeout: gangWait})
 	truth := &jobTruth{
 		job: &sched.Job{
 			ID: "req-000001", Team: "service", Tasks: 2, Need: sched.NewResources(2, 0, 2), OneZone: true, Zone: "north",
 		},
-		info: standin.TaskInfo{CPU: 2, Tasks: 2},
+		info: fake.TaskInfo{CPU: 2, Tasks: 2},
 	}
 	s.check.jobs[truth.job.ID] = truth
 	s.check.order = append(s.check.order, truth.job.ID)
@@ -101,45 +101,45 @@
 func TestCheckerOfTasks(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		play func(s *site, truth *jobTruth, north, south *standin.Worker)
+		play func(s *site, truth *jobTruth, north, south *fake.Worker)
 		want []Rule
 	}{
-		{"all is well", func(s *site, _ *jobTruth, north, _ *standin.Worker) {
+		{"all is well", func(s *site, _ *jobTruth, north, _ *fake.Worker) {
 			s.check.taskStarted(north, "req-000001/0", 1)
 			s.check.taskExited(north, "req-000001/0", wire.CauseStopped)
 			s.check.taskStarted(north, "req-000001/0", 2)
 		}, nil},
-		{"twice", func(s *site, truth *jobTruth, north, south *standin.Worker) {
+		{"twice", func(s *site, truth *jobTruth, north, south *fake.Worker) {
 			truth.job.OneZone, truth.job.Zone = false, ""
 			s.check.taskStarted(north, "req-000001/0", 1)
 			s.check.taskStarted(south, "req-000001/0", 2)
 		}, []Rule{RuleRanTwice}},
-		{"elsewhere after its machine is gone", func(s *site, truth *jobTruth, north, south *standin.Worker) {
+		{"elsewhere after its machine is gone", func(s *site, truth *jobTruth, north, south *fake.Worker) {
 			truth.job.OneZone, truth.job.Zone = false, ""
 			s.check.taskStarted(north, "req-000001/0", 1)
 			north.Machine.Gone = true
 			s.check.machinesGone()
 			s.check.taskStarted(south, "req-000001/0", 2)
 		}, nil},
-		{"in a zone that is not allowed", func(s *site, _ *jobTruth, _, south *standin.Worker) {
+		{"in a zone that is not allowed", func(s *site, _ *jobTruth, _, south *fake.Worker) {
 			s.check.taskStarted(south, "req-000001/0", 1)
 		}, []Rule{RuleWrongPlace}},
-		{"long after the cancellation", func(s *site, truth *jobTruth, north, _ *standin.Worker) {
+		{"long after the cancellation", func(s *site, truth *jobTruth, north, _ *fake.Worker) {
 			truth.final, truth.finalAt = wire.JobCancelled, s.now()-cancelWithin-1
 			s.check.taskStarted(north, "req-000001/0", 1)
 		}, []Rule{RuleRanCancelled}},
-		{"still there long after the cancellation", func(s *site, truth *jobTruth, north, _ *standin.Worker) {
+		{"still there long after the cancellation", func(s *site, truth *jobTruth, north, _ *fake.Worker) {
 			s.check.taskStarted(north, "req-000001/0", 1)
 			truth.final, truth.finalAt = wire.JobCancelled, s.now()-cancelWithin-1
 			s.check.tick(s.now())
 		}, []Rule{RuleRanCancelled}},
-		{"still there, but the soak itself was held up", func(s *site, truth *jobTruth, north, _ *standin.Worker) {
+		{"still there, but the soak itself was held up", func(s *site, truth *jobTruth, north, _ *fake.Worker) {
 			s.check.taskStarted(north, "req-000001/0", 1)
 			truth.final, truth.finalAt = wire.JobCancelled, s.now()-cancelWithin-1
 			s.check.noteStall(second(1), second(6))
 			s.check.tick(s.now())
 		}, nil},
-		{"beyond the team's limit", func(s *site, truth *jobTruth, north, _ *standin.Worker) {
+		{"beyond the team's limit", func(s *site, truth *jobTruth, north, _ *fake.Worker) {
 			truth.info.CPU = machineCPUs * 2
 			s.check.taskStarted(north, "req-000001/0", 1)
 			s.check.taskStarted(north, "req-000001/1", 1)
@@ -148,8 +148,8 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s, truth := checkedSite()
-			worker := func(zone string) *standin.Worker {
-				return &standin.Worker{Machine: s.cloud.Add(machineType().Name, zone, false, 0)}
+			worker := func(zone string) *fake.Worker {
+				return &fake.Worker{Machine: s.cloud.Add(machineType().Name, zone, false, 0)}
 			}
 			c.play(s, truth, worker("north"), worker("south"))
 			if got := rulesBroken(s.check); !slices.Equal(got, c.want) {
@@ -193,7 +193,7 @@
 }
 
 // commitPut writes a record in a transaction of its own.
-func commitPut(t *testing.T, state *standin.State, key string, value []byte) {
+func commitPut(t *testing.T, state *fake.KVStore, key string, value []byte) {
 	t.Helper()
 	var decoded any
 	if err := wire.Decode(value, &decoded); err != nil {
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -6,7 +6,7 @@
 	"math/rand/v2"
 	"time"
 
-	"tamarindlead/internal/standin"
+	"tamarindlead/internal/fake"
 )
 
 // faultGaps are the mean times between two faults, of which a run draws one: with few faults
@@ -214,7 +214,7 @@
 }
 
 // machineFault befalls a few workers.
-func machineFault(name string, from, to float64, set func(w *standin.Worker, on bool)) fault {
+func machineFault(name string, from, to float64, set func(w *fake.Worker, on bool)) fault {
 	return fault{name, func(f *faultRun) (string, time.Duration, func()) {
 		s := f.site
 		s.mu.Lock()
@@ -223,7 +223,7 @@
 		if len(names) == 0 {
 			return "", 0, nil
 		}
-		var hit []*standin.Worker
+		var hit []*fake.Worker
 		for range 1 + f.rng.IntN(3) {
 			w := s.fleet.Workers[names[f.rng.IntN(len(names))]]
 			set(w, true)
@@ -301,9 +301,9 @@
 		f.setOutage(true)
 		return "", f.seconds(0.5, 8), func() { f.setOutage(false) }
 	}},
-	machineFault("machines hang:", 0.5, 20, func(w *standin.Worker, on bool) { w.Hung = on }),
-	machineFault("machines cut off:", 0.5, 20, func(w *standin.Worker, on bool) { w.Cut = on }),
-	machineFault("machines deaf:", 0.5, 20, func(w *standin.Worker, on bool) { w.Deaf = on }),
+	machineFault("machines hang:", 0.5, 20, func(w *fake.Worker, on bool) { w.Hung = on }),
+	machineFault("machines cut off:", 0.5, 20, func(w *fake.Worker, on bool) { w.Partitioned = on }),
+	machineFault("machines deaf:", 0.5, 20, func(w *fake.Worker, on bool) { w.InboundBlocked = on }),
 	{"machine taken", func(f *faultRun) (string, time.Duration, func()) {
 		s := f.site
 		s.mu.Lock()
@@ -316,7 +316,7 @@
 		if s.cloud.Machines[name].Gone {
 			return "", 0, nil
 		}
-		s.cloud.Take(name)
+		s.cloud.Reclaim(name)
 		s.check.machinesGone()
 		return name, 0, func() {}
 	}},
@@ -326,7 +326,7 @@
 	set := func(on bool) {
 		f.site.mu.Lock()
 		defer f.site.mu.Unlock()
-		f.site.state.Refused[controller] = on
+		f.site.state.RefusedCallers[controller] = on
 	}
 	set(true)
 	return func() { set(false) }
@@ -335,5 +335,5 @@
 func (f *faultRun) setOutage(on bool) {
 	f.site.mu.Lock()
 	defer f.site.mu.Unlock()
-	f.site.state.Down = on
+	f.site.state.Unavailable = on
 }
--- a/internal/soak/site.go
+++ b/internal/soak/site.go
@@ -9,7 +9,7 @@
 	"sync"
 	"time"
 
-	"tamarindlead/internal/standin"
+	"tamarindlead/internal/fake"
 	"tamarindlead/internal/wire"
 	"tamarindlead/micros"
 )
@@ -45,9 +45,9 @@
 
 	mu      sync.Mutex // guards all below, and what the stand-ins hold
 	rng     *rand.Rand
-	state   *standin.State
-	cloud   *standin.Cloud
-	fleet   *standin.Fleet
+	state   *fake.KVStore
+	cloud   *fake.Cloud
+	fleet   *fake.Fleet
 	check   *checker
 	workers map[string]*workerServer
 	copies  float64 // share of the reports of which a copy comes late
@@ -63,7 +63,7 @@
 	s := &site{
 		options: o, started: time.Now(), run: run, client: newHTTPClient(),
 		rng:   rand.New(rand.NewPCG(o.Seed, streamSite)),
-		state: standin.NewState(), cloud: standin.NewCloud(), workers: map[string]*workerServer{},
+		state: fake.NewKVStore(), cloud: fake.NewCloud(), workers: map[string]*workerServer{},
 	}
 	// The network is drawn apart: two runs with one seed may be played at once.
 	addrs, err := findNetwork(rand.IntN)
@@ -73,12 +73,12 @@
 	s.addrs = addrs
 	s.check = newChecker(s)
 	limits := limitsOf(o.Seed)
-	s.state.Ops, s.state.Value, s.state.Rate, s.state.WriteRate = txnOps, valueBytes, limits.rps, limits.writes
+	s.state.MaxOps, s.state.MaxValueBytes, s.state.RequestRate, s.state.WriteRate = txnOps, valueBytes, limits.rps, limits.writes
 	s.state.OnPut, s.state.OnCommit = s.check.recordWritten, s.check.committed
-	s.fleet = standin.NewFleet(standin.FleetTimes{Lease: workerLease, GangPeer: gangPeer, GangWait: gangWait})
+	s.fleet = fake.NewFleet(fake.FleetTimeouts{Lease: workerLease, GangPeerTimeout: gangPeer, GangWaitTimeout: gangWait})
 	s.fleet.Info, s.fleet.OnStart, s.fleet.OnExit = s.check.taskInfo, s.check.taskStarted, s.check.taskExited
 	s.fleet.OnDone = func(string) {}
-	s.cloud.Lag, s.cloud.Types, s.cloud.Now = listLag, []wire.MachineType{machineType()}, s.now()
+	s.cloud.ListDelay, s.cloud.Types, s.cloud.Now = listLag, []wire.MachineType{machineType()}, s.now()
 	s.cloud.Endpoint = s.addWorker
 	s.makeLinks()
 	if err := s.serveStandins(); err != nil {
@@ -188,7 +188,7 @@
 			s.cloud.Add(machineType().Name, zone, false, 0)
 			continue
 		}
-		s.cloud.Capacity[standin.OfferKey(machineType().Name, zone, false)]++
+		s.cloud.Capacity[fake.OfferKey(machineType().Name, zone, false)]++
 	}
 }
 
--- a/internal/soak/users.go
+++ b/internal/soak/users.go
@@ -6,7 +6,7 @@
 	"math/rand/v2"
 	"time"
 
-	"tamarindlead/internal/standin"
+	"tamarindlead/internal/fake"
 	"tamarindlead/internal/wire"
 	"tamarindlead/micros"
 	"tamarindlead/sched"
@@ -102,7 +102,7 @@
 		Priority: sched.Priority(rng.IntN(4)), Tasks: tasks, Need: sched.NewResources(float64(1+rng.IntN(3)), 0, 2),
 		Image: "image", ImageGB: 1, Estimate: run, Spread: !gang && tasks > 1 && rng.IntN(4) == 0,
 	}
-	truth := &jobTruth{job: j, body: wire.Encode(wire.FromJob(j)), info: standin.TaskInfo{
+	truth := &jobTruth{job: j, body: wire.Encode(wire.FromJob(j)), info: fake.TaskInfo{
 		CPU: j.Need.CPUs(), Mem: 2, Run: run, Fetch: 200 * micros.Millisecond, Gang: gang, Tasks: tasks,
 	}}
 	s.mu.Lock()
--- a/internal/soak/worker.go
+++ b/internal/soak/worker.go
@@ -5,7 +5,7 @@
 	"strconv"
 	"time"
 
-	"tamarindlead/internal/standin"
+	"tamarindlead/internal/fake"
 	"tamarindlead/internal/wire"
 	"tamarindlead/micros"
 )
@@ -38,7 +38,7 @@
 	for {
 		s.mu.Lock()
 		w := s.fleet.Workers[machine]
-		silent := w == nil || w.Machine.Gone || w.Cut || w.Deaf
+		silent := w == nil || w.Machine.Gone || w.Partitioned || w.InboundBlocked
 		if !silent && !w.Hung {
 			defer s.mu.Unlock()
 			return s.workerAnswer(w, r)
@@ -54,25 +54,25 @@
 	}
 }
 
-func (s *site) workerAnswer(w *standin.Worker, r inbound) answer {
+func (s *site) workerAnswer(w *fake.Worker, r inbound) answer {
 	if r.target == wire.PathInspect {
-		return answer{status: wire.StatusOK, body: wire.Encode(w.Report())}
+		return answer{status: wire.StatusOK, body: wire.Encode(w.BuildHeartbeat())}
 	}
-	reply := w.Orders(s.now(), r.body)
+	reply := w.ExecuteDirect(s.now(), r.body)
 	return answer{status: reply.Status, body: reply.Body}
 }
 
 // stepWorker lets a worker's tasks make progress, and has it report if it is time.
-func (s *site) stepWorker(w *standin.Worker, now micros.Micros) {
+func (s *site) stepWorker(w *fake.Worker, now micros.Micros) {
 	if w.Machine.Gone {
 		return
 	}
 	w.Advance(now)
-	if w.Cut || !w.Due(now) {
+	if w.Partitioned || !w.HeartbeatDue(now) {
 		return
 	}
-	w.Sent(now, reportEvery)
-	node, session, body := w.Node, w.Session, wire.Encode(w.Report())
+	w.HeartbeatSent(now, reportEvery)
+	node, session, body := w.Node, w.AgentEpoch, wire.Encode(w.BuildHeartbeat())
 	go s.report(w, node, session, body)
 	if s.rng.Float64() < s.copies {
 		to := s.rng.IntN(s.options.Controllers)
@@ -87,17 +87,17 @@
 }
 
 // report sends a worker's report and hands it the answer.
-func (s *site) report(w *standin.Worker, node int, session uint64, body []byte) {
+func (s *site) report(w *fake.Worker, node int, session uint64, body []byte) {
 	a := s.sendOver(s.reportLinks[node], reportTimeout, func() answer { return s.sendReport(node, body) })
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if w.Machine.Gone {
 		return
 	}
-	if w.Cut || w.Hung || w.Deaf {
+	if w.Partitioned || w.Hung || w.InboundBlocked {
 		a = answer{}
 	}
-	w.Answered(s.now(), a.status, a.body, session, s.controllerIndex, s.options.Controllers)
+	w.HandleHeartbeatResponse(s.now(), a.status, a.body, session, s.controllerIndex, s.options.Controllers)
 }
 
 // controllerIndex finds a controller by its name.
