--- a/cmd/faultsoak/main.go
+++ b/cmd/soaktest/main.go
@@ -18,12 +18,12 @@
 
 	"github.com/spf13/cobra"
 
-	"tamarindlead/internal/soak"
+	"tamarindlead/internal/soaktest"
 )
 
 // Exit statuses.
 const (
-	exitHeld       = 0 // no violation
+	exitOK         = 0 // no violation
 	exitViolations = 1
 	exitBadInput   = 2
 	exitFailed     = 3 // the run could not be played
@@ -32,8 +32,8 @@
 // errViolations tells that rules were broken.
 var errViolations = errors.New("rules were broken")
 
-// failedError wraps an error that is not the caller's.
-type failedError struct{ error }
+// runError wraps an error that is not the caller's.
+type runError struct{ error }
 
 func main() {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
@@ -44,10 +44,10 @@
 
 // exitStatus prints an error and returns the status that stands for it.
 func exitStatus(err error) int {
-	var failed failedError
+	var failed runError
 	switch {
 	case err == nil:
-		return exitHeld
+		return exitOK
 	case errors.Is(err, errViolations):
 		return exitViolations
 	case errors.As(err, &failed):
@@ -66,7 +66,7 @@
 Exit status: 0 no violation, 1 violations, 2 bad input, 3 the run could not be played.`
 
 func command(out io.Writer) *cobra.Command {
-	var o soak.Options
+	var o soaktest.Options
 	var quiet bool
 	root := &cobra.Command{
 		Use: "faultsoak", Short: "Checks the rules under random faults", Long: help,
@@ -89,7 +89,7 @@
 }
 
 // run plays one run and prints its result.
-func run(ctx context.Context, o soak.Options, quiet bool, out io.Writer) error {
+func run(ctx context.Context, o soaktest.Options, quiet bool, out io.Writer) error {
 	checked := o
 	checked.Binary, checked.Dir = "x", "x" // they have defaults
 	if err := checked.Validate(); err != nil {
@@ -97,14 +97,14 @@
 	}
 	ownDir := o.Dir == ""
 	if err := prepare(ctx, &o); err != nil {
-		return failedError{err}
+		return runError{err}
 	}
 	if !quiet {
 		o.Progress = out
 	}
-	result, err := soak.Run(ctx, o)
+	result, err := soaktest.Run(ctx, o)
 	if err != nil {
-		return failedError{err}
+		return runError{err}
 	}
 	printResult(out, o, result)
 	if len(result.Violations) > 0 {
@@ -118,7 +118,7 @@
 }
 
 // prepare makes the folder, and builds the service unless a program is given.
-func prepare(ctx context.Context, o *soak.Options) error {
+func prepare(ctx context.Context, o *soaktest.Options) error {
 	if o.Dir == "" {
 		dir, err := os.MkdirTemp("", "faultsoak-")
 		if err != nil {
@@ -140,21 +140,21 @@
 }
 
 // repeatCommand is the command that repeats a run.
-func repeatCommand(o soak.Options) string {
+func repeatCommand(o soaktest.Options) string {
 	return fmt.Sprintf("go run ./cmd/faultsoak --seed %d --duration %v --controllers %d --machines %d --job-rate %g --sockets %d --calm=%t",
 		o.Seed, o.Duration, o.Controllers, o.Machines, o.JobRate, o.Sockets, o.Calm)
 }
 
-func printResult(out io.Writer, o soak.Options, r *soak.Result) {
+func printResult(out io.Writer, o soaktest.Options, r *soaktest.Result) {
 	for _, v := range r.Violations {
 		fmt.Fprintln(out, v)
 	}
-	if r.More > 0 {
-		fmt.Fprintf(out, "and %d more\n", r.More)
+	if r.DroppedViolations > 0 {
+		fmt.Fprintf(out, "and %d more\n", r.DroppedViolations)
 	}
-	f := r.Figures
+	f := r.Stats
 	fmt.Fprintf(out, "seed %d: %d violations; %d faults, %d kills; %d jobs, %d accepted, %d done, %d cancelled, %d open; "+
 		"%d answers, %d refused, %d without answer; %d starts, %d after a cancellation; %d machines given up; %d histories undecided\n",
-		o.Seed, len(r.Violations)+r.More, f.Faults, f.Kills, f.Jobs, f.Accepted, f.Done, f.Cancelled, f.Open,
+		o.Seed, len(r.Violations)+r.DroppedViolations, f.Faults, f.Kills, f.Jobs, f.Accepted, f.Done, f.Cancelled, f.Open,
 		f.Answers, f.Refused, f.Unanswered, f.Starts, f.StartsAfterCancel, f.GivenUp, f.Undecided)
 }
--- a/cmd/faultsoak/main_test.go
+++ b/cmd/soaktest/main_test.go
@@ -28,7 +28,7 @@
 	c := command(&out)
 	c.SetOut(&out)
 	c.SetArgs([]string{"--help"})
-	if status := exitStatus(c.Execute()); status != exitHeld {
+	if status := exitStatus(c.Execute()); status != exitOK {
 		t.Fatalf("status %d", status)
 	}
 	for _, word := range []string{"--seed", "--duration", "--settle", "--controllers", "--machines", "--job-rate", "--binary", "--dir", "--quiet", "--sockets", "--calm", "Exit status"} {
@@ -41,8 +41,8 @@
 // TestExitStatus sees that each kind of end has its status.
 func TestExitStatus(t *testing.T) {
 	for want, err := range map[int]error{
-		exitHeld: nil, exitViolations: fmt.Errorf("run: %w", errViolations),
-		exitFailed: failedError{errors.New("no loopback network is free")}, exitBadInput: errors.New("unknown flag"),
+		exitOK: nil, exitViolations: fmt.Errorf("run: %w", errViolations),
+		exitFailed: runError{errors.New("no loopback network is free")}, exitBadInput: errors.New("unknown flag"),
 	} {
 		if got := exitStatus(err); got != want {
 			t.Errorf("%v: status %d, want %d", err, got, want)
--- a/internal/soak/checker.go
+++ b/internal/soaktest/checker.go
@@ -1,4 +1,4 @@
-package soak
+package soaktest
 
 import (
 	"fmt"
@@ -37,14 +37,14 @@
 
 // Violation is a rule that was broken, and what was seen from outside.
 type Violation struct {
-	At   micros.Micros // since the start of the run
-	Rule Rule
-	Seen string
+	At      micros.Micros // since the start of the run
+	Rule    Rule
+	Details string
 }
 
 // String returns the violation in a line.
 func (v Violation) String() string {
-	return fmt.Sprintf("%7.3f %s: %s", v.At.Seconds(), v.Rule, v.Seen)
+	return fmt.Sprintf("%7.3f %s: %s", v.At.Seconds(), v.Rule, v.Details)
 }
 
 // maxViolations bounds what is kept: more of them tell nothing new.
@@ -53,36 +53,36 @@
 // checker holds what users and workers saw against the rules. Its methods are called with the
 // lock of the site.
 type checker struct {
-	site       *site
-	jobs       map[string]*jobTruth
-	order      []string
-	running    map[string]string // task -> machine
-	violations []Violation
-	more       int // violations that were not kept
-	figures    Figures
-	blocks     blockOwners
-	finals     map[string]string // final records, by job
-	stalled    micros.Micros     // time in which the soak itself was held up
-	faultsOver micros.Micros     // 0: not yet
-}
-
-// jobTruth is what is certain about a job.
-type jobTruth struct {
-	job          *sched.Job
-	info         fake.TaskInfo
-	body         []byte
-	acceptedAt   micros.Micros // when a user was first told so
-	final        wire.JobPhase // that a user was told
-	finalAt      micros.Micros
-	stalledThen  micros.Micros // checker.stalled at that time
-	cancelAsked  bool
-	answeredAt   micros.Micros // when anybody was told anything about it
-	history      []operation
-	unansweredAt pendingOperations
-}
-
-// Figures count what a run did.
-type Figures struct {
+	site              *harness
+	jobs              map[string]*jobHistory
+	order             []string
+	running           map[string]string // task -> machine
+	violations        []Violation
+	droppedViolations int // violations that were not kept
+	stats             Stats
+	blocks            blockOwners
+	terminalStates    map[string]string // final records, by job
+	stalled           micros.Micros     // time in which the soak itself was held up
+	faultsEndedAt     micros.Micros     // 0: not yet
+}
+
+// jobHistory is what is certain about a job.
+type jobHistory struct {
+	job               *sched.Job
+	info              fake.TaskInfo
+	body              []byte
+	acceptedAt        micros.Micros // when a user was first told so
+	terminalPhase     wire.JobPhase // that a user was told
+	terminalAt        micros.Micros
+	stalledAtTerminal micros.Micros // checker.stalled at that time
+	cancelRequested   bool
+	answeredAt        micros.Micros // when anybody was told anything about it
+	operations        []operation
+	pending           pendingOperations
+}
+
+// Stats count what a run did.
+type Stats struct {
 	Jobs, Accepted, Done, Cancelled, Answers, Refused, Unanswered int
 	Starts, StartsAfterCancel, Faults, Kills                      int
 	Open                                                          int // accepted, not cancelled and not over at the end
@@ -90,40 +90,42 @@
 	GivenUp                                                       int // machines that controllers took for lost
 }
 
-func newChecker(s *site) *checker {
+func newChecker(s *harness) *checker {
 	return &checker{
-		site: s, jobs: map[string]*jobTruth{}, running: map[string]string{},
-		blocks: newBlockOwners(), finals: map[string]string{},
+		site: s, jobs: map[string]*jobHistory{}, running: map[string]string{},
+		blocks: newBlockOwners(), terminalStates: map[string]string{},
 	}
 }
 
-// broke notes a violation.
-func (c *checker) broke(rule Rule, format string, args ...any) {
+// reportViolation notes a violation.
+func (c *checker) reportViolation(rule Rule, format string, args ...any) {
 	if len(c.violations) >= maxViolations {
-		c.more++
+		c.droppedViolations++
 		return
 	}
 	v := Violation{c.site.now() - micros.Hour, rule, fmt.Sprintf(format, args...)}
 	c.violations = append(c.violations, v)
-	c.site.progress("VIOLATION %s: %s", v.Rule, v.Seen)
+	c.site.progress("VIOLATION %s: %s", v.Rule, v.Details)
 }
 
 // harnessFailed notes that the soak could not do its work.
-func (c *checker) harnessFailed(format string, args ...any) { c.broke(RuleHarness, format, args...) }
+func (c *checker) harnessFailed(format string, args ...any) {
+	c.reportViolation(RuleHarness, format, args...)
+}
 
 // processEnded notes that a controller ended by itself.
 func (c *checker) processEnded(name string, err error) {
 	c.site.mu.Lock()
 	defer c.site.mu.Unlock()
-	c.broke(RuleProcessEnded, "%s ended by itself: %v", name, err)
+	c.reportViolation(RuleProcessEnded, "%s ended by itself: %v", name, err)
 }
 
 // maxStep is the longest time between two steps that does not count as a stall.
 const maxStep = 200 * micros.Millisecond
 
-// noteStall notes that the soak itself was held up, as on a busy machine: time limits are
+// recordStall notes that the soak itself was held up, as on a busy machine: time limits are
 // extended by that.
-func (c *checker) noteStall(before, now micros.Micros) {
+func (c *checker) recordStall(before, now micros.Micros) {
 	if before > 0 && now-before > maxStep {
 		c.stalled += now - before
 	}
@@ -141,25 +143,25 @@
 
 // taskStarted checks the start of a task.
 func (c *checker) taskStarted(w *fake.Worker, task string, attempt uint64) {
-	c.figures.Starts++
+	c.stats.Starts++
 	id, _, _ := wire.SplitTaskName(task)
 	truth := c.jobs[id]
 	machine := w.Machine
 	if other, ok := c.running[task]; ok && other != machine.Name {
-		c.broke(RuleRanTwice, "%s attempt %d starts on %s while on %s", task, attempt, machine.Name, other)
+		c.reportViolation(RuleRanTwice, "%s attempt %d starts on %s while on %s", task, attempt, machine.Name, other)
 	}
 	c.running[task] = machine.Name
-	if truth.final == wire.JobCancelled {
-		c.figures.StartsAfterCancel++
+	if truth.terminalPhase == wire.JobCancelled {
+		c.stats.StartsAfterCancel++
 		c.checkCancelled(task, truth, "starts")
 	}
 	c.checkPlace(task, id, truth, machine)
 }
 
 // checkPlace checks that a task may be where it starts, given the others of its job.
-func (c *checker) checkPlace(task, id string, truth *jobTruth, machine *fake.CloudMachine) {
+func (c *checker) checkPlace(task, id string, truth *jobHistory, machine *fake.CloudMachine) {
 	if !truth.job.Allows(machine.Type, machine.Zone, machine.Spot) {
-		c.broke(RuleWrongPlace, "%s starts on %s", task, machine.Name)
+		c.reportViolation(RuleWrongPlace, "%s starts on %s", task, machine.Name)
 	}
 	byZone := map[string]int{}
 	for other, name := range c.running {
@@ -168,15 +170,15 @@
 		}
 	}
 	if truth.job.OneZone && len(byZone) > 1 || byZone[machine.Zone] > truth.job.ZoneCap() {
-		c.broke(RuleWrongPlace, "%s starts in %s, tasks by zone: %v", task, machine.Zone, byZone)
+		c.reportViolation(RuleWrongPlace, "%s starts in %s, tasks by zone: %v", task, machine.Zone, byZone)
 	}
 }
 
 // checkCancelled checks that a task of a cancelled job is not on a machine for too long.
-func (c *checker) checkCancelled(task string, truth *jobTruth, does string) {
-	limit := truth.finalAt + cancelWithin + c.stalled - truth.stalledThen
+func (c *checker) checkCancelled(task string, truth *jobHistory, does string) {
+	limit := truth.terminalAt + cancelDeadline + c.stalled - truth.stalledAtTerminal
 	if now := c.site.now(); now > limit {
-		c.broke(RuleRanCancelled, "%s %s %v after its user was told", task, does, now-truth.finalAt)
+		c.reportViolation(RuleRanCancelled, "%s %s %v after its user was told", task, does, now-truth.terminalAt)
 	}
 }
 
@@ -202,21 +204,21 @@
 		id, _, _ := wire.SplitTaskName(task)
 		truth := c.jobs[id]
 		used[truth.job.Team] += truth.info.CPU
-		if truth.final == wire.JobCancelled {
+		if truth.terminalPhase == wire.JobCancelled {
 			c.checkCancelled(task, truth, "is still on "+machine)
-			if c.site.now() > truth.finalAt+cancelWithin {
+			if c.site.now() > truth.terminalAt+cancelDeadline {
 				delete(c.running, task) // it is told once
 			}
 		}
 	}
 	for _, t := range teams(c.site.options.Machines) {
 		if limit := t.QuotaLimit.CPUs(); limit > 0 && used[t.Name] > limit+roundingCPUs {
-			c.broke(RuleQuota, "%s uses %g of %g CPUs", t.Name, used[t.Name], limit)
+			c.reportViolation(RuleQuota, "%s uses %g of %g CPUs", t.Name, used[t.Name], limit)
 		}
 	}
-	if c.site.state.OversizedTransactions > 0 {
-		c.broke(RuleLimits, "%d commits were too large", c.site.state.OversizedTransactions)
-		c.site.state.OversizedTransactions = 0
+	if c.site.kvStore.OversizedTransactions > 0 {
+		c.reportViolation(RuleLimits, "%d commits were too large", c.site.kvStore.OversizedTransactions)
+		c.site.kvStore.OversizedTransactions = 0
 	}
 }
 
--- a/internal/soak/controller.go
+++ b/internal/soaktest/controller.go
@@ -1,4 +1,4 @@
-package soak
+package soaktest
 
 import (
 	"errors"
@@ -18,13 +18,13 @@
 	logPath string
 	// users and peers are the addresses at which it listens.
 	users, peers string
-	// ended is told when the process ends though nobody ended it.
-	ended func(name string, err error)
+	// onUnexpectedExit is told when the process ends though nobody ended it.
+	onUnexpectedExit func(name string, err error)
 
 	mu       sync.Mutex
 	command  *exec.Cmd
-	expected bool // the process is being ended
-	gone     chan struct{}
+	stopping bool // the process is being ended
+	exited   chan struct{}
 }
 
 // start starts the process.
@@ -43,15 +43,15 @@
 		return err
 	}
 	gone := make(chan struct{})
-	c.command, c.expected, c.gone = command, false, gone
+	c.command, c.stopping, c.exited = command, false, gone
 	go func() {
 		err := command.Wait()
 		c.mu.Lock()
-		expected := c.expected
+		expected := c.stopping
 		c.mu.Unlock()
 		close(gone)
 		if !expected {
-			c.ended(c.name, err)
+			c.onUnexpectedExit(c.name, err)
 		}
 	}()
 	return nil
@@ -60,8 +60,8 @@
 // kill ends the process at once and waits until it is gone.
 func (c *controllerProcess) kill() {
 	c.mu.Lock()
-	command, gone := c.command, c.gone
-	c.expected = true
+	command, gone := c.command, c.exited
+	c.stopping = true
 	c.mu.Unlock()
 	if command == nil {
 		return
@@ -70,15 +70,15 @@
 	<-gone
 }
 
-// freeze stops the process where it is, and thaw lets it go on.
-func (c *controllerProcess) freeze() error { return c.signal(syscall.SIGSTOP) }
+// suspend stops the process where it is, and thaw lets it go on.
+func (c *controllerProcess) suspend() error { return c.signal(syscall.SIGSTOP) }
 
-func (c *controllerProcess) thaw() error { return c.signal(syscall.SIGCONT) }
+func (c *controllerProcess) resume() error { return c.signal(syscall.SIGCONT) }
 
 func (c *controllerProcess) signal(s syscall.Signal) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.command == nil || c.expected {
+	if c.command == nil || c.stopping {
 		return errors.New("no process")
 	}
 	return c.command.Process.Signal(s)
@@ -97,7 +97,7 @@
 
 func newController(name, binary, dir, users, peers string, ended func(string, error)) *controllerProcess {
 	return &controllerProcess{
-		name: name, binary: binary, users: users, peers: peers, ended: ended,
+		name: name, binary: binary, users: users, peers: peers, onUnexpectedExit: ended,
 		config: filepath.Join(dir, name+".toml"), logPath: filepath.Join(dir, name+".log"),
 	}
 }
--- a/internal/soak/deployment.go
+++ b/internal/soaktest/deployment.go
@@ -1,4 +1,4 @@
-package soak
+package soaktest
 
 import (
 	"fmt"
@@ -13,36 +13,36 @@
 
 // The deployment that a run plays. Its times are short, so that much happens in a minute.
 const (
-	reportEvery  = 2 * micros.Second
-	workerLease  = 10 * micros.Second
-	gangWait     = 15 * micros.Second
-	gangPeer     = 4 * micros.Second
-	cancelWithin = 30 * micros.Second
-	valueBytes   = 8 << 10
-	txnOps       = 16
-	cloudRPS     = 10
-	listLag      = 2 * micros.Second
-	nodeMemoryMB = 250
-	clockBoundMS = 100
-	machineCPUs  = 8
-	machineMemGB = 32
-	bootS        = 1.5
-	hourlyPrice  = 1.0
-	marketPrice  = 0.3
-	localGB      = 50
-	fetchGBPerS  = 1
+	heartbeatInterval = 2 * micros.Second
+	workerLease       = 10 * micros.Second
+	gangWait          = 15 * micros.Second
+	gangPeer          = 4 * micros.Second
+	cancelDeadline    = 30 * micros.Second
+	valueBytes        = 8 << 10
+	txnOps            = 16
+	cloudRPS          = 10
+	listDelay         = 2 * micros.Second
+	nodeMemoryMB      = 250
+	clockBoundMS      = 100
+	machineCPUs       = 8
+	machineMemGB      = 32
+	bootS             = 1.5
+	hourlyPrice       = 1.0
+	marketPrice       = 0.3
+	localGB           = 50
+	fetchGBPerS       = 1
 )
 
-// stateLimits are the limits of the state service.
-type stateLimits struct{ rps, writes float64 }
+// kvLimits are the limits of the state service.
+type kvLimits struct{ rps, writes float64 }
 
-// limitsOf draws the limits: mostly they are generous, so that much meets; in a quarter of the
+// drawKVLimits draws the limits: mostly they are generous, so that much meets; in a quarter of the
 // runs they are what small deployments have, and requests are refused.
-func limitsOf(seed uint64) stateLimits {
+func drawKVLimits(seed uint64) kvLimits {
 	if seed%4 == 3 {
-		return stateLimits{rps: 300, writes: 60}
+		return kvLimits{rps: 300, writes: 60}
 	}
-	return stateLimits{rps: 3000, writes: 600}
+	return kvLimits{rps: 3000, writes: 600}
 }
 
 var zones = []string{"north", "south"}
@@ -70,7 +70,7 @@
 
 // Hosts and ports of a run's network.
 const (
-	standinHost    = 1
+	fakeHost       = 1
 	workerHost     = 2
 	controllerHost = 10 // and the next ones
 	statePort      = 7000
@@ -98,12 +98,12 @@
 func (a addresses) at(host, port int) string { return fmt.Sprintf("%s.%d:%d", a.network, host, port) }
 
 // state is where a controller finds the state service, and cloud the cloud.
-func (a addresses) state(controller int) string { return a.at(standinHost, statePort+controller) }
-func (a addresses) cloud(controller int) string { return a.at(standinHost, cloudPort+controller) }
+func (a addresses) state(controller int) string { return a.at(fakeHost, statePort+controller) }
+func (a addresses) cloud(controller int) string { return a.at(fakeHost, cloudPort+controller) }
 
 // peer is where one controller finds another.
 func (a addresses) peer(from, to int) string {
-	return a.at(standinHost, peerPort+from*maxControllers+to)
+	return a.at(fakeHost, peerPort+from*maxControllers+to)
 }
 
 func (a addresses) users(controller int) string { return a.at(controllerHost+controller, usersPort) }
@@ -116,7 +116,7 @@
 
 // platformSettings is the settings file of a controller.
 func platformSettings(a addresses, node int, o Options) string {
-	controllers, limits := o.Controllers, limitsOf(o.Seed)
+	controllers, limits := o.Controllers, drawKVLimits(o.Seed)
 	var b strings.Builder
 	line := func(format string, args ...any) { fmt.Fprintf(&b, format+"\n", args...) }
 	line("node = %q\nzone = %q", controllerName(node), zoneOf(node))
@@ -132,10 +132,10 @@
 		line("[[params.teams]]\nname = %q\ncpus = %.1f\ncpus_max = %.1f", t.Name, t.GuaranteedQuota.CPUs(), t.QuotaLimit.CPUs())
 	}
 	line("[params.workers]\nreport_s = %g\nlease_s = %g\ngang_wait_s = %g\ngang_peer_s = %g\ncancel_s = %g",
-		reportEvery.Seconds(), workerLease.Seconds(), gangWait.Seconds(), gangPeer.Seconds(), cancelWithin.Seconds())
+		heartbeatInterval.Seconds(), workerLease.Seconds(), gangWait.Seconds(), gangPeer.Seconds(), cancelDeadline.Seconds())
 	line("[params.state]\nrps = %.1f\nwrite_rps = %.1f\nvalue_kb = %d.0\ntxn_ops = %d",
 		limits.rps, limits.writes, valueBytes>>10, txnOps)
-	line("[params.cloud]\nrps = %d.0\nlist_lag_s = %g", cloudRPS, listLag.Seconds())
+	line("[params.cloud]\nrps = %d.0\nlist_lag_s = %g", cloudRPS, listDelay.Seconds())
 	line("[params.quota]\ncores = 1.0\nram_mb = %d.0\nsockets = %d", nodeMemoryMB, o.Sockets)
 	return b.String()
 }
--- a/internal/soak/linearizability.go
+++ b/internal/soaktest/linearizability.go
@@ -1,4 +1,4 @@
-package soak
+package soaktest
 
 import (
 	"math"
@@ -37,7 +37,7 @@
 
 func outcomeOf(o *operation) outcome {
 	switch {
-	case !o.known():
+	case !o.accepted():
 		return outcomeUnknown
 	case o.phase == wire.JobDone:
 		return outcomeDone
@@ -51,13 +51,13 @@
 var jobModel = porcupine.Model{
 	Init: func() any { return stateUnknown },
 	Step: func(state, input, output any) (bool, any) {
-		next, ok := step(state.(registerState), input.(operationKind), output.(outcome))
+		next, ok := stepJob(state.(registerState), input.(operationKind), output.(outcome))
 		return ok, next
 	},
 }
 
-// step tells which state follows from an operation, and whether its answer is possible.
-func step(state registerState, kind operationKind, told outcome) (registerState, bool) {
+// stepJob tells which state follows from an operation, and whether its answer is possible.
+func stepJob(state registerState, kind operationKind, told outcome) (registerState, bool) {
 	switch kind {
 	case opSubmit:
 		if state == stateUnknown && told != outcomeUnknown {
@@ -81,30 +81,30 @@
 	return state, true
 }
 
-// linearizeWithin bounds the check of one history.
-const linearizeWithin = 5 * time.Second
+// linearizabilityTimeout bounds the check of one history.
+const linearizabilityTimeout = 5 * time.Second
 
 // checkHistories checks the history of each job.
 func (c *checker) checkHistories() {
 	for _, id := range c.order {
 		truth := c.jobs[id]
-		switch porcupine.CheckOperationsTimeout(jobModel, operations(truth), linearizeWithin) {
+		switch porcupine.CheckOperationsTimeout(jobModel, operations(truth), linearizabilityTimeout) {
 		case porcupine.Illegal:
-			c.broke(RuleNotLinear, "no order of its %d answers explains all that users were told of %s", len(truth.history), id)
+			c.reportViolation(RuleNotLinear, "no order of its %d answers explains all that users were told of %s", len(truth.operations), id)
 		case porcupine.Unknown:
-			c.figures.Undecided++
+			c.stats.Undecided++
 		}
 	}
 }
 
 // operations are the requests for a job. All that got no answer which decides count as one
 // submission and one cancellation that may take effect at any time: more would have none.
-func operations(truth *jobTruth) []porcupine.Operation {
+func operations(truth *jobHistory) []porcupine.Operation {
 	var list []porcupine.Operation
-	for client := range truth.history {
-		o := &truth.history[client]
+	for client := range truth.operations {
+		o := &truth.operations[client]
 		list = append(list, porcupine.Operation{
-			ClientId: client, Input: o.kind, Output: outcomeOf(o), Call: int64(o.sent), Return: int64(o.answered),
+			ClientId: client, Input: o.kind, Output: outcomeOf(o), Call: int64(o.sentAt), Return: int64(o.respondedAt),
 		})
 	}
 	pending := func(kind operationKind, since micros.Micros) {
@@ -114,7 +114,7 @@
 			})
 		}
 	}
-	pending(opSubmit, truth.unansweredAt.submit)
-	pending(opCancel, truth.unansweredAt.cancel)
+	pending(opSubmit, truth.pending.submit)
+	pending(opCancel, truth.pending.cancel)
 	return slices.Clip(list)
 }
--- a/internal/soak/link.go
+++ b/internal/soaktest/link.go
@@ -1,4 +1,4 @@
-package soak
+package soaktest
 
 import (
 	"context"
@@ -7,20 +7,20 @@
 	"time"
 )
 
-// cutMode is how a link is cut.
-type cutMode int
+// partitionMode is how a link is cut.
+type partitionMode int
 
 // The modes of a link. What a held link swallows is executed once it is open again, though
 // nobody waits for the answer any more.
 const (
-	linkOpen cutMode = iota
+	linkOpen partitionMode = iota
 	linkDrops
 	linkHolds
 	linkRefuses
 	linkResets
 )
 
-func (m cutMode) String() string {
+func (m partitionMode) String() string {
 	return [...]string{"open", "drops", "holds", "refuses", "resets"}[m]
 }
 
@@ -30,34 +30,34 @@
 // The ways in which a request fails.
 const (
 	failureNone    failure = iota
-	failureSilent          // no answer comes
+	failureTimeout         // no answer comes
 	failureRefused         // it never reached the other side
 	failureReset           // the connection is reset
 )
 
-// answer is what a request gets: a status with a body, or a failure.
-type answer struct {
+// callResult is what a request gets: a status with a body, or a failure.
+type callResult struct {
 	status     int
 	body       []byte
 	retryAfter string
 	failure    failure
 }
 
-// conditions are the troubles on a link.
-type conditions struct {
-	cut cutMode
-	// uneven is the share of answers that are held back, each for up to unevenMost.
-	uneven     float64
-	unevenMost time.Duration
-	lost       float64 // share of the requests that are executed and whose answer is lost
-	late       float64 // share of the requests that are executed late, without an answer
-	twice      float64 // share of the requests that are executed once more, late
+// linkConditions are the troubles on a link.
+type linkConditions struct {
+	partition partitionMode
+	// delayShare is the share of answers that are held back, each for up to maxDelay.
+	delayShare        float64
+	maxDelay          time.Duration
+	responseLossShare float64 // share of the requests that are executed and whose answer is lost
+	lateShare         float64 // share of the requests that are executed late, without an answer
+	duplicateShare    float64 // share of the requests that are executed once more, late
 }
 
 // Late requests are executed within these times.
 const (
-	lateFrom = 500 * time.Millisecond
-	lateTo   = 8 * time.Second
+	minLateDelay = 500 * time.Millisecond
+	maxLateDelay = 8 * time.Second
 )
 
 // link is the way that messages take between two parties in one direction.
@@ -66,10 +66,10 @@
 
 	mu     sync.Mutex
 	rng    *rand.Rand
-	now    conditions
+	now    linkConditions
 	reopen chan struct{} // closed when the link is open again
-	// onCut is told when the mode of the cut changes; it may be nil.
-	onCut func(cutMode)
+	// onPartitionChange is told when the mode of the cut changes; it may be nil.
+	onPartitionChange func(partitionMode)
 }
 
 func newLink(name string, seed, stream uint64) *link {
@@ -77,55 +77,55 @@
 }
 
 // set changes the conditions of the link.
-func (l *link) set(change func(*conditions)) {
+func (l *link) set(change func(*linkConditions)) {
 	l.mu.Lock()
-	before := l.now.cut
+	before := l.now.partition
 	change(&l.now)
-	after := l.now.cut
+	after := l.now.partition
 	if before != linkOpen && after == linkOpen {
 		close(l.reopen)
 		l.reopen = make(chan struct{})
 	}
 	l.mu.Unlock()
-	if before != after && l.onCut != nil {
-		l.onCut(after)
+	if before != after && l.onPartitionChange != nil {
+		l.onPartitionChange(after)
 	}
 }
 
-// passage is what was drawn for one request.
-type passage struct {
-	cut       cutMode
+// transmission is what was drawn for one request.
+type transmission struct {
+	cut       partitionMode
 	reopened  <-chan struct{}
 	late      bool
 	lateAfter time.Duration
-	twice     bool
+	duplicate bool
 	lost      bool
 	delay     time.Duration
 }
 
-func (l *link) draw() passage {
+func (l *link) draw() transmission {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	p := passage{cut: l.now.cut, reopened: l.reopen}
-	p.lateAfter = lateFrom + time.Duration(l.rng.Int64N(int64(lateTo-lateFrom)))
-	p.late = l.rng.Float64() < l.now.late
-	p.twice = l.rng.Float64() < l.now.twice
-	p.lost = l.rng.Float64() < l.now.lost
-	if l.now.unevenMost > 0 && l.rng.Float64() < l.now.uneven {
-		p.delay = time.Duration(l.rng.Int64N(int64(l.now.unevenMost)))
+	p := transmission{cut: l.now.partition, reopened: l.reopen}
+	p.lateAfter = minLateDelay + time.Duration(l.rng.Int64N(int64(maxLateDelay-minLateDelay)))
+	p.late = l.rng.Float64() < l.now.lateShare
+	p.duplicate = l.rng.Float64() < l.now.duplicateShare
+	p.lost = l.rng.Float64() < l.now.responseLossShare
+	if l.now.maxDelay > 0 && l.rng.Float64() < l.now.delayShare {
+		p.delay = time.Duration(l.rng.Int64N(int64(l.now.maxDelay)))
 	}
 	return p
 }
 
-// carry brings a request over the link; send executes it at the other side. waits ends when the
+// transmit brings a request over the link; send executes it at the other side. waits ends when the
 // sender gives up, run when the whole run ends.
-func (l *link) carry(waits, run context.Context, send func() answer) answer {
+func (l *link) transmit(waits, run context.Context, send func() callResult) callResult {
 	p := l.draw()
 	switch {
 	case p.cut == linkRefuses:
-		return answer{failure: failureRefused}
+		return callResult{failure: failureRefused}
 	case p.cut == linkResets:
-		return answer{failure: failureReset}
+		return callResult{failure: failureReset}
 	case p.cut == linkHolds:
 		go sendOnce(run, p.reopened, send)
 	case p.late:
@@ -134,18 +134,18 @@
 		return l.deliver(waits, run, p, send)
 	}
 	<-waits.Done()
-	return answer{failure: failureSilent}
+	return callResult{failure: failureTimeout}
 }
 
 // deliver executes a request now, and has its answer come as drawn.
-func (l *link) deliver(waits, run context.Context, p passage, send func() answer) answer {
-	if p.twice {
+func (l *link) deliver(waits, run context.Context, p transmission, send func() callResult) callResult {
+	if p.duplicate {
 		go sendAfter(run, p.lateAfter, send)
 	}
 	a := send()
 	if p.lost {
 		<-waits.Done()
-		return answer{failure: failureSilent}
+		return callResult{failure: failureTimeout}
 	}
 	if p.delay > 0 {
 		pause(waits, p.delay)
@@ -154,7 +154,7 @@
 }
 
 // sendOnce executes a request once a link is open again.
-func sendOnce(run context.Context, reopened <-chan struct{}, send func() answer) {
+func sendOnce(run context.Context, reopened <-chan struct{}, send func() callResult) {
 	select {
 	case <-reopened:
 		send()
@@ -163,7 +163,7 @@
 }
 
 // sendAfter executes a request late.
-func sendAfter(run context.Context, delay time.Duration, send func() answer) {
+func sendAfter(run context.Context, delay time.Duration, send func() callResult) {
 	if pause(run, delay) {
 		send()
 	}
--- a/internal/soak/link_test.go
+++ b/internal/soaktest/link_test.go
@@ -1,4 +1,4 @@
-package soak
+package soaktest
 
 import (
 	"context"
@@ -12,18 +12,18 @@
 func TestLinkCarries(t *testing.T) {
 	for _, c := range []struct {
 		name     string
-		set      func(*conditions)
+		set      func(*linkConditions)
 		executed int // in the end
 		failure  failure
 	}{
-		{"open", func(*conditions) {}, 1, failureNone},
-		{"drops", func(c *conditions) { c.cut = linkDrops }, 0, failureSilent},
-		{"refuses", func(c *conditions) { c.cut = linkRefuses }, 0, failureRefused},
-		{"resets", func(c *conditions) { c.cut = linkResets }, 0, failureReset},
-		{"loses answers", func(c *conditions) { c.lost = 1 }, 1, failureSilent},
-		{"executes late", func(c *conditions) { c.late = 1 }, 1, failureSilent},
-		{"executes twice", func(c *conditions) { c.twice = 1 }, 2, failureNone},
-		{"holds answers back", func(c *conditions) { c.uneven, c.unevenMost = 1, 50*time.Millisecond }, 1, failureNone},
+		{"open", func(*linkConditions) {}, 1, failureNone},
+		{"drops", func(c *linkConditions) { c.partition = linkDrops }, 0, failureTimeout},
+		{"refuses", func(c *linkConditions) { c.partition = linkRefuses }, 0, failureRefused},
+		{"resets", func(c *linkConditions) { c.partition = linkResets }, 0, failureReset},
+		{"loses answers", func(c *linkConditions) { c.responseLossShare = 1 }, 1, failureTimeout},
+		{"executes late", func(c *linkConditions) { c.lateShare = 1 }, 1, failureTimeout},
+		{"executes twice", func(c *linkConditions) { c.duplicateShare = 1 }, 2, failureNone},
+		{"holds answers back", func(c *linkConditions) { c.delayShare, c.maxDelay = 1, 50*time.Millisecond }, 1, failureNone},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
@@ -32,14 +32,14 @@
 			var executed atomic.Int32
 			waits, giveUp := context.WithTimeout(t.Context(), 100*time.Millisecond)
 			defer giveUp()
-			a := l.carry(waits, t.Context(), func() answer {
+			a := l.transmit(waits, t.Context(), func() callResult {
 				executed.Add(1)
-				return answer{status: 200}
+				return callResult{status: 200}
 			})
 			if a.failure != c.failure {
 				t.Errorf("failure %d, want %d", a.failure, c.failure)
 			}
-			for until := time.Now().Add(lateTo + time.Second); int(executed.Load()) < c.executed && time.Now().Before(until); {
+			for until := time.Now().Add(maxLateDelay + time.Second); int(executed.Load()) < c.executed && time.Now().Before(until); {
 				time.Sleep(10 * time.Millisecond)
 			}
 			if got := int(executed.Load()); got != c.executed {
@@ -52,11 +52,11 @@
 // TestLinkHolds sees that a held request is executed once the link is open again, and not before.
 func TestLinkHolds(t *testing.T) {
 	l := newLink("holds", 1, 1)
-	l.set(func(c *conditions) { c.cut = linkHolds })
+	l.set(func(c *linkConditions) { c.partition = linkHolds })
 	executed := make(chan struct{})
 	waits, giveUp := context.WithCancel(t.Context())
 	giveUp()
-	if a := l.carry(waits, t.Context(), func() answer { close(executed); return answer{} }); a.failure != failureSilent {
+	if a := l.transmit(waits, t.Context(), func() callResult { close(executed); return callResult{} }); a.failure != failureTimeout {
 		t.Fatalf("failure %d", a.failure)
 	}
 	select {
@@ -64,6 +64,6 @@
 		t.Fatal("executed while the link is cut")
 	case <-time.After(50 * time.Millisecond):
 	}
-	l.set(func(c *conditions) { c.cut = linkOpen })
+	l.set(func(c *linkConditions) { c.partition = linkOpen })
 	<-executed
 }
--- a/internal/soak/options.go
+++ b/internal/soaktest/options.go
@@ -5,7 +5,7 @@
 // The checks see only what users and workers see, the history of the state service, and the
 // controllers' logs. A seed determines which faults and jobs are drawn; since processes are real,
 // a run with the same seed is similar, not the same.
-package soak
+package soaktest
 
 import (
 	"fmt"
--- a/internal/soak/options_test.go
+++ b/internal/soaktest/options_test.go
@@ -1,4 +1,4 @@
-package soak
+package soaktest
 
 import (
 	"errors"
--- a/internal/soak/records.go
+++ b/internal/soaktest/records.go
@@ -1,4 +1,4 @@
-package soak
+package soaktest
 
 import (
 	"bytes"
@@ -34,22 +34,22 @@
 	case strings.HasPrefix(key, record.BlockPrefix):
 		c.blocks.changed = true
 	case strings.HasPrefix(key, record.TerminalStatePrefix):
-		c.finalWritten(strings.TrimPrefix(key, record.TerminalStatePrefix), value)
+		c.terminalStateWritten(strings.TrimPrefix(key, record.TerminalStatePrefix), value)
 	}
 }
 
-// finalWritten checks that the final record of a job was not there, or said the same.
-func (c *checker) finalWritten(job string, value []byte) {
+// terminalStateWritten checks that the final record of a job was not there, or said the same.
+func (c *checker) terminalStateWritten(job string, value []byte) {
 	var final record.TerminalState
 	if err := wire.Decode(value, &final); err != nil {
-		c.broke(RuleFinalChanged, "the final record of %s cannot be read: %v", job, err)
+		c.reportViolation(RuleFinalChanged, "the final record of %s cannot be read: %v", job, err)
 		return
 	}
 	status := string(final.Status)
-	if before, ok := c.finals[job]; ok && before != status {
-		c.broke(RuleFinalChanged, "%s was %s by its record, is %s", job, before, status)
+	if before, ok := c.terminalStates[job]; ok && before != status {
+		c.reportViolation(RuleFinalChanged, "%s was %s by its record, is %s", job, before, status)
 	}
-	c.finals[job] = status
+	c.terminalStates[job] = status
 }
 
 // committed checks the records after a transaction. An owner that moves a machine from one of its
@@ -69,7 +69,7 @@
 				if isAdopted(block) || isAdopted(other) {
 					rule = RuleAdopted
 				}
-				c.broke(rule, "%s is in the blocks %s of %s and %s of %s at revision %d",
+				c.reportViolation(rule, "%s is in the blocks %s of %s and %s of %s at revision %d",
 					machine, other, c.blocks.contents[other].owner, block, content.owner, revision)
 			}
 			blockOf[machine] = block
@@ -85,15 +85,15 @@
 // readBlocks reads the blocks that have changed.
 func (c *checker) readBlocks() {
 	now := map[string][]byte{}
-	for _, key := range c.site.state.Keys(record.BlockPrefix) {
-		value, _ := c.site.state.Get(key)
+	for _, key := range c.site.kvStore.Keys(record.BlockPrefix) {
+		value, _ := c.site.kvStore.Get(key)
 		now[key] = value
 		if bytes.Equal(value, c.blocks.values[key]) {
 			continue
 		}
 		content, err := contentOf(value)
 		if err != nil {
-			c.broke(RuleOwnedTwice, "block %s cannot be read: %v", key, err)
+			c.reportViolation(RuleOwnedTwice, "block %s cannot be read: %v", key, err)
 		}
 		c.blocks.contents[key] = content
 	}
--- a/internal/soak/run.go
+++ b/internal/soaktest/run.go
@@ -1,4 +1,4 @@
-package soak
+package soaktest
 
 import (
 	"bufio"
@@ -14,13 +14,13 @@
 
 // Result is what a run showed.
 type Result struct {
-	Violations []Violation
-	More       int // violations beyond those
-	Figures    Figures
+	Violations        []Violation
+	DroppedViolations int // violations beyond those
+	Stats             Stats
 }
 
-// settleEvery is how often the end of a run looks whether all jobs are over.
-const settleEvery = 500 * time.Millisecond
+// settlePollInterval is how often the end of a run looks whether all jobs are over.
+const settlePollInterval = 500 * time.Millisecond
 
 // warmUp is the time without faults at the start. Controllers that have just started do not
 // confirm cancellations for 12 s.
@@ -33,7 +33,7 @@
 	}
 	run, stop := context.WithCancel(ctx)
 	defer stop()
-	s, err := newSite(run, o)
+	s, err := newHarness(run, o)
 	if err != nil {
 		return nil, err
 	}
@@ -66,55 +66,55 @@
 	return s.result(), nil
 }
 
-func (s *site) killAll() {
+func (s *harness) killAll() {
 	for _, c := range s.controllers {
 		c.kill()
 	}
 }
 
-// readyWithin is within which time some controller must answer.
-const readyWithin = time.Minute
+// readyTimeout is within which time some controller must answer.
+const readyTimeout = time.Minute
 
 // waitReady waits until a controller accepts requests.
-func (s *site) waitReady() error {
-	for until := time.Now().Add(readyWithin); time.Now().Before(until); {
+func (s *harness) waitReady() error {
+	for until := time.Now().Add(readyTimeout); time.Now().Before(until); {
 		for i := range s.controllers {
 			if s.client.send(s.run, "GET", s.addrs.users(i), "/up", nil, time.Second).status == 200 {
 				return nil
 			}
 		}
-		if !s.sleep(settleEvery) {
+		if !s.sleep(settlePollInterval) {
 			return s.run.Err()
 		}
 	}
-	return fmt.Errorf("no controller answers within %v", readyWithin)
+	return fmt.Errorf("no controller answers within %v", readyTimeout)
 }
 
-// unheardFor is for how long a job may go without an answer once faults are over.
-const unheardFor = 75 * micros.Second
+// maxUnansweredTime is for how long a job may go without an answer once faults are over.
+const maxUnansweredTime = 75 * micros.Second
 
 // settle waits until all accepted jobs are over, or the time for that is.
-func (s *site) settle() {
+func (s *harness) settle() {
 	s.mu.Lock()
-	s.check.faultsOver = s.now()
+	s.checker.faultsEndedAt = s.now()
 	s.mu.Unlock()
 	for until := time.Now().Add(s.options.Settle); time.Now().Before(until); {
 		if s.openJobs() == 0 {
 			return
 		}
-		if !s.sleep(settleEvery) {
+		if !s.sleep(settlePollInterval) {
 			return
 		}
 	}
 }
 
 // openJobs counts the accepted jobs of which no user knows that they are over.
-func (s *site) openJobs() int {
+func (s *harness) openJobs() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	open := 0
-	for _, truth := range s.check.jobs {
-		if truth.acceptedAt != 0 && truth.final == "" {
+	for _, truth := range s.checker.jobs {
+		if truth.acceptedAt != 0 && truth.terminalPhase == "" {
 			open++
 		}
 	}
@@ -122,25 +122,25 @@
 }
 
 // result checks what can only be checked at the end.
-func (s *site) result() *Result {
+func (s *harness) result() *Result {
 	open := s.openJobs()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	c := s.check
-	c.figures.Open = open
+	c := s.checker
+	c.stats.Open = open
 	c.checkForgotten()
 	c.checkHistories()
 	c.checkLogs()
-	return &Result{Violations: c.violations, More: c.more, Figures: c.figures}
+	return &Result{Violations: c.violations, DroppedViolations: c.droppedViolations, Stats: c.stats}
 }
 
 // checkForgotten checks that each accepted job was answered about since the faults were over.
 func (c *checker) checkForgotten() {
 	for _, id := range c.order {
 		truth := c.jobs[id]
-		silent := c.site.now() - max(truth.answeredAt, c.faultsOver)
-		if truth.acceptedAt != 0 && truth.final == "" && silent > unheardFor+c.stalled {
-			c.broke(RuleForgotten, "nobody has answered about %s for %v", id, silent)
+		silent := c.site.now() - max(truth.answeredAt, c.faultsEndedAt)
+		if truth.acceptedAt != 0 && truth.terminalPhase == "" && silent > maxUnansweredTime+c.stalled {
+			c.reportViolation(RuleForgotten, "nobody has answered about %s for %v", id, silent)
 		}
 	}
 }
@@ -168,13 +168,13 @@
 	lines.Buffer(nil, maxMessage)
 	for lines.Scan() {
 		if line := lines.Text(); strings.Contains(line, invariantLine) || strings.HasPrefix(line, "panic:") || strings.HasPrefix(line, "fatal error:") {
-			c.broke(RuleInvariant, "%s: %s", controller.name, line)
+			c.reportViolation(RuleInvariant, "%s: %s", controller.name, line)
 		} else if isGivenUp(line) {
 			givenUp++
 		}
 	}
-	if c.figures.GivenUp += givenUp; givenUp > 0 && c.site.options.Calm && c.stalled == 0 {
-		c.broke(RuleGivenUp, "%s gave up %d machines, though all are well", controller.name, givenUp)
+	if c.stats.GivenUp += givenUp; givenUp > 0 && c.site.options.Calm && c.stalled == 0 {
+		c.reportViolation(RuleGivenUp, "%s gave up %d machines, though all are well", controller.name, givenUp)
 	}
 	return lines.Err()
 }
--- a/internal/soak/server.go
+++ b/internal/soaktest/server.go
@@ -1,4 +1,4 @@
-package soak
+package soaktest
 
 import (
 	"bytes"
@@ -21,23 +21,23 @@
 	addr    string
 	link    *link
 	run     context.Context
-	execute func(r inbound) answer
+	execute func(r inboundRequest) callResult
 
 	mu     sync.Mutex
 	server *http.Server
 }
 
-// inbound is a request that reached a stand-in.
-type inbound struct {
+// inboundRequest is a request that reached a stand-in.
+type inboundRequest struct {
 	method, target string
 	body           []byte
-	givenUp        <-chan struct{} // closed when its sender has given up
+	abandoned      <-chan struct{} // closed when its sender has given up
 }
 
 // serve starts to listen.
-func serve(run context.Context, addr string, l *link, execute func(inbound) answer) (*linkServer, error) {
+func serve(run context.Context, addr string, l *link, execute func(inboundRequest) callResult) (*linkServer, error) {
 	s := &linkServer{addr: addr, link: l, run: run, execute: execute}
-	l.onCut = func(mode cutMode) {
+	l.onPartitionChange = func(mode partitionMode) {
 		if mode == linkRefuses {
 			s.stop()
 		} else {
@@ -78,11 +78,11 @@
 	if err != nil {
 		panic(http.ErrAbortHandler)
 	}
-	in := inbound{method: r.Method, target: r.URL.RequestURI(), body: body, givenUp: r.Context().Done()}
-	a := s.link.carry(r.Context(), s.run, func() answer { return s.execute(in) })
+	in := inboundRequest{method: r.Method, target: r.URL.RequestURI(), body: body, abandoned: r.Context().Done()}
+	a := s.link.transmit(r.Context(), s.run, func() callResult { return s.execute(in) })
 	switch a.failure {
 	case failureNone:
-		writeAnswer(w, a)
+		writeResponse(w, a)
 	case failureReset:
 		resetConnection(w)
 	default:
@@ -90,7 +90,7 @@
 	}
 }
 
-func writeAnswer(w http.ResponseWriter, a answer) {
+func writeResponse(w http.ResponseWriter, a callResult) {
 	w.Header().Set("Content-Type", wire.ContentType)
 	if a.retryAfter != "" {
 		w.Header().Set("Retry-After", a.retryAfter)
@@ -124,22 +124,22 @@
 }
 
 // send sends a request and returns what comes within a time.
-func (h *httpClient) send(run context.Context, method, addr, target string, body []byte, timeout time.Duration) answer {
+func (h *httpClient) send(run context.Context, method, addr, target string, body []byte, timeout time.Duration) callResult {
 	ctx, cancel := context.WithTimeout(run, timeout)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, method, "http://"+addr+target, bytes.NewReader(body))
 	if err != nil {
-		return answer{failure: failureRefused}
+		return callResult{failure: failureRefused}
 	}
 	request.Header.Set("Content-Type", wire.ContentType)
 	response, err := h.client.Do(request)
 	if err != nil {
-		return answer{failure: failureSilent}
+		return callResult{failure: failureTimeout}
 	}
 	defer response.Body.Close()
 	data, err := io.ReadAll(io.LimitReader(response.Body, maxMessage))
 	if err != nil {
-		return answer{failure: failureSilent}
+		return callResult{failure: failureTimeout}
 	}
-	return answer{status: response.StatusCode, body: data, retryAfter: response.Header.Get("Retry-After")}
+	return callResult{status: response.StatusCode, body: data, retryAfter: response.Header.Get("Retry-After")}
 }
--- a/internal/soak/site.go
+++ b/internal/soaktest/site.go
@@ -1,4 +1,4 @@
-package soak
+package soaktest
 
 import (
 	"context"
@@ -19,51 +19,51 @@
 
 // Sources of random numbers of a run.
 const (
-	streamSite uint64 = iota + 1
+	streamHarness uint64 = iota + 1
 	streamFaults
 	streamJobs
 	streamLinks // and the next ones
 )
 
-// stepEvery is how often the stand-ins make progress.
-const stepEvery = 10 * time.Millisecond
+// stepInterval is how often the stand-ins make progress.
+const stepInterval = 10 * time.Millisecond
 
-// site is a run: the controllers, the stand-ins that they talk to, and the checker.
-type site struct {
+// harness is a run: the controllers, the stand-ins that they talk to, and the checker.
+type harness struct {
 	options Options
 	addrs   addresses
 	started time.Time
 	run     context.Context // ends with the run
 	client  *httpClient
 
-	controllers []*controllerProcess
-	stateLinks  []*link // by controller
-	cloudLinks  []*link
-	userLinks   []*link
-	reportLinks []*link   // from workers
-	peerLinks   [][]*link // from one controller to another
-
-	mu      sync.Mutex // guards all below, and what the stand-ins hold
-	rng     *rand.Rand
-	state   *fake.KVStore
-	cloud   *fake.Cloud
-	fleet   *fake.Fleet
-	check   *checker
-	workers map[string]*workerServer
-	copies  float64 // share of the reports of which a copy comes late
-	stepped micros.Micros
+	controllers    []*controllerProcess
+	stateLinks     []*link // by controller
+	cloudLinks     []*link
+	userLinks      []*link
+	heartbeatLinks []*link   // from workers
+	peerLinks      [][]*link // from one controller to another
+
+	mu                      sync.Mutex // guards all below, and what the stand-ins hold
+	rng                     *rand.Rand
+	kvStore                 *fake.KVStore
+	cloud                   *fake.Cloud
+	fleet                   *fake.Fleet
+	checker                 *checker
+	workers                 map[string]*workerServer
+	duplicateHeartbeatShare float64 // share of the reports of which a copy comes late
+	lastStep                micros.Micros
 }
 
 // now is the time of the run. It begins with an hour, so that zero always means never.
-func (s *site) now() micros.Micros {
+func (s *harness) now() micros.Micros {
 	return micros.Hour + micros.FromDuration(time.Since(s.started))
 }
 
-func newSite(run context.Context, o Options) (*site, error) {
-	s := &site{
+func newHarness(run context.Context, o Options) (*harness, error) {
+	s := &harness{
 		options: o, started: time.Now(), run: run, client: newHTTPClient(),
-		rng:   rand.New(rand.NewPCG(o.Seed, streamSite)),
-		state: fake.NewKVStore(), cloud: fake.NewCloud(), workers: map[string]*workerServer{},
+		rng:     rand.New(rand.NewPCG(o.Seed, streamHarness)),
+		kvStore: fake.NewKVStore(), cloud: fake.NewCloud(), workers: map[string]*workerServer{},
 	}
 	// The network is drawn apart: two runs with one seed may be played at once.
 	addrs, err := findNetwork(rand.IntN)
@@ -71,24 +71,24 @@
 		return nil, err
 	}
 	s.addrs = addrs
-	s.check = newChecker(s)
-	limits := limitsOf(o.Seed)
-	s.state.MaxOps, s.state.MaxValueBytes, s.state.RequestRate, s.state.WriteRate = txnOps, valueBytes, limits.rps, limits.writes
-	s.state.OnPut, s.state.OnCommit = s.check.recordWritten, s.check.committed
+	s.checker = newChecker(s)
+	limits := drawKVLimits(o.Seed)
+	s.kvStore.MaxOps, s.kvStore.MaxValueBytes, s.kvStore.RequestRate, s.kvStore.WriteRate = txnOps, valueBytes, limits.rps, limits.writes
+	s.kvStore.OnPut, s.kvStore.OnCommit = s.checker.recordWritten, s.checker.committed
 	s.fleet = fake.NewFleet(fake.FleetTimeouts{Lease: workerLease, GangPeerTimeout: gangPeer, GangWaitTimeout: gangWait})
-	s.fleet.Info, s.fleet.OnStart, s.fleet.OnExit = s.check.taskInfo, s.check.taskStarted, s.check.taskExited
+	s.fleet.Info, s.fleet.OnStart, s.fleet.OnExit = s.checker.taskInfo, s.checker.taskStarted, s.checker.taskExited
 	s.fleet.OnDone = func(string) {}
-	s.cloud.ListDelay, s.cloud.Types, s.cloud.Now = listLag, []wire.MachineType{machineType()}, s.now()
+	s.cloud.ListDelay, s.cloud.Types, s.cloud.Now = listDelay, []wire.MachineType{machineType()}, s.now()
 	s.cloud.Endpoint = s.addWorker
 	s.makeLinks()
-	if err := s.serveStandins(); err != nil {
+	if err := s.serveFakes(); err != nil {
 		return nil, err
 	}
 	return s, s.makeControllers()
 }
 
 // makeLinks makes the links of all controllers.
-func (s *site) makeLinks() {
+func (s *harness) makeLinks() {
 	stream := streamLinks
 	add := func(format string, args ...any) *link {
 		stream++
@@ -99,7 +99,7 @@
 		s.stateLinks = append(s.stateLinks, add("%s to the state service", name))
 		s.cloudLinks = append(s.cloudLinks, add("%s to the cloud", name))
 		s.userLinks = append(s.userLinks, add("users to %s", name))
-		s.reportLinks = append(s.reportLinks, add("workers to %s", name))
+		s.heartbeatLinks = append(s.heartbeatLinks, add("workers to %s", name))
 		var peers []*link
 		for j := range s.options.Controllers {
 			peers = append(peers, add("%s to %s", name, controllerName(j)))
@@ -108,12 +108,12 @@
 	}
 }
 
-// serveStandins listens for the controllers: each finds state service, cloud and peers at
+// serveFakes listens for the controllers: each finds state service, cloud and peers at
 // addresses of its own, so that its links can fail alone.
-func (s *site) serveStandins() error {
+func (s *harness) serveFakes() error {
 	for i := range s.options.Controllers {
 		name := controllerName(i)
-		executeState := func(r inbound) answer { return s.executeState(name, r) }
+		executeState := func(r inboundRequest) callResult { return s.executeKV(name, r) }
 		if _, err := serve(s.run, s.addrs.state(i), s.stateLinks[i], executeState); err != nil {
 			return err
 		}
@@ -124,7 +124,7 @@
 			if i == j {
 				continue
 			}
-			forward := func(r inbound) answer {
+			forward := func(r inboundRequest) callResult {
 				return s.client.send(s.run, r.method, s.addrs.peers(j), r.target, r.body, peerTimeout)
 			}
 			if _, err := serve(s.run, s.addrs.peer(i, j), s.peerLinks[i][j], forward); err != nil {
@@ -138,9 +138,9 @@
 // peerTimeout is longer than controllers wait for each other.
 const peerTimeout = 10 * time.Second
 
-func (s *site) makeControllers() error {
+func (s *harness) makeControllers() error {
 	for i := range s.options.Controllers {
-		c := newController(controllerName(i), s.options.Binary, s.options.Dir, s.addrs.users(i), s.addrs.peers(i), s.check.processEnded)
+		c := newController(controllerName(i), s.options.Binary, s.options.Dir, s.addrs.users(i), s.addrs.peers(i), s.checker.processEnded)
 		settings := platformSettings(s.addrs, i, s.options)
 		if err := c.writeSettings(settings, operatorSettings(s.options.Seed)); err != nil {
 			return err
@@ -150,36 +150,36 @@
 	return nil
 }
 
-// executeState executes a request to the state service. A watch waits for changes.
-func (s *site) executeState(caller string, r inbound) answer {
+// executeKV executes a request to the state service. A watch waits for changes.
+func (s *harness) executeKV(caller string, r inboundRequest) callResult {
 	until := s.now() + watchWait(r.target)
 	for {
 		s.mu.Lock()
-		s.state.Now = s.now()
-		reply, ok := s.state.Handle(caller, r.method, r.target, r.body, s.now() >= until)
+		s.kvStore.Now = s.now()
+		reply, ok := s.kvStore.Handle(caller, r.method, r.target, r.body, s.now() >= until)
 		s.mu.Unlock()
 		if ok {
-			return answer{status: reply.Status, body: reply.Body}
+			return callResult{status: reply.Status, body: reply.Body}
 		}
 		select {
-		case <-r.givenUp:
-			return answer{failure: failureSilent}
-		case <-time.After(stepEvery):
+		case <-r.abandoned:
+			return callResult{failure: failureTimeout}
+		case <-time.After(stepInterval):
 		}
 	}
 }
 
-func (s *site) executeCloud(r inbound) answer {
+func (s *harness) executeCloud(r inboundRequest) callResult {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.cloud.Now = s.now()
 	reply := s.cloud.Handle(r.method, r.target, r.body)
-	s.check.machinesGone()
-	return answer{status: reply.Status, body: reply.Body}
+	s.checker.machinesGone()
+	return callResult{status: reply.Status, body: reply.Body}
 }
 
 // addMachines adds the machines that are there at the start; the cloud has as many more.
-func (s *site) addMachines() {
+func (s *harness) addMachines() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for i := range s.options.Machines {
@@ -193,8 +193,8 @@
 }
 
 // steps lets the stand-ins make progress until the run ends.
-func (s *site) steps() {
-	ticker := time.NewTicker(stepEvery)
+func (s *harness) steps() {
+	ticker := time.NewTicker(stepInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -206,23 +206,23 @@
 	}
 }
 
-func (s *site) step() {
+func (s *harness) step() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.now()
-	s.check.noteStall(s.stepped, now)
-	s.stepped = now
-	s.state.Advance(now)
+	s.checker.recordStall(s.lastStep, now)
+	s.lastStep = now
+	s.kvStore.Advance(now)
 	s.cloud.Now = now
 	s.bootMachines(now)
 	for _, name := range s.fleet.Names() {
 		s.stepWorker(s.fleet.Workers[name], now)
 	}
-	s.check.tick(now)
+	s.checker.tick(now)
 }
 
 // bootMachines starts the workers of machines that have come up.
-func (s *site) bootMachines(now micros.Micros) {
+func (s *harness) bootMachines(now micros.Micros) {
 	for _, name := range s.cloud.Names() {
 		m := s.cloud.Machines[name]
 		if m.Started || m.Gone || m.UpAt == 0 || now < m.UpAt {
@@ -234,7 +234,7 @@
 }
 
 // progress tells the user of the program what happens.
-func (s *site) progress(format string, args ...any) {
+func (s *harness) progress(format string, args ...any) {
 	if s.options.Progress != nil {
 		at := (s.now() - micros.Hour).Seconds()
 		fmt.Fprintf(s.options.Progress, "%7.3f "+format+"\n", append([]any{at}, args...)...)
@@ -242,4 +242,4 @@
 }
 
 // sleep waits, and tells whether the run still goes on.
-func (s *site) sleep(d time.Duration) bool { return pause(s.run, d) }
+func (s *harness) sleep(d time.Duration) bool { return pause(s.run, d) }
--- a/internal/soak/soak_test.go
+++ b/internal/soaktest/soak_test.go
@@ -1,4 +1,4 @@
-package soak
+package soaktest
 
 import (
 	"fmt"
@@ -20,7 +20,7 @@
 	for _, seed := range shortSeeds {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			playShort(t, Options{
+			runShort(t, Options{
 				Seed: seed, Duration: 20 * time.Second, Settle: 15 * time.Second,
 				Controllers: 3, Machines: 12, JobRate: 4, Sockets: 1200, Binary: binary,
 			})
@@ -30,7 +30,7 @@
 	// users are served.
 	t.Run("no connection free", func(t *testing.T) {
 		t.Parallel()
-		playShort(t, Options{
+		runShort(t, Options{
 			Seed: 1, Duration: 20 * time.Second, Settle: 15 * time.Second,
 			Controllers: 3, Machines: 160, JobRate: 4, Sockets: 64, Calm: true, Binary: binary,
 		})
@@ -48,8 +48,8 @@
 	return binary
 }
 
-// playShort plays a run in which no rule may break and something must happen.
-func playShort(t *testing.T, o Options) {
+// runShort plays a run in which no rule may break and something must happen.
+func runShort(t *testing.T, o Options) {
 	t.Helper()
 	o.Dir = t.TempDir()
 	var progress strings.Builder
@@ -58,11 +58,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Logf("%+v", result.Figures)
+	t.Logf("%+v", result.Stats)
 	for _, v := range result.Violations {
 		t.Error(v)
 	}
-	if f := result.Figures; f.Accepted == 0 || f.Answers == 0 || f.Starts == 0 {
+	if f := result.Stats; f.Accepted == 0 || f.Answers == 0 || f.Starts == 0 {
 		t.Errorf("nothing happened: %+v", f)
 	}
 	if t.Failed() {
