--- a/controller/acceptance.go
+++ b/controller/acceptance.go
@@ -34,7 +34,7 @@
 	var waiting []*submission
 	for _, sub := range s.waiting {
 		if s.c.now-sub.receivedAt > acceptWithin {
-			s.refuseAll(sub, reasonStoreSilent)
+			s.refuseAll(sub, reasonKVUnresponsive)
 			continue
 		}
 		waiting = append(waiting, sub)
@@ -126,7 +126,7 @@
 	for _, sub := range batch {
 		known := failed[record.ActiveJobKey(sub.job.ID)] || failed[record.TerminalStateKey(sub.job.ID)]
 		if known || len(failed) == 0 {
-			s.answerKnownOr(sub, unavailable(reasonStoreSilent))
+			s.answerKnownOr(sub, unavailable(reasonKVUnresponsive))
 		} else {
 			s.waiting = append(s.waiting, sub)
 		}
--- a/controller/announcements.go
+++ b/controller/announcements.go
@@ -32,7 +32,7 @@
 
 func (h cancellationHost) SendAnnouncement(to, job string, acknowledged func(now micros.Micros)) {
 	m := &peer.Message{Body: &peer.Message_JobEnded{JobEnded: &peer.JobEnded{Id: job}}}
-	h.c.callPeer(h.c.peers[to], m, heartbeatTimeout, maxPeerBody, func(answer *peer.Message, _ bool) {
+	h.c.callPeer(h.c.peers[to], m, peerHeartbeatTimeout, maxPeerBody, func(answer *peer.Message, _ bool) {
 		if answer != nil {
 			acknowledged(h.c.now)
 		}
--- a/controller/answers.go
+++ b/controller/answers.go
@@ -38,9 +38,9 @@
 		}
 		return true
 	}
-	c.violated("an answer about a job rests on old knowledge", "job", job, "request", r.id, "told", told, "basis", evidence.Basis,
+	c.reportViolation("an answer about a job rests on old knowledge", "job", job, "request", r.id, "told", told, "basis", evidence.Basis,
 		"came_us", int64(r.cameAt), "sent_us", int64(evidence.SentAt), "ended", c.cancellations.HasEnded(job))
-	c.refuse(r.id, wire.StatusUnavailable, reasonStoreSilent)
+	c.refuse(r.id, wire.StatusUnavailable, reasonKVUnresponsive)
 	return false
 }
 
--- a/controller/attempt.go
+++ b/controller/attempt.go
@@ -33,10 +33,10 @@
 	state   attemptState
 	// phase is the task's phase in the machine's latest report, and seen whether any report
 	// listed it.
-	phase wire.TaskPhase
-	seen  bool
-	// startSeq is the sequence number of the report that its start command answered.
-	startSeq uint64
+	phase         wire.TaskPhase
+	heartbeatSeen bool
+	// startHeartbeatSeq is the sequence number of the report that its start command answered.
+	startHeartbeatSeq uint64
 	// since is when it was placed, and running when it was first reported running, or 0.
 	since   micros.Micros
 	running micros.Micros
--- a/controller/bench_test.go
+++ b/controller/bench_test.go
@@ -35,11 +35,11 @@
 	}
 	for i := range benchMachines {
 		m := o.newMachine(machineInfo{fmt.Sprintf("m-%06d", i), "mid", o.c.cfg.Zones[i%2], i%3 == 0, "worker"})
-		m.token, m.session, m.synced, m.tokenShownAt, m.heard, m.state = 1, 1, true, o.c.now, o.c.now, machineUp
+		m.token, m.agentEpoch, m.synced, m.tokenShownAt, m.lastHeartbeat, m.state = 1, 1, true, o.c.now, o.c.now, machineUp
 		for n := range benchTasks {
 			at := i*benchTasks + n
 			j := o.queue[at/100]
-			o.attach(j, at%100, 7, m, attemptLive).seen = true
+			o.attach(j, at%100, 7, m, attemptLive).heartbeatSeen = true
 		}
 	}
 	o.dispatchQueue = nil
@@ -111,7 +111,7 @@
 	o.scheduleWanted, o.flushing = false, true // a commit is under way
 	for i := 0; b.Loop(); i++ {
 		m := o.list[i%benchMachines]
-		m.seq = 0
+		m.heartbeatSeq = 0
 		o.c.Handle(o.c.now, o.c.now, Request{ID: uint64(i), Method: "POST", Path: "/hello", Body: bodies[i%benchMachines]})
 	}
 	if o.c.owner != o {
--- a/controller/cancellations.go
+++ b/controller/cancellations.go
@@ -30,7 +30,7 @@
 		return
 	}
 	if c.store.Unavailable() {
-		c.refuse(request.id, wire.StatusUnavailable, reasonStoreSilent)
+		c.refuse(request.id, wire.StatusUnavailable, reasonKVUnresponsive)
 		return
 	}
 	if c.budget.AvailableWrites(budget.UserRequests, c.now) < cancelWrites {
@@ -54,7 +54,7 @@
 		case kv.NotFound:
 			r.c.lookup(r.job, r.notActive)
 		default:
-			r.refuse(reasonStoreSilent)
+			r.refuse(reasonKVUnresponsive)
 		}
 	})
 }
@@ -67,7 +67,7 @@
 	case result.outcome == lookupFound && result.final():
 		r.respond(result.status)
 	default:
-		r.refuse(reasonStoreSilent)
+		r.refuse(reasonKVUnresponsive)
 	}
 }
 
@@ -89,7 +89,7 @@
 	case inDoubt && r.c.now < r.deadline:
 		r.readRecord()
 	default:
-		r.refuse(reasonStoreSilent)
+		r.refuse(reasonKVUnresponsive)
 	}
 }
 
--- a/controller/claims.go
+++ b/controller/claims.go
@@ -37,7 +37,7 @@
 	if m.fence == fenceWanted {
 		o.setFence(m, fenceRaised)
 	}
-	o.answerHeld(m)
+	o.answerDeferredHeartbeat(m)
 }
 
 // verify looks whether another owner had recorded an adopted machine before this one did.
--- a/controller/cluster.go
+++ b/controller/cluster.go
@@ -50,13 +50,13 @@
 // machine, although some report to a peer.
 func (h clusterHost) UnreachableByWorkers() bool {
 	c := h.core
-	return c.owner != nil && c.owner.isSilent() && c.onlyPeersHeard()
+	return c.owner != nil && c.owner.allMachinesUnresponsive() && c.onlyPeersReachable()
 }
 
 // setOwner is the one place where this node begins or ends owning.
 func (c *Core) setOwner(o *owner) {
 	if c.owner != nil {
-		c.owner.refusePending()
+		c.owner.refusePendingHeartbeats()
 	}
 	c.owner = o
 	c.shareLimits()
@@ -74,21 +74,21 @@
 	c.budget.SetRole(role, c.now)
 }
 
-// onlyPeersHeard tells that no worker reaches this node although some reach a peer.
-func (c *Core) onlyPeersHeard() bool {
-	if len(c.recentReports) > 0 {
+// onlyPeersReachable tells that no worker reaches this node although some reach a peer.
+func (c *Core) onlyPeersReachable() bool {
+	if len(c.recentHeartbeats) > 0 {
 		return false
 	}
 	for _, s := range c.peers {
-		if s.fresh(c.now) && s.recentReports > 0 {
+		if s.fresh(c.now) && s.recentHeartbeats > 0 {
 			return true
 		}
 	}
 	return false
 }
 
-// reportTo finds the node to which a machine's worker should report, or "".
-func (c *Core) reportTo(machine string) string {
+// heartbeatTarget finds the node to which a machine's worker should report, or "".
+func (c *Core) heartbeatTarget(machine string) string {
 	to := c.claimant(machine)
 	if to == "" {
 		to = c.cluster.FirstOwner()
--- a/controller/commands.go
+++ b/controller/commands.go
@@ -35,17 +35,17 @@
 	if !o.mayCommand(m, "any") {
 		return nil
 	}
-	reported, commands := o.commandsForReported(m)
+	reported, commands := o.commandsForReportedTasks(m)
 	for _, a := range m.sorted() {
 		if a.state == attemptOrdered && a.job.state == jobEnded {
 			o.stop(a, 0, "job is over")
 		}
 		switch {
-		case a.state == attemptStopping && !a.seen:
+		case a.state == attemptStopping && !a.heartbeatSeen:
 			// Its start may be on its way, so the stop must follow it.
 			commands = append(commands, stopCommand(a.task(), a.number, a.grace))
 		case a.state == attemptRecorded && !reported[a.key()] && a.mayStart() && o.mayOrderStart(a):
-			a.startSeq = m.seq
+			a.startHeartbeatSeq = m.heartbeatSeq
 			o.setAttempt(a, attemptOrdered)
 			commands = append(commands, wire.Command{Verb: wire.VerbStart, Task: a.task(), Attempt: a.number})
 		}
@@ -53,12 +53,12 @@
 	return commands
 }
 
-// commandsForReported returns the commands for tasks that the machine's latest report
+// commandsForReportedTasks returns the commands for tasks that the machine's latest report
 // lists, and which tasks those are, less the ones that the machine is told to forget.
-func (o *owner) commandsForReported(m *machine) (reported map[taskKey]bool, commands []wire.Command) {
-	reported = make(map[taskKey]bool, len(m.tasks))
+func (o *owner) commandsForReportedTasks(m *machine) (reported map[taskKey]bool, commands []wire.Command) {
+	reported = make(map[taskKey]bool, len(m.reportedTasks))
 	settled := m.fence == fenceNone && !m.sending
-	for _, task := range m.tasks {
+	for _, task := range m.reportedTasks {
 		id, index, ok := wire.SplitTaskName(task.Task)
 		key := taskKey{id, index}
 		reported[key] = ok
@@ -146,7 +146,7 @@
 func (o *owner) sendCommands(m *machine, commands []wire.Command) {
 	m.sending = true
 	o.openCommands++
-	body := wire.Encode(wire.CommandsRequest{FencingToken: m.token, AgentEpoch: m.session, Commands: commands})
+	body := wire.Encode(wire.CommandsRequest{FencingToken: m.token, AgentEpoch: m.agentEpoch, Commands: commands})
 	o.c.call(Call{
 		Addr: m.endpoint, Method: "POST", Target: wire.PathCommands, Timeout: commandTimeout, MaxBody: wire.MaxBody, Body: body,
 	}, func(e CallDone) {
@@ -170,7 +170,7 @@
 	case report != nil && report.FencingToken > m.token:
 		o.resync("a machine has seen a higher token")
 	case report != nil:
-		o.takeReport(m, report, false)
+		o.applyHeartbeat(m, report, false)
 		if m.wantDispatch || m.hasPendingStarts() {
 			o.queueDispatch(m)
 		}
@@ -193,7 +193,7 @@
 		if o.c.now-o.since < inspectAfter && !o.overdue(m, overdueCondemnShare) {
 			continue
 		}
-		if !m.takenOver || m.session != 0 || m.inspected || m.token == 0 || m.state >= machineCondemned {
+		if !m.takenOver || m.agentEpoch != 0 || m.inspected || m.token == 0 || m.state >= machineCondemned {
 			continue
 		}
 		m.inspected = true
@@ -207,7 +207,7 @@
 // inspect asks a machine that was taken over for its report, and then shows it this owner's
 // token, so that commands need not wait until its worker has found this node.
 func (o *owner) inspect(m *machine) {
-	if m.endpoint == "" || m.session != 0 || m.sending {
+	if m.endpoint == "" || m.agentEpoch != 0 || m.sending {
 		return
 	}
 	o.openCommands++
@@ -219,7 +219,7 @@
 		if o.superseded() || o.machines[m.name] != m || e.Status != wire.StatusOK || err != nil || report.FencingToken > m.token {
 			return
 		}
-		if o.takeReport(m, report, false) && !m.synced {
+		if o.applyHeartbeat(m, report, false) && !m.synced {
 			o.sendCommands(m, []wire.Command{})
 		}
 	})
--- a/controller/core.go
+++ b/controller/core.go
@@ -61,10 +61,10 @@
 	// Machines in general.
 	types    machineTypeTable
 	spotRisk autoscaler.SpotRisk
-	// recentReports are arrivals of workers' reports, the latest last.
-	recentReports []micros.Micros
-	// elsewhereAt is when a worker of another zone reported last.
-	elsewhereAt micros.Micros
+	// recentHeartbeats are arrivals of workers' reports, the latest last.
+	recentHeartbeats []micros.Micros
+	// lastOtherZoneHeartbeat is when a worker of another zone reported last.
+	lastOtherZoneHeartbeat micros.Micros
 
 	count counters
 	// violations counts the invariants that did not hold.
--- a/controller/entitlement.go
+++ b/controller/entitlement.go
@@ -14,7 +14,7 @@
 	if o.isEntitled() && m.token != 0 && m.synced && m.state < machineCondemned {
 		return true
 	}
-	o.c.violated("a command without a claim", "verb", verb, "machine", m.name, "token", m.token, "synced", m.synced,
+	o.c.reportViolation("a command without a claim", "verb", verb, "machine", m.name, "token", m.token, "synced", m.synced,
 		"machine_state", m.state.String(), "owner_state", o.state.String(), "superseded", o.superseded())
 	return false
 }
@@ -25,7 +25,7 @@
 	if a.state == attemptRecorded && a.machine.recorded && !o.c.cancellations.HasEnded(a.job.ID) {
 		return o.mayCommand(a.machine, "start")
 	}
-	o.c.violated("a start without a recorded placement", "task", a.task(), "try", a.number, "machine", a.machine.name,
+	o.c.reportViolation("a start without a recorded placement", "task", a.task(), "try", a.number, "machine", a.machine.name,
 		"state", a.state.String(), "recorded", a.machine.recorded, "ended", o.c.cancellations.HasEnded(a.job.ID))
 	return false
 }
@@ -37,7 +37,7 @@
 	if o.isEntitled() && (m.state == machineReleasing || overdue) {
 		return true
 	}
-	o.c.violated("a release without a record", "machine", m.name, "machine_state", m.state.String(), "owner_state", o.state.String())
+	o.c.reportViolation("a release without a record", "machine", m.name, "machine_state", m.state.String(), "owner_state", o.state.String())
 	return false
 }
 
@@ -46,6 +46,6 @@
 	if o.isEntitled() && r.state == rentalAsking {
 		return true
 	}
-	o.c.violated("a rental without a record", "name", r.name, "rental_state", r.state.String(), "owner_state", o.state.String())
+	o.c.reportViolation("a rental without a record", "name", r.name, "rental_state", r.state.String(), "owner_state", o.state.String())
 	return false
 }
--- a/controller/eviction_test.go
+++ b/controller/eviction_test.go
@@ -21,7 +21,7 @@
 		Tasks: 1, Gang: true, Priority: sched.High, Need: sched.NewResources(28, 0, 28), Estimate: 30 * micros.Second,
 	})
 	m := o.newMachine(machineInfo{name: "m-000001", kind: "mid", zone: "a", endpoint: "worker"})
-	m.token, m.session, m.synced, m.heard, m.state = 7, 1, true, o.c.now, machineUp
+	m.token, m.agentEpoch, m.synced, m.lastHeartbeat, m.state = 7, 1, true, o.c.now, machineUp
 	for i := range array.Tasks {
 		o.attach(array, i, 9, m, attemptLive).running = o.c.now - 20*micros.Second
 	}
@@ -47,7 +47,7 @@
 		h.stop = nil // what was to be stopped goes on, so that the next hold finds the same
 		o.setHold(h, holdWaiting, "test")
 		o.c.now = h.until + 1
-		o.machines["m-000001"].heard = o.c.now
+		o.machines["m-000001"].lastHeartbeat = o.c.now
 		o.tickHolds()
 		if h.state != holdOver {
 			t.Fatalf("hold %d is not over after its wait", n)
@@ -55,12 +55,12 @@
 		delete(o.holds, gang.ID)
 		pause := wait << n
 		o.c.now += pause - 1
-		o.machines["m-000001"].heard = o.c.now
+		o.machines["m-000001"].lastHeartbeat = o.c.now
 		if o.makeRoom(gang) {
 			t.Fatalf("after %d holds in vain work is stopped again before %v", n+1, pause)
 		}
 		o.c.now++
-		o.machines["m-000001"].heard = o.c.now
+		o.machines["m-000001"].lastHeartbeat = o.c.now
 	}
 }
 
--- a/controller/faults_workers_test.go
+++ b/controller/faults_workers_test.go
@@ -52,7 +52,7 @@
 
 // deliver brings a worker's report to a node; nobody waits for the answer.
 func (w *world) deliver(node int, body []byte) {
-	w.ask(w.nodes[node], Request{Method: "POST", Path: PathReport, Body: body}, micros.Second, func(Respond) {})
+	w.ask(w.nodes[node], Request{Method: "POST", Path: PathHeartbeat, Body: body}, micros.Second, func(Respond) {})
 }
 
 // keepCopies makes the copies of a report that come later. It returns true if the report
--- a/controller/invariants.go
+++ b/controller/invariants.go
@@ -1,9 +1,9 @@
 package controller
 
-// violated reports that an invariant does not hold which the code is meant to keep: a fault of
+// reportViolation reports that an invariant does not hold which the code is meant to keep: a fault of
 // this program. Tests and the fault soak fail on it; in production the log and the status line
 // show it, and the caller does the safe thing instead.
-func (c *Core) violated(what string, args ...any) {
+func (c *Core) reportViolation(what string, args ...any) {
 	c.violations++
 	c.log.Error("invariant violated", append([]any{"what", what}, args...)...)
 }
--- a/controller/load.go
+++ b/controller/load.go
@@ -100,8 +100,8 @@
 // activate begins the work of an owner that has read its records.
 func (o *owner) activate() {
 	for _, m := range o.list {
-		m.heard, m.takenOver = o.c.now+o.c.cfg.FailoverGrace(), true
-		m.tokenShownAt = m.heard
+		m.lastHeartbeat, m.takenOver = o.c.now+o.c.cfg.FailoverGrace(), true
+		m.tokenShownAt = m.lastHeartbeat
 	}
 	o.since = o.c.now
 	o.scheduleWanted = true
--- a/controller/load_machines.go
+++ b/controller/load_machines.go
@@ -152,7 +152,7 @@
 	var final record.TerminalState
 	if wire.Decode(value, &final) == nil && final.Status == record.StatusDone {
 		for _, a := range j.sorted() {
-			if a.machine.session == 0 { // else its report tells
+			if a.machine.agentEpoch == 0 { // else its report tells
 				o.setAttempt(a, attemptClosed)
 			}
 		}
--- a/controller/machine.go
+++ b/controller/machine.go
@@ -65,24 +65,24 @@
 	// takenOver: it was another owner's. It is up, or boots since an unknown time.
 	takenOver bool
 
-	// heard is when it reported last, or when this owner began to wait for a report.
-	heard micros.Micros
-	// spared postpones the count of its silence, after its zone was partitioned.
-	spared micros.Micros
+	// lastHeartbeat is when it reported last, or when this owner began to wait for a report.
+	lastHeartbeat micros.Micros
+	// heartbeatGraceUntil postpones the count of its silence, after its zone was partitioned.
+	heartbeatGraceUntil micros.Micros
 	// tokenShownAt is when it last showed this owner's token, or when this owner began to
 	// wait for that; synced tells whether its latest report did.
 	tokenShownAt micros.Micros
 	synced       bool
-	// reports: it has reported by itself to this owner.
-	reports bool
+	// heartbeatReceived: it has reported by itself to this owner.
+	heartbeatReceived bool
 	// session and seq order its reports; tasks are those of the latest.
-	session, seq uint64
-	tasks        []wire.TaskStatus
+	agentEpoch, heartbeatSeq uint64
+	reportedTasks            []wire.TaskStatus
 	// notice is when the cloud reclaims it; 0: not announced.
 	notice micros.Micros
 	// pendingRequest is the request of a report that waits for the claim.
-	pendingRequest uint64
-	pendingReport  *wire.Heartbeat
+	pendingRequest   uint64
+	pendingHeartbeat *wire.Heartbeat
 
 	// listed: the cloud's list has named it; unlisted counts lists in a row without it.
 	listed   bool
--- a/controller/machine_health.go
+++ b/controller/machine_health.go
@@ -10,8 +10,8 @@
 
 // Bounds of what is taken for lost.
 const (
-	// silentReports is how many reports in a row may be missing without any meaning.
-	silentReports = 2
+	// maxMissedHeartbeats is how many reports in a row may be missing without any meaning.
+	maxMissedHeartbeats = 2
 	// unlistedReadings is how many readings of the cloud's list in a row must lack a machine.
 	unlistedReadings = 2
 	// isolatedPatience is how many times the usual silence a machine is given if no worker at
@@ -45,19 +45,19 @@
 type condemnReason string
 
 const (
-	notCondemned        condemnReason = ""
-	condemnedOverdue    condemnReason = "is silent with tasks of a cancelled job"
-	condemnedNeverUp    condemnReason = "never came up"
-	condemnedFailed     condemnReason = "has failed"
-	condemnedUnlisted   condemnReason = "is not listed any more"
-	condemnedSilent     condemnReason = "is silent"
-	condemnedUnreached  condemnReason = "reports, but hears nothing"
-	condemnedEmptyDrain condemnReason = "is empty"
+	notCondemned             condemnReason = ""
+	condemnedOverdue         condemnReason = "is silent with tasks of a cancelled job"
+	condemnedNeverUp         condemnReason = "never came up"
+	condemnedFailed          condemnReason = "has failed"
+	condemnedUnlisted        condemnReason = "is not listed any more"
+	decommissionUnresponsive condemnReason = "is silent"
+	condemnedUnreached       condemnReason = "reports, but hears nothing"
+	condemnedEmptyDrain      condemnReason = "is empty"
 )
 
 // lost tells that the machine is gone by itself, rather than given up by this node.
 func (r condemnReason) lost() bool {
-	return r == condemnedFailed || r == condemnedUnlisted || r == condemnedSilent
+	return r == condemnedFailed || r == condemnedUnlisted || r == decommissionUnresponsive
 }
 
 // fleetHealth is what all machines together tell about this node.
@@ -74,7 +74,7 @@
 		}
 	}
 	return fleetHealth{
-		isolated:        o.c.now-max(o.lastHeard, o.since) > silentReports*o.c.cfg.HeartbeatInterval,
+		isolated:        o.c.now-max(o.lastHeartbeat, o.since) > maxMissedHeartbeats*o.c.cfg.HeartbeatInterval,
 		manyUnreachable: unreachable > max(minUnreachable, len(o.list)/unreachableDivisor),
 	}
 }
@@ -84,7 +84,7 @@
 // paid for.
 func (o *owner) isUnreachable(m *machine) bool {
 	return m.token != 0 && m.state >= machineUp && m.state <= machineTransferring && !m.synced &&
-		o.c.now-m.tokenShownAt > o.c.cfg.HeartbeatTimeout()+silentReports*o.c.cfg.HeartbeatInterval
+		o.c.now-m.tokenShownAt > o.c.cfg.HeartbeatTimeout()+maxMissedHeartbeats*o.c.cfg.HeartbeatInterval
 }
 
 // overdue tells that so much of the time has passed in which a task on the machine, whose
@@ -99,23 +99,25 @@
 	return false
 }
 
-// unheardFor is how long a machine has not reported here.
-func (o *owner) unheardFor(m *machine) micros.Micros {
-	if m.session == 0 {
+// sinceLastHeartbeat is how long a machine has not reported here.
+func (o *owner) sinceLastHeartbeat(m *machine) micros.Micros {
+	if m.agentEpoch == 0 {
 		return o.c.now - o.since
 	}
-	return o.c.now - min(m.heard, o.c.now)
+	return o.c.now - min(m.lastHeartbeat, o.c.now)
 }
 
-// silentFor is how long a machine is silent without a known reason.
-func (o *owner) silentFor(m *machine) micros.Micros { return o.c.now - max(m.heard, m.spared) }
+// unresponsiveFor is how long a machine is silent without a known reason.
+func (o *owner) unresponsiveFor(m *machine) micros.Micros {
+	return o.c.now - max(m.lastHeartbeat, m.heartbeatGraceUntil)
+}
 
-// findSilent gives up machines that do not report, and returns empty ones that are to
+// checkMachineHealth gives up machines that do not report, and returns empty ones that are to
 // go. If no worker at all is heard, the fault is likely on this side. The decision is
 // recorded before the cloud is asked: a controller that was cut off, and so hears no
 // worker, cannot record it, while its requests to the cloud could be held back and
 // executed after another has taken over.
-func (o *owner) findSilent() {
+func (o *owner) checkMachineHealth() {
 	fleet := o.fleetHealth()
 	o.findPartitions()
 	for _, m := range o.list {
@@ -156,11 +158,11 @@
 	if m.state >= machineCondemned || !o.overdue(m, overdueCondemnShare) {
 		return false
 	}
-	patience := silentReports * o.c.cfg.HeartbeatInterval
-	if m.session == 0 && o.overdue(m, overdueReleaseShare) {
+	patience := maxMissedHeartbeats * o.c.cfg.HeartbeatInterval
+	if m.agentEpoch == 0 && o.overdue(m, overdueReleaseShare) {
 		patience = inspectPatience
 	}
-	return o.unheardFor(m) > patience
+	return o.sinceLastHeartbeat(m) > patience
 }
 
 // checkBooting looks at a machine that has not reported yet. After a takeover it may have been
@@ -174,7 +176,7 @@
 		boot = t.Boot
 	}
 	patience := micros.Micros(o.c.cfg.Tuning.BootTimeoutFactor*float64(boot)) + o.c.cfg.HeartbeatTimeout()
-	if m.failed || o.c.wallClock-m.rented > patience && o.silentFor(m) > o.c.cfg.HeartbeatTimeout() {
+	if m.failed || o.c.wallClock-m.rented > patience && o.unresponsiveFor(m) > o.c.cfg.HeartbeatTimeout() {
 		return condemnedNeverUp
 	}
 	return notCondemned
@@ -182,16 +184,16 @@
 
 // checkRunning looks at a machine that should report.
 func (o *owner) checkRunning(m *machine, fleet fleetHealth) condemnReason {
-	silent, limit := o.silentFor(m), o.silenceLimit(m)
+	silent, limit := o.unresponsiveFor(m), o.machineHeartbeatTimeout(m)
 	switch {
 	case m.failed:
 		return condemnedFailed
-	case m.unlisted >= unlistedReadings && silent > silentReports*o.c.cfg.HeartbeatInterval:
+	case m.unlisted >= unlistedReadings && silent > maxMissedHeartbeats*o.c.cfg.HeartbeatInterval:
 		return condemnedUnlisted
 	case silent > limit && (o.keptInPartition(m) || o.keptForGangs(m)):
 		return notCondemned
 	case silent > limit && (!fleet.isolated || silent > isolatedPatience*limit):
-		return condemnedSilent
+		return decommissionUnresponsive
 	case o.isUnreachable(m) && o.givesUpUnreachable(m, fleet):
 		return condemnedUnreached
 	case m.state == machineDraining && len(m.attempts) == 0 && m.token != 0:
@@ -200,8 +202,8 @@
 	return notCondemned
 }
 
-// silenceLimit is how long a machine may be silent: not for long once the cloud takes it.
-func (o *owner) silenceLimit(m *machine) micros.Micros {
+// machineHeartbeatTimeout is how long a machine may be silent: not for long once the cloud takes it.
+func (o *owner) machineHeartbeatTimeout(m *machine) micros.Micros {
 	if m.notice != 0 && o.c.now > m.notice {
 		return o.c.cfg.HeartbeatInterval * 3 / 2
 	}
@@ -220,7 +222,7 @@
 // it up would stop whole gangs. Not one with tasks of a job that is over, nor one that the
 // cloud takes.
 func (o *owner) keptForGangs(m *machine) bool {
-	if o.silentFor(m) > o.c.cfg.WorkerLease || m.failed || m.notice != 0 {
+	if o.unresponsiveFor(m) > o.c.cfg.WorkerLease || m.failed || m.notice != 0 {
 		return false
 	}
 	gang := false
@@ -243,7 +245,7 @@
 func (o *owner) runsElsewhere(a *attempt) bool {
 	for _, b := range a.job.attempts {
 		if b.machine != a.machine && b.state == attemptLive && b.phase == wire.PhaseRunning &&
-			b.machine.heard > a.machine.heard+o.c.cfg.GangFailureTimeout {
+			b.machine.lastHeartbeat > a.machine.lastHeartbeat+o.c.cfg.GangFailureTimeout {
 			return true
 		}
 	}
--- a/controller/machine_list.go
+++ b/controller/machine_list.go
@@ -24,7 +24,7 @@
 func (o *owner) newMachineIn(b *block, info machineInfo) *machine {
 	m := &machine{
 		name: info.name, kind: info.kind, zone: info.zone, spot: info.spot, endpoint: info.endpoint,
-		heard: o.c.now, idleSince: o.c.now,
+		lastHeartbeat: o.c.now, idleSince: o.c.now,
 		attempts: map[taskKey]*attempt{},
 	}
 	b.add(m)
--- a/controller/owner.go
+++ b/controller/owner.go
@@ -73,7 +73,7 @@
 	nextArrayRequest   micros.Micros
 
 	// Commands to machines.
-	lastHeard     micros.Micros // the latest report
+	lastHeartbeat micros.Micros // the latest report
 	dispatchQueue []*machine
 	openCommands  int // direct commands and questions to machines under way
 
@@ -105,7 +105,7 @@
 // newOwner returns an owner of teams that has read no records yet.
 func newOwner(c *Core, teams map[string]cluster.Team) *owner {
 	o := &owner{
-		c: c, since: c.now, lastHeard: c.now,
+		c: c, since: c.now, lastHeartbeat: c.now,
 		teams:            map[string]*team{},
 		machines:         map[string]*machine{},
 		jobs:             map[string]*job{},
@@ -157,8 +157,8 @@
 	o.state = s
 }
 
-// refusePending answers the reports that wait, when this node stops owning.
-func (o *owner) refusePending() {
+// refusePendingHeartbeats answers the reports that wait, when this node stops owning.
+func (o *owner) refusePendingHeartbeats() {
 	for _, m := range o.list {
 		if m.pendingRequest != 0 {
 			o.c.refuse(m.pendingRequest, wire.StatusUnavailable, "ownership lost")
@@ -183,7 +183,7 @@
 	}
 	o.c.setOwner(newOwner(o.c, records))
 	o.c.owner.retryAt = o.c.now + resyncPause
-	o.c.owner.lastHeard = o.lastHeard
+	o.c.owner.lastHeartbeat = o.lastHeartbeat
 }
 
 // advance does what can be done now; it is called after every event.
@@ -217,7 +217,7 @@
 	}
 	o.readEndings()
 	o.sweepParts()
-	o.findSilent()
+	o.checkMachineHealth()
 	o.inspectSome()
 	o.tickHolds()
 	o.tickList()
@@ -227,40 +227,40 @@
 	}
 }
 
-// allSilentAfter is the shortest silence of all machines after which something is wrong.
-const allSilentAfter = 6 * micros.Second
+// minAllUnresponsiveTimeout is the shortest silence of all machines after which something is wrong.
+const minAllUnresponsiveTimeout = 6 * micros.Second
 
-// isSilent tells that machines which should report to this owner do not, not one of them.
-func (o *owner) isSilent() bool {
+// allMachinesUnresponsive tells that machines which should report to this owner do not, not one of them.
+func (o *owner) allMachinesUnresponsive() bool {
 	if o.state != ownerActive {
 		return false
 	}
 	latest, expected := micros.Micros(0), 0
 	for _, m := range o.machines {
-		if !m.shouldReport() {
+		if !m.expectsHeartbeat() {
 			continue
 		}
-		heard := m.heard
+		heard := m.lastHeartbeat
 		if heard > o.c.now { // it was given time after a takeover
 			heard = o.since
 		}
 		latest = max(latest, heard)
 		expected++
 	}
-	return expected > 0 && o.c.now-latest > o.allSilentLimit(expected)
+	return expected > 0 && o.c.now-latest > o.allUnresponsiveTimeout(expected)
 }
 
-// allSilentLimit is how long all machines may be silent.
-func (o *owner) allSilentLimit(machines int) micros.Micros {
+// allUnresponsiveTimeout is how long all machines may be silent.
+func (o *owner) allUnresponsiveTimeout(machines int) micros.Micros {
 	if machines == 1 { // more likely it is the machine; it is given up before then
 		return o.c.cfg.HeartbeatTimeout() + o.c.cfg.HeartbeatInterval
 	}
-	return max(allSilentAfter, o.c.cfg.HeartbeatInterval*5/4)
+	return max(minAllUnresponsiveTimeout, o.c.cfg.HeartbeatInterval*5/4)
 }
 
-// shouldReport tells that a machine is up as far as is known. Nothing can be concluded from the
+// expectsHeartbeat tells that a machine is up as far as is known. Nothing can be concluded from the
 // silence of one that still boots, but after a takeover one with tasks was up.
-func (m *machine) shouldReport() bool {
+func (m *machine) expectsHeartbeat() bool {
 	switch {
 	case m.state >= machineCondemned:
 		return false
--- a/controller/partitions.go
+++ b/controller/partitions.go
@@ -2,23 +2,23 @@
 
 // This file finds zones that are cut off from this node.
 
-// A zone is partitioned when of at least minZoneMachines machines at most maxHeardShare are
+// A zone is partitioned when of at least minZoneMachines machines at most maxResponsiveFraction are
 // heard, while some elsewhere are.
 const (
-	minZoneMachines = 4
-	maxHeardShare   = 0.15
+	minZoneMachines       = 4
+	maxResponsiveFraction = 0.15
 )
 
 // zoneHealth counts the machines of a zone by whether they report.
 type zoneHealth struct {
-	silent int
-	heard  int
+	unresponsive int
+	responsive   int
 }
 
 // partitioned tells whether a zone is cut off, given how many machines are heard in all zones.
 func (z zoneHealth) partitioned(heardInAll int) bool {
-	all := z.silent + z.heard
-	return all >= minZoneMachines && float64(z.heard) <= maxHeardShare*float64(all) && heardInAll > z.heard
+	all := z.unresponsive + z.responsive
+	return all >= minZoneMachines && float64(z.responsive) <= maxResponsiveFraction*float64(all) && heardInAll > z.responsive
 }
 
 // findPartitions finds zones that are cut off: nothing is rented there, and machines on which
@@ -31,12 +31,12 @@
 		if partitioned == (o.partitioned[zone] != 0) {
 			continue
 		}
-		o.c.log.Warn("zone", "zone", zone, "partitioned", partitioned, "silent", health.silent, "heard", health.heard)
+		o.c.log.Warn("zone", "zone", zone, "partitioned", partitioned, "silent", health.unresponsive, "heard", health.responsive)
 		if partitioned {
 			o.partitioned[zone] = o.c.now
 		} else {
 			delete(o.partitioned, zone)
-			o.spareZone(zone)
+			o.extendHeartbeatGrace(zone)
 		}
 	}
 }
@@ -52,21 +52,21 @@
 		}
 		switch {
 		case !hasBooted(m):
-		case o.c.now-m.heard > silentReports*o.c.cfg.HeartbeatInterval:
-			zone.silent++
-		case m.session != 0:
-			zone.heard++
+		case o.c.now-m.lastHeartbeat > maxMissedHeartbeats*o.c.cfg.HeartbeatInterval:
+			zone.unresponsive++
+		case m.agentEpoch != 0:
+			zone.responsive++
 			heardInAll++
 		}
 	}
 	return zones, heardInAll
 }
 
-// spareZone gives the workers of a zone that is not cut off any more time to find this node.
-func (o *owner) spareZone(zone string) {
+// extendHeartbeatGrace gives the workers of a zone that is not cut off any more time to find this node.
+func (o *owner) extendHeartbeatGrace(zone string) {
 	for _, m := range o.list {
 		if m.zone == zone {
-			m.spared = o.c.now + o.c.cfg.FailoverGrace()
+			m.heartbeatGraceUntil = o.c.now + o.c.cfg.FailoverGrace()
 		}
 	}
 }
@@ -75,7 +75,7 @@
 // which would lose its work and find no other machine, or gangs will want it as soon as the
 // partition ends. Not one with tasks of a job that is over, which must be gone in time.
 func (o *owner) keptInPartition(m *machine) bool {
-	if o.partitioned[m.zone] == 0 || o.silentFor(m) > o.c.cfg.Tuning.PartitionTimeout || m.failed || m.notice != 0 {
+	if o.partitioned[m.zone] == 0 || o.unresponsiveFor(m) > o.c.cfg.Tuning.PartitionTimeout || m.failed || m.notice != 0 {
 		return false
 	}
 	gang := len(m.attempts) == 0 && o.scarce(m) && m.state <= machineUp
--- a/controller/peercalls.go
+++ b/controller/peercalls.go
@@ -19,7 +19,7 @@
 
 // send sends a message that needs no answer.
 func (c *Core) send(to *peerNode, message *peer.Message) {
-	c.callPeer(to, message, heartbeatTimeout, maxPeerBody, func(*peer.Message, bool) {})
+	c.callPeer(to, message, peerHeartbeatTimeout, maxPeerBody, func(*peer.Message, bool) {})
 }
 
 // callPeer sends a message to a peer. done gets the answer, or nil if no valid one came; sent
@@ -61,7 +61,7 @@
 func (c *Core) handlePeerMessage(request uint64, from *peerNode, message *peer.Message) {
 	switch body := message.Body.(type) {
 	case *peer.Message_Beat:
-		c.answerHeartbeat(request, from, body.Beat)
+		c.handlePeerHeartbeat(request, from, body.Beat)
 		return
 	case *peer.Message_StoreCall:
 		c.relay(request, body.StoreCall)
--- a/controller/peers.go
+++ b/controller/peers.go
@@ -9,57 +9,57 @@
 
 // Times between controllers.
 const (
-	heartbeatEvery   = micros.Second
-	heartbeatTimeout = 1500 * micros.Millisecond
-	// peerFreshFor is how long what a peer said is relied on: three heartbeats and some delay.
-	peerFreshFor = 3500 * micros.Millisecond
-	// reportWindow is the time over which workers' reports are counted.
-	reportWindow = 5 * micros.Second
+	peerHeartbeatInterval = micros.Second
+	peerHeartbeatTimeout  = 1500 * micros.Millisecond
+	// peerHeartbeatValidity is how long what a peer said is relied on: three heartbeats and some delay.
+	peerHeartbeatValidity = 3500 * micros.Millisecond
+	// heartbeatCountWindow is the time over which workers' reports are counted.
+	heartbeatCountWindow = 5 * micros.Second
 )
 
 // peerNode is what this node knows of another controller, by its last heartbeat.
 type peerNode struct {
 	config.Sibling
-	awaitsAnswer  bool // a heartbeat was sent to it
-	nextHeartbeat micros.Micros
-	lastHeard     micros.Micros
-	recentReports int  // workers' reports that reached it lately
-	storeServes   bool // the state service serves it
-	jobCounts     map[string]*peer.JobCount
-	ownsMachine   map[string]bool
-	idleMachines  []*peer.IdleMachine
-	teams         []*peer.TeamUse
+	heartbeatInFlight bool // a heartbeat was sent to it
+	nextHeartbeat     micros.Micros
+	lastHeartbeat     micros.Micros
+	recentHeartbeats  int  // workers' reports that reached it lately
+	storeServes       bool // the state service serves it
+	jobCounts         map[string]*peer.JobCount
+	ownsMachine       map[string]bool
+	idleMachines      []*peer.IdleMachine
+	teams             []*peer.TeamUse
 }
 
 // fresh tells whether the peer was heard lately.
 func (p *peerNode) fresh(now micros.Micros) bool {
-	return p.lastHeard > 0 && now-p.lastHeard < peerFreshFor
+	return p.lastHeartbeat > 0 && now-p.lastHeartbeat < peerHeartbeatValidity
 }
 
 // tickPeers sends the heartbeats that are due.
 func (c *Core) tickPeers() {
-	for len(c.recentReports) > 0 && c.now-c.recentReports[0] > reportWindow {
-		c.recentReports = c.recentReports[1:]
+	for len(c.recentHeartbeats) > 0 && c.now-c.recentHeartbeats[0] > heartbeatCountWindow {
+		c.recentHeartbeats = c.recentHeartbeats[1:]
 	}
 	for _, cfg := range c.cfg.Siblings {
-		if p := c.peers[cfg.Node]; !p.awaitsAnswer && c.now >= p.nextHeartbeat {
-			c.sendHeartbeat(p)
+		if p := c.peers[cfg.Node]; !p.heartbeatInFlight && c.now >= p.nextHeartbeat {
+			c.sendPeerHeartbeat(p)
 		}
 	}
 }
 
-// sendHeartbeat sends a peer what it must know of this node, and takes the same from its answer.
-func (c *Core) sendHeartbeat(p *peerNode) {
-	p.awaitsAnswer, p.nextHeartbeat = true, c.now+heartbeatEvery
+// sendPeerHeartbeat sends a peer what it must know of this node, and takes the same from its answer.
+func (c *Core) sendPeerHeartbeat(p *peerNode) {
+	p.heartbeatInFlight, p.nextHeartbeat = true, c.now+peerHeartbeatInterval
 	sentAt := c.now
-	message := &peer.Message{Body: &peer.Message_Beat{Beat: c.heartbeat(p)}}
-	c.callPeer(p, message, heartbeatTimeout, maxPeerBody, func(m *peer.Message, _ bool) {
-		p.awaitsAnswer = false
+	message := &peer.Message{Body: &peer.Message_Beat{Beat: c.newPeerHeartbeat(p)}}
+	c.callPeer(p, message, peerHeartbeatTimeout, maxPeerBody, func(m *peer.Message, _ bool) {
+		p.heartbeatInFlight = false
 		answer := m.GetBeat()
 		if answer == nil {
 			return
 		}
-		c.takeHeartbeat(p, answer)
+		c.applyPeerHeartbeat(p, answer)
 		grant := cancellation.Grant{
 			Period: micros.Micros(answer.PromiseUs), SinceUserAcknowledged: micros.Micros(answer.ToldAgoUs),
 		}
@@ -67,22 +67,22 @@
 	})
 }
 
-// answerHeartbeat answers a peer's heartbeat with one of this node, and grants the peer a
+// handlePeerHeartbeat answers a peer's heartbeat with one of this node, and grants the peer a
 // period in which its acknowledgement of cancellations is needed.
-func (c *Core) answerHeartbeat(request uint64, p *peerNode, received *peer.Beat) {
-	c.takeHeartbeat(p, received)
-	answer := c.heartbeat(p)
+func (c *Core) handlePeerHeartbeat(request uint64, p *peerNode, received *peer.Beat) {
+	c.applyPeerHeartbeat(p, received)
+	answer := c.newPeerHeartbeat(p)
 	grant := c.cancellations.Grant(p.Node, c.now)
 	answer.PromiseUs, answer.ToldAgoUs = uint64(grant.Period), uint64(grant.SinceUserAcknowledged)
 	c.answerPeer(request, &peer.Message{Body: &peer.Message_Beat{Beat: answer}})
 }
 
-// heartbeat returns what a peer must know of this node.
-func (c *Core) heartbeat(p *peerNode) *peer.Beat {
+// newPeerHeartbeat returns what a peer must know of this node.
+func (c *Core) newPeerHeartbeat(p *peerNode) *peer.Beat {
 	leader, term := c.node.Leader()
 	beat := &peer.Beat{
 		Term: term, Leader: leader,
-		WorkersHeard: uint32(len(c.recentReports)), StoreOk: c.store.DirectlyConnected(),
+		WorkersHeard: uint32(len(c.recentHeartbeats)), StoreOk: c.store.DirectlyConnected(),
 		Ended: c.cancellations.Unacknowledged(p.Node), KnowsEnded: c.cancellations.PendingAcknowledgements(p.Node),
 	}
 	if c.owner != nil {
@@ -91,9 +91,9 @@
 	return beat
 }
 
-// takeHeartbeat takes what a peer's heartbeat says.
-func (c *Core) takeHeartbeat(p *peerNode, beat *peer.Beat) {
-	p.lastHeard, p.recentReports, p.storeServes = c.now, int(beat.WorkersHeard), beat.StoreOk
+// applyPeerHeartbeat takes what a peer's heartbeat says.
+func (c *Core) applyPeerHeartbeat(p *peerNode, beat *peer.Beat) {
+	p.lastHeartbeat, p.recentHeartbeats, p.storeServes = c.now, int(beat.WorkersHeard), beat.StoreOk
 	p.jobCounts = make(map[string]*peer.JobCount, len(beat.Jobs))
 	for _, count := range beat.Jobs {
 		p.jobCounts[count.Id] = count
--- a/controller/placement_view.go
+++ b/controller/placement_view.go
@@ -43,7 +43,7 @@
 	left := map[*block]float64{}
 	for _, m := range o.list {
 		if m.state != machineUp || m.token == 0 || m.fence != fenceNone || o.c.now < m.pausedTo ||
-			o.c.now-m.heard > 2*o.c.cfg.HeartbeatInterval {
+			o.c.now-m.lastHeartbeat > 2*o.c.cfg.HeartbeatInterval {
 			continue
 		}
 		view = append(view, &sched.Machine{
--- a/controller/queries.go
+++ b/controller/queries.go
@@ -18,7 +18,7 @@
 		case lookupFound:
 			c.answerQuery(r, job, result)
 		default:
-			c.refuse(r.id, wire.StatusUnavailable, reasonStoreSilent)
+			c.refuse(r.id, wire.StatusUnavailable, reasonKVUnresponsive)
 		}
 	})
 }
@@ -44,8 +44,8 @@
 	latest := micros.Micros(0)
 	for _, cfg := range c.cfg.Siblings { // an earlier owner may still say what it knew
 		s := c.peers[cfg.Node]
-		if count := s.jobCounts[job]; count != nil && s.lastHeard > latest {
-			latest, done, running = s.lastHeard, int(count.Done), int(count.Running)
+		if count := s.jobCounts[job]; count != nil && s.lastHeartbeat > latest {
+			latest, done, running = s.lastHeartbeat, int(count.Done), int(count.Running)
 		}
 	}
 	return done, running
--- a/controller/refusals.go
+++ b/controller/refusals.go
@@ -8,7 +8,7 @@
 // Why users' requests cannot be served now. They may be sent again.
 const (
 	reasonIsolated       refusalReason = "reaches neither the state service nor a peer"
-	reasonStoreSilent    refusalReason = "state service does not answer"
+	reasonKVUnresponsive refusalReason = "state service does not answer"
 	reasonStoreRefuses   refusalReason = "state service refuses"
 	reasonTypesUnknown   refusalReason = "machine types are not known yet"
 	reasonJobsUnknown    refusalReason = "the jobs are not known yet"
--- a/controller/reports.go
+++ b/controller/reports.go
@@ -7,34 +7,34 @@
 	"tamarindlead/micros"
 )
 
-// maxHeard bounds the arrivals of reports that are counted.
-const maxHeard = 256
+// maxCountedHeartbeats bounds the arrivals of reports that are counted.
+const maxCountedHeartbeats = 256
 
-// report handles a worker's report, whether this node owns machines or not.
-func (c *Core) report(r Request) {
-	c.count.reports++
+// handleHeartbeat handles a worker's report, whether this node owns machines or not.
+func (c *Core) handleHeartbeat(r Request) {
+	c.count.heartbeats++
 	report, err := wire.DecodeHeartbeat(r.Body)
 	if err != nil {
 		c.count.dropped++
 		c.respond(r.ID, wire.StatusBadRequest, wire.ErrorResponse{Error: err.Error()})
 		return
 	}
-	if len(c.recentReports) < maxHeard {
-		c.recentReports = append(c.recentReports, c.now)
+	if len(c.recentHeartbeats) < maxCountedHeartbeats {
+		c.recentHeartbeats = append(c.recentHeartbeats, c.now)
 	}
 	switch {
 	case c.owner != nil:
-		c.owner.report(r.ID, report)
+		c.owner.handleHeartbeat(r.ID, report)
 	case c.keepsLease(report):
 		c.respond(r.ID, wire.StatusOK, wire.HeartbeatResponse{FencingToken: report.FencingToken})
 	default:
-		c.respond(r.ID, wire.StatusMisdirected, wire.Redirect{HeartbeatNode: c.reportTo(report.Machine)})
+		c.respond(r.ID, wire.StatusMisdirected, wire.Redirect{HeartbeatNode: c.heartbeatTarget(report.Machine)})
 	}
 }
 
-// otherZoneReports is the number of report intervals without a report from another zone
+// otherZoneTimeoutIntervals is the number of report intervals without a report from another zone
 // after which a node takes its own zone for partitioned.
-const otherZoneReports = 2
+const otherZoneTimeoutIntervals = 2
 
 // keepsLease tells whether to answer a worker that has tasks although this node owns nothing,
 // so that its lease goes on. It does so only if the node's zone is partitioned: a worker of
@@ -46,7 +46,7 @@
 // that is cut off alone hears workers of other zones too, and redirects all.
 func (c *Core) keepsLease(report *wire.Heartbeat) bool {
 	if report.Zone != c.cfg.Zone {
-		c.elsewhereAt = c.now
+		c.lastOtherZoneHeartbeat = c.now
 		return false
 	}
 	if report.FencingToken == 0 || len(report.Tasks) == 0 || !c.zonePartitioned() || !c.mayRenewLease() {
@@ -63,7 +63,7 @@
 // zonePartitioned tells whether this node reaches neither the state service nor a peer of
 // another zone, nor is reached by workers of another zone, and has not been for too long.
 func (c *Core) zonePartitioned() bool {
-	if !c.store.Unavailable() || c.now-c.elsewhereAt < otherZoneReports*c.cfg.HeartbeatInterval ||
+	if !c.store.Unavailable() || c.now-c.lastOtherZoneHeartbeat < otherZoneTimeoutIntervals*c.cfg.HeartbeatInterval ||
 		c.now-c.store.LastSuccess() > c.cfg.Tuning.PartitionTimeout {
 		return false
 	}
@@ -84,8 +84,8 @@
 	return task.Phase == wire.PhaseExited || c.graph.Version(id) != 0 && !c.cancellations.HasEnded(id)
 }
 
-// report handles the report of a machine at an owner.
-func (o *owner) report(req uint64, report *wire.Heartbeat) {
+// handleHeartbeat handles the report of a machine at an owner.
+func (o *owner) handleHeartbeat(req uint64, report *wire.Heartbeat) {
 	c := o.c
 	if o.state != ownerActive {
 		c.refuse(req, wire.StatusUnavailable, "taking over")
@@ -109,37 +109,37 @@
 	case m.state >= machineCondemned:
 		c.refuse(req, wire.StatusUnavailable, "machine is being returned")
 	case m.token == 0:
-		o.waitForClaim(m, req, report)
+		o.deferHeartbeat(m, req, report)
 	default:
-		o.answer(m, req, report)
+		o.respondToHeartbeat(m, req, report)
 	}
 }
 
-// waitForClaim keeps a report until its machine is claimed by a record of this owner. A newer
+// deferHeartbeat keeps a report until its machine is claimed by a record of this owner. A newer
 // report takes the place of an older one, but a late copy does not.
-func (o *owner) waitForClaim(m *machine, req uint64, report *wire.Heartbeat) {
+func (o *owner) deferHeartbeat(m *machine, req uint64, report *wire.Heartbeat) {
 	if m.pendingRequest != 0 {
-		if older(report.AgentEpoch, report.HeartbeatSeq, m.pendingReport.AgentEpoch, m.pendingReport.HeartbeatSeq) {
+		if isOlderHeartbeat(report.AgentEpoch, report.HeartbeatSeq, m.pendingHeartbeat.AgentEpoch, m.pendingHeartbeat.HeartbeatSeq) {
 			o.c.refuse(req, wire.StatusUnavailable, "superseded")
 			return
 		}
 		o.c.refuse(m.pendingRequest, wire.StatusUnavailable, "superseded")
 	}
-	m.pendingRequest, m.pendingReport = req, report
+	m.pendingRequest, m.pendingHeartbeat = req, report
 }
 
-// answerHeld answers the report that waited for its machine to be claimed.
-func (o *owner) answerHeld(m *machine) {
+// answerDeferredHeartbeat answers the report that waited for its machine to be claimed.
+func (o *owner) answerDeferredHeartbeat(m *machine) {
 	if m.pendingRequest == 0 {
 		return
 	}
-	req, report := m.pendingRequest, m.pendingReport
-	m.pendingRequest, m.pendingReport = 0, nil
-	o.answer(m, req, report)
+	req, report := m.pendingRequest, m.pendingHeartbeat
+	m.pendingRequest, m.pendingHeartbeat = 0, nil
+	o.respondToHeartbeat(m, req, report)
 }
 
-// answer takes a report and answers it with the machine's commands.
-func (o *owner) answer(m *machine, req uint64, report *wire.Heartbeat) {
+// respondToHeartbeat takes a report and answers it with the machine's commands.
+func (o *owner) respondToHeartbeat(m *machine, req uint64, report *wire.Heartbeat) {
 	if report.FencingToken > m.token {
 		// Another node owns the machine by now. Its worker drops this node's answers and would
 		// stay here until its lease ends, so it is redirected at once.
@@ -148,24 +148,24 @@
 		return
 	}
 	if !o.c.mayRenewLease() {
-		o.takeReport(m, report, true)
+		o.applyHeartbeat(m, report, true)
 		o.c.refuse(req, wire.StatusUnavailable, "cannot know what users were told")
 		return
 	}
 	answer := wire.HeartbeatResponse{FencingToken: m.token}
-	if o.takeReport(m, report, true) {
+	if o.applyHeartbeat(m, report, true) {
 		answer.Commands = o.commands(m)
 	}
 	o.c.respond(req, wire.StatusOK, answer)
 }
 
-// takeReport learns from a report. It returns false for one that is older than what is known.
+// applyHeartbeat learns from a report. It returns false for one that is older than what is known.
 //
 // A regular report is one that the worker sent by itself. Only such a report shows that starts
 // in the answer to the report before it were executed or dropped; the answer to a direct
 // command may have overtaken that answer.
-func (o *owner) takeReport(m *machine, report *wire.Heartbeat, regular bool) bool {
-	if !older(m.session, m.seq, report.AgentEpoch, report.HeartbeatSeq) {
+func (o *owner) applyHeartbeat(m *machine, report *wire.Heartbeat, regular bool) bool {
+	if !isOlderHeartbeat(m.agentEpoch, m.heartbeatSeq, report.AgentEpoch, report.HeartbeatSeq) {
 		return false // a late copy tells nothing, not even that the machine is alive
 	}
 	o.noteContact(m, report, regular)
@@ -195,16 +195,16 @@
 // seen.
 func (o *owner) noteContact(m *machine, report *wire.Heartbeat, regular bool) {
 	if regular {
-		o.lastHeard, m.reports = o.c.now, true
+		o.lastHeartbeat, m.heartbeatReceived = o.c.now, true
 	}
-	if report.AgentEpoch > m.session && m.session != 0 {
+	if report.AgentEpoch > m.agentEpoch && m.agentEpoch != 0 {
 		o.setFence(m, fenceNone)
 	}
-	m.session, m.seq, m.tasks = report.AgentEpoch, report.HeartbeatSeq, report.Tasks
+	m.agentEpoch, m.heartbeatSeq, m.reportedTasks = report.AgentEpoch, report.HeartbeatSeq, report.Tasks
 	// A machine that only answers commands is no use, since its lease is not renewed. Until it
 	// has reported here at all, an answer shows that it is up.
-	if regular || !m.reports {
-		m.heard = max(m.heard, o.c.now) // after a takeover it has longer
+	if regular || !m.heartbeatReceived {
+		m.lastHeartbeat = max(m.lastHeartbeat, o.c.now) // after a takeover it has longer
 	}
 	m.endpoint = cmp.Or(report.Endpoint, m.endpoint)
 	if m.synced = report.FencingToken == m.token; m.synced {
@@ -238,14 +238,14 @@
 	return listed
 }
 
-// older tells whether the first of two reports was sent before the second.
-func older(session, seq, thanSession, thanSeq uint64) bool {
+// isOlderHeartbeat tells whether the first of two reports was sent before the second.
+func isOlderHeartbeat(session, seq, thanSession, thanSeq uint64) bool {
 	return session < thanSession || session == thanSession && seq < thanSeq
 }
 
 // sawTask applies what a report says of an attempt.
 func (o *owner) sawTask(a *attempt, t *wire.TaskStatus) {
-	a.seen, a.phase = true, t.Phase
+	a.heartbeatSeen, a.phase = true, t.Phase
 	switch a.state {
 	case attemptRecorded, attemptOrdered:
 		o.setAttempt(a, attemptLive)
@@ -268,9 +268,9 @@
 func (o *owner) missing(a *attempt) {
 	switch a.state {
 	case attemptOrdered:
-		if a.seen {
+		if a.heartbeatSeen {
 			o.lost(a, "vanished")
-		} else if a.startSeq < a.machine.seq {
+		} else if a.startHeartbeatSeq < a.machine.heartbeatSeq {
 			o.setAttempt(a, attemptRecorded) // the start was lost
 		}
 	case attemptLive:
--- a/controller/routes.go
+++ b/controller/routes.go
@@ -14,8 +14,8 @@
 	cancelSuffix = "/cancel" // after the path of a job
 )
 
-// PathReport is where workers report.
-const PathReport = wire.PathHeartbeat
+// PathHeartbeat is where workers report.
+const PathHeartbeat = wire.PathHeartbeat
 
 // request routes an inbound request to its handler.
 func (c *Core) request(r Request) {
@@ -26,8 +26,8 @@
 	switch r.Path {
 	case pathUp:
 		c.handle(r, http.MethodGet, func() { c.answerUp(r.ID) })
-	case PathReport:
-		c.handle(r, http.MethodPost, func() { c.report(r) })
+	case PathHeartbeat:
+		c.handle(r, http.MethodPost, func() { c.handleHeartbeat(r) })
 	case pathJobs:
 		c.handle(r, http.MethodPost, func() { c.submit(r) })
 	default:
--- a/controller/status.go
+++ b/controller/status.go
@@ -14,10 +14,10 @@
 
 // counters are what the node did since they were last logged.
 type counters struct {
-	events, reports, lookups, calls int
-	refused                         int // requests answered 429 or 503
-	dropped                         int // messages that could not be read
-	at                              micros.Micros
+	events, heartbeats, lookups, calls int
+	refused                            int // requests answered 429 or 503
+	dropped                            int // messages that could not be read
+	at                                 micros.Micros
 }
 
 // tickStatus logs the counters, and at an owner what its machines do.
@@ -27,7 +27,7 @@
 		return
 	}
 	usage := c.store.TakeUsage()
-	c.log.Info("status", "events", n.events, "reports", n.reports, "lookups", n.lookups, "calls", n.calls,
+	c.log.Info("status", "events", n.events, "reports", n.heartbeats, "lookups", n.lookups, "calls", n.calls,
 		"open_calls", len(c.calls), "store_requests", usage.Requests, "store_writes", usage.Writes, "refused", n.refused,
 		"dropped", n.dropped, "waiting", len(c.submissions.waiting), "violations", c.violations)
 	*n = counters{at: c.now}
--- a/controller/submissions.go
+++ b/controller/submissions.go
@@ -59,7 +59,7 @@
 		return
 	}
 	if c.store.Unavailable() {
-		c.refuse(r.ID, wire.StatusUnavailable, reasonStoreSilent)
+		c.refuse(r.ID, wire.StatusUnavailable, reasonKVUnresponsive)
 		return
 	}
 	writes, size := record.JobWrites(job, c.wallClock, c.cfg.MaxValueBytes)
@@ -88,7 +88,7 @@
 	case result.outcome == lookupNotFound && refused.final():
 		c.answerNeverAccepted(r, job, refused, result.evidence)
 	case refused.final():
-		c.refuse(r.id, wire.StatusUnavailable, reasonStoreSilent)
+		c.refuse(r.id, wire.StatusUnavailable, reasonKVUnresponsive)
 	default:
 		c.refuse(r.id, wire.StatusUnavailable, refused.reason)
 	}
@@ -151,7 +151,7 @@
 		s.answerKnownOr(sub, neverRuns(reasonAwaitsItself))
 		return
 	case c.finals.of(id) != "" || c.knownVersion(id) != 0:
-		s.answerKnownOr(sub, unavailable(reasonStoreSilent))
+		s.answerKnownOr(sub, unavailable(reasonKVUnresponsive))
 		return
 	case !c.graph.IsSynced():
 		s.answerKnownOr(sub, unavailable(reasonJobsUnknown))
@@ -169,7 +169,7 @@
 func (s *submissions) awaitedChecked(sub *submission, result dependencyResult) {
 	switch result.status {
 	case dependenciesUnknown:
-		s.answerKnownOr(sub, unavailable(reasonStoreSilent))
+		s.answerKnownOr(sub, unavailable(reasonKVUnresponsive))
 		return
 	case dependenciesNeverAccepted:
 		s.answerKnownOr(sub, neverRuns(reasonAwaitsUnaccepted))
@@ -215,7 +215,7 @@
 	}
 	s.c.lookup(job, func(result lookupResult) {
 		for _, r := range late {
-			s.c.answerLookedUp(r, job, result, unavailable(reasonStoreSilent))
+			s.c.answerLookedUp(r, job, result, unavailable(reasonKVUnresponsive))
 		}
 	})
 }
