--- a/controller/attempt.go
+++ b/controller/attempt.go
@@ -76,7 +76,7 @@
 	a.state = s
 	if o.c.debug {
 		o.c.log.Debug("attempt", "task", a.task(), "try", a.number,
-			"machine", a.machine.name, "token", a.machine.token, "from", was.String(), "to", s.String(), "why", a.why)
+			"machine", a.machine.name, "token", a.machine.fencingToken, "from", was.String(), "to", s.String(), "why", a.why)
 	}
 	if was == attemptProposed {
 		o.countProposed(a.job, -1)
--- a/controller/bench_test.go
+++ b/controller/bench_test.go
@@ -35,7 +35,7 @@
 	}
 	for i := range benchMachines {
 		m := o.newMachine(machineInfo{fmt.Sprintf("m-%06d", i), "mid", o.c.cfg.Zones[i%2], i%3 == 0, "worker"})
-		m.token, m.agentEpoch, m.synced, m.tokenShownAt, m.lastHeartbeat, m.state = 1, 1, true, o.c.now, o.c.now, machineUp
+		m.fencingToken, m.agentEpoch, m.tokenConfirmed, m.tokenConfirmedAt, m.lastHeartbeat, m.state = 1, 1, true, o.c.now, o.c.now, machineUp
 		for n := range benchTasks {
 			at := i*benchTasks + n
 			j := o.queue[at/100]
--- a/controller/block_write.go
+++ b/controller/block_write.go
@@ -105,7 +105,7 @@
 	}
 	w.stored = append(w.stored, m)
 	entry := w.newEntry(m)
-	if m.token == 0 || m.fence == fenceWanted {
+	if m.fencingToken == 0 || m.fencing == fencingNeeded {
 		w.claim(m, &entry, unknown)
 	}
 	if m.state == machineCondemned {
@@ -135,13 +135,13 @@
 // unknownToOthers tells that the write holds the first claim of a machine that another owner
 // may adopt at the same time.
 func (w *blockWrite) unknownToOthers(m *machine) bool {
-	return m.token == 0 && !m.recorded && !w.owner.ownsAllTeams() && !w.block.isAdopted()
+	return m.fencingToken == 0 && !m.recorded && !w.owner.ownsAllTeams() && !w.block.isAdopted()
 }
 
 // newEntry returns a machine's entry without its tasks.
 func (w *blockWrite) newEntry(m *machine) record.BlockMachine {
 	return record.BlockMachine{
-		Name: m.name, FencingToken: m.token, Endpoint: m.endpoint, MachineType: w.kindIndex(m),
+		Name: m.name, FencingToken: m.fencingToken, Endpoint: m.endpoint, MachineType: w.kindIndex(m),
 		LaunchedAt:      int64(m.rented) - w.data.LaunchTimeBase,
 		Decommissioning: m.state == machineCondemned || m.state == machineReleasing,
 	}
@@ -282,7 +282,7 @@
 		}
 	}
 	for _, m := range w.claimed {
-		if w.block.isAdopted() && m.token == 0 && !o.ownsAllTeams() {
+		if w.block.isAdopted() && m.fencingToken == 0 && !o.ownsAllTeams() {
 			o.verify(m, revision)
 			continue
 		}
@@ -327,5 +327,5 @@
 			return true
 		}
 	}
-	return m.isUnclaimed() || m.fence == fenceWanted
+	return m.isUnclaimed() || m.fencing == fencingNeeded
 }
--- a/controller/blocks.go
+++ b/controller/blocks.go
@@ -156,7 +156,7 @@
 	}
 	m := b.machines[0]
 	target := o.blockFor(m.kind, m.zone)
-	settled := m.token != 0 && m.fence == fenceNone && !m.verifying && m.state < machineTransferring
+	settled := m.fencingToken != 0 && m.fencing == fencingNone && !m.verifying && m.state < machineTransferring
 	if !settled || target.writing {
 		return
 	}
--- a/controller/blocks_test.go
+++ b/controller/blocks_test.go
@@ -127,7 +127,7 @@
 	from := o.newBlock(transferPrefix + "m-900000")
 	from.version = 7
 	m := o.newMachineIn(from, machineInfo{name: "m-900000", kind: "mid", zone: o.c.cfg.Zones[0], endpoint: "worker"})
-	m.token, m.recorded, m.state = 7, true, machineUp
+	m.fencingToken, m.recorded, m.state = 7, true, machineUp
 	write := func() []string {
 		tx := &txn{guards: map[string]uint64{}}
 		o.flushRecords(tx, func() int { return o.c.cfg.MaxTransactionOps - len(tx.writes) })
--- a/controller/claims.go
+++ b/controller/claims.go
@@ -25,17 +25,17 @@
 func (o *owner) ownsAllTeams() bool { return len(o.teams) == len(o.c.cfg.Teams) }
 
 // isUnclaimed tells that the machine has no token yet, nor waits for verify.
-func (m *machine) isUnclaimed() bool { return m.token == 0 && !m.verifying }
+func (m *machine) isUnclaimed() bool { return m.fencingToken == 0 && !m.verifying }
 
 // hasUnclaimed tells whether the block has machines that must be claimed.
 func (b *block) hasUnclaimed() bool { return slices.ContainsFunc(b.machines, (*machine).isUnclaimed) }
 
 // claimed takes the revision of a commit as a machine's token.
 func (o *owner) claimed(m *machine, revision uint64) {
-	m.token, m.synced = revision, false
-	m.tokenShownAt = max(m.tokenShownAt, o.c.now)
-	if m.fence == fenceWanted {
-		o.setFence(m, fenceRaised)
+	m.fencingToken, m.tokenConfirmed = revision, false
+	m.tokenConfirmedAt = max(m.tokenConfirmedAt, o.c.now)
+	if m.fencing == fencingNeeded {
+		o.setFence(m, fencingPending)
 	}
 	o.answerDeferredHeartbeat(m)
 }
--- a/controller/commands.go
+++ b/controller/commands.go
@@ -29,7 +29,7 @@
 // commands returns what a machine must do, given its latest report, and marks the starts
 // among it as ordered.
 func (o *owner) commands(m *machine) []wire.Command {
-	if !m.synced {
+	if !m.tokenConfirmed {
 		return nil // it learns the token first
 	}
 	if !o.mayCommand(m, "any") {
@@ -57,7 +57,7 @@
 // lists, and which tasks those are, less the ones that the machine is told to forget.
 func (o *owner) commandsForReportedTasks(m *machine) (reported map[taskKey]bool, commands []wire.Command) {
 	reported = make(map[taskKey]bool, len(m.reportedTasks))
-	settled := m.fence == fenceNone && !m.sending
+	settled := m.fencing == fencingNone && !m.sending
 	for _, task := range m.reportedTasks {
 		id, index, ok := wire.SplitTaskName(task.Task)
 		key := taskKey{id, index}
@@ -132,7 +132,7 @@
 // dispatch sends a machine its commands, if it can take them now.
 func (o *owner) dispatch(m *machine) {
 	takesWork := m.state >= machineUp && m.state <= machineTransferring
-	if m.sending || !m.synced || m.fence != fenceNone || m.endpoint == "" || !takesWork {
+	if m.sending || !m.tokenConfirmed || m.fencing != fencingNone || m.endpoint == "" || !takesWork {
 		return
 	}
 	m.wantDispatch = false
@@ -146,7 +146,7 @@
 func (o *owner) sendCommands(m *machine, commands []wire.Command) {
 	m.sending = true
 	o.openCommands++
-	body := wire.Encode(wire.CommandsRequest{FencingToken: m.token, AgentEpoch: m.agentEpoch, Commands: commands})
+	body := wire.Encode(wire.CommandsRequest{FencingToken: m.fencingToken, AgentEpoch: m.agentEpoch, Commands: commands})
 	o.c.call(Call{
 		Addr: m.endpoint, Method: "POST", Target: wire.PathCommands, Timeout: commandTimeout, MaxBody: wire.MaxBody, Body: body,
 	}, func(e CallDone) {
@@ -167,7 +167,7 @@
 		report, _ = wire.DecodeHeartbeat(e.Body) // one that cannot be read counts as no answer
 	}
 	switch {
-	case report != nil && report.FencingToken > m.token:
+	case report != nil && report.FencingToken > m.fencingToken:
 		o.resync("a machine has seen a higher token")
 	case report != nil:
 		o.applyHeartbeat(m, report, false)
@@ -176,7 +176,7 @@
 		}
 	case e.Sent && hadCommands:
 		o.c.log.Info("command not answered", "machine", m.name)
-		o.setFence(m, fenceWanted)
+		o.setFence(m, fencingNeeded)
 	}
 }
 
@@ -193,7 +193,7 @@
 		if o.c.now-o.since < inspectAfter && !o.overdue(m, overdueCondemnShare) {
 			continue
 		}
-		if !m.takenOver || m.agentEpoch != 0 || m.inspected || m.token == 0 || m.state >= machineCondemned {
+		if !m.takenOver || m.agentEpoch != 0 || m.inspected || m.fencingToken == 0 || m.state >= machineCondemned {
 			continue
 		}
 		m.inspected = true
@@ -216,10 +216,10 @@
 	}, func(e CallDone) {
 		o.openCommands--
 		report, err := wire.DecodeHeartbeat(e.Body)
-		if o.superseded() || o.machines[m.name] != m || e.Status != wire.StatusOK || err != nil || report.FencingToken > m.token {
+		if o.superseded() || o.machines[m.name] != m || e.Status != wire.StatusOK || err != nil || report.FencingToken > m.fencingToken {
 			return
 		}
-		if o.applyHeartbeat(m, report, false) && !m.synced {
+		if o.applyHeartbeat(m, report, false) && !m.tokenConfirmed {
 			o.sendCommands(m, []wire.Command{})
 		}
 	})
--- a/controller/commits.go
+++ b/controller/commits.go
@@ -168,7 +168,7 @@
 		return true // a machine was to go to an owner that is gone
 	}
 	if name, ok := strings.CutPrefix(key, record.BlockPrefix+adoptedPrefix); ok {
-		if m := o.machines[name]; m != nil && m.token == 0 {
+		if m := o.machines[name]; m != nil && m.fencingToken == 0 {
 			o.notOurs(m, adoptedPrefix+name)
 			return true
 		}
--- a/controller/due_records.go
+++ b/controller/due_records.go
@@ -8,7 +8,7 @@
 // Weights of what the write of a record brings, in tasks that may start.
 const (
 	claimWeight   = 1000
-	fenceWeight   = 100
+	fencingWeight = 100
 	machineWeight = 20
 	gangWeight    = 8  // a gang waits for its last task
 	waitWeight    = 20 // for each second that a block has waited: none may starve
@@ -89,8 +89,8 @@
 	switch {
 	case m.isUnclaimed():
 		return claimWeight
-	case m.fence == fenceWanted:
-		return fenceWeight
+	case m.fencing == fencingNeeded:
+		return fencingWeight
 	case m.state == machineCondemned || m.state == machineDeleted:
 		return machineWeight
 	}
--- a/controller/entitlement.go
+++ b/controller/entitlement.go
@@ -11,10 +11,10 @@
 // mayCommand asserts that a machine may be commanded: it is claimed by a record of this owner,
 // whose token it has shown, and is not to be deleted.
 func (o *owner) mayCommand(m *machine, verb string) bool {
-	if o.isEntitled() && m.token != 0 && m.synced && m.state < machineCondemned {
+	if o.isEntitled() && m.fencingToken != 0 && m.tokenConfirmed && m.state < machineCondemned {
 		return true
 	}
-	o.c.reportViolation("a command without a claim", "verb", verb, "machine", m.name, "token", m.token, "synced", m.synced,
+	o.c.reportViolation("a command without a claim", "verb", verb, "machine", m.name, "token", m.fencingToken, "synced", m.tokenConfirmed,
 		"machine_state", m.state.String(), "owner_state", o.state.String(), "superseded", o.superseded())
 	return false
 }
--- a/controller/entitlement_test.go
+++ b/controller/entitlement_test.go
@@ -16,7 +16,7 @@
 	core.setOwner(o)
 	o.setState(ownerActive)
 	m := o.newMachine(machineInfo{name: "m-000001", kind: "small", zone: "a", endpoint: "worker:m-000001"})
-	m.state, m.token, m.synced, m.recorded = machineUp, 7, true, true
+	m.state, m.fencingToken, m.tokenConfirmed, m.recorded = machineUp, 7, true, true
 	j := newJob(&sched.Job{ID: "req-000001", Team: "red", Tasks: 1, Need: sched.NewResources(1, 0, 1)}, 5, 0)
 	o.jobs[j.ID] = j
 	return o, m, o.attach(j, 0, 1, m, attemptRecorded)
@@ -32,7 +32,7 @@
 		violations int
 	}{
 		{"recorded and claimed", func(*owner, *machine, *attempt) {}, 1, 0},
-		{"not claimed", func(_ *owner, m *machine, _ *attempt) { m.token = 0 }, 0, 1},
+		{"not claimed", func(_ *owner, m *machine, _ *attempt) { m.fencingToken = 0 }, 0, 1},
 		{"without an entry in a record", func(_ *owner, m *machine, _ *attempt) { m.recorded = false }, 0, 1},
 		{"to be deleted", func(_ *owner, m *machine, _ *attempt) { m.state = machineCondemned }, 0, 1},
 		{"its owner reads the records", func(o *owner, _ *machine, _ *attempt) { o.state = ownerLoading }, 0, 1},
@@ -42,7 +42,7 @@
 			a.job.state, a.state = jobActive, attemptRecorded // as if this had been missed
 		}, 0, 1},
 		{"not recorded yet", func(_ *owner, _ *machine, a *attempt) { a.state = attemptProposed }, 0, 0},
-		{"the machine has not shown the token", func(_ *owner, m *machine, _ *attempt) { m.synced = false }, 0, 0},
+		{"the machine has not shown the token", func(_ *owner, m *machine, _ *attempt) { m.tokenConfirmed = false }, 0, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			o, m, a := activeOwner()
--- a/controller/gangs_test.go
+++ b/controller/gangs_test.go
@@ -21,7 +21,7 @@
 	o.loadJob(record.ActiveJobKey(gang.ID), wire.Encode(record.NewJob(gang, 0)), 1)
 	for i := range 6 {
 		m := o.newMachine(machineInfo{fmt.Sprintf("m-%06d", i), "mid", "a", i < 5, "worker"})
-		m.token, m.lastHeartbeat, m.state = 1, o.c.now, machineUp
+		m.fencingToken, m.lastHeartbeat, m.state = 1, o.c.now, machineUp
 	}
 	j := o.jobs[gang.ID]
 	for ordinary, most := range map[int]int{4: 0, 3: 1, 0: 4} {
@@ -63,7 +63,7 @@
 		o.loadJob(record.ActiveJobKey(gang.ID), wire.Encode(record.NewJob(gang, 0)), 1)
 	}
 	m := o.newMachine(machineInfo{"m-000000", "mid", "a", false, "worker"})
-	m.token, m.lastHeartbeat, m.state = 1, o.c.now, machineUp
+	m.fencingToken, m.lastHeartbeat, m.state = 1, o.c.now, machineUp
 	ended := o.attach(o.queue[0], 0, 7, m, attemptLive)
 	o.setAttempt(ended, attemptFinished)
 	o.attach(o.queue[1], 0, 8, m, attemptLive)
--- a/controller/limits_test.go
+++ b/controller/limits_test.go
@@ -98,7 +98,7 @@
 	}
 	for i := range 30 {
 		m := o.newMachine(machineInfo{fmt.Sprintf("m-%06d", i), "mid", o.c.cfg.Zones[0], false, "worker"})
-		m.token, m.agentEpoch, m.synced, m.tokenShownAt, m.lastHeartbeat, m.state = 1, 1, true, o.c.now, o.c.now, machineUp
+		m.fencingToken, m.agentEpoch, m.tokenConfirmed, m.tokenConfirmedAt, m.lastHeartbeat, m.state = 1, 1, true, o.c.now, o.c.now, machineUp
 	}
 	placed := 0
 	for range 20 {
@@ -135,7 +135,7 @@
 	b := o.blocks[0]
 	m := b.machines[0]
 	b.machines = b.machines[:1]
-	m.token, o.c.cfg.MaxValueBytes = 0, 60
+	m.fencingToken, o.c.cfg.MaxValueBytes = 0, 60
 	o.markDirty(m)
 	tries := 0
 	for end := o.c.now + micros.Minute; o.c.now < end && m.state < machineReleasing; o.c.now += 100 * micros.Millisecond {
@@ -208,7 +208,7 @@
 	}, 0)), 1)
 	for i := range 6 {
 		m := o.newMachine(machineInfo{fmt.Sprintf("m-%06d", i*7919), "mid", "a", false, fmt.Sprintf("10.1.%d.%d:9000", i*37, i*91%256)})
-		m.token, m.state, m.lastHeartbeat = uint64(1000+i*4711), machineUp, o.c.now
+		m.fencingToken, m.state, m.lastHeartbeat = uint64(1000+i*4711), machineUp, o.c.now
 	}
 	if len(o.blocks) != 1 {
 		t.Fatalf("%d blocks", len(o.blocks))
@@ -239,7 +239,7 @@
 	const machines, tasksEach = 30, 14
 	for i := range machines {
 		m := o.newMachine(machineInfo{fmt.Sprintf("m-%06d", i*7919), "mid", "a", false, fmt.Sprintf("10.1.%d.%d:9000", i*37%256, i*91%256)})
-		m.token, m.agentEpoch, m.synced, m.lastHeartbeat, m.state = uint64(1000+i*4711), 1, true, o.c.now, machineUp
+		m.fencingToken, m.agentEpoch, m.tokenConfirmed, m.lastHeartbeat, m.state = uint64(1000+i*4711), 1, true, o.c.now, machineUp
 	}
 	o.scheduleWanted = true
 	o.schedule()
--- a/controller/load.go
+++ b/controller/load.go
@@ -101,7 +101,7 @@
 func (o *owner) activate() {
 	for _, m := range o.list {
 		m.lastHeartbeat, m.takenOver = o.c.now+o.c.cfg.FailoverGrace(), true
-		m.tokenShownAt = m.lastHeartbeat
+		m.tokenConfirmedAt = m.lastHeartbeat
 	}
 	o.since = o.c.now
 	o.scheduleWanted = true
--- a/controller/machine.go
+++ b/controller/machine.go
@@ -28,18 +28,18 @@
 	return [...]string{"booting", "up", "draining", "moving", "condemned", "releasing", "deleted"}[s]
 }
 
-// fenceState is the state machine of a machine's fence. A command that was sent directly and
+// fencingState is the state machine of a machine's fence. A command that was sent directly and
 // not answered may still be executed until the machine has seen a higher token or begun a new
 // session.
-type fenceState int
+type fencingState int
 
 const (
-	fenceNone   fenceState = iota
-	fenceWanted            // a higher token must be recorded
-	fenceRaised            // it is recorded; the machine has not seen it yet
+	fencingNone    fencingState = iota
+	fencingNeeded               // a higher token must be recorded
+	fencingPending              // it is recorded; the machine has not seen it yet
 )
 
-func (s fenceState) String() string { return [...]string{"none", "wanted", "raised"}[s] }
+func (s fencingState) String() string { return [...]string{"none", "wanted", "raised"}[s] }
 
 // machine is a machine at its owner.
 type machine struct {
@@ -50,7 +50,7 @@
 	spot     bool
 	size     sched.Resources
 	state    machineState
-	fence    fenceState
+	fencing  fencingState
 	rented   micros.Micros
 
 	// block holds the machine's entry, and dirty tells whether that must be written.
@@ -58,8 +58,8 @@
 	dirty bool
 	// recorded: the record of some owner has its entry.
 	recorded bool
-	// token entitles to command the machine; 0: not claimed yet.
-	token uint64
+	// fencingToken entitles to command the machine; 0: not claimed yet.
+	fencingToken uint64
 	// verifying: it was adopted, and may turn out to be another owner's.
 	verifying bool
 	// takenOver: it was another owner's. It is up, or boots since an unknown time.
@@ -69,10 +69,10 @@
 	lastHeartbeat micros.Micros
 	// heartbeatGraceUntil postpones the count of its silence, after its zone was partitioned.
 	heartbeatGraceUntil micros.Micros
-	// tokenShownAt is when it last showed this owner's token, or when this owner began to
+	// tokenConfirmedAt is when it last showed this owner's token, or when this owner began to
 	// wait for that; synced tells whether its latest report did.
-	tokenShownAt micros.Micros
-	synced       bool
+	tokenConfirmedAt micros.Micros
+	tokenConfirmed   bool
 	// heartbeatReceived: it has reported by itself to this owner.
 	heartbeatReceived bool
 	// session and seq order its reports; tasks are those of the latest.
@@ -139,7 +139,7 @@
 	m.state = s
 	switch s {
 	case machineUp:
-		m.idleSince, m.tokenShownAt = o.c.now, max(m.tokenShownAt, o.c.now)
+		m.idleSince, m.tokenConfirmedAt = o.c.now, max(m.tokenConfirmedAt, o.c.now)
 		o.scheduleWanted = true
 	case machineReleasing:
 		o.releaseWanted = true
@@ -149,13 +149,13 @@
 }
 
 // setFence is the one place where a machine's fence changes its state.
-func (o *owner) setFence(m *machine, s fenceState) {
-	if m.fence == s {
+func (o *owner) setFence(m *machine, s fencingState) {
+	if m.fencing == s {
 		return
 	}
-	o.c.log.Debug("fence", "machine", m.name, "from", m.fence.String(), "to", s.String())
-	m.fence = s
-	if s == fenceWanted {
+	o.c.log.Debug("fence", "machine", m.name, "from", m.fencing.String(), "to", s.String())
+	m.fencing = s
+	if s == fencingNeeded {
 		o.markDirty(m)
 	}
 }
--- a/controller/machine_health.go
+++ b/controller/machine_health.go
@@ -83,8 +83,8 @@
 // our token for long. What runs there goes on until its lease ends; then it is idle and
 // paid for.
 func (o *owner) isUnreachable(m *machine) bool {
-	return m.token != 0 && m.state >= machineUp && m.state <= machineTransferring && !m.synced &&
-		o.c.now-m.tokenShownAt > o.c.cfg.HeartbeatTimeout()+maxMissedHeartbeats*o.c.cfg.HeartbeatInterval
+	return m.fencingToken != 0 && m.state >= machineUp && m.state <= machineTransferring && !m.tokenConfirmed &&
+		o.c.now-m.tokenConfirmedAt > o.c.cfg.HeartbeatTimeout()+maxMissedHeartbeats*o.c.cfg.HeartbeatInterval
 }
 
 // overdue tells that so much of the time has passed in which a task on the machine, whose
@@ -196,7 +196,7 @@
 		return decommissionUnresponsive
 	case o.isUnreachable(m) && o.givesUpUnreachable(m, fleet):
 		return condemnedUnreached
-	case m.state == machineDraining && len(m.attempts) == 0 && m.token != 0:
+	case m.state == machineDraining && len(m.attempts) == 0 && m.fencingToken != 0:
 		return condemnedEmptyDrain
 	}
 	return notCondemned
@@ -213,7 +213,7 @@
 // givesUpUnreachable tells whether an unreachable machine is given up. With many of them the
 // fault is likely on this side: answers that come too late are dropped too.
 func (o *owner) givesUpUnreachable(m *machine, fleet fleetHealth) bool {
-	return !fleet.manyUnreachable || o.c.now-m.tokenShownAt > unreachablePatience*o.c.cfg.HeartbeatTimeout()
+	return !fleet.manyUnreachable || o.c.now-m.tokenConfirmedAt > unreachablePatience*o.c.cfg.HeartbeatTimeout()
 }
 
 // keptForGangs tells that a silent machine is kept since it works on, as others show: tasks
--- a/controller/machine_transfers.go
+++ b/controller/machine_transfers.go
@@ -80,7 +80,7 @@
 
 // isIdle tells that a machine can be transferred at once.
 func (o *owner) isIdle(m *machine) bool {
-	return m.state == machineUp && len(m.attempts) == 0 && m.token != 0 && !o.isHeld(m.name) &&
+	return m.state == machineUp && len(m.attempts) == 0 && m.fencingToken != 0 && !o.isHeld(m.name) &&
 		o.c.now-m.idleSince > idleBeforeTransfer
 }
 
@@ -100,7 +100,7 @@
 
 // transferBlockName names the block in which a machine is transferred.
 func transferBlockName(m *machine) string {
-	return transferPrefix + m.name + "-" + record.FormatNumber(m.token)
+	return transferPrefix + m.name + "-" + record.FormatNumber(m.fencingToken)
 }
 
 // writeTransfer writes the new owner of an empty machine, in a block of its own.
@@ -160,7 +160,7 @@
 	o.loadMachine(block, data, &data.Machines[0])
 	m := block.machines[0]
 	delete(o.ownedElsewhere, m.name)
-	m.token, m.dirty, m.takenOver, block.dirty = version, false, true, false
-	m.tokenShownAt = o.c.now
+	m.fencingToken, m.dirty, m.takenOver, block.dirty = version, false, true, false
+	m.tokenConfirmedAt = o.c.now
 	o.c.log.Info("machine received", "machine", m.name, "type", m.kind, "zone", m.zone)
 }
--- a/controller/placement_view.go
+++ b/controller/placement_view.go
@@ -42,7 +42,7 @@
 	catalog := o.c.catalog()
 	left := map[*block]float64{}
 	for _, m := range o.list {
-		if m.state != machineUp || m.token == 0 || m.fence != fenceNone || o.c.now < m.pausedTo ||
+		if m.state != machineUp || m.fencingToken == 0 || m.fencing != fencingNone || o.c.now < m.pausedTo ||
 			o.c.now-m.lastHeartbeat > 2*o.c.cfg.HeartbeatInterval {
 			continue
 		}
--- a/controller/rentals.go
+++ b/controller/rentals.go
@@ -122,7 +122,7 @@
 // allClaimed tells that all machines of a rental are recorded.
 func (o *owner) allClaimed(r *rental) bool {
 	for _, name := range r.machines {
-		if m := o.machines[name]; m != nil && m.token == 0 {
+		if m := o.machines[name]; m != nil && m.fencingToken == 0 {
 			return false
 		}
 	}
--- a/controller/reports.go
+++ b/controller/reports.go
@@ -108,7 +108,7 @@
 	switch {
 	case m.state >= machineCondemned:
 		c.refuse(req, wire.StatusUnavailable, "machine is being returned")
-	case m.token == 0:
+	case m.fencingToken == 0:
 		o.deferHeartbeat(m, req, report)
 	default:
 		o.respondToHeartbeat(m, req, report)
@@ -140,7 +140,7 @@
 
 // respondToHeartbeat takes a report and answers it with the machine's commands.
 func (o *owner) respondToHeartbeat(m *machine, req uint64, report *wire.Heartbeat) {
-	if report.FencingToken > m.token {
+	if report.FencingToken > m.fencingToken {
 		// Another node owns the machine by now. Its worker drops this node's answers and would
 		// stay here until its lease ends, so it is redirected at once.
 		o.c.respond(req, wire.StatusMisdirected, wire.Redirect{HeartbeatNode: o.c.claimant(m.name)})
@@ -152,7 +152,7 @@
 		o.c.refuse(req, wire.StatusUnavailable, "cannot know what users were told")
 		return
 	}
-	answer := wire.HeartbeatResponse{FencingToken: m.token}
+	answer := wire.HeartbeatResponse{FencingToken: m.fencingToken}
 	if o.applyHeartbeat(m, report, true) {
 		answer.Commands = o.commands(m)
 	}
@@ -180,7 +180,7 @@
 	}
 	// Only a machine that has seen this owner's token, and for which no command is open, can
 	// show that a task is not there and will not appear.
-	if !regular || !m.synced || m.fence != fenceNone || m.sending {
+	if !regular || !m.tokenConfirmed || m.fencing != fencingNone || m.sending {
 		return true
 	}
 	for _, a := range m.sorted() {
@@ -198,7 +198,7 @@
 		o.lastHeartbeat, m.heartbeatReceived = o.c.now, true
 	}
 	if report.AgentEpoch > m.agentEpoch && m.agentEpoch != 0 {
-		o.setFence(m, fenceNone)
+		o.setFence(m, fencingNone)
 	}
 	m.agentEpoch, m.heartbeatSeq, m.reportedTasks = report.AgentEpoch, report.HeartbeatSeq, report.Tasks
 	// A machine that only answers commands is no use, since its lease is not renewed. Until it
@@ -207,11 +207,11 @@
 		m.lastHeartbeat = max(m.lastHeartbeat, o.c.now) // after a takeover it has longer
 	}
 	m.endpoint = cmp.Or(report.Endpoint, m.endpoint)
-	if m.synced = report.FencingToken == m.token; m.synced {
-		m.tokenShownAt = max(m.tokenShownAt, o.c.now)
+	if m.tokenConfirmed = report.FencingToken == m.fencingToken; m.tokenConfirmed {
+		m.tokenConfirmedAt = max(m.tokenConfirmedAt, o.c.now)
 	}
-	if m.synced && m.fence == fenceRaised {
-		o.setFence(m, fenceNone)
+	if m.tokenConfirmed && m.fencing == fencingPending {
+		o.setFence(m, fencingNone)
 	}
 	if m.state == machineBooting {
 		o.setMachine(m, machineUp, "reports")
@@ -253,7 +253,7 @@
 		return
 	}
 	switch {
-	case t.Phase == wire.PhaseExited && !a.machine.synced:
+	case t.Phase == wire.PhaseExited && !a.machine.tokenConfirmed:
 		// It may be an old report, of an earlier start of the same attempt: nothing is
 		// concluded before a report shows this owner's token.
 	case t.Phase == wire.PhaseExited:
--- a/controller/scale.go
+++ b/controller/scale.go
@@ -116,7 +116,7 @@
 	}
 	d.Size, d.Used = o.machineSize(m), m.used
 	d.Age, d.IdleFor = o.c.wallClock-m.rented, o.c.now-m.idleSince
-	d.Claimed, d.Busy = m.token != 0, len(m.attempts) > 0
+	d.Claimed, d.Busy = m.fencingToken != 0, len(m.attempts) > 0
 	d.Reserved = o.isHeld(m.name)
 	d.OnlySlack = d.Busy && o.scarce(m) && o.onlySlack(m)
 	if forGangs {
