--- a/controller/bench_test.go
+++ b/controller/bench_test.go
@@ -28,7 +28,7 @@
 func benchOwner() *owner {
 	o := testOwner()
 	for i := range 300 {
-		o.loadJob(record.ActiveJobKey(fmt.Sprintf("req-%06d", i)), wire.Encode(record.NewJob(&sched.Job{
+		o.recoverJob(record.ActiveJobKey(fmt.Sprintf("req-%06d", i)), wire.Encode(record.NewJob(&sched.Job{
 			ID: fmt.Sprintf("req-%06d", i), Class: "render", Team: "red", Priority: sched.Normal, Tasks: 150,
 			Need: sched.NewResources(2, 0, 2), Image: fmt.Sprint("img", i%20), Spot: true, Estimate: 30 * micros.Second,
 		}, 0)), uint64(i+1))
@@ -171,9 +171,9 @@
 		fresh := newOwner(o.c, o.c.node.OwnTeams())
 		fresh.jobs, fresh.queue = map[string]*job{}, nil
 		for _, j := range o.queue {
-			fresh.loadJob(record.ActiveJobKey(j.ID), wire.Encode(record.NewJob(j.Job, 0)), j.version)
+			fresh.recoverJob(record.ActiveJobKey(j.ID), wire.Encode(record.NewJob(j.Job, 0)), j.version)
 		}
-		fresh.loadBlocks(entries)
+		fresh.recoverBlocks(entries)
 		if len(fresh.list) != benchMachines {
 			b.Fatal("machines are missing")
 		}
--- a/controller/commands.go
+++ b/controller/commands.go
@@ -168,7 +168,7 @@
 	}
 	switch {
 	case report != nil && report.FencingToken > m.fencingToken:
-		o.resync("a machine has seen a higher token")
+		o.restartRecovery("a machine has seen a higher token")
 	case report != nil:
 		o.applyHeartbeat(m, report, false)
 		if m.wantDispatch || m.hasPendingStarts() {
@@ -193,7 +193,7 @@
 		if o.c.now-o.since < inspectAfter && !o.overdue(m, overdueCondemnShare) {
 			continue
 		}
-		if !m.takenOver || m.agentEpoch != 0 || m.inspected || m.fencingToken == 0 || m.state >= machineCondemned {
+		if !m.recovered || m.agentEpoch != 0 || m.inspected || m.fencingToken == 0 || m.state >= machineCondemned {
 			continue
 		}
 		m.inspected = true
--- a/controller/commits.go
+++ b/controller/commits.go
@@ -89,7 +89,7 @@
 	switch r.Outcome {
 	case kv.OK:
 		if !r.Decode(&res) {
-			o.resync("the answer to a commit cannot be read")
+			o.restartRecovery("the answer to a commit cannot be read")
 			return
 		}
 		o.settle(t, true, res.Revision)
@@ -97,7 +97,7 @@
 		o.scheduleWanted = true
 	case kv.PreconditionFailed:
 		if again {
-			o.resync("a commit without answer was executed, or somebody else wrote")
+			o.restartRecovery("a commit without answer was executed, or somebody else wrote")
 			return
 		}
 		r.Decode(&res)
@@ -175,7 +175,7 @@
 	}
 	id, isJob := strings.CutPrefix(key, record.ActiveJobPrefix)
 	if !isJob {
-		o.resync("a record of ours was changed: " + key)
+		o.restartRecovery("a record of ours was changed: " + key)
 		return false
 	}
 	if j := o.waiting[id]; j != nil {
--- a/controller/entitlement_test.go
+++ b/controller/entitlement_test.go
@@ -35,7 +35,7 @@
 		{"not claimed", func(_ *owner, m *machine, _ *attempt) { m.fencingToken = 0 }, 0, 1},
 		{"without an entry in a record", func(_ *owner, m *machine, _ *attempt) { m.recorded = false }, 0, 1},
 		{"to be deleted", func(_ *owner, m *machine, _ *attempt) { m.state = machineCondemned }, 0, 1},
-		{"its owner reads the records", func(o *owner, _ *machine, _ *attempt) { o.state = ownerLoading }, 0, 1},
+		{"its owner reads the records", func(o *owner, _ *machine, _ *attempt) { o.state = ownerRecovering }, 0, 1},
 		{"its owner was replaced", func(o *owner, _ *machine, _ *attempt) { o.c.owner = nil }, 0, 1},
 		{"a peer says that its job is cancelled", func(o *owner, _ *machine, a *attempt) {
 			o.c.cancellations.MarkEnded(a.job.ID, o.c.now)
--- a/controller/eviction_test.go
+++ b/controller/eviction_test.go
@@ -30,7 +30,7 @@
 
 func addTestJob(o *owner, n int, spec *sched.Job) *job {
 	spec.ID, spec.Class, spec.Team, spec.Image = jobName(n), "work", "red", "img"
-	o.loadJob(record.ActiveJobKey(spec.ID), wire.Encode(record.NewJob(spec, o.c.wallClock)), uint64(n))
+	o.recoverJob(record.ActiveJobKey(spec.ID), wire.Encode(record.NewJob(spec, o.c.wallClock)), uint64(n))
 	return o.jobs[spec.ID]
 }
 
--- a/controller/finalreads.go
+++ b/controller/finalreads.go
@@ -64,7 +64,7 @@
 		c.takeFinal(id, found[id])
 	}
 	if !ok || len(found) == 0 {
-		resolution.nextTry = c.now + loadRetry
+		resolution.nextTry = c.now + readRetryDelay
 	}
 	questions := resolution.questions
 	resolution.questions = nil
--- a/controller/gangs_test.go
+++ b/controller/gangs_test.go
@@ -18,7 +18,7 @@
 		ID: "req-000001", Class: "merge", Team: "red", Gang: true, Tasks: 4,
 		Need: sched.NewResources(20, 0, 80), Image: "img", Spot: true,
 	}
-	o.loadJob(record.ActiveJobKey(gang.ID), wire.Encode(record.NewJob(gang, 0)), 1)
+	o.recoverJob(record.ActiveJobKey(gang.ID), wire.Encode(record.NewJob(gang, 0)), 1)
 	for i := range 6 {
 		m := o.newMachine(machineInfo{fmt.Sprintf("m-%06d", i), "mid", "a", i < 5, "worker"})
 		m.fencingToken, m.lastHeartbeat, m.state = 1, o.c.now, machineUp
@@ -60,7 +60,7 @@
 			ID: fmt.Sprintf("req-%06d", i), Class: "merge", Team: "red", Gang: true, Tasks: 1,
 			Need: sched.NewResources(20, 0, 80), Image: "img",
 		}
-		o.loadJob(record.ActiveJobKey(gang.ID), wire.Encode(record.NewJob(gang, 0)), 1)
+		o.recoverJob(record.ActiveJobKey(gang.ID), wire.Encode(record.NewJob(gang, 0)), 1)
 	}
 	m := o.newMachine(machineInfo{"m-000000", "mid", "a", false, "worker"})
 	m.fencingToken, m.lastHeartbeat, m.state = 1, o.c.now, machineUp
@@ -82,7 +82,7 @@
 			ID: fmt.Sprintf("req-%06d", 9-i), Class: "merge", Team: "red", Tasks: 1,
 			Need: sched.NewResources(cpus, 0, 1), Image: "img", Priority: sched.Priority(i),
 		}
-		o.loadJob(record.ActiveJobKey(spec.ID), wire.Encode(record.NewJob(spec, micros.Micros(i))), 1)
+		o.recoverJob(record.ActiveJobKey(spec.ID), wire.Encode(record.NewJob(spec, micros.Micros(i))), 1)
 	}
 	covered := o.guaranteed()
 	for i, want := range []bool{true, true, false, false} {
--- a/controller/holds.go
+++ b/controller/holds.go
@@ -176,9 +176,9 @@
 	}
 }
 
-// loadHolds takes over the holds of an earlier owner. Its stops may not all have been
+// recoverReservations takes over the holds of an earlier owner. Its stops may not all have been
 // begun; what was not is found by the gang's next look for room once the wait is over.
-func (o *owner) loadHolds(entries []kv.Entry) {
+func (o *owner) recoverReservations(entries []kv.Entry) {
 	for _, e := range entries {
 		var rec record.Reservation
 		id := strings.TrimPrefix(e.Key, record.ReservationPrefix)
--- a/controller/job_queue.go
+++ b/controller/job_queue.go
@@ -13,8 +13,8 @@
 	"tamarindlead/micros"
 )
 
-// loadJob takes an accepted job from its record, unless it is known or of another owner's team.
-func (o *owner) loadJob(key string, value []byte, version uint64) {
+// recoverJob takes an accepted job from its record, unless it is known or of another owner's team.
+func (o *owner) recoverJob(key string, value []byte, version uint64) {
 	id := strings.TrimPrefix(key, record.ActiveJobPrefix)
 	if o.jobs[id] != nil || o.waiting[id] != nil || o.c.cancellations.HasEnded(id) {
 		return
@@ -72,13 +72,13 @@
 		}
 		switch {
 		case r.Outcome == kv.Compacted:
-			o.resync("the watch fell behind")
+			o.restartRecovery("the watch fell behind")
 			return
 		case r.Outcome != kv.OK:
 			o.retryWatch(after)
 			return
 		case !c.takeChanges(after, r):
-			o.resync("the watch cannot be followed")
+			o.restartRecovery("the watch cannot be followed")
 			return
 		}
 		o.cancellationsKnownUntil = asked
@@ -88,7 +88,7 @@
 
 // retryWatch watches again after a pause, which the slow tick ends.
 func (o *owner) retryWatch(after uint64) {
-	o.watchRev, o.watchDown, o.retryAt = after, true, o.c.now+loadRetry
+	o.watchRev, o.watchDown, o.retryAt = after, true, o.c.now+readRetryDelay
 }
 
 // jobRemoved handles a job that is over: by our own commit, or cancelled, of which users were
--- a/controller/jobview.go
+++ b/controller/jobview.go
@@ -33,7 +33,7 @@
 
 func (w jobObserver) JobPut(key string, value []byte, version uint64) {
 	if o := w.c.owner; o != nil && o.listed {
-		o.loadJob(key, value, version)
+		o.recoverJob(key, value, version)
 	}
 }
 
@@ -174,7 +174,7 @@
 		queue.askedAt = c.now // what came meanwhile goes out now
 		ok := c.takeChanges(after, r)
 		if r.Outcome == kv.Compacted && c.owner != nil && c.owner.listed {
-			c.owner.resync("changes of jobs were missed")
+			c.owner.restartRecovery("changes of jobs were missed")
 		}
 		answerAll(batch, ok)
 		c.sendRefresh()
--- a/controller/jobview_test.go
+++ b/controller/jobview_test.go
@@ -33,7 +33,7 @@
 	o.c.graph.Reset(entries, uint64(len(entries)))
 	o.listed = true
 	for _, e := range entries {
-		o.loadJob(e.Key, e.Value, e.Version)
+		o.recoverJob(e.Key, e.Value, e.Version)
 	}
 	return o
 }
--- a/controller/limits_test.go
+++ b/controller/limits_test.go
@@ -91,7 +91,7 @@
 	o.c.cfg.MaxValueBytes, o.c.cfg.MaxTransactionOps = 2<<10, 500
 	for i := range 400 {
 		id := fmt.Sprintf("req-%06d", i*7919%1000000)
-		o.loadJob(record.ActiveJobKey(id), wire.Encode(record.NewJob(&sched.Job{
+		o.recoverJob(record.ActiveJobKey(id), wire.Encode(record.NewJob(&sched.Job{
 			ID: id, Class: "work", Team: "red", Priority: sched.Normal, Tasks: 1 + i%5, Image: "img",
 			Need: sched.NewResources(float64(1+i%3)/4, 0, float64(1+i%7)/8), Estimate: 30 * micros.Second,
 		}, 0)), uint64(i+1))
@@ -163,7 +163,7 @@
 	rec := record.CompletionSegment{Chunks: map[string]string{}}
 	for i := range 12 {
 		id := jobName(i)
-		o.loadJob(record.ActiveJobKey(id), wire.Encode(record.NewJob(&sched.Job{
+		o.recoverJob(record.ActiveJobKey(id), wire.Encode(record.NewJob(&sched.Job{
 			ID: id, Class: "work", Team: "red", Tasks: 800, Need: sched.NewResources(1, 0, 1), Image: "img", Estimate: micros.Second,
 		}, 0)), uint64(i+1))
 		bits := make(record.Bitmap, 100)
@@ -174,7 +174,7 @@
 	other.Set(700)
 	entries = append(entries, kv.Entry{Key: record.CompletionSegmentKey("red", "1"), Value: wire.Encode(rec), Version: 20},
 		kv.Entry{Key: record.CompletionSegmentKey("red", "2"), Value: wire.Encode(record.CompletionSegment{Chunks: map[string]string{wire.TaskName(jobName(3), 0): other.Chunk(0)}}), Version: 19})
-	o.loadShards(entries)
+	o.recoverSegments(entries)
 	if j := o.jobs[jobName(3)]; !j.done.Has(5) || !j.done.Has(700) || j.doneN != 2 {
 		t.Fatalf("%d completions are known", j.doneN)
 	}
@@ -203,7 +203,7 @@
 	o := testOwner()
 	o.c.cfg.MaxValueBytes = 2 << 10
 	id := jobName(1)
-	o.loadJob(record.ActiveJobKey(id), wire.Encode(record.NewJob(&sched.Job{
+	o.recoverJob(record.ActiveJobKey(id), wire.Encode(record.NewJob(&sched.Job{
 		ID: id, Class: "work", Team: "red", Tasks: 40, Need: sched.NewResources(2, 0, 2), Image: "img", Estimate: micros.Second,
 	}, 0)), 1)
 	for i := range 6 {
@@ -232,7 +232,7 @@
 	o.c.cfg.MaxValueBytes, o.c.cfg.MaxTransactionOps = 4<<10, 12
 	for i := range 5 {
 		id := jobName(i)
-		o.loadJob(record.ActiveJobKey(id), wire.Encode(record.NewJob(&sched.Job{
+		o.recoverJob(record.ActiveJobKey(id), wire.Encode(record.NewJob(&sched.Job{
 			ID: id, Class: "work", Team: "red", Tasks: 100, Need: sched.NewResources(2, 0, 2), Image: "img", Estimate: micros.Second,
 		}, o.c.wallClock)), uint64(i+1))
 	}
--- a/controller/load.go
+++ b/controller/load.go
@@ -7,25 +7,25 @@
 	"tamarindlead/sched"
 )
 
-// loadRetry is the pause before records are read again, after a request that failed.
-const loadRetry = 250 * micros.Millisecond
+// readRetryDelay is the pause before records are read again, after a request that failed.
+const readRetryDelay = 250 * micros.Millisecond
 
-// loader reads the records of an owner, one kind after the other: later ones name earlier
+// recovery reads the records of an owner, one kind after the other: later ones name earlier
 // ones. They do not change meanwhile, but for the jobs, which the watch follows from the
 // revision at which they were listed.
-type loader struct {
-	owner *owner
-	begun micros.Micros
+type recovery struct {
+	owner     *owner
+	startedAt micros.Micros
 	// blocks are kept until all else has been read.
 	blocks []kv.Entry
 }
 
-// load reads all records after a takeover.
-func (o *owner) load() {
+// startRecovery reads all records after a takeover.
+func (o *owner) startRecovery() {
 	o.busy = true
 	o.reset()
-	l := &loader{owner: o, begun: o.c.now}
-	l.list(record.ActiveJobPrefix, l.jobsRead)
+	l := &recovery{owner: o, startedAt: o.c.now}
+	l.list(record.ActiveJobPrefix, l.handleJobs)
 }
 
 // reset forgets what was read or decided before.
@@ -45,54 +45,54 @@
 }
 
 // list reads the records with a prefix.
-func (l *loader) list(prefix string, next func(entries []kv.Entry, revision uint64)) {
+func (l *recovery) list(prefix string, next func(entries []kv.Entry, revision uint64)) {
 	o := l.owner
 	o.c.store.ListAll(prefix, func(ok bool, entries []kv.Entry, revision uint64) {
 		switch {
 		case o.superseded():
 		case !ok:
-			o.busy, o.retryAt = false, o.c.now+loadRetry
+			o.busy, o.retryAt = false, o.c.now+readRetryDelay
 		default:
 			next(entries, revision)
 		}
 	})
 }
 
-// jobsRead takes the active jobs.
-func (l *loader) jobsRead(entries []kv.Entry, revision uint64) {
+// handleJobs takes the active jobs.
+func (l *recovery) handleJobs(entries []kv.Entry, revision uint64) {
 	o := l.owner
-	o.watchRev, o.cancellationsKnownUntil = revision, l.begun
+	o.watchRev, o.cancellationsKnownUntil = revision, l.startedAt
 	o.c.graph.Reset(entries, revision)
 	o.listed = true
 	for _, e := range entries {
-		o.loadJob(e.Key, e.Value, e.Version)
+		o.recoverJob(e.Key, e.Value, e.Version)
 	}
-	l.list(record.CompletionSegmentPrefix, l.shardsRead)
+	l.list(record.CompletionSegmentPrefix, l.handleSegments)
 }
 
-// shardsRead takes the completed tasks of the jobs.
-func (l *loader) shardsRead(entries []kv.Entry, _ uint64) {
-	l.owner.loadShards(entries)
-	l.list(record.BlockPrefix, l.blocksRead)
+// handleSegments takes the completed tasks of the jobs.
+func (l *recovery) handleSegments(entries []kv.Entry, _ uint64) {
+	l.owner.recoverSegments(entries)
+	l.list(record.BlockPrefix, l.handleBlocks)
 }
 
-// blocksRead keeps the blocks for the end: rentals and holds come first.
-func (l *loader) blocksRead(entries []kv.Entry, _ uint64) {
+// handleBlocks keeps the blocks for the end: rentals and holds come first.
+func (l *recovery) handleBlocks(entries []kv.Entry, _ uint64) {
 	l.blocks = entries
-	l.list(record.ScaleOutRequestPrefix, l.rentalsRead)
+	l.list(record.ScaleOutRequestPrefix, l.handleScaleOutRequests)
 }
 
-// rentalsRead takes the rentals.
-func (l *loader) rentalsRead(entries []kv.Entry, _ uint64) {
-	l.owner.loadRentals(entries)
-	l.list(record.ReservationPrefix, l.holdsRead)
+// handleScaleOutRequests takes the rentals.
+func (l *recovery) handleScaleOutRequests(entries []kv.Entry, _ uint64) {
+	l.owner.recoverScaleOutRequests(entries)
+	l.list(record.ReservationPrefix, l.handleReservations)
 }
 
-// holdsRead takes the holds, and ends the loading.
-func (l *loader) holdsRead(entries []kv.Entry, _ uint64) {
+// handleReservations takes the holds, and ends the loading.
+func (l *recovery) handleReservations(entries []kv.Entry, _ uint64) {
 	o := l.owner
-	o.loadHolds(entries)
-	o.loadBlocks(l.blocks)
+	o.recoverReservations(entries)
+	o.recoverBlocks(l.blocks)
 	o.busy = false
 	o.activate()
 }
@@ -100,7 +100,7 @@
 // activate begins the work of an owner that has read its records.
 func (o *owner) activate() {
 	for _, m := range o.list {
-		m.lastHeartbeat, m.takenOver = o.c.now+o.c.cfg.FailoverGrace(), true
+		m.lastHeartbeat, m.recovered = o.c.now+o.c.cfg.FailoverGrace(), true
 		m.tokenConfirmedAt = m.lastHeartbeat
 	}
 	o.since = o.c.now
--- a/controller/load_machines.go
+++ b/controller/load_machines.go
@@ -13,22 +13,22 @@
 	"tamarindlead/sched"
 )
 
-// loadBlocks rebuilds machines and attempts from the blocks after a takeover. Jobs and
+// recoverBlocks rebuilds machines and attempts from the blocks after a takeover. Jobs and
 // completions must have been loaded.
-func (o *owner) loadBlocks(entries []kv.Entry) {
+func (o *owner) recoverBlocks(entries []kv.Entry) {
 	// A machine that changed its block may be in both: the newer record holds.
 	newestFirst := slices.Clone(entries)
 	slices.SortStableFunc(newestFirst, func(a, b kv.Entry) int { return cmp.Compare(b.Version, a.Version) })
 	for _, e := range newestFirst {
-		if err := o.loadBlock(e); err != nil {
+		if err := o.recoverBlock(e); err != nil {
 			o.c.log.Error("record cannot be read", "key", e.Key, "error", err)
 		}
 	}
-	o.checkLoadedJobs()
+	o.checkRecoveredJobs()
 }
 
-// loadBlock takes over a block, if it is of an owner whose records this one owns.
-func (o *owner) loadBlock(e kv.Entry) error {
+// recoverBlock takes over a block, if it is of an owner whose records this one owns.
+func (o *owner) recoverBlock(e kv.Entry) error {
 	var rec record.Block
 	if err := wire.Decode(e.Value, &rec); err != nil {
 		return err
@@ -43,14 +43,14 @@
 	b := o.newBlock(strings.TrimPrefix(e.Key, record.BlockPrefix))
 	b.version = e.Version
 	for i := range data.Machines {
-		o.loadMachine(b, data, &data.Machines[i])
+		o.recoverMachine(b, data, &data.Machines[i])
 	}
 	o.markBlockDirty(b)
 	return nil
 }
 
-// loadMachine takes over a machine and the attempts on it.
-func (o *owner) loadMachine(b *block, data *record.BlockData, entry *record.BlockMachine) {
+// recoverMachine takes over a machine and the attempts on it.
+func (o *owner) recoverMachine(b *block, data *record.BlockData, entry *record.BlockMachine) {
 	if o.machines[entry.Name] != nil {
 		return // it is in a newer block
 	}
@@ -68,13 +68,13 @@
 		o.c.log.Error("record cannot be read", "machine", entry.Name, "error", err)
 	}
 	for _, task := range tasks {
-		o.loadAttempt(m, &data.Jobs[task.Job], task)
+		o.recoverAttempt(m, &data.Jobs[task.Job], task)
 	}
 }
 
-// loadAttempt takes over an attempt, unless its task is completed or, as a damaged record
+// recoverAttempt takes over an attempt, unless its task is completed or, as a damaged record
 // could have it, does not exist or has an attempt elsewhere.
-func (o *owner) loadAttempt(m *machine, spec *record.BlockJob, task record.BlockTask) {
+func (o *owner) recoverAttempt(m *machine, spec *record.BlockJob, task record.BlockTask) {
 	j := o.placedJob(spec.ID)
 	if j == nil {
 		j = o.addEndedJob(spec)
@@ -107,9 +107,9 @@
 	return j
 }
 
-// checkLoadedJobs drops ended jobs without attempts, and stops gangs of which not all tasks
+// checkRecoveredJobs drops ended jobs without attempts, and stops gangs of which not all tasks
 // are recorded.
-func (o *owner) checkLoadedJobs() {
+func (o *owner) checkRecoveredJobs() {
 	for _, id := range sortedKeys(o.jobs) {
 		j := o.jobs[id]
 		if j.state == jobEnded && len(j.attempts) == 0 {
--- a/controller/load_machines_test.go
+++ b/controller/load_machines_test.go
@@ -36,7 +36,7 @@
 	j := newJob(job, 5, 0)
 	o.jobs[j.ID] = j
 	owner := core.node.ID()
-	o.loadBlocks([]kv.Entry{
+	o.recoverBlocks([]kv.Entry{
 		blockEntry(owner, "recorded", 10, "m-000001", job),
 		blockEntry(owner, adoptedPrefix+"m-000001", 20, "m-000001", nil),
 	})
--- a/controller/load_shards.go
+++ b/controller/load_shards.go
@@ -9,16 +9,16 @@
 	"tamarindlead/internal/wire"
 )
 
-// loadShards takes over the shards of completed tasks.
-func (o *owner) loadShards(entries []kv.Entry) {
+// recoverSegments takes over the shards of completed tasks.
+func (o *owner) recoverSegments(entries []kv.Entry) {
 	for _, e := range entries {
-		o.loadShard(e)
+		o.recoverSegment(e)
 	}
 	o.emptyLargeShards()
 }
 
-// loadShard takes over one shard, if it is of a team of this owner.
-func (o *owner) loadShard(e kv.Entry) {
+// recoverSegment takes over one shard, if it is of a team of this owner.
+func (o *owner) recoverSegment(e kv.Entry) {
 	team, name, ok := o.splitShardKey(e.Key)
 	if !ok {
 		if o.ownsAllTeams() { // so it is of a team that is no more
@@ -35,14 +35,14 @@
 	s.version = e.Version
 	o.shards = append(o.shards, s)
 	for _, chunkName := range sortedKeys(rec.Chunks) {
-		o.loadChunk(s, chunkName, rec.Chunks[chunkName])
+		o.recoverChunk(s, chunkName, rec.Chunks[chunkName])
 	}
 }
 
-// loadChunk takes over a chunk, unless its job has ended. It is in two shards if it was to
+// recoverChunk takes over a chunk, unless its job has ended. It is in two shards if it was to
 // move from one to the other: the shard that is read last gets it, and the other stays until
 // that one has been written with what both say.
-func (o *owner) loadChunk(s *shard, name, bits string) {
+func (o *owner) recoverChunk(s *shard, name, bits string) {
 	id, chunk, ok := record.SplitChunkName(name)
 	j := o.placedJob(id)
 	if !ok || j == nil || chunk*record.TasksPerChunk >= j.Tasks {
@@ -53,11 +53,11 @@
 	} else {
 		s.add(j, chunk)
 	}
-	o.loadCompletions(j, chunk, bits)
+	o.recoverCompletions(j, chunk, bits)
 }
 
-// loadCompletions takes over the completed tasks of a chunk.
-func (o *owner) loadCompletions(j *job, chunk int, bits string) {
+// recoverCompletions takes over the completed tasks of a chunk.
+func (o *owner) recoverCompletions(j *job, chunk int, bits string) {
 	j.unfold()
 	if err := j.done.MergeChunk(chunk, bits); err != nil {
 		o.c.log.Error("record cannot be read", "job", j.ID, "chunk", chunk, "error", err)
--- a/controller/machine.go
+++ b/controller/machine.go
@@ -62,8 +62,8 @@
 	fencingToken uint64
 	// verifying: it was adopted, and may turn out to be another owner's.
 	verifying bool
-	// takenOver: it was another owner's. It is up, or boots since an unknown time.
-	takenOver bool
+	// recovered: it was another owner's. It is up, or boots since an unknown time.
+	recovered bool
 
 	// lastHeartbeat is when it reported last, or when this owner began to wait for a report.
 	lastHeartbeat micros.Micros
--- a/controller/machine_health.go
+++ b/controller/machine_health.go
@@ -150,7 +150,7 @@
 // this node took over was up.
 func hasBooted(m *machine) bool {
 	return m.state >= machineUp && m.state <= machineTransferring ||
-		m.state == machineBooting && m.takenOver && len(m.attempts) > 0
+		m.state == machineBooting && m.recovered && len(m.attempts) > 0
 }
 
 // mustGo tells that a machine is silent with a task that has to be gone before long.
--- a/controller/machine_transfers.go
+++ b/controller/machine_transfers.go
@@ -157,10 +157,10 @@
 func (o *owner) takeTransferred(blockName string, version uint64, data *record.BlockData) {
 	block := o.newBlock(blockName)
 	block.version = version
-	o.loadMachine(block, data, &data.Machines[0])
+	o.recoverMachine(block, data, &data.Machines[0])
 	m := block.machines[0]
 	delete(o.ownedElsewhere, m.name)
-	m.fencingToken, m.dirty, m.takenOver, block.dirty = version, false, true, false
+	m.fencingToken, m.dirty, m.recovered, block.dirty = version, false, true, false
 	m.tokenConfirmedAt = o.c.now
 	o.c.log.Info("machine received", "machine", m.name, "type", m.kind, "zone", m.zone)
 }
--- a/controller/owner.go
+++ b/controller/owner.go
@@ -18,8 +18,8 @@
 type ownerState int
 
 const (
-	ownerLoading ownerState = iota // the records are being read
-	ownerActive                    // jobs are placed, machines get commands
+	ownerRecovering ownerState = iota // the records are being read
+	ownerActive                       // jobs are placed, machines get commands
 )
 
 func (s ownerState) String() string { return [...]string{"loading", "active"}[s] }
@@ -167,12 +167,12 @@
 	}
 }
 
-// resyncPause keeps an owner that reads all records again and again from using up the limits.
-const resyncPause = 200 * micros.Millisecond
+// recoveryRestartDelay keeps an owner that reads all records again and again from using up the limits.
+const recoveryRestartDelay = 200 * micros.Millisecond
 
-// resync starts over from the records, after something that should not happen if
+// restartRecovery starts over from the records, after something that should not happen if
 // they were as this node believes.
-func (o *owner) resync(why string) {
+func (o *owner) restartRecovery(why string) {
 	if o.superseded() {
 		return
 	}
@@ -182,16 +182,16 @@
 		records[name] = t.record
 	}
 	o.c.setOwner(newOwner(o.c, records))
-	o.c.owner.retryAt = o.c.now + resyncPause
+	o.c.owner.retryAt = o.c.now + recoveryRestartDelay
 	o.c.owner.lastHeartbeat = o.lastHeartbeat
 }
 
 // advance does what can be done now; it is called after every event.
 func (o *owner) advance() {
 	switch o.state {
-	case ownerLoading:
+	case ownerRecovering:
 		if !o.busy && o.c.now >= o.retryAt {
-			o.load()
+			o.startRecovery()
 		}
 	case ownerActive:
 		o.advanceWaiting()
@@ -265,7 +265,7 @@
 	case m.state >= machineCondemned:
 		return false
 	case m.state == machineBooting:
-		return m.takenOver && len(m.attempts) > 0
+		return m.recovered && len(m.attempts) > 0
 	}
 	return true
 }
--- a/controller/rentals.go
+++ b/controller/rentals.go
@@ -57,8 +57,8 @@
 	r.state = s
 }
 
-// loadRentals takes over the rentals of an earlier owner: the cloud is asked again.
-func (o *owner) loadRentals(entries []kv.Entry) {
+// recoverScaleOutRequests takes over the rentals of an earlier owner: the cloud is asked again.
+func (o *owner) recoverScaleOutRequests(entries []kv.Entry) {
 	for _, e := range entries {
 		var rec record.ScaleOutRequest
 		if wire.Decode(e.Value, &rec) != nil {
--- a/controller/reports.go
+++ b/controller/reports.go
@@ -144,7 +144,7 @@
 		// Another node owns the machine by now. Its worker drops this node's answers and would
 		// stay here until its lease ends, so it is redirected at once.
 		o.c.respond(req, wire.StatusMisdirected, wire.Redirect{HeartbeatNode: o.c.claimant(m.name)})
-		o.resync("a machine has seen a higher token")
+		o.restartRecovery("a machine has seen a higher token")
 		return
 	}
 	if !o.c.mayRenewLease() {
--- a/controller/waiting.go
+++ b/controller/waiting.go
@@ -77,7 +77,7 @@
 		return
 	}
 	if partial := o.c.graph.FirstIncomplete(); partial != nil {
-		resolution.nextTry = o.c.now + loadRetry
+		resolution.nextTry = o.c.now + readRetryDelay
 		o.c.readParts(partial, func(ok bool) {
 			if ok {
 				resolution.nextTry = 0
