--- a/controller/acceptance.go
+++ b/controller/acceptance.go
@@ -16,12 +16,12 @@
 
 // flush records waiting submissions, as many as one commit takes.
 func (s *submissions) flush() {
-	if s.committing || len(s.waiting) == 0 {
+	if s.committing || len(s.pending) == 0 {
 		return
 	}
 	s.refuseExpired()
 	room := min(s.c.budget.AvailableWrites(budget.UserRequests, s.c.now), s.c.cfg.MaxTransactionOps)
-	if s.c.now < s.commitAt || room == 0 || len(s.waiting) == 0 {
+	if s.c.now < s.commitAt || room == 0 || len(s.pending) == 0 {
 		return
 	}
 	if batch := s.takeBatch(room); len(batch) > 0 {
@@ -32,25 +32,25 @@
 // refuseExpired refuses submissions that have waited for too long.
 func (s *submissions) refuseExpired() {
 	var waiting []*submission
-	for _, sub := range s.waiting {
+	for _, sub := range s.pending {
 		if s.c.now-sub.receivedAt > acceptWithin {
 			s.refuseAll(sub, reasonKVUnresponsive)
 			continue
 		}
 		waiting = append(waiting, sub)
 	}
-	s.waiting = waiting
+	s.pending = waiting
 }
 
 // takeBatch takes the submissions whose writes have room, in the order in which they came. One
 // that needs more than there ever is room for is taken when there is as much as can be: its
 // writes beyond that are owed to the budget.
 func (s *submissions) takeBatch(room int) []*submission {
-	if first := s.waiting[0]; first.writes > room && room >= s.c.budget.WriteBurst() {
+	if first := s.pending[0]; first.writes > room && room >= s.c.budget.WriteBurst() {
 		room = first.writes
 	}
 	var batch, rest []*submission
-	for _, sub := range s.waiting {
+	for _, sub := range s.pending {
 		if sub.writes <= room {
 			room -= sub.writes
 			batch = append(batch, sub)
@@ -58,7 +58,7 @@
 			rest = append(rest, sub)
 		}
 	}
-	s.waiting = rest
+	s.pending = rest
 	return batch
 }
 
@@ -88,7 +88,7 @@
 
 // waitAgain puts submissions back before those that came later.
 func (s *submissions) waitAgain(batch []*submission) {
-	s.waiting = append(batch[:len(batch):len(batch)], s.waiting...)
+	s.pending = append(batch[:len(batch):len(batch)], s.pending...)
 }
 
 // committed takes the answer to the commit of a batch.
@@ -128,7 +128,7 @@
 		if known || len(failed) == 0 {
 			s.answerKnownOr(sub, unavailable(reasonKVUnresponsive))
 		} else {
-			s.waiting = append(s.waiting, sub)
+			s.pending = append(s.pending, sub)
 		}
 	}
 }
@@ -145,7 +145,7 @@
 			s.refuseAll(sub, reasonUnacknowledged)
 			return
 		}
-		s.c.finals.remember(sub.job.ID, wire.JobCancelled)
+		s.c.terminalStates.remember(sub.job.ID, wire.JobCancelled)
 		s.answerAccepted(sub, freshness.OfTerminalState())
 	})
 }
--- a/controller/announcements.go
+++ b/controller/announcements.go
@@ -28,7 +28,9 @@
 	}
 }
 
-func (h cancellationHost) MayAcknowledge(job string) { h.c.finals.remember(job, wire.JobCancelled) }
+func (h cancellationHost) MayAcknowledge(job string) {
+	h.c.terminalStates.remember(job, wire.JobCancelled)
+}
 
 func (h cancellationHost) SendAnnouncement(to, job string, acknowledged func(now micros.Micros)) {
 	m := &peer.Message{Body: &peer.Message_JobEnded{JobEnded: &peer.JobEnded{Id: job}}}
@@ -42,7 +44,7 @@
 // announceCancellation calls done once it is certain whether users may be told that a job is
 // cancelled. An answer after the deadline is of no use to the caller.
 func (c *Core) announceCancellation(job string, deadline micros.Micros, done func(mayTell bool)) {
-	if c.finals.of(job) != "" {
+	if c.terminalStates.of(job) != "" {
 		done(true)
 		return
 	}
--- a/controller/answers_test.go
+++ b/controller/answers_test.go
@@ -55,7 +55,7 @@
 		{"read before the request", read(99), false, wire.StatusUnavailable, 1},
 		{"no read at all", lookupResult{outcome: lookupFound, status: wire.JobQueued}, false, wire.StatusUnavailable, 1},
 		{"a peer says that it is cancelled", read(101), true, wire.StatusUnavailable, 1},
-		{"final state of a job that is over", finalResult(wire.JobCancelled), true, wire.StatusOK, 0},
+		{"final state of a job that is over", terminalResult(wire.JobCancelled), true, wire.StatusOK, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			core := answeringCore()
@@ -83,7 +83,7 @@
 	if status := respondedWith(t, core.out); status != wire.StatusAccepted {
 		t.Errorf("the request that came before the commit is answered %d", status)
 	}
-	if waiting := core.lookups.waiting; len(waiting) != 1 || waiting[0].id != job.ID {
+	if waiting := core.lookups.pending; len(waiting) != 1 || waiting[0].id != job.ID {
 		t.Errorf("%d lookups wait for the other request, want 1", len(waiting))
 	}
 	if core.Violations() != 0 || core.submissions.byJob[job.ID] != nil {
@@ -116,14 +116,14 @@
 			sub := &submission{job: answeringJob(), requests: []userRequest{{1, asked + c.cameAt}}, dependenciesAsked: asked}
 			core.submissions.byJob[sub.job.ID] = sub
 			core.submissions.answerKnownOr(sub, neverRuns(reasonAwaitsUnaccepted))
-			lookup := core.lookups.waiting[0]
-			core.lookups.waiting = nil
+			lookup := core.lookups.pending[0]
+			core.lookups.pending = nil
 			core.out = nil
 			lookup.done(lookupResult{outcome: lookupNotFound, evidence: freshness.Evidence{Basis: freshness.RecordRead, SentAt: core.now}})
 			if status := respondedWith(t, core.out); status != c.status || core.Violations() != 0 {
 				t.Errorf("answered %d with %d violations, want %d", status, core.Violations(), c.status)
 			}
-			if again := len(core.lookups.waiting); again != 1 && c.status == 0 {
+			if again := len(core.lookups.pending); again != 1 && c.status == 0 {
 				t.Errorf("%d lookups follow, want 1", again)
 			}
 		})
--- a/controller/blocks_test.go
+++ b/controller/blocks_test.go
@@ -80,8 +80,8 @@
 	waits := o.blocks[:3]
 	for _, b := range waits {
 		j := o.queue[len(o.queue)-1]
-		o.attach(j, j.lowest, 9, b.machines[0], attemptProposed)
-		j.lowest++
+		o.attach(j, j.firstPending, 9, b.machines[0], attemptProposed)
+		j.firstPending++
 		o.markDirty(b.machines[0])
 	}
 	for i := range 10 {
@@ -161,7 +161,7 @@
 	for range 20 {
 		j := o.queue[len(o.queue)-1]
 		o.queue = o.queue[:len(o.queue)-1]
-		proposed = append(proposed, o.attach(j, j.lowest, 9, b.machines[0], attemptProposed))
+		proposed = append(proposed, o.attach(j, j.firstPending, 9, b.machines[0], attemptProposed))
 	}
 	o.markDirty(b.machines[0])
 	waiting := len(proposed)
--- a/controller/cancellations.go
+++ b/controller/cancellations.go
@@ -25,7 +25,7 @@
 		c.reject(request.id, wire.StatusNotFound, reasonNoSuchJob)
 		return
 	}
-	if status := c.finals.of(job); status != "" {
+	if status := c.terminalStates.of(job); status != "" {
 		c.answerCancellation(request, job, status)
 		return
 	}
@@ -64,7 +64,7 @@
 	switch {
 	case result.outcome == lookupNotFound:
 		r.c.answerNeverAccepted(r.request, r.job, noSuchJob(), result.evidence)
-	case result.outcome == lookupFound && result.final():
+	case result.outcome == lookupFound && result.isTerminal():
 		r.respond(result.status)
 	default:
 		r.refuse(reasonKVUnresponsive)
--- a/controller/cloud_list.go
+++ b/controller/cloud_list.go
@@ -50,7 +50,7 @@
 	})
 }
 
-// takePage takes one page of the list. A reading that fails is dropped.
+// applyPage takes one page of the list. A reading that fails is dropped.
 func (o *owner) takePage(status wire.Status, body []byte) {
 	l := &o.listing
 	l.next = o.c.now + max(o.c.cfg.CloudListLag, minListPause)
--- a/controller/commands.go
+++ b/controller/commands.go
@@ -57,7 +57,7 @@
 // lists, and which tasks those are, less the ones that the machine is told to forget.
 func (o *owner) commandsForReportedTasks(m *machine) (reported map[taskKey]bool, commands []wire.Command) {
 	reported = make(map[taskKey]bool, len(m.reportedTasks))
-	settled := m.fencing == fencingNone && !m.sending
+	settled := m.fencing == fencingNone && !m.commandsInFlight
 	for _, task := range m.reportedTasks {
 		id, index, ok := wire.SplitTaskName(task.Task)
 		key := taskKey{id, index}
@@ -132,7 +132,7 @@
 // dispatch sends a machine its commands, if it can take them now.
 func (o *owner) dispatch(m *machine) {
 	takesWork := m.state >= machineUp && m.state <= machineTransferring
-	if m.sending || !m.tokenConfirmed || m.fencing != fencingNone || m.endpoint == "" || !takesWork {
+	if m.commandsInFlight || !m.tokenConfirmed || m.fencing != fencingNone || m.endpoint == "" || !takesWork {
 		return
 	}
 	m.wantDispatch = false
@@ -144,7 +144,7 @@
 // sendCommands sends commands to a machine's worker. Without commands it only shows the
 // worker this owner's token.
 func (o *owner) sendCommands(m *machine, commands []wire.Command) {
-	m.sending = true
+	m.commandsInFlight = true
 	o.openCommands++
 	body := wire.Encode(wire.CommandsRequest{FencingToken: m.fencingToken, AgentEpoch: m.agentEpoch, Commands: commands})
 	o.c.call(Call{
@@ -154,7 +154,7 @@
 		if o.superseded() || o.machines[m.name] != m {
 			return
 		}
-		m.sending = false
+		m.commandsInFlight = false
 		o.commandsAnswered(m, len(commands) > 0, e)
 	})
 }
@@ -207,7 +207,7 @@
 // inspect asks a machine that was taken over for its report, and then shows it this owner's
 // token, so that commands need not wait until its worker has found this node.
 func (o *owner) inspect(m *machine) {
-	if m.endpoint == "" || m.agentEpoch != 0 || m.sending {
+	if m.endpoint == "" || m.agentEpoch != 0 || m.commandsInFlight {
 		return
 	}
 	o.openCommands++
--- a/controller/commits.go
+++ b/controller/commits.go
@@ -46,7 +46,7 @@
 	}
 	if most > 0 {
 		o.flushClaims(t, room)
-		o.flushFinals(t, func() bool { return room() < 2 || full() })
+		o.flushTerminalStates(t, func() bool { return room() < 2 || full() })
 		// The cancelled that nobody waits for leave half to the rest, or take what is left.
 		half := most / 2
 		o.flushCancelled(t, func() bool { return room() < 2+half || full() })
@@ -221,8 +221,8 @@
 	o.receiveTransfer(block)
 }
 
-// flushFinals records jobs that are done.
-func (o *owner) flushFinals(t *txn, full func() bool) {
+// flushTerminalStates records jobs that are done.
+func (o *owner) flushTerminalStates(t *txn, full func() bool) {
 	for _, j := range o.queue {
 		if j.state != jobFinishing || j.unsure {
 			continue
@@ -245,7 +245,7 @@
 
 // doneRecorded ends a job whose final record is written.
 func (o *owner) doneRecorded(j *job) {
-	o.c.finals.remember(j.ID, wire.JobDone)
+	o.c.terminalStates.remember(j.ID, wire.JobDone)
 	o.c.log.Info("job done", "job", j.ID, "class", j.Class)
 	o.c.graph.MarkDone(j.ID, o.c.wallClock)
 	for _, a := range j.sorted() {
--- a/controller/core.go
+++ b/controller/core.go
@@ -50,11 +50,11 @@
 	numbers numbers
 
 	// What users ask for.
-	submissions submissions
-	finals      finalStates
-	lookups     lookupStage
-	graph       *dag.Graph // the active jobs
-	jobView     jobView
+	submissions    submissions
+	terminalStates terminalStates
+	lookups        lookupStage
+	graph          *dag.Graph // the active jobs
+	jobView        jobView
 	// cancellations keeps which cancellations users may be told of, and bounds leases.
 	cancellations *cancellation.Tracker
 
@@ -93,7 +93,7 @@
 		Requests: cfg.KVRequestRate, Writes: cfg.KVWriteRate, MinWriteBurst: cancelWrites + 1,
 	}, len(cfg.Siblings)+1)
 	c.store = kv.New(kvHost{c}, c.budget, record.LeaderKey, log)
-	c.submissions, c.finals = newSubmissions(c), newFinalStates()
+	c.submissions, c.terminalStates = newSubmissions(c), newTerminalStates()
 	c.graph = dag.New(jobObserver{c}, log)
 	return c
 }
--- a/controller/dependencies.go
+++ b/controller/dependencies.go
@@ -48,7 +48,7 @@
 	case partial != nil:
 		s.c.readParts(partial, s.again)
 	case unresolved:
-		s.c.resolveEnds(s.again)
+		s.c.resolveTerminalStates(s.again)
 	default:
 		s.done(true)
 	}
@@ -138,21 +138,21 @@
 	d.resets = d.c.graph.Resets()
 	var inactive []string
 	for _, id := range d.ids {
-		if !d.c.graph.IsActive(id) && d.c.finals.of(id) != wire.JobDone {
+		if !d.c.graph.IsActive(id) && d.c.terminalStates.of(id) != wire.JobDone {
 			inactive = append(inactive, id)
 		}
 	}
-	d.c.readFinals(budget.UserRequests, inactive, d.until, func(found map[string]record.TerminalState, ok bool) {
+	d.c.readTerminalStates(budget.UserRequests, inactive, d.until, func(found map[string]record.TerminalState, ok bool) {
 		if !ok {
 			d.done(dependencyResult{})
 			return
 		}
-		d.finalsRead(inactive, found)
+		d.handleTerminalStatesRead(inactive, found)
 	})
 }
 
-// finalsRead answers if a final record decides, and else finds out what is before the active.
-func (d *dependencyCheck) finalsRead(inactive []string, found map[string]record.TerminalState) {
+// terminalStatesRead answers if a final record decides, and else finds out what is before the active.
+func (d *dependencyCheck) handleTerminalStatesRead(inactive []string, found map[string]record.TerminalState) {
 	root := ""
 	for _, id := range inactive {
 		rec, accepted := found[id]
--- a/controller/finalreads.go
+++ b/controller/finalreads.go
@@ -14,19 +14,19 @@
 // This file reads final records, alone or many at once, and has the graph of jobs take how
 // awaited jobs ended.
 
-// fewFinals is up to how many final records are read one by one: more cost fewer requests by
+// maxSingleReads is up to how many final records are read one by one: more cost fewer requests by
 // listing the keys about them.
-const fewFinals = 2
+const maxSingleReads = 2
 
-// endResolution is the reading of how awaited jobs ended that left the active ones.
-type endResolution struct {
+// terminalStateResolution is the reading of how awaited jobs ended that left the active ones.
+type terminalStateResolution struct {
 	reading   bool
-	questions []func(ok bool)
-	nextTry   micros.Micros // for the owner, which asks by itself
+	callbacks []func(ok bool)
+	retryAt   micros.Micros // for the owner, which asks by itself
 }
 
-// takeFinal takes the final record of a job that others await.
-func (c *Core) takeFinal(id string, rec record.TerminalState) {
+// applyTerminalState takes the final record of a job that others await.
+func (c *Core) applyTerminalState(id string, rec record.TerminalState) {
 	switch rec.Status {
 	case record.StatusDone:
 		at := rec.FinishedAt
@@ -39,12 +39,12 @@
 	}
 }
 
-// resolveEnds finds out how awaited jobs ended that left the active ones. Without a question
+// resolveTerminalStates finds out how awaited jobs ended that left the active ones. Without a question
 // it is the owner's own work.
-func (c *Core) resolveEnds(done func(ok bool)) {
+func (c *Core) resolveTerminalStates(done func(ok bool)) {
 	resolution := &c.jobView.resolution
 	if done != nil {
-		resolution.questions = append(resolution.questions, done)
+		resolution.callbacks = append(resolution.callbacks, done)
 	}
 	if resolution.reading {
 		return
@@ -54,86 +54,86 @@
 	if done != nil {
 		purpose = budget.UserRequests
 	}
-	c.readFinals(purpose, c.graph.UnresolvedJobs(), c.now+acceptWithin, c.endsRead)
+	c.readTerminalStates(purpose, c.graph.UnresolvedJobs(), c.now+acceptWithin, c.handleTerminalStatesRead)
 }
 
-func (c *Core) endsRead(found map[string]record.TerminalState, ok bool) {
+func (c *Core) handleTerminalStatesRead(found map[string]record.TerminalState, ok bool) {
 	resolution := &c.jobView.resolution
-	resolution.reading, resolution.nextTry = false, c.now+fastTick
+	resolution.reading, resolution.retryAt = false, c.now+fastTick
 	for _, id := range sortedKeys(found) {
-		c.takeFinal(id, found[id])
+		c.applyTerminalState(id, found[id])
 	}
 	if !ok || len(found) == 0 {
-		resolution.nextTry = c.now + readRetryDelay
+		resolution.retryAt = c.now + readRetryDelay
 	}
-	questions := resolution.questions
-	resolution.questions = nil
+	questions := resolution.callbacks
+	resolution.callbacks = nil
 	answerAll(questions, ok)
 }
 
-// finalsRead is a read of several jobs' final records.
-type finalsRead struct {
-	c       *Core
-	purpose budget.Purpose
-	ids     []string // not read yet, in order
-	until   micros.Micros
-	found   map[string]record.TerminalState
-	done    func(found map[string]record.TerminalState, ok bool)
+// terminalStatesRead is a read of several jobs' final records.
+type terminalStatesRead struct {
+	c        *Core
+	purpose  budget.Purpose
+	ids      []string // not read yet, in order
+	deadline micros.Micros
+	found    map[string]record.TerminalState
+	done     func(found map[string]record.TerminalState, ok bool)
 }
 
-// readFinals reads final records of jobs, given in order. Few are read one by one, many by
+// readTerminalStates reads final records of jobs, given in order. Few are read one by one, many by
 // listing the keys about them: never in more requests than there are jobs.
-func (c *Core) readFinals(p budget.Purpose, ids []string, until micros.Micros, done func(found map[string]record.TerminalState, ok bool)) {
-	read := &finalsRead{c: c, purpose: p, ids: ids, until: until, found: map[string]record.TerminalState{}, done: done}
-	read.next()
+func (c *Core) readTerminalStates(p budget.Purpose, ids []string, until micros.Micros, done func(found map[string]record.TerminalState, ok bool)) {
+	read := &terminalStatesRead{c: c, purpose: p, ids: ids, deadline: until, found: map[string]record.TerminalState{}, done: done}
+	read.readNext()
 }
 
-func (r *finalsRead) next() {
+func (r *terminalStatesRead) readNext() {
 	switch {
 	case len(r.ids) == 0:
 		r.done(r.found, true)
-	case len(r.ids) <= fewFinals:
+	case len(r.ids) <= maxSingleReads:
 		r.readFirst()
 	default:
 		r.listFromFirst()
 	}
 }
 
-func (r *finalsRead) readFirst() {
+func (r *terminalStatesRead) readFirst() {
 	id := r.ids[0]
 	r.c.store.Get(r.purpose, record.TerminalStateKey(id), func(out kv.Outcome, e kv.Entry) {
-		if out != kv.NotFound && (out != kv.OK || !r.take(id, e.Value)) {
-			r.failed(out)
+		if out != kv.NotFound && (out != kv.OK || !r.applyRecord(id, e.Value)) {
+			r.handleFailure(out)
 			return
 		}
 		r.ids = r.ids[1:]
-		r.next()
+		r.readNext()
 	})
 }
 
 // listFromFirst reads the page of final records that begins with the first job.
-func (r *finalsRead) listFromFirst() {
+func (r *terminalStatesRead) listFromFirst() {
 	list := kv.List(record.TerminalStatePrefix, keyBefore(record.TerminalStateKey(r.ids[0])))
 	r.c.store.Do(r.purpose, list, func(reply kv.Result) {
 		var page kv.Page
 		if reply.Outcome != kv.OK || !reply.Decode(&page) {
-			r.failed(reply.Outcome)
+			r.handleFailure(reply.Outcome)
 			return
 		}
-		if !r.takePage(&page) {
+		if !r.applyPage(&page) {
 			r.done(r.found, false)
 			return
 		}
-		r.next()
+		r.readNext()
 	})
 }
 
-// takePage takes those of a page that are asked for; false: one cannot be read.
-func (r *finalsRead) takePage(page *kv.Page) bool {
+// applyPage takes those of a page that are asked for; false: one cannot be read.
+func (r *terminalStatesRead) applyPage(page *kv.Page) bool {
 	last := ""
 	for _, e := range page.Entries {
 		last = strings.TrimPrefix(e.Key, record.TerminalStatePrefix)
-		if _, asked := slices.BinarySearch(r.ids, last); asked && !r.take(last, e.Value) {
+		if _, asked := slices.BinarySearch(r.ids, last); asked && !r.applyRecord(last, e.Value) {
 			return false
 		}
 	}
@@ -146,8 +146,8 @@
 	return true
 }
 
-// take takes a final record; false: it cannot be read.
-func (r *finalsRead) take(id string, value []byte) bool {
+// applyRecord takes a final record; false: it cannot be read.
+func (r *terminalStatesRead) applyRecord(id string, value []byte) bool {
 	var rec record.TerminalState
 	if err := wire.Decode(value, &rec); err != nil {
 		r.c.log.Error("record cannot be read", "key", record.TerminalStateKey(id), "error", err)
@@ -157,10 +157,10 @@
 	return true
 }
 
-// failed tries again, in time, what the limit of requests did not let through.
-func (r *finalsRead) failed(out kv.Outcome) {
-	if out == kv.Throttled && r.c.now < r.until {
-		r.c.after(kv.ThrottledPause, r.next)
+// handleFailure tries again, in time, what the limit of requests did not let through.
+func (r *terminalStatesRead) handleFailure(out kv.Outcome) {
+	if out == kv.Throttled && r.c.now < r.deadline {
+		r.c.after(kv.ThrottledPause, r.readNext)
 		return
 	}
 	r.done(r.found, false)
--- a/controller/finalreads_test.go
+++ b/controller/finalreads_test.go
@@ -36,7 +36,7 @@
 		}
 		requests := 0
 		var found map[string]record.TerminalState
-		c.readFinals(budget.UserRequests, slices.Clone(ids), c.now+micros.Second, func(f map[string]record.TerminalState, ok bool) {
+		c.readTerminalStates(budget.UserRequests, slices.Clone(ids), c.now+micros.Second, func(f map[string]record.TerminalState, ok bool) {
 			if !ok {
 				t.Fatal("not read")
 			}
--- a/controller/inherit_test.go
+++ b/controller/inherit_test.go
@@ -56,7 +56,7 @@
 func (w *tree) over(id string, status wire.JobPhase) {
 	delete(w.jobs, id)
 	w.apply(kv.Change{Delete: record.ActiveJobKey(id)})
-	w.c.takeFinal(id, record.TerminalState{Status: record.Status(status), FinishedAt: 1})
+	w.c.applyTerminalState(id, record.TerminalState{Status: record.Status(status), FinishedAt: 1})
 }
 
 // check holds what the owner makes of a job against what is expected.
--- a/controller/job.go
+++ b/controller/job.go
@@ -46,9 +46,9 @@
 	parts int
 
 	// tasks are the states of its tasks; nil while all are pending (see unfold).
-	tasks   []taskState
-	pending int
-	lowest  int // no task below it is pending
+	tasks        []taskState
+	pending      int
+	firstPending int // no task below it is pending
 	// done is the set of completed tasks, doneN their number.
 	done  record.Bitmap
 	doneN int
@@ -138,7 +138,7 @@
 		j.pending--
 	case s == taskPending:
 		j.pending++
-		j.lowest = min(j.lowest, i)
+		j.firstPending = min(j.firstPending, i)
 	}
 	if s == taskDone {
 		j.done.Set(i)
--- a/controller/jobview.go
+++ b/controller/jobview.go
@@ -25,7 +25,7 @@
 	cancellationsKnownUntil micros.Micros
 
 	refresh    refreshQueue
-	resolution endResolution
+	resolution terminalStateResolution
 }
 
 // jobObserver passes on to the owner what the graph of jobs tells.
@@ -73,7 +73,7 @@
 	return job.Estimate
 }
 
-func (w jobObserver) IsDone(id string) bool { return w.c.finals.of(id) == wire.JobDone }
+func (w jobObserver) IsDone(id string) bool { return w.c.terminalStates.of(id) == wire.JobDone }
 
 // tickJobView follows the jobs at a node that does not own; an owner does so itself.
 func (c *Core) tickJobView() {
--- a/controller/jobview_test.go
+++ b/controller/jobview_test.go
@@ -57,7 +57,7 @@
 			jobName(5): {Status: record.StatusCancelled},
 		}
 		for _, id := range g.UnresolvedJobs() {
-			o.c.takeFinal(id, finals[id])
+			o.c.applyTerminalState(id, finals[id])
 		}
 		// One job is ready, and the four of the other chain are cancelled.
 		if looked := g.Work().Jobs - before; looked != 1+4 || o.jobs[jobName(1)] == nil || len(o.cancelled) != 4 {
--- a/controller/load_machines.go
+++ b/controller/load_machines.go
@@ -103,7 +103,7 @@
 	}, 0, 0)
 	o.setJob(j, jobEnded)
 	o.jobs[j.ID] = j
-	o.endings = append(o.endings, j)
+	o.unresolvedJobs = append(o.unresolvedJobs, j)
 	return j
 }
 
@@ -121,14 +121,14 @@
 	}
 }
 
-// endingsPerTick is how many endings of jobs are read with each slow tick.
-const endingsPerTick = 4
+// terminalStatesPerTick is how many endings of jobs are read with each slow tick.
+const terminalStatesPerTick = 4
 
-// readEndings finds out how jobs ended that records of machines still name after a takeover.
-func (o *owner) readEndings() {
-	for range min(endingsPerTick, len(o.endings)) {
-		j := o.endings[0]
-		o.endings = o.endings[1:]
+// readUnresolvedJobs finds out how jobs ended that records of machines still name after a takeover.
+func (o *owner) readUnresolvedJobs() {
+	for range min(terminalStatesPerTick, len(o.unresolvedJobs)) {
+		j := o.unresolvedJobs[0]
+		o.unresolvedJobs = o.unresolvedJobs[1:]
 		if o.jobs[j.ID] != j {
 			continue // its machines have reported
 		}
@@ -136,7 +136,7 @@
 			switch {
 			case o.superseded() || out == kv.NotFound:
 			case out != kv.OK:
-				o.endings = append(o.endings, j)
+				o.unresolvedJobs = append(o.unresolvedJobs, j)
 			default:
 				o.takeEnding(j, e.Value)
 			}
--- a/controller/lookup_reads.go
+++ b/controller/lookup_reads.go
@@ -54,7 +54,7 @@
 			c.finishLookup(l, activeResult(batch.versions[key], l.read))
 		}
 	}
-	c.lookups.waiting = append(again, c.lookups.waiting...)
+	c.lookups.pending = append(again, c.lookups.pending...)
 }
 
 // noteReadSent notes that a read is sent for lookups now, or as soon as the budget allows. Later
@@ -73,7 +73,7 @@
 		case kv.OK:
 			c.takeActive(l, e)
 		case kv.NotFound:
-			c.readFinal(l)
+			c.readTerminalState(l)
 		default:
 			c.finishLookup(l, lookupResult{})
 		}
@@ -95,28 +95,28 @@
 	c.finishLookup(l, activeResult(e.Version, l.read))
 }
 
-// readFinal looks a job up that is not active.
-func (c *Core) readFinal(l *lookup) {
+// readTerminalState looks a job up that is not active.
+func (c *Core) readTerminalState(l *lookup) {
 	c.store.Get(budget.Reads, record.TerminalStateKey(l.id), func(out kv.Outcome, e kv.Entry) {
 		var rec record.TerminalState
 		switch {
 		case out == kv.NotFound:
 			c.finishLookup(l, lookupResult{outcome: lookupNotFound, evidence: l.read})
 		case out == kv.OK && wire.Decode(e.Value, &rec) == nil:
-			c.finishFinal(l, wire.JobPhase(rec.Status), rec.CancelledRoot(l.id))
+			c.finishTerminal(l, wire.JobPhase(rec.Status), rec.CancelledRoot(l.id))
 		default:
 			c.finishLookup(l, lookupResult{})
 		}
 	})
 }
 
-// finishFinal answers with a state that stays. That a job is cancelled is told only once the
+// finishTerminal answers with a state that stays. That a job is cancelled is told only once the
 // peers know: see announceCancellation. If it was cancelled with one before it, the root, that
 // is what they know.
-func (c *Core) finishFinal(l *lookup, status wire.JobPhase, root string) {
+func (c *Core) finishTerminal(l *lookup, status wire.JobPhase, root string) {
 	if status != wire.JobCancelled {
-		c.finals.remember(l.id, status)
-		c.finishLookup(l, finalResult(status))
+		c.terminalStates.remember(l.id, status)
+		c.finishLookup(l, terminalResult(status))
 		return
 	}
 	c.announceCancellation(root, l.askedAt+lookupWithin, func(ok bool) {
@@ -124,18 +124,18 @@
 			c.finishLookup(l, lookupResult{})
 			return
 		}
-		c.finals.remember(l.id, status)
-		c.finishLookup(l, finalResult(status))
+		c.terminalStates.remember(l.id, status)
+		c.finishLookup(l, terminalResult(status))
 	})
 }
 
 // finishLookup hands over the result of a lookup that was sent.
 func (c *Core) finishLookup(l *lookup, result lookupResult) {
 	c.lookups.sent--
-	switch final := c.finals.of(l.id); {
+	switch final := c.terminalStates.of(l.id); {
 	case final != "": // told meanwhile
-		result = finalResult(final)
-	case result.outcome != lookupFailed && !result.final() && c.cancellations.HasEnded(l.id):
+		result = terminalResult(final)
+	case result.outcome != lookupFailed && !result.isTerminal() && c.cancellations.HasEnded(l.id):
 		c.lookupAgain(l) // cancelled since the read was sent
 		return
 	}
@@ -148,7 +148,7 @@
 		l.done(lookupResult{})
 		return
 	}
-	c.lookups.waiting = append([]*lookup{l}, c.lookups.waiting...)
+	c.lookups.pending = append([]*lookup{l}, c.lookups.pending...)
 }
 
 // deriveStates answers about jobs that wait for others, whose state follows from how those
@@ -185,7 +185,7 @@
 	case job == nil:
 		c.readActive(l) // over meanwhile
 	case job.Cancelled():
-		c.finishFinal(l, wire.JobCancelled, job.CancelledRoot)
+		c.finishTerminal(l, wire.JobCancelled, job.CancelledRoot)
 	default:
 		c.finishLookup(l, activeResult(job.Version, l.read))
 	}
--- a/controller/lookups.go
+++ b/controller/lookups.go
@@ -44,8 +44,8 @@
 	evidence freshness.Evidence
 }
 
-// final tells whether the result can never change.
-func (r lookupResult) final() bool { return r.evidence.Basis == freshness.TerminalState }
+// isTerminal tells whether the result can never change.
+func (r lookupResult) isTerminal() bool { return r.evidence.Basis == freshness.TerminalState }
 
 // activeResult is the result for a job that is not over, whose record has a version.
 func activeResult(version uint64, read freshness.Evidence) lookupResult {
@@ -53,8 +53,8 @@
 	return lookupResult{lookupFound, wire.JobQueued, read}
 }
 
-// finalResult is the result for a job that is over.
-func finalResult(status wire.JobPhase) lookupResult {
+// terminalResult is the result for a job that is over.
+func terminalResult(status wire.JobPhase) lookupResult {
 	return lookupResult{lookupFound, status, freshness.OfTerminalState()}
 }
 
@@ -72,7 +72,7 @@
 
 // lookupStage is the stage of questions for jobs' states.
 type lookupStage struct {
-	waiting []*lookup
+	pending []*lookup
 	sent    int // lookups for which reads or comparisons are under way
 	sendAt  micros.Micros
 }
@@ -80,32 +80,32 @@
 // lookup finds a job's state from the records, which alone are never outdated.
 func (c *Core) lookup(id string, done func(lookupResult)) {
 	c.count.lookups++
-	if status := c.finals.of(id); status != "" {
-		done(finalResult(status))
+	if status := c.terminalStates.of(id); status != "" {
+		done(terminalResult(status))
 		return
 	}
 	stage := &c.lookups
-	if len(stage.waiting)+stage.sent >= maxLookups || c.store.Unavailable() {
+	if len(stage.pending)+stage.sent >= maxLookups || c.store.Unavailable() {
 		done(lookupResult{})
 		return
 	}
-	if len(stage.waiting) == 0 {
+	if len(stage.pending) == 0 {
 		stage.sendAt = max(stage.sendAt, c.now+lookupGap)
 	}
-	stage.waiting = append(stage.waiting, &lookup{id: id, askedAt: c.now, done: done})
+	stage.pending = append(stage.pending, &lookup{id: id, askedAt: c.now, done: done})
 }
 
 // flushLookups makes the reads for what waits, as the budget allows.
 func (c *Core) flushLookups() {
 	stage := &c.lookups
 	c.failExpired()
-	if len(stage.waiting) == 0 || c.now < stage.sendAt {
+	if len(stage.pending) == 0 || c.now < stage.sendAt {
 		return
 	}
 	stage.sendAt = c.now + lookupGap
 	batch := c.takeLookupBatch()
 	if left := c.sendLookupBatch(batch); len(left) > 0 {
-		stage.waiting = append(left, stage.waiting...)
+		stage.pending = append(left, stage.pending...)
 		return
 	}
 	c.readSingly()
@@ -114,9 +114,9 @@
 // failExpired ends the lookups that waited for too long.
 func (c *Core) failExpired() {
 	stage := &c.lookups
-	for len(stage.waiting) > 0 && stage.waiting[0].expired(c.now) {
-		first := stage.waiting[0]
-		stage.waiting = stage.waiting[1:]
+	for len(stage.pending) > 0 && stage.pending[0].expired(c.now) {
+		first := stage.pending[0]
+		stage.pending = stage.pending[1:]
 		first.done(lookupResult{})
 	}
 }
@@ -132,7 +132,7 @@
 func (c *Core) takeLookupBatch() *lookupBatch {
 	batch := &lookupBatch{versions: map[string]uint64{}}
 	var rest []*lookup
-	for _, l := range c.lookups.waiting {
+	for _, l := range c.lookups.pending {
 		version := c.knownVersion(l.id)
 		switch {
 		case c.graph.HasOpenDependencies(l.id):
@@ -144,7 +144,7 @@
 			rest = append(rest, l)
 		}
 	}
-	c.lookups.waiting = rest
+	c.lookups.pending = rest
 	return batch
 }
 
@@ -187,12 +187,12 @@
 // readSingly reads the records of jobs that are not in the view, as the budget allows.
 func (c *Core) readSingly() {
 	stage := &c.lookups
-	for len(stage.waiting) > 0 && c.budget.MayRequest(budget.Reads, c.now) {
-		first := stage.waiting[0]
+	for len(stage.pending) > 0 && c.budget.MayRequest(budget.Reads, c.now) {
+		first := stage.pending[0]
 		if c.knownVersion(first.id) != 0 || c.graph.HasOpenDependencies(first.id) {
 			break // its turn comes with the next batch
 		}
-		stage.waiting = stage.waiting[1:]
+		stage.pending = stage.pending[1:]
 		stage.sent++
 		c.readActive(first)
 	}
--- a/controller/machine.go
+++ b/controller/machine.go
@@ -92,8 +92,8 @@
 	// lost: it was a spot machine that the cloud reclaimed.
 	lost bool
 
-	// sending: a request with commands is under way.
-	sending bool
+	// commandsInFlight: a request with commands is under way.
+	commandsInFlight bool
 	// wantDispatch: it may need commands; queued: it is in the owner's dispatch queue.
 	wantDispatch bool
 	queued       bool
--- a/controller/owner.go
+++ b/controller/owner.go
@@ -40,10 +40,10 @@
 	waiting map[string]*job // those that wait for others, which are not among the jobs
 	// cancelled are waiting jobs that are cancelled with one before them, to be recorded.
 	cancelled []string
-	// endings are jobs that records name, of which it is not known how they ended.
-	endings []*job
-	holds   map[string]*hold // by job
-	classes *autoscaler.Classes
+	// unresolvedJobs are jobs that records name, of which it is not known how they ended.
+	unresolvedJobs []*job
+	holds          map[string]*hold // by job
+	classes        *autoscaler.Classes
 
 	// The watch of the jobs' records.
 	listed    bool // the jobs were listed; changes since are taken
@@ -215,7 +215,7 @@
 		o.watchDown = false
 		o.watchJobs(o.watchRev)
 	}
-	o.readEndings()
+	o.readUnresolvedJobs()
 	o.sweepParts()
 	o.checkMachineHealth()
 	o.inspectSome()
--- a/controller/proposals.go
+++ b/controller/proposals.go
@@ -18,10 +18,10 @@
 	for _, as := range got {
 		m := o.machines[as.Machine.Name]
 		for n := 0; n < as.Count; n++ {
-			for j.task(j.lowest) != taskPending {
-				j.lowest++
+			for j.task(j.firstPending) != taskPending {
+				j.firstPending++
 			}
-			o.attach(j, j.lowest, number, m, attemptProposed)
+			o.attach(j, j.firstPending, number, m, attemptProposed)
 		}
 		o.markDirty(m)
 		as.Machine.Free = as.Machine.Free.Sub(j.Need.Times(as.Count))
--- a/controller/refusals.go
+++ b/controller/refusals.go
@@ -43,8 +43,8 @@
 // unavailable refuses a request for now.
 func unavailable(reason refusalReason) *refusal { return &refusal{wire.StatusUnavailable, reason} }
 
-// final tells that the same request would always be refused.
-func (r *refusal) final() bool { return r.status != wire.StatusUnavailable }
+// isPermanent tells that the same request would always be refused.
+func (r *refusal) isPermanent() bool { return r.status != wire.StatusUnavailable }
 
 // reject answers that a request will never be served.
 func (c *Core) reject(request uint64, status wire.Status, reason refusalReason) {
--- a/controller/reports.go
+++ b/controller/reports.go
@@ -180,7 +180,7 @@
 	}
 	// Only a machine that has seen this owner's token, and for which no command is open, can
 	// show that a task is not there and will not appear.
-	if !regular || !m.tokenConfirmed || m.fencing != fencingNone || m.sending {
+	if !regular || !m.tokenConfirmed || m.fencing != fencingNone || m.commandsInFlight {
 		return true
 	}
 	for _, a := range m.sorted() {
--- a/controller/status.go
+++ b/controller/status.go
@@ -29,7 +29,7 @@
 	usage := c.store.TakeUsage()
 	c.log.Info("status", "events", n.events, "reports", n.heartbeats, "lookups", n.lookups, "calls", n.calls,
 		"open_calls", len(c.calls), "store_requests", usage.Requests, "store_writes", usage.Writes, "refused", n.refused,
-		"dropped", n.dropped, "waiting", len(c.submissions.waiting), "violations", c.violations)
+		"dropped", n.dropped, "waiting", len(c.submissions.pending), "violations", c.violations)
 	*n = counters{at: c.now}
 	if c.owner != nil && c.owner.state == ownerActive {
 		c.owner.logStatus()
--- a/controller/submissions.go
+++ b/controller/submissions.go
@@ -21,7 +21,7 @@
 // submissions is the stage of submissions that wait to be recorded.
 type submissions struct {
 	c          *Core
-	waiting    []*submission
+	pending    []*submission
 	byJob      map[string]*submission
 	committing bool
 	checking   int // submissions whose awaited jobs are looked up
@@ -85,9 +85,9 @@
 	switch {
 	case result.outcome == lookupFound:
 		c.answerSubmission(r, wire.StatusOK, job, result.status, result.evidence)
-	case result.outcome == lookupNotFound && refused.final():
+	case result.outcome == lookupNotFound && refused.isPermanent():
 		c.answerNeverAccepted(r, job, refused, result.evidence)
-	case refused.final():
+	case refused.isPermanent():
 		c.refuse(r.id, wire.StatusUnavailable, reasonKVUnresponsive)
 	default:
 		c.refuse(r.id, wire.StatusUnavailable, refused.reason)
@@ -129,7 +129,7 @@
 		known.requests = append(known.requests, request)
 		return
 	}
-	if len(s.waiting)+s.checking >= maxSubmissions {
+	if len(s.pending)+s.checking >= maxSubmissions {
 		s.c.refuse(request.id, wire.StatusTooManyRequests, reasonManySubmissions)
 		return
 	}
@@ -139,7 +139,7 @@
 		s.checkAwaited(added)
 		return
 	}
-	s.waiting = append(s.waiting, added)
+	s.pending = append(s.pending, added)
 }
 
 // checkAwaited checks that all jobs that a submission awaits were accepted, and how they stand.
@@ -150,7 +150,7 @@
 	case slices.Contains(sub.job.Dependencies, id):
 		s.answerKnownOr(sub, neverRuns(reasonAwaitsItself))
 		return
-	case c.finals.of(id) != "" || c.knownVersion(id) != 0:
+	case c.terminalStates.of(id) != "" || c.knownVersion(id) != 0:
 		s.answerKnownOr(sub, unavailable(reasonKVUnresponsive))
 		return
 	case !c.graph.IsSynced():
@@ -177,7 +177,7 @@
 	case dependenciesCancelled:
 		sub.status, sub.cancelledRoot = wire.JobCancelled, result.cancelledRoot
 	}
-	s.waiting = append(s.waiting, sub)
+	s.pending = append(s.pending, sub)
 }
 
 // answerKnownOr answers a submission with the state of the job if it was accepted before,
--- a/controller/waiting.go
+++ b/controller/waiting.go
@@ -69,18 +69,18 @@
 // lists that are kept under several keys.
 func (o *owner) advanceWaiting() {
 	resolution := &o.c.jobView.resolution
-	if resolution.reading || o.c.now < resolution.nextTry || o.c.store.Unavailable() {
+	if resolution.reading || o.c.now < resolution.retryAt || o.c.store.Unavailable() {
 		return
 	}
 	if o.c.graph.HasUnresolvedJobs() {
-		o.c.resolveEnds(nil)
+		o.c.resolveTerminalStates(nil)
 		return
 	}
 	if partial := o.c.graph.FirstIncomplete(); partial != nil {
-		resolution.nextTry = o.c.now + readRetryDelay
+		resolution.retryAt = o.c.now + readRetryDelay
 		o.c.readParts(partial, func(ok bool) {
 			if ok {
-				resolution.nextTry = 0
+				resolution.retryAt = 0
 			}
 		})
 	}
