--- a/controller/attempt.go
+++ b/controller/attempt.go
@@ -99,7 +99,7 @@
 		a.job.setTask(a.index, taskDone)
 		if !a.job.Gang { // a gang is done as a whole, which its final record tells
 			a.job.noteFinished(a)
-			o.shardFor(a.job, a.index/record.TasksPerChunk).markDirty(o.c.now)
+			o.segmentFor(a.job, a.index/record.TasksPerChunk).markDirty(o.c.now)
 		}
 	case attemptClosed:
 		o.free(a)
--- a/controller/blocks_test.go
+++ b/controller/blocks_test.go
@@ -85,9 +85,9 @@
 		o.markDirty(b.machines[0])
 	}
 	for i := range 10 {
-		s := &shard{team: "red", name: record.FormatNumber(uint64(i)), chunks: map[chunkKey]*job{}}
+		s := &completionSegment{team: "red", name: record.FormatNumber(uint64(i)), chunks: map[chunkKey]*job{}}
 		s.markDirty(o.c.now)
-		o.shards = append(o.shards, s)
+		o.completionSegments = append(o.completionSegments, s)
 	}
 	o.c.now += micros.Second
 	tx := &txn{guards: map[string]uint64{}}
--- a/controller/commits.go
+++ b/controller/commits.go
@@ -275,7 +275,7 @@
 
 // flushObsolete deletes an obsolete key if other writes have kept it for long.
 func (o *owner) flushObsolete(t *txn, full func() bool) {
-	o.dropShards()
+	o.dropEmptySegments()
 	if len(o.obsoleteKeys) == 0 {
 		o.obsoleteDeletedAt = o.c.now
 		return
@@ -295,7 +295,7 @@
 
 // tidy deletes what nobody reads any more, when writes are plentiful.
 func (o *owner) tidy() {
-	o.dropShards()
+	o.dropEmptySegments()
 	room := min(o.c.budget.AvailableWrites(budget.Cleanup, o.c.now), o.c.cfg.MaxTransactionOps, len(o.obsoleteKeys))
 	if room < 1 {
 		return
--- a/controller/due_records.go
+++ b/controller/due_records.go
@@ -7,18 +7,18 @@
 
 // Weights of what the write of a record brings, in tasks that may start.
 const (
-	claimWeight   = 1000
-	fencingWeight = 100
-	machineWeight = 20
-	gangWeight    = 8  // a gang waits for its last task
-	waitWeight    = 20 // for each second that a block has waited: none may starve
-	shardWeight   = 4  // for each second that a shard has waited
+	claimWeight       = 1000
+	fencingWeight     = 100
+	machineWeight     = 20
+	gangWeight        = 8  // a gang waits for its last task
+	waitWeight        = 20 // for each second that a block has waited: none may starve
+	segmentWaitWeight = 4  // for each second that a shard has waited
 )
 
 // dueRecord is a block or a shard that must be written.
 type dueRecord struct {
 	block   *block
-	shard   *shard
+	segment *completionSegment
 	urgency int
 }
 
@@ -44,9 +44,9 @@
 			due = append(due, dueRecord{block: b, urgency: o.blockUrgency(b)})
 		}
 	}
-	for _, s := range o.shards {
+	for _, s := range o.completionSegments {
 		if s.isDue() {
-			due = append(due, dueRecord{shard: s, urgency: o.shardUrgency(s)})
+			due = append(due, dueRecord{segment: s, urgency: o.segmentUrgency(s)})
 		}
 	}
 	o.flushDue(t, due, room)
@@ -59,8 +59,8 @@
 		if room() < 1 {
 			return
 		}
-		if r.shard != nil {
-			o.writeShard(t, r.shard)
+		if r.segment != nil {
+			o.writeSegment(t, r.segment)
 		} else {
 			o.writeBlock(t, r.block, room())
 		}
@@ -112,9 +112,9 @@
 	return n
 }
 
-// shardUrgency orders shards among blocks. A completion waits at no cost: its room is free,
+// segmentUrgency orders shards among blocks. A completion waits at no cost: its room is free,
 // and its machine goes on reporting it. Many teams have as many shards, all of which change
 // with every second; written first, they would take all writes from placements.
-func (o *owner) shardUrgency(s *shard) int {
-	return int(shardWeight * (o.c.now - s.dirtySince).Seconds())
+func (o *owner) segmentUrgency(s *completionSegment) int {
+	return int(segmentWaitWeight * (o.c.now - s.dirtySince).Seconds())
 }
--- a/controller/job.go
+++ b/controller/job.go
@@ -52,8 +52,8 @@
 	// done is the set of completed tasks, doneN their number.
 	done  record.Bitmap
 	doneN int
-	// shards hold the completions, and finished those that are not recorded yet, by chunk.
-	shards   map[int]*shard
+	// segments hold the completions, and finished those that are not recorded yet, by chunk.
+	segments map[int]*completionSegment
 	finished map[int][]*attempt
 
 	// attempts are the placements of its tasks, by task.
@@ -103,7 +103,7 @@
 	return &job{
 		Job: j, version: version, accepted: accepted, since: accepted, own: j.Priority,
 		pending:  j.Tasks,
-		shards:   map[int]*shard{},
+		segments: map[int]*completionSegment{},
 		finished: map[int][]*attempt{},
 		attempts: map[int]*attempt{},
 		failedOn: map[string]bool{},
--- a/controller/limits_test.go
+++ b/controller/limits_test.go
@@ -180,7 +180,7 @@
 	}
 	dropped := func() bool { return slices.Contains(o.obsoleteKeys, record.CompletionSegmentKey("red", "1")) }
 	for range 20 {
-		if o.dropShards(); dropped() && slices.ContainsFunc(o.shards, func(s *shard) bool { return s.version == 0 }) {
+		if o.dropEmptySegments(); dropped() && slices.ContainsFunc(o.completionSegments, func(s *completionSegment) bool { return s.version == 0 }) {
 			t.Fatal("the old record goes before the new ones are written")
 		}
 		tx := &txn{guards: map[string]uint64{}}
--- a/controller/load.go
+++ b/controller/load.go
@@ -34,7 +34,7 @@
 	clear(o.waiting)
 	o.listed, o.cancelled = false, nil
 	clear(o.machines)
-	o.list, o.blocks, o.shards, o.dispatchQueue, o.unresolvedJobs = nil, nil, nil, nil, nil
+	o.list, o.blocks, o.completionSegments, o.dispatchQueue, o.unresolvedJobs = nil, nil, nil, nil, nil
 	o.proposed, o.proposedJobs = 0, 0
 	clear(o.rentals)
 	clear(o.holds)
--- a/controller/load_shards.go
+++ b/controller/load_shards.go
@@ -14,12 +14,12 @@
 	for _, e := range entries {
 		o.recoverSegment(e)
 	}
-	o.emptyLargeShards()
+	o.emptyLargeSegments()
 }
 
 // recoverSegment takes over one shard, if it is of a team of this owner.
 func (o *owner) recoverSegment(e kv.Entry) {
-	team, name, ok := o.splitShardKey(e.Key)
+	team, name, ok := o.splitSegmentKey(e.Key)
 	if !ok {
 		if o.ownsAllTeams() { // so it is of a team that is no more
 			o.obsoleteKeys = append(o.obsoleteKeys, e.Key)
@@ -31,9 +31,9 @@
 		o.c.log.Error("record cannot be read", "key", e.Key, "error", err)
 		return
 	}
-	s := newShard(team, name)
+	s := newCompletionSegment(team, name)
 	s.version = e.Version
-	o.shards = append(o.shards, s)
+	o.completionSegments = append(o.completionSegments, s)
 	for _, chunkName := range sortedKeys(rec.Chunks) {
 		o.recoverChunk(s, chunkName, rec.Chunks[chunkName])
 	}
@@ -42,16 +42,16 @@
 // recoverChunk takes over a chunk, unless its job has ended. It is in two shards if it was to
 // move from one to the other: the shard that is read last gets it, and the other stays until
 // that one has been written with what both say.
-func (o *owner) recoverChunk(s *shard, name, bits string) {
+func (o *owner) recoverChunk(s *completionSegment, name, bits string) {
 	id, chunk, ok := record.SplitChunkName(name)
 	j := o.placedJob(id)
 	if !ok || j == nil || chunk*record.TasksPerChunk >= j.Tasks {
 		return
 	}
-	if other := j.shards[chunk]; other != nil {
+	if other := j.segments[chunk]; other != nil {
 		o.moveChunk(other, s, j, chunk)
 	} else {
-		s.add(j, chunk)
+		s.addChunk(j, chunk)
 	}
 	o.recoverCompletions(j, chunk, bits)
 }
@@ -74,23 +74,23 @@
 	}
 }
 
-// emptyLargeShards moves all chunks out of shards from the time of larger values, which could
+// emptyLargeSegments moves all chunks out of shards from the time of larger values, which could
 // never be written again. They are deleted once the other shards are written.
-func (o *owner) emptyLargeShards() {
-	for _, s := range slices.Clone(o.shards) {
-		if s.bytes <= o.maxShardBytes() {
+func (o *owner) emptyLargeSegments() {
+	for _, s := range slices.Clone(o.completionSegments) {
+		if s.bytes <= o.maxSegmentBytes() {
 			continue
 		}
 		o.c.log.Info("shard too large", "shard", s.key(), "bytes", s.bytes, "chunks", len(s.chunks))
 		for _, k := range s.sortedChunks() {
 			j := s.chunks[k]
-			o.moveChunk(s, o.shardWithRoom(j, k.chunk, s), j, k.chunk)
+			o.moveChunk(s, o.segmentWithRoom(j, k.chunk, s), j, k.chunk)
 		}
 	}
 }
 
-// splitShardKey splits the key of a shard of this owner's teams.
-func (o *owner) splitShardKey(key string) (team, name string, ok bool) {
+// splitSegmentKey splits the key of a shard of this owner's teams.
+func (o *owner) splitSegmentKey(key string) (team, name string, ok bool) {
 	for team := range o.teams {
 		if name, ok := strings.CutPrefix(key, record.CompletionSegmentKey(team, "")); ok {
 			return team, name, true
--- a/controller/owner.go
+++ b/controller/owner.go
@@ -84,14 +84,14 @@
 	proposedJobs   int // jobs with such
 
 	// Commits.
-	blocks            []*block
-	shards            []*shard
-	flushing          bool // a commit is under way
-	flushAt           micros.Micros
-	obsoleteKeys      []string      // keys that nobody reads any more
-	obsoleteDeletedAt micros.Micros // when some of them were deleted last, or there were none
-	swept             bool          // leftovers of long lists were looked for
-	sweptUntil        string        // the last key that was looked at
+	blocks             []*block
+	completionSegments []*completionSegment
+	flushing           bool // a commit is under way
+	flushAt            micros.Micros
+	obsoleteKeys       []string      // keys that nobody reads any more
+	obsoleteDeletedAt  micros.Micros // when some of them were deleted last, or there were none
+	swept              bool          // leftovers of long lists were looked for
+	sweptUntil         string        // the last key that was looked at
 }
 
 // team is a team that this node owns.
--- a/controller/shards.go
+++ b/controller/shards.go
@@ -9,15 +9,15 @@
 	"tamarindlead/micros"
 )
 
-// shardFrameBytes is what a shard's value takes besides its chunks, at most.
-const shardFrameBytes = 64
+// segmentFrameBytes is what a shard's value takes besides its chunks, at most.
+const segmentFrameBytes = 64
 
-// shardSpareBytes is left free in a value when chunks are added to a shard.
-const shardSpareBytes = 2 * shardFrameBytes
+// segmentSpareBytes is left free in a value when chunks are added to a shard.
+const segmentSpareBytes = 2 * segmentFrameBytes
 
-// shard is a record of completed tasks at their owner. It holds chunks of several jobs of
+// completionSegment is a record of completed tasks at their owner. It holds chunks of several jobs of
 // one team.
-type shard struct {
+type completionSegment struct {
 	team    string
 	name    string
 	version uint64            // of the record; 0: not written yet
@@ -29,7 +29,7 @@
 	writing    bool // a commit with it is under way
 
 	// sources are the shards from which chunks came since the last write.
-	sources []*shard
+	sources []*completionSegment
 	// unwrittenTargets counts the shards to which chunks went and which are not written yet.
 	// Until they are, this shard must be neither written nor deleted.
 	unwrittenTargets int
@@ -58,74 +58,74 @@
 	j.finished[chunk] = append(j.finished[chunk], a)
 }
 
-// newShard makes a shard without chunks.
-func newShard(team, name string) *shard {
-	return &shard{team: team, name: name, chunks: map[chunkKey]*job{}}
+// newCompletionSegment makes a shard without chunks.
+func newCompletionSegment(team, name string) *completionSegment {
+	return &completionSegment{team: team, name: name, chunks: map[chunkKey]*job{}}
 }
 
 // key is the key of the shard's record.
-func (s *shard) key() string { return record.CompletionSegmentKey(s.team, s.name) }
+func (s *completionSegment) key() string { return record.CompletionSegmentKey(s.team, s.name) }
 
 // sortedChunks lists the shard's chunks in order.
-func (s *shard) sortedChunks() []chunkKey {
+func (s *completionSegment) sortedChunks() []chunkKey {
 	return slices.SortedFunc(maps.Keys(s.chunks), compareChunks)
 }
 
 // markDirty notes that the shard must be written.
-func (s *shard) markDirty(now micros.Micros) {
+func (s *completionSegment) markDirty(now micros.Micros) {
 	if !s.dirty {
 		s.dirty, s.dirtySince = true, now
 	}
 }
 
 // isDue tells whether the shard must and may be written.
-func (s *shard) isDue() bool { return s.dirty && !s.writing && s.unwrittenTargets == 0 }
+func (s *completionSegment) isDue() bool { return s.dirty && !s.writing && s.unwrittenTargets == 0 }
 
-// add puts a chunk into the shard.
-func (s *shard) add(j *job, chunk int) {
+// addChunk puts a chunk into the shard.
+func (s *completionSegment) addChunk(j *job, chunk int) {
 	s.chunks[chunkKey{j.ID, chunk}] = j
 	s.bytes += j.chunkBytes(chunk)
-	j.shards[chunk] = s
+	j.segments[chunk] = s
 }
 
-// remove takes a chunk out of the shard.
-func (s *shard) remove(j *job, chunk int) {
+// removeChunk takes a chunk out of the shard.
+func (s *completionSegment) removeChunk(j *job, chunk int) {
 	delete(s.chunks, chunkKey{j.ID, chunk})
 	s.bytes -= j.chunkBytes(chunk)
 }
 
-// shardFor returns the shard of a chunk, and chooses one for a new chunk.
-func (o *owner) shardFor(j *job, chunk int) *shard {
-	if s := j.shards[chunk]; s != nil {
+// segmentFor returns the shard of a chunk, and chooses one for a new chunk.
+func (o *owner) segmentFor(j *job, chunk int) *completionSegment {
+	if s := j.segments[chunk]; s != nil {
 		return s
 	}
-	s := o.shardWithRoom(j, chunk, nil)
-	s.add(j, chunk)
+	s := o.segmentWithRoom(j, chunk, nil)
+	s.addChunk(j, chunk)
 	return s
 }
 
-// maxShardBytes is how much the chunks of a shard may take.
-func (o *owner) maxShardBytes() int { return o.c.cfg.MaxValueBytes - shardSpareBytes }
+// maxSegmentBytes is how much the chunks of a shard may take.
+func (o *owner) maxSegmentBytes() int { return o.c.cfg.MaxValueBytes - segmentSpareBytes }
 
-// shardWithRoom finds a shard that can take a chunk, or makes one. It may not be one that
+// segmentWithRoom finds a shard that can take a chunk, or makes one. It may not be one that
 // waits for others, nor the one that the chunk leaves.
-func (o *owner) shardWithRoom(j *job, chunk int, from *shard) *shard {
-	for _, s := range o.shards {
-		fits := s.bytes+j.chunkBytes(chunk) <= o.maxShardBytes()
+func (o *owner) segmentWithRoom(j *job, chunk int, from *completionSegment) *completionSegment {
+	for _, s := range o.completionSegments {
+		fits := s.bytes+j.chunkBytes(chunk) <= o.maxSegmentBytes()
 		if s != from && s.team == j.Team && s.unwrittenTargets == 0 && fits {
 			return s
 		}
 	}
-	s := newShard(j.Team, record.FormatNumber(o.nextNumber()))
-	o.shards = append(o.shards, s)
+	s := newCompletionSegment(j.Team, record.FormatNumber(o.nextNumber()))
+	o.completionSegments = append(o.completionSegments, s)
 	return s
 }
 
 // moveChunk moves a chunk to another shard. The old one stays as it is until the new one has
 // been written.
-func (o *owner) moveChunk(from, to *shard, j *job, chunk int) {
-	from.remove(j, chunk)
-	to.add(j, chunk)
+func (o *owner) moveChunk(from, to *completionSegment, j *job, chunk int) {
+	from.removeChunk(j, chunk)
+	to.addChunk(j, chunk)
 	to.markDirty(o.c.now)
 	if !slices.Contains(to.sources, from) {
 		to.sources = append(to.sources, from)
@@ -136,16 +136,16 @@
 // dropChunks takes a job that has ended out of its shards. Their records are corrected when
 // they are written next.
 func (o *owner) dropChunks(j *job) {
-	for chunk, s := range j.shards {
-		s.remove(j, chunk)
+	for chunk, s := range j.segments {
+		s.removeChunk(j, chunk)
 	}
-	clear(j.shards)
+	clear(j.segments)
 }
 
-// dropShards gives up records of completions that hold nothing any more. Their keys are
+// dropEmptySegments gives up records of completions that hold nothing any more. Their keys are
 // never used again, so they can be deleted at leisure.
-func (o *owner) dropShards() {
-	o.shards = slices.DeleteFunc(o.shards, func(s *shard) bool {
+func (o *owner) dropEmptySegments() {
+	o.completionSegments = slices.DeleteFunc(o.completionSegments, func(s *completionSegment) bool {
 		if len(s.chunks) > 0 || s.writing || s.version == 0 || s.unwrittenTargets > 0 || len(s.sources) > 0 {
 			return false
 		}
@@ -154,24 +154,24 @@
 	})
 }
 
-// shardWrite is one write of a shard.
-type shardWrite struct {
+// segmentWrite is one write of a shard.
+type segmentWrite struct {
 	owner    *owner
-	shard    *shard
-	sources  []*shard   // shards that chunks came from, see shard.sources
-	finished []*attempt // those whose completion it records
+	segment  *completionSegment
+	sources  []*completionSegment // shards that chunks came from, see shard.sources
+	finished []*attempt           // those whose completion it records
 }
 
-// writeShard adds a shard's record to a commit, if that has room for it.
-func (o *owner) writeShard(t *txn, s *shard) {
+// writeSegment adds a shard's record to a commit, if that has room for it.
+func (o *owner) writeSegment(t *txn, s *completionSegment) {
 	guards := map[string]uint64{s.key(): s.version}
-	size := s.bytes + shardFrameBytes
+	size := s.bytes + segmentFrameBytes
 	if !t.takes(guards, size, o.c.cfg.MaxTransactionOps) {
 		return
 	}
 	maps.Copy(t.guards, guards)
 	t.write(s.key(), s.completions(), size)
-	w := &shardWrite{owner: o, shard: s, sources: s.sources}
+	w := &segmentWrite{owner: o, segment: s, sources: s.sources}
 	s.dirty, s.writing, s.sources = false, true, nil
 	for _, k := range s.sortedChunks() {
 		j := s.chunks[k]
@@ -182,7 +182,7 @@
 }
 
 // completions encodes the shard's chunks.
-func (s *shard) completions() record.CompletionSegment {
+func (s *completionSegment) completions() record.CompletionSegment {
 	chunks := map[string]string{}
 	for k, j := range s.chunks {
 		chunks[k.name()] = j.done.Chunk(k.chunk)
@@ -191,8 +191,8 @@
 }
 
 // finish takes the result of the commit.
-func (w *shardWrite) finish(committed bool, revision uint64) {
-	s := w.shard
+func (w *segmentWrite) finish(committed bool, revision uint64) {
+	s := w.segment
 	s.writing = false
 	if !committed {
 		s.markDirty(w.owner.c.now)
