--- a/controller/commits.go
+++ b/controller/commits.go
@@ -51,7 +51,7 @@
 		half := most / 2
 		o.flushCancelled(t, func() bool { return room() < 2+half || full() })
 		o.flushRentals(t, func() bool { return room() < 2 || full() })
-		o.flushHolds(t, full)
+		o.flushReservations(t, full)
 		o.flushObsolete(t, full)
 		o.flushRecords(t, room)
 		o.flushCancelled(t, func() bool { return room() < 2 || full() })
--- a/controller/eviction.go
+++ b/controller/eviction.go
@@ -35,12 +35,12 @@
 		o.requestMachines(j.Job, j.Tasks, covered[j])
 		return false
 	}
-	h := newHold(j, plan)
+	h := newReservation(j, plan)
 	if kv.EncodedSizeBound(record.Reservation{Machines: h.machines}) > o.c.cfg.MaxValueBytes {
 		j.evictAt = o.c.now + roomRetry
 		return false // it could never be recorded
 	}
-	o.holds[j.ID] = h
+	o.reservations[j.ID] = h
 	o.logPlan(j, plan)
 	return true
 }
@@ -56,9 +56,9 @@
 	return plan
 }
 
-// newHold returns a hold for the places of a plan, not recorded yet.
-func newHold(j *job, plan *sched.PreemptionPlan) *hold {
-	h := &hold{job: j.ID, machines: map[string]int{}, need: j.Need, stop: plan.Victims}
+// newReservation returns a hold for the places of a plan, not recorded yet.
+func newReservation(j *job, plan *sched.PreemptionPlan) *reservation {
+	h := &reservation{job: j.ID, machines: map[string]int{}, need: j.Need, victims: plan.Victims}
 	for _, a := range plan.Placement {
 		h.machines[a.Machine.Name] = a.Count
 	}
@@ -148,7 +148,7 @@
 func (o *owner) comesSoon(j *job) bool {
 	slots := o.bootingSlots(j)
 	for _, q := range o.queue {
-		if q.Gang && q.gang == gangNone && q.Class == j.Class && o.holds[q.ID] == nil {
+		if q.Gang && q.gang == gangNone && q.Class == j.Class && o.reservations[q.ID] == nil {
 			if slots -= q.Tasks; q == j {
 				return slots >= 0
 			}
@@ -203,7 +203,7 @@
 	var list []*sched.Victim
 	for _, id := range sortedKeys(o.jobs) {
 		candidate := o.jobs[id]
-		if candidate.Job == j || !mayStopFor(j, candidate, mode, covered) || o.holds[id] != nil {
+		if candidate.Job == j || !mayStopFor(j, candidate, mode, covered) || o.reservations[id] != nil {
 			continue
 		}
 		if victim := o.describeVictim(candidate); victim.ReadyTasks > 0 {
@@ -260,9 +260,9 @@
 }
 
 // stopVictims begins the stops of a hold that is recorded.
-func (o *owner) stopVictims(h *hold) {
-	o.stopBundles(h.stop, "room for "+h.job)
-	h.stop = nil
+func (o *owner) stopVictims(h *reservation) {
+	o.stopBundles(h.victims, "room for "+h.job)
+	h.victims = nil
 }
 
 // stopBundles begins the stops of a plan, as far as its tasks are still where they were.
--- a/controller/eviction_test.go
+++ b/controller/eviction_test.go
@@ -43,16 +43,16 @@
 		if !o.makeRoom(gang) {
 			t.Fatalf("hold %d: no room is made", n)
 		}
-		h := o.holds[gang.ID]
-		h.stop = nil // what was to be stopped goes on, so that the next hold finds the same
-		o.setHold(h, holdWaiting, "test")
-		o.c.now = h.until + 1
+		h := o.reservations[gang.ID]
+		h.victims = nil // what was to be stopped goes on, so that the next hold finds the same
+		o.setReservationState(h, reservationReady, "test")
+		o.c.now = h.expiresAt + 1
 		o.machines["m-000001"].lastHeartbeat = o.c.now
-		o.tickHolds()
-		if h.state != holdOver {
+		o.tickReservations()
+		if h.state != reservationReleased {
 			t.Fatalf("hold %d is not over after its wait", n)
 		}
-		delete(o.holds, gang.ID)
+		delete(o.reservations, gang.ID)
 		pause := wait << n
 		o.c.now += pause - 1
 		o.machines["m-000001"].lastHeartbeat = o.c.now
--- a/controller/gang_reservations.go
+++ b/controller/gang_reservations.go
@@ -17,7 +17,7 @@
 	ready := autoscaler.NewWarmPool(o.c.now, o.classes, o.c.cfg.SLOs, o.c.catalog())
 	short := false
 	for _, j := range o.inTurn() {
-		if !j.Gang || j.state != jobActive || j.gang != gangNone || o.holds[j.ID] != nil || o.c.now < j.notUntil {
+		if !j.Gang || j.state != jobActive || j.gang != gangNone || o.reservations[j.ID] != nil || o.c.now < j.notUntil {
 			continue
 		}
 		// Of the gangs that the machines there are do not suffice for, only the first reserves
@@ -65,7 +65,7 @@
 	byZone := map[string][]gangCandidate{}
 	for _, v := range view {
 		m := o.machines[v.Name]
-		if v.Slack || v.ReservedForGangs || !v.Scarce && !starves || !j.Allows(v.Type, v.Zone, v.Spot) || o.isHeld(v.Name) {
+		if v.Slack || v.ReservedForGangs || !v.Scarce && !starves || !j.Allows(v.Type, v.Zone, v.Spot) || o.isReserved(v.Name) {
 			continue // what a hold reserves is spoken for
 		}
 		fits := j.Need.Count(m.size, j.Tasks)
--- a/controller/gangs.go
+++ b/controller/gangs.go
@@ -97,7 +97,7 @@
 // far as it is free, and whether there is any.
 func (o *owner) slackLeft(m *machine, v *sched.Machine, need sched.Resources) (sched.Resources, bool) {
 	left := m.slack(need)
-	if left.CPU <= 0 || o.onlySlack(m) || o.isHeld(v.Name) {
+	if left.CPU <= 0 || o.onlySlack(m) || o.isReserved(v.Name) {
 		return sched.Resources{}, false
 	}
 	for _, a := range m.attempts {
--- a/controller/holds.go
+++ b/controller/holds.go
@@ -12,64 +12,66 @@
 
 // This file keeps machines free for gangs for which work is stopped (see eviction.go).
 
-// holdState is the state machine of a hold.
-type holdState int
+// reservationState is the state machine of a hold.
+type reservationState int
 
 const (
-	holdPlanned  holdState = iota // must be recorded before anything is stopped
-	holdStopping                  // recorded; what must go is leaving
-	holdWaiting                   // the room is free: the gang may be placed
-	holdOver                      // its record must go
+	holdPlanned         reservationState = iota // must be recorded before anything is stopped
+	reservationStopping                         // recorded; what must go is leaving
+	reservationReady                            // the room is free: the gang may be placed
+	reservationReleased                         // its record must go
 )
 
-func (s holdState) String() string { return [...]string{"planned", "stopping", "waiting", "over"}[s] }
-
-// hold is kept in one record, so that it survives its owner.
-type hold struct {
-	job      string
-	state    holdState
-	machines map[string]int // tasks of the gang by machine
-	need     sched.Resources
-	stop     []sched.Bundle // what is stopped once the hold is recorded
-	until    micros.Micros  // end of waiting
-	writing  bool
+func (s reservationState) String() string {
+	return [...]string{"planned", "stopping", "waiting", "over"}[s]
+}
+
+// reservation is kept in one record, so that it survives its owner.
+type reservation struct {
+	job       string
+	state     reservationState
+	machines  map[string]int // tasks of the gang by machine
+	need      sched.Resources
+	victims   []sched.Bundle // what is stopped once the hold is recorded
+	expiresAt micros.Micros  // end of waiting
+	writing   bool
 }
 
 // stopPatience is how many times the wait of a hold its stops may take: what keeps its room
 // for longer was not among them.
 const stopPatience = 2
 
-// setHold is the one place where a hold changes its state.
-func (o *owner) setHold(h *hold, s holdState, why string) {
+// setReservationState is the one place where a hold changes its state.
+func (o *owner) setReservationState(h *reservation, s reservationState, why string) {
 	if h.state == s {
 		return
 	}
 	o.c.log.Info("hold", "job", h.job, "from", h.state.String(), "to", s.String(), "machines", len(h.machines), "why", why)
 	h.state = s
 	switch s {
-	case holdStopping:
-		h.until = o.c.now + stopPatience*o.c.cfg.Tuning.ReservationTimeout
-	case holdWaiting:
-		h.until = o.c.now + o.c.cfg.Tuning.ReservationTimeout
-	case holdOver:
+	case reservationStopping:
+		h.expiresAt = o.c.now + stopPatience*o.c.cfg.Tuning.ReservationTimeout
+	case reservationReady:
+		h.expiresAt = o.c.now + o.c.cfg.Tuning.ReservationTimeout
+	case reservationReleased:
 		o.scheduleWanted = true
 	}
 }
 
-// heldResources is what is kept on a machine for gangs that are not placed yet.
-func (o *owner) heldResources(name string) sched.Resources {
+// reservedResources is what is kept on a machine for gangs that are not placed yet.
+func (o *owner) reservedResources(name string) sched.Resources {
 	var sum sched.Resources
-	for id, h := range o.holds {
-		if j := o.jobs[id]; h.state != holdOver && j != nil && j.gang == gangNone {
+	for id, h := range o.reservations {
+		if j := o.jobs[id]; h.state != reservationReleased && j != nil && j.gang == gangNone {
 			sum = sum.Add(h.need.Times(h.machines[name]))
 		}
 	}
 	return sum
 }
 
-// heldView is what the holder of a hold may use: the held machines, with what is kept
+// reservedView is what the holder of a hold may use: the held machines, with what is kept
 // there.
-func (o *owner) heldView(h *hold, view []*sched.Machine) []*sched.Machine {
+func (o *owner) reservedView(h *reservation, view []*sched.Machine) []*sched.Machine {
 	var out []*sched.Machine
 	for _, v := range view {
 		if n := h.machines[v.Name]; n > 0 {
@@ -82,35 +84,35 @@
 	return out
 }
 
-// tickHolds moves holds on.
-func (o *owner) tickHolds() {
-	for _, id := range sortedKeys(o.holds) {
-		h, j := o.holds[id], o.jobs[id]
+// tickReservations moves holds on.
+func (o *owner) tickReservations() {
+	for _, id := range sortedKeys(o.reservations) {
+		h, j := o.reservations[id], o.jobs[id]
 		switch {
-		case h.state == holdOver:
+		case h.state == reservationReleased:
 		case j == nil || j.state != jobActive:
-			o.setHold(h, holdOver, "the gang is over")
-		case o.holdBroken(h):
-			o.setHold(h, holdOver, "a machine is gone")
+			o.setReservationState(h, reservationReleased, "the gang is over")
+		case o.reservationBroken(h):
+			o.setReservationState(h, reservationReleased, "a machine is gone")
 		case j.gang == gangStarting && o.allLive(j):
 			j.evictions = 0
-			o.setHold(h, holdOver, "the gang has started")
-		case h.state == holdStopping && o.roomFree(h):
-			o.setHold(h, holdWaiting, "all stops have ended")
+			o.setReservationState(h, reservationReleased, "the gang has started")
+		case h.state == reservationStopping && o.reservedRoomFree(h):
+			o.setReservationState(h, reservationReady, "all stops have ended")
 			o.scheduleWanted = true
-		case h.state == holdStopping && o.c.now > h.until:
-			o.setHold(h, holdOver, "its room does not come free")
-		case h.state == holdWaiting && j.gang == gangNone && o.c.now > h.until:
+		case h.state == reservationStopping && o.c.now > h.expiresAt:
+			o.setReservationState(h, reservationReleased, "its room does not come free")
+		case h.state == reservationReady && j.gang == gangNone && o.c.now > h.expiresAt:
 			// Each eviction in vain doubles the pause before the next (ours).
 			j.evictAt = o.c.now + o.c.cfg.Tuning.ReservationTimeout<<min(j.evictions, 4)
 			j.evictions++
-			o.setHold(h, holdOver, "the gang has not started")
+			o.setReservationState(h, reservationReleased, "the gang has not started")
 		}
 	}
 }
 
-// holdBroken tells that a machine of a hold can't be used any more.
-func (o *owner) holdBroken(h *hold) bool {
+// reservationBroken tells that a machine of a hold can't be used any more.
+func (o *owner) reservationBroken(h *reservation) bool {
 	for name := range h.machines {
 		if m := o.machines[name]; m == nil || m.state != machineUp {
 			return true
@@ -119,8 +121,8 @@
 	return false
 }
 
-// roomFree tells whether the held room is free of what had to go.
-func (o *owner) roomFree(h *hold) bool {
+// reservedRoomFree tells whether the held room is free of what had to go.
+func (o *owner) reservedRoomFree(h *reservation) bool {
 	for name, n := range h.machines {
 		m := o.machines[name]
 		if !h.need.Times(n).Fits(m.size.Sub(m.used)) {
@@ -140,21 +142,21 @@
 	return len(j.attempts) > 0
 }
 
-// flushHolds writes the records of holds, and removes those that are over.
-func (o *owner) flushHolds(t *txn, full func() bool) {
-	for _, id := range sortedKeys(o.holds) {
-		h := o.holds[id]
+// flushReservations writes the records of holds, and removes those that are over.
+func (o *owner) flushReservations(t *txn, full func() bool) {
+	for _, id := range sortedKeys(o.reservations) {
+		h := o.reservations[id]
 		if h.state == holdPlanned && o.jobs[id] == nil {
-			o.setHold(h, holdOver, "the gang is over")
+			o.setReservationState(h, reservationReleased, "the gang is over")
 		}
-		if h.writing || h.state != holdPlanned && h.state != holdOver {
+		if h.writing || h.state != holdPlanned && h.state != reservationReleased {
 			continue
 		}
 		if full() {
 			return
 		}
 		h.writing = true
-		over := h.state == holdOver
+		over := h.state == reservationReleased
 		if over {
 			t.writes = append(t.writes, kv.Write{Delete: record.ReservationKey(id)})
 		} else {
@@ -166,10 +168,10 @@
 			switch {
 			case !ok:
 			case over:
-				delete(o.holds, id)
+				delete(o.reservations, id)
 				o.scheduleWanted = true
 			case h.state == holdPlanned:
-				o.setHold(h, holdStopping, "recorded")
+				o.setReservationState(h, reservationStopping, "recorded")
 				o.stopVictims(h)
 			}
 		})
@@ -189,16 +191,16 @@
 			}
 			continue
 		}
-		h := &hold{job: id, machines: rec.Machines, need: j.Need, state: holdWaiting}
-		h.until = o.c.now + o.c.cfg.Tuning.ReservationTimeout
-		o.holds[id] = h
+		h := &reservation{job: id, machines: rec.Machines, need: j.Need, state: reservationReady}
+		h.expiresAt = o.c.now + o.c.cfg.Tuning.ReservationTimeout
+		o.reservations[id] = h
 	}
 }
 
-// isHeld tells whether a machine is held for some gang, and so must not be returned.
-func (o *owner) isHeld(name string) bool {
-	for _, h := range o.holds {
-		if h.state != holdOver && h.machines[name] > 0 {
+// isReserved tells whether a machine is held for some gang, and so must not be returned.
+func (o *owner) isReserved(name string) bool {
+	for _, h := range o.reservations {
+		if h.state != reservationReleased && h.machines[name] > 0 {
 			return true
 		}
 	}
--- a/controller/load.go
+++ b/controller/load.go
@@ -37,7 +37,7 @@
 	o.list, o.blocks, o.completionSegments, o.dispatchQueue, o.unresolvedJobs = nil, nil, nil, nil, nil
 	o.proposed, o.proposedJobs = 0, 0
 	clear(o.rentals)
-	clear(o.holds)
+	clear(o.reservations)
 	for _, t := range o.teams {
 		t.used, t.stopping = sched.Resources{}, sched.Resources{}
 	}
--- a/controller/machine_health.go
+++ b/controller/machine_health.go
@@ -168,7 +168,7 @@
 // checkBooting looks at a machine that has not reported yet. After a takeover it may have been
 // up all the while.
 func (o *owner) checkBooting(m *machine) condemnReason {
-	if o.keptInPartition(m) {
+	if o.retainedInPartition(m) {
 		return notCondemned
 	}
 	boot := unknownBoot
@@ -190,7 +190,7 @@
 		return condemnedFailed
 	case m.unlisted >= unlistedReadings && silent > maxMissedHeartbeats*o.c.cfg.HeartbeatInterval:
 		return condemnedUnlisted
-	case silent > limit && (o.keptInPartition(m) || o.keptForGangs(m)):
+	case silent > limit && (o.retainedInPartition(m) || o.retainedForGangs(m)):
 		return notCondemned
 	case silent > limit && (!fleet.isolated || silent > isolatedPatience*limit):
 		return decommissionUnresponsive
@@ -216,12 +216,12 @@
 	return !fleet.manyUnreachable || o.c.now-m.tokenConfirmedAt > unreachablePatience*o.c.cfg.HeartbeatTimeout()
 }
 
-// keptForGangs tells that a silent machine is kept since it works on, as others show: tasks
+// retainedForGangs tells that a silent machine is kept since it works on, as others show: tasks
 // whose gang lost one end within GangPeer, but those of its gangs on other machines were
 // reported running later than that. Its worker may come back until its lease ends; to give
 // it up would stop whole gangs. Not one with tasks of a job that is over, nor one that the
 // cloud takes.
-func (o *owner) keptForGangs(m *machine) bool {
+func (o *owner) retainedForGangs(m *machine) bool {
 	if o.unresponsiveFor(m) > o.c.cfg.WorkerLease || m.failed || m.notice != 0 {
 		return false
 	}
--- a/controller/machine_transfers.go
+++ b/controller/machine_transfers.go
@@ -80,7 +80,7 @@
 
 // isIdle tells that a machine can be transferred at once.
 func (o *owner) isIdle(m *machine) bool {
-	return m.state == machineUp && len(m.attempts) == 0 && m.fencingToken != 0 && !o.isHeld(m.name) &&
+	return m.state == machineUp && len(m.attempts) == 0 && m.fencingToken != 0 && !o.isReserved(m.name) &&
 		o.c.now-m.idleSince > idleBeforeTransfer
 }
 
--- a/controller/owner.go
+++ b/controller/owner.go
@@ -42,7 +42,7 @@
 	cancelled []string
 	// unresolvedJobs are jobs that records name, of which it is not known how they ended.
 	unresolvedJobs []*job
-	holds          map[string]*hold // by job
+	reservations   map[string]*reservation // by job
 	classes        *autoscaler.Classes
 
 	// The watch of the jobs' records.
@@ -111,7 +111,7 @@
 		jobs:             map[string]*job{},
 		waiting:          map[string]*job{},
 		rentals:          map[string]*rental{},
-		holds:            map[string]*hold{},
+		reservations:     map[string]*reservation{},
 		recentlyReturned: map[string]micros.Micros{},
 		refusedOffers:    map[autoscaler.Offer]micros.Micros{},
 		partitioned:      map[string]micros.Micros{},
@@ -219,7 +219,7 @@
 	o.sweepParts()
 	o.checkMachineHealth()
 	o.inspectSome()
-	o.tickHolds()
+	o.tickReservations()
 	o.tickList()
 	o.tickScale()
 	for _, list := range []map[string]micros.Micros{o.recentlyReturned, o.ownedElsewhere} {
--- a/controller/partitions.go
+++ b/controller/partitions.go
@@ -22,7 +22,7 @@
 }
 
 // findPartitions finds zones that are cut off: nothing is rented there, and machines on which
-// gangs run are not given up at once, for what runs there goes on (see keptInPartition).
+// gangs run are not given up at once, for what runs there goes on (see retainedInPartition).
 func (o *owner) findPartitions() {
 	zones, heardInAll := o.zoneHealth()
 	for _, zone := range sortedKeys(zones) {
@@ -71,10 +71,10 @@
 	}
 }
 
-// keptInPartition tells that a silent machine in a partitioned zone is kept: a gang runs on it,
+// retainedInPartition tells that a silent machine in a partitioned zone is kept: a gang runs on it,
 // which would lose its work and find no other machine, or gangs will want it as soon as the
 // partition ends. Not one with tasks of a job that is over, which must be gone in time.
-func (o *owner) keptInPartition(m *machine) bool {
+func (o *owner) retainedInPartition(m *machine) bool {
 	if o.partitioned[m.zone] == 0 || o.unresponsiveFor(m) > o.c.cfg.Tuning.PartitionTimeout || m.failed || m.notice != 0 {
 		return false
 	}
--- a/controller/placement_view.go
+++ b/controller/placement_view.go
@@ -48,7 +48,7 @@
 		}
 		view = append(view, &sched.Machine{
 			Name: m.name, Type: m.kind, Zone: m.zone, Spot: m.spot,
-			Free: o.machineSize(m).Sub(m.used).Sub(o.heldResources(m.name)), Slots: o.freeSlots(m, left),
+			Free: o.machineSize(m).Sub(m.used).Sub(o.reservedResources(m.name)), Slots: o.freeSlots(m, left),
 			Idle: len(m.attempts) == 0, Scarce: o.scarce(m), Price: priceClass(catalog.PricePerCPU(m.kind, m.spot)), Images: m.images,
 		})
 	}
--- a/controller/scale.go
+++ b/controller/scale.go
@@ -117,7 +117,7 @@
 	d.Size, d.Used = o.machineSize(m), m.used
 	d.Age, d.IdleFor = o.c.wallClock-m.rented, o.c.now-m.idleSince
 	d.Claimed, d.Busy = m.fencingToken != 0, len(m.attempts) > 0
-	d.Reserved = o.isHeld(m.name)
+	d.Reserved = o.isReserved(m.name)
 	d.OnlySlack = d.Busy && o.scarce(m) && o.onlySlack(m)
 	if forGangs {
 		d.BusyFor = o.busyFor(m)
@@ -251,7 +251,7 @@
 		d.LowPriorityMaxWait = max(d.LowPriorityMaxWait, o.maxWait(j))
 	}
 	if j.Gang && tasks == j.Tasks {
-		d.Gangs = append(d.Gangs, autoscaler.Gang{Job: j.Job, Reserved: o.holds[j.ID] != nil})
+		d.Gangs = append(d.Gangs, autoscaler.Gang{Job: j.Job, Reserved: o.reservations[j.ID] != nil})
 	}
 }
 
--- a/controller/schedule.go
+++ b/controller/schedule.go
@@ -29,7 +29,7 @@
 		return
 	}
 	o.scheduleWanted, o.nextPass = false, o.c.now+passGap
-	pass := &schedulingPass{o: o, view: o.placeView(), kept: keptLimits{}, nowhere: map[shape]bool{}}
+	pass := &schedulingPass{o: o, view: o.placeView(), reservedQuotas: quotaReservations{}, nowhere: map[shape]bool{}}
 	for _, j := range o.inTurn() {
 		if pass.full() {
 			return
@@ -40,11 +40,11 @@
 
 // schedulingPass is one pass over the jobs in the order in which they are placed.
 type schedulingPass struct {
-	o       *owner
-	view    []*sched.Machine
-	kept    keptLimits
-	looked  int            // jobs for which places were looked for
-	nowhere map[shape]bool // kinds of tasks for which there is no place left
+	o              *owner
+	view           []*sched.Machine
+	reservedQuotas quotaReservations
+	looked         int            // jobs for which places were looked for
+	nowhere        map[shape]bool // kinds of tasks for which there is no place left
 }
 
 // full tells whether the pass has done as much as one may: the guards of a commit are bounded.
@@ -63,7 +63,7 @@
 		return
 	}
 	// Room only shrinks during a pass, so tasks alike to some that found no place find none.
-	plain := !j.Gang && !j.OneZone && !j.Spread && o.holds[j.ID] == nil
+	plain := !j.Gang && !j.OneZone && !j.Spread && o.reservations[j.ID] == nil
 	if plain && p.nowhere[j.shape()] {
 		return
 	}
@@ -71,13 +71,13 @@
 	if !j.Gang && (leftOut || o.starves(j)) {
 		want = min(want, j.beginTasks()) // it must begin; the rest waits its turn
 	}
-	if h := o.holds[j.ID]; h != nil {
-		p.placeHeld(j, h, want)
+	if h := o.reservations[j.ID]; h != nil {
+		p.placeReserved(j, h, want)
 		return
 	}
 	assignments := sched.Place(j.Job, p.view, want, j.zones())
 	if len(assignments) == 0 && o.leftOut(j) {
-		assignments = placeAmongKept(j, p.view, min(want, j.beginTasks()))
+		assignments = placeOnReserved(j, p.view, min(want, j.beginTasks()))
 	}
 	if len(assignments) == 0 {
 		p.nowhere[j.shape()] = plain
@@ -99,9 +99,9 @@
 // that does not fit whole, and whether the job takes what is kept for others since nothing
 // of it has run for long.
 func (p *schedulingPass) allowance(j *job) (want int, leftOut bool) {
-	want = p.o.withinTeam(j, p.o.keptFrom(p.kept, j))
+	want = p.o.withinTeam(j, p.o.reservedQuota(p.reservedQuotas, j))
 	if j.Gang && want < j.Tasks {
-		p.keepLimit(j)
+		p.reserveQuota(j)
 		return 0, false
 	}
 	if want == 0 && p.o.leftOut(j) {
@@ -110,29 +110,29 @@
 	return want, false
 }
 
-// keepLimit keeps a part of its team's limit for a gang that waits.
-func (p *schedulingPass) keepLimit(gang *job) {
-	p.kept[gang.Team] = append(p.kept[gang.Team], gang)
+// reserveQuota keeps a part of its team's limit for a gang that waits.
+func (p *schedulingPass) reserveQuota(gang *job) {
+	p.reservedQuotas[gang.Team] = append(p.reservedQuotas[gang.Team], gang)
 }
 
-// placeHeld places a gang on the machines that are held for it, once their room is free.
-func (p *schedulingPass) placeHeld(j *job, h *hold, want int) {
-	if h.state == holdWaiting {
-		p.propose(j, sched.Place(j.Job, p.o.heldView(h, p.view), want, nil))
+// placeReserved places a gang on the machines that are held for it, once their room is free.
+func (p *schedulingPass) placeReserved(j *job, h *reservation, want int) {
+	if h.state == reservationReady {
+		p.propose(j, sched.Place(j.Job, p.o.reservedView(h, p.view), want, nil))
 	}
 }
 
 // foundNoPlace makes room for a gang, or reserves machines for it.
 func (p *schedulingPass) foundNoPlace(j *job) {
 	if j.Gang { // when its machines come, it must be within the limit
-		p.keepLimit(j)
+		p.reserveQuota(j)
 	}
 	if p.o.makeRoom(j) {
 		p.view = p.o.placeView() // without what is held now
 		clear(p.nowhere)
 		return
 	}
-	p.view = p.o.reserve(j, p.view)
+	p.view = p.o.reserveSoonestFree(j, p.view)
 }
 
 func (p *schedulingPass) propose(j *job, assignments []sched.Assignment) {
@@ -157,14 +157,14 @@
 	return s
 }
 
-// keptLimits are gangs that wait, for their teams' limits or for machines. What comes free of a
+// quotaReservations are gangs that wait, for their teams' limits or for machines. What comes free of a
 // limit must not go to work that comes later, a task at a time: the gang would wait for all of
 // it.
-type keptLimits map[string][]*job
+type quotaReservations map[string][]*job
 
-// keptFrom is what of its team's limit is kept from a job: for gangs of higher priority, and
+// reservedQuota is what of its team's limit is kept from a job: for gangs of higher priority, and
 // for all that have waited for long.
-func (o *owner) keptFrom(k keptLimits, j *job) sched.Resources {
+func (o *owner) reservedQuota(k quotaReservations, j *job) sched.Resources {
 	var sum sched.Resources
 	for _, g := range k[j.Team] {
 		if g.Priority > j.Priority || o.waitsLong(g) {
@@ -189,9 +189,9 @@
 	return !j.Gang && len(j.attempts) == 0 && o.c.now-j.idleSince > leftOutAfter
 }
 
-// placeAmongKept looks for places also on machines that are kept for gangs, though not on
+// placeOnReserved looks for places also on machines that are kept for gangs, though not on
 // those kept for one that starves.
-func placeAmongKept(j *job, view []*sched.Machine, want int) []sched.Assignment {
+func placeOnReserved(j *job, view []*sched.Machine, want int) []sched.Assignment {
 	var kept []*sched.Machine
 	for _, m := range view {
 		if m.ReservedForGangs {
@@ -272,9 +272,9 @@
 	return in
 }
 
-// reserve keeps the machine that will have room for a waiting gang the soonest free
+// reserveSoonestFree keeps the machine that will have room for a waiting gang the soonest free
 // of jobs that come after it; without that, small tasks would fill every gap first.
-func (o *owner) reserve(j *job, view []*sched.Machine) []*sched.Machine {
+func (o *owner) reserveSoonestFree(j *job, view []*sched.Machine) []*sched.Machine {
 	if !j.Gang || o.dependent(j) {
 		return view // see reserveForGangs
 	}
--- a/controller/status.go
+++ b/controller/status.go
@@ -103,5 +103,5 @@
 	lossesPerHour := o.c.spotRisk.PerSecond(o.c.cfg.Tuning.SpotLossesPerHour) * secondsPerHour
 	o.c.log.Info("work", "jobs", len(o.queue), "waiting_jobs", jobs, "waiting_gangs", gangs, "waiting_tasks", tasks,
 		"awaiting_others", len(o.waiting), "proposed", o.proposed, "blocks", len(o.blocks), "shards", len(o.completionSegments),
-		"holds", len(o.holds), "spot_losses_per_h", math.Round(lossesPerHour*10)/10)
+		"holds", len(o.reservations), "spot_losses_per_h", math.Round(lossesPerHour*10)/10)
 }
