--- a/controller/commits.go
+++ b/controller/commits.go
@@ -50,7 +50,7 @@
 		// The cancelled that nobody waits for leave half to the rest, or take what is left.
 		half := most / 2
 		o.flushCancelled(t, func() bool { return room() < 2+half || full() })
-		o.flushRentals(t, func() bool { return room() < 2 || full() })
+		o.flushScaleOutRequests(t, func() bool { return room() < 2 || full() })
 		o.flushReservations(t, full)
 		o.flushObsolete(t, full)
 		o.flushRecords(t, room)
--- a/controller/entitlement.go
+++ b/controller/entitlement.go
@@ -41,9 +41,9 @@
 	return false
 }
 
-// mayRent asserts that the cloud may be asked for a rental: its name is recorded.
-func (o *owner) mayRent(r *rental) bool {
-	if o.isEntitled() && r.state == rentalAsking {
+// mayRequestScaleOut asserts that the cloud may be asked for a rental: its name is recorded.
+func (o *owner) mayRequestScaleOut(r *scaleOutRequest) bool {
+	if o.isEntitled() && r.state == scaleOutRequested {
 		return true
 	}
 	o.c.reportViolation("a rental without a record", "name", r.name, "rental_state", r.state.String(), "owner_state", o.state.String())
--- a/controller/entitlement_test.go
+++ b/controller/entitlement_test.go
@@ -68,10 +68,10 @@
 
 // TestRentalsRestOnRecords sees that the cloud is asked for machines only under a recorded name.
 func TestRentalsRestOnRecords(t *testing.T) {
-	for state, want := range map[rentalState]bool{rentalNamed: false, rentalAsking: true, rentalGranted: false, rentalOver: false} {
+	for state, want := range map[scaleOutState]bool{scaleOutPlanned: false, scaleOutRequested: true, scaleOutGranted: false, scaleOutDone: false} {
 		o, _, _ := activeOwner()
-		r := &rental{name: "h-1", offer: autoscaler.Offer{Type: "small", Zone: "a"}, number: 1, state: state}
-		if got := o.mayRent(r); got != want || o.c.Violations() != violationsIf(!want) {
+		r := &scaleOutRequest{name: "h-1", offer: autoscaler.Offer{Type: "small", Zone: "a"}, machineCount: 1, state: state}
+		if got := o.mayRequestScaleOut(r); got != want || o.c.Violations() != violationsIf(!want) {
 			t.Errorf("%v: allowed %t with %d violations", state, got, o.c.Violations())
 		}
 	}
--- a/controller/eviction.go
+++ b/controller/eviction.go
@@ -25,7 +25,7 @@
 
 // makeRoom looks for work to stop for a gang that does not fit, and holds the machines.
 func (o *owner) makeRoom(j *job) bool {
-	if !j.Gang || o.c.now < j.evictAt || o.rentingSuffices(j) || o.comesSoon(j) {
+	if !j.Gang || o.c.now < j.evictAt || o.scaleOutSuffices(j) || o.comesSoon(j) {
 		return false
 	}
 	covered := o.guaranteed()
@@ -115,9 +115,9 @@
 	return covered
 }
 
-// rentingSuffices tells that a machine from the cloud would serve in time (ours): then
+// scaleOutSuffices tells that a machine from the cloud would serve in time (ours): then
 // nothing needs to be stopped.
-func (o *owner) rentingSuffices(j *job) bool {
+func (o *owner) scaleOutSuffices(j *job) bool {
 	market, left := o.market(), o.startLimit(j)-(o.c.wallClock-j.since)
 	for _, t := range o.c.types.list {
 		if t.Boot > left || !j.Need.Fits(t.Size) {
--- a/controller/gangs.go
+++ b/controller/gangs.go
@@ -20,7 +20,7 @@
 func (o *owner) noteSpotTime() {
 	for _, m := range o.list {
 		if m.spot && (m.state == machineUp || m.state == machineDraining) {
-			o.c.spotRisk.RecordUptime(scaleEvery)
+			o.c.spotRisk.RecordUptime(autoscalingInterval)
 		}
 	}
 }
--- a/controller/load.go
+++ b/controller/load.go
@@ -36,7 +36,7 @@
 	clear(o.machines)
 	o.list, o.blocks, o.completionSegments, o.dispatchQueue, o.unresolvedJobs = nil, nil, nil, nil, nil
 	o.proposed, o.proposedJobs = 0, 0
-	clear(o.rentals)
+	clear(o.scaleOutRequests)
 	clear(o.reservations)
 	for _, t := range o.teams {
 		t.used, t.stopping = sched.Resources{}, sched.Resources{}
--- a/controller/owner.go
+++ b/controller/owner.go
@@ -56,7 +56,7 @@
 	machines         map[string]*machine
 	list             []*machine // the same in the order of their names
 	listing          cloudList
-	rentals          map[string]*rental
+	scaleOutRequests map[string]*scaleOutRequest
 	refusedOffers    map[autoscaler.Offer]micros.Micros // not asked for until then
 	recentlyReturned map[string]micros.Micros           // machines that were returned, remembered until then
 	ownedElsewhere   map[string]micros.Micros           // machines that another owns, though no peer says so yet
@@ -65,8 +65,8 @@
 	releaseWanted    bool                               // machines are to be returned to the cloud
 	releasing        bool                               // a request for that is under way
 	releaseAt        micros.Micros
-	nextScale        micros.Micros
-	nextScaleDown    micros.Micros
+	nextAutoscaling  micros.Micros
+	nextScaleIn      micros.Micros
 	// nextMachineRequest and nextArrayRequest are when machines may be asked of other owners
 	// again, the latter for arrays.
 	nextMachineRequest micros.Micros
@@ -110,7 +110,7 @@
 		machines:         map[string]*machine{},
 		jobs:             map[string]*job{},
 		waiting:          map[string]*job{},
-		rentals:          map[string]*rental{},
+		scaleOutRequests: map[string]*scaleOutRequest{},
 		reservations:     map[string]*reservation{},
 		recentlyReturned: map[string]micros.Micros{},
 		refusedOffers:    map[autoscaler.Offer]micros.Micros{},
@@ -221,7 +221,7 @@
 	o.inspectSome()
 	o.tickReservations()
 	o.tickList()
-	o.tickScale()
+	o.tickAutoscaling()
 	for _, list := range []map[string]micros.Micros{o.recentlyReturned, o.ownedElsewhere} {
 		maps.DeleteFunc(list, func(_ string, until micros.Micros) bool { return o.c.now > until })
 	}
--- a/controller/rentals.go
+++ b/controller/rentals.go
@@ -10,28 +10,28 @@
 	"tamarindlead/micros"
 )
 
-// rentalState is the state machine of a rental.
-type rentalState int
+// scaleOutState is the state machine of a rental.
+type scaleOutState int
 
 const (
-	rentalNamed   rentalState = iota // its name must be recorded first
-	rentalAsking                     // recorded; the cloud is asked, again if need be
-	rentalGranted                    // its machines must be recorded
-	rentalOver                       // its record must go
+	scaleOutPlanned   scaleOutState = iota // its name must be recorded first
+	scaleOutRequested                      // recorded; the cloud is asked, again if need be
+	scaleOutGranted                        // its machines must be recorded
+	scaleOutDone                           // its record must go
 )
 
-func (s rentalState) String() string { return [...]string{"named", "asking", "granted", "over"}[s] }
-
-// rental is a request for machines.
-type rental struct {
-	name     string
-	offer    autoscaler.Offer
-	number   int // of machines
-	state    rentalState
-	writing  bool          // its record is being written
-	asking   bool          // the cloud is being asked
-	next     micros.Micros // when the cloud may be asked again
-	machines []string      // that the cloud gave
+func (s scaleOutState) String() string { return [...]string{"named", "asking", "granted", "over"}[s] }
+
+// scaleOutRequest is a request for machines.
+type scaleOutRequest struct {
+	name         string
+	offer        autoscaler.Offer
+	machineCount int // of machines
+	state        scaleOutState
+	writing      bool          // its record is being written
+	inFlight     bool          // the cloud is being asked
+	nextAttempt  micros.Micros // when the cloud may be asked again
+	machines     []string      // that the cloud gave
 }
 
 // Paths of the cloud, and the problem that it names when it has no machines of an offer.
@@ -50,10 +50,10 @@
 	returnedMemory = 120 * micros.Second
 )
 
-// setRental is the one place where a rental changes its state.
-func (o *owner) setRental(r *rental, s rentalState) {
+// setScaleOutState is the one place where a rental changes its state.
+func (o *owner) setScaleOutState(r *scaleOutRequest, s scaleOutState) {
 	o.c.log.Info("rental", "name", r.name, "type", r.offer.Type, "zone", r.offer.Zone, "spot", r.offer.Spot,
-		"number", r.number, "from", r.state.String(), "to", s.String(), "machines", len(r.machines))
+		"number", r.machineCount, "from", r.state.String(), "to", s.String(), "machines", len(r.machines))
 	r.state = s
 }
 
@@ -69,21 +69,21 @@
 			continue
 		}
 		name := strings.TrimPrefix(e.Key, record.ScaleOutRequestPrefix)
-		o.rentals[name] = &rental{
-			name: name, offer: autoscaler.Offer{Type: rec.Type, Zone: rec.Zone, Spot: rec.Spot}, number: rec.Count, state: rentalAsking,
+		o.scaleOutRequests[name] = &scaleOutRequest{
+			name: name, offer: autoscaler.Offer{Type: rec.Type, Zone: rec.Zone, Spot: rec.Spot}, machineCount: rec.Count, state: scaleOutRequested,
 		}
 	}
 }
 
-// flushRentals records the names of rentals before they are asked for, and removes
+// flushScaleOutRequests records the names of rentals before they are asked for, and removes
 // those that are over.
-func (o *owner) flushRentals(t *txn, full func() bool) {
-	for _, name := range sortedKeys(o.rentals) {
-		r := o.rentals[name]
-		if r.state == rentalGranted && o.allClaimed(r) {
-			o.setRental(r, rentalOver)
+func (o *owner) flushScaleOutRequests(t *txn, full func() bool) {
+	for _, name := range sortedKeys(o.scaleOutRequests) {
+		r := o.scaleOutRequests[name]
+		if r.state == scaleOutGranted && o.allClaimed(r) {
+			o.setScaleOutState(r, scaleOutDone)
 		}
-		if r.writing || r.state != rentalNamed && r.state != rentalOver {
+		if r.writing || r.state != scaleOutPlanned && r.state != scaleOutDone {
 			continue
 		}
 		if full() {
@@ -91,36 +91,36 @@
 		}
 		r.writing = true
 		key := record.ScaleOutRequestKey(name)
-		if r.state == rentalOver {
+		if r.state == scaleOutDone {
 			t.writes = append(t.writes, kv.Write{Delete: key})
 		} else {
 			t.put(key, record.ScaleOutRequest{
-				Owner: o.c.node.ID(), Type: r.offer.Type, Zone: r.offer.Zone, Spot: r.offer.Spot, Count: r.number,
+				Owner: o.c.node.ID(), Type: r.offer.Type, Zone: r.offer.Zone, Spot: r.offer.Spot, Count: r.machineCount,
 			})
 		}
 		t.results = append(t.results, func(ok bool, _ uint64) {
 			r.writing = false
 			switch {
 			case !ok:
-			case r.state == rentalOver:
-				delete(o.rentals, name)
+			case r.state == scaleOutDone:
+				delete(o.scaleOutRequests, name)
 			default:
-				o.setRental(r, rentalAsking)
+				o.setScaleOutState(r, scaleOutRequested)
 			}
 		})
 	}
 }
 
-// rent begins a rental.
-func (o *owner) rent(request autoscaler.ScaleOutRequest) {
-	r := &rental{name: "h-" + record.FormatNumber(o.nextNumber()), offer: request.Offer, number: request.Number}
-	o.rentals[r.name] = r
+// requestScaleOut begins a rental.
+func (o *owner) requestScaleOut(request autoscaler.ScaleOutRequest) {
+	r := &scaleOutRequest{name: "h-" + record.FormatNumber(o.nextNumber()), offer: request.Offer, machineCount: request.Number}
+	o.scaleOutRequests[r.name] = r
 	o.c.log.Info("rental wanted", "name", r.name, "type", r.offer.Type, "zone", r.offer.Zone,
-		"spot", r.offer.Spot, "number", r.number, "class", request.Job.Class, "short_cpus", request.ShortCPUs)
+		"spot", r.offer.Spot, "number", r.machineCount, "class", request.Job.Class, "short_cpus", request.ShortCPUs)
 }
 
 // allClaimed tells that all machines of a rental are recorded.
-func (o *owner) allClaimed(r *rental) bool {
+func (o *owner) allClaimed(r *scaleOutRequest) bool {
 	for _, name := range r.machines {
 		if m := o.machines[name]; m != nil && m.fencingToken == 0 {
 			return false
@@ -129,40 +129,40 @@
 	return true
 }
 
-// ask asks the cloud for the machines of a rental; asked again, it gives the same answer.
-func (o *owner) ask(r *rental) {
-	if r.asking || o.c.now < r.next || !o.mayRent(r) || !o.c.cloudRate.AllowN(o.c.now.Time(), 1) {
+// sendScaleOutRequest asks the cloud for the machines of a rental; asked again, it gives the same answer.
+func (o *owner) sendScaleOutRequest(r *scaleOutRequest) {
+	if r.inFlight || o.c.now < r.nextAttempt || !o.mayRequestScaleOut(r) || !o.c.cloudRate.AllowN(o.c.now.Time(), 1) {
 		return
 	}
-	r.asking = true
-	body := wire.ScaleOutRequest{RequestID: r.name, Type: r.offer.Type, Zone: r.offer.Zone, Spot: r.offer.Spot, Number: r.number}
+	r.inFlight = true
+	body := wire.ScaleOutRequest{RequestID: r.name, Type: r.offer.Type, Zone: r.offer.Zone, Spot: r.offer.Spot, Number: r.machineCount}
 	o.c.cloud("POST", pathRentals, body, func(status int, body []byte) {
 		if o.superseded() {
 			return
 		}
-		r.asking, r.next = false, o.c.now+cloudRetry
-		o.answered(r, status, body)
+		r.inFlight, r.nextAttempt = false, o.c.now+cloudRetry
+		o.handleScaleOutResponse(r, status, body)
 	})
 }
 
-// answered takes the cloud's answer to a rental. After any other answer it is asked again.
-func (o *owner) answered(r *rental, status wire.Status, body []byte) {
+// handleScaleOutResponse takes the cloud's answer to a rental. After any other answer it is asked again.
+func (o *owner) handleScaleOutResponse(r *scaleOutRequest, status wire.Status, body []byte) {
 	var names wire.MachineNames
 	var problem wire.ErrorResponse
 	switch {
 	case status == wire.StatusOK && wire.Decode(body, &names) == nil:
-		o.granted(r, names.Machines)
+		o.handleScaleOutGranted(r, names.Machines)
 	case status == wire.StatusUnavailable && wire.Decode(body, &problem) == nil && problem.Error == problemNoCapacity:
-		o.refused(r)
+		o.handleScaleOutRefused(r)
 	case status == wire.StatusBadRequest:
 		o.c.log.Error("rental refused as malformed", "name", r.name)
-		o.refused(r)
+		o.handleScaleOutRefused(r)
 	}
 }
 
-// granted takes the machines that the cloud rented. If they are fewer than were asked for,
+// handleScaleOutGranted takes the machines that the cloud rented. If they are fewer than were asked for,
 // there are no more.
-func (o *owner) granted(r *rental, names []string) {
+func (o *owner) handleScaleOutGranted(r *scaleOutRequest, names []string) {
 	r.machines = names
 	for _, name := range names {
 		if o.machines[name] == nil {
@@ -170,16 +170,16 @@
 			m.rented = o.c.wallClock
 		}
 	}
-	if len(names) < r.number {
+	if len(names) < r.machineCount {
 		o.pauseOffer(r.offer)
 	}
-	o.setRental(r, rentalGranted)
+	o.setScaleOutState(r, scaleOutGranted)
 }
 
-// refused ends a rental that the cloud cannot grant.
-func (o *owner) refused(r *rental) {
+// handleScaleOutRefused ends a rental that the cloud cannot grant.
+func (o *owner) handleScaleOutRefused(r *scaleOutRequest) {
 	o.pauseOffer(r.offer)
-	o.setRental(r, rentalOver)
+	o.setScaleOutState(r, scaleOutDone)
 }
 
 // pauseOffer has an offer not be asked for until there may be machines again.
--- a/controller/scale.go
+++ b/controller/scale.go
@@ -11,8 +11,8 @@
 
 // Times between decisions about capacity.
 const (
-	scaleEvery     = micros.Second
-	scaleDownEvery = 2 * micros.Second // what leaves drained machines finds its place meanwhile
+	autoscalingInterval = micros.Second
+	scaleInInterval     = 2 * micros.Second // what leaves drained machines finds its place meanwhile
 )
 
 const (
@@ -56,24 +56,24 @@
 	o.classes.RemoveExpired(o.c.now, inUse, o.c.catalog())
 }
 
-// tickScale asks for rentals and decides about more of them, and about machines to drain.
-func (o *owner) tickScale() {
-	for _, name := range sortedKeys(o.rentals) {
-		if r := o.rentals[name]; r.state == rentalAsking {
-			o.ask(r)
+// tickAutoscaling asks for rentals and decides about more of them, and about machines to drain.
+func (o *owner) tickAutoscaling() {
+	for _, name := range sortedKeys(o.scaleOutRequests) {
+		if r := o.scaleOutRequests[name]; r.state == scaleOutRequested {
+			o.sendScaleOutRequest(r)
 		}
 	}
-	if o.c.now < o.nextScale || len(o.c.types.list) == 0 {
+	if o.c.now < o.nextAutoscaling || len(o.c.types.list) == 0 {
 		return
 	}
-	o.nextScale = o.c.now + scaleEvery
+	o.nextAutoscaling = o.c.now + autoscalingInterval
 	o.scheduleWanted = true // pauses of jobs end without an event
 	o.noteSpotTime()
 	o.forgetClasses()
 	demands := o.demands()
 	planner := o.planner(demands)
 	if planner.MayScaleIn {
-		o.nextScaleDown = o.c.now + scaleDownEvery
+		o.nextScaleIn = o.c.now + scaleInInterval
 	}
 	o.carryOut(planner.Plan(demands))
 }
@@ -82,14 +82,14 @@
 func (o *owner) planner(demands []*autoscaler.Demand) *autoscaler.Planner {
 	p := &autoscaler.Planner{
 		Market: o.market(), Classes: o.classes, SLOs: o.c.cfg.SLOs,
-		OpenScaleOuts: len(o.rentals),
+		OpenScaleOuts: len(o.scaleOutRequests),
 		QueueTarget:   o.c.cfg.Tuning.QueueTarget, IdleTimeout: o.c.cfg.Tuning.IdleTimeout,
 		MaxMachines: o.c.cfg.Tuning.MaxMachines,
-		MayScaleIn:  o.c.now >= o.nextScaleDown,
+		MayScaleIn:  o.c.now >= o.nextScaleIn,
 	}
-	for _, name := range sortedKeys(o.rentals) {
-		if r := o.rentals[name]; r.state < rentalGranted {
-			p.PendingScaleOuts = append(p.PendingScaleOuts, autoscaler.ScaleOut{Offer: r.offer, Number: r.number})
+	for _, name := range sortedKeys(o.scaleOutRequests) {
+		if r := o.scaleOutRequests[name]; r.state < scaleOutGranted {
+			p.PendingScaleOuts = append(p.PendingScaleOuts, autoscaler.ScaleOut{Offer: r.offer, Number: r.machineCount})
 		}
 	}
 	gangs := false
@@ -139,7 +139,7 @@
 // carryOut does what was decided about capacity.
 func (o *owner) carryOut(plan autoscaler.Plan) {
 	for _, request := range plan.ScaleOutRequests {
-		o.rent(request)
+		o.requestScaleOut(request)
 	}
 	for _, shortage := range plan.Shortages {
 		o.requestForArray(shortage)
