--- a/controller/attempt.go
+++ b/controller/attempt.go
@@ -45,8 +45,8 @@
 	why   string
 	// counted: it is among its job's tasks that run.
 	counted bool
-	// freed: it takes nothing of its machine any more.
-	freed bool
+	// resourcesReleased: it takes nothing of its machine any more.
+	resourcesReleased bool
 }
 
 // taskKey identifies a task.
@@ -92,17 +92,17 @@
 	}
 	switch s {
 	case attemptLeaving:
-		o.free(a)
+		o.releaseResources(a)
 		o.markDirty(a.machine)
 	case attemptFinished:
-		o.free(a)
+		o.releaseResources(a)
 		a.job.setTask(a.index, taskDone)
 		if !a.job.Gang { // a gang is done as a whole, which its final record tells
 			a.job.noteFinished(a)
 			o.segmentFor(a.job, a.index/record.TasksPerChunk).markDirty(o.c.now)
 		}
 	case attemptClosed:
-		o.free(a)
+		o.releaseResources(a)
 		o.closed(a)
 	}
 }
@@ -133,13 +133,13 @@
 	}
 }
 
-// free gives back what an attempt took of its machine and of its team's limit, once it
+// releaseResources gives back what an attempt took of its machine and of its team's limit, once it
 // is certain that the task is not there. Its task waits until that is recorded.
-func (o *owner) free(a *attempt) {
-	if a.freed {
+func (o *owner) releaseResources(a *attempt) {
+	if a.resourcesReleased {
 		return
 	}
-	a.freed = true
+	a.resourcesReleased = true
 	a.machine.used = a.machine.used.Sub(a.job.Need)
 	if t := o.teams[a.job.Team]; t != nil {
 		t.used = t.used.Sub(a.job.Need)
--- a/controller/block_split.go
+++ b/controller/block_split.go
@@ -49,8 +49,8 @@
 	b.retryAt = o.c.now + oversizedRetry
 	o.c.log.Error("a machine's entry fits no value", "machine", m.name, "bytes", size, "most", o.c.cfg.MaxValueBytes, "tasks", len(m.attempts))
 	leaseEnded := o.c.now-b.dirtySince > o.c.cfg.WorkerLease+o.c.cfg.HeartbeatTimeout()
-	if m.fencingToken == 0 && m.state < machineReleasing && leaseEnded {
-		o.setMachine(m, machineReleasing, "its entry fits no value")
+	if m.fencingToken == 0 && m.state < machineTerminating && leaseEnded {
+		o.setMachine(m, machineTerminating, "its entry fits no value")
 	}
 }
 
--- a/controller/block_write.go
+++ b/controller/block_write.go
@@ -30,12 +30,12 @@
 	tasks   int        // in these entries
 	sources []*block   // blocks that machines came from, see block.sources
 
-	claimed     []*machine
-	condemned   []*machine
-	deleted     []*machine
-	transferred []*machine
-	proposed    []*attempt
-	leaving     []*attempt
+	claimed         []*machine
+	decommissioning []*machine
+	terminated      []*machine
+	transferred     []*machine
+	proposed        []*attempt
+	leaving         []*attempt
 }
 
 // writeBlock adds a block's record to a commit in which room writes are left. A block that
@@ -92,8 +92,8 @@
 // addMachine adds a machine's entry, unless the machine is gone, goes to another owner or
 // must wait for the next write.
 func (w *blockWrite) addMachine(m *machine) {
-	if m.state == machineDeleted {
-		w.deleted = append(w.deleted, m)
+	if m.state == machineTerminated {
+		w.terminated = append(w.terminated, m)
 		return
 	}
 	if w.transfer(m) {
@@ -108,8 +108,8 @@
 	if m.fencingToken == 0 || m.fencing == fencingNeeded {
 		w.claim(m, &entry, unknown)
 	}
-	if m.state == machineCondemned {
-		w.condemned = append(w.condemned, m)
+	if m.state == machineDecommissioning {
+		w.decommissioning = append(w.decommissioning, m)
 	}
 	tasks := w.addAttempts(m)
 	w.data.Pack(&entry, tasks)
@@ -143,7 +143,7 @@
 	return record.BlockMachine{
 		Name: m.name, FencingToken: m.fencingToken, Endpoint: m.endpoint, MachineType: w.kindIndex(m),
 		LaunchedAt:      int64(m.rented) - w.data.LaunchTimeBase,
-		Decommissioning: m.state == machineCondemned || m.state == machineReleasing,
+		Decommissioning: m.state == machineDecommissioning || m.state == machineTerminating,
 	}
 }
 
@@ -276,9 +276,9 @@
 // advanceMachines changes the states of machines and attempts that waited for the record.
 func (w *blockWrite) advanceMachines(revision uint64) {
 	o := w.owner
-	for _, m := range w.condemned {
-		if m.state == machineCondemned {
-			o.setMachine(m, machineReleasing, "recorded")
+	for _, m := range w.decommissioning {
+		if m.state == machineDecommissioning {
+			o.setMachine(m, machineTerminating, "recorded")
 		}
 	}
 	for _, m := range w.claimed {
@@ -294,7 +294,7 @@
 	for _, a := range w.proposed {
 		o.recorded(a)
 	}
-	for _, m := range w.deleted {
+	for _, m := range w.terminated {
 		o.forget(m)
 	}
 	for _, m := range w.transferred {
@@ -320,7 +320,7 @@
 		}
 	}
 	switch m.state {
-	case machineCondemned, machineDeleted:
+	case machineDecommissioning, machineTerminated:
 		return true
 	case machineTransferring:
 		if len(m.attempts) == 0 {
--- a/controller/cloud_list.go
+++ b/controller/cloud_list.go
@@ -74,7 +74,7 @@
 // usual lag late, so it still shows machines that another owner has returned: a machine
 // must stay listed for longer than that.
 func (o *owner) isUnclaimed(name string) bool {
-	if o.recentlyReturned[name] != 0 || o.ownedElsewhere[name] != 0 || o.c.claimant(name) != "" ||
+	if o.recentlyTerminated[name] != 0 || o.ownedElsewhere[name] != 0 || o.c.claimant(name) != "" ||
 		o.c.cluster.FirstOwner() != o.c.cfg.Node {
 		return false
 	}
--- a/controller/commands.go
+++ b/controller/commands.go
@@ -190,10 +190,10 @@
 	for _, m := range o.list {
 		// A machine with a task of a cancelled job is asked at once, since the leader may
 		// change again soon.
-		if o.c.now-o.since < inspectAfter && !o.overdue(m, overdueCondemnShare) {
+		if o.c.now-o.since < inspectAfter && !o.overdue(m, overdueDecommissionFraction) {
 			continue
 		}
-		if !m.recovered || m.agentEpoch != 0 || m.inspected || m.fencingToken == 0 || m.state >= machineCondemned {
+		if !m.recovered || m.agentEpoch != 0 || m.inspected || m.fencingToken == 0 || m.state >= machineDecommissioning {
 			continue
 		}
 		m.inspected = true
--- a/controller/due_records.go
+++ b/controller/due_records.go
@@ -91,7 +91,7 @@
 		return claimWeight
 	case m.fencing == fencingNeeded:
 		return fencingWeight
-	case m.state == machineCondemned || m.state == machineDeleted:
+	case m.state == machineDecommissioning || m.state == machineTerminated:
 		return machineWeight
 	}
 	return 0
--- a/controller/entitlement.go
+++ b/controller/entitlement.go
@@ -11,7 +11,7 @@
 // mayCommand asserts that a machine may be commanded: it is claimed by a record of this owner,
 // whose token it has shown, and is not to be deleted.
 func (o *owner) mayCommand(m *machine, verb string) bool {
-	if o.isEntitled() && m.fencingToken != 0 && m.tokenConfirmed && m.state < machineCondemned {
+	if o.isEntitled() && m.fencingToken != 0 && m.tokenConfirmed && m.state < machineDecommissioning {
 		return true
 	}
 	o.c.reportViolation("a command without a claim", "verb", verb, "machine", m.name, "token", m.fencingToken, "synced", m.tokenConfirmed,
@@ -30,11 +30,11 @@
 	return false
 }
 
-// mayRelease asserts that the cloud may be asked to delete a machine: that is recorded, or there
+// mayTerminate asserts that the cloud may be asked to delete a machine: that is recorded, or there
 // is no time left for that.
-func (o *owner) mayRelease(m *machine) bool {
-	overdue := m.state == machineCondemned && o.overdue(m, overdueReleaseShare)
-	if o.isEntitled() && (m.state == machineReleasing || overdue) {
+func (o *owner) mayTerminate(m *machine) bool {
+	overdue := m.state == machineDecommissioning && o.overdue(m, overdueTerminateFraction)
+	if o.isEntitled() && (m.state == machineTerminating || overdue) {
 		return true
 	}
 	o.c.reportViolation("a release without a record", "machine", m.name, "machine_state", m.state.String(), "owner_state", o.state.String())
--- a/controller/entitlement_test.go
+++ b/controller/entitlement_test.go
@@ -34,7 +34,7 @@
 		{"recorded and claimed", func(*owner, *machine, *attempt) {}, 1, 0},
 		{"not claimed", func(_ *owner, m *machine, _ *attempt) { m.fencingToken = 0 }, 0, 1},
 		{"without an entry in a record", func(_ *owner, m *machine, _ *attempt) { m.recorded = false }, 0, 1},
-		{"to be deleted", func(_ *owner, m *machine, _ *attempt) { m.state = machineCondemned }, 0, 1},
+		{"to be deleted", func(_ *owner, m *machine, _ *attempt) { m.state = machineDecommissioning }, 0, 1},
 		{"its owner reads the records", func(o *owner, _ *machine, _ *attempt) { o.state = ownerRecovering }, 0, 1},
 		{"its owner was replaced", func(o *owner, _ *machine, _ *attempt) { o.c.owner = nil }, 0, 1},
 		{"a peer says that its job is cancelled", func(o *owner, _ *machine, a *attempt) {
@@ -57,10 +57,10 @@
 // TestReleasesRestOnRecords sees that the cloud is asked to delete a machine only if that is
 // recorded.
 func TestReleasesRestOnRecords(t *testing.T) {
-	for state, want := range map[machineState]bool{machineReleasing: true, machineCondemned: false, machineUp: false} {
+	for state, want := range map[machineState]bool{machineTerminating: true, machineDecommissioning: false, machineUp: false} {
 		o, m, _ := activeOwner()
 		m.state = state
-		if got := o.mayRelease(m); got != want || o.c.Violations() != violationsIf(!want) {
+		if got := o.mayTerminate(m); got != want || o.c.Violations() != violationsIf(!want) {
 			t.Errorf("%v: allowed %t with %d violations", state, got, o.c.Violations())
 		}
 	}
--- a/controller/eviction.go
+++ b/controller/eviction.go
@@ -190,7 +190,7 @@
 		for _, a := range o.machines[v.Name].attempts {
 			// What is freed is in the view already: counted twice, it would promise room that
 			// another gang may just have taken, and the hold would wait for it for ever.
-			if !a.freed && o.leavingSoon(a) {
+			if !a.resourcesReleased && o.leavingSoon(a) {
 				v.Free = v.Free.Add(a.job.Need)
 			}
 		}
--- a/controller/gangs.go
+++ b/controller/gangs.go
@@ -64,7 +64,7 @@
 // onlySlack tells that no job which depends on the machine's type has tasks on it.
 func (o *owner) onlySlack(m *machine) bool {
 	for _, a := range m.attempts {
-		if !a.freed && o.dependent(a.job) {
+		if !a.resourcesReleased && o.dependent(a.job) {
 			return false
 		}
 	}
@@ -101,7 +101,7 @@
 		return sched.Resources{}, false
 	}
 	for _, a := range m.attempts {
-		if !a.freed && !o.dependent(a.job) {
+		if !a.resourcesReleased && !o.dependent(a.job) {
 			left = left.Sub(a.job.Need)
 		}
 	}
--- a/controller/limits_test.go
+++ b/controller/limits_test.go
@@ -138,7 +138,7 @@
 	m.fencingToken, o.c.cfg.MaxValueBytes = 0, 60
 	o.markDirty(m)
 	tries := 0
-	for end := o.c.now + micros.Minute; o.c.now < end && m.state < machineReleasing; o.c.now += 100 * micros.Millisecond {
+	for end := o.c.now + micros.Minute; o.c.now < end && m.state < machineTerminating; o.c.now += 100 * micros.Millisecond {
 		if !o.isDue(b) {
 			continue
 		}
@@ -148,7 +148,7 @@
 			t.Fatal("it is written")
 		}
 	}
-	if m.state != machineReleasing || tries > 12 {
+	if m.state != machineTerminating || tries > 12 {
 		t.Fatalf("state %v after %d tries", m.state, tries)
 	}
 }
--- a/controller/load_machines.go
+++ b/controller/load_machines.go
@@ -61,7 +61,7 @@
 	m.rented = micros.Micros(entry.LaunchedAt + data.LaunchTimeBase)
 	m.recorded = true
 	if entry.Decommissioning {
-		o.setMachine(m, machineReleasing, "condemned by an earlier owner")
+		o.setMachine(m, machineTerminating, "condemned by an earlier owner")
 	}
 	tasks, err := data.Unpack(entry)
 	if err != nil {
--- a/controller/machine.go
+++ b/controller/machine.go
@@ -15,13 +15,13 @@
 type machineState int
 
 const (
-	machineBooting      machineState = iota
-	machineUp                        // reports
-	machineDraining                  // takes nothing new and is returned once empty
-	machineTransferring              // goes to another owner once it is empty
-	machineCondemned                 // it is to be deleted, which must be recorded first
-	machineReleasing                 // recorded; the cloud is asked to delete it
-	machineDeleted                   // the cloud has deleted it; its record must go
+	machineBooting         machineState = iota
+	machineUp                           // reports
+	machineDraining                     // takes nothing new and is returned once empty
+	machineTransferring                 // goes to another owner once it is empty
+	machineDecommissioning              // it is to be deleted, which must be recorded first
+	machineTerminating                  // recorded; the cloud is asked to delete it
+	machineTerminated                   // the cloud has deleted it; its record must go
 )
 
 func (s machineState) String() string {
@@ -141,9 +141,9 @@
 	case machineUp:
 		m.idleSince, m.tokenConfirmedAt = o.c.now, max(m.tokenConfirmedAt, o.c.now)
 		o.scheduleWanted = true
-	case machineReleasing:
-		o.releaseWanted = true
-	case machineTransferring, machineCondemned, machineDeleted:
+	case machineTerminating:
+		o.terminationNeeded = true
+	case machineTransferring, machineDecommissioning, machineTerminated:
 		o.markDirty(m)
 	}
 }
--- a/controller/machine_health.go
+++ b/controller/machine_health.go
@@ -28,36 +28,36 @@
 	unknownBoot = micros.Minute
 )
 
-// A silent machine with a task of a cancelled job is given up once overdueCondemnShare of the
+// A silent machine with a task of a cancelled job is given up once overdueDecommissionFraction of the
 // time has passed that its tasks have to be gone, whatever else it runs and however lately this
-// node took over. Once overdueReleaseShare of it has, the cloud is asked to delete it even if
+// node took over. Once overdueTerminateFraction of it has, the cloud is asked to delete it even if
 // the decision cannot be recorded: the state service may be away for longer. Should that request
 // be executed late, under another owner, the machine is lost as any machine may be.
 const (
-	overdueCondemnShare = 0.5
-	overdueReleaseShare = 0.6
+	overdueDecommissionFraction = 0.5
+	overdueTerminateFraction    = 0.6
 	// inspectPatience is left to a machine that was taken over and asked for its report, when
 	// there is no time for more: each of many leaders in a row would wait anew.
 	inspectPatience = 3 * micros.Second
 )
 
-// condemnReason tells why a machine is to be deleted.
-type condemnReason string
+// decommissionReason tells why a machine is to be deleted.
+type decommissionReason string
 
 const (
-	notCondemned             condemnReason = ""
-	condemnedOverdue         condemnReason = "is silent with tasks of a cancelled job"
-	condemnedNeverUp         condemnReason = "never came up"
-	condemnedFailed          condemnReason = "has failed"
-	condemnedUnlisted        condemnReason = "is not listed any more"
-	decommissionUnresponsive condemnReason = "is silent"
-	condemnedUnreached       condemnReason = "reports, but hears nothing"
-	condemnedEmptyDrain      condemnReason = "is empty"
+	decommissionNone         decommissionReason = ""
+	decommissionOverdue      decommissionReason = "is silent with tasks of a cancelled job"
+	decommissionBootTimeout  decommissionReason = "never came up"
+	decommissionFailed       decommissionReason = "has failed"
+	decommissionUnlisted     decommissionReason = "is not listed any more"
+	decommissionUnresponsive decommissionReason = "is silent"
+	decommissionUnreachable  decommissionReason = "reports, but hears nothing"
+	decommissionDrained      decommissionReason = "is empty"
 )
 
-// lost tells that the machine is gone by itself, rather than given up by this node.
-func (r condemnReason) lost() bool {
-	return r == condemnedFailed || r == condemnedUnlisted || r == decommissionUnresponsive
+// isMachineLoss tells that the machine is gone by itself, rather than given up by this node.
+func (r decommissionReason) isMachineLoss() bool {
+	return r == decommissionFailed || r == decommissionUnlisted || r == decommissionUnresponsive
 }
 
 // fleetHealth is what all machines together tell about this node.
@@ -92,7 +92,7 @@
 func (o *owner) overdue(m *machine, share float64) bool {
 	limit := micros.Micros(share * float64(o.c.cfg.CancellationDeadline))
 	for _, a := range m.attempts {
-		if a.job.state == jobEnded && a.job.endedAt != 0 && !a.freed && o.c.now-a.job.endedAt > limit {
+		if a.job.state == jobEnded && a.job.endedAt != 0 && !a.resourcesReleased && o.c.now-a.job.endedAt > limit {
 			return true
 		}
 	}
@@ -121,29 +121,29 @@
 	fleet := o.fleetHealth()
 	o.findPartitions()
 	for _, m := range o.list {
-		if o.mustGo(m) {
-			o.condemn(m, condemnedOverdue)
+		if o.mustDecommission(m) {
+			o.decommission(m, decommissionOverdue)
 		}
 		switch {
-		case m.state == machineCondemned:
-			o.releaseWanted = o.releaseWanted || o.overdue(m, overdueReleaseShare)
+		case m.state == machineDecommissioning:
+			o.terminationNeeded = o.terminationNeeded || o.overdue(m, overdueTerminateFraction)
 		case hasBooted(m):
-			o.condemn(m, o.checkRunning(m, fleet))
+			o.decommission(m, o.checkRunning(m, fleet))
 		case m.state == machineBooting:
-			o.condemn(m, o.checkBooting(m))
+			o.decommission(m, o.checkBooting(m))
 		}
 	}
 }
 
-// condemn decides to delete a machine, if there is a reason.
-func (o *owner) condemn(m *machine, reason condemnReason) {
-	if reason == notCondemned {
+// decommission decides to delete a machine, if there is a reason.
+func (o *owner) decommission(m *machine, reason decommissionReason) {
+	if reason == decommissionNone {
 		return
 	}
-	if reason.lost() {
+	if reason.isMachineLoss() {
 		o.noteSpotLost(m)
 	}
-	o.setMachine(m, machineCondemned, string(reason))
+	o.setMachine(m, machineDecommissioning, string(reason))
 }
 
 // hasBooted tells whether a machine takes part, so that it should report. What had work before
@@ -153,13 +153,13 @@
 		m.state == machineBooting && m.recovered && len(m.attempts) > 0
 }
 
-// mustGo tells that a machine is silent with a task that has to be gone before long.
-func (o *owner) mustGo(m *machine) bool {
-	if m.state >= machineCondemned || !o.overdue(m, overdueCondemnShare) {
+// mustDecommission tells that a machine is silent with a task that has to be gone before long.
+func (o *owner) mustDecommission(m *machine) bool {
+	if m.state >= machineDecommissioning || !o.overdue(m, overdueDecommissionFraction) {
 		return false
 	}
 	patience := maxMissedHeartbeats * o.c.cfg.HeartbeatInterval
-	if m.agentEpoch == 0 && o.overdue(m, overdueReleaseShare) {
+	if m.agentEpoch == 0 && o.overdue(m, overdueTerminateFraction) {
 		patience = inspectPatience
 	}
 	return o.sinceLastHeartbeat(m) > patience
@@ -167,9 +167,9 @@
 
 // checkBooting looks at a machine that has not reported yet. After a takeover it may have been
 // up all the while.
-func (o *owner) checkBooting(m *machine) condemnReason {
+func (o *owner) checkBooting(m *machine) decommissionReason {
 	if o.retainedInPartition(m) {
-		return notCondemned
+		return decommissionNone
 	}
 	boot := unknownBoot
 	if t := o.c.types.find(m.kind); t != nil {
@@ -177,29 +177,29 @@
 	}
 	patience := micros.Micros(o.c.cfg.Tuning.BootTimeoutFactor*float64(boot)) + o.c.cfg.HeartbeatTimeout()
 	if m.failed || o.c.wallClock-m.rented > patience && o.unresponsiveFor(m) > o.c.cfg.HeartbeatTimeout() {
-		return condemnedNeverUp
+		return decommissionBootTimeout
 	}
-	return notCondemned
+	return decommissionNone
 }
 
 // checkRunning looks at a machine that should report.
-func (o *owner) checkRunning(m *machine, fleet fleetHealth) condemnReason {
+func (o *owner) checkRunning(m *machine, fleet fleetHealth) decommissionReason {
 	silent, limit := o.unresponsiveFor(m), o.machineHeartbeatTimeout(m)
 	switch {
 	case m.failed:
-		return condemnedFailed
+		return decommissionFailed
 	case m.unlisted >= unlistedReadings && silent > maxMissedHeartbeats*o.c.cfg.HeartbeatInterval:
-		return condemnedUnlisted
+		return decommissionUnlisted
 	case silent > limit && (o.retainedInPartition(m) || o.retainedForGangs(m)):
-		return notCondemned
+		return decommissionNone
 	case silent > limit && (!fleet.isolated || silent > isolatedPatience*limit):
 		return decommissionUnresponsive
 	case o.isUnreachable(m) && o.givesUpUnreachable(m, fleet):
-		return condemnedUnreached
+		return decommissionUnreachable
 	case m.state == machineDraining && len(m.attempts) == 0 && m.fencingToken != 0:
-		return condemnedEmptyDrain
+		return decommissionDrained
 	}
-	return notCondemned
+	return decommissionNone
 }
 
 // machineHeartbeatTimeout is how long a machine may be silent: not for long once the cloud takes it.
@@ -230,7 +230,7 @@
 		switch {
 		case a.job.state == jobEnded:
 			return false
-		case !a.job.Gang || a.freed:
+		case !a.job.Gang || a.resourcesReleased:
 			continue
 		case a.job.gang != gangStarting || !o.runsElsewhere(a):
 			return false
--- a/controller/owner.go
+++ b/controller/owner.go
@@ -53,20 +53,20 @@
 	cancellationsKnownUntil micros.Micros
 
 	// Machines.
-	machines         map[string]*machine
-	list             []*machine // the same in the order of their names
-	listing          cloudList
-	scaleOutRequests map[string]*scaleOutRequest
-	refusedOffers    map[autoscaler.Offer]micros.Micros // not asked for until then
-	recentlyReturned map[string]micros.Micros           // machines that were returned, remembered until then
-	ownedElsewhere   map[string]micros.Micros           // machines that another owns, though no peer says so yet
-	unclaimed        map[string]micros.Micros           // listed machines that nobody claims, since when
-	partitioned      map[string]micros.Micros           // zones that are cut off, since when
-	releaseWanted    bool                               // machines are to be returned to the cloud
-	releasing        bool                               // a request for that is under way
-	releaseAt        micros.Micros
-	nextAutoscaling  micros.Micros
-	nextScaleIn      micros.Micros
+	machines           map[string]*machine
+	list               []*machine // the same in the order of their names
+	listing            cloudList
+	scaleOutRequests   map[string]*scaleOutRequest
+	refusedOffers      map[autoscaler.Offer]micros.Micros // not asked for until then
+	recentlyTerminated map[string]micros.Micros           // machines that were returned, remembered until then
+	ownedElsewhere     map[string]micros.Micros           // machines that another owns, though no peer says so yet
+	unclaimed          map[string]micros.Micros           // listed machines that nobody claims, since when
+	partitioned        map[string]micros.Micros           // zones that are cut off, since when
+	terminationNeeded  bool                               // machines are to be returned to the cloud
+	terminating        bool                               // a request for that is under way
+	nextTermination    micros.Micros
+	nextAutoscaling    micros.Micros
+	nextScaleIn        micros.Micros
 	// nextMachineRequest and nextArrayRequest are when machines may be asked of other owners
 	// again, the latter for arrays.
 	nextMachineRequest micros.Micros
@@ -106,18 +106,18 @@
 func newOwner(c *Core, teams map[string]cluster.Team) *owner {
 	o := &owner{
 		c: c, since: c.now, lastHeartbeat: c.now,
-		teams:            map[string]*team{},
-		machines:         map[string]*machine{},
-		jobs:             map[string]*job{},
-		waiting:          map[string]*job{},
-		scaleOutRequests: map[string]*scaleOutRequest{},
-		reservations:     map[string]*reservation{},
-		recentlyReturned: map[string]micros.Micros{},
-		refusedOffers:    map[autoscaler.Offer]micros.Micros{},
-		partitioned:      map[string]micros.Micros{},
-		classes:          autoscaler.NewClasses(),
-		ownedElsewhere:   map[string]micros.Micros{},
-		unclaimed:        map[string]micros.Micros{},
+		teams:              map[string]*team{},
+		machines:           map[string]*machine{},
+		jobs:               map[string]*job{},
+		waiting:            map[string]*job{},
+		scaleOutRequests:   map[string]*scaleOutRequest{},
+		reservations:       map[string]*reservation{},
+		recentlyTerminated: map[string]micros.Micros{},
+		refusedOffers:      map[autoscaler.Offer]micros.Micros{},
+		partitioned:        map[string]micros.Micros{},
+		classes:            autoscaler.NewClasses(),
+		ownedElsewhere:     map[string]micros.Micros{},
+		unclaimed:          map[string]micros.Micros{},
 	}
 	for _, t := range c.cfg.Teams {
 		if v, ok := teams[t.Name]; ok {
@@ -198,7 +198,7 @@
 		o.schedule()
 		o.flush()
 		o.dispatchQueued()
-		o.release()
+		o.terminateMachines()
 	}
 }
 
@@ -222,7 +222,7 @@
 	o.tickReservations()
 	o.tickList()
 	o.tickAutoscaling()
-	for _, list := range []map[string]micros.Micros{o.recentlyReturned, o.ownedElsewhere} {
+	for _, list := range []map[string]micros.Micros{o.recentlyTerminated, o.ownedElsewhere} {
 		maps.DeleteFunc(list, func(_ string, until micros.Micros) bool { return o.c.now > until })
 	}
 }
@@ -262,7 +262,7 @@
 // silence of one that still boots, but after a takeover one with tasks was up.
 func (m *machine) expectsHeartbeat() bool {
 	switch {
-	case m.state >= machineCondemned:
+	case m.state >= machineDecommissioning:
 		return false
 	case m.state == machineBooting:
 		return m.recovered && len(m.attempts) > 0
--- a/controller/rentals.go
+++ b/controller/rentals.go
@@ -44,10 +44,10 @@
 const (
 	// cloudRetry is the pause after an answer of the cloud before it is asked the same again.
 	cloudRetry = micros.Second
-	// maxReleased is how many machines one request may release.
-	maxReleased = 100
-	// returnedMemory is how long the cloud's list may still show a machine that was returned.
-	returnedMemory = 120 * micros.Second
+	// maxTerminationsPerCall is how many machines one request may release.
+	maxTerminationsPerCall = 100
+	// terminatedRetention is how long the cloud's list may still show a machine that was returned.
+	terminatedRetention = 120 * micros.Second
 )
 
 // setScaleOutState is the one place where a rental changes its state.
@@ -187,54 +187,54 @@
 	o.refusedOffers[offer] = o.c.now + o.c.cfg.Tuning.ScaleOutRetryDelay
 }
 
-// release asks the cloud to delete machines that are to go.
-func (o *owner) release() {
-	if !o.releaseWanted || o.releasing || o.c.now < o.releaseAt {
+// terminateMachines asks the cloud to delete machines that are to go.
+func (o *owner) terminateMachines() {
+	if !o.terminationNeeded || o.terminating || o.c.now < o.nextTermination {
 		return
 	}
-	names := o.releasable()
+	names := o.terminableMachines()
 	if len(names) == 0 {
-		o.releaseWanted = false
+		o.terminationNeeded = false
 		return
 	}
 	if !o.c.cloudRate.AllowN(o.c.now.Time(), 1) {
 		return
 	}
-	o.releasing = true
+	o.terminating = true
 	o.c.cloud("POST", pathRelease, wire.MachineNames{Machines: names}, func(status int, _ []byte) {
 		if o.superseded() {
 			return
 		}
-		o.releasing, o.releaseAt = false, o.c.now+cloudRetry
+		o.terminating, o.nextTermination = false, o.c.now+cloudRetry
 		if status == wire.StatusOK {
-			o.releaseAt = o.c.now
-			o.released(names)
+			o.nextTermination = o.c.now
+			o.handleMachinesTerminated(names)
 		}
 	})
 }
 
-// releasable lists machines that the cloud may be asked to delete: those whose deletion is
+// terminableMachines lists machines that the cloud may be asked to delete: those whose deletion is
 // recorded, and those for which there is no time for that.
-func (o *owner) releasable() []string {
+func (o *owner) terminableMachines() []string {
 	var names []string
 	for _, name := range sortedKeys(o.machines) {
 		m := o.machines[name]
-		due := m.state == machineReleasing || m.state == machineCondemned && o.overdue(m, overdueReleaseShare)
-		if due && len(names) < maxReleased && o.mayRelease(m) {
+		due := m.state == machineTerminating || m.state == machineDecommissioning && o.overdue(m, overdueTerminateFraction)
+		if due && len(names) < maxTerminationsPerCall && o.mayTerminate(m) {
 			names = append(names, name)
 		}
 	}
 	return names
 }
 
-// released notes that the cloud has deleted machines.
-func (o *owner) released(names []string) {
+// handleMachinesTerminated notes that the cloud has deleted machines.
+func (o *owner) handleMachinesTerminated(names []string) {
 	for _, name := range names {
 		m := o.machines[name]
-		if m == nil || m.state != machineReleasing && m.state != machineCondemned {
+		if m == nil || m.state != machineTerminating && m.state != machineDecommissioning {
 			continue
 		}
-		o.recentlyReturned[name] = o.c.now + returnedMemory
-		o.setMachine(m, machineDeleted, "deleted by the cloud")
+		o.recentlyTerminated[name] = o.c.now + terminatedRetention
+		o.setMachine(m, machineTerminated, "deleted by the cloud")
 	}
 }
--- a/controller/reports.go
+++ b/controller/reports.go
@@ -97,7 +97,7 @@
 			c.respond(req, wire.StatusMisdirected, wire.Redirect{HeartbeatNode: to})
 			return
 		}
-		if o.recentlyReturned[report.Machine] != 0 {
+		if o.recentlyTerminated[report.Machine] != 0 {
 			c.refuse(req, wire.StatusUnavailable, "machine was returned")
 			return
 		}
@@ -106,7 +106,7 @@
 		})
 	}
 	switch {
-	case m.state >= machineCondemned:
+	case m.state >= machineDecommissioning:
 		c.refuse(req, wire.StatusUnavailable, "machine is being returned")
 	case m.fencingToken == 0:
 		o.deferHeartbeat(m, req, report)
--- a/controller/scale.go
+++ b/controller/scale.go
@@ -129,7 +129,7 @@
 func (o *owner) busyFor(m *machine) micros.Micros {
 	longest := micros.Micros(0)
 	for _, a := range m.attempts {
-		if !a.freed {
+		if !a.resourcesReleased {
 			longest = max(longest, o.remaining(a))
 		}
 	}
@@ -224,7 +224,7 @@
 func (o *owner) addDemand(d *autoscaler.Demand, j *job, counted map[string]sched.Resources) {
 	d.MaxWait = min(d.MaxWait, o.waitLimit(j))
 	for _, a := range j.attempts {
-		if !a.freed {
+		if !a.resourcesReleased {
 			offer := a.machine.offer()
 			d.UsedByOffer[offer] = d.UsedByOffer[offer].Add(j.Need)
 		}
