--- a/controller/eviction.go
+++ b/controller/eviction.go
@@ -14,44 +14,44 @@
 // This file looks for work to stop for gangs that find no room.
 
 const (
-	// endingSoon is the remaining time below which a task is not stopped but waited for: a
+	// minRemainingForPreemption is the remaining time below which a task is not stopped but waited for: a
 	// stop would not be faster.
-	endingSoon = 3 * micros.Second
+	minRemainingForPreemption = 3 * micros.Second
 	// bootsSoon is the boot time left for which nothing is stopped.
 	bootsSoon = 12 * micros.Second
-	// roomRetry is the pause after no room was found.
-	roomRetry = 4 * micros.Second
+	// preemptionRetryDelay is the pause after no room was found.
+	preemptionRetryDelay = 4 * micros.Second
 )
 
-// makeRoom looks for work to stop for a gang that does not fit, and holds the machines.
-func (o *owner) makeRoom(j *job) bool {
-	if !j.Gang || o.c.now < j.evictAt || o.scaleOutSuffices(j) || o.comesSoon(j) {
+// preempt looks for work to stop for a gang that does not fit, and holds the machines.
+func (o *owner) preempt(j *job) bool {
+	if !j.Gang || o.c.now < j.nextPreemptionAt || o.scaleOutSuffices(j) || o.comesSoon(j) {
 		return false
 	}
-	covered := o.guaranteed()
-	plan := o.planRoom(j, covered)
+	covered := o.jobsWithinGuarantee()
+	plan := o.planPreemption(j, covered)
 	if plan == nil {
-		j.evictAt = o.c.now + roomRetry
+		j.nextPreemptionAt = o.c.now + preemptionRetryDelay
 		o.requestMachines(j.Job, j.Tasks, covered[j])
 		return false
 	}
 	h := newReservation(j, plan)
 	if kv.EncodedSizeBound(record.Reservation{Machines: h.machines}) > o.c.cfg.MaxValueBytes {
-		j.evictAt = o.c.now + roomRetry
+		j.nextPreemptionAt = o.c.now + preemptionRetryDelay
 		return false // it could never be recorded
 	}
 	o.reservations[j.ID] = h
-	o.logPlan(j, plan)
+	o.logPreemptionPlan(j, plan)
 	return true
 }
 
-// planRoom looks for work to stop: of the gang's own team, else of teams that use more than
+// planPreemption looks for work to stop: of the gang's own team, else of teams that use more than
 // their guarantees if the gang is covered by its team's.
-func (o *owner) planRoom(j *job, covered map[*job]bool) *sched.PreemptionPlan {
-	machines := o.evictView()
-	plan := o.evictPlan(j.Job, machines, sched.Preempt, covered)
+func (o *owner) planPreemption(j *job, covered map[*job]bool) *sched.PreemptionPlan {
+	machines := o.preemptionView()
+	plan := o.preemptionPlan(j.Job, machines, sched.Preempt, covered)
 	if plan == nil && covered[j] {
-		plan = o.evictPlan(j.Job, machines, sched.Reclaim, covered)
+		plan = o.preemptionPlan(j.Job, machines, sched.Reclaim, covered)
 	}
 	return plan
 }
@@ -65,7 +65,7 @@
 	return h
 }
 
-func (o *owner) logPlan(j *job, plan *sched.PreemptionPlan) {
+func (o *owner) logPreemptionPlan(j *job, plan *sched.PreemptionPlan) {
 	stops := 0
 	for _, b := range plan.Victims {
 		stops += len(b.Tasks)
@@ -75,8 +75,8 @@
 		"machines", len(plan.Placement), "stops", stops)
 }
 
-// evictPlan looks for victims on a ground and for the cheapest set of them.
-func (o *owner) evictPlan(j *sched.Job, machines []*sched.Machine, mode sched.PreemptionMode, covered map[*job]bool) *sched.PreemptionPlan {
+// preemptionPlan looks for victims on a ground and for the cheapest set of them.
+func (o *owner) preemptionPlan(j *sched.Job, machines []*sched.Machine, mode sched.PreemptionMode, covered map[*job]bool) *sched.PreemptionPlan {
 	victims := o.victims(j, mode, covered)
 	if len(victims) == 0 {
 		return nil
@@ -95,11 +95,11 @@
 	return sched.TeamUsage{Used: t.used.Sub(t.stopping), GuaranteedQuota: t.GuaranteedQuota}
 }
 
-// guaranteed finds the jobs that their teams' guarantees cover: each team's earliest
+// jobsWithinGuarantee finds the jobs that their teams' guarantees cover: each team's earliest
 // unfinished ones, as long as they fit together. By what a team uses at the moment, a gang
 // that was just stopped for another would be covered again and take the room back; two
 // teams would stop each other's gangs in turn (docs/incidents/eyjafold-third-reclaim.md).
-func (o *owner) guaranteed() map[*job]bool {
+func (o *owner) jobsWithinGuarantee() map[*job]bool {
 	list := slices.Clone(o.queue)
 	slices.SortStableFunc(list, func(a, b *job) int { return cmp.Compare(a.since, b.since) })
 	covered, sums := map[*job]bool{}, map[string]sched.Resources{}
@@ -179,12 +179,12 @@
 	case attemptStopping, attemptFinished, attemptLeaving:
 		return true
 	}
-	return a.running != 0 && !a.job.Gang && a.job.Estimate-(o.c.now-a.running) < endingSoon &&
-		o.c.now-a.running < a.job.Estimate+endingSoon
+	return a.running != 0 && !a.job.Gang && a.job.Estimate-(o.c.now-a.running) < minRemainingForPreemption &&
+		o.c.now-a.running < a.job.Estimate+minRemainingForPreemption
 }
 
-// evictView is the view in which room is sought: what leaves soon is gone already.
-func (o *owner) evictView() []*sched.Machine {
+// preemptionView is the view in which room is sought: what leaves soon is gone already.
+func (o *owner) preemptionView() []*sched.Machine {
 	view := o.view()
 	for _, v := range view {
 		for _, a := range o.machines[v.Name].attempts {
@@ -203,7 +203,7 @@
 	var list []*sched.Victim
 	for _, id := range sortedKeys(o.jobs) {
 		candidate := o.jobs[id]
-		if candidate.Job == j || !mayStopFor(j, candidate, mode, covered) || o.reservations[id] != nil {
+		if candidate.Job == j || !mayPreemptFor(j, candidate, mode, covered) || o.reservations[id] != nil {
 			continue
 		}
 		if victim := o.describeVictim(candidate); victim.ReadyTasks > 0 {
@@ -213,9 +213,9 @@
 	return list
 }
 
-// mayStopFor tells whether a job may be stopped for j. What another team's guarantee covers is
+// mayPreemptFor tells whether a job may be stopped for j. What another team's guarantee covers is
 // not reclaimed: the part that it runs beyond is its later work.
-func mayStopFor(j *sched.Job, candidate *job, mode sched.PreemptionMode, covered map[*job]bool) bool {
+func mayPreemptFor(j *sched.Job, candidate *job, mode sched.PreemptionMode, covered map[*job]bool) bool {
 	if candidate.state != jobActive || candidate.gang == gangStopping || candidate.gang == gangPlacing {
 		return false
 	}
@@ -243,15 +243,15 @@
 		victim.TotalResources = victim.TotalResources.Add(j.Need)
 		victim.Since = max(victim.Since, a.since)
 		victim.Tasks = append(victim.Tasks, sched.VictimTask{
-			Index: a.index, Machine: a.machine.name, Resources: j.Need, Since: a.since, LostWork: o.lostWork(a),
+			Index: a.index, Machine: a.machine.name, Resources: j.Need, Since: a.since, LostWork: o.preemptionCost(a),
 		})
 	}
 	return victim
 }
 
-// lostWork is what a stop of an attempt undoes: all of its progress, or the time for
+// preemptionCost is what a stop of an attempt undoes: all of its progress, or the time for
 // saving.
-func (o *owner) lostWork(a *attempt) float64 {
+func (o *owner) preemptionCost(a *attempt) float64 {
 	lost := a.job.CheckpointDuration
 	if a.job.CheckpointInterval == 0 && a.running != 0 {
 		lost = o.c.now - a.running
@@ -259,8 +259,8 @@
 	return a.job.Need.CPUs() * lost.Seconds()
 }
 
-// stopVictims begins the stops of a hold that is recorded.
-func (o *owner) stopVictims(h *reservation) {
+// preemptVictims begins the stops of a hold that is recorded.
+func (o *owner) preemptVictims(h *reservation) {
 	o.stopBundles(h.victims, "room for "+h.job)
 	h.victims = nil
 }
--- a/controller/eviction_test.go
+++ b/controller/eviction_test.go
@@ -40,7 +40,7 @@
 	o, gang, _ := evictionOwner(0)
 	wait := o.c.cfg.Tuning.ReservationTimeout
 	for n := range 3 {
-		if !o.makeRoom(gang) {
+		if !o.preempt(gang) {
 			t.Fatalf("hold %d: no room is made", n)
 		}
 		h := o.reservations[gang.ID]
@@ -56,7 +56,7 @@
 		pause := wait << n
 		o.c.now += pause - 1
 		o.machines["m-000001"].lastHeartbeat = o.c.now
-		if o.makeRoom(gang) {
+		if o.preempt(gang) {
 			t.Fatalf("after %d holds in vain work is stopped again before %v", n+1, pause)
 		}
 		o.c.now++
--- a/controller/gangs_test.go
+++ b/controller/gangs_test.go
@@ -67,7 +67,7 @@
 	ended := o.attach(o.queue[0], 0, 7, m, attemptLive)
 	o.setAttempt(ended, attemptFinished)
 	o.attach(o.queue[1], 0, 8, m, attemptLive)
-	if free, is := o.evictView()[0].Free.CPUs(), m.size.Sub(m.used).CPUs(); free != is {
+	if free, is := o.preemptionView()[0].Free.CPUs(), m.size.Sub(m.used).CPUs(); free != is {
 		t.Errorf("%g processors count as free, of which there are %g", free, is)
 	}
 }
@@ -84,7 +84,7 @@
 		}
 		o.recoverJob(record.ActiveJobKey(spec.ID), wire.Encode(record.NewJob(spec, micros.Micros(i))), 1)
 	}
-	covered := o.guaranteed()
+	covered := o.jobsWithinGuarantee()
 	for i, want := range []bool{true, true, false, false} {
 		if j := o.jobs[fmt.Sprintf("req-%06d", 9-i)]; covered[j] != want {
 			t.Errorf("job %d: covered is %t", i, covered[j])
--- a/controller/holds.go
+++ b/controller/holds.go
@@ -95,7 +95,7 @@
 		case o.reservationBroken(h):
 			o.setReservationState(h, reservationReleased, "a machine is gone")
 		case j.gang == gangStarting && o.allLive(j):
-			j.evictions = 0
+			j.failedPreemptions = 0
 			o.setReservationState(h, reservationReleased, "the gang has started")
 		case h.state == reservationStopping && o.reservedRoomFree(h):
 			o.setReservationState(h, reservationReady, "all stops have ended")
@@ -104,8 +104,8 @@
 			o.setReservationState(h, reservationReleased, "its room does not come free")
 		case h.state == reservationReady && j.gang == gangNone && o.c.now > h.expiresAt:
 			// Each eviction in vain doubles the pause before the next (ours).
-			j.evictAt = o.c.now + o.c.cfg.Tuning.ReservationTimeout<<min(j.evictions, 4)
-			j.evictions++
+			j.nextPreemptionAt = o.c.now + o.c.cfg.Tuning.ReservationTimeout<<min(j.failedPreemptions, 4)
+			j.failedPreemptions++
 			o.setReservationState(h, reservationReleased, "the gang has not started")
 		}
 	}
@@ -172,7 +172,7 @@
 				o.scheduleWanted = true
 			case h.state == holdPlanned:
 				o.setReservationState(h, reservationStopping, "recorded")
-				o.stopVictims(h)
+				o.preemptVictims(h)
 			}
 		})
 	}
--- a/controller/job.go
+++ b/controller/job.go
@@ -70,10 +70,10 @@
 	notUntil micros.Micros
 	failures int // in a row, without any success
 	failedOn map[string]bool
-	// evictAt is when room may be made for it again, and evictions how often in a row that
+	// nextPreemptionAt is when room may be made for it again, and evictions how often in a row that
 	// was in vain.
-	evictAt   micros.Micros
-	evictions int
+	nextPreemptionAt  micros.Micros
+	failedPreemptions int
 
 	// writing: its final record is being written.
 	writing bool
--- a/controller/machine_requests.go
+++ b/controller/machine_requests.go
@@ -97,7 +97,7 @@
 		if c.hasIdleMachineFor(share.Idle, job) {
 			return node
 		}
-		if over := c.mostOverGuarantee(share.Teams, request.Team); request.Reclaim && over > mostOver {
+		if over := c.maxGuaranteeExcess(share.Teams, request.Team); request.Reclaim && over > mostOver {
 			chosen, mostOver = node, over
 		}
 	}
@@ -125,8 +125,8 @@
 	return false
 }
 
-// mostOverGuarantee tells by how much any team but the asking one is above its guarantee.
-func (c *Core) mostOverGuarantee(teams []*peer.TeamUse, asking string) float64 {
+// maxGuaranteeExcess tells by how much any team but the asking one is above its guarantee.
+func (c *Core) maxGuaranteeExcess(teams []*peer.TeamUse, asking string) float64 {
 	most := 0.0
 	for _, team := range teams {
 		settings, ok := c.cfg.Team(team.Team)
--- a/controller/machine_transfers.go
+++ b/controller/machine_transfers.go
@@ -48,7 +48,7 @@
 
 // reclaimFor transfers machines on which tasks of teams above their guarantees are stopped.
 func (o *owner) reclaimFor(job *sched.Job, newOwner record.OwnerID) {
-	plan := o.evictPlan(job, o.evictView(), sched.Reclaim, o.guaranteed())
+	plan := o.preemptionPlan(job, o.preemptionView(), sched.Reclaim, o.jobsWithinGuarantee())
 	if plan == nil {
 		return
 	}
@@ -60,15 +60,15 @@
 	why := "room for " + job.ID
 	o.stopBundles(plan.Victims, why)
 	for _, a := range plan.Placement {
-		o.stopLongTasks(o.machines[a.Machine.Name], why)
+		o.evictLongTasks(o.machines[a.Machine.Name], why)
 	}
 }
 
-// stopLongTasks stops what is left on a machine that is transferred, which goes only when it is
+// evictLongTasks stops what is left on a machine that is transferred, which goes only when it is
 // empty: arrays' tasks that would keep it for long, as far as their teams' guarantees allow.
-func (o *owner) stopLongTasks(m *machine, why string) {
+func (o *owner) evictLongTasks(m *machine, why string) {
 	for _, a := range m.sorted() {
-		if a.job.Gang || a.state != attemptLive || o.remaining(a) < endingSoon {
+		if a.job.Gang || a.state != attemptLive || o.remaining(a) < minRemainingForPreemption {
 			continue
 		}
 		use := o.teamUse(o.teams[a.job.Team])
--- a/controller/scale.go
+++ b/controller/scale.go
@@ -232,10 +232,10 @@
 	if j.Gang {
 		j.MinOnDemandTasks = o.ordinaryFor(j)
 	}
-	tasks := min(j.pending, o.withinTeam(j, sched.Resources{}))
+	tasks := min(j.pending, o.quotaHeadroom(j, sched.Resources{}))
 	if tasks > 0 && o.c.now+soonRetried >= j.notUntil {
 		o.addWaitingWork(d, j, tasks)
-		once := min(tasks, o.withinTeam(j, counted[j.Team]))
+		once := min(tasks, o.quotaHeadroom(j, counted[j.Team]))
 		counted[j.Team] = counted[j.Team].Add(j.Need.Times(once))
 		d.QuotaHeadroom += float64(once) * autoscaler.TaskCPUs(j.Job)
 		d.QuotaLimited = d.QuotaLimited || once < j.pending
--- a/controller/schedule.go
+++ b/controller/schedule.go
@@ -99,13 +99,13 @@
 // that does not fit whole, and whether the job takes what is kept for others since nothing
 // of it has run for long.
 func (p *schedulingPass) allowance(j *job) (want int, leftOut bool) {
-	want = p.o.withinTeam(j, p.o.reservedQuota(p.reservedQuotas, j))
+	want = p.o.quotaHeadroom(j, p.o.reservedQuota(p.reservedQuotas, j))
 	if j.Gang && want < j.Tasks {
 		p.reserveQuota(j)
 		return 0, false
 	}
 	if want == 0 && p.o.leftOut(j) {
-		return p.o.withinTeam(j, sched.Resources{}), true
+		return p.o.quotaHeadroom(j, sched.Resources{}), true
 	}
 	return want, false
 }
@@ -127,7 +127,7 @@
 	if j.Gang { // when its machines come, it must be within the limit
 		p.reserveQuota(j)
 	}
-	if p.o.makeRoom(j) {
+	if p.o.preempt(j) {
 		p.view = p.o.placeView() // without what is held now
 		clear(p.nowhere)
 		return
@@ -215,7 +215,7 @@
 // priority, those that their teams' guarantees cover, which need not wait for other teams;
 // then those in pipelines whose deadlines press; then who came first.
 func (o *owner) inTurn() []*job {
-	covered := o.guaranteed()
+	covered := o.jobsWithinGuarantee()
 	list := slices.Clone(o.queue)
 	slices.SortStableFunc(list, func(a, b *job) int {
 		x, y := o.starves(a), o.starves(b)
@@ -242,9 +242,9 @@
 	return 1
 }
 
-// withinTeam tells how many tasks of a job its team's limit leaves room for, less what is
+// quotaHeadroom tells how many tasks of a job its team's limit leaves room for, less what is
 // kept for others.
-func (o *owner) withinTeam(j *job, kept sched.Resources) int {
+func (o *owner) quotaHeadroom(j *job, kept sched.Resources) int {
 	t := o.teams[j.Team]
 	if t == nil {
 		return 0
--- a/controller/status.go
+++ b/controller/status.go
@@ -90,7 +90,7 @@
 func (o *owner) logWork() {
 	jobs, gangs, tasks := 0, 0, 0
 	for _, j := range o.queue {
-		waiting := min(j.pending, o.withinTeam(j, sched.Resources{}))
+		waiting := min(j.pending, o.quotaHeadroom(j, sched.Resources{}))
 		if waiting <= 0 || j.state != jobActive {
 			continue
 		}
