--- a/controller/answers_test.go
+++ b/controller/answers_test.go
@@ -113,9 +113,9 @@
 		t.Run(c.name, func(t *testing.T) {
 			core := answeringCore()
 			asked := core.now - micros.Second
-			sub := &submission{job: answeringJob(), requests: []userRequest{{1, asked + c.cameAt}}, dependenciesAsked: asked}
+			sub := &submission{job: answeringJob(), requests: []userRequest{{1, asked + c.cameAt}}, dependenciesReadAt: asked}
 			core.submissions.byJob[sub.job.ID] = sub
-			core.submissions.answerKnownOr(sub, neverRuns(reasonAwaitsUnaccepted))
+			core.submissions.answerKnownOr(sub, neverRuns(reasonDependencyNotAccepted))
 			lookup := core.lookups.pending[0]
 			core.lookups.pending = nil
 			core.out = nil
--- a/controller/block_split.go
+++ b/controller/block_split.go
@@ -69,7 +69,7 @@
 		full := filled+bytes/2 > share*float64(made)
 		lastChance := len(all)-i <= parts-made // each part gets a machine
 		if len(target.machines) > 0 && made < parts && (full || lastChance) {
-			target = o.newPart(b)
+			target = o.newSplitBlock(b)
 			made++
 		}
 		filled += bytes
@@ -82,8 +82,8 @@
 	o.c.log.Info("block split", "block", b.name, "bytes", size, "machines", len(all), "kept", len(b.machines), "parts", made)
 }
 
-// newPart makes a block for machines of one that is split.
-func (o *owner) newPart(b *block) *block {
+// newSplitBlock makes a block for machines of one that is split.
+func (o *owner) newSplitBlock(b *block) *block {
 	part := o.newBlock(record.FormatNumber(o.nextNumber()))
 	part.sources = append(part.sources, b)
 	part.bytesPerTask = b.bytesPerTask
--- a/controller/blocks_test.go
+++ b/controller/blocks_test.go
@@ -47,7 +47,7 @@
 				stored[name] = append(stored[name], m.Name)
 			}
 		}
-		o.settle(tx, true, 10)
+		o.finishTransaction(tx, true, 10)
 		all := map[string]bool{}
 		for _, list := range stored {
 			for _, name := range list {
@@ -137,7 +137,7 @@
 				deleted = append(deleted, w.Delete)
 			}
 		}
-		o.settle(tx, true, 10)
+		o.finishTransaction(tx, true, 10)
 		return deleted
 	}
 	if deleted := write(); len(deleted) > 0 || m.block == from || !slices.Contains(m.block.machines, m) {
@@ -174,7 +174,7 @@
 		if most := maxGuardsPerOp * o.c.cfg.MaxTransactionOps; len(tx.writes) != 1 || len(tx.guards) > most {
 			t.Fatalf("%d writes under %d guards", len(tx.writes), len(tx.guards))
 		}
-		o.settle(tx, true, 10)
+		o.finishTransaction(tx, true, 10)
 		waiting = 0
 		for _, a := range proposed {
 			if a.state == attemptProposed {
--- a/controller/commits.go
+++ b/controller/commits.go
@@ -92,7 +92,7 @@
 			o.restartRecovery("the answer to a commit cannot be read")
 			return
 		}
-		o.settle(t, true, res.Revision)
+		o.finishTransaction(t, true, res.Revision)
 		o.flushAt = o.c.now + o.pauseAfterCommit()
 		o.scheduleWanted = true
 	case kv.PreconditionFailed:
@@ -101,7 +101,7 @@
 			return
 		}
 		r.Decode(&res)
-		o.settle(t, false, 0)
+		o.finishTransaction(t, false, 0)
 		o.conflict(res.FailedPreconditions)
 	case kv.Unknown:
 		// It may be executed yet: nothing else may be decided before the same commit has
@@ -110,14 +110,14 @@
 		o.resend(t, p)
 	case kv.InvalidRequest:
 		o.c.log.Error("a commit was refused as invalid", "writes", len(t.writes))
-		o.settle(t, false, 0)
+		o.finishTransaction(t, false, 0)
 		o.flushAt = o.c.now + invalidPause
 	default:
 		if again {
 			o.resend(t, p)
 			return
 		}
-		o.settle(t, false, 0)
+		o.finishTransaction(t, false, 0)
 		o.flushAt = o.c.now + flushRetry
 	}
 }
@@ -139,8 +139,8 @@
 	})
 }
 
-// settle ends a commit: what it wrote holds from now on, or is to be written again.
-func (o *owner) settle(t *txn, ok bool, revision uint64) {
+// finishTransaction ends a commit: what it wrote holds from now on, or is to be written again.
+func (o *owner) finishTransaction(t *txn, ok bool, revision uint64) {
 	o.flushing = false
 	for _, result := range t.results {
 		result(ok, revision)
@@ -178,8 +178,8 @@
 		o.restartRecovery("a record of ours was changed: " + key)
 		return false
 	}
-	if j := o.waiting[id]; j != nil {
-		o.recheckWaiting(j)
+	if j := o.blockedJobs[id]; j != nil {
+		o.recheckBlockedJob(j)
 	} else if j := o.jobs[id]; j != nil {
 		o.jobUnsure(j)
 	}
--- a/controller/dependencies.go
+++ b/controller/dependencies.go
@@ -12,59 +12,59 @@
 // This file finds out, by reads made for the question, how the jobs stand that a job or a
 // submission awaits.
 
-// settleTries bounds how often a question looks for what is not known yet: each look may
+// maxResolutionAttempts bounds how often a question looks for what is not known yet: each look may
 // show more.
-const settleTries = 8
+const maxResolutionAttempts = 8
 
-// settlement is a question that goes on until it is known how all jobs ended that some jobs
+// dependencyResolution is a question that goes on until it is known how all jobs ended that some jobs
 // depend on, directly or through others, and that are over.
-type settlement struct {
-	c      *Core
-	ids    []string
-	until  micros.Micros
-	resets int // of the graph, as the question began: it continues that view
-	tries  int // left
-	done   func(ok bool)
+type dependencyResolution struct {
+	c            *Core
+	ids          []string
+	deadline     micros.Micros
+	resets       int // of the graph, as the question began: it continues that view
+	attemptsLeft int // left
+	done         func(ok bool)
 }
 
-// settle starts a settlement. It continues a view that was refreshed.
-func (c *Core) settle(ids []string, until micros.Micros, done func(ok bool)) {
-	c.settleSince(c.graph.Resets(), ids, until, done)
+// resolveDependencies starts a settlement. It continues a view that was refreshed.
+func (c *Core) resolveDependencies(ids []string, until micros.Micros, done func(ok bool)) {
+	c.resolveDependenciesSince(c.graph.Resets(), ids, until, done)
 }
 
-// settleSince is settle for a question that began at a count of resets.
-func (c *Core) settleSince(resets int, ids []string, until micros.Micros, done func(ok bool)) {
-	s := &settlement{c: c, ids: ids, until: until, resets: resets, tries: settleTries, done: done}
+// resolveDependenciesSince is settle for a question that began at a count of resets.
+func (c *Core) resolveDependenciesSince(resets int, ids []string, until micros.Micros, done func(ok bool)) {
+	s := &dependencyResolution{c: c, ids: ids, deadline: until, resets: resets, attemptsLeft: maxResolutionAttempts, done: done}
 	s.step()
 }
 
-func (s *settlement) step() {
+func (s *dependencyResolution) step() {
 	graph := s.c.graph
-	if !graph.IsSynced() || graph.Resets() != s.resets || s.tries == 0 || s.c.now > s.until {
+	if !graph.IsSynced() || graph.Resets() != s.resets || s.attemptsLeft == 0 || s.c.now > s.deadline {
 		s.done(false)
 		return
 	}
 	switch partial, unresolved := graph.FindUnresolved(s.ids); {
 	case partial != nil:
-		s.c.readParts(partial, s.again)
+		s.c.readDependencyParts(partial, s.retry)
 	case unresolved:
-		s.c.resolveTerminalStates(s.again)
+		s.c.resolveTerminalStates(s.retry)
 	default:
 		s.done(true)
 	}
 }
 
-func (s *settlement) again(ok bool) {
+func (s *dependencyResolution) retry(ok bool) {
 	if !ok {
 		s.done(false)
 		return
 	}
-	s.tries--
+	s.attemptsLeft--
 	s.step()
 }
 
-// readParts reads a list that is kept under several keys.
-func (c *Core) readParts(job *dag.BlockedJob, done func(ok bool)) {
+// readDependencyParts reads a list that is kept under several keys.
+func (c *Core) readDependencyParts(job *dag.BlockedJob, done func(ok bool)) {
 	c.store.Do(budget.UserRequests, kv.List(record.DependencyPartsPrefix(job.ID), ""), func(r kv.Result) {
 		var page kv.Page
 		if r.Outcome != kv.OK || !r.Decode(&page) {
@@ -75,7 +75,7 @@
 			done(true)
 			return
 		}
-		ids, ok := c.joinParts(page.Entries)
+		ids, ok := c.joinDependencyParts(page.Entries)
 		if !ok || len(page.Entries) != job.DependencyParts { // the job is over, which the view will show
 			done(false)
 			return
@@ -85,8 +85,8 @@
 	})
 }
 
-// joinParts joins the parts of a list; false: one cannot be read.
-func (c *Core) joinParts(entries []kv.Entry) (ids []string, ok bool) {
+// joinDependencyParts joins the parts of a list; false: one cannot be read.
+func (c *Core) joinDependencyParts(entries []kv.Entry) (ids []string, ok bool) {
 	for _, e := range entries {
 		var rec record.DependencyPart
 		if err := wire.Decode(e.Value, &rec); err != nil {
@@ -116,21 +116,21 @@
 
 // dependencyCheck looks at the jobs that a submission awaits, by reads made for it.
 type dependencyCheck struct {
-	c      *Core
-	ids    []string
-	until  micros.Micros
-	resets int
-	done   func(dependencyResult)
+	c        *Core
+	ids      []string
+	deadline micros.Micros
+	resets   int
+	done     func(dependencyResult)
 }
 
 // checkDependencies tells how the jobs stand that a submission awaits.
 func (c *Core) checkDependencies(ids []string, until micros.Micros, done func(dependencyResult)) {
-	check := &dependencyCheck{c: c, ids: ids, until: until, done: done}
-	c.refresh(check.refreshed)
+	check := &dependencyCheck{c: c, ids: ids, deadline: until, done: done}
+	c.refresh(check.handleRefreshed)
 }
 
-// refreshed reads the final records of those that are not active.
-func (d *dependencyCheck) refreshed(ok bool) {
+// handleRefreshed reads the final records of those that are not active.
+func (d *dependencyCheck) handleRefreshed(ok bool) {
 	if !ok {
 		d.done(dependencyResult{})
 		return
@@ -142,7 +142,7 @@
 			inactive = append(inactive, id)
 		}
 	}
-	d.c.readTerminalStates(budget.UserRequests, inactive, d.until, func(found map[string]record.TerminalState, ok bool) {
+	d.c.readTerminalStates(budget.UserRequests, inactive, d.deadline, func(found map[string]record.TerminalState, ok bool) {
 		if !ok {
 			d.done(dependencyResult{})
 			return
@@ -168,10 +168,10 @@
 		d.done(dependencyResult{dependenciesCancelled, root})
 		return
 	}
-	d.c.settleSince(d.resets, d.ids, d.until, d.settled)
+	d.c.resolveDependenciesSince(d.resets, d.ids, d.deadline, d.handleResolved)
 }
 
-func (d *dependencyCheck) settled(ok bool) {
+func (d *dependencyCheck) handleResolved(ok bool) {
 	if !ok {
 		d.done(dependencyResult{})
 		return
--- a/controller/gang_reservations.go
+++ b/controller/gang_reservations.go
@@ -29,7 +29,7 @@
 		return
 	}
 	for _, v := range view {
-		if m := o.machines[v.Name]; !v.ReservedForGangs && v.Scarce && o.onlySlack(m) && ready.Claim(m.offer(), o.machineSize(m).Sub(m.used)) {
+		if m := o.machines[v.Name]; !v.ReservedForGangs && v.Scarce && o.hasNoDependentTasks(m) && ready.Claim(m.offer(), o.machineSize(m).Sub(m.used)) {
 			v.ReservedForGangs = true
 		}
 	}
--- a/controller/gangs.go
+++ b/controller/gangs.go
@@ -53,18 +53,18 @@
 	return mix.OnDemandTasks()
 }
 
-// dependent tells that a class of jobs fits one machine type only.
-func (o *owner) dependent(j *job) bool { return o.classes.SingleType(j.Class) }
+// dependsOnMachineType tells that a class of jobs fits one machine type only.
+func (o *owner) dependsOnMachineType(j *job) bool { return o.classes.SingleType(j.Class) }
 
 // slack is what is left of a machine once it is full of tasks of that size.
 func (m *machine) slack(need sched.Resources) sched.Resources {
 	return m.size.Sub(need.Times(need.Count(m.size, maxEntryTasks)))
 }
 
-// onlySlack tells that no job which depends on the machine's type has tasks on it.
-func (o *owner) onlySlack(m *machine) bool {
+// hasNoDependentTasks tells that no job which depends on the machine's type has tasks on it.
+func (o *owner) hasNoDependentTasks(m *machine) bool {
 	for _, a := range m.attempts {
-		if !a.resourcesReleased && o.dependent(a.job) {
+		if !a.resourcesReleased && o.dependsOnMachineType(a.job) {
 			return false
 		}
 	}
@@ -97,11 +97,11 @@
 // far as it is free, and whether there is any.
 func (o *owner) slackLeft(m *machine, v *sched.Machine, need sched.Resources) (sched.Resources, bool) {
 	left := m.slack(need)
-	if left.CPU <= 0 || o.onlySlack(m) || o.isReserved(v.Name) {
+	if left.CPU <= 0 || o.hasNoDependentTasks(m) || o.isReserved(v.Name) {
 		return sched.Resources{}, false
 	}
 	for _, a := range m.attempts {
-		if !a.resourcesReleased && !o.dependent(a.job) {
+		if !a.resourcesReleased && !o.dependsOnMachineType(a.job) {
 			left = left.Sub(a.job.Need)
 		}
 	}
--- a/controller/job.go
+++ b/controller/job.go
@@ -13,7 +13,7 @@
 	jobActive    jobState = iota // tasks wait or run
 	jobFinishing                 // all tasks are done, which is not recorded yet
 	jobEnded                     // over: what is still on machines must go
-	jobWaiting                   // others that it awaits are not done
+	jobBlocked                   // others that it awaits are not done
 )
 
 func (s jobState) String() string { return [...]string{"active", "finishing", "ended", "waiting"}[s] }
@@ -42,8 +42,8 @@
 	// mustEnd is the latest end with which this job and all that need it meet their
 	// deadlines; 0 for none.
 	mustEnd micros.Micros
-	// parts is the number of further keys of its list of jobs that it awaits.
-	parts int
+	// dependencyParts is the number of further keys of its list of jobs that it awaits.
+	dependencyParts int
 
 	// tasks are the states of its tasks; nil while all are pending (see unfold).
 	tasks        []taskState
--- a/controller/job_queue.go
+++ b/controller/job_queue.go
@@ -16,7 +16,7 @@
 // recoverJob takes an accepted job from its record, unless it is known or of another owner's team.
 func (o *owner) recoverJob(key string, value []byte, version uint64) {
 	id := strings.TrimPrefix(key, record.ActiveJobPrefix)
-	if o.jobs[id] != nil || o.waiting[id] != nil || o.c.cancellations.HasEnded(id) {
+	if o.jobs[id] != nil || o.blockedJobs[id] != nil || o.c.cancellations.HasEnded(id) {
 		return
 	}
 	var rec record.Job
@@ -34,8 +34,8 @@
 	}
 	j := newJob(spec, version, rec.AcceptedAt)
 	if rec.Blocked != nil {
-		j.parts = rec.DependencyParts
-		o.addWaiting(j)
+		j.dependencyParts = rec.DependencyParts
+		o.addBlockedJob(j)
 		return
 	}
 	o.enqueue(j)
@@ -94,9 +94,9 @@
 // jobRemoved handles a job that is over: by our own commit, or cancelled, of which users were
 // told at since or later.
 func (o *owner) jobRemoved(id string, since micros.Micros) {
-	if j := o.waiting[id]; j != nil && !j.writing {
+	if j := o.blockedJobs[id]; j != nil && !j.writing {
 		o.c.log.Info("job cancelled while it waits", "job", id)
-		o.forgetWaiting(j)
+		o.removeBlockedJob(j)
 		return
 	}
 	j := o.jobs[id]
--- a/controller/jobview_test.go
+++ b/controller/jobview_test.go
@@ -43,8 +43,8 @@
 func TestWaitingCostsNothing(t *testing.T) {
 	for _, chains := range []int{10, 1000} {
 		o := manyWaiting(chains, 5)
-		if len(o.queue) != chains || len(o.jobs) != chains || len(o.waiting) != 4*chains {
-			t.Fatalf("%d chains: queue %d, jobs %d, waiting %d", chains, len(o.queue), len(o.jobs), len(o.waiting))
+		if len(o.queue) != chains || len(o.jobs) != chains || len(o.blockedJobs) != 4*chains {
+			t.Fatalf("%d chains: queue %d, jobs %d, waiting %d", chains, len(o.queue), len(o.jobs), len(o.blockedJobs))
 		}
 		g := o.c.graph
 		before, revision := g.Work().Jobs, g.Revision()
@@ -82,7 +82,7 @@
 				o.c.nextSlow = 0
 				o.c.Handle(o.c.now, o.c.now, Tick{})
 			}
-			if len(o.waiting) != 4*chains || g.IsActive(id) {
+			if len(o.blockedJobs) != 4*chains || g.IsActive(id) {
 				b.Fatal("jobs are missing")
 			}
 		})
--- a/controller/limits_test.go
+++ b/controller/limits_test.go
@@ -116,7 +116,7 @@
 			if n := tx.writes[0].Value.(record.Block).Size(); n > o.c.cfg.MaxValueBytes {
 				t.Fatalf("block %s has %d bytes", b.name, n)
 			}
-			o.settle(tx, true, 10)
+			o.finishTransaction(tx, true, 10)
 		}
 		o.c.now += passGap
 	}
@@ -190,7 +190,7 @@
 				t.Fatalf("%s is too large", w.Put)
 			}
 		}
-		o.settle(tx, true, 30)
+		o.finishTransaction(tx, true, 30)
 	}
 	if !dropped() {
 		t.Fatal("the old record stays")
--- a/controller/load.go
+++ b/controller/load.go
@@ -31,7 +31,7 @@
 // reset forgets what was read or decided before.
 func (o *owner) reset() {
 	clear(o.jobs)
-	clear(o.waiting)
+	clear(o.blockedJobs)
 	o.listed, o.cancelled = false, nil
 	clear(o.machines)
 	o.list, o.blocks, o.completionSegments, o.dispatchQueue, o.unresolvedJobs = nil, nil, nil, nil, nil
--- a/controller/lookup_reads.go
+++ b/controller/lookup_reads.go
@@ -162,7 +162,7 @@
 				c.finishLookup(l, lookupResult{})
 				continue
 			}
-			c.settle([]string{l.id}, l.askedAt+lookupWithin, func(ok bool) { c.finishDerived(l, ok) })
+			c.resolveDependencies([]string{l.id}, l.askedAt+lookupWithin, func(ok bool) { c.finishDerived(l, ok) })
 		}
 	})
 }
--- a/controller/owner.go
+++ b/controller/owner.go
@@ -35,9 +35,9 @@
 	teams   map[string]*team
 
 	// Jobs.
-	jobs    map[string]*job
-	queue   []*job          // active jobs in the order in which they are placed
-	waiting map[string]*job // those that wait for others, which are not among the jobs
+	jobs        map[string]*job
+	queue       []*job          // active jobs in the order in which they are placed
+	blockedJobs map[string]*job // those that wait for others, which are not among the jobs
 	// cancelled are waiting jobs that are cancelled with one before them, to be recorded.
 	cancelled []string
 	// unresolvedJobs are jobs that records name, of which it is not known how they ended.
@@ -109,7 +109,7 @@
 		teams:              map[string]*team{},
 		machines:           map[string]*machine{},
 		jobs:               map[string]*job{},
-		waiting:            map[string]*job{},
+		blockedJobs:        map[string]*job{},
 		scaleOutRequests:   map[string]*scaleOutRequest{},
 		reservations:       map[string]*reservation{},
 		recentlyTerminated: map[string]micros.Micros{},
@@ -194,7 +194,7 @@
 			o.startRecovery()
 		}
 	case ownerActive:
-		o.advanceWaiting()
+		o.advanceBlockedJobs()
 		o.schedule()
 		o.flush()
 		o.dispatchQueued()
--- a/controller/pipelines_test.go
+++ b/controller/pipelines_test.go
@@ -159,7 +159,7 @@
 	w.breakRule("refused: %s is answered %d although all jobs that it awaits were accepted", id, status)
 }
 
-// checkAwaited holds what a user is told of a job against the jobs that it needs.
+// checkDependencies holds what a user is told of a job against the jobs that it needs.
 func (w *world) checkAwaited(id string, status wire.JobPhase) {
 	p := &w.pipelines
 	if len(p.awaits[id]) == 0 {
--- a/controller/refusals.go
+++ b/controller/refusals.go
@@ -20,12 +20,12 @@
 
 // Why a submission is never accepted.
 const (
-	reasonTooLong          refusalReason = "description too long"
-	reasonUnknownTeam      refusalReason = "unknown team"
-	reasonFitsNoType       refusalReason = "a task fits no allowed machine type"
-	reasonAboveTeamLimit   refusalReason = "more than the team's limit"
-	reasonAwaitsItself     refusalReason = "awaits itself"
-	reasonAwaitsUnaccepted refusalReason = "awaits a job that was never accepted"
+	reasonTooLong               refusalReason = "description too long"
+	reasonUnknownTeam           refusalReason = "unknown team"
+	reasonFitsNoType            refusalReason = "a task fits no allowed machine type"
+	reasonAboveTeamLimit        refusalReason = "more than the team's limit"
+	reasonDependsOnItself       refusalReason = "awaits itself"
+	reasonDependencyNotAccepted refusalReason = "awaits a job that was never accepted"
 )
 
 // reasonNoSuchJob tells that a job was never accepted.
--- a/controller/scale.go
+++ b/controller/scale.go
@@ -118,7 +118,7 @@
 	d.Age, d.IdleFor = o.c.wallClock-m.rented, o.c.now-m.idleSince
 	d.Claimed, d.Busy = m.fencingToken != 0, len(m.attempts) > 0
 	d.Reserved = o.isReserved(m.name)
-	d.OnlySlack = d.Busy && o.scarce(m) && o.onlySlack(m)
+	d.OnlySlack = d.Busy && o.scarce(m) && o.hasNoDependentTasks(m)
 	if forGangs {
 		d.BusyFor = o.busyFor(m)
 	}
@@ -234,7 +234,7 @@
 	}
 	tasks := min(j.pending, o.quotaHeadroom(j, sched.Resources{}))
 	if tasks > 0 && o.c.now+soonRetried >= j.notUntil {
-		o.addWaitingWork(d, j, tasks)
+		o.addPendingWork(d, j, tasks)
 		once := min(tasks, o.quotaHeadroom(j, counted[j.Team]))
 		counted[j.Team] = counted[j.Team].Add(j.Need.Times(once))
 		d.QuotaHeadroom += float64(once) * autoscaler.TaskCPUs(j.Job)
@@ -242,8 +242,8 @@
 	}
 }
 
-// addWaitingWork adds so many tasks of a job that have no place.
-func (o *owner) addWaitingWork(d *autoscaler.Demand, j *job, tasks int) {
+// addPendingWork adds so many tasks of a job that have no place.
+func (o *owner) addPendingWork(d *autoscaler.Demand, j *job, tasks int) {
 	work := float64(tasks) * autoscaler.TaskCPUs(j.Job) * max(o.estimate(j).Seconds(), 1)
 	d.PendingCPUSeconds += work
 	if j.Priority == sched.Low && !o.urgent(j) {
--- a/controller/schedule.go
+++ b/controller/schedule.go
@@ -275,7 +275,7 @@
 // reserveSoonestFree keeps the machine that will have room for a waiting gang the soonest free
 // of jobs that come after it; without that, small tasks would fill every gap first.
 func (o *owner) reserveSoonestFree(j *job, view []*sched.Machine) []*sched.Machine {
-	if !j.Gang || o.dependent(j) {
+	if !j.Gang || o.dependsOnMachineType(j) {
 		return view // see reserveForGangs
 	}
 	best, soonest := -1, micros.Micros(0)
--- a/controller/submissions.go
+++ b/controller/submissions.go
@@ -20,12 +20,12 @@
 
 // submissions is the stage of submissions that wait to be recorded.
 type submissions struct {
-	c          *Core
-	pending    []*submission
-	byJob      map[string]*submission
-	committing bool
-	checking   int // submissions whose awaited jobs are looked up
-	commitAt   micros.Micros
+	c                    *Core
+	pending              []*submission
+	byJob                map[string]*submission
+	committing           bool
+	checkingDependencies int // submissions whose awaited jobs are looked up
+	commitAt             micros.Micros
 }
 
 // submission is a job that waits to be recorded, with the requests that submitted it.
@@ -34,8 +34,8 @@
 	requests   []userRequest
 	receivedAt micros.Micros
 	writes     int // that its records take
-	// dependenciesAsked is when the jobs that it awaits were last looked up, 0: they were not.
-	dependenciesAsked micros.Micros
+	// dependenciesReadAt is when the jobs that it awaits were last looked up, 0: they were not.
+	dependenciesReadAt micros.Micros
 	// status is what users are told once it is accepted. It may be cancelled already, with a
 	// job before it, the root.
 	status        wire.JobPhase
@@ -129,26 +129,26 @@
 		known.requests = append(known.requests, request)
 		return
 	}
-	if len(s.pending)+s.checking >= maxSubmissions {
+	if len(s.pending)+s.checkingDependencies >= maxSubmissions {
 		s.c.refuse(request.id, wire.StatusTooManyRequests, reasonManySubmissions)
 		return
 	}
 	added := &submission{job: job, requests: []userRequest{request}, receivedAt: s.c.now, writes: writes, status: wire.JobQueued}
 	s.byJob[job.ID] = added
 	if len(job.Dependencies) > 0 {
-		s.checkAwaited(added)
+		s.checkDependencies(added)
 		return
 	}
 	s.pending = append(s.pending, added)
 }
 
-// checkAwaited checks that all jobs that a submission awaits were accepted, and how they stand.
+// checkDependencies checks that all jobs that a submission awaits were accepted, and how they stand.
 // That a job was accepted is final, so a read before the commit suffices.
-func (s *submissions) checkAwaited(sub *submission) {
+func (s *submissions) checkDependencies(sub *submission) {
 	c, id := s.c, sub.job.ID
 	switch {
 	case slices.Contains(sub.job.Dependencies, id):
-		s.answerKnownOr(sub, neverRuns(reasonAwaitsItself))
+		s.answerKnownOr(sub, neverRuns(reasonDependsOnItself))
 		return
 	case c.terminalStates.of(id) != "" || c.knownVersion(id) != 0:
 		s.answerKnownOr(sub, unavailable(reasonKVUnresponsive))
@@ -157,22 +157,22 @@
 		s.answerKnownOr(sub, unavailable(reasonJobsUnknown))
 		return
 	}
-	s.checking++
-	sub.dependenciesAsked = c.now
+	s.checkingDependencies++
+	sub.dependenciesReadAt = c.now
 	c.checkDependencies(sub.job.Dependencies, c.now+acceptWithin, func(result dependencyResult) {
-		s.checking--
-		s.awaitedChecked(sub, result)
+		s.checkingDependencies--
+		s.dependenciesChecked(sub, result)
 	})
 }
 
-// awaitedChecked goes on once it is known how the jobs stand that a submission awaits.
-func (s *submissions) awaitedChecked(sub *submission, result dependencyResult) {
+// dependenciesChecked goes on once it is known how the jobs stand that a submission awaits.
+func (s *submissions) dependenciesChecked(sub *submission, result dependencyResult) {
 	switch result.status {
 	case dependenciesUnknown:
 		s.answerKnownOr(sub, unavailable(reasonKVUnresponsive))
 		return
 	case dependenciesNeverAccepted:
-		s.answerKnownOr(sub, neverRuns(reasonAwaitsUnaccepted))
+		s.answerKnownOr(sub, neverRuns(reasonDependencyNotAccepted))
 		return
 	case dependenciesCancelled:
 		sub.status, sub.cancelledRoot = wire.JobCancelled, result.cancelledRoot
@@ -190,8 +190,8 @@
 			return
 		}
 		evidence := result.evidence
-		if result.outcome == lookupNotFound && sub.dependenciesAsked != 0 { // the refusal rests on them too
-			evidence.SentAt = min(evidence.SentAt, sub.dependenciesAsked)
+		if result.outcome == lookupNotFound && sub.dependenciesReadAt != 0 { // the refusal rests on them too
+			evidence.SentAt = min(evidence.SentAt, sub.dependenciesReadAt)
 		}
 		s.answer(sub, evidence, answer)
 	})
--- a/controller/waiting.go
+++ b/controller/waiting.go
@@ -16,10 +16,10 @@
 // see them. A job leaves this state in one way, by jobReady, when the final records of all
 // that it awaits were read as done, or when a record shows that an earlier owner placed it.
 
-// addWaiting takes a job of an own team that awaits others.
-func (o *owner) addWaiting(j *job) {
-	o.setJob(j, jobWaiting)
-	o.waiting[j.ID] = j
+// addBlockedJob takes a job of an own team that awaits others.
+func (o *owner) addBlockedJob(j *job) {
+	o.setJob(j, jobBlocked)
+	o.blockedJobs[j.ID] = j
 	switch waiting := o.c.graph.Blocked(j.ID); {
 	case waiting == nil: // its record is gone already; the watch will tell
 	case waiting.Cancelled():
@@ -31,11 +31,11 @@
 
 // jobReady lets a job be placed: all that it awaits is done. Its times count from then.
 func (o *owner) jobReady(waiting *dag.BlockedJob) {
-	j := o.waiting[waiting.ID]
+	j := o.blockedJobs[waiting.ID]
 	if j == nil {
 		return
 	}
-	delete(o.waiting, j.ID)
+	delete(o.blockedJobs, j.ID)
 	j.since = max(j.accepted, waiting.LatestDependencyDone)
 	o.setJob(j, jobActive)
 	o.c.log.Info("job is ready", "job", j.ID, "class", j.Class, "waited_s", (o.c.wallClock - j.accepted).Seconds())
@@ -45,7 +45,7 @@
 // placedJob finds a job that a record of an earlier owner names as placed. That owner had
 // read that all that the job awaits is done, which never changes.
 func (o *owner) placedJob(id string) *job {
-	if o.waiting[id] != nil {
+	if o.blockedJobs[id] != nil {
 		waiting := o.c.graph.Blocked(id)
 		if waiting == nil {
 			return nil
@@ -59,15 +59,15 @@
 // queueCancelled notes that a waiting job is cancelled with one before it, which must be
 // recorded. Users are told by what the records before it say, recorded or not.
 func (o *owner) queueCancelled(id string) {
-	if j := o.waiting[id]; j != nil && !j.cancelQueued {
+	if j := o.blockedJobs[id]; j != nil && !j.cancelQueued {
 		j.cancelQueued = true
 		o.cancelled = append(o.cancelled, id)
 	}
 }
 
-// advanceWaiting reads what the waiting jobs need to go on: how awaited jobs ended, and
+// advanceBlockedJobs reads what the waiting jobs need to go on: how awaited jobs ended, and
 // lists that are kept under several keys.
-func (o *owner) advanceWaiting() {
+func (o *owner) advanceBlockedJobs() {
 	resolution := &o.c.jobView.resolution
 	if resolution.reading || o.c.now < resolution.retryAt || o.c.store.Unavailable() {
 		return
@@ -78,7 +78,7 @@
 	}
 	if partial := o.c.graph.FirstIncomplete(); partial != nil {
 		resolution.retryAt = o.c.now + readRetryDelay
-		o.c.readParts(partial, func(ok bool) {
+		o.c.readDependencyParts(partial, func(ok bool) {
 			if ok {
 				resolution.retryAt = 0
 			}
@@ -92,7 +92,7 @@
 	for len(o.cancelled) > 0 && !full() {
 		id := o.cancelled[0]
 		o.cancelled = o.cancelled[1:]
-		j, waiting := o.waiting[id], o.c.graph.Blocked(id)
+		j, waiting := o.blockedJobs[id], o.c.graph.Blocked(id)
 		if j == nil {
 			continue
 		}
@@ -112,44 +112,44 @@
 	t.results = append(t.results, func(ok bool, _ uint64) {
 		j.writing = false
 		switch {
-		case o.waiting[j.ID] != j:
+		case o.blockedJobs[j.ID] != j:
 		case !ok:
 			o.queueCancelled(j.ID)
 		default:
 			o.c.log.Info("job cancelled with one before it", "job", j.ID, "before", root)
-			o.forgetWaiting(j)
+			o.removeBlockedJob(j)
 		}
 	})
 }
 
-// forgetWaiting forgets a waiting job whose record is gone.
-func (o *owner) forgetWaiting(j *job) {
-	delete(o.waiting, j.ID)
+// removeBlockedJob forgets a waiting job whose record is gone.
+func (o *owner) removeBlockedJob(j *job) {
+	delete(o.blockedJobs, j.ID)
 	o.dropParts(j)
 	o.setJob(j, jobEnded)
 }
 
 // dropParts has the further keys of a job's list deleted: they serve while its record exists.
 func (o *owner) dropParts(j *job) {
-	for i := range j.parts {
+	for i := range j.dependencyParts {
 		o.obsoleteKeys = append(o.obsoleteKeys, record.DependencyPartKey(j.ID, i))
 	}
-	j.parts = 0
+	j.dependencyParts = 0
 }
 
 // recheckDelay lets the watch show how a job's record changed before it is written again.
 const recheckDelay = micros.Second
 
-// recheckWaiting handles a waiting job's record that is not as it was: it was cancelled.
-func (o *owner) recheckWaiting(j *job) {
+// recheckBlockedJob handles a waiting job's record that is not as it was: it was cancelled.
+func (o *owner) recheckBlockedJob(j *job) {
 	j.unsure = true
 	o.c.refresh(func(ok bool) {
-		if o.superseded() || o.waiting[j.ID] != j {
+		if o.superseded() || o.blockedJobs[j.ID] != j {
 			return
 		}
 		j.unsure = false
 		if ok && !o.c.graph.IsActive(j.ID) {
-			o.forgetWaiting(j)
+			o.removeBlockedJob(j)
 			return
 		}
 		o.c.after(recheckDelay, func() {
