--- a/controller/acceptance.go
+++ b/controller/acceptance.go
@@ -11,8 +11,8 @@
 // This file records submissions: a user is told that a job is accepted only after the commit
 // of its records.
 
-// acceptBytes bounds the size of the records of one commit that accepts several jobs.
-const acceptBytes = wire.MaxBody / 2
+// maxSubmissionCommitBytes bounds the size of the records of one commit that accepts several jobs.
+const maxSubmissionCommitBytes = wire.MaxBody / 2
 
 // flush records waiting submissions, as many as one commit takes.
 func (s *submissions) flush() {
@@ -21,7 +21,7 @@
 	}
 	s.refuseExpired()
 	room := min(s.c.budget.AvailableWrites(budget.UserRequests, s.c.now), s.c.cfg.MaxTransactionOps)
-	if s.c.now < s.commitAt || room == 0 || len(s.pending) == 0 {
+	if s.c.now < s.nextCommit || room == 0 || len(s.pending) == 0 {
 		return
 	}
 	if batch := s.takeBatch(room); len(batch) > 0 {
@@ -69,7 +69,7 @@
 	size := 0
 	for i, sub := range batch {
 		puts, bytes := record.JobWrites(sub.job, s.c.wallClock, s.c.cfg.MaxValueBytes)
-		if size += bytes; i > 0 && size > acceptBytes {
+		if size += bytes; i > 0 && size > maxSubmissionCommitBytes {
 			s.waitAgain(batch[i:])
 			batch = batch[:i]
 			break
@@ -82,7 +82,7 @@
 	sent := freshness.Evidence{Basis: freshness.OwnTransaction, SentAt: s.c.now, ViaPeer: s.c.store.UsesPeerRoute()}
 	s.c.store.Do(budget.UserRequests, kv.Transaction(guards, writes), func(reply kv.Result) {
 		s.committing = false
-		s.committed(batch, reply, sent)
+		s.handleCommitResult(batch, reply, sent)
 	})
 }
 
@@ -91,8 +91,8 @@
 	s.pending = append(batch[:len(batch):len(batch)], s.pending...)
 }
 
-// committed takes the answer to the commit of a batch.
-func (s *submissions) committed(batch []*submission, reply kv.Result, commit freshness.Evidence) {
+// handleCommitResult takes the answer to the commit of a batch.
+func (s *submissions) handleCommitResult(batch []*submission, reply kv.Result, commit freshness.Evidence) {
 	switch reply.Outcome {
 	case kv.OK:
 		for _, sub := range batch {
@@ -100,10 +100,10 @@
 			s.accepted(sub, commit)
 		}
 	case kv.PreconditionFailed:
-		s.conflict(batch, reply)
+		s.handlePreconditionFailed(batch, reply)
 	case kv.Throttled:
 		s.waitAgain(batch)
-		s.commitAt = s.c.now + kv.ThrottledPause
+		s.nextCommit = s.c.now + kv.ThrottledPause
 	case kv.Unknown:
 		// It may have been executed: the same commit again tells by its guards.
 		s.waitAgain(batch)
@@ -114,9 +114,9 @@
 	}
 }
 
-// conflict goes on when some job of a batch is known already: those are looked up, the rest is
+// handlePreconditionFailed goes on when some job of a batch is known already: those are looked up, the rest is
 // tried again.
-func (s *submissions) conflict(batch []*submission, reply kv.Result) {
+func (s *submissions) handlePreconditionFailed(batch []*submission, reply kv.Result) {
 	var committed kv.TransactionResult
 	reply.Decode(&committed)
 	failed := map[string]bool{}
--- a/controller/bench_test.go
+++ b/controller/bench_test.go
@@ -108,7 +108,7 @@
 	for _, m := range o.list {
 		bodies = append(bodies, benchReport(m, 1<<40))
 	}
-	o.scheduleWanted, o.flushing = false, true // a commit is under way
+	o.scheduleWanted, o.committing = false, true // a commit is under way
 	for i := 0; b.Loop(); i++ {
 		m := o.list[i%benchMachines]
 		m.heartbeatSeq = 0
@@ -146,7 +146,7 @@
 // BenchmarkTick passes the time to an owner with nothing else to do.
 func BenchmarkTick(b *testing.B) {
 	o := benchOwner()
-	o.scheduleWanted, o.flushing = false, true
+	o.scheduleWanted, o.committing = false, true
 	for b.Loop() {
 		o.c.nextSlow = 0
 		o.c.Handle(o.c.now, o.c.now, Tick{})
@@ -161,7 +161,7 @@
 	o := benchOwner()
 	var entries []kv.Entry
 	for _, bl := range o.blocks {
-		t := &txn{guards: map[string]uint64{}}
+		t := &transaction{preconditions: map[string]uint64{}}
 		o.writeBlock(t, bl, 16)
 		for _, w := range t.writes {
 			entries = append(entries, kv.Entry{Key: w.Put, Value: wire.Encode(w.Value), Version: 5})
@@ -184,7 +184,7 @@
 func BenchmarkLookup(b *testing.B) {
 	o := benchOwner()
 	c := o.c
-	o.scheduleWanted, o.flushing = false, true
+	o.scheduleWanted, o.committing = false, true
 	var id uint64
 	for b.Loop() {
 		answered := 0
--- a/controller/block_write.go
+++ b/controller/block_write.go
@@ -9,17 +9,17 @@
 	"tamarindlead/internal/record"
 )
 
-// maxGuardsPerOp bounds the guards of one block, in units of the operations that a commit may
+// maxPreconditionsPerOp bounds the guards of one block, in units of the operations that a commit may
 // have: a commit takes four guards for each, and what other records need is left to them.
-const maxGuardsPerOp = 3
+const maxPreconditionsPerOp = 3
 
 // blockWrite is one write of a block: the record, the guards under which it is written, and
 // the machines and attempts whose state changes once it has been.
 type blockWrite struct {
-	owner  *owner
-	block  *block
-	data   *record.BlockData
-	guards map[string]uint64
+	owner         *owner
+	block         *block
+	data          *record.BlockData
+	preconditions map[string]uint64
 	// kinds and jobs are indexes in the lists of the data.
 	kinds map[autoscaler.Offer]int
 	jobs  map[string]int
@@ -40,7 +40,7 @@
 
 // writeBlock adds a block's record to a commit in which room writes are left. A block that
 // the commit has no room for waits for the next one.
-func (o *owner) writeBlock(t *txn, b *block, room int) {
+func (o *owner) writeBlock(t *transaction, b *block, room int) {
 	w := o.newBlockWrite(b, room)
 	for _, m := range b.machines {
 		w.addMachine(m)
@@ -51,7 +51,7 @@
 		o.handleOversized(b, value.Size(), w.proposed)
 		return
 	}
-	if !t.takes(w.guards, value.Size(), o.c.cfg.MaxTransactionOps) {
+	if !t.hasRoomFor(w.preconditions, value.Size(), o.c.cfg.MaxTransactionOps) {
 		return
 	}
 	w.addTo(t, value)
@@ -61,12 +61,12 @@
 func (o *owner) newBlockWrite(b *block, room int) *blockWrite {
 	w := &blockWrite{
 		owner: o, block: b, maxTransfers: room - 1,
-		data:   &record.BlockData{LaunchTimeBase: int64(o.c.wallClock), AttemptBase: math.MaxUint64},
-		guards: map[string]uint64{record.BlockKey(b.name): b.version},
-		kinds:  map[autoscaler.Offer]int{}, jobs: map[string]int{},
+		data:          &record.BlockData{LaunchTimeBase: int64(o.c.wallClock), AttemptBase: math.MaxUint64},
+		preconditions: map[string]uint64{record.BlockKey(b.name): b.version},
+		kinds:         map[autoscaler.Offer]int{}, jobs: map[string]int{},
 	}
 	if b.hasUnclaimed() {
-		o.guardOwnTeams(w.guards)
+		o.addOwnTeamPreconditions(w.preconditions)
 	}
 	for _, m := range b.machines {
 		for _, a := range m.attempts {
@@ -77,16 +77,16 @@
 	return w
 }
 
-// mayGuard tells whether the write has room for more guards. A block that needs more is
+// hasRoomForPreconditions tells whether the write has room for more guards. A block that needs more is
 // written in several steps.
-func (w *blockWrite) mayGuard(keys ...string) bool {
-	n := len(w.guards)
+func (w *blockWrite) hasRoomForPreconditions(keys ...string) bool {
+	n := len(w.preconditions)
 	for _, key := range keys {
-		if _, ok := w.guards[key]; !ok {
+		if _, ok := w.preconditions[key]; !ok {
 			n++
 		}
 	}
-	return n < maxGuardsPerOp*w.owner.c.cfg.MaxTransactionOps
+	return n < maxPreconditionsPerOp*w.owner.c.cfg.MaxTransactionOps
 }
 
 // addMachine adds a machine's entry, unless the machine is gone, goes to another owner or
@@ -100,7 +100,7 @@
 		return
 	}
 	unknown := w.unknownToOthers(m)
-	if unknown && !w.mayGuard(record.BlockKey(adoptedPrefix+m.name)) {
+	if unknown && !w.hasRoomForPreconditions(record.BlockKey(adoptedPrefix+m.name)) {
 		return // its first claim comes with the next write
 	}
 	w.stored = append(w.stored, m)
@@ -124,10 +124,10 @@
 		return false
 	}
 	successor := w.owner.c.cluster.MemberPrecondition(m.transferTo.Node())
-	if !w.mayGuard(successor.Key) {
+	if !w.hasRoomForPreconditions(successor.Key) {
 		return false
 	}
-	w.guards[successor.Key] = successor.Version
+	w.preconditions[successor.Key] = successor.Version
 	w.transferred = append(w.transferred, m)
 	return true
 }
@@ -153,7 +153,7 @@
 	entry.FencingToken = 0
 	w.claimed = append(w.claimed, m)
 	if unknown {
-		w.guards[record.BlockKey(adoptedPrefix+m.name)] = 0
+		w.preconditions[record.BlockKey(adoptedPrefix+m.name)] = 0
 	}
 }
 
@@ -177,11 +177,11 @@
 // propose guards an attempt that is recorded for the first time, if there is room for that.
 func (w *blockWrite) propose(a *attempt) bool {
 	jobKey, teamKey := record.ActiveJobKey(a.job.ID), record.TeamKey(a.job.Team)
-	if !w.mayGuard(jobKey, teamKey) {
+	if !w.hasRoomForPreconditions(jobKey, teamKey) {
 		return false
 	}
-	w.guards[jobKey] = a.job.version
-	w.guards[teamKey] = w.owner.teams[a.job.Team].record.Version
+	w.preconditions[jobKey] = a.job.version
+	w.preconditions[teamKey] = w.owner.teams[a.job.Team].record.Version
 	w.proposed = append(w.proposed, a)
 	return true
 }
@@ -223,9 +223,9 @@
 }
 
 // addTo puts the write into a commit.
-func (w *blockWrite) addTo(t *txn, value record.Block) {
+func (w *blockWrite) addTo(t *transaction, value record.Block) {
 	b := w.block
-	maps.Copy(t.guards, w.guards)
+	maps.Copy(t.preconditions, w.preconditions)
 	b.writing, b.dirty = true, false
 	w.sources, b.sources = b.sources, nil
 	key := record.BlockKey(b.name)
--- a/controller/blocks_test.go
+++ b/controller/blocks_test.go
@@ -27,7 +27,7 @@
 		for _, m := range b.machines { // changes go on meanwhile
 			o.markDirty(m)
 		}
-		tx := &txn{guards: map[string]uint64{}}
+		tx := &transaction{preconditions: map[string]uint64{}}
 		o.flushRecords(tx, func() int { return o.c.cfg.MaxTransactionOps - len(tx.writes) })
 		for _, w := range tx.writes {
 			name := (w.Put + w.Delete)[len(record.BlockPrefix):]
@@ -90,7 +90,7 @@
 		o.completionSegments = append(o.completionSegments, s)
 	}
 	o.c.now += micros.Second
-	tx := &txn{guards: map[string]uint64{}}
+	tx := &transaction{preconditions: map[string]uint64{}}
 	o.flushRecords(tx, func() int { return 5 - len(tx.writes) })
 	for _, b := range waits {
 		if !b.writing {
@@ -106,7 +106,7 @@
 func BenchmarkBlock(b *testing.B) {
 	o := benchOwner()
 	for b.Loop() {
-		t := &txn{guards: map[string]uint64{}}
+		t := &transaction{preconditions: map[string]uint64{}}
 		bl := o.blocks[0]
 		bl.writing = false
 		o.writeBlock(t, bl, 16)
@@ -129,7 +129,7 @@
 	m := o.newMachineIn(from, machineInfo{name: "m-900000", kind: "mid", zone: o.c.cfg.Zones[0], endpoint: "worker"})
 	m.fencingToken, m.recorded, m.state = 7, true, machineUp
 	write := func() []string {
-		tx := &txn{guards: map[string]uint64{}}
+		tx := &transaction{preconditions: map[string]uint64{}}
 		o.flushRecords(tx, func() int { return o.c.cfg.MaxTransactionOps - len(tx.writes) })
 		var deleted []string
 		for _, w := range tx.writes {
@@ -169,10 +169,10 @@
 		if commits == len(proposed) {
 			t.Fatalf("%d attempts are not recorded after %d commits", waiting, commits)
 		}
-		tx := &txn{guards: map[string]uint64{}}
+		tx := &transaction{preconditions: map[string]uint64{}}
 		o.writeBlock(tx, b, o.c.cfg.MaxTransactionOps)
-		if most := maxGuardsPerOp * o.c.cfg.MaxTransactionOps; len(tx.writes) != 1 || len(tx.guards) > most {
-			t.Fatalf("%d writes under %d guards", len(tx.writes), len(tx.guards))
+		if most := maxPreconditionsPerOp * o.c.cfg.MaxTransactionOps; len(tx.writes) != 1 || len(tx.preconditions) > most {
+			t.Fatalf("%d writes under %d guards", len(tx.writes), len(tx.preconditions))
 		}
 		o.finishTransaction(tx, true, 10)
 		waiting = 0
--- a/controller/cancellations.go
+++ b/controller/cancellations.go
@@ -78,10 +78,10 @@
 		{Put: record.TerminalStateKey(r.job), Value: record.TerminalState{Status: record.StatusCancelled, FinishedAt: r.c.wallClock}},
 		{Delete: record.ActiveJobKey(r.job)},
 	}
-	r.c.store.Do(budget.UserRequests, kv.Transaction(guards, writes), func(reply kv.Result) { r.committed(reply.Outcome) })
+	r.c.store.Do(budget.UserRequests, kv.Transaction(guards, writes), func(reply kv.Result) { r.handleCommitResult(reply.Outcome) })
 }
 
-func (r *cancellationRequest) committed(outcome kv.Outcome) {
+func (r *cancellationRequest) handleCommitResult(outcome kv.Outcome) {
 	inDoubt := outcome == kv.PreconditionFailed || outcome == kv.Unknown // over meanwhile, or perhaps executed
 	switch {
 	case outcome == kv.OK:
--- a/controller/claims.go
+++ b/controller/claims.go
@@ -9,10 +9,10 @@
 	"tamarindlead/internal/wire"
 )
 
-// guardOwnTeams adds the guards of machines' first claims: that this owner has its teams still.
+// addOwnTeamPreconditions adds the guards of machines' first claims: that this owner has its teams still.
 // No owner that lives loses a team, and each commit is guarded on this node's member record:
 // so when there are more teams than a commit takes guards, some suffice.
-func (o *owner) guardOwnTeams(guards map[string]uint64) {
+func (o *owner) addOwnTeamPreconditions(guards map[string]uint64) {
 	for i, name := range sortedKeys(o.teams) {
 		if i == o.c.cfg.MaxTransactionOps {
 			return
--- a/controller/commits.go
+++ b/controller/commits.go
@@ -13,28 +13,28 @@
 
 // Pace and size of an owner's commits.
 const (
-	// flushGap is the pause after a commit while writes are plentiful.
-	flushGap = 25 * micros.Millisecond
-	// flushGapShort is the pause while writes are scarce, so that batches grow.
-	flushGapShort = 300 * micros.Millisecond
-	// flushRetry is the pause before a commit is sent again.
-	flushRetry = 150 * micros.Millisecond
-	// invalidPause is the pause after a commit that the state service takes for malformed.
-	invalidPause = micros.Second
-	// commitBytes is the largest body of a commit; the state service takes 64 KiB.
-	commitBytes = 60 << 10
-	// guardBytes is what a guard adds to a commit's body, at most as a rule.
-	guardBytes = 64
+	// flushInterval is the pause after a commit while writes are plentiful.
+	flushInterval = 25 * micros.Millisecond
+	// flushIntervalThrottled is the pause while writes are scarce, so that batches grow.
+	flushIntervalThrottled = 300 * micros.Millisecond
+	// flushRetryDelay is the pause before a commit is sent again.
+	flushRetryDelay = 150 * micros.Millisecond
+	// invalidCommitDelay is the pause after a commit that the state service takes for malformed.
+	invalidCommitDelay = micros.Second
+	// maxCommitBytes is the largest body of a commit; the state service takes 64 KiB.
+	maxCommitBytes = 60 << 10
+	// preconditionBytes is what a guard adds to a commit's body, at most as a rule.
+	preconditionBytes = 64
 )
 
 // flush writes the most urgent changes. One commit is under way at a time, so that
 // what a commit was built on can only be changed by somebody else.
 func (o *owner) flush() {
 	c := o.c
-	if o.flushing || c.now < o.flushAt {
+	if o.committing || c.now < o.flushAt {
 		return
 	}
-	t := &txn{guards: map[string]uint64{}}
+	t := &transaction{preconditions: map[string]uint64{}}
 	purpose := budget.TaskUpdates
 	if o.claimsWait() {
 		purpose = budget.Ownership
@@ -42,26 +42,26 @@
 	most := min(c.budget.AvailableWrites(purpose, c.now), c.cfg.MaxTransactionOps)
 	room := func() int { return most - len(t.writes) }
 	full := func() bool {
-		return room() < 1 || t.size > commitBytes/2 || len(t.guards) > 2*c.cfg.MaxTransactionOps
+		return room() < 1 || t.size > maxCommitBytes/2 || len(t.preconditions) > 2*c.cfg.MaxTransactionOps
 	}
 	if most > 0 {
 		o.flushClaims(t, room)
 		o.flushTerminalStates(t, func() bool { return room() < 2 || full() })
 		// The cancelled that nobody waits for leave half to the rest, or take what is left.
 		half := most / 2
-		o.flushCancelled(t, func() bool { return room() < 2+half || full() })
+		o.flushCascadedCancellations(t, func() bool { return room() < 2+half || full() })
 		o.flushScaleOutRequests(t, func() bool { return room() < 2 || full() })
 		o.flushReservations(t, full)
-		o.flushObsolete(t, full)
+		o.flushObsoleteKeys(t, full)
 		o.flushRecords(t, room)
-		o.flushCancelled(t, func() bool { return room() < 2 || full() })
+		o.flushCascadedCancellations(t, func() bool { return room() < 2 || full() })
 	}
 	if len(t.writes) == 0 {
-		o.tidy()
+		o.deleteObsoleteKeys()
 		return
 	}
-	o.flushing = true
-	o.send(t, purpose, false)
+	o.committing = true
+	o.sendTransaction(t, purpose, false)
 }
 
 // claimsWait tells whether machines wait to be claimed by this owner.
@@ -74,17 +74,17 @@
 	return false
 }
 
-// send sends a commit; again tells that it was sent before.
-func (o *owner) send(t *txn, p budget.Purpose, again bool) {
-	o.c.store.Do(p, kv.Transaction(o.guards(t.guards), t.writes), func(r kv.Result) {
+// sendTransaction sends a commit; again tells that it was sent before.
+func (o *owner) sendTransaction(t *transaction, p budget.Purpose, again bool) {
+	o.c.store.Do(p, kv.Transaction(o.preconditions(t.preconditions), t.writes), func(r kv.Result) {
 		if !o.superseded() {
-			o.committed(t, p, again, r)
+			o.handleCommitResult(t, p, again, r)
 		}
 	})
 }
 
-// committed handles the answer to a commit.
-func (o *owner) committed(t *txn, p budget.Purpose, again bool, r kv.Result) {
+// handleCommitResult handles the answer to a commit.
+func (o *owner) handleCommitResult(t *transaction, p budget.Purpose, again bool, r kv.Result) {
 	var res kv.TransactionResult
 	switch r.Outcome {
 	case kv.OK:
@@ -93,7 +93,7 @@
 			return
 		}
 		o.finishTransaction(t, true, res.Revision)
-		o.flushAt = o.c.now + o.pauseAfterCommit()
+		o.flushAt = o.c.now + o.commitInterval()
 		o.scheduleWanted = true
 	case kv.PreconditionFailed:
 		if again {
@@ -102,64 +102,64 @@
 		}
 		r.Decode(&res)
 		o.finishTransaction(t, false, 0)
-		o.conflict(res.FailedPreconditions)
+		o.handlePreconditionFailed(res.FailedPreconditions)
 	case kv.Unknown:
 		// It may be executed yet: nothing else may be decided before the same commit has
 		// been executed or refused by its guards.
-		o.flushAt = o.c.now + flushRetry
-		o.resend(t, p)
+		o.flushAt = o.c.now + flushRetryDelay
+		o.resendTransaction(t, p)
 	case kv.InvalidRequest:
 		o.c.log.Error("a commit was refused as invalid", "writes", len(t.writes))
 		o.finishTransaction(t, false, 0)
-		o.flushAt = o.c.now + invalidPause
+		o.flushAt = o.c.now + invalidCommitDelay
 	default:
 		if again {
-			o.resend(t, p)
+			o.resendTransaction(t, p)
 			return
 		}
 		o.finishTransaction(t, false, 0)
-		o.flushAt = o.c.now + flushRetry
+		o.flushAt = o.c.now + flushRetryDelay
 	}
 }
 
-// pauseAfterCommit is longer while writes are scarce.
-func (o *owner) pauseAfterCommit() micros.Micros {
+// commitInterval is longer while writes are scarce.
+func (o *owner) commitInterval() micros.Micros {
 	if o.c.budget.AvailableWrites(budget.TaskUpdates, o.c.now) < o.c.cfg.MaxTransactionOps/2 {
-		return flushGapShort
+		return flushIntervalThrottled
 	}
-	return flushGap
+	return flushInterval
 }
 
-// resend repeats a commit whose fate is unknown, with the next ticks.
-func (o *owner) resend(t *txn, p budget.Purpose) {
-	o.c.after(flushRetry, func() {
+// resendTransaction repeats a commit whose fate is unknown, with the next ticks.
+func (o *owner) resendTransaction(t *transaction, p budget.Purpose) {
+	o.c.after(flushRetryDelay, func() {
 		if !o.superseded() {
-			o.send(t, p, true)
+			o.sendTransaction(t, p, true)
 		}
 	})
 }
 
 // finishTransaction ends a commit: what it wrote holds from now on, or is to be written again.
-func (o *owner) finishTransaction(t *txn, ok bool, revision uint64) {
-	o.flushing = false
+func (o *owner) finishTransaction(t *transaction, ok bool, revision uint64) {
+	o.committing = false
 	for _, result := range t.results {
 		result(ok, revision)
 	}
 }
 
-// conflict handles guards that did not hold. A job's record may have been deleted by a
+// handlePreconditionFailed handles guards that did not hold. A job's record may have been deleted by a
 // cancellation; all others are written by this node alone, as long as it owns them.
-func (o *owner) conflict(failed []string) {
+func (o *owner) handlePreconditionFailed(failed []string) {
 	for _, key := range failed {
-		if !o.guardFailed(key) {
+		if !o.handleFailedKey(key) {
 			return
 		}
 	}
-	o.flushAt = max(o.flushAt, o.c.now+flushGap)
+	o.flushAt = max(o.flushAt, o.c.now+flushInterval)
 }
 
-// guardFailed handles one guard that did not hold, and tells whether this owner goes on.
-func (o *owner) guardFailed(key string) bool {
+// handleFailedKey handles one guard that did not hold, and tells whether this owner goes on.
+func (o *owner) handleFailedKey(key string) bool {
 	switch {
 	case key == record.MemberKey(o.c.cfg.Node):
 		o.c.node.RecordLost(o.c.now)
@@ -204,7 +204,7 @@
 			o.scheduleWanted = true
 		default:
 			j.unsure = false // the next commit will tell
-			o.flushAt = o.c.now + flushRetry
+			o.flushAt = o.c.now + flushRetryDelay
 		}
 	})
 }
@@ -222,7 +222,7 @@
 }
 
 // flushTerminalStates records jobs that are done.
-func (o *owner) flushTerminalStates(t *txn, full func() bool) {
+func (o *owner) flushTerminalStates(t *transaction, full func() bool) {
 	for _, j := range o.queue {
 		if j.state != jobFinishing || j.unsure {
 			continue
@@ -231,7 +231,7 @@
 			return
 		}
 		j.writing = true
-		t.guards[record.ActiveJobKey(j.ID)] = j.version
+		t.preconditions[record.ActiveJobKey(j.ID)] = j.version
 		t.writes = append(t.writes, kv.Write{Delete: record.ActiveJobKey(j.ID)})
 		t.put(record.TerminalStateKey(j.ID), record.TerminalState{Status: record.StatusDone, FinishedAt: o.c.wallClock})
 		t.results = append(t.results, func(ok bool, _ uint64) {
@@ -269,18 +269,18 @@
 	o.setAttempt(a, attemptClosed)
 }
 
-// obsoletePatience is how long obsolete keys wait for a moment without other writes. After
+// obsoleteDeleteInterval is how long obsolete keys wait for a moment without other writes. After
 // that, one of them is deleted in each such time.
-const obsoletePatience = 5 * micros.Second
+const obsoleteDeleteInterval = 5 * micros.Second
 
-// flushObsolete deletes an obsolete key if other writes have kept it for long.
-func (o *owner) flushObsolete(t *txn, full func() bool) {
+// flushObsoleteKeys deletes an obsolete key if other writes have kept it for long.
+func (o *owner) flushObsoleteKeys(t *transaction, full func() bool) {
 	o.dropEmptySegments()
 	if len(o.obsoleteKeys) == 0 {
 		o.obsoleteDeletedAt = o.c.now
 		return
 	}
-	if o.c.now-o.obsoleteDeletedAt < obsoletePatience || full() {
+	if o.c.now-o.obsoleteDeletedAt < obsoleteDeleteInterval || full() {
 		return
 	}
 	o.obsoleteDeletedAt = o.c.now
@@ -293,8 +293,8 @@
 	})
 }
 
-// tidy deletes what nobody reads any more, when writes are plentiful.
-func (o *owner) tidy() {
+// deleteObsoleteKeys deletes what nobody reads any more, when writes are plentiful.
+func (o *owner) deleteObsoleteKeys() {
 	o.dropEmptySegments()
 	room := min(o.c.budget.AvailableWrites(budget.Cleanup, o.c.now), o.c.cfg.MaxTransactionOps, len(o.obsoleteKeys))
 	if room < 1 {
@@ -304,13 +304,13 @@
 	for _, k := range o.obsoleteKeys[:room] {
 		writes = append(writes, kv.Write{Delete: k})
 	}
-	o.flushing = true
-	o.c.store.Do(budget.Cleanup, kv.Transaction(o.guards(nil), writes), func(r kv.Result) {
+	o.committing = true
+	o.c.store.Do(budget.Cleanup, kv.Transaction(o.preconditions(nil), writes), func(r kv.Result) {
 		if o.superseded() {
 			return
 		}
-		o.flushing = false
-		o.flushAt = o.c.now + flushGap
+		o.committing = false
+		o.flushAt = o.c.now + flushInterval
 		if r.Outcome == kv.OK {
 			o.obsoleteKeys = o.obsoleteKeys[room:]
 		}
--- a/controller/due_records.go
+++ b/controller/due_records.go
@@ -23,18 +23,18 @@
 }
 
 // flushClaims writes the blocks with machines that must be claimed, the most urgent first.
-func (o *owner) flushClaims(t *txn, room func() int) {
+func (o *owner) flushClaims(t *transaction, room func() int) {
 	var due []dueRecord
 	for _, b := range o.blocks {
 		if o.isDue(b) && b.hasUnclaimed() {
 			due = append(due, dueRecord{block: b, urgency: o.blockUrgency(b)})
 		}
 	}
-	o.flushDue(t, due, room)
+	o.flushDueRecords(t, due, room)
 }
 
 // flushRecords writes blocks and shards, the most urgent first.
-func (o *owner) flushRecords(t *txn, room func() int) {
+func (o *owner) flushRecords(t *transaction, room func() int) {
 	for _, b := range slices.Clone(o.blocks) {
 		o.mergeTransferred(b)
 	}
@@ -49,11 +49,11 @@
 			due = append(due, dueRecord{segment: s, urgency: o.segmentUrgency(s)})
 		}
 	}
-	o.flushDue(t, due, room)
+	o.flushDueRecords(t, due, room)
 }
 
-// flushDue writes records while the commit has room.
-func (o *owner) flushDue(t *txn, due []dueRecord, room func() int) {
+// flushDueRecords writes records while the commit has room.
+func (o *owner) flushDueRecords(t *transaction, due []dueRecord, room func() int) {
 	slices.SortStableFunc(due, func(a, b dueRecord) int { return cmp.Compare(b.urgency, a.urgency) })
 	for _, r := range due {
 		if room() < 1 {
--- a/controller/holds.go
+++ b/controller/holds.go
@@ -143,7 +143,7 @@
 }
 
 // flushReservations writes the records of holds, and removes those that are over.
-func (o *owner) flushReservations(t *txn, full func() bool) {
+func (o *owner) flushReservations(t *transaction, full func() bool) {
 	for _, id := range sortedKeys(o.reservations) {
 		h := o.reservations[id]
 		if h.state == holdPlanned && o.jobs[id] == nil {
@@ -160,7 +160,7 @@
 		if over {
 			t.writes = append(t.writes, kv.Write{Delete: record.ReservationKey(id)})
 		} else {
-			t.guards[record.ActiveJobKey(id)] = o.jobs[id].version
+			t.preconditions[record.ActiveJobKey(id)] = o.jobs[id].version
 			t.put(record.ReservationKey(id), record.Reservation{Machines: h.machines})
 		}
 		t.results = append(t.results, func(ok bool, _ uint64) {
--- a/controller/jobview_test.go
+++ b/controller/jobview_test.go
@@ -72,7 +72,7 @@
 	for _, chains := range []int{10, 1000} {
 		b.Run(fmt.Sprint(4*chains), func(b *testing.B) {
 			o := manyWaiting(chains, 5)
-			o.queue, o.flushing = nil, true // only what waits
+			o.queue, o.committing = nil, true // only what waits
 			clear(o.jobs)
 			g, id := o.c.graph, jobName(5*chains)
 			for b.Loop() {
--- a/controller/limits_test.go
+++ b/controller/limits_test.go
@@ -105,7 +105,7 @@
 		o.scheduleWanted, o.nextPass = true, 0
 		o.schedule()
 		for _, b := range o.blocks {
-			tx := &txn{guards: map[string]uint64{}}
+			tx := &transaction{preconditions: map[string]uint64{}}
 			if !b.dirty {
 				continue
 			}
@@ -143,7 +143,7 @@
 			continue
 		}
 		tries++
-		tx := &txn{guards: map[string]uint64{}}
+		tx := &transaction{preconditions: map[string]uint64{}}
 		if o.writeBlock(tx, b, 16); len(tx.writes) > 0 {
 			t.Fatal("it is written")
 		}
@@ -183,7 +183,7 @@
 		if o.dropEmptySegments(); dropped() && slices.ContainsFunc(o.completionSegments, func(s *completionSegment) bool { return s.version == 0 }) {
 			t.Fatal("the old record goes before the new ones are written")
 		}
-		tx := &txn{guards: map[string]uint64{}}
+		tx := &transaction{preconditions: map[string]uint64{}}
 		o.flushRecords(tx, func() int { return 1 - len(tx.writes) })
 		for _, w := range tx.writes {
 			if kv.EncodedSizeBound(w.Value) > 2*o.c.cfg.MaxValueBytes {
@@ -214,7 +214,7 @@
 		t.Fatalf("%d blocks", len(o.blocks))
 	}
 	o.attach(o.jobs[id], 0, 1<<20|1, o.list[0], attemptLive)
-	o.flushRecords(&txn{guards: map[string]uint64{}}, func() int { return 1 })
+	o.flushRecords(&transaction{preconditions: map[string]uint64{}}, func() int { return 1 })
 	if !o.blocks[0].writing {
 		t.Fatal("the block was not written")
 	}
@@ -246,7 +246,7 @@
 	if o.proposed != machines*tasksEach {
 		t.Errorf("%d of %d tasks were placed", o.proposed, machines*tasksEach)
 	}
-	tx := &txn{guards: map[string]uint64{}}
+	tx := &transaction{preconditions: map[string]uint64{}}
 	o.flushRecords(tx, func() int { return o.c.cfg.MaxTransactionOps - len(tx.writes) })
 	for _, b := range o.blocks {
 		if b.oversized || !b.writing {
--- a/controller/machine_transfers.go
+++ b/controller/machine_transfers.go
@@ -104,9 +104,9 @@
 }
 
 // writeTransfer writes the new owner of an empty machine, in a block of its own.
-func (o *owner) writeTransfer(t *txn, m *machine) {
+func (o *owner) writeTransfer(t *transaction, m *machine) {
 	newOwner := o.c.cluster.MemberPrecondition(m.transferTo.Node())
-	t.guards[newOwner.Key] = newOwner.Version
+	t.preconditions[newOwner.Key] = newOwner.Version
 	data := &record.BlockData{
 		MachineTypes: []record.BlockMachineType{{Type: m.kind, Zone: m.zone, Spot: m.spot}},
 		Machines:     []record.BlockMachine{{Name: m.name, Endpoint: m.endpoint, LaunchedAt: int64(m.rented)}},
--- a/controller/machine_types.go
+++ b/controller/machine_types.go
@@ -96,7 +96,7 @@
 		return
 	}
 	write := []kv.Write{{Put: record.MachineTypesKey, Value: t.answer}}
-	c.store.Do(budget.TaskUpdates, kv.Transaction(c.owner.guards(nil), write), func(reply kv.Result) {
+	c.store.Do(budget.TaskUpdates, kv.Transaction(c.owner.preconditions(nil), write), func(reply kv.Result) {
 		t.recorded = t.recorded || reply.Outcome == kv.OK
 	})
 }
--- a/controller/owner.go
+++ b/controller/owner.go
@@ -86,7 +86,7 @@
 	// Commits.
 	blocks             []*block
 	completionSegments []*completionSegment
-	flushing           bool // a commit is under way
+	committing         bool // a commit is under way
 	flushAt            micros.Micros
 	obsoleteKeys       []string      // keys that nobody reads any more
 	obsoleteDeletedAt  micros.Micros // when some of them were deleted last, or there were none
@@ -270,9 +270,9 @@
 	return true
 }
 
-// guards builds a list of guards that always holds this node's own record: an owner
+// preconditions builds a list of guards that always holds this node's own record: an owner
 // that has lost it can change nothing.
-func (o *owner) guards(more map[string]uint64) []kv.Precondition {
+func (o *owner) preconditions(more map[string]uint64) []kv.Precondition {
 	own := o.c.node.OwnPrecondition()
 	all := map[string]uint64{own.Key: own.Version}
 	for k, v := range more {
--- a/controller/rentals.go
+++ b/controller/rentals.go
@@ -77,7 +77,7 @@
 
 // flushScaleOutRequests records the names of rentals before they are asked for, and removes
 // those that are over.
-func (o *owner) flushScaleOutRequests(t *txn, full func() bool) {
+func (o *owner) flushScaleOutRequests(t *transaction, full func() bool) {
 	for _, name := range sortedKeys(o.scaleOutRequests) {
 		r := o.scaleOutRequests[name]
 		if r.state == scaleOutGranted && o.allClaimed(r) {
--- a/controller/schedule.go
+++ b/controller/schedule.go
@@ -25,7 +25,7 @@
 // schedule proposes places for waiting tasks. A proposal takes effect only when the
 // machine's record has been written with it.
 func (o *owner) schedule() {
-	if !o.scheduleWanted || o.flushing || o.c.now < o.nextPass || o.proposed >= maxProposed {
+	if !o.scheduleWanted || o.committing || o.c.now < o.nextPass || o.proposed >= maxProposed {
 		return
 	}
 	o.scheduleWanted, o.nextPass = false, o.c.now+passGap
--- a/controller/shards.go
+++ b/controller/shards.go
@@ -163,13 +163,13 @@
 }
 
 // writeSegment adds a shard's record to a commit, if that has room for it.
-func (o *owner) writeSegment(t *txn, s *completionSegment) {
+func (o *owner) writeSegment(t *transaction, s *completionSegment) {
 	guards := map[string]uint64{s.key(): s.version}
 	size := s.bytes + segmentFrameBytes
-	if !t.takes(guards, size, o.c.cfg.MaxTransactionOps) {
+	if !t.hasRoomFor(guards, size, o.c.cfg.MaxTransactionOps) {
 		return
 	}
-	maps.Copy(t.guards, guards)
+	maps.Copy(t.preconditions, guards)
 	t.write(s.key(), s.completions(), size)
 	w := &segmentWrite{owner: o, segment: s, sources: s.sources}
 	s.dirty, s.writing, s.sources = false, true, nil
--- a/controller/submissions.go
+++ b/controller/submissions.go
@@ -25,7 +25,7 @@
 	byJob                map[string]*submission
 	committing           bool
 	checkingDependencies int // submissions whose awaited jobs are looked up
-	commitAt             micros.Micros
+	nextCommit           micros.Micros
 }
 
 // submission is a job that waits to be recorded, with the requests that submitted it.
@@ -96,7 +96,7 @@
 
 // tooLong tells that the records of a job exceed the limits of the state service.
 func (c *Core) tooLong(writes []kv.Write, size int) bool {
-	return len(writes) > c.cfg.MaxTransactionOps || size > commitBytes || kv.EncodedSizeBound(writes[0].Value) > c.cfg.MaxValueBytes
+	return len(writes) > c.cfg.MaxTransactionOps || size > maxCommitBytes || kv.EncodedSizeBound(writes[0].Value) > c.cfg.MaxValueBytes
 }
 
 // unplaceable tells why a job could never run, or returns nil.
--- a/controller/waiting.go
+++ b/controller/waiting.go
@@ -86,9 +86,9 @@
 	}
 }
 
-// flushCancelled records jobs that are cancelled with one before them, a few with each
+// flushCascadedCancellations records jobs that are cancelled with one before them, a few with each
 // commit: nobody waits for it.
-func (o *owner) flushCancelled(t *txn, full func() bool) {
+func (o *owner) flushCascadedCancellations(t *transaction, full func() bool) {
 	for len(o.cancelled) > 0 && !full() {
 		id := o.cancelled[0]
 		o.cancelled = o.cancelled[1:]
@@ -104,9 +104,9 @@
 }
 
 // recordCancelled adds to a commit that a waiting job is cancelled with one before it.
-func (o *owner) recordCancelled(t *txn, j *job, root string) {
+func (o *owner) recordCancelled(t *transaction, j *job, root string) {
 	j.writing = true
-	t.guards[record.ActiveJobKey(j.ID)] = j.version
+	t.preconditions[record.ActiveJobKey(j.ID)] = j.version
 	t.writes = append(t.writes, kv.Write{Delete: record.ActiveJobKey(j.ID)})
 	t.put(record.TerminalStateKey(j.ID), record.TerminalState{Status: record.StatusCancelled, FinishedAt: o.c.wallClock, CancelledDependency: root})
 	t.results = append(t.results, func(ok bool, _ uint64) {
