--- a/controller/attempt.go
+++ b/controller/attempt.go
@@ -10,7 +10,7 @@
 type attemptState int
 
 const (
-	attemptProposed attemptState = iota // not recorded yet
+	attemptAssumed  attemptState = iota // not recorded yet
 	attemptRecorded                     // recorded: may be started
 	attemptOrdered                      // a start was sent, or may have been
 	attemptLive                         // the machine has it
@@ -78,8 +78,8 @@
 		o.c.log.Debug("attempt", "task", a.task(), "try", a.number,
 			"machine", a.machine.name, "token", a.machine.fencingToken, "from", was.String(), "to", s.String(), "why", a.why)
 	}
-	if was == attemptProposed {
-		o.countProposed(a.job, -1)
+	if was == attemptAssumed {
+		o.countAssumed(a.job, -1)
 	}
 	a.count(s == attemptLive && a.counted)
 	if t := o.teams[a.job.Team]; t != nil {
@@ -119,16 +119,16 @@
 	}
 }
 
-// countProposed keeps count of attempts that are not recorded yet, and of jobs with such.
-func (o *owner) countProposed(j *job, by int) {
-	was := j.proposed > 0
-	j.proposed += by
-	o.proposed += by
-	if is := j.proposed > 0; is != was {
+// countAssumed keeps count of attempts that are not recorded yet, and of jobs with such.
+func (o *owner) countAssumed(j *job, by int) {
+	was := j.assumed > 0
+	j.assumed += by
+	o.assumed += by
+	if is := j.assumed > 0; is != was {
 		if is {
-			o.proposedJobs++
+			o.assumedJobs++
 		} else {
-			o.proposedJobs--
+			o.assumedJobs--
 		}
 	}
 }
@@ -186,8 +186,8 @@
 	if index < j.Tasks {
 		j.setTask(index, taskPlaced)
 	}
-	if s == attemptProposed {
-		o.countProposed(j, 1)
+	if s == attemptAssumed {
+		o.countAssumed(j, 1)
 	}
 	return a
 }
@@ -195,7 +195,7 @@
 // stop ends an attempt, with grace for saving if its machine has it already.
 func (o *owner) stop(a *attempt, grace micros.Micros, why string) {
 	switch a.state {
-	case attemptProposed:
+	case attemptAssumed:
 		// Its commit may be under way; if so it is recorded first and leaves then.
 		a.why = why
 		if !a.machine.block.writing {
--- a/controller/bench_test.go
+++ b/controller/bench_test.go
@@ -130,7 +130,7 @@
 		n := 0
 		for _, j := range o.queue {
 			for _, a := range j.sorted() {
-				if a.state == attemptProposed {
+				if a.state == attemptAssumed {
 					o.setAttempt(a, attemptClosed)
 					n++
 				}
--- a/controller/block_split.go
+++ b/controller/block_split.go
@@ -20,7 +20,7 @@
 	switch {
 	case giveUp:
 		o.c.log.Warn("block too large", "block", b.name, "bytes", size, "machines", len(b.machines))
-		o.giveUpProposed(proposed)
+		o.abandonAssumed(proposed)
 	case len(b.machines) > 1:
 		o.split(b, size)
 	default:
@@ -28,8 +28,8 @@
 	}
 }
 
-// giveUpProposed ends attempts that no record has room for; gangs end as a whole.
-func (o *owner) giveUpProposed(proposed []*attempt) {
+// abandonAssumed ends attempts that no record has room for; gangs end as a whole.
+func (o *owner) abandonAssumed(proposed []*attempt) {
 	const why = "no room in the record"
 	for _, a := range proposed {
 		if a.job.Gang {
--- a/controller/block_write.go
+++ b/controller/block_write.go
@@ -34,7 +34,7 @@
 	decommissioning []*machine
 	terminated      []*machine
 	transferred     []*machine
-	proposed        []*attempt
+	assumed         []*attempt
 	leaving         []*attempt
 }
 
@@ -48,7 +48,7 @@
 	value := w.data.Block(o.c.node.ID())
 	w.noteTaskSize(value.Size())
 	if value.Size() > o.c.cfg.MaxValueBytes && len(w.stored) > 0 {
-		o.handleOversized(b, value.Size(), w.proposed)
+		o.handleOversized(b, value.Size(), w.assumed)
 		return
 	}
 	if !t.hasRoomFor(w.preconditions, value.Size(), o.c.cfg.MaxTransactionOps) {
@@ -166,7 +166,7 @@
 			w.leaving = append(w.leaving, a)
 			continue
 		}
-		if a.state == attemptProposed && !w.propose(a) {
+		if a.state == attemptAssumed && !w.addAssumed(a) {
 			continue
 		}
 		tasks = append(tasks, record.BlockTask{Job: w.jobIndex(a.job), Index: a.index, Attempt: a.number})
@@ -174,15 +174,15 @@
 	return tasks
 }
 
-// propose guards an attempt that is recorded for the first time, if there is room for that.
-func (w *blockWrite) propose(a *attempt) bool {
+// addAssumed guards an attempt that is recorded for the first time, if there is room for that.
+func (w *blockWrite) addAssumed(a *attempt) bool {
 	jobKey, teamKey := record.ActiveJobKey(a.job.ID), record.TeamKey(a.job.Team)
 	if !w.hasRoomForPreconditions(jobKey, teamKey) {
 		return false
 	}
 	w.preconditions[jobKey] = a.job.version
 	w.preconditions[teamKey] = w.owner.teams[a.job.Team].record.Version
-	w.proposed = append(w.proposed, a)
+	w.assumed = append(w.assumed, a)
 	return true
 }
 
@@ -291,7 +291,7 @@
 	for _, a := range w.leaving {
 		o.setAttempt(a, attemptClosed)
 	}
-	for _, a := range w.proposed {
+	for _, a := range w.assumed {
 		o.recorded(a)
 	}
 	for _, m := range w.terminated {
@@ -315,7 +315,7 @@
 // mustBeWritten tells whether a machine's state or an attempt on it waits for the record.
 func (m *machine) mustBeWritten() bool {
 	for _, a := range m.attempts {
-		if a.state == attemptProposed || a.state == attemptLeaving {
+		if a.state == attemptAssumed || a.state == attemptLeaving {
 			return true
 		}
 	}
--- a/controller/blocks.go
+++ b/controller/blocks.go
@@ -22,8 +22,8 @@
 	// newJobBytes is what a job's first task in a block takes, at most as a rule: it brings the
 	// description of the job.
 	newJobBytes = 40
-	// assumedTasks is how many tasks a machine gets while no job is known.
-	assumedTasks = 16
+	// defaultTasksPerMachine is how many tasks a machine gets while no job is known.
+	defaultTasksPerMachine = 16
 	// machineFill is the part of a value that a block may take when machines are added to it.
 	machineFill = 0.7
 	// taskFill is the part of a value that a block may take when tasks are placed on its machines.
@@ -83,7 +83,7 @@
 // maxMachines is how many machines of a type share a block: as many as fit, each with the
 // tasks that it may get.
 func (o *owner) maxMachines(kind string) int {
-	tasks := assumedTasks
+	tasks := defaultTasksPerMachine
 	if t := o.c.types.find(kind); t != nil {
 		if n := o.classes.MaxAverageTasks(t.Size, maxEntryTasks); n > 0 {
 			tasks = n
@@ -120,7 +120,7 @@
 	for _, m := range b.machines {
 		free -= b.entryBytes(m)
 		for _, a := range m.attempts {
-			if a.state == attemptProposed && !newJobs[a.job] {
+			if a.state == attemptAssumed && !newJobs[a.job] {
 				newJobs[a.job] = true
 				free -= max(0, newJobBytes-b.taskBytes())
 			}
--- a/controller/blocks_test.go
+++ b/controller/blocks_test.go
@@ -80,7 +80,7 @@
 	waits := o.blocks[:3]
 	for _, b := range waits {
 		j := o.queue[len(o.queue)-1]
-		o.attach(j, j.firstPending, 9, b.machines[0], attemptProposed)
+		o.attach(j, j.firstPending, 9, b.machines[0], attemptAssumed)
 		j.firstPending++
 		o.markDirty(b.machines[0])
 	}
@@ -161,7 +161,7 @@
 	for range 20 {
 		j := o.queue[len(o.queue)-1]
 		o.queue = o.queue[:len(o.queue)-1]
-		proposed = append(proposed, o.attach(j, j.firstPending, 9, b.machines[0], attemptProposed))
+		proposed = append(proposed, o.attach(j, j.firstPending, 9, b.machines[0], attemptAssumed))
 	}
 	o.markDirty(b.machines[0])
 	waiting := len(proposed)
@@ -177,7 +177,7 @@
 		o.finishTransaction(tx, true, 10)
 		waiting = 0
 		for _, a := range proposed {
-			if a.state == attemptProposed {
+			if a.state == attemptAssumed {
 				waiting++
 			}
 		}
--- a/controller/commits.go
+++ b/controller/commits.go
@@ -190,7 +190,7 @@
 func (o *owner) jobUnsure(j *job) {
 	j.unsure = true
 	for _, a := range j.sorted() {
-		if a.state == attemptProposed {
+		if a.state == attemptAssumed {
 			o.stop(a, 0, "job's record has changed")
 		}
 	}
--- a/controller/entitlement_test.go
+++ b/controller/entitlement_test.go
@@ -41,7 +41,7 @@
 			o.c.cancellations.MarkEnded(a.job.ID, o.c.now)
 			a.job.state, a.state = jobActive, attemptRecorded // as if this had been missed
 		}, 0, 1},
-		{"not recorded yet", func(_ *owner, _ *machine, a *attempt) { a.state = attemptProposed }, 0, 0},
+		{"not recorded yet", func(_ *owner, _ *machine, a *attempt) { a.state = attemptAssumed }, 0, 0},
 		{"the machine has not shown the token", func(_ *owner, m *machine, _ *attempt) { m.tokenConfirmed = false }, 0, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
--- a/controller/eviction.go
+++ b/controller/eviction.go
@@ -236,7 +236,7 @@
 		victim.MinTasks = j.Tasks
 	}
 	for _, a := range j.sorted() {
-		if o.leavingSoon(a) || a.state == attemptProposed {
+		if o.leavingSoon(a) || a.state == attemptAssumed {
 			continue
 		}
 		victim.ReadyTasks++
--- a/controller/job.go
+++ b/controller/job.go
@@ -58,7 +58,7 @@
 
 	// attempts are the placements of its tasks, by task.
 	attempts map[int]*attempt
-	proposed int // attempts that are not recorded yet
+	assumed  int // attempts that are not recorded yet
 	runs     int // tasks that run, for display
 	gang     gangState
 	// began tells whether some of it was placed, and idleSince since when nothing of it is
--- a/controller/limits_test.go
+++ b/controller/limits_test.go
@@ -243,8 +243,8 @@
 	}
 	o.scheduleWanted = true
 	o.schedule()
-	if o.proposed != machines*tasksEach {
-		t.Errorf("%d of %d tasks were placed", o.proposed, machines*tasksEach)
+	if o.assumed != machines*tasksEach {
+		t.Errorf("%d of %d tasks were placed", o.assumed, machines*tasksEach)
 	}
 	tx := &transaction{preconditions: map[string]uint64{}}
 	o.flushRecords(tx, func() int { return o.c.cfg.MaxTransactionOps - len(tx.writes) })
--- a/controller/load.go
+++ b/controller/load.go
@@ -35,7 +35,7 @@
 	o.listed, o.cancelled = false, nil
 	clear(o.machines)
 	o.list, o.blocks, o.completionSegments, o.dispatchQueue, o.unresolvedJobs = nil, nil, nil, nil, nil
-	o.proposed, o.proposedJobs = 0, 0
+	o.assumed, o.assumedJobs = 0, 0
 	clear(o.scaleOutRequests)
 	clear(o.reservations)
 	for _, t := range o.teams {
--- a/controller/owner.go
+++ b/controller/owner.go
@@ -80,8 +80,8 @@
 	// Scheduling passes, and the attempts that they have proposed.
 	scheduleWanted bool
 	nextPass       micros.Micros
-	proposed       int // attempts that are not recorded yet
-	proposedJobs   int // jobs with such
+	assumed        int // attempts that are not recorded yet
+	assumedJobs    int // jobs with such
 
 	// Commits.
 	blocks             []*block
--- a/controller/proposals.go
+++ b/controller/proposals.go
@@ -6,8 +6,8 @@
 	"tamarindlead/sched"
 )
 
-// propose gives tasks their places, which take effect once they are recorded.
-func (o *owner) propose(j *job, got []sched.Assignment) {
+// assume gives tasks their places, which take effect once they are recorded.
+func (o *owner) assume(j *job, got []sched.Assignment) {
 	if len(got) == 0 {
 		return
 	}
@@ -21,7 +21,7 @@
 			for j.task(j.firstPending) != taskPending {
 				j.firstPending++
 			}
-			o.attach(j, j.firstPending, number, m, attemptProposed)
+			o.attach(j, j.firstPending, number, m, attemptAssumed)
 		}
 		o.markDirty(m)
 		as.Machine.Free = as.Machine.Free.Sub(j.Need.Times(as.Count))
@@ -68,7 +68,7 @@
 
 // recorded handles a proposed attempt whose record was written.
 func (o *owner) recorded(a *attempt) {
-	if a.state != attemptProposed {
+	if a.state != attemptAssumed {
 		return
 	}
 	o.setAttempt(a, attemptRecorded)
@@ -83,7 +83,7 @@
 		return
 	}
 	for _, b := range j.attempts {
-		if b.state == attemptProposed {
+		if b.state == attemptAssumed {
 			return
 		}
 	}
--- a/controller/schedule.go
+++ b/controller/schedule.go
@@ -15,17 +15,17 @@
 	passGap = 100 * micros.Millisecond
 	// jobsPerPass is the number of jobs for which places are looked for in one pass.
 	jobsPerPass = 200
-	// maxProposed is the number of attempts that may wait for their record.
-	maxProposed = 1000
-	// minProposedJobs is the number of jobs that may have such attempts, however few guards
+	// maxAssumed is the number of attempts that may wait for their record.
+	maxAssumed = 1000
+	// minAssumedJobs is the number of jobs that may have such attempts, however few guards
 	// a commit takes.
-	minProposedJobs = 24
+	minAssumedJobs = 24
 )
 
 // schedule proposes places for waiting tasks. A proposal takes effect only when the
 // machine's record has been written with it.
 func (o *owner) schedule() {
-	if !o.scheduleWanted || o.committing || o.c.now < o.nextPass || o.proposed >= maxProposed {
+	if !o.scheduleWanted || o.committing || o.c.now < o.nextPass || o.assumed >= maxAssumed {
 		return
 	}
 	o.scheduleWanted, o.nextPass = false, o.c.now+passGap
@@ -49,7 +49,7 @@
 
 // full tells whether the pass has done as much as one may: the guards of a commit are bounded.
 func (p *schedulingPass) full() bool {
-	return p.looked >= jobsPerPass || p.o.proposedJobs >= max(2*p.o.c.cfg.MaxTransactionOps, minProposedJobs)
+	return p.looked >= jobsPerPass || p.o.assumedJobs >= max(2*p.o.c.cfg.MaxTransactionOps, minAssumedJobs)
 }
 
 // place looks for places for the waiting tasks of a job.
@@ -84,7 +84,7 @@
 		p.foundNoPlace(j)
 		return
 	}
-	p.propose(j, assignments)
+	p.assume(j, assignments)
 }
 
 // schedulable tells whether places may be looked for now for tasks of a job.
@@ -118,7 +118,7 @@
 // placeReserved places a gang on the machines that are held for it, once their room is free.
 func (p *schedulingPass) placeReserved(j *job, h *reservation, want int) {
 	if h.state == reservationReady {
-		p.propose(j, sched.Place(j.Job, p.o.reservedView(h, p.view), want, nil))
+		p.assume(j, sched.Place(j.Job, p.o.reservedView(h, p.view), want, nil))
 	}
 }
 
@@ -135,8 +135,8 @@
 	p.view = p.o.reserveSoonestFree(j, p.view)
 }
 
-func (p *schedulingPass) propose(j *job, assignments []sched.Assignment) {
-	p.o.propose(j, assignments)
+func (p *schedulingPass) assume(j *job, assignments []sched.Assignment) {
+	p.o.assume(j, assignments)
 	p.o.narrow(p.view, assignments)
 }
 
--- a/controller/status.go
+++ b/controller/status.go
@@ -102,6 +102,6 @@
 	}
 	lossesPerHour := o.c.spotRisk.PerSecond(o.c.cfg.Tuning.SpotLossesPerHour) * secondsPerHour
 	o.c.log.Info("work", "jobs", len(o.queue), "waiting_jobs", jobs, "waiting_gangs", gangs, "waiting_tasks", tasks,
-		"awaiting_others", len(o.blockedJobs), "proposed", o.proposed, "blocks", len(o.blocks), "shards", len(o.completionSegments),
+		"awaiting_others", len(o.blockedJobs), "proposed", o.assumed, "blocks", len(o.blocks), "shards", len(o.completionSegments),
 		"holds", len(o.reservations), "spot_losses_per_h", math.Round(lossesPerHour*10)/10)
 }
