--- a/controller/acceptance.go
+++ b/controller/acceptance.go
@@ -15,7 +15,7 @@
 const maxSubmissionCommitBytes = wire.MaxBody / 2
 
 // flush records waiting submissions, as many as one commit takes.
-func (s *submissions) flush() {
+func (s *submissionQueue) flush() {
 	if s.committing || len(s.pending) == 0 {
 		return
 	}
@@ -30,11 +30,11 @@
 }
 
 // refuseExpired refuses submissions that have waited for too long.
-func (s *submissions) refuseExpired() {
+func (s *submissionQueue) refuseExpired() {
 	var waiting []*submission
 	for _, sub := range s.pending {
-		if s.c.now-sub.receivedAt > acceptWithin {
-			s.refuseAll(sub, reasonKVUnresponsive)
+		if s.c.now-sub.receivedAt > submissionTimeout {
+			s.refuseRequests(sub, reasonKVUnresponsive)
 			continue
 		}
 		waiting = append(waiting, sub)
@@ -45,14 +45,14 @@
 // takeBatch takes the submissions whose writes have room, in the order in which they came. One
 // that needs more than there ever is room for is taken when there is as much as can be: its
 // writes beyond that are owed to the budget.
-func (s *submissions) takeBatch(room int) []*submission {
-	if first := s.pending[0]; first.writes > room && room >= s.c.budget.WriteBurst() {
-		room = first.writes
+func (s *submissionQueue) takeBatch(room int) []*submission {
+	if first := s.pending[0]; first.writeCount > room && room >= s.c.budget.WriteBurst() {
+		room = first.writeCount
 	}
 	var batch, rest []*submission
 	for _, sub := range s.pending {
-		if sub.writes <= room {
-			room -= sub.writes
+		if sub.writeCount <= room {
+			room -= sub.writeCount
 			batch = append(batch, sub)
 		} else {
 			rest = append(rest, sub)
@@ -63,14 +63,14 @@
 }
 
 // commit records a batch of submissions. What would make the commit too large waits again.
-func (s *submissions) commit(batch []*submission) {
+func (s *submissionQueue) commit(batch []*submission) {
 	var guards []kv.Precondition
 	var writes []kv.Write
 	size := 0
 	for i, sub := range batch {
 		puts, bytes := record.JobWrites(sub.job, s.c.wallClock, s.c.cfg.MaxValueBytes)
 		if size += bytes; i > 0 && size > maxSubmissionCommitBytes {
-			s.waitAgain(batch[i:])
+			s.requeue(batch[i:])
 			batch = batch[:i]
 			break
 		}
@@ -86,37 +86,37 @@
 	})
 }
 
-// waitAgain puts submissions back before those that came later.
-func (s *submissions) waitAgain(batch []*submission) {
+// requeue puts submissions back before those that came later.
+func (s *submissionQueue) requeue(batch []*submission) {
 	s.pending = append(batch[:len(batch):len(batch)], s.pending...)
 }
 
 // handleCommitResult takes the answer to the commit of a batch.
-func (s *submissions) handleCommitResult(batch []*submission, reply kv.Result, commit freshness.Evidence) {
+func (s *submissionQueue) handleCommitResult(batch []*submission, reply kv.Result, commit freshness.Evidence) {
 	switch reply.Outcome {
 	case kv.OK:
 		for _, sub := range batch {
 			s.c.log.Debug("job accepted", "job", sub.job.ID)
-			s.accepted(sub, commit)
+			s.handleAccepted(sub, commit)
 		}
 	case kv.PreconditionFailed:
 		s.handlePreconditionFailed(batch, reply)
 	case kv.Throttled:
-		s.waitAgain(batch)
+		s.requeue(batch)
 		s.nextCommit = s.c.now + kv.ThrottledPause
 	case kv.Unknown:
 		// It may have been executed: the same commit again tells by its guards.
-		s.waitAgain(batch)
+		s.requeue(batch)
 	default:
 		for _, sub := range batch {
-			s.refuseAll(sub, reasonStoreRefuses)
+			s.refuseRequests(sub, reasonKVRefuses)
 		}
 	}
 }
 
 // handlePreconditionFailed goes on when some job of a batch is known already: those are looked up, the rest is
 // tried again.
-func (s *submissions) handlePreconditionFailed(batch []*submission, reply kv.Result) {
+func (s *submissionQueue) handlePreconditionFailed(batch []*submission, reply kv.Result) {
 	var committed kv.TransactionResult
 	reply.Decode(&committed)
 	failed := map[string]bool{}
@@ -126,32 +126,32 @@
 	for _, sub := range batch {
 		known := failed[record.ActiveJobKey(sub.job.ID)] || failed[record.TerminalStateKey(sub.job.ID)]
 		if known || len(failed) == 0 {
-			s.answerKnownOr(sub, unavailable(reasonKVUnresponsive))
+			s.answerDuplicateOrRefuse(sub, temporaryRefusal(reasonKVUnresponsive))
 		} else {
 			s.pending = append(s.pending, sub)
 		}
 	}
 }
 
-// accepted answers a submission that was recorded by a commit just now. One that was cancelled
+// handleAccepted answers a submission that was recorded by a commit just now. One that was cancelled
 // with a job before it is answered once users may be told of that.
-func (s *submissions) accepted(sub *submission, commit freshness.Evidence) {
+func (s *submissionQueue) handleAccepted(sub *submission, commit freshness.Evidence) {
 	if sub.status != wire.JobCancelled {
-		s.answerAccepted(sub, commit)
+		s.respondAccepted(sub, commit)
 		return
 	}
-	s.c.announceCancellation(sub.cancelledRoot, s.c.now+acceptWithin, func(mayTell bool) {
+	s.c.announceCancellation(sub.cancelledRoot, s.c.now+submissionTimeout, func(mayTell bool) {
 		if !mayTell {
-			s.refuseAll(sub, reasonUnacknowledged)
+			s.refuseRequests(sub, reasonUnacknowledged)
 			return
 		}
 		s.c.terminalStates.remember(sub.job.ID, wire.JobCancelled)
-		s.answerAccepted(sub, freshness.OfTerminalState())
+		s.respondAccepted(sub, freshness.OfTerminalState())
 	})
 }
 
-func (s *submissions) answerAccepted(sub *submission, evidence freshness.Evidence) {
+func (s *submissionQueue) respondAccepted(sub *submission, evidence freshness.Evidence) {
 	s.answer(sub, evidence, func(r userRequest) {
-		s.c.answerSubmission(r, wire.StatusAccepted, sub.job.ID, sub.status, evidence)
+		s.c.respondSubmission(r, wire.StatusAccepted, sub.job.ID, sub.status, evidence)
 	})
 }
--- a/controller/announcements.go
+++ b/controller/announcements.go
@@ -10,7 +10,7 @@
 // This file connects internal/cancelack, which bounds how long a task may run on after a user
 // was told that its job is cancelled, with this node's records, peers and users.
 
-func newCancellations(c *Core) *cancellation.Tracker {
+func newCancellationTracker(c *Core) *cancellation.Tracker {
 	settings := cancellation.Settings{Lease: c.cfg.WorkerLease, CancelWithin: c.cfg.CancellationDeadline}
 	for _, peer := range c.cfg.Siblings {
 		settings.Peers = append(settings.Peers, peer.Node)
@@ -51,8 +51,8 @@
 	c.cancellations.Announce(job, deadline, c.now, done)
 }
 
-// readUntil is the time up to which this node's reads show all cancellations.
-func (c *Core) readUntil() micros.Micros {
+// cancellationsKnownUntil is the time up to which this node's reads show all cancellations.
+func (c *Core) cancellationsKnownUntil() micros.Micros {
 	until := c.jobView.cancellationsKnownUntil
 	if c.owner != nil && c.owner.state == ownerActive {
 		until = max(until, c.owner.cancellationsKnownUntil)
@@ -62,5 +62,5 @@
 
 // mayRenewLease tells whether a worker's lease may be renewed now.
 func (c *Core) mayRenewLease() bool {
-	return c.cancellations.MayRenewLease(c.readUntil(), c.now)
+	return c.cancellations.MayRenewLease(c.cancellationsKnownUntil(), c.now)
 }
--- a/controller/answers.go
+++ b/controller/answers.go
@@ -7,69 +7,69 @@
 )
 
 // This file answers users' requests with the state of a job. Every such answer passes
-// checkAnswer, whatever asked for it: a submission, a question or a cancellation.
+// checkResponse, whatever asked for it: a submission, a question or a cancellation.
 
 // userRequest is a request of a user that waits for its answer.
 type userRequest struct {
-	id     uint64
-	cameAt micros.Micros
+	id         uint64
+	receivedAt micros.Micros
 }
 
-// requestOf is the user's request of the present event.
-func (c *Core) requestOf(r Request) userRequest { return userRequest{r.ID, c.now} }
+// newUserRequest is the user's request of the present event.
+func (c *Core) newUserRequest(r Request) userRequest { return userRequest{r.ID, c.now} }
 
-// mayAnswer decides whether knowledge about a job may answer a request: it must have been asked
+// mayRespond decides whether knowledge about a job may answer a request: it must have been asked
 // for after the request came, and a job of which a peer told us that it is cancelled has no
 // state that is not final. Where it may not, the job is looked up again.
-func (c *Core) mayAnswer(r userRequest, job string, evidence freshness.Evidence) bool {
+func (c *Core) mayRespond(r userRequest, job string, evidence freshness.Evidence) bool {
 	if evidence.Basis != freshness.TerminalState && c.cancellations.HasEnded(job) {
 		return false
 	}
-	return evidence.Covers(r.cameAt)
+	return evidence.Covers(r.receivedAt)
 }
 
-// checkAnswer asserts mayAnswer for an answer that is about to be sent. If it fails, the request
+// checkResponse asserts mayRespond for an answer that is about to be sent. If it fails, the request
 // is refused, and the violation is logged and counted.
-func (c *Core) checkAnswer(r userRequest, job string, told string, evidence freshness.Evidence) bool {
-	if c.mayAnswer(r, job, evidence) {
+func (c *Core) checkResponse(r userRequest, job string, told string, evidence freshness.Evidence) bool {
+	if c.mayRespond(r, job, evidence) {
 		if c.debug {
-			c.log.Debug("job answered", "job", job, "told", told, "basis", evidence.Basis, "came_us", int64(r.cameAt),
+			c.log.Debug("job answered", "job", job, "told", told, "basis", evidence.Basis, "came_us", int64(r.receivedAt),
 				"sent_us", int64(evidence.SentAt), "through_peer", evidence.ViaPeer, "version", evidence.Version)
 		}
 		return true
 	}
 	c.reportViolation("an answer about a job rests on old knowledge", "job", job, "request", r.id, "told", told, "basis", evidence.Basis,
-		"came_us", int64(r.cameAt), "sent_us", int64(evidence.SentAt), "ended", c.cancellations.HasEnded(job))
+		"came_us", int64(r.receivedAt), "sent_us", int64(evidence.SentAt), "ended", c.cancellations.HasEnded(job))
 	c.refuse(r.id, wire.StatusUnavailable, reasonKVUnresponsive)
 	return false
 }
 
-// answerSubmission answers a submission with the state of its job.
-func (c *Core) answerSubmission(r userRequest, httpStatus wire.Status, job string, status wire.JobPhase, evidence freshness.Evidence) {
+// respondSubmission answers a submission with the state of its job.
+func (c *Core) respondSubmission(r userRequest, httpStatus wire.Status, job string, status wire.JobPhase, evidence freshness.Evidence) {
 	shown := c.statusForUsers(job, status).Status
-	if c.checkAnswer(r, job, string(shown), evidence) {
+	if c.checkResponse(r, job, string(shown), evidence) {
 		c.respond(r.id, httpStatus, wire.JobState{ID: job, Status: shown})
 	}
 }
 
-// answerQuery answers a question with the state of a job and the counts of its tasks.
-func (c *Core) answerQuery(r userRequest, job string, result lookupResult) {
+// respondQuery answers a question with the state of a job and the counts of its tasks.
+func (c *Core) respondQuery(r userRequest, job string, result lookupResult) {
 	shown := c.statusForUsers(job, result.status)
-	if c.checkAnswer(r, job, string(shown.Status), result.evidence) {
+	if c.checkResponse(r, job, string(shown.Status), result.evidence) {
 		c.respond(r.id, wire.StatusOK, shown)
 	}
 }
 
-// answerCancellation answers a cancellation with the final state of its job.
-func (c *Core) answerCancellation(r userRequest, job string, status wire.JobPhase) {
-	if c.checkAnswer(r, job, string(status), freshness.OfTerminalState()) {
+// respondCancellation answers a cancellation with the final state of its job.
+func (c *Core) respondCancellation(r userRequest, job string, status wire.JobPhase) {
+	if c.checkResponse(r, job, string(status), freshness.OfTerminalState()) {
 		c.respond(r.id, wire.StatusOK, wire.JobState{ID: job, Status: status})
 	}
 }
 
-// answerNeverAccepted refuses a request for good since its job was never accepted.
-func (c *Core) answerNeverAccepted(r userRequest, job string, refused *refusal, evidence freshness.Evidence) {
-	if c.checkAnswer(r, job, string(refused.reason), evidence) {
+// respondNeverAccepted refuses a request for good since its job was never accepted.
+func (c *Core) respondNeverAccepted(r userRequest, job string, refused *refusal, evidence freshness.Evidence) {
+	if c.checkResponse(r, job, string(refused.reason), evidence) {
 		c.reject(r.id, refused.status, refused.reason)
 	}
 }
--- a/controller/answers_test.go
+++ b/controller/answers_test.go
@@ -63,7 +63,7 @@
 				core.cancellations.MarkEnded(job, core.now)
 			}
 			core.out = nil
-			core.answerQuery(userRequest{id: 1, cameAt: 100}, job, c.result)
+			core.respondQuery(userRequest{id: 1, receivedAt: 100}, job, c.result)
 			if status := respondedWith(t, core.out); status != c.status || core.Violations() != c.violations {
 				t.Errorf("answered %d with %d violations, want %d and %d", status, core.Violations(), c.status, c.violations)
 			}
@@ -79,7 +79,7 @@
 	sub := &submission{job: job, requests: []userRequest{{1, core.now - 1}, {2, core.now + 1}}, status: wire.JobQueued}
 	core.submissions.byJob[job.ID] = sub
 	core.out = nil
-	core.submissions.accepted(sub, freshness.Evidence{Basis: freshness.OwnTransaction, SentAt: core.now})
+	core.submissions.handleAccepted(sub, freshness.Evidence{Basis: freshness.OwnTransaction, SentAt: core.now})
 	if status := respondedWith(t, core.out); status != wire.StatusAccepted {
 		t.Errorf("the request that came before the commit is answered %d", status)
 	}
@@ -115,7 +115,7 @@
 			asked := core.now - micros.Second
 			sub := &submission{job: answeringJob(), requests: []userRequest{{1, asked + c.cameAt}}, dependenciesReadAt: asked}
 			core.submissions.byJob[sub.job.ID] = sub
-			core.submissions.answerKnownOr(sub, neverRuns(reasonDependencyNotAccepted))
+			core.submissions.answerDuplicateOrRefuse(sub, permanentRefusal(reasonDependencyNotAccepted))
 			lookup := core.lookups.pending[0]
 			core.lookups.pending = nil
 			core.out = nil
--- a/controller/bench_test.go
+++ b/controller/bench_test.go
@@ -192,7 +192,7 @@
 			id++
 			c.Handle(c.now, c.now, Request{ID: id, Method: "GET", Path: pathJobs + "/" + o.queue[i].ID})
 		}
-		for _, e := range c.Handle(c.now+lookupGap, c.now, Tick{}) {
+		for _, e := range c.Handle(c.now+lookupBatchInterval, c.now, Tick{}) {
 			call, ok := e.(Call)
 			if !ok || call.Target != "/commit" {
 				continue
--- a/controller/cancellations.go
+++ b/controller/cancellations.go
@@ -8,8 +8,8 @@
 	"tamarindlead/micros"
 )
 
-// cancelWrites is how many writes a cancellation takes.
-const cancelWrites = 2
+// cancellationWrites is how many writes a cancellation takes.
+const cancellationWrites = 2
 
 // cancellationRequest is a user's request to cancel a job.
 type cancellationRequest struct {
@@ -26,18 +26,18 @@
 		return
 	}
 	if status := c.terminalStates.of(job); status != "" {
-		c.answerCancellation(request, job, status)
+		c.respondCancellation(request, job, status)
 		return
 	}
 	if c.store.Unavailable() {
 		c.refuse(request.id, wire.StatusUnavailable, reasonKVUnresponsive)
 		return
 	}
-	if c.budget.AvailableWrites(budget.UserRequests, c.now) < cancelWrites {
-		c.refuse(request.id, wire.StatusTooManyRequests, reasonManyCancellations) // a read would be wasted
+	if c.budget.AvailableWrites(budget.UserRequests, c.now) < cancellationWrites {
+		c.refuse(request.id, wire.StatusTooManyRequests, reasonTooManyCancellations) // a read would be wasted
 		return
 	}
-	cancel := &cancellationRequest{c, request, job, c.now + acceptWithin}
+	cancel := &cancellationRequest{c, request, job, c.now + submissionTimeout}
 	if version := c.knownVersion(job); version != 0 {
 		cancel.commit(version)
 		return
@@ -52,18 +52,18 @@
 		case kv.OK:
 			r.commit(entry.Version)
 		case kv.NotFound:
-			r.c.lookup(r.job, r.notActive)
+			r.c.lookup(r.job, r.handleNotActive)
 		default:
 			r.refuse(reasonKVUnresponsive)
 		}
 	})
 }
 
-// notActive answers about a job that has no record as an active one.
-func (r *cancellationRequest) notActive(result lookupResult) {
+// handleNotActive answers about a job that has no record as an active one.
+func (r *cancellationRequest) handleNotActive(result lookupResult) {
 	switch {
 	case result.outcome == lookupNotFound:
-		r.c.answerNeverAccepted(r.request, r.job, noSuchJob(), result.evidence)
+		r.c.respondNeverAccepted(r.request, r.job, noSuchJob(), result.evidence)
 	case result.outcome == lookupFound && result.isTerminal():
 		r.respond(result.status)
 	default:
@@ -85,7 +85,7 @@
 	inDoubt := outcome == kv.PreconditionFailed || outcome == kv.Unknown // over meanwhile, or perhaps executed
 	switch {
 	case outcome == kv.OK:
-		r.c.announceCancellation(r.job, r.c.now+acceptWithin, r.announced)
+		r.c.announceCancellation(r.job, r.c.now+submissionTimeout, r.handleAcknowledged)
 	case inDoubt && r.c.now < r.deadline:
 		r.readRecord()
 	default:
@@ -93,7 +93,7 @@
 	}
 }
 
-func (r *cancellationRequest) announced(mayTell bool) {
+func (r *cancellationRequest) handleAcknowledged(mayTell bool) {
 	if !mayTell {
 		r.refuse(reasonUnacknowledged)
 		return
@@ -102,7 +102,7 @@
 }
 
 func (r *cancellationRequest) respond(status wire.JobPhase) {
-	r.c.answerCancellation(r.request, r.job, status)
+	r.c.respondCancellation(r.request, r.job, status)
 }
 
 func (r *cancellationRequest) refuse(reason refusalReason) {
--- a/controller/cloud_list.go
+++ b/controller/cloud_list.go
@@ -34,11 +34,11 @@
 		return
 	}
 	l.asking, l.found = true, map[string]wire.ListedMachine{}
-	o.listPage("")
+	o.requestCloudListPage("")
 }
 
-// listPage asks for the machines after one of that name.
-func (o *owner) listPage(after string) {
+// requestCloudListPage asks for the machines after one of that name.
+func (o *owner) requestCloudListPage(after string) {
 	query := url.Values{"limit": {strconv.Itoa(listPageSize)}}
 	if after != "" {
 		query.Set("after", after)
@@ -63,7 +63,7 @@
 		l.found[m.Name] = m
 	}
 	if page.More && len(page.Machines) > 0 {
-		o.listPage(page.Machines[len(page.Machines)-1].Name)
+		o.requestCloudListPage(page.Machines[len(page.Machines)-1].Name)
 		return
 	}
 	l.asking = false
--- a/controller/commands.go
+++ b/controller/commands.go
@@ -155,13 +155,13 @@
 			return
 		}
 		m.commandsInFlight = false
-		o.commandsAnswered(m, len(commands) > 0, e)
+		o.handleCommandResponse(m, len(commands) > 0, e)
 	})
 }
 
-// commandsAnswered takes the report with which a worker answers commands. Commands without
+// handleCommandResponse takes the report with which a worker answers commands. Commands without
 // an answer may still be executed: the machine is fenced until it has seen a higher token.
-func (o *owner) commandsAnswered(m *machine, hadCommands bool, e CallDone) {
+func (o *owner) handleCommandResponse(m *machine, hadCommands bool, e CallDone) {
 	var report *wire.Heartbeat
 	if e.Status == wire.StatusOK || e.Status == wire.StatusConflict {
 		report, _ = wire.DecodeHeartbeat(e.Body) // one that cannot be read counts as no answer
@@ -190,7 +190,7 @@
 	for _, m := range o.list {
 		// A machine with a task of a cancelled job is asked at once, since the leader may
 		// change again soon.
-		if o.c.now-o.since < inspectAfter && !o.overdue(m, overdueDecommissionFraction) {
+		if o.c.now-o.since < inspectAfter && !o.cancellationOverdue(m, overdueDecommissionFraction) {
 			continue
 		}
 		if !m.recovered || m.agentEpoch != 0 || m.inspected || m.fencingToken == 0 || m.state >= machineDecommissioning {
--- a/controller/core.go
+++ b/controller/core.go
@@ -50,7 +50,7 @@
 	numbers numbers
 
 	// What users ask for.
-	submissions    submissions
+	submissions    submissionQueue
 	terminalStates terminalStates
 	lookups        lookupStage
 	graph          *dag.Graph // the active jobs
@@ -88,12 +88,12 @@
 	for _, s := range cfg.Siblings {
 		c.peers[s.Node] = &peerNode{Sibling: s}
 	}
-	c.cancellations = newCancellations(c)
+	c.cancellations = newCancellationTracker(c)
 	c.budget = budget.New(budget.Limits{
-		Requests: cfg.KVRequestRate, Writes: cfg.KVWriteRate, MinWriteBurst: cancelWrites + 1,
+		Requests: cfg.KVRequestRate, Writes: cfg.KVWriteRate, MinWriteBurst: cancellationWrites + 1,
 	}, len(cfg.Siblings)+1)
 	c.store = kv.New(kvHost{c}, c.budget, record.LeaderKey, log)
-	c.submissions, c.terminalStates = newSubmissions(c), newTerminalStates()
+	c.submissions, c.terminalStates = newSubmissionQueue(c), newTerminalStates()
 	c.graph = dag.New(jobObserver{c}, log)
 	return c
 }
@@ -105,7 +105,7 @@
 	c.out = nil
 	switch e := ev.(type) {
 	case Request:
-		c.request(e)
+		c.routeRequest(e)
 	case CallDone:
 		if done, ok := c.calls[e.ID]; ok {
 			delete(c.calls, e.ID)
--- a/controller/entitlement.go
+++ b/controller/entitlement.go
@@ -33,7 +33,7 @@
 // mayTerminate asserts that the cloud may be asked to delete a machine: that is recorded, or there
 // is no time left for that.
 func (o *owner) mayTerminate(m *machine) bool {
-	overdue := m.state == machineDecommissioning && o.overdue(m, overdueTerminateFraction)
+	overdue := m.state == machineDecommissioning && o.cancellationOverdue(m, overdueTerminateFraction)
 	if o.isEntitled() && (m.state == machineTerminating || overdue) {
 		return true
 	}
--- a/controller/finalreads.go
+++ b/controller/finalreads.go
@@ -54,7 +54,7 @@
 	if done != nil {
 		purpose = budget.UserRequests
 	}
-	c.readTerminalStates(purpose, c.graph.UnresolvedJobs(), c.now+acceptWithin, c.handleTerminalStatesRead)
+	c.readTerminalStates(purpose, c.graph.UnresolvedJobs(), c.now+submissionTimeout, c.handleTerminalStatesRead)
 }
 
 func (c *Core) handleTerminalStatesRead(found map[string]record.TerminalState, ok bool) {
@@ -68,7 +68,7 @@
 	}
 	questions := resolution.callbacks
 	resolution.callbacks = nil
-	answerAll(questions, ok)
+	notifyAll(questions, ok)
 }
 
 // terminalStatesRead is a read of several jobs' final records.
--- a/controller/inherit.go
+++ b/controller/inherit.go
@@ -14,7 +14,7 @@
 // inherit has a job take its place in the order by what it inherits.
 func (o *owner) inherit(j *job) {
 	inherited, awaited := o.c.graph.Inherited(j.ID)
-	priority, mustEnd := max(j.own, inherited.Priority), micros.Micros(0)
+	priority, mustEnd := max(j.submittedPriority, inherited.Priority), micros.Micros(0)
 	if awaited || o.c.graph.Blocked(j.ID) != nil { // deadlines count in pipelines only
 		mustEnd = dag.EarlierDeadline(dag.AbsoluteDeadline(j.accepted, j.Deadline), inherited.LatestFinish)
 	}
@@ -26,7 +26,7 @@
 	if priority == j.Priority {
 		return
 	}
-	o.c.log.Debug("job inherits", "job", j.ID, "own", j.own, "priority", priority)
+	o.c.log.Debug("job inherits", "job", j.ID, "own", j.submittedPriority, "priority", priority)
 	at := slices.Index(o.queue, j)
 	if at >= 0 {
 		o.queue = slices.Delete(o.queue, at, at+1)
--- a/controller/job.go
+++ b/controller/job.go
@@ -37,8 +37,8 @@
 	// since is when the job was accepted, or when it became ready if it waited for others:
 	// its service level objectives count from here.
 	since micros.Micros
-	// own is the priority as submitted; the job's priority may be inherited.
-	own sched.Priority
+	// submittedPriority is the priority as submitted; the job's priority may be inherited.
+	submittedPriority sched.Priority
 	// mustEnd is the latest end with which this job and all that need it meet their
 	// deadlines; 0 for none.
 	mustEnd micros.Micros
@@ -101,7 +101,7 @@
 
 func newJob(j *sched.Job, version uint64, accepted micros.Micros) *job {
 	return &job{
-		Job: j, version: version, accepted: accepted, since: accepted, own: j.Priority,
+		Job: j, version: version, accepted: accepted, since: accepted, submittedPriority: j.Priority,
 		pending:  j.Tasks,
 		segments: map[int]*completionSegment{},
 		finished: map[int][]*attempt{},
--- a/controller/jobview.go
+++ b/controller/jobview.go
@@ -52,7 +52,7 @@
 
 func (w jobObserver) JobCancelled(id string) {
 	if o := w.c.owner; o != nil {
-		o.queueCancelled(id)
+		o.queueCascadedCancellation(id)
 	}
 }
 
@@ -137,9 +137,9 @@
 // refreshQueue is the questions that need a view of the present state. One read serves all
 // that ask before it is sent.
 type refreshQueue struct {
-	questions []func(ok bool)
-	askedAt   micros.Micros // the first of them
-	reading   bool
+	questions   []func(ok bool)
+	requestedAt micros.Micros // the first of them
+	reading     bool
 }
 
 // refresh hands over once this node's view is at least as new as the question; false: the
@@ -147,7 +147,7 @@
 func (c *Core) refresh(done func(ok bool)) {
 	queue := &c.jobView.refresh
 	if len(queue.questions) == 0 {
-		queue.askedAt = c.now
+		queue.requestedAt = c.now
 	}
 	queue.questions = append(queue.questions, done)
 	c.sendRefresh()
@@ -158,30 +158,30 @@
 	if queue.reading || len(queue.questions) == 0 {
 		return
 	}
-	if !c.budget.MayRequest(budget.UserRequests, c.now) && c.now-queue.askedAt < acceptWithin {
+	if !c.budget.MayRequest(budget.UserRequests, c.now) && c.now-queue.requestedAt < submissionTimeout {
 		c.after(fastTick, c.sendRefresh)
 		return
 	}
 	batch, after := queue.questions, c.graph.Revision()
 	queue.questions = nil
 	if !c.graph.IsSynced() {
-		answerAll(batch, false)
+		notifyAll(batch, false)
 		return
 	}
 	queue.reading = true
 	c.store.Do(budget.UserRequests, kv.Watch(record.ActiveJobPrefix, after, 0), func(r kv.Result) {
 		queue.reading = false
-		queue.askedAt = c.now // what came meanwhile goes out now
+		queue.requestedAt = c.now // what came meanwhile goes out now
 		ok := c.takeChanges(after, r)
 		if r.Outcome == kv.Compacted && c.owner != nil && c.owner.listed {
 			c.owner.restartRecovery("changes of jobs were missed")
 		}
-		answerAll(batch, ok)
+		notifyAll(batch, ok)
 		c.sendRefresh()
 	})
 }
 
-func answerAll(questions []func(ok bool), ok bool) {
+func notifyAll(questions []func(ok bool), ok bool) {
 	for _, answer := range questions {
 		answer(ok)
 	}
--- a/controller/jobview_test.go
+++ b/controller/jobview_test.go
@@ -60,8 +60,8 @@
 			o.c.applyTerminalState(id, finals[id])
 		}
 		// One job is ready, and the four of the other chain are cancelled.
-		if looked := g.Work().Jobs - before; looked != 1+4 || o.jobs[jobName(1)] == nil || len(o.cancelled) != 4 {
-			t.Fatalf("%d chains: %d jobs were looked at, %d are cancelled", chains, looked, len(o.cancelled))
+		if looked := g.Work().Jobs - before; looked != 1+4 || o.jobs[jobName(1)] == nil || len(o.cascadedCancellations) != 4 {
+			t.Fatalf("%d chains: %d jobs were looked at, %d are cancelled", chains, looked, len(o.cascadedCancellations))
 		}
 	}
 }
--- a/controller/load.go
+++ b/controller/load.go
@@ -32,7 +32,7 @@
 func (o *owner) reset() {
 	clear(o.jobs)
 	clear(o.blockedJobs)
-	o.listed, o.cancelled = false, nil
+	o.listed, o.cascadedCancellations = false, nil
 	clear(o.machines)
 	o.list, o.blocks, o.completionSegments, o.dispatchQueue, o.unresolvedJobs = nil, nil, nil, nil, nil
 	o.assumed, o.assumedJobs = 0, 0
--- a/controller/lookup_reads.go
+++ b/controller/lookup_reads.go
@@ -13,7 +13,7 @@
 
 // compareVersions asks whether jobs' records are as this node knows them.
 func (c *Core) compareVersions(batch *lookupBatch) {
-	c.lookups.sent += len(batch.compared)
+	c.lookups.inFlight += len(batch.compared)
 	c.noteReadSent(batch.compared...)
 	c.store.Do(budget.Reads, kv.Transaction(kv.SortedPreconditions(batch.versions), nil), func(r kv.Result) {
 		var committed kv.TransactionResult
@@ -48,7 +48,7 @@
 			}
 			c.readActive(l)
 		case len(failed) > 0:
-			c.lookups.sent--
+			c.lookups.inFlight--
 			again = append(again, l)
 		default:
 			c.finishLookup(l, activeResult(batch.versions[key], l.read))
@@ -119,7 +119,7 @@
 		c.finishLookup(l, terminalResult(status))
 		return
 	}
-	c.announceCancellation(root, l.askedAt+lookupWithin, func(ok bool) {
+	c.announceCancellation(root, l.requestedAt+lookupTimeout, func(ok bool) {
 		if !ok {
 			c.finishLookup(l, lookupResult{})
 			return
@@ -131,19 +131,19 @@
 
 // finishLookup hands over the result of a lookup that was sent.
 func (c *Core) finishLookup(l *lookup, result lookupResult) {
-	c.lookups.sent--
+	c.lookups.inFlight--
 	switch final := c.terminalStates.of(l.id); {
 	case final != "": // told meanwhile
 		result = terminalResult(final)
 	case result.outcome != lookupFailed && !result.isTerminal() && c.cancellations.HasEnded(l.id):
-		c.lookupAgain(l) // cancelled since the read was sent
+		c.retryLookup(l) // cancelled since the read was sent
 		return
 	}
 	l.done(result)
 }
 
-// lookupAgain makes a new read for a lookup, unless its answer is of no use any more.
-func (c *Core) lookupAgain(l *lookup) {
+// retryLookup makes a new read for a lookup, unless its answer is of no use any more.
+func (c *Core) retryLookup(l *lookup) {
 	if l.expired(c.now) {
 		l.done(lookupResult{})
 		return
@@ -154,7 +154,7 @@
 // deriveStates answers about jobs that wait for others, whose state follows from how those
 // ended: one read serves them all.
 func (c *Core) deriveStates(list []*lookup) {
-	c.lookups.sent += len(list)
+	c.lookups.inFlight += len(list)
 	c.noteReadSent(list...)
 	c.refresh(func(ok bool) {
 		for _, l := range list {
@@ -162,7 +162,7 @@
 				c.finishLookup(l, lookupResult{})
 				continue
 			}
-			c.resolveDependencies([]string{l.id}, l.askedAt+lookupWithin, func(ok bool) { c.finishDerived(l, ok) })
+			c.resolveDependencies([]string{l.id}, l.requestedAt+lookupTimeout, func(ok bool) { c.finishDerived(l, ok) })
 		}
 	})
 }
@@ -173,7 +173,7 @@
 		c.finishLookup(l, lookupResult{})
 		return
 	}
-	c.lookups.sent--
+	c.lookups.inFlight--
 	c.deriveStates([]*lookup{l})
 }
 
--- a/controller/lookups.go
+++ b/controller/lookups.go
@@ -19,9 +19,9 @@
 // Bounds of the stage that looks up jobs. What cannot be looked up in time is refused at
 // once and asked again; the rest is served in the order in which it came.
 const (
-	maxLookups   = 512
-	lookupWithin = 1500 * micros.Millisecond // users wait for 2 s
-	lookupGap    = 60 * micros.Millisecond   // lookups gather for so long
+	maxPendingLookups   = 512
+	lookupTimeout       = 1500 * micros.Millisecond // users wait for 2 s
+	lookupBatchInterval = 60 * micros.Millisecond   // lookups gather for so long
 	// comparedPerOp is how many versions one commit compares for each write that it could
 	// take, which bounds the commit's size.
 	comparedPerOp = 4
@@ -60,21 +60,21 @@
 
 // lookup is a question for a job's state.
 type lookup struct {
-	id      string
-	askedAt micros.Micros
+	id          string
+	requestedAt micros.Micros
 	// read is the read that was sent for it first, once one was.
 	read freshness.Evidence
 	done func(lookupResult)
 }
 
 // expired tells that the answer is of no use any more.
-func (l *lookup) expired(now micros.Micros) bool { return now-l.askedAt > lookupWithin }
+func (l *lookup) expired(now micros.Micros) bool { return now-l.requestedAt > lookupTimeout }
 
 // lookupStage is the stage of questions for jobs' states.
 type lookupStage struct {
-	pending []*lookup
-	sent    int // lookups for which reads or comparisons are under way
-	sendAt  micros.Micros
+	pending  []*lookup
+	inFlight int // lookups for which reads or comparisons are under way
+	sendAt   micros.Micros
 }
 
 // lookup finds a job's state from the records, which alone are never outdated.
@@ -85,24 +85,24 @@
 		return
 	}
 	stage := &c.lookups
-	if len(stage.pending)+stage.sent >= maxLookups || c.store.Unavailable() {
+	if len(stage.pending)+stage.inFlight >= maxPendingLookups || c.store.Unavailable() {
 		done(lookupResult{})
 		return
 	}
 	if len(stage.pending) == 0 {
-		stage.sendAt = max(stage.sendAt, c.now+lookupGap)
+		stage.sendAt = max(stage.sendAt, c.now+lookupBatchInterval)
 	}
-	stage.pending = append(stage.pending, &lookup{id: id, askedAt: c.now, done: done})
+	stage.pending = append(stage.pending, &lookup{id: id, requestedAt: c.now, done: done})
 }
 
 // flushLookups makes the reads for what waits, as the budget allows.
 func (c *Core) flushLookups() {
 	stage := &c.lookups
-	c.failExpired()
+	c.failExpiredLookups()
 	if len(stage.pending) == 0 || c.now < stage.sendAt {
 		return
 	}
-	stage.sendAt = c.now + lookupGap
+	stage.sendAt = c.now + lookupBatchInterval
 	batch := c.takeLookupBatch()
 	if left := c.sendLookupBatch(batch); len(left) > 0 {
 		stage.pending = append(left, stage.pending...)
@@ -111,8 +111,8 @@
 	c.readSingly()
 }
 
-// failExpired ends the lookups that waited for too long.
-func (c *Core) failExpired() {
+// failExpiredLookups ends the lookups that waited for too long.
+func (c *Core) failExpiredLookups() {
 	stage := &c.lookups
 	for len(stage.pending) > 0 && stage.pending[0].expired(c.now) {
 		first := stage.pending[0]
@@ -164,7 +164,7 @@
 		{batch.compared, func() { c.compareVersions(batch) }},
 		{batch.derived, func() { c.deriveStates(batch.derived) }},
 	}
-	if batch.derivedCameFirst() { // neither kind may starve the other
+	if batch.derivedIsOldest() { // neither kind may starve the other
 		slices.Reverse(parts)
 	}
 	for _, p := range parts {
@@ -176,12 +176,12 @@
 			left = append(left, p.lookups...)
 		}
 	}
-	slices.SortStableFunc(left, func(a, b *lookup) int { return cmp.Compare(a.askedAt, b.askedAt) })
+	slices.SortStableFunc(left, func(a, b *lookup) int { return cmp.Compare(a.requestedAt, b.requestedAt) })
 	return left
 }
 
-func (b *lookupBatch) derivedCameFirst() bool {
-	return len(b.derived) > 0 && (len(b.compared) == 0 || b.derived[0].askedAt < b.compared[0].askedAt)
+func (b *lookupBatch) derivedIsOldest() bool {
+	return len(b.derived) > 0 && (len(b.compared) == 0 || b.derived[0].requestedAt < b.compared[0].requestedAt)
 }
 
 // readSingly reads the records of jobs that are not in the view, as the budget allows.
@@ -193,7 +193,7 @@
 			break // its turn comes with the next batch
 		}
 		stage.pending = stage.pending[1:]
-		stage.sent++
+		stage.inFlight++
 		c.readActive(first)
 	}
 }
--- a/controller/machine_health.go
+++ b/controller/machine_health.go
@@ -87,9 +87,9 @@
 		o.c.now-m.tokenConfirmedAt > o.c.cfg.HeartbeatTimeout()+maxMissedHeartbeats*o.c.cfg.HeartbeatInterval
 }
 
-// overdue tells that so much of the time has passed in which a task on the machine, whose
+// cancellationOverdue tells that so much of the time has passed in which a task on the machine, whose
 // job was cancelled, has to be gone.
-func (o *owner) overdue(m *machine, share float64) bool {
+func (o *owner) cancellationOverdue(m *machine, share float64) bool {
 	limit := micros.Micros(share * float64(o.c.cfg.CancellationDeadline))
 	for _, a := range m.attempts {
 		if a.job.state == jobEnded && a.job.endedAt != 0 && !a.resourcesReleased && o.c.now-a.job.endedAt > limit {
@@ -126,7 +126,7 @@
 		}
 		switch {
 		case m.state == machineDecommissioning:
-			o.terminationNeeded = o.terminationNeeded || o.overdue(m, overdueTerminateFraction)
+			o.terminationNeeded = o.terminationNeeded || o.cancellationOverdue(m, overdueTerminateFraction)
 		case hasBooted(m):
 			o.decommission(m, o.checkRunning(m, fleet))
 		case m.state == machineBooting:
@@ -155,11 +155,11 @@
 
 // mustDecommission tells that a machine is silent with a task that has to be gone before long.
 func (o *owner) mustDecommission(m *machine) bool {
-	if m.state >= machineDecommissioning || !o.overdue(m, overdueDecommissionFraction) {
+	if m.state >= machineDecommissioning || !o.cancellationOverdue(m, overdueDecommissionFraction) {
 		return false
 	}
 	patience := maxMissedHeartbeats * o.c.cfg.HeartbeatInterval
-	if m.agentEpoch == 0 && o.overdue(m, overdueTerminateFraction) {
+	if m.agentEpoch == 0 && o.cancellationOverdue(m, overdueTerminateFraction) {
 		patience = inspectPatience
 	}
 	return o.sinceLastHeartbeat(m) > patience
--- a/controller/machine_requests.go
+++ b/controller/machine_requests.go
@@ -14,9 +14,9 @@
 
 // Least times between two requests of an owner.
 const (
-	machineRequestPause = 2 * micros.Second
-	// arrayRequestPause is the one for arrays, which need machines less urgently than gangs.
-	arrayRequestPause = 8 * micros.Second
+	machineRequestInterval = 2 * micros.Second
+	// arrayRequestInterval is the one for arrays, which need machines less urgently than gangs.
+	arrayRequestInterval = 8 * micros.Second
 )
 
 // requestMachines asks the leader for machines for some tasks of a job. With reclaim, owners
@@ -25,7 +25,7 @@
 	if o.c.cluster.Owners() < 2 || o.c.now < o.nextMachineRequest {
 		return
 	}
-	o.nextMachineRequest = o.c.now + machineRequestPause
+	o.nextMachineRequest = o.c.now + machineRequestInterval
 	request := &peer.Want{
 		Job: job.ID, Team: job.Team, Owner: string(o.c.node.ID()), Tasks: int32(tasks), Priority: int32(job.Priority),
 		Cpu: job.Need.CPU, Gpu: job.Need.GPU, Mem: job.Need.Mem,
--- a/controller/machine_types.go
+++ b/controller/machine_types.go
@@ -23,12 +23,12 @@
 // service too: a node that starts while the cloud does not answer must still be able to accept
 // jobs.
 type machineTypeTable struct {
-	list      []sched.MachineType
-	reading   bool // from the state service or the cloud
-	nextAt    micros.Micros
-	fromCloud bool
-	answer    wire.MachineTypes // of the cloud
-	recorded  bool              // in the state service, by this incarnation of the node
+	list          []sched.MachineType
+	reading       bool // from the state service or the cloud
+	nextAt        micros.Micros
+	fromCloud     bool
+	cloudResponse wire.MachineTypes // of the cloud
+	recorded      bool              // in the state service, by this incarnation of the node
 }
 
 // find returns the type of a name, or nil.
@@ -83,7 +83,7 @@
 		if status != wire.StatusOK || wire.Decode(body, &answer) != nil || len(answer.Types()) == 0 {
 			return
 		}
-		t.list, t.answer, t.fromCloud = answer.Types(), answer, true
+		t.list, t.cloudResponse, t.fromCloud = answer.Types(), answer, true
 		t.nextAt = c.now + machineTypesRefresh
 		c.recordMachineTypes()
 	})
@@ -92,10 +92,10 @@
 // recordMachineTypes keeps the types in the state service, once in an owner's incarnation.
 func (c *Core) recordMachineTypes() {
 	t := &c.types
-	if c.owner == nil || t.recorded || kv.EncodedSizeBound(t.answer) > c.cfg.MaxValueBytes {
+	if c.owner == nil || t.recorded || kv.EncodedSizeBound(t.cloudResponse) > c.cfg.MaxValueBytes {
 		return
 	}
-	write := []kv.Write{{Put: record.MachineTypesKey, Value: t.answer}}
+	write := []kv.Write{{Put: record.MachineTypesKey, Value: t.cloudResponse}}
 	c.store.Do(budget.TaskUpdates, kv.Transaction(c.owner.preconditions(nil), write), func(reply kv.Result) {
 		t.recorded = t.recorded || reply.Outcome == kv.OK
 	})
--- a/controller/owner.go
+++ b/controller/owner.go
@@ -38,8 +38,8 @@
 	jobs        map[string]*job
 	queue       []*job          // active jobs in the order in which they are placed
 	blockedJobs map[string]*job // those that wait for others, which are not among the jobs
-	// cancelled are waiting jobs that are cancelled with one before them, to be recorded.
-	cancelled []string
+	// cascadedCancellations are waiting jobs that are cancelled with one before them, to be recorded.
+	cascadedCancellations []string
 	// unresolvedJobs are jobs that records name, of which it is not known how they ended.
 	unresolvedJobs []*job
 	reservations   map[string]*reservation // by job
--- a/controller/peercalls.go
+++ b/controller/peercalls.go
@@ -43,8 +43,8 @@
 	})
 }
 
-// peerRequest handles a request on the listener for peers.
-func (c *Core) peerRequest(r Request) {
+// handlePeerRequest handles a request on the listener for peers.
+func (c *Core) handlePeerRequest(r Request) {
 	var message peer.Message
 	if r.Method != http.MethodPost || r.Path != peerPath || proto.Unmarshal(r.Body, &message) != nil {
 		c.respond(r.ID, wire.StatusBadRequest, nil)
@@ -78,11 +78,11 @@
 		c.respond(request, wire.StatusBadRequest, nil)
 		return
 	}
-	c.answerPeer(request, &peer.Message{})
+	c.respondToPeer(request, &peer.Message{})
 }
 
-// answerPeer answers a peer's message with another.
-func (c *Core) answerPeer(request uint64, message *peer.Message) {
+// respondToPeer answers a peer's message with another.
+func (c *Core) respondToPeer(request uint64, message *peer.Message) {
 	message.From = c.cfg.Node
 	data, err := proto.Marshal(message)
 	if err != nil {
--- a/controller/peers.go
+++ b/controller/peers.go
@@ -63,7 +63,7 @@
 		grant := cancellation.Grant{
 			Period: micros.Micros(answer.PromiseUs), SinceUserAcknowledged: micros.Micros(answer.ToldAgoUs),
 		}
-		c.cancellations.ApplyGrant(p.Node, grant, sentAt, c.readUntil(), c.now)
+		c.cancellations.ApplyGrant(p.Node, grant, sentAt, c.cancellationsKnownUntil(), c.now)
 	})
 }
 
@@ -74,7 +74,7 @@
 	answer := c.newPeerHeartbeat(p)
 	grant := c.cancellations.Grant(p.Node, c.now)
 	answer.PromiseUs, answer.ToldAgoUs = uint64(grant.Period), uint64(grant.SinceUserAcknowledged)
-	c.answerPeer(request, &peer.Message{Body: &peer.Message_Beat{Beat: answer}})
+	c.respondToPeer(request, &peer.Message{Body: &peer.Message_Beat{Beat: answer}})
 }
 
 // newPeerHeartbeat returns what a peer must know of this node.
--- a/controller/queries.go
+++ b/controller/queries.go
@@ -5,8 +5,8 @@
 	"tamarindlead/micros"
 )
 
-// query handles a user's question for the state of a job.
-func (c *Core) query(r userRequest, job string) {
+// handleQuery handles a user's question for the state of a job.
+func (c *Core) handleQuery(r userRequest, job string) {
 	if !wire.ValidJobID(job) {
 		c.reject(r.id, wire.StatusNotFound, reasonNoSuchJob)
 		return
@@ -14,9 +14,9 @@
 	c.lookup(job, func(result lookupResult) {
 		switch result.outcome {
 		case lookupNotFound:
-			c.answerNeverAccepted(r, job, noSuchJob(), result.evidence)
+			c.respondNeverAccepted(r, job, noSuchJob(), result.evidence)
 		case lookupFound:
-			c.answerQuery(r, job, result)
+			c.respondQuery(r, job, result)
 		default:
 			c.refuse(r.id, wire.StatusUnavailable, reasonKVUnresponsive)
 		}
--- a/controller/refusals.go
+++ b/controller/refusals.go
@@ -9,13 +9,13 @@
 const (
 	reasonIsolated       refusalReason = "reaches neither the state service nor a peer"
 	reasonKVUnresponsive refusalReason = "state service does not answer"
-	reasonStoreRefuses   refusalReason = "state service refuses"
+	reasonKVRefuses      refusalReason = "state service refuses"
 	reasonTypesUnknown   refusalReason = "machine types are not known yet"
 	reasonJobsUnknown    refusalReason = "the jobs are not known yet"
 	reasonUnacknowledged refusalReason = "a controller has not confirmed yet"
 
-	reasonManySubmissions   refusalReason = "too many submissions wait"
-	reasonManyCancellations refusalReason = "too many cancellations"
+	reasonTooManySubmissions   refusalReason = "too many submissions wait"
+	reasonTooManyCancellations refusalReason = "too many cancellations"
 )
 
 // Why a submission is never accepted.
@@ -37,11 +37,13 @@
 	reason refusalReason
 }
 
-// neverRuns refuses a submission for good.
-func neverRuns(reason refusalReason) *refusal { return &refusal{wire.StatusUnprocessable, reason} }
+// permanentRefusal refuses a submission for good.
+func permanentRefusal(reason refusalReason) *refusal {
+	return &refusal{wire.StatusUnprocessable, reason}
+}
 
-// unavailable refuses a request for now.
-func unavailable(reason refusalReason) *refusal { return &refusal{wire.StatusUnavailable, reason} }
+// temporaryRefusal refuses a request for now.
+func temporaryRefusal(reason refusalReason) *refusal { return &refusal{wire.StatusUnavailable, reason} }
 
 // isPermanent tells that the same request would always be refused.
 func (r *refusal) isPermanent() bool { return r.status != wire.StatusUnavailable }
--- a/controller/rentals.go
+++ b/controller/rentals.go
@@ -219,7 +219,7 @@
 	var names []string
 	for _, name := range sortedKeys(o.machines) {
 		m := o.machines[name]
-		due := m.state == machineTerminating || m.state == machineDecommissioning && o.overdue(m, overdueTerminateFraction)
+		due := m.state == machineTerminating || m.state == machineDecommissioning && o.cancellationOverdue(m, overdueTerminateFraction)
 		if due && len(names) < maxTerminationsPerCall && o.mayTerminate(m) {
 			names = append(names, name)
 		}
--- a/controller/routes.go
+++ b/controller/routes.go
@@ -17,35 +17,35 @@
 // PathHeartbeat is where workers report.
 const PathHeartbeat = wire.PathHeartbeat
 
-// request routes an inbound request to its handler.
-func (c *Core) request(r Request) {
+// routeRequest routes an inbound request to its handler.
+func (c *Core) routeRequest(r Request) {
 	if r.Peer {
-		c.peerRequest(r)
+		c.handlePeerRequest(r)
 		return
 	}
 	switch r.Path {
 	case pathUp:
-		c.handle(r, http.MethodGet, func() { c.answerUp(r.ID) })
+		c.handle(r, http.MethodGet, func() { c.handleHealthCheck(r.ID) })
 	case PathHeartbeat:
 		c.handle(r, http.MethodPost, func() { c.handleHeartbeat(r) })
 	case pathJobs:
-		c.handle(r, http.MethodPost, func() { c.submit(r) })
+		c.handle(r, http.MethodPost, func() { c.handleSubmission(r) })
 	default:
-		c.jobRequest(r)
+		c.routeJobRequest(r)
 	}
 }
 
-// jobRequest routes a request whose path names a job.
-func (c *Core) jobRequest(r Request) {
+// routeJobRequest routes a request whose path names a job.
+func (c *Core) routeJobRequest(r Request) {
 	rest, found := strings.CutPrefix(r.Path, pathJobs+"/")
 	job, cancel := strings.CutSuffix(rest, cancelSuffix)
 	switch {
 	case !found || strings.Contains(job, "/"):
 		c.respond(r.ID, wire.StatusNotFound, wire.ErrorResponse{Error: "no such path"})
 	case cancel:
-		c.handle(r, http.MethodPost, func() { c.cancel(c.requestOf(r), job) })
+		c.handle(r, http.MethodPost, func() { c.cancel(c.newUserRequest(r), job) })
 	default:
-		c.handle(r, http.MethodGet, func() { c.query(c.requestOf(r), job) })
+		c.handle(r, http.MethodGet, func() { c.handleQuery(c.newUserRequest(r), job) })
 	}
 }
 
@@ -58,8 +58,8 @@
 	handler()
 }
 
-// answerUp tells whether this node can serve anybody.
-func (c *Core) answerUp(request uint64) {
+// handleHealthCheck tells whether this node can serve anybody.
+func (c *Core) handleHealthCheck(request uint64) {
 	if c.isolated() {
 		c.refuse(request, wire.StatusUnavailable, reasonIsolated)
 		return
--- a/controller/scale.go
+++ b/controller/scale.go
@@ -142,7 +142,7 @@
 		o.requestScaleOut(request)
 	}
 	for _, shortage := range plan.Shortages {
-		o.requestForArray(shortage)
+		o.requestMachinesForArray(shortage)
 	}
 	for _, drain := range plan.Drains {
 		m := o.machines[drain.Machine]
@@ -153,13 +153,13 @@
 	}
 }
 
-// requestForArray asks other owners for machines: nothing can be rented for an array, but
+// requestMachinesForArray asks other owners for machines: nothing can be rented for an array, but
 // what they have idle may serve.
-func (o *owner) requestForArray(shortage autoscaler.Shortage) {
+func (o *owner) requestMachinesForArray(shortage autoscaler.Shortage) {
 	if o.c.now < o.nextArrayRequest {
 		return
 	}
-	o.nextArrayRequest = o.c.now + arrayRequestPause
+	o.nextArrayRequest = o.c.now + arrayRequestInterval
 	o.requestMachines(shortage.Job, shortage.Tasks, false)
 }
 
--- a/controller/store.go
+++ b/controller/store.go
@@ -52,7 +52,7 @@
 func (c *Core) relay(id uint64, call *peer.StoreCall) {
 	request := kv.Request{Method: call.Method, Target: call.Target, Body: call.Body}
 	c.store.Relay(request, func(r kv.Response) {
-		c.answerPeer(id, &peer.Message{Body: &peer.Message_StoreReply{StoreReply: &peer.StoreReply{
+		c.respondToPeer(id, &peer.Message{Body: &peer.Message_StoreReply{StoreReply: &peer.StoreReply{
 			Status: uint32(r.Status), Body: r.Body,
 		}}})
 	})
--- a/controller/submissions.go
+++ b/controller/submissions.go
@@ -14,12 +14,12 @@
 // Bounds of the stage of submissions. What is beyond them is refused at once, so that the
 // waiting happens with the users.
 const (
-	maxSubmissions = 128           // that wait for their commit
-	acceptWithin   = micros.Second // a submission is given up after this
+	maxPendingSubmissions = 128           // that wait for their commit
+	submissionTimeout     = micros.Second // a submission is given up after this
 )
 
-// submissions is the stage of submissions that wait to be recorded.
-type submissions struct {
+// submissionQueue is the stage of submissions that wait to be recorded.
+type submissionQueue struct {
 	c                    *Core
 	pending              []*submission
 	byJob                map[string]*submission
@@ -33,7 +33,7 @@
 	job        *sched.Job
 	requests   []userRequest
 	receivedAt micros.Micros
-	writes     int // that its records take
+	writeCount int // that its records take
 	// dependenciesReadAt is when the jobs that it awaits were last looked up, 0: they were not.
 	dependenciesReadAt micros.Micros
 	// status is what users are told once it is accepted. It may be cancelled already, with a
@@ -42,12 +42,12 @@
 	cancelledRoot string
 }
 
-func newSubmissions(c *Core) submissions {
-	return submissions{c: c, byJob: map[string]*submission{}}
+func newSubmissionQueue(c *Core) submissionQueue {
+	return submissionQueue{c: c, byJob: map[string]*submission{}}
 }
 
-// submit handles the submission of a job.
-func (c *Core) submit(r Request) {
+// handleSubmission handles the submission of a job.
+func (c *Core) handleSubmission(r Request) {
 	job, err := wire.DecodeJob(r.Body)
 	if err != nil {
 		c.log.Info("submission refused as malformed", "error", err)
@@ -68,25 +68,25 @@
 		refused = &refusal{wire.StatusBadRequest, reasonTooLong}
 	}
 	if refused != nil {
-		c.refuseSubmission(c.requestOf(r), job.ID, refused)
+		c.refuseSubmission(c.newUserRequest(r), job.ID, refused)
 		return
 	}
-	c.submissions.add(c.requestOf(r), job, len(writes))
+	c.submissions.add(c.newUserRequest(r), job, len(writes))
 }
 
 // refuseSubmission refuses a submission for good, unless the job is known: the types on offer,
 // and the limits, may have changed since it was accepted.
 func (c *Core) refuseSubmission(r userRequest, job string, refused *refusal) {
-	c.lookup(job, func(result lookupResult) { c.answerLookedUp(r, job, result, refused) })
+	c.lookup(job, func(result lookupResult) { c.respondWithLookup(r, job, result, refused) })
 }
 
-// answerLookedUp answers a submission by what was found out about its job, and else refuses it.
-func (c *Core) answerLookedUp(r userRequest, job string, result lookupResult, refused *refusal) {
+// respondWithLookup answers a submission by what was found out about its job, and else refuses it.
+func (c *Core) respondWithLookup(r userRequest, job string, result lookupResult, refused *refusal) {
 	switch {
 	case result.outcome == lookupFound:
-		c.answerSubmission(r, wire.StatusOK, job, result.status, result.evidence)
+		c.respondSubmission(r, wire.StatusOK, job, result.status, result.evidence)
 	case result.outcome == lookupNotFound && refused.isPermanent():
-		c.answerNeverAccepted(r, job, refused, result.evidence)
+		c.respondNeverAccepted(r, job, refused, result.evidence)
 	case refused.isPermanent():
 		c.refuse(r.id, wire.StatusUnavailable, reasonKVUnresponsive)
 	default:
@@ -103,17 +103,17 @@
 func (c *Core) unplaceable(job *sched.Job) *refusal {
 	team, ok := c.cfg.Team(job.Team)
 	if !ok {
-		return neverRuns(reasonUnknownTeam)
+		return permanentRefusal(reasonUnknownTeam)
 	}
 	if !job.FitsAny(c.types.list) {
-		return neverRuns(reasonFitsNoType)
+		return permanentRefusal(reasonFitsNoType)
 	}
 	need := job.Need
 	if job.Gang {
 		need = need.Times(job.Tasks)
 	}
 	if !withinLimit(need, team.QuotaLimit) {
-		return neverRuns(reasonAboveTeamLimit)
+		return permanentRefusal(reasonAboveTeamLimit)
 	}
 	return nil
 }
@@ -124,16 +124,16 @@
 
 // add takes a submission, or adds the request to that of the same job. Whether what answers that
 // one may also answer the request is decided once the answer is there: see answer.
-func (s *submissions) add(request userRequest, job *sched.Job, writes int) {
+func (s *submissionQueue) add(request userRequest, job *sched.Job, writes int) {
 	if known := s.byJob[job.ID]; known != nil {
 		known.requests = append(known.requests, request)
 		return
 	}
-	if len(s.pending)+s.checkingDependencies >= maxSubmissions {
-		s.c.refuse(request.id, wire.StatusTooManyRequests, reasonManySubmissions)
+	if len(s.pending)+s.checkingDependencies >= maxPendingSubmissions {
+		s.c.refuse(request.id, wire.StatusTooManyRequests, reasonTooManySubmissions)
 		return
 	}
-	added := &submission{job: job, requests: []userRequest{request}, receivedAt: s.c.now, writes: writes, status: wire.JobQueued}
+	added := &submission{job: job, requests: []userRequest{request}, receivedAt: s.c.now, writeCount: writes, status: wire.JobQueued}
 	s.byJob[job.ID] = added
 	if len(job.Dependencies) > 0 {
 		s.checkDependencies(added)
@@ -144,35 +144,35 @@
 
 // checkDependencies checks that all jobs that a submission awaits were accepted, and how they stand.
 // That a job was accepted is final, so a read before the commit suffices.
-func (s *submissions) checkDependencies(sub *submission) {
+func (s *submissionQueue) checkDependencies(sub *submission) {
 	c, id := s.c, sub.job.ID
 	switch {
 	case slices.Contains(sub.job.Dependencies, id):
-		s.answerKnownOr(sub, neverRuns(reasonDependsOnItself))
+		s.answerDuplicateOrRefuse(sub, permanentRefusal(reasonDependsOnItself))
 		return
 	case c.terminalStates.of(id) != "" || c.knownVersion(id) != 0:
-		s.answerKnownOr(sub, unavailable(reasonKVUnresponsive))
+		s.answerDuplicateOrRefuse(sub, temporaryRefusal(reasonKVUnresponsive))
 		return
 	case !c.graph.IsSynced():
-		s.answerKnownOr(sub, unavailable(reasonJobsUnknown))
+		s.answerDuplicateOrRefuse(sub, temporaryRefusal(reasonJobsUnknown))
 		return
 	}
 	s.checkingDependencies++
 	sub.dependenciesReadAt = c.now
-	c.checkDependencies(sub.job.Dependencies, c.now+acceptWithin, func(result dependencyResult) {
+	c.checkDependencies(sub.job.Dependencies, c.now+submissionTimeout, func(result dependencyResult) {
 		s.checkingDependencies--
 		s.dependenciesChecked(sub, result)
 	})
 }
 
 // dependenciesChecked goes on once it is known how the jobs stand that a submission awaits.
-func (s *submissions) dependenciesChecked(sub *submission, result dependencyResult) {
+func (s *submissionQueue) dependenciesChecked(sub *submission, result dependencyResult) {
 	switch result.status {
 	case dependenciesUnknown:
-		s.answerKnownOr(sub, unavailable(reasonKVUnresponsive))
+		s.answerDuplicateOrRefuse(sub, temporaryRefusal(reasonKVUnresponsive))
 		return
 	case dependenciesNeverAccepted:
-		s.answerKnownOr(sub, neverRuns(reasonDependencyNotAccepted))
+		s.answerDuplicateOrRefuse(sub, permanentRefusal(reasonDependencyNotAccepted))
 		return
 	case dependenciesCancelled:
 		sub.status, sub.cancelledRoot = wire.JobCancelled, result.cancelledRoot
@@ -180,11 +180,11 @@
 	s.pending = append(s.pending, sub)
 }
 
-// answerKnownOr answers a submission with the state of the job if it was accepted before,
+// answerDuplicateOrRefuse answers a submission with the state of the job if it was accepted before,
 // whatever became of those that it awaits, and else with a refusal.
-func (s *submissions) answerKnownOr(sub *submission, refused *refusal) {
+func (s *submissionQueue) answerDuplicateOrRefuse(sub *submission, refused *refusal) {
 	s.c.lookup(sub.job.ID, func(result lookupResult) {
-		answer := func(r userRequest) { s.c.answerLookedUp(r, sub.job.ID, result, refused) }
+		answer := func(r userRequest) { s.c.respondWithLookup(r, sub.job.ID, result, refused) }
 		if result.outcome == lookupFailed {
 			s.finish(sub, answer)
 			return
@@ -200,11 +200,11 @@
 // answer ends a submission whose requests are answered by what the evidence shows. Requests
 // that joined it too late for that, after the read or commit was sent, are looked up by
 // themselves: meanwhile another node may have told users something newer.
-func (s *submissions) answer(sub *submission, evidence freshness.Evidence, answer func(r userRequest)) {
+func (s *submissionQueue) answer(sub *submission, evidence freshness.Evidence, answer func(r userRequest)) {
 	job := sub.job.ID
 	var late []userRequest
 	s.finish(sub, func(r userRequest) {
-		if s.c.mayAnswer(r, job, evidence) {
+		if s.c.mayRespond(r, job, evidence) {
 			answer(r)
 		} else {
 			late = append(late, r)
@@ -215,20 +215,20 @@
 	}
 	s.c.lookup(job, func(result lookupResult) {
 		for _, r := range late {
-			s.c.answerLookedUp(r, job, result, unavailable(reasonKVUnresponsive))
+			s.c.respondWithLookup(r, job, result, temporaryRefusal(reasonKVUnresponsive))
 		}
 	})
 }
 
 // finish ends a submission: all its requests are answered.
-func (s *submissions) finish(sub *submission, answer func(r userRequest)) {
+func (s *submissionQueue) finish(sub *submission, answer func(r userRequest)) {
 	delete(s.byJob, sub.job.ID)
 	for _, r := range sub.requests {
 		answer(r)
 	}
 }
 
-// refuseAll ends a submission that cannot be recorded now.
-func (s *submissions) refuseAll(sub *submission, reason refusalReason) {
+// refuseRequests ends a submission that cannot be recorded now.
+func (s *submissionQueue) refuseRequests(sub *submission, reason refusalReason) {
 	s.finish(sub, func(r userRequest) { s.c.refuse(r.id, wire.StatusUnavailable, reason) })
 }
--- a/controller/task_exits.go
+++ b/controller/task_exits.go
@@ -12,8 +12,8 @@
 	maxErrorPause = 60 * micros.Second
 	// maxErrorDoublings keeps the doubled pause from overflowing.
 	maxErrorDoublings = 8
-	// refusalPause is how long nothing is placed on a machine that refused a start.
-	refusalPause = 5 * micros.Second
+	// startRefusalQuarantine is how long nothing is placed on a machine that refused a start.
+	startRefusalQuarantine = 5 * micros.Second
 	// maxFaultyMachines is the number of machines on which a job may fail before the job
 	// itself is taken to be at fault.
 	maxFaultyMachines = 2
@@ -31,7 +31,7 @@
 	case wire.CauseUnknownTask:
 		o.failed(a, false)
 	case wire.CauseInsufficientResources, wire.CauseBusy:
-		a.machine.pausedTo = o.c.now + refusalPause
+		a.machine.pausedTo = o.c.now + startRefusalQuarantine
 	}
 	o.c.log.Info("task ended", "task", task.Task, "machine", a.machine.name, "cause", task.Cause,
 		"saved", task.Checkpointed, "why", a.why)
--- a/controller/users_test.go
+++ b/controller/users_test.go
@@ -70,7 +70,7 @@
 	}
 }
 
-// checkAnswer holds what a user is told against what was told before the question was sent.
+// checkResponse holds what a user is told against what was told before the question was sent.
 // Questions that cross may be answered in any order; two final states never differ.
 func (w *world) checkAnswer(id string, r Respond, sent micros.Micros) {
 	switch r.Status {
--- a/controller/waiting.go
+++ b/controller/waiting.go
@@ -23,7 +23,7 @@
 	switch waiting := o.c.graph.Blocked(j.ID); {
 	case waiting == nil: // its record is gone already; the watch will tell
 	case waiting.Cancelled():
-		o.queueCancelled(j.ID)
+		o.queueCascadedCancellation(j.ID)
 	case waiting.Ready():
 		o.jobReady(waiting)
 	}
@@ -56,12 +56,12 @@
 	return o.jobs[id]
 }
 
-// queueCancelled notes that a waiting job is cancelled with one before it, which must be
+// queueCascadedCancellation notes that a waiting job is cancelled with one before it, which must be
 // recorded. Users are told by what the records before it say, recorded or not.
-func (o *owner) queueCancelled(id string) {
+func (o *owner) queueCascadedCancellation(id string) {
 	if j := o.blockedJobs[id]; j != nil && !j.cancelQueued {
 		j.cancelQueued = true
-		o.cancelled = append(o.cancelled, id)
+		o.cascadedCancellations = append(o.cascadedCancellations, id)
 	}
 }
 
@@ -89,22 +89,22 @@
 // flushCascadedCancellations records jobs that are cancelled with one before them, a few with each
 // commit: nobody waits for it.
 func (o *owner) flushCascadedCancellations(t *transaction, full func() bool) {
-	for len(o.cancelled) > 0 && !full() {
-		id := o.cancelled[0]
-		o.cancelled = o.cancelled[1:]
+	for len(o.cascadedCancellations) > 0 && !full() {
+		id := o.cascadedCancellations[0]
+		o.cascadedCancellations = o.cascadedCancellations[1:]
 		j, waiting := o.blockedJobs[id], o.c.graph.Blocked(id)
 		if j == nil {
 			continue
 		}
 		j.cancelQueued = false
 		if waiting != nil && waiting.Cancelled() && !j.unsure {
-			o.recordCancelled(t, j, waiting.CancelledRoot)
+			o.recordCascadedCancellation(t, j, waiting.CancelledRoot)
 		}
 	}
 }
 
-// recordCancelled adds to a commit that a waiting job is cancelled with one before it.
-func (o *owner) recordCancelled(t *transaction, j *job, root string) {
+// recordCascadedCancellation adds to a commit that a waiting job is cancelled with one before it.
+func (o *owner) recordCascadedCancellation(t *transaction, j *job, root string) {
 	j.writing = true
 	t.preconditions[record.ActiveJobKey(j.ID)] = j.version
 	t.writes = append(t.writes, kv.Write{Delete: record.ActiveJobKey(j.ID)})
@@ -114,7 +114,7 @@
 		switch {
 		case o.blockedJobs[j.ID] != j:
 		case !ok:
-			o.queueCancelled(j.ID)
+			o.queueCascadedCancellation(j.ID)
 		default:
 			o.c.log.Info("job cancelled with one before it", "job", j.ID, "before", root)
 			o.removeBlockedJob(j)
@@ -154,7 +154,7 @@
 		}
 		o.c.after(recheckDelay, func() {
 			if waiting := o.c.graph.Blocked(j.ID); !o.superseded() && waiting != nil && waiting.Cancelled() {
-				o.queueCancelled(j.ID)
+				o.queueCascadedCancellation(j.ID)
 			}
 		})
 	})
