--- a/controller/announcements.go
+++ b/controller/announcements.go
@@ -24,7 +24,7 @@
 func (h cancellationHost) JobEnded(job string) {
 	h.c.graph.ForgetVersion(job)
 	if h.c.owner != nil {
-		h.c.owner.jobRemoved(job, h.c.now)
+		h.c.owner.handleJobRemoved(job, h.c.now)
 	}
 }
 
--- a/controller/attempt.go
+++ b/controller/attempt.go
@@ -10,13 +10,13 @@
 type attemptState int
 
 const (
-	attemptAssumed  attemptState = iota // not recorded yet
-	attemptRecorded                     // recorded: may be started
-	attemptOrdered                      // a start was sent, or may have been
-	attemptLive                         // the machine has it
-	attemptStopping                     // must stop
-	attemptFinished                     // done, which is not recorded yet
-	attemptLeaving                      // off the machine, which is not recorded yet
+	attemptAssumed   attemptState = iota // not recorded yet
+	attemptRecorded                      // recorded: may be started
+	attemptStarting                      // a start was sent, or may have been
+	attemptLive                          // the machine has it
+	attemptStopping                      // must stop
+	attemptCompleted                     // done, which is not recorded yet
+	attemptRemoving                      // off the machine, which is not recorded yet
 	attemptClosed
 )
 
@@ -64,11 +64,11 @@
 // mayStart tells whether the attempt's job wants it started: a gang only once all of its
 // places are recorded.
 func (a *attempt) mayStart() bool {
-	return a.job.state == jobActive && (!a.job.Gang || a.job.gang == gangStarting)
+	return a.job.state == jobActive && (!a.job.Gang || a.job.gangState == gangStarting)
 }
 
-// setAttempt is the one place where an attempt changes its state.
-func (o *owner) setAttempt(a *attempt, s attemptState) {
+// setAttemptState is the one place where an attempt changes its state.
+func (o *owner) setAttemptState(a *attempt, s attemptState) {
 	if a.state == s || a.state == attemptClosed {
 		return
 	}
@@ -91,12 +91,12 @@
 		}
 	}
 	switch s {
-	case attemptLeaving:
+	case attemptRemoving:
 		o.releaseResources(a)
 		o.markDirty(a.machine)
-	case attemptFinished:
+	case attemptCompleted:
 		o.releaseResources(a)
-		a.job.setTask(a.index, taskDone)
+		a.job.setTaskState(a.index, taskDone)
 		if !a.job.Gang { // a gang is done as a whole, which its final record tells
 			a.job.noteFinished(a)
 			o.segmentFor(a.job, a.index/record.TasksPerChunk).markDirty(o.c.now)
@@ -160,12 +160,12 @@
 	if j.attempts[a.index] == a {
 		delete(j.attempts, a.index)
 		if a.index < j.Tasks {
-			j.setTask(a.index, taskPending)
+			j.setTaskState(a.index, taskPending)
 		}
 	}
 	if len(j.attempts) == 0 {
 		j.idleSince = o.c.now
-		o.setGang(j, gangNone)
+		o.setGangState(j, gangNone)
 		if j.state == jobEnded {
 			delete(o.jobs, j.ID)
 		}
@@ -184,7 +184,7 @@
 	}
 	j.attempts[index] = a
 	if index < j.Tasks {
-		j.setTask(index, taskPlaced)
+		j.setTaskState(index, taskPlaced)
 	}
 	if s == attemptAssumed {
 		o.countAssumed(j, 1)
@@ -199,16 +199,16 @@
 		// Its commit may be under way; if so it is recorded first and leaves then.
 		a.why = why
 		if !a.machine.block.writing {
-			o.setAttempt(a, attemptClosed)
+			o.setAttemptState(a, attemptClosed)
 		} else {
-			o.setAttempt(a, attemptLeaving)
+			o.setAttemptState(a, attemptRemoving)
 		}
 	case attemptRecorded:
 		a.why = why
-		o.setAttempt(a, attemptLeaving)
-	case attemptOrdered, attemptLive:
+		o.setAttemptState(a, attemptRemoving)
+	case attemptStarting, attemptLive:
 		a.why, a.grace = why, grace
-		o.setAttempt(a, attemptStopping)
+		o.setAttemptState(a, attemptStopping)
 		o.queueDispatch(a.machine)
 	case attemptStopping:
 		a.grace = min(a.grace, grace)
@@ -217,8 +217,8 @@
 
 // stopJob ends everything that a job has on machines.
 func (o *owner) stopJob(j *job, grace micros.Micros, why string) {
-	if j.gang != gangNone {
-		o.setGang(j, gangStopping)
+	if j.gangState != gangNone {
+		o.setGangState(j, gangStopping)
 	}
 	for _, a := range j.sorted() {
 		o.stop(a, grace, why)
--- a/controller/bench_test.go
+++ b/controller/bench_test.go
@@ -35,7 +35,7 @@
 	}
 	for i := range benchMachines {
 		m := o.newMachine(machineInfo{fmt.Sprintf("m-%06d", i), "mid", o.c.cfg.Zones[i%2], i%3 == 0, "worker"})
-		m.fencingToken, m.agentEpoch, m.tokenConfirmed, m.tokenConfirmedAt, m.lastHeartbeat, m.state = 1, 1, true, o.c.now, o.c.now, machineUp
+		m.fencingToken, m.agentEpoch, m.tokenConfirmed, m.tokenConfirmedAt, m.lastHeartbeat, m.state = 1, 1, true, o.c.now, o.c.now, machineReady
 		for n := range benchTasks {
 			at := i*benchTasks + n
 			j := o.queue[at/100]
@@ -94,7 +94,7 @@
 func (s *ownerStore) Watch(string, uint64, func(micros.Micros, kv.Result)) {}
 
 func benchReport(m *machine, seq uint64) []byte {
-	r := wire.Heartbeat{Machine: m.name, Endpoint: m.endpoint, Type: m.kind, Zone: m.zone, Spot: m.spot, AgentEpoch: 1, HeartbeatSeq: seq, FencingToken: 1}
+	r := wire.Heartbeat{Machine: m.name, Endpoint: m.endpoint, Type: m.machineType, Zone: m.zone, Spot: m.spot, AgentEpoch: 1, HeartbeatSeq: seq, FencingToken: 1}
 	for _, a := range m.sorted() {
 		r.Tasks = append(r.Tasks, wire.TaskStatus{Task: wire.TaskName(a.job.ID, a.index), Attempt: a.number, Phase: wire.PhaseRunning})
 	}
@@ -131,7 +131,7 @@
 		for _, j := range o.queue {
 			for _, a := range j.sorted() {
 				if a.state == attemptAssumed {
-					o.setAttempt(a, attemptClosed)
+					o.setAttemptState(a, attemptClosed)
 					n++
 				}
 			}
--- a/controller/block_split.go
+++ b/controller/block_split.go
@@ -50,7 +50,7 @@
 	o.c.log.Error("a machine's entry fits no value", "machine", m.name, "bytes", size, "most", o.c.cfg.MaxValueBytes, "tasks", len(m.attempts))
 	leaseEnded := o.c.now-b.dirtySince > o.c.cfg.WorkerLease+o.c.cfg.HeartbeatTimeout()
 	if m.fencingToken == 0 && m.state < machineTerminating && leaseEnded {
-		o.setMachine(m, machineTerminating, "its entry fits no value")
+		o.setMachineState(m, machineTerminating, "its entry fits no value")
 	}
 }
 
--- a/controller/block_write.go
+++ b/controller/block_write.go
@@ -21,8 +21,8 @@
 	data          *record.BlockData
 	preconditions map[string]uint64
 	// kinds and jobs are indexes in the lists of the data.
-	kinds map[autoscaler.Offer]int
-	jobs  map[string]int
+	kinds      map[autoscaler.Offer]int
+	jobIndexes map[string]int
 	// maxTransfers is how many machines may be transferred: each takes a write of its own.
 	maxTransfers int
 
@@ -63,7 +63,7 @@
 		owner: o, block: b, maxTransfers: room - 1,
 		data:          &record.BlockData{LaunchTimeBase: int64(o.c.wallClock), AttemptBase: math.MaxUint64},
 		preconditions: map[string]uint64{record.BlockKey(b.name): b.version},
-		kinds:         map[autoscaler.Offer]int{}, jobs: map[string]int{},
+		kinds:         map[autoscaler.Offer]int{}, jobIndexes: map[string]int{},
 	}
 	if b.hasUnclaimed() {
 		o.addOwnTeamPreconditions(w.preconditions)
@@ -162,7 +162,7 @@
 func (w *blockWrite) addAttempts(m *machine) []record.BlockTask {
 	var tasks []record.BlockTask
 	for _, a := range m.recordOrder() {
-		if a.state == attemptLeaving {
+		if a.state == attemptRemoving {
 			w.leaving = append(w.leaving, a)
 			continue
 		}
@@ -193,17 +193,17 @@
 	if !ok {
 		i = len(w.data.MachineTypes)
 		w.kinds[offer] = i
-		w.data.MachineTypes = append(w.data.MachineTypes, record.BlockMachineType{Type: m.kind, Zone: m.zone, Spot: m.spot})
+		w.data.MachineTypes = append(w.data.MachineTypes, record.BlockMachineType{Type: m.machineType, Zone: m.zone, Spot: m.spot})
 	}
 	return i
 }
 
 // jobIndex returns the index of a job in the record.
 func (w *blockWrite) jobIndex(j *job) int {
-	i, ok := w.jobs[j.ID]
+	i, ok := w.jobIndexes[j.ID]
 	if !ok {
 		i = len(w.data.Jobs)
-		w.jobs[j.ID] = i
+		w.jobIndexes[j.ID] = i
 		w.data.Jobs = append(w.data.Jobs, record.BlockJob{
 			ID: j.ID, Team: j.Team, Tasks: j.Tasks, CPU: j.Need.CPU, GPU: j.Need.GPU, Mem: j.Need.Mem,
 		})
@@ -278,7 +278,7 @@
 	o := w.owner
 	for _, m := range w.decommissioning {
 		if m.state == machineDecommissioning {
-			o.setMachine(m, machineTerminating, "recorded")
+			o.setMachineState(m, machineTerminating, "recorded")
 		}
 	}
 	for _, m := range w.claimed {
@@ -289,7 +289,7 @@
 		o.claimed(m, revision)
 	}
 	for _, a := range w.leaving {
-		o.setAttempt(a, attemptClosed)
+		o.setAttemptState(a, attemptClosed)
 	}
 	for _, a := range w.assumed {
 		o.recorded(a)
@@ -315,7 +315,7 @@
 // mustBeWritten tells whether a machine's state or an attempt on it waits for the record.
 func (m *machine) mustBeWritten() bool {
 	for _, a := range m.attempts {
-		if a.state == attemptAssumed || a.state == attemptLeaving {
+		if a.state == attemptAssumed || a.state == attemptRemoving {
 			return true
 		}
 	}
--- a/controller/blocks.go
+++ b/controller/blocks.go
@@ -24,8 +24,8 @@
 	newJobBytes = 40
 	// defaultTasksPerMachine is how many tasks a machine gets while no job is known.
 	defaultTasksPerMachine = 16
-	// machineFill is the part of a value that a block may take when machines are added to it.
-	machineFill = 0.7
+	// maxFillForMachines is the part of a value that a block may take when machines are added to it.
+	maxFillForMachines = 0.7
 	// taskFill is the part of a value that a block may take when tasks are placed on its machines.
 	taskFill = 0.85
 	// slotShares is among how many machines the free bytes of a block are divided, at most:
@@ -73,7 +73,7 @@
 		if n := len(b.machines); n == 0 || n >= most || b.forOneMachine() {
 			continue
 		}
-		if first := b.machines[0]; first.kind == kind && first.zone == zone {
+		if first := b.machines[0]; first.machineType == kind && first.zone == zone {
 			return b
 		}
 	}
@@ -89,7 +89,7 @@
 			tasks = n
 		}
 	}
-	fillBytes := int(float64(o.c.cfg.MaxValueBytes) * machineFill)
+	fillBytes := int(float64(o.c.cfg.MaxValueBytes) * maxFillForMachines)
 	fitting := fillBytes / (machineEntryBytes + tasks*taskEntryBytes)
 	return min(max(1, fitting), maxBlockMachines)
 }
@@ -155,7 +155,7 @@
 		return
 	}
 	m := b.machines[0]
-	target := o.blockFor(m.kind, m.zone)
+	target := o.blockFor(m.machineType, m.zone)
 	settled := m.fencingToken != 0 && m.fencing == fencingNone && !m.verifying && m.state < machineTransferring
 	if !settled || target.writing {
 		return
--- a/controller/claims.go
+++ b/controller/claims.go
@@ -35,7 +35,7 @@
 	m.fencingToken, m.tokenConfirmed = revision, false
 	m.tokenConfirmedAt = max(m.tokenConfirmedAt, o.c.now)
 	if m.fencing == fencingNeeded {
-		o.setFence(m, fencingPending)
+		o.setFencingState(m, fencingPending)
 	}
 	o.answerDeferredHeartbeat(m)
 }
--- a/controller/cloud_list.go
+++ b/controller/cloud_list.go
@@ -108,7 +108,7 @@
 			return
 		}
 		m = o.adopt(machineInfo{
-			name: entry.Name, kind: entry.Type, zone: entry.Zone, spot: entry.Spot, endpoint: entry.Endpoint,
+			name: entry.Name, machineType: entry.Type, zone: entry.Zone, spot: entry.Spot, endpoint: entry.Endpoint,
 		})
 		m.rented = o.c.wallClock - micros.FromSeconds(entry.AgeS)
 	}
--- a/controller/commands.go
+++ b/controller/commands.go
@@ -37,7 +37,7 @@
 	}
 	reported, commands := o.commandsForReportedTasks(m)
 	for _, a := range m.sorted() {
-		if a.state == attemptOrdered && a.job.state == jobEnded {
+		if a.state == attemptStarting && a.job.state == jobEnded {
 			o.stop(a, 0, "job is over")
 		}
 		switch {
@@ -46,7 +46,7 @@
 			commands = append(commands, stopCommand(a.task(), a.number, a.grace))
 		case a.state == attemptRecorded && !reported[a.key()] && a.mayStart() && o.mayOrderStart(a):
 			a.startHeartbeatSeq = m.heartbeatSeq
-			o.setAttempt(a, attemptOrdered)
+			o.setAttemptState(a, attemptStarting)
 			commands = append(commands, wire.Command{Verb: wire.VerbStart, Task: a.task(), Attempt: a.number})
 		}
 	}
@@ -90,7 +90,7 @@
 // hasPendingStarts tells whether attempts on the machine wait for their start command.
 func (m *machine) hasPendingStarts() bool {
 	for _, a := range m.attempts {
-		if a.state == attemptRecorded && (!a.job.Gang || a.job.gang == gangStarting) {
+		if a.state == attemptRecorded && (!a.job.Gang || a.job.gangState == gangStarting) {
 			return true
 		}
 	}
@@ -131,7 +131,7 @@
 
 // dispatch sends a machine its commands, if it can take them now.
 func (o *owner) dispatch(m *machine) {
-	takesWork := m.state >= machineUp && m.state <= machineTransferring
+	takesWork := m.state >= machineReady && m.state <= machineTransferring
 	if m.commandsInFlight || !m.tokenConfirmed || m.fencing != fencingNone || m.endpoint == "" || !takesWork {
 		return
 	}
@@ -176,7 +176,7 @@
 		}
 	case e.Sent && hadCommands:
 		o.c.log.Info("command not answered", "machine", m.name)
-		o.setFence(m, fencingNeeded)
+		o.setFencingState(m, fencingNeeded)
 	}
 }
 
--- a/controller/commits.go
+++ b/controller/commits.go
@@ -181,13 +181,13 @@
 	if j := o.blockedJobs[id]; j != nil {
 		o.recheckBlockedJob(j)
 	} else if j := o.jobs[id]; j != nil {
-		o.jobUnsure(j)
+		o.markJobStale(j)
 	}
 	return true
 }
 
-// jobUnsure stops placing a job whose record has changed, and reads the record again.
-func (o *owner) jobUnsure(j *job) {
+// markJobStale stops placing a job whose record has changed, and reads the record again.
+func (o *owner) markJobStale(j *job) {
 	j.unsure = true
 	for _, a := range j.sorted() {
 		if a.state == attemptAssumed {
@@ -198,7 +198,7 @@
 		switch {
 		case o.superseded():
 		case out == kv.NotFound:
-			o.jobRemoved(j.ID, o.cancellationsKnownUntil)
+			o.handleJobRemoved(j.ID, o.cancellationsKnownUntil)
 		case out == kv.OK:
 			j.version, j.unsure = e.Version, false
 			o.scheduleWanted = true
@@ -249,15 +249,15 @@
 	o.c.log.Info("job done", "job", j.ID, "class", j.Class)
 	o.c.graph.MarkDone(j.ID, o.c.wallClock)
 	for _, a := range j.sorted() {
-		if a.state == attemptFinished {
+		if a.state == attemptCompleted {
 			o.finishedRecorded(a)
 		}
 	}
 	o.endJob(j)
 	for _, a := range j.sorted() {
-		if a.state == attemptLive || a.state == attemptOrdered {
+		if a.state == attemptLive || a.state == attemptStarting {
 			a.why = "job is done"
-			o.setAttempt(a, attemptStopping) // its machine's next report ends it
+			o.setAttemptState(a, attemptStopping) // its machine's next report ends it
 		}
 	}
 }
@@ -266,7 +266,7 @@
 // record still names it; that is corrected with its next change, and a reader knows
 // better from the completion.
 func (o *owner) finishedRecorded(a *attempt) {
-	o.setAttempt(a, attemptClosed)
+	o.setAttemptState(a, attemptClosed)
 }
 
 // obsoleteDeleteInterval is how long obsolete keys wait for a moment without other writes. After
--- a/controller/due_records.go
+++ b/controller/due_records.go
@@ -102,7 +102,7 @@
 	n := 0
 	for _, a := range m.attempts {
 		switch {
-		case a.state != attemptAssumed && a.state != attemptLeaving:
+		case a.state != attemptAssumed && a.state != attemptRemoving:
 		case a.job.Gang:
 			n += gangWeight
 		default:
--- a/controller/entitlement_test.go
+++ b/controller/entitlement_test.go
@@ -15,8 +15,8 @@
 	o := newOwner(core, map[string]cluster.Team{})
 	core.setOwner(o)
 	o.setState(ownerActive)
-	m := o.newMachine(machineInfo{name: "m-000001", kind: "small", zone: "a", endpoint: "worker:m-000001"})
-	m.state, m.fencingToken, m.tokenConfirmed, m.recorded = machineUp, 7, true, true
+	m := o.newMachine(machineInfo{name: "m-000001", machineType: "small", zone: "a", endpoint: "worker:m-000001"})
+	m.state, m.fencingToken, m.tokenConfirmed, m.recorded = machineReady, 7, true, true
 	j := newJob(&sched.Job{ID: "req-000001", Team: "red", Tasks: 1, Need: sched.NewResources(1, 0, 1)}, 5, 0)
 	o.jobs[j.ID] = j
 	return o, m, o.attach(j, 0, 1, m, attemptRecorded)
@@ -57,7 +57,7 @@
 // TestReleasesRestOnRecords sees that the cloud is asked to delete a machine only if that is
 // recorded.
 func TestReleasesRestOnRecords(t *testing.T) {
-	for state, want := range map[machineState]bool{machineTerminating: true, machineDecommissioning: false, machineUp: false} {
+	for state, want := range map[machineState]bool{machineTerminating: true, machineDecommissioning: false, machineReady: false} {
 		o, m, _ := activeOwner()
 		m.state = state
 		if got := o.mayTerminate(m); got != want || o.c.Violations() != violationsIf(!want) {
--- a/controller/eviction.go
+++ b/controller/eviction.go
@@ -148,7 +148,7 @@
 func (o *owner) comesSoon(j *job) bool {
 	slots := o.bootingSlots(j)
 	for _, q := range o.queue {
-		if q.Gang && q.gang == gangNone && q.Class == j.Class && o.reservations[q.ID] == nil {
+		if q.Gang && q.gangState == gangNone && q.Class == j.Class && o.reservations[q.ID] == nil {
 			if slots -= q.Tasks; q == j {
 				return slots >= 0
 			}
@@ -162,8 +162,8 @@
 func (o *owner) bootingSlots(j *job) int {
 	slots := 0
 	for _, m := range o.list {
-		t := o.c.types.find(m.kind)
-		if m.state != machineBooting || t == nil || !j.Allows(m.kind, m.zone, m.spot) {
+		t := o.c.types.find(m.machineType)
+		if m.state != machineBooting || t == nil || !j.Allows(m.machineType, m.zone, m.spot) {
 			continue
 		}
 		if o.c.wallClock-m.rented+bootsSoon > t.Boot {
@@ -176,7 +176,7 @@
 // leavingSoon tells that an attempt's room will be free without a stop.
 func (o *owner) leavingSoon(a *attempt) bool {
 	switch a.state {
-	case attemptStopping, attemptFinished, attemptLeaving:
+	case attemptStopping, attemptCompleted, attemptRemoving:
 		return true
 	}
 	return a.running != 0 && !a.job.Gang && a.job.Estimate-(o.c.now-a.running) < minRemainingForPreemption &&
@@ -185,7 +185,7 @@
 
 // preemptionView is the view in which room is sought: what leaves soon is gone already.
 func (o *owner) preemptionView() []*sched.Machine {
-	view := o.view()
+	view := o.machineView()
 	for _, v := range view {
 		for _, a := range o.machines[v.Name].attempts {
 			// What is freed is in the view already: counted twice, it would promise room that
@@ -216,7 +216,7 @@
 // mayPreemptFor tells whether a job may be stopped for j. What another team's guarantee covers is
 // not reclaimed: the part that it runs beyond is its later work.
 func mayPreemptFor(j *sched.Job, candidate *job, mode sched.PreemptionMode, covered map[*job]bool) bool {
-	if candidate.state != jobActive || candidate.gang == gangStopping || candidate.gang == gangPlacing {
+	if candidate.state != jobActive || candidate.gangState == gangStopping || candidate.gangState == gangPlacing {
 		return false
 	}
 	sameTeam := candidate.Team == j.Team
--- a/controller/eviction_test.go
+++ b/controller/eviction_test.go
@@ -20,8 +20,8 @@
 	gang = addTestJob(o, 2, &sched.Job{
 		Tasks: 1, Gang: true, Priority: sched.High, Need: sched.NewResources(28, 0, 28), Estimate: 30 * micros.Second,
 	})
-	m := o.newMachine(machineInfo{name: "m-000001", kind: "mid", zone: "a", endpoint: "worker"})
-	m.fencingToken, m.agentEpoch, m.tokenConfirmed, m.lastHeartbeat, m.state = 7, 1, true, o.c.now, machineUp
+	m := o.newMachine(machineInfo{name: "m-000001", machineType: "mid", zone: "a", endpoint: "worker"})
+	m.fencingToken, m.agentEpoch, m.tokenConfirmed, m.lastHeartbeat, m.state = 7, 1, true, o.c.now, machineReady
 	for i := range array.Tasks {
 		o.attach(array, i, 9, m, attemptLive).running = o.c.now - 20*micros.Second
 	}
--- a/controller/gang_reservations.go
+++ b/controller/gang_reservations.go
@@ -17,7 +17,7 @@
 	ready := autoscaler.NewWarmPool(o.c.now, o.classes, o.c.cfg.SLOs, o.c.catalog())
 	short := false
 	for _, j := range o.inTurn() {
-		if !j.Gang || j.state != jobActive || j.gang != gangNone || o.reservations[j.ID] != nil || o.c.now < j.notUntil {
+		if !j.Gang || j.state != jobActive || j.gangState != gangNone || o.reservations[j.ID] != nil || o.c.now < j.notUntil {
 			continue
 		}
 		// Of the gangs that the machines there are do not suffice for, only the first reserves
--- a/controller/gangs.go
+++ b/controller/gangs.go
@@ -19,7 +19,7 @@
 // noteSpotTime counts the time that spot machines are up.
 func (o *owner) noteSpotTime() {
 	for _, m := range o.list {
-		if m.spot && (m.state == machineUp || m.state == machineDraining) {
+		if m.spot && (m.state == machineReady || m.state == machineDraining) {
 			o.c.spotRisk.RecordUptime(autoscalingInterval)
 		}
 	}
--- a/controller/gangs_test.go
+++ b/controller/gangs_test.go
@@ -21,12 +21,12 @@
 	o.recoverJob(record.ActiveJobKey(gang.ID), wire.Encode(record.NewJob(gang, 0)), 1)
 	for i := range 6 {
 		m := o.newMachine(machineInfo{fmt.Sprintf("m-%06d", i), "mid", "a", i < 5, "worker"})
-		m.fencingToken, m.lastHeartbeat, m.state = 1, o.c.now, machineUp
+		m.fencingToken, m.lastHeartbeat, m.state = 1, o.c.now, machineReady
 	}
 	j := o.jobs[gang.ID]
 	for ordinary, most := range map[int]int{4: 0, 3: 1, 0: 4} {
 		j.MinOnDemandTasks = ordinary
-		view := o.view()
+		view := o.machineView()
 		o.reserveForGang(j, view, false)
 		spots := 0
 		for _, v := range view {
@@ -40,7 +40,7 @@
 	}
 	// A gang that they do not suffice for, behind another such, keeps none.
 	j.MinOnDemandTasks = 3
-	view := o.view()
+	view := o.machineView()
 	if o.reserveForGang(j, view, true) {
 		t.Error("one ordinary machine is not enough for three tasks")
 	}
@@ -63,9 +63,9 @@
 		o.recoverJob(record.ActiveJobKey(gang.ID), wire.Encode(record.NewJob(gang, 0)), 1)
 	}
 	m := o.newMachine(machineInfo{"m-000000", "mid", "a", false, "worker"})
-	m.fencingToken, m.lastHeartbeat, m.state = 1, o.c.now, machineUp
+	m.fencingToken, m.lastHeartbeat, m.state = 1, o.c.now, machineReady
 	ended := o.attach(o.queue[0], 0, 7, m, attemptLive)
-	o.setAttempt(ended, attemptFinished)
+	o.setAttemptState(ended, attemptCompleted)
 	o.attach(o.queue[1], 0, 8, m, attemptLive)
 	if free, is := o.preemptionView()[0].Free.CPUs(), m.size.Sub(m.used).CPUs(); free != is {
 		t.Errorf("%g processors count as free, of which there are %g", free, is)
--- a/controller/holds.go
+++ b/controller/holds.go
@@ -62,7 +62,7 @@
 func (o *owner) reservedResources(name string) sched.Resources {
 	var sum sched.Resources
 	for id, h := range o.reservations {
-		if j := o.jobs[id]; h.state != reservationReleased && j != nil && j.gang == gangNone {
+		if j := o.jobs[id]; h.state != reservationReleased && j != nil && j.gangState == gangNone {
 			sum = sum.Add(h.need.Times(h.machines[name]))
 		}
 	}
@@ -94,7 +94,7 @@
 			o.setReservationState(h, reservationReleased, "the gang is over")
 		case o.reservationBroken(h):
 			o.setReservationState(h, reservationReleased, "a machine is gone")
-		case j.gang == gangStarting && o.allLive(j):
+		case j.gangState == gangStarting && o.allLive(j):
 			j.failedPreemptions = 0
 			o.setReservationState(h, reservationReleased, "the gang has started")
 		case h.state == reservationStopping && o.reservedRoomFree(h):
@@ -102,7 +102,7 @@
 			o.scheduleWanted = true
 		case h.state == reservationStopping && o.c.now > h.expiresAt:
 			o.setReservationState(h, reservationReleased, "its room does not come free")
-		case h.state == reservationReady && j.gang == gangNone && o.c.now > h.expiresAt:
+		case h.state == reservationReady && j.gangState == gangNone && o.c.now > h.expiresAt:
 			// Each eviction in vain doubles the pause before the next (ours).
 			j.nextPreemptionAt = o.c.now + o.c.cfg.Tuning.ReservationTimeout<<min(j.failedPreemptions, 4)
 			j.failedPreemptions++
@@ -114,7 +114,7 @@
 // reservationBroken tells that a machine of a hold can't be used any more.
 func (o *owner) reservationBroken(h *reservation) bool {
 	for name := range h.machines {
-		if m := o.machines[name]; m == nil || m.state != machineUp {
+		if m := o.machines[name]; m == nil || m.state != machineReady {
 			return true
 		}
 	}
--- a/controller/job.go
+++ b/controller/job.go
@@ -57,10 +57,10 @@
 	finished map[int][]*attempt
 
 	// attempts are the placements of its tasks, by task.
-	attempts map[int]*attempt
-	assumed  int // attempts that are not recorded yet
-	runs     int // tasks that run, for display
-	gang     gangState
+	attempts  map[int]*attempt
+	assumed   int // attempts that are not recorded yet
+	runs      int // tasks that run, for display
+	gangState gangState
 	// began tells whether some of it was placed, and idleSince since when nothing of it is
 	// on machines.
 	began     bool
@@ -126,7 +126,7 @@
 	}
 }
 
-func (j *job) setTask(i int, s taskState) {
+func (j *job) setTaskState(i int, s taskState) {
 	j.unfold()
 	was := j.tasks[i]
 	if was == s || was == taskDone {
@@ -146,18 +146,18 @@
 	}
 }
 
-// setJob is the one place where a job changes its state.
-func (o *owner) setJob(j *job, s jobState) {
+// setJobState is the one place where a job changes its state.
+func (o *owner) setJobState(j *job, s jobState) {
 	if j.state != s {
 		o.c.log.Debug("job", "job", j.ID, "from", j.state.String(), "to", s.String())
 		j.state = s
 	}
 }
 
-// setGang is the one place where a gang's attempt changes its state.
-func (o *owner) setGang(j *job, s gangState) {
-	if j.gang != s {
-		o.c.log.Debug("gang", "job", j.ID, "from", j.gang.String(), "to", s.String())
-		j.gang = s
+// setGangState is the one place where a gang's attempt changes its state.
+func (o *owner) setGangState(j *job, s gangState) {
+	if j.gangState != s {
+		o.c.log.Debug("gang", "job", j.ID, "from", j.gangState.String(), "to", s.String())
+		j.gangState = s
 	}
 }
--- a/controller/job_queue.go
+++ b/controller/job_queue.go
@@ -91,9 +91,9 @@
 	o.watchRev, o.watchDown, o.retryAt = after, true, o.c.now+readRetryDelay
 }
 
-// jobRemoved handles a job that is over: by our own commit, or cancelled, of which users were
+// handleJobRemoved handles a job that is over: by our own commit, or cancelled, of which users were
 // told at since or later.
-func (o *owner) jobRemoved(id string, since micros.Micros) {
+func (o *owner) handleJobRemoved(id string, since micros.Micros) {
 	if j := o.blockedJobs[id]; j != nil && !j.writing {
 		o.c.log.Info("job cancelled while it waits", "job", id)
 		o.removeBlockedJob(j)
@@ -111,7 +111,7 @@
 
 // endJob takes a job out of the queue; its record is gone.
 func (o *owner) endJob(j *job) {
-	o.setJob(j, jobEnded)
+	o.setJobState(j, jobEnded)
 	o.queue = slices.DeleteFunc(o.queue, func(q *job) bool { return q == j })
 	o.dropChunks(j)
 	o.dropParts(j)
@@ -119,13 +119,13 @@
 		delete(o.jobs, j.ID)
 	}
 	for _, a := range j.sorted() {
-		if a.state != attemptFinished {
+		if a.state != attemptCompleted {
 			continue
 		}
 		if o.machines[a.machine.name] == a.machine {
-			o.setAttempt(a, attemptLeaving)
+			o.setAttemptState(a, attemptRemoving)
 		} else {
-			o.setAttempt(a, attemptClosed)
+			o.setAttemptState(a, attemptClosed)
 		}
 	}
 	o.scheduleWanted = true
--- a/controller/jobview.go
+++ b/controller/jobview.go
@@ -20,12 +20,12 @@
 // jobView is how this node reads the active jobs and how they ended.
 type jobView struct {
 	following bool
-	nextTry   micros.Micros
+	retryAt   micros.Micros
 	// cancellationsKnownUntil is when what was read last by the watch was asked for.
 	cancellationsKnownUntil micros.Micros
 
-	refresh    refreshQueue
-	resolution terminalStateResolution
+	refreshQueue refreshQueue
+	resolution   terminalStateResolution
 }
 
 // jobObserver passes on to the owner what the graph of jobs tells.
@@ -40,7 +40,7 @@
 func (w jobObserver) JobDeleted(id string) {
 	if o := w.c.owner; o != nil && o.listed {
 		// Users may have been told as early as what was known before ends.
-		o.jobRemoved(id, o.cancellationsKnownUntil)
+		o.handleJobRemoved(id, o.cancellationsKnownUntil)
 	}
 }
 
@@ -78,7 +78,7 @@
 // tickJobView follows the jobs at a node that does not own; an owner does so itself.
 func (c *Core) tickJobView() {
 	view := &c.jobView
-	if view.following || c.now < view.nextTry || c.owner != nil {
+	if view.following || c.now < view.retryAt || c.owner != nil {
 		return
 	}
 	view.following = true
@@ -122,7 +122,7 @@
 
 // stopFollowing lets the next try begin after a pause.
 func (v *jobView) stopFollowing(now micros.Micros) {
-	v.following, v.nextTry = false, now+followPause
+	v.following, v.retryAt = false, now+followPause
 }
 
 // takeChanges applies the answer of a watch; false: it does not continue what is known.
@@ -145,7 +145,7 @@
 // refresh hands over once this node's view is at least as new as the question; false: the
 // present state cannot be known now.
 func (c *Core) refresh(done func(ok bool)) {
-	queue := &c.jobView.refresh
+	queue := &c.jobView.refreshQueue
 	if len(queue.questions) == 0 {
 		queue.requestedAt = c.now
 	}
@@ -154,7 +154,7 @@
 }
 
 func (c *Core) sendRefresh() {
-	queue := &c.jobView.refresh
+	queue := &c.jobView.refreshQueue
 	if queue.reading || len(queue.questions) == 0 {
 		return
 	}
--- a/controller/limits_test.go
+++ b/controller/limits_test.go
@@ -98,7 +98,7 @@
 	}
 	for i := range 30 {
 		m := o.newMachine(machineInfo{fmt.Sprintf("m-%06d", i), "mid", o.c.cfg.Zones[0], false, "worker"})
-		m.fencingToken, m.agentEpoch, m.tokenConfirmed, m.tokenConfirmedAt, m.lastHeartbeat, m.state = 1, 1, true, o.c.now, o.c.now, machineUp
+		m.fencingToken, m.agentEpoch, m.tokenConfirmed, m.tokenConfirmedAt, m.lastHeartbeat, m.state = 1, 1, true, o.c.now, o.c.now, machineReady
 	}
 	placed := 0
 	for range 20 {
@@ -208,7 +208,7 @@
 	}, 0)), 1)
 	for i := range 6 {
 		m := o.newMachine(machineInfo{fmt.Sprintf("m-%06d", i*7919), "mid", "a", false, fmt.Sprintf("10.1.%d.%d:9000", i*37, i*91%256)})
-		m.fencingToken, m.state, m.lastHeartbeat = uint64(1000+i*4711), machineUp, o.c.now
+		m.fencingToken, m.state, m.lastHeartbeat = uint64(1000+i*4711), machineReady, o.c.now
 	}
 	if len(o.blocks) != 1 {
 		t.Fatalf("%d blocks", len(o.blocks))
@@ -239,7 +239,7 @@
 	const machines, tasksEach = 30, 14
 	for i := range machines {
 		m := o.newMachine(machineInfo{fmt.Sprintf("m-%06d", i*7919), "mid", "a", false, fmt.Sprintf("10.1.%d.%d:9000", i*37%256, i*91%256)})
-		m.fencingToken, m.agentEpoch, m.tokenConfirmed, m.lastHeartbeat, m.state = uint64(1000+i*4711), 1, true, o.c.now, machineUp
+		m.fencingToken, m.agentEpoch, m.tokenConfirmed, m.lastHeartbeat, m.state = uint64(1000+i*4711), 1, true, o.c.now, machineReady
 	}
 	o.scheduleWanted = true
 	o.schedule()
--- a/controller/load.go
+++ b/controller/load.go
@@ -107,5 +107,5 @@
 	o.scheduleWanted = true
 	o.setState(ownerActive)
 	o.watchJobs(o.watchRev)
-	o.c.types.nextAt = o.c.now
+	o.c.types.nextReadAt = o.c.now
 }
--- a/controller/load_machines.go
+++ b/controller/load_machines.go
@@ -56,12 +56,12 @@
 	}
 	kind := data.MachineTypes[entry.MachineType]
 	m := o.newMachineIn(b, machineInfo{
-		name: entry.Name, kind: kind.Type, zone: kind.Zone, spot: kind.Spot, endpoint: entry.Endpoint,
+		name: entry.Name, machineType: kind.Type, zone: kind.Zone, spot: kind.Spot, endpoint: entry.Endpoint,
 	})
 	m.rented = micros.Micros(entry.LaunchedAt + data.LaunchTimeBase)
 	m.recorded = true
 	if entry.Decommissioning {
-		o.setMachine(m, machineTerminating, "condemned by an earlier owner")
+		o.setMachineState(m, machineTerminating, "condemned by an earlier owner")
 	}
 	tasks, err := data.Unpack(entry)
 	if err != nil {
@@ -85,10 +85,10 @@
 	if j.state != jobEnded && j.task(task.Index) == taskDone {
 		return // the block was not written since
 	}
-	a := o.attach(j, task.Index, task.Attempt, m, attemptOrdered)
+	a := o.attach(j, task.Index, task.Attempt, m, attemptStarting)
 	j.began = true
 	if j.Gang {
-		o.setGang(j, gangStarting)
+		o.setGangState(j, gangStarting)
 	}
 	if j.state == jobEnded {
 		o.stop(a, 0, "job is over")
@@ -101,7 +101,7 @@
 		ID: spec.ID, Team: spec.Team, Tasks: spec.Tasks,
 		Need: sched.Resources{CPU: spec.CPU, GPU: spec.GPU, Mem: spec.Mem},
 	}, 0, 0)
-	o.setJob(j, jobEnded)
+	o.setJobState(j, jobEnded)
 	o.jobs[j.ID] = j
 	o.unresolvedJobs = append(o.unresolvedJobs, j)
 	return j
@@ -153,7 +153,7 @@
 	if wire.Decode(value, &final) == nil && final.Status == record.StatusDone {
 		for _, a := range j.sorted() {
 			if a.machine.agentEpoch == 0 { // else its report tells
-				o.setAttempt(a, attemptClosed)
+				o.setAttemptState(a, attemptClosed)
 			}
 		}
 		return
--- a/controller/load_shards.go
+++ b/controller/load_shards.go
@@ -65,12 +65,12 @@
 	}
 	for i := chunk * record.TasksPerChunk; i < min((chunk+1)*record.TasksPerChunk, j.Tasks); i++ {
 		if j.done.Has(i) {
-			j.setTask(i, taskDone)
+			j.setTaskState(i, taskDone)
 		}
 	}
 	j.began = true
 	if j.doneN == j.Tasks {
-		o.setJob(j, jobFinishing)
+		o.setJobState(j, jobFinishing)
 	}
 }
 
--- a/controller/machine.go
+++ b/controller/machine.go
@@ -16,7 +16,7 @@
 
 const (
 	machineBooting         machineState = iota
-	machineUp                           // reports
+	machineReady                        // reports
 	machineDraining                     // takes nothing new and is returned once empty
 	machineTransferring                 // goes to another owner once it is empty
 	machineDecommissioning              // it is to be deleted, which must be recorded first
@@ -43,15 +43,15 @@
 
 // machine is a machine at its owner.
 type machine struct {
-	name     string
-	endpoint string
-	kind     string // the name of its type
-	zone     string
-	spot     bool
-	size     sched.Resources
-	state    machineState
-	fencing  fencingState
-	rented   micros.Micros
+	name        string
+	endpoint    string
+	machineType string // the name of its type
+	zone        string
+	spot        bool
+	size        sched.Resources
+	state       machineState
+	fencing     fencingState
+	rented      micros.Micros
 
 	// block holds the machine's entry, and dirty tells whether that must be written.
 	block *block
@@ -129,16 +129,16 @@
 	}
 }
 
-// setMachine is the one place where a machine changes its state.
-func (o *owner) setMachine(m *machine, s machineState, why string) {
+// setMachineState is the one place where a machine changes its state.
+func (o *owner) setMachineState(m *machine, s machineState, why string) {
 	if m.state == s {
 		return
 	}
-	o.c.log.Info("machine", "machine", m.name, "type", m.kind, "zone", m.zone, "spot", m.spot,
+	o.c.log.Info("machine", "machine", m.name, "type", m.machineType, "zone", m.zone, "spot", m.spot,
 		"from", m.state.String(), "to", s.String(), "why", why)
 	m.state = s
 	switch s {
-	case machineUp:
+	case machineReady:
 		m.idleSince, m.tokenConfirmedAt = o.c.now, max(m.tokenConfirmedAt, o.c.now)
 		o.scheduleWanted = true
 	case machineTerminating:
@@ -148,8 +148,8 @@
 	}
 }
 
-// setFence is the one place where a machine's fence changes its state.
-func (o *owner) setFence(m *machine, s fencingState) {
+// setFencingState is the one place where a machine's fence changes its state.
+func (o *owner) setFencingState(m *machine, s fencingState) {
 	if m.fencing == s {
 		return
 	}
@@ -188,10 +188,10 @@
 	for _, a := range m.sorted() {
 		j := a.job
 		a.why = "machine is gone"
-		if a.state != attemptFinished || j.state == jobEnded {
-			o.setAttempt(a, attemptClosed)
+		if a.state != attemptCompleted || j.state == jobEnded {
+			o.setAttemptState(a, attemptClosed)
 		}
-		if j.Gang && j.state == jobActive && len(j.attempts) > 0 && j.gang != gangStopping {
+		if j.Gang && j.state == jobActive && len(j.attempts) > 0 && j.gangState != gangStopping {
 			o.stopJob(j, 0, "gang lost a machine")
 		}
 	}
--- a/controller/machine_health.go
+++ b/controller/machine_health.go
@@ -83,7 +83,7 @@
 // our token for long. What runs there goes on until its lease ends; then it is idle and
 // paid for.
 func (o *owner) isUnreachable(m *machine) bool {
-	return m.fencingToken != 0 && m.state >= machineUp && m.state <= machineTransferring && !m.tokenConfirmed &&
+	return m.fencingToken != 0 && m.state >= machineReady && m.state <= machineTransferring && !m.tokenConfirmed &&
 		o.c.now-m.tokenConfirmedAt > o.c.cfg.HeartbeatTimeout()+maxMissedHeartbeats*o.c.cfg.HeartbeatInterval
 }
 
@@ -143,13 +143,13 @@
 	if reason.isMachineLoss() {
 		o.noteSpotLost(m)
 	}
-	o.setMachine(m, machineDecommissioning, string(reason))
+	o.setMachineState(m, machineDecommissioning, string(reason))
 }
 
 // hasBooted tells whether a machine takes part, so that it should report. What had work before
 // this node took over was up.
 func hasBooted(m *machine) bool {
-	return m.state >= machineUp && m.state <= machineTransferring ||
+	return m.state >= machineReady && m.state <= machineTransferring ||
 		m.state == machineBooting && m.recovered && len(m.attempts) > 0
 }
 
@@ -172,7 +172,7 @@
 		return decommissionNone
 	}
 	boot := unknownBoot
-	if t := o.c.types.find(m.kind); t != nil {
+	if t := o.c.types.find(m.machineType); t != nil {
 		boot = t.Boot
 	}
 	patience := micros.Micros(o.c.cfg.Tuning.BootTimeoutFactor*float64(boot)) + o.c.cfg.HeartbeatTimeout()
@@ -232,7 +232,7 @@
 			return false
 		case !a.job.Gang || a.resourcesReleased:
 			continue
-		case a.job.gang != gangStarting || !o.runsElsewhere(a):
+		case a.job.gangState != gangStarting || !o.runsElsewhere(a):
 			return false
 		}
 		gang = true
--- a/controller/machine_requests.go
+++ b/controller/machine_requests.go
@@ -148,7 +148,7 @@
 	for _, m := range o.list {
 		heartbeat.Machines = append(heartbeat.Machines, m.name)
 		if o.isIdle(m) {
-			heartbeat.Idle = append(heartbeat.Idle, &peer.IdleMachine{Type: m.kind, Zone: m.zone, Spot: m.spot})
+			heartbeat.Idle = append(heartbeat.Idle, &peer.IdleMachine{Type: m.machineType, Zone: m.zone, Spot: m.spot})
 		}
 	}
 	for _, name := range sortedKeys(o.teams) {
--- a/controller/machine_transfers.go
+++ b/controller/machine_transfers.go
@@ -35,7 +35,7 @@
 		if slots >= job.Tasks {
 			break
 		}
-		if !o.isIdle(m) || !job.Allows(m.kind, m.zone, m.spot) {
+		if !o.isIdle(m) || !job.Allows(m.machineType, m.zone, m.spot) {
 			continue
 		}
 		if n := job.Need.Count(o.machineSize(m), job.Tasks); n > 0 {
@@ -80,13 +80,13 @@
 
 // isIdle tells that a machine can be transferred at once.
 func (o *owner) isIdle(m *machine) bool {
-	return m.state == machineUp && len(m.attempts) == 0 && m.fencingToken != 0 && !o.isReserved(m.name) &&
+	return m.state == machineReady && len(m.attempts) == 0 && m.fencingToken != 0 && !o.isReserved(m.name) &&
 		o.c.now-m.idleSince > idleBeforeTransfer
 }
 
 func (o *owner) startTransfer(m *machine, newOwner record.OwnerID) {
 	m.transferTo = newOwner
-	o.setMachine(m, machineTransferring, "for "+string(newOwner))
+	o.setMachineState(m, machineTransferring, "for "+string(newOwner))
 }
 
 // canTransfer tells whether the new owner of a machine is live. If not, the machine stays.
@@ -94,7 +94,7 @@
 	if o.c.cluster.IsLive(m.transferTo) {
 		return true
 	}
-	o.setMachine(m, machineUp, "its new owner is gone")
+	o.setMachineState(m, machineReady, "its new owner is gone")
 	return false
 }
 
@@ -108,7 +108,7 @@
 	newOwner := o.c.cluster.MemberPrecondition(m.transferTo.Node())
 	t.preconditions[newOwner.Key] = newOwner.Version
 	data := &record.BlockData{
-		MachineTypes: []record.BlockMachineType{{Type: m.kind, Zone: m.zone, Spot: m.spot}},
+		MachineTypes: []record.BlockMachineType{{Type: m.machineType, Zone: m.zone, Spot: m.spot}},
 		Machines:     []record.BlockMachine{{Name: m.name, Endpoint: m.endpoint, LaunchedAt: int64(m.rented)}},
 	}
 	t.put(record.BlockKey(transferBlockName(m)), data.Block(m.transferTo))
@@ -162,5 +162,5 @@
 	delete(o.ownedElsewhere, m.name)
 	m.fencingToken, m.dirty, m.recovered, block.dirty = version, false, true, false
 	m.tokenConfirmedAt = o.c.now
-	o.c.log.Info("machine received", "machine", m.name, "type", m.kind, "zone", m.zone)
+	o.c.log.Info("machine received", "machine", m.name, "type", m.machineType, "zone", m.zone)
 }
--- a/controller/machine_types.go
+++ b/controller/machine_types.go
@@ -13,10 +13,10 @@
 
 // Times of reading the machine types.
 const (
-	// machineTypesRetry is the pause after a read that did not succeed.
-	machineTypesRetry = 2 * micros.Second
-	// machineTypesRefresh is how often an owner reads them again: prices may change.
-	machineTypesRefresh = 30 * micros.Second
+	// machineTypesRetryDelay is the pause after a read that did not succeed.
+	machineTypesRetryDelay = 2 * micros.Second
+	// machineTypesRefreshInterval is how often an owner reads them again: prices may change.
+	machineTypesRefreshInterval = 30 * micros.Second
 )
 
 // machineTypeTable is what the node knows of machine types. The table is kept in the state
@@ -25,7 +25,7 @@
 type machineTypeTable struct {
 	list          []sched.MachineType
 	reading       bool // from the state service or the cloud
-	nextAt        micros.Micros
+	nextReadAt    micros.Micros
 	fromCloud     bool
 	cloudResponse wire.MachineTypes // of the cloud
 	recorded      bool              // in the state service, by this incarnation of the node
@@ -45,10 +45,10 @@
 // or else from the cloud; an owner reads the cloud's answer again and again, others once.
 func (c *Core) tickMachineTypes() {
 	t := &c.types
-	if t.reading || c.now < t.nextAt {
+	if t.reading || c.now < t.nextReadAt {
 		return
 	}
-	t.nextAt = c.now + machineTypesRetry
+	t.nextReadAt = c.now + machineTypesRetryDelay
 	switch {
 	case len(t.list) == 0:
 		c.readMachineTypes()
@@ -84,7 +84,7 @@
 			return
 		}
 		t.list, t.cloudResponse, t.fromCloud = answer.Types(), answer, true
-		t.nextAt = c.now + machineTypesRefresh
+		t.nextReadAt = c.now + machineTypesRefreshInterval
 		c.recordMachineTypes()
 	})
 }
--- a/controller/partitions.go
+++ b/controller/partitions.go
@@ -78,7 +78,7 @@
 	if o.partitioned[m.zone] == 0 || o.unresponsiveFor(m) > o.c.cfg.Tuning.PartitionTimeout || m.failed || m.notice != 0 {
 		return false
 	}
-	gang := len(m.attempts) == 0 && o.scarce(m) && m.state <= machineUp
+	gang := len(m.attempts) == 0 && o.scarce(m) && m.state <= machineReady
 	for _, a := range m.attempts {
 		if a.job.state == jobEnded {
 			return false
--- a/controller/placement_view.go
+++ b/controller/placement_view.go
@@ -36,20 +36,20 @@
 	return math.Round(math.Log(price) / math.Log(alikeWithin))
 }
 
-// view is what placement may use now.
-func (o *owner) view() []*sched.Machine {
+// machineView is what placement may use now.
+func (o *owner) machineView() []*sched.Machine {
 	var view []*sched.Machine
 	catalog := o.c.catalog()
 	left := map[*block]float64{}
 	for _, m := range o.list {
-		if m.state != machineUp || m.fencingToken == 0 || m.fencing != fencingNone || o.c.now < m.pausedTo ||
+		if m.state != machineReady || m.fencingToken == 0 || m.fencing != fencingNone || o.c.now < m.pausedTo ||
 			o.c.now-m.lastHeartbeat > 2*o.c.cfg.HeartbeatInterval {
 			continue
 		}
 		view = append(view, &sched.Machine{
-			Name: m.name, Type: m.kind, Zone: m.zone, Spot: m.spot,
+			Name: m.name, Type: m.machineType, Zone: m.zone, Spot: m.spot,
 			Free: o.machineSize(m).Sub(m.used).Sub(o.reservedResources(m.name)), Slots: o.freeSlots(m, left),
-			Idle: len(m.attempts) == 0, Scarce: o.scarce(m), Price: priceClass(catalog.PricePerCPU(m.kind, m.spot)), Images: m.images,
+			Idle: len(m.attempts) == 0, Scarce: o.scarce(m), Price: priceClass(catalog.PricePerCPU(m.machineType, m.spot)), Images: m.images,
 		})
 	}
 	return view
@@ -58,7 +58,7 @@
 // placeView is the view with what is kept for gangs, and with the slack of machines that
 // gangs use.
 func (o *owner) placeView() []*sched.Machine {
-	view := o.view()
+	view := o.machineView()
 	o.reserveForGangs(view)
 	return o.addSlack(view)
 }
--- a/controller/proposals.go
+++ b/controller/proposals.go
@@ -13,7 +13,7 @@
 	}
 	number := o.nextNumber()
 	if j.Gang {
-		o.setGang(j, gangPlacing)
+		o.setGangState(j, gangPlacing)
 	}
 	for _, as := range got {
 		m := o.machines[as.Machine.Name]
@@ -71,7 +71,7 @@
 	if a.state != attemptAssumed {
 		return
 	}
-	o.setAttempt(a, attemptRecorded)
+	o.setAttemptState(a, attemptRecorded)
 	j := a.job
 	j.began = j.began || !j.Gang
 	o.queueDispatch(a.machine)
@@ -79,7 +79,7 @@
 		o.stop(a, 0, "job is over")
 		return
 	}
-	if !j.Gang || j.gang != gangPlacing {
+	if !j.Gang || j.gangState != gangPlacing {
 		return
 	}
 	for _, b := range j.attempts {
@@ -87,7 +87,7 @@
 			return
 		}
 	}
-	o.setGang(j, gangStarting)
+	o.setGangState(j, gangStarting)
 	j.began = true
 	o.c.log.Info("gang placed", "job", j.ID, "class", j.Class, "tasks", j.Tasks, "ordinary", j.MinOnDemandTasks,
 		"since_accepted_s", math.Round((o.c.wallClock - j.since).Seconds()))
--- a/controller/rentals.go
+++ b/controller/rentals.go
@@ -166,7 +166,7 @@
 	r.machines = names
 	for _, name := range names {
 		if o.machines[name] == nil {
-			m := o.newMachine(machineInfo{name: name, kind: r.offer.Type, zone: r.offer.Zone, spot: r.offer.Spot})
+			m := o.newMachine(machineInfo{name: name, machineType: r.offer.Type, zone: r.offer.Zone, spot: r.offer.Spot})
 			m.rented = o.c.wallClock
 		}
 	}
@@ -235,6 +235,6 @@
 			continue
 		}
 		o.recentlyTerminated[name] = o.c.now + terminatedRetention
-		o.setMachine(m, machineTerminated, "deleted by the cloud")
+		o.setMachineState(m, machineTerminated, "deleted by the cloud")
 	}
 }
--- a/controller/reports.go
+++ b/controller/reports.go
@@ -102,7 +102,7 @@
 			return
 		}
 		m = o.adopt(machineInfo{
-			name: report.Machine, kind: report.Type, zone: report.Zone, spot: report.Spot, endpoint: report.Endpoint,
+			name: report.Machine, machineType: report.Type, zone: report.Zone, spot: report.Spot, endpoint: report.Endpoint,
 		})
 	}
 	switch {
@@ -198,7 +198,7 @@
 		o.lastHeartbeat, m.heartbeatReceived = o.c.now, true
 	}
 	if report.AgentEpoch > m.agentEpoch && m.agentEpoch != 0 {
-		o.setFence(m, fencingNone)
+		o.setFencingState(m, fencingNone)
 	}
 	m.agentEpoch, m.heartbeatSeq, m.reportedTasks = report.AgentEpoch, report.HeartbeatSeq, report.Tasks
 	// A machine that only answers commands is no use, since its lease is not renewed. Until it
@@ -211,10 +211,10 @@
 		m.tokenConfirmedAt = max(m.tokenConfirmedAt, o.c.now)
 	}
 	if m.tokenConfirmed && m.fencing == fencingPending {
-		o.setFence(m, fencingNone)
+		o.setFencingState(m, fencingNone)
 	}
 	if m.state == machineBooting {
-		o.setMachine(m, machineUp, "reports")
+		o.setMachineState(m, machineReady, "reports")
 	}
 }
 
@@ -247,9 +247,9 @@
 func (o *owner) sawTask(a *attempt, t *wire.TaskStatus) {
 	a.heartbeatSeen, a.phase = true, t.Phase
 	switch a.state {
-	case attemptRecorded, attemptOrdered:
-		o.setAttempt(a, attemptLive)
-	case attemptFinished, attemptLeaving:
+	case attemptRecorded, attemptStarting:
+		o.setAttemptState(a, attemptLive)
+	case attemptCompleted, attemptRemoving:
 		return
 	}
 	switch {
@@ -267,24 +267,24 @@
 // missing handles an attempt that is certainly not on its machine.
 func (o *owner) missing(a *attempt) {
 	switch a.state {
-	case attemptOrdered:
+	case attemptStarting:
 		if a.heartbeatSeen {
 			o.lost(a, "vanished")
 		} else if a.startHeartbeatSeq < a.machine.heartbeatSeq {
-			o.setAttempt(a, attemptRecorded) // the start was lost
+			o.setAttemptState(a, attemptRecorded) // the start was lost
 		}
 	case attemptLive:
 		o.lost(a, "vanished")
 	case attemptStopping:
-		o.setAttempt(a, attemptLeaving)
+		o.setAttemptState(a, attemptRemoving)
 	}
 }
 
 // lost handles an attempt that ended without a result.
 func (o *owner) lost(a *attempt, why string) {
 	a.why = why
-	o.setAttempt(a, attemptLeaving)
-	if a.job.Gang && a.job.gang != gangStopping {
+	o.setAttemptState(a, attemptRemoving)
+	if a.job.Gang && a.job.gangState != gangStopping {
 		o.stopJob(a.job, 0, "gang lost a task")
 	}
 }
--- a/controller/scale.go
+++ b/controller/scale.go
@@ -34,11 +34,11 @@
 
 // offer is what the cloud rented a machine as.
 func (m *machine) offer() autoscaler.Offer {
-	return autoscaler.Offer{Type: m.kind, Zone: m.zone, Spot: m.spot}
+	return autoscaler.Offer{Type: m.machineType, Zone: m.zone, Spot: m.spot}
 }
 
 // scarce tells that some recent class of jobs fits no other type than the machine's.
-func (o *owner) scarce(m *machine) bool { return o.classes.Scarce(o.c.now, m.kind, m.spot) }
+func (o *owner) scarce(m *machine) bool { return o.classes.Scarce(o.c.now, m.machineType, m.spot) }
 
 // noteRun learns from a task that completed.
 func (o *owner) noteRun(a *attempt) {
@@ -109,7 +109,7 @@
 	switch m.state {
 	case machineBooting:
 		d.State = autoscaler.MachineBooting
-	case machineUp:
+	case machineReady:
 		d.State = autoscaler.MachineReady
 	default:
 		return d
@@ -146,7 +146,7 @@
 	}
 	for _, drain := range plan.Drains {
 		m := o.machines[drain.Machine]
-		o.setMachine(m, machineDraining, drain.Reason.String())
+		o.setMachineState(m, machineDraining, drain.Reason.String())
 		if drain.Reason == autoscaler.DrainSurplus {
 			o.consolidate(m)
 		}
@@ -257,7 +257,7 @@
 
 // machineSize is what a machine offers, once its type is known.
 func (o *owner) machineSize(m *machine) sched.Resources {
-	if t := o.c.types.find(m.kind); t != nil {
+	if t := o.c.types.find(m.machineType); t != nil {
 		m.size = t.Size
 	}
 	return m.size
--- a/controller/schedule.go
+++ b/controller/schedule.go
@@ -92,7 +92,7 @@
 	if j.state != jobActive || j.pending == 0 || j.unsure || o.c.now < j.notUntil {
 		return false
 	}
-	return !j.Gang || j.gang == gangNone
+	return !j.Gang || j.gangState == gangNone
 }
 
 // allowance returns how many tasks of a job its team's limit has room for now, 0 for a gang
@@ -281,7 +281,7 @@
 	best, soonest := -1, micros.Micros(0)
 	for i, v := range view {
 		m := o.machines[v.Name]
-		if v.Slack || !j.Allows(m.kind, m.zone, m.spot) || !j.Need.Fits(m.size) {
+		if v.Slack || !j.Allows(m.machineType, m.zone, m.spot) || !j.Need.Fits(m.size) {
 			continue
 		}
 		wait := micros.Micros(0)
--- a/controller/status.go
+++ b/controller/status.go
@@ -57,7 +57,7 @@
 func (o *owner) fleets() map[string]*fleet {
 	fleets := map[string]*fleet{}
 	for _, m := range o.list {
-		kind := m.kind
+		kind := m.machineType
 		if m.spot {
 			kind += " spot"
 		}
@@ -74,7 +74,7 @@
 	case machineBooting:
 		f.booting++
 		return
-	case machineUp:
+	case machineReady:
 		f.up++
 		if len(m.attempts) == 0 {
 			f.idle++
--- a/controller/task_exits.go
+++ b/controller/task_exits.go
@@ -43,18 +43,18 @@
 	j := a.job
 	a.machine.errors = 0
 	if j.state != jobActive {
-		o.setAttempt(a, attemptLeaving)
+		o.setAttemptState(a, attemptRemoving)
 		return
 	}
 	j.failures = 0
 	clear(j.failedOn)
 	o.noteRun(a)
-	o.setAttempt(a, attemptFinished)
+	o.setAttemptState(a, attemptCompleted)
 	if j.Gang {
 		o.gangCompleted(a)
 	}
 	if j.doneN == j.Tasks {
-		o.setJob(j, jobFinishing)
+		o.setJobState(j, jobFinishing)
 	}
 }
 
@@ -66,11 +66,11 @@
 	j := first.job
 	for _, a := range j.sorted() {
 		if a.number == first.number && (first.running != 0 || a.running != 0) {
-			o.setAttempt(a, attemptFinished)
+			o.setAttemptState(a, attemptCompleted)
 		}
 	}
 	for task := range j.Tasks {
-		j.setTask(task, taskDone)
+		j.setTaskState(task, taskDone)
 	}
 }
 
@@ -82,8 +82,8 @@
 	if machineToo && len(j.failedOn) <= maxFaultyMachines {
 		m.errors++
 	}
-	if m.errors >= o.c.cfg.Tuning.QuarantineThreshold && m.state == machineUp {
-		o.setMachine(m, machineDraining, "fails task after task")
+	if m.errors >= o.c.cfg.Tuning.QuarantineThreshold && m.state == machineReady {
+		o.setMachineState(m, machineDraining, "fails task after task")
 		for _, b := range m.sorted() {
 			if b != a {
 				o.evict(b, "machine is faulty")
@@ -113,8 +113,8 @@
 func (o *owner) noticed(m *machine, left micros.Micros) {
 	first := m.notice == 0
 	m.notice = o.c.now + left
-	if m.state == machineUp || m.state == machineTransferring {
-		o.setMachine(m, machineDraining, "taken back by the cloud")
+	if m.state == machineReady || m.state == machineTransferring {
+		o.setMachineState(m, machineDraining, "taken back by the cloud")
 	}
 	if !first {
 		return
--- a/controller/waiting.go
+++ b/controller/waiting.go
@@ -18,7 +18,7 @@
 
 // addBlockedJob takes a job of an own team that awaits others.
 func (o *owner) addBlockedJob(j *job) {
-	o.setJob(j, jobBlocked)
+	o.setJobState(j, jobBlocked)
 	o.blockedJobs[j.ID] = j
 	switch waiting := o.c.graph.Blocked(j.ID); {
 	case waiting == nil: // its record is gone already; the watch will tell
@@ -37,7 +37,7 @@
 	}
 	delete(o.blockedJobs, j.ID)
 	j.since = max(j.accepted, waiting.LatestDependencyDone)
-	o.setJob(j, jobActive)
+	o.setJobState(j, jobActive)
 	o.c.log.Info("job is ready", "job", j.ID, "class", j.Class, "waited_s", (o.c.wallClock - j.accepted).Seconds())
 	o.enqueue(j)
 }
@@ -126,7 +126,7 @@
 func (o *owner) removeBlockedJob(j *job) {
 	delete(o.blockedJobs, j.ID)
 	o.dropParts(j)
-	o.setJob(j, jobEnded)
+	o.setJobState(j, jobEnded)
 }
 
 // dropParts has the further keys of a job's list deleted: they serve while its record exists.
