--- a/controller/attempt.go
+++ b/controller/attempt.go
@@ -37,9 +37,9 @@
 	heartbeatSeen bool
 	// startHeartbeatSeq is the sequence number of the report that its start command answered.
 	startHeartbeatSeq uint64
-	// since is when it was placed, and running when it was first reported running, or 0.
-	since   micros.Micros
-	running micros.Micros
+	// placedAt is when it was placed, and running when it was first reported running, or 0.
+	placedAt micros.Micros
+	running  micros.Micros
 	// grace is the time to save when it is stopped, and why the reason for the stop.
 	grace micros.Micros
 	why   string
@@ -175,7 +175,7 @@
 
 // attach gives an attempt its place.
 func (o *owner) attach(j *job, index int, number uint64, m *machine, s attemptState) *attempt {
-	a := &attempt{job: j, index: index, number: number, machine: m, state: s, since: o.c.now}
+	a := &attempt{job: j, index: index, number: number, machine: m, state: s, placedAt: o.c.now}
 	m.attempts[a.key()] = a
 	m.used = m.used.Add(j.Need)
 	m.noteImage(j.Image)
--- a/controller/bench_test.go
+++ b/controller/bench_test.go
@@ -124,7 +124,7 @@
 func BenchmarkPlace(b *testing.B) {
 	o := benchOwner()
 	for b.Loop() {
-		o.scheduleWanted, o.nextPass = true, 0
+		o.scheduleWanted, o.nextSchedulingPass = true, 0
 		o.schedule()
 		b.StopTimer()
 		n := 0
--- a/controller/commits.go
+++ b/controller/commits.go
@@ -36,7 +36,7 @@
 	}
 	t := &transaction{preconditions: map[string]uint64{}}
 	purpose := budget.TaskUpdates
-	if o.claimsWait() {
+	if o.hasPendingClaims() {
 		purpose = budget.Ownership
 	}
 	most := min(c.budget.AvailableWrites(purpose, c.now), c.cfg.MaxTransactionOps)
@@ -64,8 +64,8 @@
 	o.sendTransaction(t, purpose, false)
 }
 
-// claimsWait tells whether machines wait to be claimed by this owner.
-func (o *owner) claimsWait() bool {
+// hasPendingClaims tells whether machines wait to be claimed by this owner.
+func (o *owner) hasPendingClaims() bool {
 	for _, m := range o.list {
 		if m.isUnclaimed() {
 			return true
--- a/controller/due_records.go
+++ b/controller/due_records.go
@@ -11,7 +11,7 @@
 	fencingWeight     = 100
 	machineWeight     = 20
 	gangWeight        = 8  // a gang waits for its last task
-	waitWeight        = 20 // for each second that a block has waited: none may starve
+	blockWaitWeight   = 20 // for each second that a block has waited: none may starve
 	segmentWaitWeight = 4  // for each second that a shard has waited
 )
 
@@ -74,7 +74,7 @@
 
 // blockUrgency orders blocks that must be written.
 func (o *owner) blockUrgency(b *block) int {
-	n := int(waitWeight * (o.c.now - b.dirtySince).Seconds())
+	n := int(blockWaitWeight * (o.c.now - b.dirtySince).Seconds())
 	for _, m := range b.machines {
 		n += m.urgency()
 		if m.dirty {
--- a/controller/eviction.go
+++ b/controller/eviction.go
@@ -17,8 +17,8 @@
 	// minRemainingForPreemption is the remaining time below which a task is not stopped but waited for: a
 	// stop would not be faster.
 	minRemainingForPreemption = 3 * micros.Second
-	// bootsSoon is the boot time left for which nothing is stopped.
-	bootsSoon = 12 * micros.Second
+	// maxBootTimeToWait is the boot time left for which nothing is stopped.
+	maxBootTimeToWait = 12 * micros.Second
 	// preemptionRetryDelay is the pause after no room was found.
 	preemptionRetryDelay = 4 * micros.Second
 )
@@ -166,7 +166,7 @@
 		if m.state != machineBooting || t == nil || !j.Allows(m.machineType, m.zone, m.spot) {
 			continue
 		}
-		if o.c.wallClock-m.rented+bootsSoon > t.Boot {
+		if o.c.wallClock-m.rented+maxBootTimeToWait > t.Boot {
 			slots += j.Need.Count(t.Size, j.Tasks)
 		}
 	}
@@ -241,9 +241,9 @@
 		}
 		victim.ReadyTasks++
 		victim.TotalResources = victim.TotalResources.Add(j.Need)
-		victim.Since = max(victim.Since, a.since)
+		victim.Since = max(victim.Since, a.placedAt)
 		victim.Tasks = append(victim.Tasks, sched.VictimTask{
-			Index: a.index, Machine: a.machine.name, Resources: j.Need, Since: a.since, LostWork: o.preemptionCost(a),
+			Index: a.index, Machine: a.machine.name, Resources: j.Need, Since: a.placedAt, LostWork: o.preemptionCost(a),
 		})
 	}
 	return victim
--- a/controller/gang_reservations.go
+++ b/controller/gang_reservations.go
@@ -16,7 +16,7 @@
 func (o *owner) reserveForGangs(view []*sched.Machine) {
 	ready := autoscaler.NewWarmPool(o.c.now, o.classes, o.c.cfg.SLOs, o.c.catalog())
 	short := false
-	for _, j := range o.inTurn() {
+	for _, j := range o.schedulingOrder() {
 		if !j.Gang || j.state != jobActive || j.gangState != gangNone || o.reservations[j.ID] != nil || o.c.now < j.notUntil {
 			continue
 		}
@@ -37,15 +37,15 @@
 
 // gangCandidate is a machine that may be reserved for a gang.
 type gangCandidate struct {
-	view *sched.Machine
-	fits int           // how many of the gang's tasks
-	wait micros.Micros // until there is room
+	view        *sched.Machine
+	taskSlots   int           // how many of the gang's tasks
+	availableIn micros.Micros // until there is room
 }
 
 // reserveForGang reserves machines for a gang and tells whether they will do. With complete,
 // it reserves none unless they do.
 func (o *owner) reserveForGang(j *job, view []*sched.Machine, complete bool) bool {
-	starves := o.starves(j)
+	starves := o.isStarving(j)
 	candidates := candidatesOfBestZone(o.gangCandidates(j, view, starves))
 	chosen, tasks := chooseCandidates(j, candidates)
 	if complete && tasks < j.Tasks {
@@ -53,7 +53,7 @@
 	}
 	for _, v := range chosen {
 		v.ReservedForGangs = true
-		if starves || o.waitsLong(j) {
+		if starves || o.waitsTooLong(j) {
 			v.ReservedForJob = j.ID
 		}
 	}
@@ -72,9 +72,9 @@
 		if fits == 0 {
 			continue
 		}
-		candidate := gangCandidate{view: v, fits: fits}
+		candidate := gangCandidate{view: v, taskSlots: fits}
 		if !j.Need.Fits(v.Free) {
-			candidate.wait = o.busyFor(m)
+			candidate.availableIn = o.busyFor(m)
 		}
 		zone := ""
 		if j.OneZone {
@@ -95,7 +95,7 @@
 		}
 	}
 	list := byZone[best]
-	slices.SortStableFunc(list, func(a, b gangCandidate) int { return cmp.Compare(a.wait, b.wait) })
+	slices.SortStableFunc(list, func(a, b gangCandidate) int { return cmp.Compare(a.availableIn, b.availableIn) })
 	return list
 }
 
@@ -103,8 +103,8 @@
 func roomNow(candidates []gangCandidate) int {
 	tasks := 0
 	for _, c := range candidates {
-		if c.wait == 0 {
-			tasks += c.fits
+		if c.availableIn == 0 {
+			tasks += c.taskSlots
 		}
 	}
 	return tasks
@@ -119,7 +119,7 @@
 		if tasks >= j.Tasks {
 			break
 		}
-		fits := min(c.fits, j.ZoneCap()-inZone[c.view.Zone])
+		fits := min(c.taskSlots, j.ZoneCap()-inZone[c.view.Zone])
 		if fits <= 0 {
 			continue // no zone may hold more of the gang
 		}
--- a/controller/gangs.go
+++ b/controller/gangs.go
@@ -10,11 +10,11 @@
 // which machines are kept ready for gangs that come, and what gangs leave of the machines
 // that they use. Which machines are reserved for gangs that wait is in gang_reservations.go.
 
-// gangPatience is how long a gang that waits lets gangs that came later pass.
-const gangPatience = 40 * micros.Second
+// gangStarvationAfter is how long a gang that waits lets gangs that came later pass.
+const gangStarvationAfter = 40 * micros.Second
 
-// waitsLong tells that a job has waited for longer than gangs let later ones pass.
-func (o *owner) waitsLong(j *job) bool { return o.c.wallClock-j.since > gangPatience }
+// waitsTooLong tells that a job has waited for longer than gangs let later ones pass.
+func (o *owner) waitsTooLong(j *job) bool { return o.c.wallClock-j.since > gangStarvationAfter }
 
 // noteSpotTime counts the time that spot machines are up.
 func (o *owner) noteSpotTime() {
@@ -44,11 +44,11 @@
 		Tasks:         j.Tasks,
 		SpotPrice:     catalog.LowestPrice(j.Job, true),
 		OnDemandPrice: catalog.LowestPrice(j.Job, false),
-		Estimate:      o.estimate(j),
+		Estimate:      o.estimatedRunTime(j),
 		Checkpoint:    j.CheckpointInterval,
 		Recovery:      catalog.BootTime(j.Job),
 		LossPerSecond: o.c.spotRisk.PerSecond(o.c.cfg.Tuning.SpotLossesPerHour),
-		MaxSpot:       o.waitsLong(j),
+		MaxSpot:       o.waitsTooLong(j),
 	}
 	return mix.OnDemandTasks()
 }
--- a/controller/holds.go
+++ b/controller/holds.go
@@ -37,9 +37,9 @@
 	writing   bool
 }
 
-// stopPatience is how many times the wait of a hold its stops may take: what keeps its room
+// stopTimeoutFactor is how many times the wait of a hold its stops may take: what keeps its room
 // for longer was not among them.
-const stopPatience = 2
+const stopTimeoutFactor = 2
 
 // setReservationState is the one place where a hold changes its state.
 func (o *owner) setReservationState(h *reservation, s reservationState, why string) {
@@ -50,7 +50,7 @@
 	h.state = s
 	switch s {
 	case reservationStopping:
-		h.expiresAt = o.c.now + stopPatience*o.c.cfg.Tuning.ReservationTimeout
+		h.expiresAt = o.c.now + stopTimeoutFactor*o.c.cfg.Tuning.ReservationTimeout
 	case reservationReady:
 		h.expiresAt = o.c.now + o.c.cfg.Tuning.ReservationTimeout
 	case reservationReleased:
@@ -184,7 +184,7 @@
 	for _, e := range entries {
 		var rec record.Reservation
 		id := strings.TrimPrefix(e.Key, record.ReservationPrefix)
-		j := o.placedJob(id)
+		j := o.unblockPlacedJob(id)
 		if j == nil || wire.Decode(e.Value, &rec) != nil {
 			if o.ownsAllTeams() { // else it may be another owner's
 				o.obsoleteKeys = append(o.obsoleteKeys, e.Key)
--- a/controller/inherit.go
+++ b/controller/inherit.go
@@ -37,39 +37,41 @@
 	}
 }
 
-// dueSoon is the slack below which a job goes before others of its priority.
-const dueSoon = 30 * micros.Second
+// urgentSlack is the slack below which a job goes before others of its priority.
+const urgentSlack = 30 * micros.Second
 
 // minWaitLimit is left to a job that cannot end in time any more: it is placed as soon as
 // that is possible.
 const minWaitLimit = micros.Second
 
-// slack is how much later than now a job may begin and still end in time.
-func (o *owner) slack(j *job) micros.Micros { return j.mustEnd - o.c.wallClock - o.estimate(j) }
+// deadlineSlack is how much later than now a job may begin and still end in time.
+func (o *owner) deadlineSlack(j *job) micros.Micros {
+	return j.mustEnd - o.c.wallClock - o.estimatedRunTime(j)
+}
 
-// urgent tells that a job must begin soon for it, or for some job that needs it, to end in
+// isUrgent tells that a job must begin soon for it, or for some job that needs it, to end in
 // time.
-func (o *owner) urgent(j *job) bool { return j.mustEnd != 0 && o.slack(j) < dueSoon }
+func (o *owner) isUrgent(j *job) bool { return j.mustEnd != 0 && o.deadlineSlack(j) < urgentSlack }
 
 // compareUrgency orders jobs of the same priority: first the urgent ones, by their slack.
 func (o *owner) compareUrgency(a, b *job) int {
 	if a.mustEnd == 0 && b.mustEnd == 0 {
 		return 0
 	}
-	aUrgent, bUrgent := o.urgent(a), o.urgent(b)
+	aUrgent, bUrgent := o.isUrgent(a), o.isUrgent(b)
 	switch {
 	case aUrgent != bUrgent:
 		return first(aUrgent)
 	case aUrgent:
-		return cmp.Compare(o.slack(a), o.slack(b))
+		return cmp.Compare(o.deadlineSlack(a), o.deadlineSlack(b))
 	}
 	return 0
 }
 
-// waitLimit is how long a job may wait: by its class, and until it must begin to end in time.
-func (o *owner) waitLimit(j *job) micros.Micros {
+// maxQueueingDelay is how long a job may wait: by its class, and until it must begin to end in time.
+func (o *owner) maxQueueingDelay(j *job) micros.Micros {
 	if j.mustEnd == 0 {
 		return o.maxWait(j)
 	}
-	return min(o.maxWait(j), max(minWaitLimit, o.slack(j)))
+	return min(o.maxWait(j), max(minWaitLimit, o.deadlineSlack(j)))
 }
--- a/controller/inherit_test.go
+++ b/controller/inherit_test.go
@@ -221,7 +221,7 @@
 
 // TestDeadlineDemand guards against waiting for cheaper machines with work of the lowest
 // priority whose pipeline must end soon, and against longer for a gang than its slack.
-// Guards: urgent and waitLimit in demands.
+// Guards: urgent and maxQueueingDelay in demands.
 func TestDeadlineDemand(t *testing.T) {
 	for _, due := range []float64{0, 400, 50} {
 		w := newTree(t)
--- a/controller/job.go
+++ b/controller/job.go
@@ -61,10 +61,10 @@
 	assumed   int // attempts that are not recorded yet
 	runs      int // tasks that run, for display
 	gangState gangState
-	// began tells whether some of it was placed, and idleSince since when nothing of it is
+	// everPlaced tells whether some of it was placed, and idleSince since when nothing of it is
 	// on machines.
-	began     bool
-	idleSince micros.Micros
+	everPlaced bool
+	idleSince  micros.Micros
 
 	// notUntil is the end of its pause after failures.
 	notUntil micros.Micros
--- a/controller/limits_test.go
+++ b/controller/limits_test.go
@@ -102,7 +102,7 @@
 	}
 	placed := 0
 	for range 20 {
-		o.scheduleWanted, o.nextPass = true, 0
+		o.scheduleWanted, o.nextSchedulingPass = true, 0
 		o.schedule()
 		for _, b := range o.blocks {
 			tx := &transaction{preconditions: map[string]uint64{}}
@@ -118,7 +118,7 @@
 			}
 			o.finishTransaction(tx, true, 10)
 		}
-		o.c.now += passGap
+		o.c.now += minPassInterval
 	}
 	for _, m := range o.machines {
 		placed += len(m.attempts)
--- a/controller/load_machines.go
+++ b/controller/load_machines.go
@@ -75,7 +75,7 @@
 // recoverAttempt takes over an attempt, unless its task is completed or, as a damaged record
 // could have it, does not exist or has an attempt elsewhere.
 func (o *owner) recoverAttempt(m *machine, spec *record.BlockJob, task record.BlockTask) {
-	j := o.placedJob(spec.ID)
+	j := o.unblockPlacedJob(spec.ID)
 	if j == nil {
 		j = o.addEndedJob(spec)
 	}
@@ -86,7 +86,7 @@
 		return // the block was not written since
 	}
 	a := o.attach(j, task.Index, task.Attempt, m, attemptStarting)
-	j.began = true
+	j.everPlaced = true
 	if j.Gang {
 		o.setGangState(j, gangStarting)
 	}
--- a/controller/load_shards.go
+++ b/controller/load_shards.go
@@ -44,7 +44,7 @@
 // that one has been written with what both say.
 func (o *owner) recoverChunk(s *completionSegment, name, bits string) {
 	id, chunk, ok := record.SplitChunkName(name)
-	j := o.placedJob(id)
+	j := o.unblockPlacedJob(id)
 	if !ok || j == nil || chunk*record.TasksPerChunk >= j.Tasks {
 		return
 	}
@@ -68,7 +68,7 @@
 			j.setTaskState(i, taskDone)
 		}
 	}
-	j.began = true
+	j.everPlaced = true
 	if j.doneN == j.Tasks {
 		o.setJobState(j, jobFinishing)
 	}
--- a/controller/machine_health.go
+++ b/controller/machine_health.go
@@ -14,12 +14,12 @@
 	maxMissedHeartbeats = 2
 	// unlistedReadings is how many readings of the cloud's list in a row must lack a machine.
 	unlistedReadings = 2
-	// isolatedPatience is how many times the usual silence a machine is given if no worker at
+	// isolatedTimeoutFactor is how many times the usual silence a machine is given if no worker at
 	// all is heard: the fault is likely on this side.
-	isolatedPatience = 3
-	// unreachablePatience is how many times the usual silence a machine may be unreachable
+	isolatedTimeoutFactor = 3
+	// unreachableTimeoutFactor is how many times the usual silence a machine may be unreachable
 	// while many are.
-	unreachablePatience = 4
+	unreachableTimeoutFactor = 4
 	// minUnreachable and unreachableDivisor give the number of machines that may be taken for
 	// unreachable at the same time: that part of all, but so many at the least.
 	minUnreachable     = 2
@@ -36,9 +36,9 @@
 const (
 	overdueDecommissionFraction = 0.5
 	overdueTerminateFraction    = 0.6
-	// inspectPatience is left to a machine that was taken over and asked for its report, when
+	// inspectTimeout is left to a machine that was taken over and asked for its report, when
 	// there is no time for more: each of many leaders in a row would wait anew.
-	inspectPatience = 3 * micros.Second
+	inspectTimeout = 3 * micros.Second
 )
 
 // decommissionReason tells why a machine is to be deleted.
@@ -160,7 +160,7 @@
 	}
 	patience := maxMissedHeartbeats * o.c.cfg.HeartbeatInterval
 	if m.agentEpoch == 0 && o.cancellationOverdue(m, overdueTerminateFraction) {
-		patience = inspectPatience
+		patience = inspectTimeout
 	}
 	return o.sinceLastHeartbeat(m) > patience
 }
@@ -192,7 +192,7 @@
 		return decommissionUnlisted
 	case silent > limit && (o.retainedInPartition(m) || o.retainedForGangs(m)):
 		return decommissionNone
-	case silent > limit && (!fleet.isolated || silent > isolatedPatience*limit):
+	case silent > limit && (!fleet.isolated || silent > isolatedTimeoutFactor*limit):
 		return decommissionUnresponsive
 	case o.isUnreachable(m) && o.givesUpUnreachable(m, fleet):
 		return decommissionUnreachable
@@ -213,7 +213,7 @@
 // givesUpUnreachable tells whether an unreachable machine is given up. With many of them the
 // fault is likely on this side: answers that come too late are dropped too.
 func (o *owner) givesUpUnreachable(m *machine, fleet fleetHealth) bool {
-	return !fleet.manyUnreachable || o.c.now-m.tokenConfirmedAt > unreachablePatience*o.c.cfg.HeartbeatTimeout()
+	return !fleet.manyUnreachable || o.c.now-m.tokenConfirmedAt > unreachableTimeoutFactor*o.c.cfg.HeartbeatTimeout()
 }
 
 // retainedForGangs tells that a silent machine is kept since it works on, as others show: tasks
@@ -232,7 +232,7 @@
 			return false
 		case !a.job.Gang || a.resourcesReleased:
 			continue
-		case a.job.gangState != gangStarting || !o.runsElsewhere(a):
+		case a.job.gangState != gangStarting || !o.gangPeerRunning(a):
 			return false
 		}
 		gang = true
@@ -240,9 +240,9 @@
 	return gang
 }
 
-// runsElsewhere tells that a task of the same gang was reported running after this one's
+// gangPeerRunning tells that a task of the same gang was reported running after this one's
 // machine fell silent, later than it would have noticed that this one is gone.
-func (o *owner) runsElsewhere(a *attempt) bool {
+func (o *owner) gangPeerRunning(a *attempt) bool {
 	for _, b := range a.job.attempts {
 		if b.machine != a.machine && b.state == attemptLive && b.phase == wire.PhaseRunning &&
 			b.machine.lastHeartbeat > a.machine.lastHeartbeat+o.c.cfg.GangFailureTimeout {
--- a/controller/owner.go
+++ b/controller/owner.go
@@ -78,10 +78,10 @@
 	openCommands  int // direct commands and questions to machines under way
 
 	// Scheduling passes, and the attempts that they have proposed.
-	scheduleWanted bool
-	nextPass       micros.Micros
-	assumed        int // attempts that are not recorded yet
-	assumedJobs    int // jobs with such
+	scheduleWanted     bool
+	nextSchedulingPass micros.Micros
+	assumed            int // attempts that are not recorded yet
+	assumedJobs        int // jobs with such
 
 	// Commits.
 	blocks             []*block
--- a/controller/placement_view.go
+++ b/controller/placement_view.go
@@ -55,9 +55,9 @@
 	return view
 }
 
-// placeView is the view with what is kept for gangs, and with the slack of machines that
+// placementView is the view with what is kept for gangs, and with the slack of machines that
 // gangs use.
-func (o *owner) placeView() []*sched.Machine {
+func (o *owner) placementView() []*sched.Machine {
 	view := o.machineView()
 	o.reserveForGangs(view)
 	return o.addSlack(view)
--- a/controller/proposals.go
+++ b/controller/proposals.go
@@ -73,7 +73,7 @@
 	}
 	o.setAttemptState(a, attemptRecorded)
 	j := a.job
-	j.began = j.began || !j.Gang
+	j.everPlaced = j.everPlaced || !j.Gang
 	o.queueDispatch(a.machine)
 	if j.state != jobActive {
 		o.stop(a, 0, "job is over")
@@ -88,7 +88,7 @@
 		}
 	}
 	o.setGangState(j, gangStarting)
-	j.began = true
+	j.everPlaced = true
 	o.c.log.Info("gang placed", "job", j.ID, "class", j.Class, "tasks", j.Tasks, "ordinary", j.MinOnDemandTasks,
 		"since_accepted_s", math.Round((o.c.wallClock - j.since).Seconds()))
 	for _, b := range j.attempts {
--- a/controller/scale.go
+++ b/controller/scale.go
@@ -183,12 +183,12 @@
 
 // maxWait tells how long a job may wait by its class's objectives.
 func (o *owner) maxWait(j *job) micros.Micros {
-	return autoscaler.WaitTarget(o.c.cfg.SLOs, j.Class, j.Gang, o.estimate(j), o.c.cfg.Tuning.QueueTarget)
+	return autoscaler.WaitTarget(o.c.cfg.SLOs, j.Class, j.Gang, o.estimatedRunTime(j), o.c.cfg.Tuning.QueueTarget)
 }
 
-// estimate is the owner's estimate of a task's run time, corrected by what tasks of
+// estimatedRunTime is the owner's estimate of a task's run time, corrected by what tasks of
 // its class really took.
-func (o *owner) estimate(j *job) micros.Micros {
+func (o *owner) estimatedRunTime(j *job) micros.Micros {
 	return o.classes.CorrectedEstimate(j.Class, j.Estimate)
 }
 
@@ -210,7 +210,7 @@
 		key := demandKey{j.Gang, j.Spot, j.Zone, o.classes.TypesKey(j.Class)}
 		d := byKey[key]
 		if d == nil {
-			d = autoscaler.NewDemand(j.Job, o.waitLimit(j))
+			d = autoscaler.NewDemand(j.Job, o.maxQueueingDelay(j))
 			byKey[key] = d
 			list = append(list, d)
 		}
@@ -222,7 +222,7 @@
 // addDemand adds what runs and what waits of a job. Each job may use all that its team's limit
 // leaves, but all of them together may use it once only.
 func (o *owner) addDemand(d *autoscaler.Demand, j *job, counted map[string]sched.Resources) {
-	d.MaxWait = min(d.MaxWait, o.waitLimit(j))
+	d.MaxWait = min(d.MaxWait, o.maxQueueingDelay(j))
 	for _, a := range j.attempts {
 		if !a.resourcesReleased {
 			offer := a.machine.offer()
@@ -244,9 +244,9 @@
 
 // addPendingWork adds so many tasks of a job that have no place.
 func (o *owner) addPendingWork(d *autoscaler.Demand, j *job, tasks int) {
-	work := float64(tasks) * autoscaler.TaskCPUs(j.Job) * max(o.estimate(j).Seconds(), 1)
+	work := float64(tasks) * autoscaler.TaskCPUs(j.Job) * max(o.estimatedRunTime(j).Seconds(), 1)
 	d.PendingCPUSeconds += work
-	if j.Priority == sched.Low && !o.urgent(j) {
+	if j.Priority == sched.Low && !o.isUrgent(j) {
 		d.LowPriorityCPUSeconds += work
 		d.LowPriorityMaxWait = max(d.LowPriorityMaxWait, o.maxWait(j))
 	}
--- a/controller/schedule.go
+++ b/controller/schedule.go
@@ -11,8 +11,8 @@
 
 // Bounds of one scheduling pass.
 const (
-	// passGap is the least time between two passes.
-	passGap = 100 * micros.Millisecond
+	// minPassInterval is the least time between two passes.
+	minPassInterval = 100 * micros.Millisecond
 	// jobsPerPass is the number of jobs for which places are looked for in one pass.
 	jobsPerPass = 200
 	// maxAssumed is the number of attempts that may wait for their record.
@@ -25,13 +25,13 @@
 // schedule proposes places for waiting tasks. A proposal takes effect only when the
 // machine's record has been written with it.
 func (o *owner) schedule() {
-	if !o.scheduleWanted || o.committing || o.c.now < o.nextPass || o.assumed >= maxAssumed {
+	if !o.scheduleWanted || o.committing || o.c.now < o.nextSchedulingPass || o.assumed >= maxAssumed {
 		return
 	}
-	o.scheduleWanted, o.nextPass = false, o.c.now+passGap
-	pass := &schedulingPass{o: o, view: o.placeView(), reservedQuotas: quotaReservations{}, nowhere: map[shape]bool{}}
-	for _, j := range o.inTurn() {
-		if pass.full() {
+	o.scheduleWanted, o.nextSchedulingPass = false, o.c.now+minPassInterval
+	pass := &schedulingPass{o: o, view: o.placementView(), reservedQuotas: quotaReservations{}, unplaceableShapes: map[shape]bool{}}
+	for _, j := range o.schedulingOrder() {
+		if pass.isExhausted() {
 			return
 		}
 		pass.place(j)
@@ -40,16 +40,16 @@
 
 // schedulingPass is one pass over the jobs in the order in which they are placed.
 type schedulingPass struct {
-	o              *owner
-	view           []*sched.Machine
-	reservedQuotas quotaReservations
-	looked         int            // jobs for which places were looked for
-	nowhere        map[shape]bool // kinds of tasks for which there is no place left
+	o                 *owner
+	view              []*sched.Machine
+	reservedQuotas    quotaReservations
+	examinedJobs      int            // jobs for which places were looked for
+	unplaceableShapes map[shape]bool // kinds of tasks for which there is no place left
 }
 
-// full tells whether the pass has done as much as one may: the guards of a commit are bounded.
-func (p *schedulingPass) full() bool {
-	return p.looked >= jobsPerPass || p.o.assumedJobs >= max(2*p.o.c.cfg.MaxTransactionOps, minAssumedJobs)
+// isExhausted tells whether the pass has done as much as one may: the guards of a commit are bounded.
+func (p *schedulingPass) isExhausted() bool {
+	return p.examinedJobs >= jobsPerPass || p.o.assumedJobs >= max(2*p.o.c.cfg.MaxTransactionOps, minAssumedJobs)
 }
 
 // place looks for places for the waiting tasks of a job.
@@ -64,24 +64,24 @@
 	}
 	// Room only shrinks during a pass, so tasks alike to some that found no place find none.
 	plain := !j.Gang && !j.OneZone && !j.Spread && o.reservations[j.ID] == nil
-	if plain && p.nowhere[j.shape()] {
+	if plain && p.unplaceableShapes[j.shape()] {
 		return
 	}
-	p.looked++
-	if !j.Gang && (leftOut || o.starves(j)) {
-		want = min(want, j.beginTasks()) // it must begin; the rest waits its turn
+	p.examinedJobs++
+	if !j.Gang && (leftOut || o.isStarving(j)) {
+		want = min(want, j.starvingBatchSize()) // it must begin; the rest waits its turn
 	}
 	if h := o.reservations[j.ID]; h != nil {
 		p.placeReserved(j, h, want)
 		return
 	}
-	assignments := sched.Place(j.Job, p.view, want, j.zones())
-	if len(assignments) == 0 && o.leftOut(j) {
-		assignments = placeOnReserved(j, p.view, min(want, j.beginTasks()))
+	assignments := sched.Place(j.Job, p.view, want, j.tasksByZone())
+	if len(assignments) == 0 && o.isIdleTooLong(j) {
+		assignments = placeOnReserved(j, p.view, min(want, j.starvingBatchSize()))
 	}
 	if len(assignments) == 0 {
-		p.nowhere[j.shape()] = plain
-		p.foundNoPlace(j)
+		p.unplaceableShapes[j.shape()] = plain
+		p.handleNoPlacement(j)
 		return
 	}
 	p.assume(j, assignments)
@@ -104,7 +104,7 @@
 		p.reserveQuota(j)
 		return 0, false
 	}
-	if want == 0 && p.o.leftOut(j) {
+	if want == 0 && p.o.isIdleTooLong(j) {
 		return p.o.quotaHeadroom(j, sched.Resources{}), true
 	}
 	return want, false
@@ -122,14 +122,14 @@
 	}
 }
 
-// foundNoPlace makes room for a gang, or reserves machines for it.
-func (p *schedulingPass) foundNoPlace(j *job) {
+// handleNoPlacement makes room for a gang, or reserves machines for it.
+func (p *schedulingPass) handleNoPlacement(j *job) {
 	if j.Gang { // when its machines come, it must be within the limit
 		p.reserveQuota(j)
 	}
 	if p.o.preempt(j) {
-		p.view = p.o.placeView() // without what is held now
-		clear(p.nowhere)
+		p.view = p.o.placementView() // without what is held now
+		clear(p.unplaceableShapes)
 		return
 	}
 	p.view = p.o.reserveSoonestFree(j, p.view)
@@ -167,26 +167,26 @@
 func (o *owner) reservedQuota(k quotaReservations, j *job) sched.Resources {
 	var sum sched.Resources
 	for _, g := range k[j.Team] {
-		if g.Priority > j.Priority || o.waitsLong(g) {
+		if g.Priority > j.Priority || o.waitsTooLong(g) {
 			sum = sum.Add(g.Need.Times(g.Tasks))
 		}
 	}
 	return sum
 }
 
-// beginShare is the divisor by which an array that starves is placed: one such part at a time.
-const beginShare = 8
+// starvingBatchDivisor is the divisor by which an array that starves is placed: one such part at a time.
+const starvingBatchDivisor = 8
 
-// beginTasks is how many tasks of an array that starves are placed at a time.
-func (j *job) beginTasks() int { return max(1, j.pending/beginShare) }
+// starvingBatchSize is how many tasks of an array that starves are placed at a time.
+func (j *job) starvingBatchSize() int { return max(1, j.pending/starvingBatchDivisor) }
 
-// leftOutAfter is how long nothing of an array runs before it takes some of what is kept for
+// maxArrayIdleTime is how long nothing of an array runs before it takes some of what is kept for
 // gangs: it must not wait for long while there is room and its team is under its limit.
-const leftOutAfter = 60 * micros.Second
+const maxArrayIdleTime = 60 * micros.Second
 
-// leftOut tells whether nothing of an array has run for long.
-func (o *owner) leftOut(j *job) bool {
-	return !j.Gang && len(j.attempts) == 0 && o.c.now-j.idleSince > leftOutAfter
+// isIdleTooLong tells whether nothing of an array has run for long.
+func (o *owner) isIdleTooLong(j *job) bool {
+	return !j.Gang && len(j.attempts) == 0 && o.c.now-j.idleSince > maxArrayIdleTime
 }
 
 // placeOnReserved looks for places also on machines that are kept for gangs, though not on
@@ -198,27 +198,27 @@
 			kept, m.ReservedForGangs = append(kept, m), false
 		}
 	}
-	got := sched.Place(j.Job, view, want, j.zones())
+	got := sched.Place(j.Job, view, want, j.tasksByZone())
 	for _, m := range kept {
 		m.ReservedForGangs = true
 	}
 	return got
 }
 
-// starves tells that a job has waited for long and not begun.
-func (o *owner) starves(j *job) bool {
-	return !j.began && j.state == jobActive && o.c.wallClock-j.since > o.c.cfg.Tuning.StarvationTimeout
+// isStarving tells that a job has waited for long and not begun.
+func (o *owner) isStarving(j *job) bool {
+	return !j.everPlaced && j.state == jobActive && o.c.wallClock-j.since > o.c.cfg.Tuning.StarvationTimeout
 }
 
-// inTurn lists the jobs in the order in which they are placed. Those that starve come first,
+// schedulingOrder lists the jobs in the order in which they are placed. Those that starve come first,
 // whatever their priority, so that under lasting overload every job begins; then, of equal
 // priority, those that their teams' guarantees cover, which need not wait for other teams;
 // then those in pipelines whose deadlines press; then who came first.
-func (o *owner) inTurn() []*job {
+func (o *owner) schedulingOrder() []*job {
 	covered := o.jobsWithinGuarantee()
 	list := slices.Clone(o.queue)
 	slices.SortStableFunc(list, func(a, b *job) int {
-		x, y := o.starves(a), o.starves(b)
+		x, y := o.isStarving(a), o.isStarving(b)
 		switch {
 		case x != y:
 			return first(x)
@@ -260,8 +260,8 @@
 	return j.Need.Count(free, j.pending)
 }
 
-// zones counts a job's tasks by zone, if its place depends on that.
-func (j *job) zones() map[string]int {
+// tasksByZone counts a job's tasks by zone, if its place depends on that.
+func (j *job) tasksByZone() map[string]int {
 	in := map[string]int{}
 	if !j.OneZone && !j.Spread {
 		return in
--- a/controller/submissions.go
+++ b/controller/submissions.go
@@ -63,7 +63,7 @@
 		return
 	}
 	writes, size := record.JobWrites(job, c.wallClock, c.cfg.MaxValueBytes)
-	refused := c.unplaceable(job)
+	refused := c.checkPlaceable(job)
 	if c.tooLong(writes, size) {
 		refused = &refusal{wire.StatusBadRequest, reasonTooLong}
 	}
@@ -99,8 +99,8 @@
 	return len(writes) > c.cfg.MaxTransactionOps || size > maxCommitBytes || kv.EncodedSizeBound(writes[0].Value) > c.cfg.MaxValueBytes
 }
 
-// unplaceable tells why a job could never run, or returns nil.
-func (c *Core) unplaceable(job *sched.Job) *refusal {
+// checkPlaceable tells why a job could never run, or returns nil.
+func (c *Core) checkPlaceable(job *sched.Job) *refusal {
 	team, ok := c.cfg.Team(job.Team)
 	if !ok {
 		return permanentRefusal(reasonUnknownTeam)
--- a/controller/task_exits.go
+++ b/controller/task_exits.go
@@ -51,18 +51,18 @@
 	o.noteRun(a)
 	o.setAttemptState(a, attemptCompleted)
 	if j.Gang {
-		o.gangCompleted(a)
+		o.completeGang(a)
 	}
 	if j.doneN == j.Tasks {
 		o.setJobState(j, jobFinishing)
 	}
 }
 
-// gangCompleted marks all tasks of a gang as done once one is: they complete together, also
+// completeGang marks all tasks of a gang as done once one is: they complete together, also
 // those whose machines are gone, for which another attempt of the gang would wait for ever.
 // Those that ran are off their machines. When a completed gang was started again, each task
 // ends by itself, and keeps its resources until its machine reports that.
-func (o *owner) gangCompleted(first *attempt) {
+func (o *owner) completeGang(first *attempt) {
 	j := first.job
 	for _, a := range j.sorted() {
 		if a.number == first.number && (first.running != 0 || a.running != 0) {
@@ -136,7 +136,7 @@
 
 // remaining estimates how long an attempt still takes.
 func (o *owner) remaining(a *attempt) micros.Micros {
-	total := o.estimate(a.job)
+	total := o.estimatedRunTime(a.job)
 	if a.running == 0 {
 		return total
 	}
--- a/controller/waiting.go
+++ b/controller/waiting.go
@@ -42,9 +42,9 @@
 	o.enqueue(j)
 }
 
-// placedJob finds a job that a record of an earlier owner names as placed. That owner had
+// unblockPlacedJob finds a job that a record of an earlier owner names as placed. That owner had
 // read that all that the job awaits is done, which never changes.
-func (o *owner) placedJob(id string) *job {
+func (o *owner) unblockPlacedJob(id string) *job {
 	if o.blockedJobs[id] != nil {
 		waiting := o.c.graph.Blocked(id)
 		if waiting == nil {
