--- a/controller/attempt.go
+++ b/controller/attempt.go
@@ -178,7 +178,7 @@
 	a := &attempt{job: j, index: index, number: number, machine: m, state: s, placedAt: o.c.now}
 	m.attempts[a.key()] = a
 	m.used = m.used.Add(j.Need)
-	m.noteImage(j.Image)
+	m.addCachedImage(j.Image)
 	if t := o.teams[j.Team]; t != nil {
 		t.used = t.used.Add(j.Need)
 	}
--- a/controller/bench_test.go
+++ b/controller/bench_test.go
@@ -95,7 +95,7 @@
 
 func benchReport(m *machine, seq uint64) []byte {
 	r := wire.Heartbeat{Machine: m.name, Endpoint: m.endpoint, Type: m.machineType, Zone: m.zone, Spot: m.spot, AgentEpoch: 1, HeartbeatSeq: seq, FencingToken: 1}
-	for _, a := range m.sorted() {
+	for _, a := range m.sortedAttempts() {
 		r.Tasks = append(r.Tasks, wire.TaskStatus{Task: wire.TaskName(a.job.ID, a.index), Attempt: a.number, Phase: wire.PhaseRunning})
 	}
 	return wire.Encode(r)
@@ -105,12 +105,12 @@
 func BenchmarkReport(b *testing.B) {
 	o := benchOwner()
 	var bodies [][]byte
-	for _, m := range o.list {
+	for _, m := range o.sortedMachines {
 		bodies = append(bodies, benchReport(m, 1<<40))
 	}
 	o.scheduleWanted, o.committing = false, true // a commit is under way
 	for i := 0; b.Loop(); i++ {
-		m := o.list[i%benchMachines]
+		m := o.sortedMachines[i%benchMachines]
 		m.heartbeatSeq = 0
 		o.c.Handle(o.c.now, o.c.now, Request{ID: uint64(i), Method: "POST", Path: "/hello", Body: bodies[i%benchMachines]})
 	}
@@ -174,7 +174,7 @@
 			fresh.recoverJob(record.ActiveJobKey(j.ID), wire.Encode(record.NewJob(j.Job, 0)), j.version)
 		}
 		fresh.recoverBlocks(entries)
-		if len(fresh.list) != benchMachines {
+		if len(fresh.sortedMachines) != benchMachines {
 			b.Fatal("machines are missing")
 		}
 	}
--- a/controller/block_write.go
+++ b/controller/block_write.go
@@ -72,7 +72,7 @@
 		for _, a := range m.attempts {
 			w.data.AttemptBase = min(w.data.AttemptBase, a.number)
 		}
-		w.data.LaunchTimeBase = min(w.data.LaunchTimeBase, int64(m.rented))
+		w.data.LaunchTimeBase = min(w.data.LaunchTimeBase, int64(m.provisionedAt))
 	}
 	return w
 }
@@ -142,7 +142,7 @@
 func (w *blockWrite) newEntry(m *machine) record.BlockMachine {
 	return record.BlockMachine{
 		Name: m.name, FencingToken: m.fencingToken, Endpoint: m.endpoint, MachineType: w.kindIndex(m),
-		LaunchedAt:      int64(m.rented) - w.data.LaunchTimeBase,
+		LaunchedAt:      int64(m.provisionedAt) - w.data.LaunchTimeBase,
 		Decommissioning: m.state == machineDecommissioning || m.state == machineTerminating,
 	}
 }
@@ -161,7 +161,7 @@
 // first time is guarded on its job, which may be cancelled, and on its team.
 func (w *blockWrite) addAttempts(m *machine) []record.BlockTask {
 	var tasks []record.BlockTask
-	for _, a := range m.recordOrder() {
+	for _, a := range m.attemptsInRecordOrder() {
 		if a.state == attemptRemoving {
 			w.leaving = append(w.leaving, a)
 			continue
@@ -295,25 +295,25 @@
 		o.recorded(a)
 	}
 	for _, m := range w.terminated {
-		o.forget(m)
+		o.removeMachine(m)
 	}
 	for _, m := range w.transferred {
-		o.transferred(m)
+		o.completeTransfer(m)
 	}
 }
 
 // markChanged marks what changed while the commit was under way.
 func (w *blockWrite) markChanged() {
 	for _, m := range w.block.machines {
-		m.dirty = m.dirty || m.mustBeWritten()
+		m.dirty = m.dirty || m.needsWrite()
 		if m.dirty {
 			w.owner.markBlockDirty(w.block)
 		}
 	}
 }
 
-// mustBeWritten tells whether a machine's state or an attempt on it waits for the record.
-func (m *machine) mustBeWritten() bool {
+// needsWrite tells whether a machine's state or an attempt on it waits for the record.
+func (m *machine) needsWrite() bool {
 	for _, a := range m.attempts {
 		if a.state == attemptAssumed || a.state == attemptRemoving {
 			return true
--- a/controller/blocks.go
+++ b/controller/blocks.go
@@ -70,7 +70,7 @@
 func (o *owner) blockFor(kind, zone string) *block {
 	most := o.maxMachines(kind)
 	for _, b := range o.blocks {
-		if n := len(b.machines); n == 0 || n >= most || b.forOneMachine() {
+		if n := len(b.machines); n == 0 || n >= most || b.isSingleMachine() {
 			continue
 		}
 		if first := b.machines[0]; first.machineType == kind && first.zone == zone {
@@ -143,8 +143,8 @@
 // isTransfer tells that the block was made by another owner, to transfer a machine.
 func (b *block) isTransfer() bool { return strings.HasPrefix(b.name, transferPrefix) }
 
-// forOneMachine tells that the block was made for one machine.
-func (b *block) forOneMachine() bool { return b.isAdopted() || b.isTransfer() }
+// isSingleMachine tells that the block was made for one machine.
+func (b *block) isSingleMachine() bool { return b.isAdopted() || b.isTransfer() }
 
 // mergeTransferred moves a machine from the block in which it was transferred to a shared
 // one: hundreds of blocks with one machine would use up the writes. The old record is deleted
--- a/controller/cloud.go
+++ b/controller/cloud.go
@@ -9,8 +9,8 @@
 // cloudTimeout is how long a call to the cloud may take until it counts as unanswered.
 const cloudTimeout = 5 * micros.Second
 
-// cloud calls the cloud. done gets status 0 if there is no response.
-func (c *Core) cloud(method, target string, body any, done func(status int, body []byte)) {
+// callCloud calls the cloud. done gets status 0 if there is no response.
+func (c *Core) callCloud(method, target string, body any, done func(status int, body []byte)) {
 	var data []byte
 	if body != nil {
 		data = wire.Encode(body)
--- a/controller/cloud_list.go
+++ b/controller/cloud_list.go
@@ -13,8 +13,8 @@
 const (
 	// listPageSize is how many machines a page of the cloud's list may have.
 	listPageSize = 500
-	// minListPause is the least time between two readings of the list.
-	minListPause = 2 * micros.Second
+	// minListInterval is the least time between two readings of the list.
+	minListInterval = 2 * micros.Second
 	// unclaimedLags is how many times the list's usual lag a machine must be listed without
 	// an owner to be taken for nobody's: the list may be twice its lag late.
 	unclaimedLags = 3
@@ -22,18 +22,18 @@
 
 // cloudList is a reading of the cloud's list, page by page.
 type cloudList struct {
-	asking bool
-	next   micros.Micros
-	found  map[string]wire.ListedMachine
+	inProgress bool
+	nextAt     micros.Micros
+	machines   map[string]wire.ListedMachine
 }
 
-// tickList begins a reading of the cloud's list when it is time.
-func (o *owner) tickList() {
-	l := &o.listing
-	if l.asking || o.c.now < l.next || !o.c.cloudRate.AllowN(o.c.now.Time(), 1) {
+// tickCloudList begins a reading of the cloud's list when it is time.
+func (o *owner) tickCloudList() {
+	l := &o.cloudListing
+	if l.inProgress || o.c.now < l.nextAt || !o.c.cloudRate.AllowN(o.c.now.Time(), 1) {
 		return
 	}
-	l.asking, l.found = true, map[string]wire.ListedMachine{}
+	l.inProgress, l.machines = true, map[string]wire.ListedMachine{}
 	o.requestCloudListPage("")
 }
 
@@ -43,31 +43,31 @@
 	if after != "" {
 		query.Set("after", after)
 	}
-	o.c.cloud("GET", pathRentals+"?"+query.Encode(), nil, func(status int, body []byte) {
+	o.c.callCloud("GET", pathRentals+"?"+query.Encode(), nil, func(status int, body []byte) {
 		if !o.superseded() {
-			o.takePage(status, body)
+			o.handleCloudListPage(status, body)
 		}
 	})
 }
 
 // applyPage takes one page of the list. A reading that fails is dropped.
-func (o *owner) takePage(status wire.Status, body []byte) {
-	l := &o.listing
-	l.next = o.c.now + max(o.c.cfg.CloudListLag, minListPause)
+func (o *owner) handleCloudListPage(status wire.Status, body []byte) {
+	l := &o.cloudListing
+	l.nextAt = o.c.now + max(o.c.cfg.CloudListLag, minListInterval)
 	var page wire.MachineList
 	if status != wire.StatusOK || wire.Decode(body, &page) != nil {
-		l.asking = false
+		l.inProgress = false
 		return
 	}
 	for _, m := range page.Machines {
-		l.found[m.Name] = m
+		l.machines[m.Name] = m
 	}
 	if page.More && len(page.Machines) > 0 {
 		o.requestCloudListPage(page.Machines[len(page.Machines)-1].Name)
 		return
 	}
-	l.asking = false
-	o.takeList(l.found)
+	l.inProgress = false
+	o.applyCloudList(l.machines)
 }
 
 // isUnclaimed tells whether a listed machine belongs to nobody. The list may be twice its
@@ -84,24 +84,24 @@
 	return o.c.now-o.unclaimed[name] > unclaimedLags*o.c.cfg.CloudListLag
 }
 
-// takeList takes what the cloud lists, and adopts machines that nobody owns.
-func (o *owner) takeList(found map[string]wire.ListedMachine) {
+// applyCloudList takes what the cloud lists, and adopts machines that nobody owns.
+func (o *owner) applyCloudList(found map[string]wire.ListedMachine) {
 	for _, name := range sortedKeys(found) {
-		o.takeListed(found[name])
+		o.applyListedMachine(found[name])
 	}
 	maps.DeleteFunc(o.unclaimed, func(name string, _ micros.Micros) bool {
 		_, listed := found[name]
 		return !listed
 	})
 	for name, m := range o.machines {
-		if _, listed := found[name]; !listed && m.listed {
-			m.unlisted++
+		if _, listed := found[name]; !listed && m.cloudListed {
+			m.missedListings++
 		}
 	}
 }
 
-// takeListed takes what the cloud lists of one machine.
-func (o *owner) takeListed(entry wire.ListedMachine) {
+// applyListedMachine takes what the cloud lists of one machine.
+func (o *owner) applyListedMachine(entry wire.ListedMachine) {
 	m := o.machines[entry.Name]
 	if m == nil {
 		if !o.isUnclaimed(entry.Name) {
@@ -110,9 +110,9 @@
 		m = o.adopt(machineInfo{
 			name: entry.Name, machineType: entry.Type, zone: entry.Zone, spot: entry.Spot, endpoint: entry.Endpoint,
 		})
-		m.rented = o.c.wallClock - micros.FromSeconds(entry.AgeS)
+		m.provisionedAt = o.c.wallClock - micros.FromSeconds(entry.AgeS)
 	}
-	m.listed, m.unlisted = true, 0
+	m.cloudListed, m.missedListings = true, 0
 	m.failed = entry.Status == wire.ListFailed
 	m.endpoint = cmp.Or(m.endpoint, entry.Endpoint)
 }
--- a/controller/commands.go
+++ b/controller/commands.go
@@ -13,17 +13,17 @@
 const (
 	// commandTimeout is how long a worker may take to answer.
 	commandTimeout = 4 * micros.Second
-	// commandSocketShare is the part of the sockets that requests to workers may use at a
+	// commandSocketFraction is the part of the sockets that requests to workers may use at a
 	// time: each machine that hangs keeps one until it is given up.
-	commandSocketShare = 0.125
-	// minOpenCommands is the number of such requests that is always allowed.
-	minOpenCommands = 4
+	commandSocketFraction = 0.125
+	// minInFlightCommands is the number of such requests that is always allowed.
+	minInFlightCommands = 4
 )
 
 // Pace at which machines that were taken over and stay silent are asked for a report.
 const (
-	inspectAfter = 2 * micros.Second
-	inspectBatch = 4
+	inspectionDelay     = 2 * micros.Second
+	inspectionBatchSize = 4
 )
 
 // commands returns what a machine must do, given its latest report, and marks the starts
@@ -36,7 +36,7 @@
 		return nil
 	}
 	reported, commands := o.commandsForReportedTasks(m)
-	for _, a := range m.sorted() {
+	for _, a := range m.sortedAttempts() {
 		if a.state == attemptStarting && a.job.state == jobEnded {
 			o.stop(a, 0, "job is over")
 		}
@@ -97,33 +97,33 @@
 	return false
 }
 
-// queueDispatch has the next dispatchQueued look for commands for a machine.
+// queueDispatch has the next dispatchQueuedMachines look for commands for a machine.
 func (o *owner) queueDispatch(m *machine) {
-	m.wantDispatch = true
-	if !m.queued {
-		m.queued = true
+	m.dispatchNeeded = true
+	if !m.inDispatchQueue {
+		m.inDispatchQueue = true
 		o.dispatchQueue = append(o.dispatchQueue, m)
 	}
 }
 
-// commandsFull tells that no further request to a worker may be sent now. What waits goes
+// commandLimitReached tells that no further request to a worker may be sent now. What waits goes
 // with the answers to reports.
-func (o *owner) commandsFull() bool {
-	return o.openCommands >= max(minOpenCommands, int(commandSocketShare*float64(o.c.cfg.Sockets)))
+func (o *owner) commandLimitReached() bool {
+	return o.commandsInFlight >= max(minInFlightCommands, int(commandSocketFraction*float64(o.c.cfg.Sockets)))
 }
 
-// dispatchQueued sends commands to the machines in the dispatch queue. A machine that cannot
+// dispatchQueuedMachines sends commands to the machines in the dispatch queue. A machine that cannot
 // be sent to now is queued again when that changes.
-func (o *owner) dispatchQueued() {
+func (o *owner) dispatchQueuedMachines() {
 	queue := o.dispatchQueue
 	o.dispatchQueue = nil
 	for i, m := range queue {
-		if o.commandsFull() {
+		if o.commandLimitReached() {
 			o.dispatchQueue = append(queue[i:len(queue):len(queue)], o.dispatchQueue...)
 			return
 		}
-		m.queued = false
-		if m.wantDispatch && o.machines[m.name] == m {
+		m.inDispatchQueue = false
+		if m.dispatchNeeded && o.machines[m.name] == m {
 			o.dispatch(m)
 		}
 	}
@@ -135,7 +135,7 @@
 	if m.commandsInFlight || !m.tokenConfirmed || m.fencing != fencingNone || m.endpoint == "" || !takesWork {
 		return
 	}
-	m.wantDispatch = false
+	m.dispatchNeeded = false
 	if commands := o.commands(m); len(commands) > 0 {
 		o.sendCommands(m, commands)
 	}
@@ -145,12 +145,12 @@
 // worker this owner's token.
 func (o *owner) sendCommands(m *machine, commands []wire.Command) {
 	m.commandsInFlight = true
-	o.openCommands++
+	o.commandsInFlight++
 	body := wire.Encode(wire.CommandsRequest{FencingToken: m.fencingToken, AgentEpoch: m.agentEpoch, Commands: commands})
 	o.c.call(Call{
 		Addr: m.endpoint, Method: "POST", Target: wire.PathCommands, Timeout: commandTimeout, MaxBody: wire.MaxBody, Body: body,
 	}, func(e CallDone) {
-		o.openCommands--
+		o.commandsInFlight--
 		if o.superseded() || o.machines[m.name] != m {
 			return
 		}
@@ -171,7 +171,7 @@
 		o.restartRecovery("a machine has seen a higher token")
 	case report != nil:
 		o.applyHeartbeat(m, report, false)
-		if m.wantDispatch || m.hasPendingStarts() {
+		if m.dispatchNeeded || m.hasPendingStarts() {
 			o.queueDispatch(m)
 		}
 	case e.Sent && hadCommands:
@@ -180,41 +180,41 @@
 	}
 }
 
-// inspectSome asks a few machines that were taken over and have not reported. Most workers
+// inspectMachines asks a few machines that were taken over and have not reported. Most workers
 // find this node by themselves, and asking all machines at once would delay their reports.
-func (o *owner) inspectSome() {
-	if o.commandsFull() {
+func (o *owner) inspectMachines() {
+	if o.commandLimitReached() {
 		return
 	}
 	asked := 0
-	for _, m := range o.list {
+	for _, m := range o.sortedMachines {
 		// A machine with a task of a cancelled job is asked at once, since the leader may
 		// change again soon.
-		if o.c.now-o.since < inspectAfter && !o.cancellationOverdue(m, overdueDecommissionFraction) {
+		if o.c.now-o.since < inspectionDelay && !o.cancellationOverdue(m, overdueDecommissionFraction) {
 			continue
 		}
 		if !m.recovered || m.agentEpoch != 0 || m.inspected || m.fencingToken == 0 || m.state >= machineDecommissioning {
 			continue
 		}
 		m.inspected = true
-		o.inspect(m)
-		if asked++; asked == inspectBatch {
+		o.inspectMachine(m)
+		if asked++; asked == inspectionBatchSize {
 			return
 		}
 	}
 }
 
-// inspect asks a machine that was taken over for its report, and then shows it this owner's
+// inspectMachine asks a machine that was taken over for its report, and then shows it this owner's
 // token, so that commands need not wait until its worker has found this node.
-func (o *owner) inspect(m *machine) {
+func (o *owner) inspectMachine(m *machine) {
 	if m.endpoint == "" || m.agentEpoch != 0 || m.commandsInFlight {
 		return
 	}
-	o.openCommands++
+	o.commandsInFlight++
 	o.c.call(Call{
 		Addr: m.endpoint, Method: "GET", Target: wire.PathInspect, Timeout: commandTimeout, MaxBody: wire.MaxBody,
 	}, func(e CallDone) {
-		o.openCommands--
+		o.commandsInFlight--
 		report, err := wire.DecodeHeartbeat(e.Body)
 		if o.superseded() || o.machines[m.name] != m || e.Status != wire.StatusOK || err != nil || report.FencingToken > m.fencingToken {
 			return
--- a/controller/commits.go
+++ b/controller/commits.go
@@ -66,7 +66,7 @@
 
 // hasPendingClaims tells whether machines wait to be claimed by this owner.
 func (o *owner) hasPendingClaims() bool {
-	for _, m := range o.list {
+	for _, m := range o.sortedMachines {
 		if m.isUnclaimed() {
 			return true
 		}
@@ -217,7 +217,7 @@
 // another owner's, or ours if it was given to us.
 func (o *owner) notOurs(m *machine, block string) {
 	o.ownedElsewhere[m.name] = o.c.now + elsewhereMemory
-	o.forget(m)
+	o.removeMachine(m)
 	o.receiveTransfer(block)
 }
 
--- a/controller/eviction.go
+++ b/controller/eviction.go
@@ -161,12 +161,12 @@
 // booted soon.
 func (o *owner) bootingSlots(j *job) int {
 	slots := 0
-	for _, m := range o.list {
+	for _, m := range o.sortedMachines {
 		t := o.c.types.find(m.machineType)
 		if m.state != machineBooting || t == nil || !j.Allows(m.machineType, m.zone, m.spot) {
 			continue
 		}
-		if o.c.wallClock-m.rented+maxBootTimeToWait > t.Boot {
+		if o.c.wallClock-m.provisionedAt+maxBootTimeToWait > t.Boot {
 			slots += j.Need.Count(t.Size, j.Tasks)
 		}
 	}
--- a/controller/gangs.go
+++ b/controller/gangs.go
@@ -18,7 +18,7 @@
 
 // noteSpotTime counts the time that spot machines are up.
 func (o *owner) noteSpotTime() {
-	for _, m := range o.list {
+	for _, m := range o.sortedMachines {
 		if m.spot && (m.state == machineReady || m.state == machineDraining) {
 			o.c.spotRisk.RecordUptime(autoscalingInterval)
 		}
@@ -27,8 +27,8 @@
 
 // noteSpotLost counts a spot machine that the cloud took.
 func (o *owner) noteSpotLost(m *machine) {
-	if m.spot && !m.lost {
-		m.lost = true
+	if m.spot && !m.spotReclaimed {
+		m.spotReclaimed = true
 		o.c.spotRisk.RecordLoss()
 	}
 }
--- a/controller/inherit_test.go
+++ b/controller/inherit_test.go
@@ -24,7 +24,7 @@
 
 func newTree(t *testing.T) *tree {
 	o := testOwner()
-	o.listed = true
+	o.jobsListed = true
 	o.c.graph.Reset(nil, 0)
 	return &tree{T: t, c: o.c, o: o, jobs: map[string]*sched.Job{}, accepted: map[string]micros.Micros{}}
 }
--- a/controller/jobview.go
+++ b/controller/jobview.go
@@ -32,13 +32,13 @@
 type jobObserver struct{ c *Core }
 
 func (w jobObserver) JobPut(key string, value []byte, version uint64) {
-	if o := w.c.owner; o != nil && o.listed {
+	if o := w.c.owner; o != nil && o.jobsListed {
 		o.recoverJob(key, value, version)
 	}
 }
 
 func (w jobObserver) JobDeleted(id string) {
-	if o := w.c.owner; o != nil && o.listed {
+	if o := w.c.owner; o != nil && o.jobsListed {
 		// Users may have been told as early as what was known before ends.
 		o.handleJobRemoved(id, o.cancellationsKnownUntil)
 	}
@@ -173,7 +173,7 @@
 		queue.reading = false
 		queue.requestedAt = c.now // what came meanwhile goes out now
 		ok := c.takeChanges(after, r)
-		if r.Outcome == kv.Compacted && c.owner != nil && c.owner.listed {
+		if r.Outcome == kv.Compacted && c.owner != nil && c.owner.jobsListed {
 			c.owner.restartRecovery("changes of jobs were missed")
 		}
 		notifyAll(batch, ok)
--- a/controller/jobview_test.go
+++ b/controller/jobview_test.go
@@ -31,7 +31,7 @@
 		entries = append(entries, kv.Entry{Key: writes[0].Put, Value: wire.Encode(writes[0].Value), Version: uint64(i + 1)})
 	}
 	o.c.graph.Reset(entries, uint64(len(entries)))
-	o.listed = true
+	o.jobsListed = true
 	for _, e := range entries {
 		o.recoverJob(e.Key, e.Value, e.Version)
 	}
--- a/controller/limits_test.go
+++ b/controller/limits_test.go
@@ -213,12 +213,12 @@
 	if len(o.blocks) != 1 {
 		t.Fatalf("%d blocks", len(o.blocks))
 	}
-	o.attach(o.jobs[id], 0, 1<<20|1, o.list[0], attemptLive)
+	o.attach(o.jobs[id], 0, 1<<20|1, o.sortedMachines[0], attemptLive)
 	o.flushRecords(&transaction{preconditions: map[string]uint64{}}, func() int { return 1 })
 	if !o.blocks[0].writing {
 		t.Fatal("the block was not written")
 	}
-	for _, m := range o.list {
+	for _, m := range o.sortedMachines {
 		if n := o.freeSlots(m, map[*block]float64{}); n < 5 {
 			t.Errorf("%s takes %d more tasks", m.name, n)
 		}
--- a/controller/load.go
+++ b/controller/load.go
@@ -32,9 +32,9 @@
 func (o *owner) reset() {
 	clear(o.jobs)
 	clear(o.blockedJobs)
-	o.listed, o.cascadedCancellations = false, nil
+	o.jobsListed, o.cascadedCancellations = false, nil
 	clear(o.machines)
-	o.list, o.blocks, o.completionSegments, o.dispatchQueue, o.unresolvedJobs = nil, nil, nil, nil, nil
+	o.sortedMachines, o.blocks, o.completionSegments, o.dispatchQueue, o.unresolvedJobs = nil, nil, nil, nil, nil
 	o.assumed, o.assumedJobs = 0, 0
 	clear(o.scaleOutRequests)
 	clear(o.reservations)
@@ -63,7 +63,7 @@
 	o := l.owner
 	o.watchRev, o.cancellationsKnownUntil = revision, l.startedAt
 	o.c.graph.Reset(entries, revision)
-	o.listed = true
+	o.jobsListed = true
 	for _, e := range entries {
 		o.recoverJob(e.Key, e.Value, e.Version)
 	}
@@ -99,7 +99,7 @@
 
 // activate begins the work of an owner that has read its records.
 func (o *owner) activate() {
-	for _, m := range o.list {
+	for _, m := range o.sortedMachines {
 		m.lastHeartbeat, m.recovered = o.c.now+o.c.cfg.FailoverGrace(), true
 		m.tokenConfirmedAt = m.lastHeartbeat
 	}
--- a/controller/load_machines.go
+++ b/controller/load_machines.go
@@ -55,10 +55,10 @@
 		return // it is in a newer block
 	}
 	kind := data.MachineTypes[entry.MachineType]
-	m := o.newMachineIn(b, machineInfo{
+	m := o.newMachineInBlock(b, machineInfo{
 		name: entry.Name, machineType: kind.Type, zone: kind.Zone, spot: kind.Spot, endpoint: entry.Endpoint,
 	})
-	m.rented = micros.Micros(entry.LaunchedAt + data.LaunchTimeBase)
+	m.provisionedAt = micros.Micros(entry.LaunchedAt + data.LaunchTimeBase)
 	m.recorded = true
 	if entry.Decommissioning {
 		o.setMachineState(m, machineTerminating, "condemned by an earlier owner")
--- a/controller/machine.go
+++ b/controller/machine.go
@@ -43,15 +43,15 @@
 
 // machine is a machine at its owner.
 type machine struct {
-	name        string
-	endpoint    string
-	machineType string // the name of its type
-	zone        string
-	spot        bool
-	size        sched.Resources
-	state       machineState
-	fencing     fencingState
-	rented      micros.Micros
+	name          string
+	endpoint      string
+	machineType   string // the name of its type
+	zone          string
+	spot          bool
+	size          sched.Resources
+	state         machineState
+	fencing       fencingState
+	provisionedAt micros.Micros
 
 	// block holds the machine's entry, and dirty tells whether that must be written.
 	block *block
@@ -78,54 +78,54 @@
 	// session and seq order its reports; tasks are those of the latest.
 	agentEpoch, heartbeatSeq uint64
 	reportedTasks            []wire.TaskStatus
-	// notice is when the cloud reclaims it; 0: not announced.
-	notice micros.Micros
+	// reclaimAt is when the cloud reclaims it; 0: not announced.
+	reclaimAt micros.Micros
 	// pendingRequest is the request of a report that waits for the claim.
 	pendingRequest   uint64
 	pendingHeartbeat *wire.Heartbeat
 
-	// listed: the cloud's list has named it; unlisted counts lists in a row without it.
-	listed   bool
-	unlisted int
+	// cloudListed: the cloud's list has named it; unlisted counts lists in a row without it.
+	cloudListed    bool
+	missedListings int
 	// failed: the cloud's list says that it stopped by itself.
 	failed bool
-	// lost: it was a spot machine that the cloud reclaimed.
-	lost bool
+	// spotReclaimed: it was a spot machine that the cloud reclaimed.
+	spotReclaimed bool
 
 	// commandsInFlight: a request with commands is under way.
 	commandsInFlight bool
-	// wantDispatch: it may need commands; queued: it is in the owner's dispatch queue.
-	wantDispatch bool
-	queued       bool
+	// dispatchNeeded: it may need commands; queued: it is in the owner's dispatch queue.
+	dispatchNeeded  bool
+	inDispatchQueue bool
 	// inspected: it was asked for its report after a takeover.
 	inspected bool
 
 	attempts map[taskKey]*attempt
 	used     sched.Resources
-	// images are those it is believed to cache, the latest last.
-	images    []string
-	idleSince micros.Micros
-	// errors counts failures in a row; nothing is placed on it until pausedTo.
-	errors   int
-	pausedTo micros.Micros
+	// cachedImages are those it is believed to cache, the latest last.
+	cachedImages []string
+	idleSince    micros.Micros
+	// consecutiveErrors counts failures in a row; nothing is placed on it until quarantinedUntil.
+	consecutiveErrors int
+	quarantinedUntil  micros.Micros
 	// transferTo is the owner that gets it, while it moves.
 	transferTo record.OwnerID
 }
 
-// maxImages is how many images a machine is believed to keep.
-const maxImages = 8
+// maxCachedImages is how many images a machine is believed to keep.
+const maxCachedImages = 8
 
-// noteImage notes that the machine was told to fetch an image.
-func (m *machine) noteImage(image string) {
+// addCachedImage notes that the machine was told to fetch an image.
+func (m *machine) addCachedImage(image string) {
 	if image == "" {
 		return
 	}
-	if i := slices.Index(m.images, image); i >= 0 {
-		m.images = slices.Delete(m.images, i, i+1)
+	if i := slices.Index(m.cachedImages, image); i >= 0 {
+		m.cachedImages = slices.Delete(m.cachedImages, i, i+1)
 	}
-	m.images = append(m.images, image)
-	if len(m.images) > maxImages {
-		m.images = m.images[1:]
+	m.cachedImages = append(m.cachedImages, image)
+	if len(m.cachedImages) > maxCachedImages {
+		m.cachedImages = m.cachedImages[1:]
 	}
 }
 
@@ -160,8 +160,8 @@
 	}
 }
 
-// sorted lists the machine's attempts by job and task.
-func (m *machine) sorted() []*attempt {
+// sortedAttempts lists the machine's attempts by job and task.
+func (m *machine) sortedAttempts() []*attempt {
 	list := slices.Collect(maps.Values(m.attempts))
 	slices.SortFunc(list, func(a, b *attempt) int {
 		return cmp.Or(cmp.Compare(a.job.ID, b.job.ID), cmp.Compare(a.index, b.index))
@@ -169,8 +169,8 @@
 	return list
 }
 
-// recordOrder lists a machine's attempts in the order in which its entry holds them.
-func (m *machine) recordOrder() []*attempt {
+// attemptsInRecordOrder lists a machine's attempts in the order in which its entry holds them.
+func (m *machine) attemptsInRecordOrder() []*attempt {
 	list := slices.Collect(maps.Values(m.attempts))
 	slices.SortFunc(list, func(a, b *attempt) int {
 		return cmp.Or(cmp.Compare(a.job.ID, b.job.ID), cmp.Compare(a.number, b.number), cmp.Compare(a.index, b.index))
@@ -178,14 +178,14 @@
 	return list
 }
 
-// forget drops a machine whose record is gone; its tasks may run elsewhere now.
-func (o *owner) forget(m *machine) {
-	o.dropMachine(m)
+// removeMachine drops a machine whose record is gone; its tasks may run elsewhere now.
+func (o *owner) removeMachine(m *machine) {
+	o.unregisterMachine(m)
 	if m.pendingRequest != 0 {
 		o.c.refuse(m.pendingRequest, wire.StatusUnavailable, "machine was returned")
 		m.pendingRequest = 0
 	}
-	for _, a := range m.sorted() {
+	for _, a := range m.sortedAttempts() {
 		j := a.job
 		a.why = "machine is gone"
 		if a.state != attemptCompleted || j.state == jobEnded {
--- a/controller/machine_health.go
+++ b/controller/machine_health.go
@@ -12,18 +12,18 @@
 const (
 	// maxMissedHeartbeats is how many reports in a row may be missing without any meaning.
 	maxMissedHeartbeats = 2
-	// unlistedReadings is how many readings of the cloud's list in a row must lack a machine.
-	unlistedReadings = 2
+	// maxMissedListings is how many readings of the cloud's list in a row must lack a machine.
+	maxMissedListings = 2
 	// isolatedTimeoutFactor is how many times the usual silence a machine is given if no worker at
 	// all is heard: the fault is likely on this side.
 	isolatedTimeoutFactor = 3
 	// unreachableTimeoutFactor is how many times the usual silence a machine may be unreachable
 	// while many are.
 	unreachableTimeoutFactor = 4
-	// minUnreachable and unreachableDivisor give the number of machines that may be taken for
+	// minUnreachableMachines and unreachableDivisor give the number of machines that may be taken for
 	// unreachable at the same time: that part of all, but so many at the least.
-	minUnreachable     = 2
-	unreachableDivisor = 10
+	minUnreachableMachines = 2
+	unreachableDivisor     = 10
 	// unknownBoot is taken for the boot time of machines whose type is not known.
 	unknownBoot = micros.Minute
 )
@@ -68,14 +68,14 @@
 
 func (o *owner) fleetHealth() fleetHealth {
 	unreachable := 0
-	for _, m := range o.list {
+	for _, m := range o.sortedMachines {
 		if o.isUnreachable(m) {
 			unreachable++
 		}
 	}
 	return fleetHealth{
 		isolated:        o.c.now-max(o.lastHeartbeat, o.since) > maxMissedHeartbeats*o.c.cfg.HeartbeatInterval,
-		manyUnreachable: unreachable > max(minUnreachable, len(o.list)/unreachableDivisor),
+		manyUnreachable: unreachable > max(minUnreachableMachines, len(o.sortedMachines)/unreachableDivisor),
 	}
 }
 
@@ -120,7 +120,7 @@
 func (o *owner) checkMachineHealth() {
 	fleet := o.fleetHealth()
 	o.findPartitions()
-	for _, m := range o.list {
+	for _, m := range o.sortedMachines {
 		if o.mustDecommission(m) {
 			o.decommission(m, decommissionOverdue)
 		}
@@ -176,7 +176,7 @@
 		boot = t.Boot
 	}
 	patience := micros.Micros(o.c.cfg.Tuning.BootTimeoutFactor*float64(boot)) + o.c.cfg.HeartbeatTimeout()
-	if m.failed || o.c.wallClock-m.rented > patience && o.unresponsiveFor(m) > o.c.cfg.HeartbeatTimeout() {
+	if m.failed || o.c.wallClock-m.provisionedAt > patience && o.unresponsiveFor(m) > o.c.cfg.HeartbeatTimeout() {
 		return decommissionBootTimeout
 	}
 	return decommissionNone
@@ -188,7 +188,7 @@
 	switch {
 	case m.failed:
 		return decommissionFailed
-	case m.unlisted >= unlistedReadings && silent > maxMissedHeartbeats*o.c.cfg.HeartbeatInterval:
+	case m.missedListings >= maxMissedListings && silent > maxMissedHeartbeats*o.c.cfg.HeartbeatInterval:
 		return decommissionUnlisted
 	case silent > limit && (o.retainedInPartition(m) || o.retainedForGangs(m)):
 		return decommissionNone
@@ -204,7 +204,7 @@
 
 // machineHeartbeatTimeout is how long a machine may be silent: not for long once the cloud takes it.
 func (o *owner) machineHeartbeatTimeout(m *machine) micros.Micros {
-	if m.notice != 0 && o.c.now > m.notice {
+	if m.reclaimAt != 0 && o.c.now > m.reclaimAt {
 		return o.c.cfg.HeartbeatInterval * 3 / 2
 	}
 	return o.c.cfg.HeartbeatTimeout()
@@ -222,7 +222,7 @@
 // it up would stop whole gangs. Not one with tasks of a job that is over, nor one that the
 // cloud takes.
 func (o *owner) retainedForGangs(m *machine) bool {
-	if o.unresponsiveFor(m) > o.c.cfg.WorkerLease || m.failed || m.notice != 0 {
+	if o.unresponsiveFor(m) > o.c.cfg.WorkerLease || m.failed || m.reclaimAt != 0 {
 		return false
 	}
 	gang := false
--- a/controller/machine_list.go
+++ b/controller/machine_list.go
@@ -17,11 +17,11 @@
 
 // newMachine adds a machine, with an entry in a block of its type and zone.
 func (o *owner) newMachine(info machineInfo) *machine {
-	return o.newMachineIn(o.blockFor(info.machineType, info.zone), info)
+	return o.newMachineInBlock(o.blockFor(info.machineType, info.zone), info)
 }
 
-// newMachineIn adds a machine, with an entry in a block.
-func (o *owner) newMachineIn(b *block, info machineInfo) *machine {
+// newMachineInBlock adds a machine, with an entry in a block.
+func (o *owner) newMachineInBlock(b *block, info machineInfo) *machine {
 	m := &machine{
 		name: info.name, machineType: info.machineType, zone: info.zone, spot: info.spot, endpoint: info.endpoint,
 		lastHeartbeat: o.c.now, idleSince: o.c.now,
@@ -33,18 +33,18 @@
 		m.size = t.Size
 	}
 	o.machines[info.name] = m
-	i, _ := slices.BinarySearchFunc(o.list, info.name, compareName)
-	o.list = slices.Insert(o.list, i, m)
+	i, _ := slices.BinarySearchFunc(o.sortedMachines, info.name, compareMachineName)
+	o.sortedMachines = slices.Insert(o.sortedMachines, i, m)
 	return m
 }
 
-func compareName(m *machine, name string) int { return cmp.Compare(m.name, name) }
+func compareMachineName(m *machine, name string) int { return cmp.Compare(m.name, name) }
 
-// dropMachine takes a machine out of all that lists it.
-func (o *owner) dropMachine(m *machine) {
+// unregisterMachine takes a machine out of all that lists it.
+func (o *owner) unregisterMachine(m *machine) {
 	delete(o.machines, m.name)
-	if i, ok := slices.BinarySearchFunc(o.list, m.name, compareName); ok {
-		o.list = slices.Delete(o.list, i, i+1)
+	if i, ok := slices.BinarySearchFunc(o.sortedMachines, m.name, compareMachineName); ok {
+		o.sortedMachines = slices.Delete(o.sortedMachines, i, i+1)
 	}
 	m.block.machines = slices.DeleteFunc(m.block.machines, func(x *machine) bool { return x == m })
 }
@@ -59,7 +59,7 @@
 		// Another owner may have it without our knowing: see verify.
 		b = o.newBlock(adoptedPrefix + info.name)
 	}
-	m := o.newMachineIn(b, info)
-	m.rented = o.c.wallClock
+	m := o.newMachineInBlock(b, info)
+	m.provisionedAt = o.c.wallClock
 	return m
 }
--- a/controller/machine_requests.go
+++ b/controller/machine_requests.go
@@ -38,7 +38,7 @@
 	}
 	leader, _ := o.c.node.Leader()
 	if p := o.c.peers[leader]; p != nil {
-		o.c.send(p, &peer.Message{Body: &peer.Message_Want{Want: request}})
+		o.c.sendPeerMessage(p, &peer.Message{Body: &peer.Message_Want{Want: request}})
 	}
 }
 
@@ -72,7 +72,7 @@
 
 // assignMachineRequest passes a request on to the owner that shall transfer machines.
 func (c *Core) assignMachineRequest(request *peer.Want) {
-	giver := c.chooseGiver(request)
+	giver := c.chooseTransferSource(request)
 	if giver == "" {
 		return
 	}
@@ -82,11 +82,11 @@
 		c.handleMachineRequest(request)
 		return
 	}
-	c.send(c.peers[giver], &peer.Message{Body: &peer.Message_Want{Want: request}})
+	c.sendPeerMessage(c.peers[giver], &peer.Message{Body: &peer.Message_Want{Want: request}})
 }
 
-// chooseGiver chooses the node that transfers machines, or "".
-func (c *Core) chooseGiver(request *peer.Want) string {
+// chooseTransferSource chooses the node that transfers machines, or "".
+func (c *Core) chooseTransferSource(request *peer.Want) string {
 	job := requestedJob(request)
 	chosen, mostOver := "", 0.0
 	for _, node := range c.cluster.Members() {
@@ -145,7 +145,7 @@
 	if o.ownsAllTeams() {
 		return // there is no owner to share machines with
 	}
-	for _, m := range o.list {
+	for _, m := range o.sortedMachines {
 		heartbeat.Machines = append(heartbeat.Machines, m.name)
 		if o.isIdle(m) {
 			heartbeat.Idle = append(heartbeat.Idle, &peer.IdleMachine{Type: m.machineType, Zone: m.zone, Spot: m.spot})
--- a/controller/machine_transfers.go
+++ b/controller/machine_transfers.go
@@ -14,24 +14,24 @@
 // and empties them; it writes a block that names the new owner, whose revision is the machine's
 // token from then on; it tells the new owner, which reads the block and takes the machine.
 
-// idleBeforeTransfer is how long a machine has had nothing to do before it counts as idle: less
+// minIdleBeforeTransfer is how long a machine has had nothing to do before it counts as idle: less
 // would give away machines between two tasks.
-const idleBeforeTransfer = 2 * micros.Second
+const minIdleBeforeTransfer = 2 * micros.Second
 
 // transferMachines gives machines for another owner's job: idle ones, or else, if the request
 // allows it, some on which tasks are stopped.
 func (o *owner) transferMachines(request *peer.Want) {
 	job := requestedJob(request)
 	newOwner := record.OwnerID(request.Owner)
-	if o.transferIdle(job, newOwner) == 0 && request.Reclaim {
-		o.reclaimFor(job, newOwner)
+	if o.transferIdleMachines(job, newOwner) == 0 && request.Reclaim {
+		o.reclaimMachines(job, newOwner)
 	}
 }
 
-// transferIdle transfers idle machines for a job, and returns how many of its tasks they hold.
-func (o *owner) transferIdle(job *sched.Job, newOwner record.OwnerID) int {
+// transferIdleMachines transfers idle machines for a job, and returns how many of its tasks they hold.
+func (o *owner) transferIdleMachines(job *sched.Job, newOwner record.OwnerID) int {
 	slots := 0
-	for _, m := range o.list {
+	for _, m := range o.sortedMachines {
 		if slots >= job.Tasks {
 			break
 		}
@@ -46,8 +46,8 @@
 	return slots
 }
 
-// reclaimFor transfers machines on which tasks of teams above their guarantees are stopped.
-func (o *owner) reclaimFor(job *sched.Job, newOwner record.OwnerID) {
+// reclaimMachines transfers machines on which tasks of teams above their guarantees are stopped.
+func (o *owner) reclaimMachines(job *sched.Job, newOwner record.OwnerID) {
 	plan := o.preemptionPlan(job, o.preemptionView(), sched.Reclaim, o.jobsWithinGuarantee())
 	if plan == nil {
 		return
@@ -67,7 +67,7 @@
 // evictLongTasks stops what is left on a machine that is transferred, which goes only when it is
 // empty: arrays' tasks that would keep it for long, as far as their teams' guarantees allow.
 func (o *owner) evictLongTasks(m *machine, why string) {
-	for _, a := range m.sorted() {
+	for _, a := range m.sortedAttempts() {
 		if a.job.Gang || a.state != attemptLive || o.remaining(a) < minRemainingForPreemption {
 			continue
 		}
@@ -81,7 +81,7 @@
 // isIdle tells that a machine can be transferred at once.
 func (o *owner) isIdle(m *machine) bool {
 	return m.state == machineReady && len(m.attempts) == 0 && m.fencingToken != 0 && !o.isReserved(m.name) &&
-		o.c.now-m.idleSince > idleBeforeTransfer
+		o.c.now-m.idleSince > minIdleBeforeTransfer
 }
 
 func (o *owner) startTransfer(m *machine, newOwner record.OwnerID) {
@@ -109,18 +109,18 @@
 	t.preconditions[newOwner.Key] = newOwner.Version
 	data := &record.BlockData{
 		MachineTypes: []record.BlockMachineType{{Type: m.machineType, Zone: m.zone, Spot: m.spot}},
-		Machines:     []record.BlockMachine{{Name: m.name, Endpoint: m.endpoint, LaunchedAt: int64(m.rented)}},
+		Machines:     []record.BlockMachine{{Name: m.name, Endpoint: m.endpoint, LaunchedAt: int64(m.provisionedAt)}},
 	}
 	t.put(record.BlockKey(transferBlockName(m)), data.Block(m.transferTo))
 }
 
-// transferred drops a machine whose new owner is recorded, and tells that owner.
-func (o *owner) transferred(m *machine) {
+// completeTransfer drops a machine whose new owner is recorded, and tells that owner.
+func (o *owner) completeTransfer(m *machine) {
 	o.ownedElsewhere[m.name] = o.c.now + elsewhereMemory
-	o.forget(m)
+	o.removeMachine(m)
 	if p := o.c.peers[m.transferTo.Node()]; p != nil {
 		given := &peer.Given{Block: transferBlockName(m)}
-		o.c.send(p, &peer.Message{Body: &peer.Message_Given{Given: given}})
+		o.c.sendPeerMessage(p, &peer.Message{Body: &peer.Message_Given{Given: given}})
 	}
 }
 
@@ -133,15 +133,15 @@
 		if o.superseded() || out != kv.OK {
 			return
 		}
-		if data := o.transferredData(entry); data != nil {
-			o.takeTransferred(blockName, entry.Version, data)
+		if data := o.decodeTransfer(entry); data != nil {
+			o.acceptTransfer(blockName, entry.Version, data)
 		}
 	})
 }
 
-// transferredData is the content of a block by which a machine is transferred to this node, or
+// decodeTransfer is the content of a block by which a machine is transferred to this node, or
 // nil if it is something else or was taken before.
-func (o *owner) transferredData(entry kv.Entry) *record.BlockData {
+func (o *owner) decodeTransfer(entry kv.Entry) *record.BlockData {
 	var block record.Block
 	if wire.Decode(entry.Value, &block) != nil || block.Owner != o.c.node.ID() {
 		return nil
@@ -153,8 +153,8 @@
 	return data
 }
 
-// takeTransferred takes a machine, whose token is the version of its new block.
-func (o *owner) takeTransferred(blockName string, version uint64, data *record.BlockData) {
+// acceptTransfer takes a machine, whose token is the version of its new block.
+func (o *owner) acceptTransfer(blockName string, version uint64, data *record.BlockData) {
 	block := o.newBlock(blockName)
 	block.version = version
 	o.recoverMachine(block, data, &data.Machines[0])
--- a/controller/machine_types.go
+++ b/controller/machine_types.go
@@ -77,7 +77,7 @@
 func (c *Core) fetchMachineTypes() {
 	t := &c.types
 	t.reading = true
-	c.cloud(http.MethodGet, wire.PathMachineTypes, nil, func(status int, body []byte) {
+	c.callCloud(http.MethodGet, wire.PathMachineTypes, nil, func(status int, body []byte) {
 		t.reading = false
 		var answer wire.MachineTypes
 		if status != wire.StatusOK || wire.Decode(body, &answer) != nil || len(answer.Types()) == 0 {
--- a/controller/owner.go
+++ b/controller/owner.go
@@ -46,16 +46,16 @@
 	classes        *autoscaler.Classes
 
 	// The watch of the jobs' records.
-	listed    bool // the jobs were listed; changes since are taken
-	watchRev  uint64
-	watchDown bool
+	jobsListed bool // the jobs were listed; changes since are taken
+	watchRev   uint64
+	watchDown  bool
 	// cancellationsKnownUntil is when the last answered watch of the jobs began.
 	cancellationsKnownUntil micros.Micros
 
 	// Machines.
 	machines           map[string]*machine
-	list               []*machine // the same in the order of their names
-	listing            cloudList
+	sortedMachines     []*machine // the same in the order of their names
+	cloudListing       cloudList
 	scaleOutRequests   map[string]*scaleOutRequest
 	refusedOffers      map[autoscaler.Offer]micros.Micros // not asked for until then
 	recentlyTerminated map[string]micros.Micros           // machines that were returned, remembered until then
@@ -73,9 +73,9 @@
 	nextArrayRequest   micros.Micros
 
 	// Commands to machines.
-	lastHeartbeat micros.Micros // the latest report
-	dispatchQueue []*machine
-	openCommands  int // direct commands and questions to machines under way
+	lastHeartbeat    micros.Micros // the latest report
+	dispatchQueue    []*machine
+	commandsInFlight int // direct commands and questions to machines under way
 
 	// Scheduling passes, and the attempts that they have proposed.
 	scheduleWanted     bool
@@ -159,7 +159,7 @@
 
 // refusePendingHeartbeats answers the reports that wait, when this node stops owning.
 func (o *owner) refusePendingHeartbeats() {
-	for _, m := range o.list {
+	for _, m := range o.sortedMachines {
 		if m.pendingRequest != 0 {
 			o.c.refuse(m.pendingRequest, wire.StatusUnavailable, "ownership lost")
 			m.pendingRequest = 0
@@ -197,7 +197,7 @@
 		o.advanceBlockedJobs()
 		o.schedule()
 		o.flush()
-		o.dispatchQueued()
+		o.dispatchQueuedMachines()
 		o.terminateMachines()
 	}
 }
@@ -218,9 +218,9 @@
 	o.readUnresolvedJobs()
 	o.sweepParts()
 	o.checkMachineHealth()
-	o.inspectSome()
+	o.inspectMachines()
 	o.tickReservations()
-	o.tickList()
+	o.tickCloudList()
 	o.tickAutoscaling()
 	for _, list := range []map[string]micros.Micros{o.recentlyTerminated, o.ownedElsewhere} {
 		maps.DeleteFunc(list, func(_ string, until micros.Micros) bool { return o.c.now > until })
--- a/controller/partitions.go
+++ b/controller/partitions.go
@@ -44,7 +44,7 @@
 // zoneHealth counts by zone, and in all, which machines are heard.
 func (o *owner) zoneHealth() (zones map[string]*zoneHealth, heardInAll int) {
 	zones = map[string]*zoneHealth{}
-	for _, m := range o.list {
+	for _, m := range o.sortedMachines {
 		zone := zones[m.zone]
 		if zone == nil {
 			zone = &zoneHealth{}
@@ -64,7 +64,7 @@
 
 // extendHeartbeatGrace gives the workers of a zone that is not cut off any more time to find this node.
 func (o *owner) extendHeartbeatGrace(zone string) {
-	for _, m := range o.list {
+	for _, m := range o.sortedMachines {
 		if m.zone == zone {
 			m.heartbeatGraceUntil = o.c.now + o.c.cfg.FailoverGrace()
 		}
@@ -75,7 +75,7 @@
 // which would lose its work and find no other machine, or gangs will want it as soon as the
 // partition ends. Not one with tasks of a job that is over, which must be gone in time.
 func (o *owner) retainedInPartition(m *machine) bool {
-	if o.partitioned[m.zone] == 0 || o.unresponsiveFor(m) > o.c.cfg.Tuning.PartitionTimeout || m.failed || m.notice != 0 {
+	if o.partitioned[m.zone] == 0 || o.unresponsiveFor(m) > o.c.cfg.Tuning.PartitionTimeout || m.failed || m.reclaimAt != 0 {
 		return false
 	}
 	gang := len(m.attempts) == 0 && o.scarce(m) && m.state <= machineReady
--- a/controller/peercalls.go
+++ b/controller/peercalls.go
@@ -17,8 +17,8 @@
 	maxPeerBody = 1 << 20
 )
 
-// send sends a message that needs no answer.
-func (c *Core) send(to *peerNode, message *peer.Message) {
+// sendPeerMessage sends a message that needs no answer.
+func (c *Core) sendPeerMessage(to *peerNode, message *peer.Message) {
 	c.callPeer(to, message, peerHeartbeatTimeout, maxPeerBody, func(*peer.Message, bool) {})
 }
 
--- a/controller/peers.go
+++ b/controller/peers.go
@@ -24,7 +24,7 @@
 	nextHeartbeat     micros.Micros
 	lastHeartbeat     micros.Micros
 	recentHeartbeats  int  // workers' reports that reached it lately
-	storeServes       bool // the state service serves it
+	kvReachable       bool // the state service serves it
 	jobCounts         map[string]*peer.JobCount
 	ownsMachine       map[string]bool
 	idleMachines      []*peer.IdleMachine
@@ -93,7 +93,7 @@
 
 // applyPeerHeartbeat takes what a peer's heartbeat says.
 func (c *Core) applyPeerHeartbeat(p *peerNode, beat *peer.Beat) {
-	p.lastHeartbeat, p.recentHeartbeats, p.storeServes = c.now, int(beat.WorkersHeard), beat.StoreOk
+	p.lastHeartbeat, p.recentHeartbeats, p.kvReachable = c.now, int(beat.WorkersHeard), beat.StoreOk
 	p.jobCounts = make(map[string]*peer.JobCount, len(beat.Jobs))
 	for _, count := range beat.Jobs {
 		p.jobCounts[count.Id] = count
--- a/controller/placement_view.go
+++ b/controller/placement_view.go
@@ -41,15 +41,15 @@
 	var view []*sched.Machine
 	catalog := o.c.catalog()
 	left := map[*block]float64{}
-	for _, m := range o.list {
-		if m.state != machineReady || m.fencingToken == 0 || m.fencing != fencingNone || o.c.now < m.pausedTo ||
+	for _, m := range o.sortedMachines {
+		if m.state != machineReady || m.fencingToken == 0 || m.fencing != fencingNone || o.c.now < m.quarantinedUntil ||
 			o.c.now-m.lastHeartbeat > 2*o.c.cfg.HeartbeatInterval {
 			continue
 		}
 		view = append(view, &sched.Machine{
 			Name: m.name, Type: m.machineType, Zone: m.zone, Spot: m.spot,
 			Free: o.machineSize(m).Sub(m.used).Sub(o.reservedResources(m.name)), Slots: o.freeSlots(m, left),
-			Idle: len(m.attempts) == 0, Scarce: o.scarce(m), Price: priceClass(catalog.PricePerCPU(m.machineType, m.spot)), Images: m.images,
+			Idle: len(m.attempts) == 0, Scarce: o.scarce(m), Price: priceClass(catalog.PricePerCPU(m.machineType, m.spot)), Images: m.cachedImages,
 		})
 	}
 	return view
--- a/controller/proposals.go
+++ b/controller/proposals.go
@@ -27,7 +27,7 @@
 		as.Machine.Free = as.Machine.Free.Sub(j.Need.Times(as.Count))
 		as.Machine.Slots -= as.Count
 		as.Machine.Idle = false
-		as.Machine.Images = m.images
+		as.Machine.Images = m.cachedImages
 	}
 }
 
--- a/controller/rentals.go
+++ b/controller/rentals.go
@@ -42,8 +42,8 @@
 )
 
 const (
-	// cloudRetry is the pause after an answer of the cloud before it is asked the same again.
-	cloudRetry = micros.Second
+	// cloudRetryDelay is the pause after an answer of the cloud before it is asked the same again.
+	cloudRetryDelay = micros.Second
 	// maxTerminationsPerCall is how many machines one request may release.
 	maxTerminationsPerCall = 100
 	// terminatedRetention is how long the cloud's list may still show a machine that was returned.
@@ -80,7 +80,7 @@
 func (o *owner) flushScaleOutRequests(t *transaction, full func() bool) {
 	for _, name := range sortedKeys(o.scaleOutRequests) {
 		r := o.scaleOutRequests[name]
-		if r.state == scaleOutGranted && o.allClaimed(r) {
+		if r.state == scaleOutGranted && o.allMachinesClaimed(r) {
 			o.setScaleOutState(r, scaleOutDone)
 		}
 		if r.writing || r.state != scaleOutPlanned && r.state != scaleOutDone {
@@ -119,8 +119,8 @@
 		"spot", r.offer.Spot, "number", r.machineCount, "class", request.Job.Class, "short_cpus", request.ShortCPUs)
 }
 
-// allClaimed tells that all machines of a rental are recorded.
-func (o *owner) allClaimed(r *scaleOutRequest) bool {
+// allMachinesClaimed tells that all machines of a rental are recorded.
+func (o *owner) allMachinesClaimed(r *scaleOutRequest) bool {
 	for _, name := range r.machines {
 		if m := o.machines[name]; m != nil && m.fencingToken == 0 {
 			return false
@@ -136,11 +136,11 @@
 	}
 	r.inFlight = true
 	body := wire.ScaleOutRequest{RequestID: r.name, Type: r.offer.Type, Zone: r.offer.Zone, Spot: r.offer.Spot, Number: r.machineCount}
-	o.c.cloud("POST", pathRentals, body, func(status int, body []byte) {
+	o.c.callCloud("POST", pathRentals, body, func(status int, body []byte) {
 		if o.superseded() {
 			return
 		}
-		r.inFlight, r.nextAttempt = false, o.c.now+cloudRetry
+		r.inFlight, r.nextAttempt = false, o.c.now+cloudRetryDelay
 		o.handleScaleOutResponse(r, status, body)
 	})
 }
@@ -167,7 +167,7 @@
 	for _, name := range names {
 		if o.machines[name] == nil {
 			m := o.newMachine(machineInfo{name: name, machineType: r.offer.Type, zone: r.offer.Zone, spot: r.offer.Spot})
-			m.rented = o.c.wallClock
+			m.provisionedAt = o.c.wallClock
 		}
 	}
 	if len(names) < r.machineCount {
@@ -201,11 +201,11 @@
 		return
 	}
 	o.terminating = true
-	o.c.cloud("POST", pathRelease, wire.MachineNames{Machines: names}, func(status int, _ []byte) {
+	o.c.callCloud("POST", pathRelease, wire.MachineNames{Machines: names}, func(status int, _ []byte) {
 		if o.superseded() {
 			return
 		}
-		o.terminating, o.nextTermination = false, o.c.now+cloudRetry
+		o.terminating, o.nextTermination = false, o.c.now+cloudRetryDelay
 		if status == wire.StatusOK {
 			o.nextTermination = o.c.now
 			o.handleMachinesTerminated(names)
--- a/controller/reports.go
+++ b/controller/reports.go
@@ -172,10 +172,10 @@
 	if report.PreemptionNoticeS != nil {
 		o.noticed(m, micros.FromSeconds(*report.PreemptionNoticeS))
 	} else {
-		m.notice = 0
+		m.reclaimAt = 0
 	}
 	listed := o.takeTasks(m, report)
-	if m.wantDispatch {
+	if m.dispatchNeeded {
 		o.queueDispatch(m)
 	}
 	// Only a machine that has seen this owner's token, and for which no command is open, can
@@ -183,7 +183,7 @@
 	if !regular || !m.tokenConfirmed || m.fencing != fencingNone || m.commandsInFlight {
 		return true
 	}
-	for _, a := range m.sorted() {
+	for _, a := range m.sortedAttempts() {
 		if !listed[a.key()] {
 			o.missing(a)
 		}
--- a/controller/scale.go
+++ b/controller/scale.go
@@ -96,15 +96,15 @@
 	for _, d := range demands {
 		gangs = gangs || d.Representative.Gang
 	}
-	for _, m := range o.list {
-		p.Machines = append(p.Machines, o.describe(m, gangs))
+	for _, m := range o.sortedMachines {
+		p.Machines = append(p.Machines, o.describeMachine(m, gangs))
 	}
 	return p
 }
 
-// describe tells planning about a machine. How long its tasks still take matters for gangs
+// describeMachine tells planning about a machine. How long its tasks still take matters for gangs
 // only.
-func (o *owner) describe(m *machine, forGangs bool) *autoscaler.Machine {
+func (o *owner) describeMachine(m *machine, forGangs bool) *autoscaler.Machine {
 	d := &autoscaler.Machine{Name: m.name, Offer: m.offer()}
 	switch m.state {
 	case machineBooting:
@@ -115,7 +115,7 @@
 		return d
 	}
 	d.Size, d.Used = o.machineSize(m), m.used
-	d.Age, d.IdleFor = o.c.wallClock-m.rented, o.c.now-m.idleSince
+	d.Age, d.IdleFor = o.c.wallClock-m.provisionedAt, o.c.now-m.idleSince
 	d.Claimed, d.Busy = m.fencingToken != 0, len(m.attempts) > 0
 	d.Reserved = o.isReserved(m.name)
 	d.OnlySlack = d.Busy && o.scarce(m) && o.hasNoDependentTasks(m)
@@ -176,7 +176,7 @@
 	if longest < worthMoving {
 		return
 	}
-	for _, a := range m.sorted() {
+	for _, a := range m.sortedAttempts() {
 		o.evict(a, "machine is drained")
 	}
 }
--- a/controller/status.go
+++ b/controller/status.go
@@ -41,7 +41,7 @@
 	fleets := o.fleets()
 	for _, kind := range sortedKeys(fleets) {
 		f := fleets[kind]
-		o.c.log.Info("fleet", "kind", kind, "up", f.up, "idle", f.idle, "booting", f.booting, "leaving", f.leaving,
+		o.c.log.Info("fleet", "kind", kind, "up", f.ready, "idle", f.idle, "booting", f.booting, "leaving", f.leaving,
 			"cpus", int(f.cpus), "used", int(f.usedCPUs))
 	}
 	o.logWork()
@@ -49,14 +49,14 @@
 
 // fleet counts the machines of one kind.
 type fleet struct {
-	up, idle, booting, leaving int
-	cpus, usedCPUs             float64 // of those that are up or leaving
+	ready, idle, booting, leaving int
+	cpus, usedCPUs                float64 // of those that are up or leaving
 }
 
 // fleets counts an owner's machines, by type and by whether they are spot machines.
 func (o *owner) fleets() map[string]*fleet {
 	fleets := map[string]*fleet{}
-	for _, m := range o.list {
+	for _, m := range o.sortedMachines {
 		kind := m.machineType
 		if m.spot {
 			kind += " spot"
@@ -75,7 +75,7 @@
 		f.booting++
 		return
 	case machineReady:
-		f.up++
+		f.ready++
 		if len(m.attempts) == 0 {
 			f.idle++
 		}
--- a/controller/store.go
+++ b/controller/store.go
@@ -25,7 +25,7 @@
 
 func (h kvHost) ConnectedPeer() string {
 	for _, cfg := range h.c.cfg.Siblings {
-		if s := h.c.peers[cfg.Node]; s.fresh(h.c.now) && s.storeServes {
+		if s := h.c.peers[cfg.Node]; s.fresh(h.c.now) && s.kvReachable {
 			return s.Node
 		}
 	}
@@ -40,7 +40,7 @@
 	h.c.callPeer(s, msg, timeout, kv.MaxResponseBytes, func(m *peer.Message, sent bool) {
 		reply := m.GetStoreReply()
 		if reply == nil {
-			s.storeServes = false // until its next heartbeat
+			s.kvReachable = false // until its next heartbeat
 			done(kv.Response{Sent: sent})
 			return
 		}
--- a/controller/task_exits.go
+++ b/controller/task_exits.go
@@ -31,7 +31,7 @@
 	case wire.CauseUnknownTask:
 		o.failed(a, false)
 	case wire.CauseInsufficientResources, wire.CauseBusy:
-		a.machine.pausedTo = o.c.now + startRefusalQuarantine
+		a.machine.quarantinedUntil = o.c.now + startRefusalQuarantine
 	}
 	o.c.log.Info("task ended", "task", task.Task, "machine", a.machine.name, "cause", task.Cause,
 		"saved", task.Checkpointed, "why", a.why)
@@ -41,7 +41,7 @@
 // completed handles a task that ended with its result.
 func (o *owner) completed(a *attempt) {
 	j := a.job
-	a.machine.errors = 0
+	a.machine.consecutiveErrors = 0
 	if j.state != jobActive {
 		o.setAttemptState(a, attemptRemoving)
 		return
@@ -80,11 +80,11 @@
 	j.failures++
 	j.failedOn[m.name] = true
 	if machineToo && len(j.failedOn) <= maxFaultyMachines {
-		m.errors++
+		m.consecutiveErrors++
 	}
-	if m.errors >= o.c.cfg.Tuning.QuarantineThreshold && m.state == machineReady {
+	if m.consecutiveErrors >= o.c.cfg.Tuning.QuarantineThreshold && m.state == machineReady {
 		o.setMachineState(m, machineDraining, "fails task after task")
-		for _, b := range m.sorted() {
+		for _, b := range m.sortedAttempts() {
 			if b != a {
 				o.evict(b, "machine is faulty")
 			}
@@ -111,8 +111,8 @@
 
 // noticed handles the cloud's notice that it reclaims a spot machine.
 func (o *owner) noticed(m *machine, left micros.Micros) {
-	first := m.notice == 0
-	m.notice = o.c.now + left
+	first := m.reclaimAt == 0
+	m.reclaimAt = o.c.now + left
 	if m.state == machineReady || m.state == machineTransferring {
 		o.setMachineState(m, machineDraining, "taken back by the cloud")
 	}
@@ -120,7 +120,7 @@
 		return
 	}
 	o.noteSpotLost(m)
-	for _, a := range m.sorted() {
+	for _, a := range m.sortedAttempts() {
 		// A task that would not complete in time is stopped now: it saves if it can, and
 		// starts elsewhere the sooner. One that cannot save and has run for long may still
 		// complete, so it goes on.
