--- a/controller/answers.go
+++ b/controller/answers.go
@@ -46,7 +46,7 @@
 
 // respondSubmission answers a submission with the state of its job.
 func (c *Core) respondSubmission(r userRequest, httpStatus wire.Status, job string, status wire.JobPhase, evidence freshness.Evidence) {
-	shown := c.statusForUsers(job, status).Status
+	shown := c.userFacingStatus(job, status).Status
 	if c.checkResponse(r, job, string(shown), evidence) {
 		c.respond(r.id, httpStatus, wire.JobState{ID: job, Status: shown})
 	}
@@ -54,7 +54,7 @@
 
 // respondQuery answers a question with the state of a job and the counts of its tasks.
 func (c *Core) respondQuery(r userRequest, job string, result lookupResult) {
-	shown := c.statusForUsers(job, result.status)
+	shown := c.userFacingStatus(job, result.status)
 	if c.checkResponse(r, job, string(shown.Status), result.evidence) {
 		c.respond(r.id, wire.StatusOK, shown)
 	}
--- a/controller/answers_test.go
+++ b/controller/answers_test.go
@@ -62,9 +62,9 @@
 			if c.ended {
 				core.cancellations.MarkEnded(job, core.now)
 			}
-			core.out = nil
+			core.effects = nil
 			core.respondQuery(userRequest{id: 1, receivedAt: 100}, job, c.result)
-			if status := respondedWith(t, core.out); status != c.status || core.Violations() != c.violations {
+			if status := respondedWith(t, core.effects); status != c.status || core.Violations() != c.violations {
 				t.Errorf("answered %d with %d violations, want %d and %d", status, core.Violations(), c.status, c.violations)
 			}
 		})
@@ -78,9 +78,9 @@
 	job := answeringJob()
 	sub := &submission{job: job, requests: []userRequest{{1, core.now - 1}, {2, core.now + 1}}, status: wire.JobQueued}
 	core.submissions.byJob[job.ID] = sub
-	core.out = nil
+	core.effects = nil
 	core.submissions.handleAccepted(sub, freshness.Evidence{Basis: freshness.OwnTransaction, SentAt: core.now})
-	if status := respondedWith(t, core.out); status != wire.StatusAccepted {
+	if status := respondedWith(t, core.effects); status != wire.StatusAccepted {
 		t.Errorf("the request that came before the commit is answered %d", status)
 	}
 	if waiting := core.lookups.pending; len(waiting) != 1 || waiting[0].id != job.ID {
@@ -118,9 +118,9 @@
 			core.submissions.answerDuplicateOrRefuse(sub, permanentRefusal(reasonDependencyNotAccepted))
 			lookup := core.lookups.pending[0]
 			core.lookups.pending = nil
-			core.out = nil
+			core.effects = nil
 			lookup.done(lookupResult{outcome: lookupNotFound, evidence: freshness.Evidence{Basis: freshness.RecordRead, SentAt: core.now}})
-			if status := respondedWith(t, core.out); status != c.status || core.Violations() != 0 {
+			if status := respondedWith(t, core.effects); status != c.status || core.Violations() != 0 {
 				t.Errorf("answered %d with %d violations, want %d", status, core.Violations(), c.status)
 			}
 			if again := len(core.lookups.pending); again != 1 && c.status == 0 {
--- a/controller/attempt.go
+++ b/controller/attempt.go
@@ -38,13 +38,13 @@
 	// startHeartbeatSeq is the sequence number of the report that its start command answered.
 	startHeartbeatSeq uint64
 	// placedAt is when it was placed, and running when it was first reported running, or 0.
-	placedAt micros.Micros
-	running  micros.Micros
-	// grace is the time to save when it is stopped, and why the reason for the stop.
-	grace micros.Micros
-	why   string
-	// counted: it is among its job's tasks that run.
-	counted bool
+	placedAt     micros.Micros
+	runningSince micros.Micros
+	// gracePeriod is the time to save when it is stopped, and why the reason for the stop.
+	gracePeriod micros.Micros
+	reason      string
+	// countedRunning: it is among its job's tasks that run.
+	countedRunning bool
 	// resourcesReleased: it takes nothing of its machine any more.
 	resourcesReleased bool
 }
@@ -58,8 +58,8 @@
 // key identifies the attempt's task on a machine.
 func (a *attempt) key() taskKey { return taskKey{a.job.ID, a.index} }
 
-// task is the name of the attempt's task on the wire.
-func (a *attempt) task() string { return wire.TaskName(a.job.ID, a.index) }
+// taskName is the name of the attempt's task on the wire.
+func (a *attempt) taskName() string { return wire.TaskName(a.job.ID, a.index) }
 
 // mayStart tells whether the attempt's job wants it started: a gang only once all of its
 // places are recorded.
@@ -75,13 +75,13 @@
 	was := a.state
 	a.state = s
 	if o.c.debug {
-		o.c.log.Debug("attempt", "task", a.task(), "try", a.number,
-			"machine", a.machine.name, "token", a.machine.fencingToken, "from", was.String(), "to", s.String(), "why", a.why)
+		o.c.log.Debug("attempt", "task", a.taskName(), "try", a.number,
+			"machine", a.machine.name, "token", a.machine.fencingToken, "from", was.String(), "to", s.String(), "why", a.reason)
 	}
 	if was == attemptAssumed {
 		o.countAssumed(a.job, -1)
 	}
-	a.count(s == attemptLive && a.counted)
+	a.setCountedRunning(s == attemptLive && a.countedRunning)
 	if t := o.teams[a.job.Team]; t != nil {
 		switch attemptStopping {
 		case s:
@@ -103,19 +103,19 @@
 		}
 	case attemptClosed:
 		o.releaseResources(a)
-		o.closed(a)
+		o.handleAttemptClosed(a)
 	}
 }
 
-// count notes whether an attempt's task runs.
-func (a *attempt) count(runs bool) {
-	if a.counted == runs {
+// setCountedRunning notes whether an attempt's task runs.
+func (a *attempt) setCountedRunning(runs bool) {
+	if a.countedRunning == runs {
 		return
 	}
-	if a.counted = runs; runs {
-		a.job.runs++
+	if a.countedRunning = runs; runs {
+		a.job.runningTasks++
 	} else {
-		a.job.runs--
+		a.job.runningTasks--
 	}
 }
 
@@ -144,11 +144,11 @@
 	if t := o.teams[a.job.Team]; t != nil {
 		t.used = t.used.Sub(a.job.Need)
 	}
-	o.scheduleWanted = true
+	o.schedulingNeeded = true
 }
 
-// closed frees what an attempt took. Its task may be placed again from now on.
-func (o *owner) closed(a *attempt) {
+// handleAttemptClosed frees what an attempt took. Its task may be placed again from now on.
+func (o *owner) handleAttemptClosed(a *attempt) {
 	m, j := a.machine, a.job
 	delete(m.attempts, a.key())
 	if len(m.attempts) == 0 {
@@ -170,11 +170,11 @@
 			delete(o.jobs, j.ID)
 		}
 	}
-	o.scheduleWanted = true
+	o.schedulingNeeded = true
 }
 
-// attach gives an attempt its place.
-func (o *owner) attach(j *job, index int, number uint64, m *machine, s attemptState) *attempt {
+// addAttempt gives an attempt its place.
+func (o *owner) addAttempt(j *job, index int, number uint64, m *machine, s attemptState) *attempt {
 	a := &attempt{job: j, index: index, number: number, machine: m, state: s, placedAt: o.c.now}
 	m.attempts[a.key()] = a
 	m.used = m.used.Add(j.Need)
@@ -192,26 +192,26 @@
 	return a
 }
 
-// stop ends an attempt, with grace for saving if its machine has it already.
-func (o *owner) stop(a *attempt, grace micros.Micros, why string) {
+// stopAttempt ends an attempt, with grace for saving if its machine has it already.
+func (o *owner) stopAttempt(a *attempt, grace micros.Micros, why string) {
 	switch a.state {
 	case attemptAssumed:
 		// Its commit may be under way; if so it is recorded first and leaves then.
-		a.why = why
+		a.reason = why
 		if !a.machine.block.writing {
 			o.setAttemptState(a, attemptClosed)
 		} else {
 			o.setAttemptState(a, attemptRemoving)
 		}
 	case attemptRecorded:
-		a.why = why
+		a.reason = why
 		o.setAttemptState(a, attemptRemoving)
 	case attemptStarting, attemptLive:
-		a.why, a.grace = why, grace
+		a.reason, a.gracePeriod = why, grace
 		o.setAttemptState(a, attemptStopping)
 		o.queueDispatch(a.machine)
 	case attemptStopping:
-		a.grace = min(a.grace, grace)
+		a.gracePeriod = min(a.gracePeriod, grace)
 	}
 }
 
@@ -220,13 +220,13 @@
 	if j.gangState != gangNone {
 		o.setGangState(j, gangStopping)
 	}
-	for _, a := range j.sorted() {
-		o.stop(a, grace, why)
+	for _, a := range j.sortedAttempts() {
+		o.stopAttempt(a, grace, why)
 	}
 }
 
-// sorted lists the job's attempts in the order of their tasks.
-func (j *job) sorted() []*attempt {
+// sortedAttempts lists the job's attempts in the order of their tasks.
+func (j *job) sortedAttempts() []*attempt {
 	list := make([]*attempt, 0, len(j.attempts))
 	for _, i := range sortedKeys(j.attempts) {
 		list = append(list, j.attempts[i])
--- a/controller/bench_test.go
+++ b/controller/bench_test.go
@@ -39,7 +39,7 @@
 		for n := range benchTasks {
 			at := i*benchTasks + n
 			j := o.queue[at/100]
-			o.attach(j, at%100, 7, m, attemptLive).heartbeatSeen = true
+			o.addAttempt(j, at%100, 7, m, attemptLive).heartbeatSeen = true
 		}
 	}
 	o.dispatchQueue = nil
@@ -58,7 +58,7 @@
 	c := New(cfg, 1, slog.New(slog.NewTextHandler(io.Discard, &slog.HandlerOptions{Level: slog.LevelError})), micros.Hour, micros.Hour)
 	c.types.list = []sched.MachineType{{Name: "mid", Size: sched.NewResources(28, 0, 112), Price: 1, SpotPrice: 0.3, Zones: cfg.Zones}}
 	store := &ownerStore{}
-	c.node = cluster.New(cfg, store, clusterHost{c}, rand.New(rand.NewPCG(1, randomStream)), c.log)
+	c.node = cluster.New(cfg, store, clusterHost{c}, rand.New(rand.NewPCG(1, randomSeedStream)), c.log)
 	c.cluster = c.node.View()
 	store.incarnation = c.node.Incarnation()
 	c.node.Tick(c.now)
@@ -108,7 +108,7 @@
 	for _, m := range o.sortedMachines {
 		bodies = append(bodies, benchReport(m, 1<<40))
 	}
-	o.scheduleWanted, o.committing = false, true // a commit is under way
+	o.schedulingNeeded, o.committing = false, true // a commit is under way
 	for i := 0; b.Loop(); i++ {
 		m := o.sortedMachines[i%benchMachines]
 		m.heartbeatSeq = 0
@@ -124,12 +124,12 @@
 func BenchmarkPlace(b *testing.B) {
 	o := benchOwner()
 	for b.Loop() {
-		o.scheduleWanted, o.nextSchedulingPass = true, 0
+		o.schedulingNeeded, o.nextSchedulingPass = true, 0
 		o.schedule()
 		b.StopTimer()
 		n := 0
 		for _, j := range o.queue {
-			for _, a := range j.sorted() {
+			for _, a := range j.sortedAttempts() {
 				if a.state == attemptAssumed {
 					o.setAttemptState(a, attemptClosed)
 					n++
@@ -146,9 +146,9 @@
 // BenchmarkTick passes the time to an owner with nothing else to do.
 func BenchmarkTick(b *testing.B) {
 	o := benchOwner()
-	o.scheduleWanted, o.committing = false, true
+	o.schedulingNeeded, o.committing = false, true
 	for b.Loop() {
-		o.c.nextSlow = 0
+		o.c.nextSlowTick = 0
 		o.c.Handle(o.c.now, o.c.now, Tick{})
 	}
 	if o.c.owner != o {
@@ -184,7 +184,7 @@
 func BenchmarkLookup(b *testing.B) {
 	o := benchOwner()
 	c := o.c
-	o.scheduleWanted, o.committing = false, true
+	o.schedulingNeeded, o.committing = false, true
 	var id uint64
 	for b.Loop() {
 		answered := 0
--- a/controller/block_split.go
+++ b/controller/block_split.go
@@ -7,9 +7,9 @@
 	"tamarindlead/micros"
 )
 
-// oversizedRetry is the pause before a block that fits no value is written again: tasks may
+// oversizedRetryDelay is the pause before a block that fits no value is written again: tasks may
 // have ended meanwhile.
-const oversizedRetry = 5 * micros.Second
+const oversizedRetryDelay = 5 * micros.Second
 
 // handleOversized deals with a block that fits no value. What is proposed is given up first,
 // and nothing more is placed there; what is too large without it is split. The limits may
@@ -22,7 +22,7 @@
 		o.c.log.Warn("block too large", "block", b.name, "bytes", size, "machines", len(b.machines))
 		o.abandonAssumed(proposed)
 	case len(b.machines) > 1:
-		o.split(b, size)
+		o.splitBlock(b, size)
 	default:
 		o.retireOversized(b, size)
 	}
@@ -35,7 +35,7 @@
 		if a.job.Gang {
 			o.stopJob(a.job, 0, why)
 		} else {
-			o.stop(a, 0, why)
+			o.stopAttempt(a, 0, why)
 		}
 	}
 }
@@ -46,7 +46,7 @@
 // elsewhere.
 func (o *owner) retireOversized(b *block, size int) {
 	m := b.machines[0]
-	b.retryAt = o.c.now + oversizedRetry
+	b.retryAt = o.c.now + oversizedRetryDelay
 	o.c.log.Error("a machine's entry fits no value", "machine", m.name, "bytes", size, "most", o.c.cfg.MaxValueBytes, "tasks", len(m.attempts))
 	leaseEnded := o.c.now-b.dirtySince > o.c.cfg.WorkerLease+o.c.cfg.HeartbeatTimeout()
 	if m.fencingToken == 0 && m.state < machineTerminating && leaseEnded {
@@ -54,11 +54,11 @@
 	}
 }
 
-// split moves machines of a block that has outgrown a value to new blocks, so that each
+// splitBlock moves machines of a block that has outgrown a value to new blocks, so that each
 // part takes about the same. The old record is written again only after the new ones hold
 // the machines that left it.
-func (o *owner) split(b *block, size int) {
-	parts := int(math.Ceil(float64(size) / (taskFill * float64(o.c.cfg.MaxValueBytes))))
+func (o *owner) splitBlock(b *block, size int) {
+	parts := int(math.Ceil(float64(size) / (maxFillForTasks * float64(o.c.cfg.MaxValueBytes))))
 	parts = min(max(2, parts), len(b.machines))
 	all := b.machines
 	share := b.estimatedBytes() / float64(parts)
--- a/controller/block_write.go
+++ b/controller/block_write.go
@@ -20,9 +20,9 @@
 	block         *block
 	data          *record.BlockData
 	preconditions map[string]uint64
-	// kinds and jobs are indexes in the lists of the data.
-	kinds      map[autoscaler.Offer]int
-	jobIndexes map[string]int
+	// offerIndexes and jobs are indexes in the lists of the data.
+	offerIndexes map[autoscaler.Offer]int
+	jobIndexes   map[string]int
 	// maxTransfers is how many machines may be transferred: each takes a write of its own.
 	maxTransfers int
 
@@ -35,7 +35,7 @@
 	terminated      []*machine
 	transferred     []*machine
 	assumed         []*attempt
-	leaving         []*attempt
+	removing        []*attempt
 }
 
 // writeBlock adds a block's record to a commit in which room writes are left. A block that
@@ -46,7 +46,7 @@
 		w.addMachine(m)
 	}
 	value := w.data.Block(o.c.node.ID())
-	w.noteTaskSize(value.Size())
+	w.recordTaskSize(value.Size())
 	if value.Size() > o.c.cfg.MaxValueBytes && len(w.stored) > 0 {
 		o.handleOversized(b, value.Size(), w.assumed)
 		return
@@ -63,7 +63,7 @@
 		owner: o, block: b, maxTransfers: room - 1,
 		data:          &record.BlockData{LaunchTimeBase: int64(o.c.wallClock), AttemptBase: math.MaxUint64},
 		preconditions: map[string]uint64{record.BlockKey(b.name): b.version},
-		kinds:         map[autoscaler.Offer]int{}, jobIndexes: map[string]int{},
+		offerIndexes:  map[autoscaler.Offer]int{}, jobIndexes: map[string]int{},
 	}
 	if b.hasUnclaimed() {
 		o.addOwnTeamPreconditions(w.preconditions)
@@ -99,7 +99,7 @@
 	if w.transfer(m) {
 		return
 	}
-	unknown := w.unknownToOthers(m)
+	unknown := w.isUnknownToOthers(m)
 	if unknown && !w.hasRoomForPreconditions(record.BlockKey(adoptedPrefix+m.name)) {
 		return // its first claim comes with the next write
 	}
@@ -132,16 +132,16 @@
 	return true
 }
 
-// unknownToOthers tells that the write holds the first claim of a machine that another owner
+// isUnknownToOthers tells that the write holds the first claim of a machine that another owner
 // may adopt at the same time.
-func (w *blockWrite) unknownToOthers(m *machine) bool {
+func (w *blockWrite) isUnknownToOthers(m *machine) bool {
 	return m.fencingToken == 0 && !m.recorded && !w.owner.ownsAllTeams() && !w.block.isAdopted()
 }
 
 // newEntry returns a machine's entry without its tasks.
 func (w *blockWrite) newEntry(m *machine) record.BlockMachine {
 	return record.BlockMachine{
-		Name: m.name, FencingToken: m.fencingToken, Endpoint: m.endpoint, MachineType: w.kindIndex(m),
+		Name: m.name, FencingToken: m.fencingToken, Endpoint: m.endpoint, MachineType: w.offerIndex(m),
 		LaunchedAt:      int64(m.provisionedAt) - w.data.LaunchTimeBase,
 		Decommissioning: m.state == machineDecommissioning || m.state == machineTerminating,
 	}
@@ -163,7 +163,7 @@
 	var tasks []record.BlockTask
 	for _, a := range m.attemptsInRecordOrder() {
 		if a.state == attemptRemoving {
-			w.leaving = append(w.leaving, a)
+			w.removing = append(w.removing, a)
 			continue
 		}
 		if a.state == attemptAssumed && !w.addAssumed(a) {
@@ -186,13 +186,13 @@
 	return true
 }
 
-// kindIndex returns the index of a machine's kind in the record.
-func (w *blockWrite) kindIndex(m *machine) int {
+// offerIndex returns the index of a machine's kind in the record.
+func (w *blockWrite) offerIndex(m *machine) int {
 	offer := m.offer()
-	i, ok := w.kinds[offer]
+	i, ok := w.offerIndexes[offer]
 	if !ok {
 		i = len(w.data.MachineTypes)
-		w.kinds[offer] = i
+		w.offerIndexes[offer] = i
 		w.data.MachineTypes = append(w.data.MachineTypes, record.BlockMachineType{Type: m.machineType, Zone: m.zone, Spot: m.spot})
 	}
 	return i
@@ -211,10 +211,10 @@
 	return i
 }
 
-// noteTaskSize notes what a task takes in the block. With few tasks most of the record is the
+// recordTaskSize notes what a task takes in the block. With few tasks most of the record is the
 // entries: taken for the tasks', nothing more would be placed on machines that stand idle,
 // and so it would stay. So it is bounded.
-func (w *blockWrite) noteTaskSize(size int) {
+func (w *blockWrite) recordTaskSize(size int) {
 	if w.tasks == 0 {
 		return
 	}
@@ -247,7 +247,7 @@
 func (w *blockWrite) finish(committed bool, revision uint64) {
 	w.block.writing = false
 	if !committed {
-		w.undo()
+		w.rollBack()
 		return
 	}
 	w.block.version, w.block.oversized = revision, false
@@ -260,11 +260,11 @@
 	}
 	w.advanceMachines(revision)
 	w.markChanged()
-	w.owner.dropEmpty(w.block)
+	w.owner.removeEmptyBlock(w.block)
 }
 
-// undo marks everything dirty again.
-func (w *blockWrite) undo() {
+// rollBack marks everything dirty again.
+func (w *blockWrite) rollBack() {
 	b := w.block
 	w.owner.markBlockDirty(b)
 	b.sources = append(b.sources, w.sources...)
@@ -283,16 +283,16 @@
 	}
 	for _, m := range w.claimed {
 		if w.block.isAdopted() && m.fencingToken == 0 && !o.ownsAllTeams() {
-			o.verify(m, revision)
+			o.verifyAdopted(m, revision)
 			continue
 		}
-		o.claimed(m, revision)
+		o.handleClaimed(m, revision)
 	}
-	for _, a := range w.leaving {
+	for _, a := range w.removing {
 		o.setAttemptState(a, attemptClosed)
 	}
 	for _, a := range w.assumed {
-		o.recorded(a)
+		o.handleAttemptRecorded(a)
 	}
 	for _, m := range w.terminated {
 		o.removeMachine(m)
--- a/controller/blocks.go
+++ b/controller/blocks.go
@@ -26,11 +26,11 @@
 	defaultTasksPerMachine = 16
 	// maxFillForMachines is the part of a value that a block may take when machines are added to it.
 	maxFillForMachines = 0.7
-	// taskFill is the part of a value that a block may take when tasks are placed on its machines.
-	taskFill = 0.85
-	// slotShares is among how many machines the free bytes of a block are divided, at most:
+	// maxFillForTasks is the part of a value that a block may take when tasks are placed on its machines.
+	maxFillForTasks = 0.85
+	// maxFreeBytesSplit is among how many machines the free bytes of a block are divided, at most:
 	// tasks that are placed in one pass may go to several machines of one block.
-	slotShares = 3
+	maxFreeBytesSplit = 3
 )
 
 // Prefixes of the names of blocks that are made for one machine.
@@ -108,14 +108,14 @@
 		return 0
 	}
 	slots := 1 + int((free-newJobBytes)/b.taskBytes())
-	return min(slots/min(slotShares, len(b.machines)), maxEntryTasks-len(m.attempts))
+	return min(slots/min(maxFreeBytesSplit, len(b.machines)), maxEntryTasks-len(m.attempts))
 }
 
 // freeBytes is how much more of a value the tasks of a block may take. Of the tasks that are
 // not recorded yet, one of each job is taken to bring the job's description: were all taken for
 // that, a block would get few tasks with each write.
 func (o *owner) freeBytes(b *block) float64 {
-	free := float64(o.c.cfg.MaxValueBytes) * taskFill
+	free := float64(o.c.cfg.MaxValueBytes) * maxFillForTasks
 	newJobs := map[*job]bool{}
 	for _, m := range b.machines {
 		free -= b.entryBytes(m)
@@ -194,8 +194,8 @@
 	}
 }
 
-// dropEmpty forgets a block without machines, once nothing must be written for it.
-func (o *owner) dropEmpty(b *block) {
+// removeEmptyBlock forgets a block without machines, once nothing must be written for it.
+func (o *owner) removeEmptyBlock(b *block) {
 	if len(b.machines) == 0 && !b.writing && !b.dirty {
 		o.blocks = slices.DeleteFunc(o.blocks, func(x *block) bool { return x == b })
 	}
--- a/controller/blocks_test.go
+++ b/controller/blocks_test.go
@@ -80,7 +80,7 @@
 	waits := o.blocks[:3]
 	for _, b := range waits {
 		j := o.queue[len(o.queue)-1]
-		o.attach(j, j.firstPending, 9, b.machines[0], attemptAssumed)
+		o.addAttempt(j, j.firstPending, 9, b.machines[0], attemptAssumed)
 		j.firstPending++
 		o.markDirty(b.machines[0])
 	}
@@ -161,7 +161,7 @@
 	for range 20 {
 		j := o.queue[len(o.queue)-1]
 		o.queue = o.queue[:len(o.queue)-1]
-		proposed = append(proposed, o.attach(j, j.firstPending, 9, b.machines[0], attemptAssumed))
+		proposed = append(proposed, o.addAttempt(j, j.firstPending, 9, b.machines[0], attemptAssumed))
 	}
 	o.markDirty(b.machines[0])
 	waiting := len(proposed)
--- a/controller/claims.go
+++ b/controller/claims.go
@@ -30,8 +30,8 @@
 // hasUnclaimed tells whether the block has machines that must be claimed.
 func (b *block) hasUnclaimed() bool { return slices.ContainsFunc(b.machines, (*machine).isUnclaimed) }
 
-// claimed takes the revision of a commit as a machine's token.
-func (o *owner) claimed(m *machine, revision uint64) {
+// handleClaimed takes the revision of a commit as a machine's token.
+func (o *owner) handleClaimed(m *machine, revision uint64) {
 	m.fencingToken, m.tokenConfirmed = revision, false
 	m.tokenConfirmedAt = max(m.tokenConfirmedAt, o.c.now)
 	if m.fencing == fencingNeeded {
@@ -40,9 +40,9 @@
 	o.answerDeferredHeartbeat(m)
 }
 
-// verify looks whether another owner had recorded an adopted machine before this one did.
+// verifyAdopted looks whether another owner had recorded an adopted machine before this one did.
 // Later records of others fail, since they are guarded on the one just written.
-func (o *owner) verify(m *machine, revision uint64) {
+func (o *owner) verifyAdopted(m *machine, revision uint64) {
 	m.verifying = true
 	o.c.store.ListAll(record.BlockPrefix, func(ok bool, entries []kv.Entry, _ uint64) {
 		if o.superseded() || o.machines[m.name] != m {
@@ -55,10 +55,10 @@
 		}
 		if block, found := o.otherBlockWith(m, entries); found {
 			o.obsoleteKeys = append(o.obsoleteKeys, record.BlockKey(m.block.name))
-			o.notOurs(m, block)
+			o.dropOwnedElsewhere(m, block)
 			return
 		}
-		o.claimed(m, revision)
+		o.handleClaimed(m, revision)
 	})
 }
 
--- a/controller/cloud_list.go
+++ b/controller/cloud_list.go
@@ -15,9 +15,9 @@
 	listPageSize = 500
 	// minListInterval is the least time between two readings of the list.
 	minListInterval = 2 * micros.Second
-	// unclaimedLags is how many times the list's usual lag a machine must be listed without
+	// unclaimedLagFactor is how many times the list's usual lag a machine must be listed without
 	// an owner to be taken for nobody's: the list may be twice its lag late.
-	unclaimedLags = 3
+	unclaimedLagFactor = 3
 )
 
 // cloudList is a reading of the cloud's list, page by page.
@@ -78,10 +78,10 @@
 		o.c.cluster.FirstOwner() != o.c.cfg.Node {
 		return false
 	}
-	if o.unclaimed[name] == 0 {
-		o.unclaimed[name] = o.c.now
+	if o.unclaimedSince[name] == 0 {
+		o.unclaimedSince[name] = o.c.now
 	}
-	return o.c.now-o.unclaimed[name] > unclaimedLags*o.c.cfg.CloudListLag
+	return o.c.now-o.unclaimedSince[name] > unclaimedLagFactor*o.c.cfg.CloudListLag
 }
 
 // applyCloudList takes what the cloud lists, and adopts machines that nobody owns.
@@ -89,7 +89,7 @@
 	for _, name := range sortedKeys(found) {
 		o.applyListedMachine(found[name])
 	}
-	maps.DeleteFunc(o.unclaimed, func(name string, _ micros.Micros) bool {
+	maps.DeleteFunc(o.unclaimedSince, func(name string, _ micros.Micros) bool {
 		_, listed := found[name]
 		return !listed
 	})
--- a/controller/cluster.go
+++ b/controller/cluster.go
@@ -44,7 +44,7 @@
 }
 
 // ViewChanged shares the limits of the state service anew.
-func (h clusterHost) ViewChanged() { h.core.shareLimits() }
+func (h clusterHost) ViewChanged() { h.core.updateRateLimits() }
 
 // UnreachableByWorkers tells that the machines of this node's teams do not report to it, nor any other
 // machine, although some report to a peer.
@@ -59,11 +59,11 @@
 		c.owner.refusePendingHeartbeats()
 	}
 	c.owner = o
-	c.shareLimits()
+	c.updateRateLimits()
 }
 
-// shareLimits sets this node's part of the state service's limits by who is a member.
-func (c *Core) shareLimits() {
+// updateRateLimits sets this node's part of the state service's limits by who is a member.
+func (c *Core) updateRateLimits() {
 	role := budget.Role{Nodes: len(c.cluster.Members()), Owners: c.cluster.LiveOwners(), OwnsTeams: c.owner != nil}
 	if !c.cluster.IsMember(c.cfg.Node) {
 		role.Nodes++
--- a/controller/commands.go
+++ b/controller/commands.go
@@ -38,16 +38,16 @@
 	reported, commands := o.commandsForReportedTasks(m)
 	for _, a := range m.sortedAttempts() {
 		if a.state == attemptStarting && a.job.state == jobEnded {
-			o.stop(a, 0, "job is over")
+			o.stopAttempt(a, 0, "job is over")
 		}
 		switch {
 		case a.state == attemptStopping && !a.heartbeatSeen:
 			// Its start may be on its way, so the stop must follow it.
-			commands = append(commands, stopCommand(a.task(), a.number, a.grace))
-		case a.state == attemptRecorded && !reported[a.key()] && a.mayStart() && o.mayOrderStart(a):
+			commands = append(commands, stopCommand(a.taskName(), a.number, a.gracePeriod))
+		case a.state == attemptRecorded && !reported[a.key()] && a.mayStart() && o.maySendStart(a):
 			a.startHeartbeatSeq = m.heartbeatSeq
 			o.setAttemptState(a, attemptStarting)
-			commands = append(commands, wire.Command{Verb: wire.VerbStart, Task: a.task(), Attempt: a.number})
+			commands = append(commands, wire.Command{Verb: wire.VerbStart, Task: a.taskName(), Attempt: a.number})
 		}
 	}
 	return commands
@@ -67,7 +67,7 @@
 		switch {
 		case a != nil && a.number == task.Attempt:
 			if a.state == attemptStopping && !exited {
-				commands = append(commands, stopCommand(task.Task, task.Attempt, a.grace))
+				commands = append(commands, stopCommand(task.Task, task.Attempt, a.gracePeriod))
 			}
 		case !exited: // nothing that this owner knows of
 			commands = append(commands, stopCommand(task.Task, task.Attempt, 0))
@@ -190,7 +190,7 @@
 	for _, m := range o.sortedMachines {
 		// A machine with a task of a cancelled job is asked at once, since the leader may
 		// change again soon.
-		if o.c.now-o.since < inspectionDelay && !o.cancellationOverdue(m, overdueDecommissionFraction) {
+		if o.c.now-o.activeSince < inspectionDelay && !o.cancellationOverdue(m, overdueDecommissionFraction) {
 			continue
 		}
 		if !m.recovered || m.agentEpoch != 0 || m.inspected || m.fencingToken == 0 || m.state >= machineDecommissioning {
--- a/controller/commits.go
+++ b/controller/commits.go
@@ -94,7 +94,7 @@
 		}
 		o.finishTransaction(t, true, res.Revision)
 		o.flushAt = o.c.now + o.commitInterval()
-		o.scheduleWanted = true
+		o.schedulingNeeded = true
 	case kv.PreconditionFailed:
 		if again {
 			o.restartRecovery("a commit without answer was executed, or somebody else wrote")
@@ -169,7 +169,7 @@
 	}
 	if name, ok := strings.CutPrefix(key, record.BlockPrefix+adoptedPrefix); ok {
 		if m := o.machines[name]; m != nil && m.fencingToken == 0 {
-			o.notOurs(m, adoptedPrefix+name)
+			o.dropOwnedElsewhere(m, adoptedPrefix+name)
 			return true
 		}
 	}
@@ -188,10 +188,10 @@
 
 // markJobStale stops placing a job whose record has changed, and reads the record again.
 func (o *owner) markJobStale(j *job) {
-	j.unsure = true
-	for _, a := range j.sorted() {
+	j.recordStale = true
+	for _, a := range j.sortedAttempts() {
 		if a.state == attemptAssumed {
-			o.stop(a, 0, "job's record has changed")
+			o.stopAttempt(a, 0, "job's record has changed")
 		}
 	}
 	o.c.store.Get(budget.UserRequests, record.ActiveJobKey(j.ID), func(out kv.Outcome, e kv.Entry) {
@@ -200,23 +200,23 @@
 		case out == kv.NotFound:
 			o.handleJobRemoved(j.ID, o.cancellationsKnownUntil)
 		case out == kv.OK:
-			j.version, j.unsure = e.Version, false
-			o.scheduleWanted = true
+			j.version, j.recordStale = e.Version, false
+			o.schedulingNeeded = true
 		default:
-			j.unsure = false // the next commit will tell
+			j.recordStale = false // the next commit will tell
 			o.flushAt = o.c.now + flushRetryDelay
 		}
 	})
 }
 
-// elsewhereMemory is how long a machine is remembered as another owner's, until that owner's
+// ownedElsewhereRetention is how long a machine is remembered as another owner's, until that owner's
 // heartbeat names it.
-const elsewhereMemory = 10 * micros.Second
+const ownedElsewhereRetention = 10 * micros.Second
 
-// notOurs drops a machine that was taken for unexpected while it has a record already:
+// dropOwnedElsewhere drops a machine that was taken for unexpected while it has a record already:
 // another owner's, or ours if it was given to us.
-func (o *owner) notOurs(m *machine, block string) {
-	o.ownedElsewhere[m.name] = o.c.now + elsewhereMemory
+func (o *owner) dropOwnedElsewhere(m *machine, block string) {
+	o.ownedElsewhere[m.name] = o.c.now + ownedElsewhereRetention
 	o.removeMachine(m)
 	o.receiveTransfer(block)
 }
@@ -224,7 +224,7 @@
 // flushTerminalStates records jobs that are done.
 func (o *owner) flushTerminalStates(t *transaction, full func() bool) {
 	for _, j := range o.queue {
-		if j.state != jobFinishing || j.unsure {
+		if j.state != jobFinishing || j.recordStale {
 			continue
 		}
 		if full() {
@@ -237,35 +237,35 @@
 		t.results = append(t.results, func(ok bool, _ uint64) {
 			j.writing = false
 			if ok && j.state != jobEnded {
-				o.doneRecorded(j)
+				o.handleJobDoneRecorded(j)
 			}
 		})
 	}
 }
 
-// doneRecorded ends a job whose final record is written.
-func (o *owner) doneRecorded(j *job) {
+// handleJobDoneRecorded ends a job whose final record is written.
+func (o *owner) handleJobDoneRecorded(j *job) {
 	o.c.terminalStates.remember(j.ID, wire.JobDone)
 	o.c.log.Info("job done", "job", j.ID, "class", j.Class)
 	o.c.graph.MarkDone(j.ID, o.c.wallClock)
-	for _, a := range j.sorted() {
+	for _, a := range j.sortedAttempts() {
 		if a.state == attemptCompleted {
-			o.finishedRecorded(a)
+			o.handleCompletionRecorded(a)
 		}
 	}
 	o.endJob(j)
-	for _, a := range j.sorted() {
+	for _, a := range j.sortedAttempts() {
 		if a.state == attemptLive || a.state == attemptStarting {
-			a.why = "job is done"
+			a.reason = "job is done"
 			o.setAttemptState(a, attemptStopping) // its machine's next report ends it
 		}
 	}
 }
 
-// finishedRecorded closes an attempt whose completion is recorded. The machine's
+// handleCompletionRecorded closes an attempt whose completion is recorded. The machine's
 // record still names it; that is corrected with its next change, and a reader knows
 // better from the completion.
-func (o *owner) finishedRecorded(a *attempt) {
+func (o *owner) handleCompletionRecorded(a *attempt) {
 	o.setAttemptState(a, attemptClosed)
 }
 
--- a/controller/core.go
+++ b/controller/core.go
@@ -27,15 +27,15 @@
 
 	// Times, as of the present event. now is steady and only grows; wallClock is the time of
 	// day, which records and users see.
-	now       micros.Micros
-	wallClock micros.Micros
-	timers    []timer
-	nextSlow  micros.Micros // when the slower duties are due
+	now          micros.Micros
+	wallClock    micros.Micros
+	timers       []timer
+	nextSlowTick micros.Micros // when the slower duties are due
 
 	// Effects of the present event, and the calls that wait for their ends.
-	out    []Effect
-	nextID uint64
-	calls  map[uint64]func(CallDone)
+	effects []Effect
+	nextID  uint64
+	calls   map[uint64]func(CallDone)
 
 	// The state service and the cloud, with this node's part of their limits.
 	budget    *budget.Budget
@@ -47,7 +47,7 @@
 	node    *cluster.Node
 	cluster *cluster.View // of node
 	owner   *owner        // set while this node owns teams
-	numbers numbers
+	numbers numberGenerator
 
 	// What users ask for.
 	submissions    submissionQueue
@@ -66,13 +66,13 @@
 	// lastOtherZoneHeartbeat is when a worker of another zone reported last.
 	lastOtherZoneHeartbeat micros.Micros
 
-	count counters
+	counters counters
 	// violations counts the invariants that did not hold.
 	violations int
 }
 
-// randomStream is the second half of the seed of the random source.
-const randomStream = 0x7461_6d61
+// randomSeedStream is the second half of the seed of the random source.
+const randomSeedStream = 0x7461_6d61
 
 // New returns the core of a node that has just started.
 func New(cfg *config.Settings, seed uint64, log *slog.Logger, now, wallClock micros.Micros) *Core {
@@ -83,7 +83,7 @@
 		peers: map[string]*peerNode{},
 	}
 	c.cloudRate = rate.NewLimiter(rate.Limit(cfg.CloudRequestRate), max(1, int(cfg.CloudRequestRate)))
-	c.node = cluster.New(cfg, clusterStore{c}, clusterHost{c}, rand.New(rand.NewPCG(seed, randomStream)), log)
+	c.node = cluster.New(cfg, clusterStore{c}, clusterHost{c}, rand.New(rand.NewPCG(seed, randomSeedStream)), log)
 	c.cluster = c.node.View()
 	for _, s := range cfg.Siblings {
 		c.peers[s.Node] = &peerNode{Sibling: s}
@@ -101,8 +101,8 @@
 // Handle takes one event and returns what must be done.
 func (c *Core) Handle(now, wallClock micros.Micros, ev Event) []Effect {
 	c.now, c.wallClock = max(now, c.now), wallClock
-	c.count.events++
-	c.out = nil
+	c.counters.events++
+	c.effects = nil
 	switch e := ev.(type) {
 	case Request:
 		c.routeRequest(e)
@@ -114,14 +114,14 @@
 	case Tick:
 	}
 	c.tick()
-	return c.out
+	return c.effects
 }
 
 // tick does what is due, after every event.
 func (c *Core) tick() {
 	c.runTimers()
-	if c.now >= c.nextSlow {
-		c.nextSlow = c.now + slowTick
+	if c.now >= c.nextSlowTick {
+		c.nextSlowTick = c.now + slowTickInterval
 		c.tickSlow()
 	}
 	c.submissions.flush()
@@ -149,10 +149,10 @@
 // call starts an outbound request.
 func (c *Core) call(call Call, done func(CallDone)) {
 	c.nextID++
-	c.count.calls++
+	c.counters.calls++
 	call.ID = c.nextID
 	c.calls[call.ID] = done
-	c.out = append(c.out, call)
+	c.effects = append(c.effects, call)
 }
 
 // respond answers a request, with a body unless it is nil.
@@ -161,14 +161,14 @@
 	if body != nil {
 		data = wire.Encode(body)
 	}
-	c.out = append(c.out, Respond{ID: id, Status: status, Body: data})
+	c.effects = append(c.effects, Respond{ID: id, Status: status, Body: data})
 }
 
 // refuse answers at once that a request cannot be taken now.
 func (c *Core) refuse(id uint64, status wire.Status, reason refusalReason) {
-	c.count.refused++
-	c.out = append(c.out, Respond{ID: id, Status: status, Body: wire.Encode(wire.ErrorResponse{Error: string(reason)}), RetryAfter: retryAfter})
+	c.counters.refused++
+	c.effects = append(c.effects, Respond{ID: id, Status: status, Body: wire.Encode(wire.ErrorResponse{Error: string(reason)}), RetryAfter: retryAfterSeconds})
 }
 
-// retryAfter is what users are told, in seconds: the least they wait anyway.
-const retryAfter = 1
+// retryAfterSeconds is what users are told, in seconds: the least they wait anyway.
+const retryAfterSeconds = 1
--- a/controller/entitlement_test.go
+++ b/controller/entitlement_test.go
@@ -19,7 +19,7 @@
 	m.state, m.fencingToken, m.tokenConfirmed, m.recorded = machineReady, 7, true, true
 	j := newJob(&sched.Job{ID: "req-000001", Team: "red", Tasks: 1, Need: sched.NewResources(1, 0, 1)}, 5, 0)
 	o.jobs[j.ID] = j
-	return o, m, o.attach(j, 0, 1, m, attemptRecorded)
+	return o, m, o.addAttempt(j, 0, 1, m, attemptRecorded)
 }
 
 // TestStartsRestOnRecords sees that a start is ordered only on a recorded placement under a token
--- a/controller/eviction.go
+++ b/controller/eviction.go
@@ -25,7 +25,7 @@
 
 // preempt looks for work to stop for a gang that does not fit, and holds the machines.
 func (o *owner) preempt(j *job) bool {
-	if !j.Gang || o.c.now < j.nextPreemptionAt || o.scaleOutSuffices(j) || o.comesSoon(j) {
+	if !j.Gang || o.c.now < j.nextPreemptionAt || o.scaleOutSuffices(j) || o.capacityComesSoon(j) {
 		return false
 	}
 	covered := o.jobsWithinGuarantee()
@@ -83,15 +83,15 @@
 	}
 	rules := sched.PreemptionRules{Mode: mode, ROIThreshold: o.c.cfg.Tuning.ROIThreshold, Teams: map[string]sched.TeamUsage{}}
 	for name, t := range o.teams {
-		rules.Teams[name] = o.teamUse(t)
+		rules.Teams[name] = o.teamUsage(t)
 	}
 	domains := sched.Domains(j, machines, victims, o.c.cfg.Tuning.MaxDomains)
 	return sched.PlanPreemption(j, domains, victims, rules)
 }
 
-// teamUse is what a team uses and will go on using: what is being stopped already must
+// teamUsage is what a team uses and will go on using: what is being stopped already must
 // not be counted as surplus once more.
-func (o *owner) teamUse(t *team) sched.TeamUsage {
+func (o *owner) teamUsage(t *team) sched.TeamUsage {
 	return sched.TeamUsage{Used: t.used.Sub(t.stopping), GuaranteedQuota: t.GuaranteedQuota}
 }
 
@@ -101,14 +101,14 @@
 // teams would stop each other's gangs in turn (docs/incidents/eyjafold-third-reclaim.md).
 func (o *owner) jobsWithinGuarantee() map[*job]bool {
 	list := slices.Clone(o.queue)
-	slices.SortStableFunc(list, func(a, b *job) int { return cmp.Compare(a.since, b.since) })
+	slices.SortStableFunc(list, func(a, b *job) int { return cmp.Compare(a.readyAt, b.readyAt) })
 	covered, sums := map[*job]bool{}, map[string]sched.Resources{}
 	for _, j := range list {
 		t := o.teams[j.Team]
 		if t == nil || j.state != jobActive || t.GuaranteedQuota.CPU == 0 && t.GuaranteedQuota.GPU == 0 {
 			continue
 		}
-		sum := sums[j.Team].Add(j.Need.Times(j.Tasks - j.doneN))
+		sum := sums[j.Team].Add(j.Need.Times(j.Tasks - j.completedCount))
 		sums[j.Team] = sum
 		covered[j] = sum.CPU <= t.GuaranteedQuota.CPU && (sum.GPU <= t.GuaranteedQuota.GPU || j.Need.GPU == 0)
 	}
@@ -118,7 +118,7 @@
 // scaleOutSuffices tells that a machine from the cloud would serve in time (ours): then
 // nothing needs to be stopped.
 func (o *owner) scaleOutSuffices(j *job) bool {
-	market, left := o.market(), o.startLimit(j)-(o.c.wallClock-j.since)
+	market, left := o.market(), o.startDeadline(j)-(o.c.wallClock-j.readyAt)
 	for _, t := range o.c.types.list {
 		if t.Boot > left || !j.Need.Fits(t.Size) {
 			continue
@@ -132,8 +132,8 @@
 	return false
 }
 
-// startLimit is how long a gang should wait at the most.
-func (o *owner) startLimit(j *job) micros.Micros {
+// startDeadline is how long a gang should wait at the most.
+func (o *owner) startDeadline(j *job) micros.Micros {
 	limit := o.c.cfg.Tuning.ReservationTimeout
 	for _, objective := range o.c.cfg.SLOs {
 		if objective.Kind == config.SLOWaitTime && objective.Class == j.Class {
@@ -143,9 +143,9 @@
 	return limit
 }
 
-// comesSoon tells that a machine which boots will serve: one for each gang that waits,
+// capacityComesSoon tells that a machine which boots will serve: one for each gang that waits,
 // in the order of the queue.
-func (o *owner) comesSoon(j *job) bool {
+func (o *owner) capacityComesSoon(j *job) bool {
 	slots := o.bootingSlots(j)
 	for _, q := range o.queue {
 		if q.Gang && q.gangState == gangNone && q.Class == j.Class && o.reservations[q.ID] == nil {
@@ -173,14 +173,14 @@
 	return slots
 }
 
-// leavingSoon tells that an attempt's room will be free without a stop.
-func (o *owner) leavingSoon(a *attempt) bool {
+// endsSoon tells that an attempt's room will be free without a stop.
+func (o *owner) endsSoon(a *attempt) bool {
 	switch a.state {
 	case attemptStopping, attemptCompleted, attemptRemoving:
 		return true
 	}
-	return a.running != 0 && !a.job.Gang && a.job.Estimate-(o.c.now-a.running) < minRemainingForPreemption &&
-		o.c.now-a.running < a.job.Estimate+minRemainingForPreemption
+	return a.runningSince != 0 && !a.job.Gang && a.job.Estimate-(o.c.now-a.runningSince) < minRemainingForPreemption &&
+		o.c.now-a.runningSince < a.job.Estimate+minRemainingForPreemption
 }
 
 // preemptionView is the view in which room is sought: what leaves soon is gone already.
@@ -190,7 +190,7 @@
 		for _, a := range o.machines[v.Name].attempts {
 			// What is freed is in the view already: counted twice, it would promise room that
 			// another gang may just have taken, and the hold would wait for it for ever.
-			if !a.resourcesReleased && o.leavingSoon(a) {
+			if !a.resourcesReleased && o.endsSoon(a) {
 				v.Free = v.Free.Add(a.job.Need)
 			}
 		}
@@ -235,8 +235,8 @@
 	if j.Gang {
 		victim.MinTasks = j.Tasks
 	}
-	for _, a := range j.sorted() {
-		if o.leavingSoon(a) || a.state == attemptAssumed {
+	for _, a := range j.sortedAttempts() {
+		if o.endsSoon(a) || a.state == attemptAssumed {
 			continue
 		}
 		victim.ReadyTasks++
@@ -253,20 +253,20 @@
 // saving.
 func (o *owner) preemptionCost(a *attempt) float64 {
 	lost := a.job.CheckpointDuration
-	if a.job.CheckpointInterval == 0 && a.running != 0 {
-		lost = o.c.now - a.running
+	if a.job.CheckpointInterval == 0 && a.runningSince != 0 {
+		lost = o.c.now - a.runningSince
 	}
 	return a.job.Need.CPUs() * lost.Seconds()
 }
 
 // preemptVictims begins the stops of a hold that is recorded.
 func (o *owner) preemptVictims(h *reservation) {
-	o.stopBundles(h.victims, "room for "+h.job)
+	o.stopBundledAttempts(h.victims, "room for "+h.job)
 	h.victims = nil
 }
 
-// stopBundles begins the stops of a plan, as far as its tasks are still where they were.
-func (o *owner) stopBundles(bundles []sched.Bundle, why string) {
+// stopBundledAttempts begins the stops of a plan, as far as its tasks are still where they were.
+func (o *owner) stopBundledAttempts(bundles []sched.Bundle, why string) {
 	for _, b := range bundles {
 		v := o.jobs[b.Victim.Job]
 		if v == nil || v.state != jobActive {
--- a/controller/eviction_test.go
+++ b/controller/eviction_test.go
@@ -23,7 +23,7 @@
 	m := o.newMachine(machineInfo{name: "m-000001", machineType: "mid", zone: "a", endpoint: "worker"})
 	m.fencingToken, m.agentEpoch, m.tokenConfirmed, m.lastHeartbeat, m.state = 7, 1, true, o.c.now, machineReady
 	for i := range array.Tasks {
-		o.attach(array, i, 9, m, attemptLive).running = o.c.now - 20*micros.Second
+		o.addAttempt(array, i, 9, m, attemptLive).runningSince = o.c.now - 20*micros.Second
 	}
 	return o, gang, array
 }
@@ -75,8 +75,8 @@
 	if list := o.victims(gang.Job, sched.Preempt, nil); len(list) != 0 {
 		t.Errorf("%d tasks are to be stopped 2 s before their end", len(list[0].Tasks))
 	}
-	for _, a := range array.sorted() {
-		if !o.leavingSoon(a) {
+	for _, a := range array.sortedAttempts() {
+		if !o.endsSoon(a) {
 			t.Errorf("task %d does not count as leaving", a.index)
 		}
 	}
--- a/controller/finalreads.go
+++ b/controller/finalreads.go
@@ -59,7 +59,7 @@
 
 func (c *Core) handleTerminalStatesRead(found map[string]record.TerminalState, ok bool) {
 	resolution := &c.jobView.resolution
-	resolution.reading, resolution.retryAt = false, c.now+fastTick
+	resolution.reading, resolution.retryAt = false, c.now+fastTickInterval
 	for _, id := range sortedKeys(found) {
 		c.applyTerminalState(id, found[id])
 	}
--- a/controller/finalreads_test.go
+++ b/controller/finalreads_test.go
@@ -43,8 +43,8 @@
 			found = f
 		})
 		for found == nil {
-			out := c.out
-			c.out = nil
+			out := c.effects
+			c.effects = nil
 			for _, e := range out {
 				call := e.(Call)
 				requests++
@@ -85,7 +85,7 @@
 		})
 	}
 	w.state.Load(leftovers, uint64(len(leftovers)), micros.Second)
-	w.run(sweepAfter + 120*micros.Second)
+	w.run(partsSweepDelay + 120*micros.Second)
 	if left := w.state.Keys(record.DependencyPartPrefix); len(left) > 0 || len(w.broken) > 0 {
 		t.Fatalf("%d parts are left, the first is %s; rules broken: %v", len(left), left[0], w.broken)
 	}
--- a/controller/gang_reservations.go
+++ b/controller/gang_reservations.go
@@ -17,7 +17,7 @@
 	ready := autoscaler.NewWarmPool(o.c.now, o.classes, o.c.cfg.SLOs, o.c.catalog())
 	short := false
 	for _, j := range o.schedulingOrder() {
-		if !j.Gang || j.state != jobActive || j.gangState != gangNone || o.reservations[j.ID] != nil || o.c.now < j.notUntil {
+		if !j.Gang || j.state != jobActive || j.gangState != gangNone || o.reservations[j.ID] != nil || o.c.now < j.backoffUntil {
 			continue
 		}
 		// Of the gangs that the machines there are do not suffice for, only the first reserves
@@ -74,7 +74,7 @@
 		}
 		candidate := gangCandidate{view: v, taskSlots: fits}
 		if !j.Need.Fits(v.Free) {
-			candidate.availableIn = o.busyFor(m)
+			candidate.availableIn = o.remainingBusyTime(m)
 		}
 		zone := ""
 		if j.OneZone {
@@ -90,7 +90,7 @@
 func candidatesOfBestZone(byZone map[string][]gangCandidate) []gangCandidate {
 	best, most := "", -1
 	for _, zone := range sortedKeys(byZone) {
-		if room := roomNow(byZone[zone]); room > most {
+		if room := availableTaskSlots(byZone[zone]); room > most {
 			best, most = zone, room
 		}
 	}
@@ -99,8 +99,8 @@
 	return list
 }
 
-// roomNow counts the tasks that candidates have room for without a wait.
-func roomNow(candidates []gangCandidate) int {
+// availableTaskSlots counts the tasks that candidates have room for without a wait.
+func availableTaskSlots(candidates []gangCandidate) int {
 	tasks := 0
 	for _, c := range candidates {
 		if c.availableIn == 0 {
--- a/controller/gangs.go
+++ b/controller/gangs.go
@@ -14,10 +14,10 @@
 const gangStarvationAfter = 40 * micros.Second
 
 // waitsTooLong tells that a job has waited for longer than gangs let later ones pass.
-func (o *owner) waitsTooLong(j *job) bool { return o.c.wallClock-j.since > gangStarvationAfter }
+func (o *owner) waitsTooLong(j *job) bool { return o.c.wallClock-j.readyAt > gangStarvationAfter }
 
-// noteSpotTime counts the time that spot machines are up.
-func (o *owner) noteSpotTime() {
+// recordSpotUptime counts the time that spot machines are up.
+func (o *owner) recordSpotUptime() {
 	for _, m := range o.sortedMachines {
 		if m.spot && (m.state == machineReady || m.state == machineDraining) {
 			o.c.spotRisk.RecordUptime(autoscalingInterval)
@@ -25,17 +25,17 @@
 	}
 }
 
-// noteSpotLost counts a spot machine that the cloud took.
-func (o *owner) noteSpotLost(m *machine) {
+// recordSpotReclaimed counts a spot machine that the cloud took.
+func (o *owner) recordSpotReclaimed(m *machine) {
 	if m.spot && !m.spotReclaimed {
 		m.spotReclaimed = true
 		o.c.spotRisk.RecordLoss()
 	}
 }
 
-// ordinaryFor tells how many tasks of a gang must not be on spot machines. A gang that waits
+// minOnDemandTasks tells how many tasks of a gang must not be on spot machines. A gang that waits
 // for long takes as many spot machines as make good progress.
-func (o *owner) ordinaryFor(j *job) int {
+func (o *owner) minOnDemandTasks(j *job) int {
 	if !j.Spot {
 		return j.Tasks
 	}
--- a/controller/gangs_test.go
+++ b/controller/gangs_test.go
@@ -64,9 +64,9 @@
 	}
 	m := o.newMachine(machineInfo{"m-000000", "mid", "a", false, "worker"})
 	m.fencingToken, m.lastHeartbeat, m.state = 1, o.c.now, machineReady
-	ended := o.attach(o.queue[0], 0, 7, m, attemptLive)
+	ended := o.addAttempt(o.queue[0], 0, 7, m, attemptLive)
 	o.setAttemptState(ended, attemptCompleted)
-	o.attach(o.queue[1], 0, 8, m, attemptLive)
+	o.addAttempt(o.queue[1], 0, 8, m, attemptLive)
 	if free, is := o.preemptionView()[0].Free.CPUs(), m.size.Sub(m.used).CPUs(); free != is {
 		t.Errorf("%g processors count as free, of which there are %g", free, is)
 	}
--- a/controller/holds.go
+++ b/controller/holds.go
@@ -54,7 +54,7 @@
 	case reservationReady:
 		h.expiresAt = o.c.now + o.c.cfg.Tuning.ReservationTimeout
 	case reservationReleased:
-		o.scheduleWanted = true
+		o.schedulingNeeded = true
 	}
 }
 
@@ -99,7 +99,7 @@
 			o.setReservationState(h, reservationReleased, "the gang has started")
 		case h.state == reservationStopping && o.reservedRoomFree(h):
 			o.setReservationState(h, reservationReady, "all stops have ended")
-			o.scheduleWanted = true
+			o.schedulingNeeded = true
 		case h.state == reservationStopping && o.c.now > h.expiresAt:
 			o.setReservationState(h, reservationReleased, "its room does not come free")
 		case h.state == reservationReady && j.gangState == gangNone && o.c.now > h.expiresAt:
@@ -169,7 +169,7 @@
 			case !ok:
 			case over:
 				delete(o.reservations, id)
-				o.scheduleWanted = true
+				o.schedulingNeeded = true
 			case h.state == holdPlanned:
 				o.setReservationState(h, reservationStopping, "recorded")
 				o.preemptVictims(h)
--- a/controller/inherit.go
+++ b/controller/inherit.go
@@ -11,18 +11,18 @@
 // This file is what an owner makes of inherited priorities and deadlines (package jobgraph):
 // the order in which jobs are placed, and how long they may wait.
 
-// inherit has a job take its place in the order by what it inherits.
-func (o *owner) inherit(j *job) {
+// inheritPriority has a job take its place in the order by what it inherits.
+func (o *owner) inheritPriority(j *job) {
 	inherited, awaited := o.c.graph.Inherited(j.ID)
 	priority, mustEnd := max(j.submittedPriority, inherited.Priority), micros.Micros(0)
 	if awaited || o.c.graph.Blocked(j.ID) != nil { // deadlines count in pipelines only
 		mustEnd = dag.EarlierDeadline(dag.AbsoluteDeadline(j.accepted, j.Deadline), inherited.LatestFinish)
 	}
-	if priority == j.Priority && mustEnd == j.mustEnd {
+	if priority == j.Priority && mustEnd == j.effectiveDeadline {
 		return
 	}
-	j.mustEnd = mustEnd
-	o.scheduleWanted = true
+	j.effectiveDeadline = mustEnd
+	o.schedulingNeeded = true
 	if priority == j.Priority {
 		return
 	}
@@ -46,22 +46,24 @@
 
 // deadlineSlack is how much later than now a job may begin and still end in time.
 func (o *owner) deadlineSlack(j *job) micros.Micros {
-	return j.mustEnd - o.c.wallClock - o.estimatedRunTime(j)
+	return j.effectiveDeadline - o.c.wallClock - o.estimatedRunTime(j)
 }
 
 // isUrgent tells that a job must begin soon for it, or for some job that needs it, to end in
 // time.
-func (o *owner) isUrgent(j *job) bool { return j.mustEnd != 0 && o.deadlineSlack(j) < urgentSlack }
+func (o *owner) isUrgent(j *job) bool {
+	return j.effectiveDeadline != 0 && o.deadlineSlack(j) < urgentSlack
+}
 
 // compareUrgency orders jobs of the same priority: first the urgent ones, by their slack.
 func (o *owner) compareUrgency(a, b *job) int {
-	if a.mustEnd == 0 && b.mustEnd == 0 {
+	if a.effectiveDeadline == 0 && b.effectiveDeadline == 0 {
 		return 0
 	}
 	aUrgent, bUrgent := o.isUrgent(a), o.isUrgent(b)
 	switch {
 	case aUrgent != bUrgent:
-		return first(aUrgent)
+		return compareTrueFirst(aUrgent)
 	case aUrgent:
 		return cmp.Compare(o.deadlineSlack(a), o.deadlineSlack(b))
 	}
@@ -70,7 +72,7 @@
 
 // maxQueueingDelay is how long a job may wait: by its class, and until it must begin to end in time.
 func (o *owner) maxQueueingDelay(j *job) micros.Micros {
-	if j.mustEnd == 0 {
+	if j.effectiveDeadline == 0 {
 		return o.maxWait(j)
 	}
 	return min(o.maxWait(j), max(minWaitLimit, o.deadlineSlack(j)))
--- a/controller/inherit_test.go
+++ b/controller/inherit_test.go
@@ -66,10 +66,10 @@
 	if j == nil {
 		w.Fatalf("%s is not placed", id)
 	}
-	if j.Priority != priority || j.mustEnd != micros.FromSeconds(mustEnd) {
-		w.Fatalf("%s has priority %d and must end at %v, want %d and %v", id, j.Priority, j.mustEnd, priority, mustEnd)
+	if j.Priority != priority || j.effectiveDeadline != micros.FromSeconds(mustEnd) {
+		w.Fatalf("%s has priority %d and must end at %v, want %d and %v", id, j.Priority, j.effectiveDeadline, priority, mustEnd)
 	}
-	if !slices.IsSortedFunc(w.o.queue, queueOrder) {
+	if !slices.IsSortedFunc(w.o.queue, compareQueueOrder) {
 		w.Fatalf("the queue is out of order")
 	}
 }
@@ -214,7 +214,7 @@
 			w.Fatalf("seed %d: %s has priority %d at its owner", seed, id, j.Priority)
 		}
 	}
-	if !slices.IsSortedFunc(w.o.queue, queueOrder) {
+	if !slices.IsSortedFunc(w.o.queue, compareQueueOrder) {
 		w.Fatalf("seed %d: the queue is out of order", seed)
 	}
 }
--- a/controller/job.go
+++ b/controller/job.go
@@ -34,14 +34,14 @@
 	// version is that of the job's record.
 	version  uint64
 	accepted micros.Micros
-	// since is when the job was accepted, or when it became ready if it waited for others:
+	// readyAt is when the job was accepted, or when it became ready if it waited for others:
 	// its service level objectives count from here.
-	since micros.Micros
+	readyAt micros.Micros
 	// submittedPriority is the priority as submitted; the job's priority may be inherited.
 	submittedPriority sched.Priority
-	// mustEnd is the latest end with which this job and all that need it meet their
+	// effectiveDeadline is the latest end with which this job and all that need it meet their
 	// deadlines; 0 for none.
-	mustEnd micros.Micros
+	effectiveDeadline micros.Micros
 	// dependencyParts is the number of further keys of its list of jobs that it awaits.
 	dependencyParts int
 
@@ -49,27 +49,27 @@
 	tasks        []taskState
 	pending      int
 	firstPending int // no task below it is pending
-	// done is the set of completed tasks, doneN their number.
-	done  record.Bitmap
-	doneN int
+	// completed is the set of completed tasks, completedCount their number.
+	completed      record.Bitmap
+	completedCount int
 	// segments hold the completions, and finished those that are not recorded yet, by chunk.
-	segments map[int]*completionSegment
-	finished map[int][]*attempt
+	segments              map[int]*completionSegment
+	unrecordedCompletions map[int][]*attempt
 
 	// attempts are the placements of its tasks, by task.
-	attempts  map[int]*attempt
-	assumed   int // attempts that are not recorded yet
-	runs      int // tasks that run, for display
-	gangState gangState
+	attempts     map[int]*attempt
+	assumed      int // attempts that are not recorded yet
+	runningTasks int // tasks that run, for display
+	gangState    gangState
 	// everPlaced tells whether some of it was placed, and idleSince since when nothing of it is
 	// on machines.
 	everPlaced bool
 	idleSince  micros.Micros
 
-	// notUntil is the end of its pause after failures.
-	notUntil micros.Micros
-	failures int // in a row, without any success
-	failedOn map[string]bool
+	// backoffUntil is the end of its pause after failures.
+	backoffUntil micros.Micros
+	failures     int // in a row, without any success
+	failedOn     map[string]bool
 	// nextPreemptionAt is when room may be made for it again, and evictions how often in a row that
 	// was in vain.
 	nextPreemptionAt  micros.Micros
@@ -79,8 +79,8 @@
 	writing bool
 	// cancelQueued: it is to be recorded as cancelled with a job that it awaits.
 	cancelQueued bool
-	// unsure: its record has changed, so nothing is placed until it was read again.
-	unsure bool
+	// recordStale: its record has changed, so nothing is placed until it was read again.
+	recordStale bool
 	// endedAt is a time before which no user was told that it is cancelled; 0: it was not.
 	endedAt micros.Micros
 }
@@ -101,12 +101,12 @@
 
 func newJob(j *sched.Job, version uint64, accepted micros.Micros) *job {
 	return &job{
-		Job: j, version: version, accepted: accepted, since: accepted, submittedPriority: j.Priority,
-		pending:  j.Tasks,
-		segments: map[int]*completionSegment{},
-		finished: map[int][]*attempt{},
-		attempts: map[int]*attempt{},
-		failedOn: map[string]bool{},
+		Job: j, version: version, accepted: accepted, readyAt: accepted, submittedPriority: j.Priority,
+		pending:               j.Tasks,
+		segments:              map[int]*completionSegment{},
+		unrecordedCompletions: map[int][]*attempt{},
+		attempts:              map[int]*attempt{},
+		failedOn:              map[string]bool{},
 	}
 }
 
@@ -118,16 +118,16 @@
 	return j.tasks[i]
 }
 
-// unfold makes room for the states of single tasks, which a job that only waits does
+// allocateTaskStates makes room for the states of single tasks, which a job that only waits does
 // without: a queue of large jobs must fit into little memory.
-func (j *job) unfold() {
+func (j *job) allocateTaskStates() {
 	if j.tasks == nil {
-		j.tasks, j.done = make([]taskState, j.Tasks), make(record.Bitmap, (j.Tasks+7)/8)
+		j.tasks, j.completed = make([]taskState, j.Tasks), make(record.Bitmap, (j.Tasks+7)/8)
 	}
 }
 
 func (j *job) setTaskState(i int, s taskState) {
-	j.unfold()
+	j.allocateTaskStates()
 	was := j.tasks[i]
 	if was == s || was == taskDone {
 		return // done is final
@@ -141,8 +141,8 @@
 		j.firstPending = min(j.firstPending, i)
 	}
 	if s == taskDone {
-		j.done.Set(i)
-		j.doneN++
+		j.completed.Set(i)
+		j.completedCount++
 	}
 }
 
--- a/controller/job_queue.go
+++ b/controller/job_queue.go
@@ -45,21 +45,21 @@
 func (o *owner) enqueue(j *job) {
 	j.idleSince = o.c.now
 	o.jobs[j.ID] = j
-	o.inherit(j)
+	o.inheritPriority(j)
 	o.queueJob(j)
 	o.classes.RecordSubmission(o.c.now, j.Job, o.c.catalog())
-	o.scheduleWanted = true
+	o.schedulingNeeded = true
 }
 
 // queueJob puts a job at its place in the queue.
 func (o *owner) queueJob(j *job) {
-	i, _ := slices.BinarySearchFunc(o.queue, j, queueOrder)
+	i, _ := slices.BinarySearchFunc(o.queue, j, compareQueueOrder)
 	o.queue = slices.Insert(o.queue, i, j)
 }
 
-// queueOrder compares jobs in the queue: higher priority first, then who came, or was ready, first.
-func queueOrder(a, b *job) int {
-	return cmp.Or(-cmp.Compare(a.Priority, b.Priority), cmp.Compare(a.since, b.since), cmp.Compare(a.ID, b.ID))
+// compareQueueOrder compares jobs in the queue: higher priority first, then who came, or was ready, first.
+func compareQueueOrder(a, b *job) int {
+	return cmp.Or(-cmp.Compare(a.Priority, b.Priority), cmp.Compare(a.readyAt, b.readyAt), cmp.Compare(a.ID, b.ID))
 }
 
 // watchJobs follows jobs that are accepted, and those that are over.
@@ -77,7 +77,7 @@
 		case r.Outcome != kv.OK:
 			o.retryWatch(after)
 			return
-		case !c.takeChanges(after, r):
+		case !c.applyJobChanges(after, r):
 			o.restartRecovery("the watch cannot be followed")
 			return
 		}
@@ -88,7 +88,7 @@
 
 // retryWatch watches again after a pause, which the slow tick ends.
 func (o *owner) retryWatch(after uint64) {
-	o.watchRev, o.watchDown, o.retryAt = after, true, o.c.now+readRetryDelay
+	o.watchRevision, o.watchDown, o.retryAt = after, true, o.c.now+readRetryDelay
 }
 
 // handleJobRemoved handles a job that is over: by our own commit, or cancelled, of which users were
@@ -118,7 +118,7 @@
 	if len(j.attempts) == 0 {
 		delete(o.jobs, j.ID)
 	}
-	for _, a := range j.sorted() {
+	for _, a := range j.sortedAttempts() {
 		if a.state != attemptCompleted {
 			continue
 		}
@@ -128,7 +128,7 @@
 			o.setAttemptState(a, attemptClosed)
 		}
 	}
-	o.scheduleWanted = true
+	o.schedulingNeeded = true
 }
 
 // maxJobCounts bounds the counts in a heartbeat: the jobs that are placed first are told of.
@@ -141,17 +141,17 @@
 		if len(list) == maxJobCounts {
 			break
 		}
-		if len(j.attempts) > 0 || j.doneN > 0 {
-			list = append(list, &peer.JobCount{Id: j.ID, Done: uint32(j.doneN), Running: uint32(j.runs)})
+		if len(j.attempts) > 0 || j.completedCount > 0 {
+			list = append(list, &peer.JobCount{Id: j.ID, Done: uint32(j.completedCount), Running: uint32(j.runningTasks)})
 		}
 	}
 	return list
 }
 
-// countsOf tells how many tasks of a job are done and run.
+// taskCounts tells how many tasks of a job are done and run.
 func (o *owner) countsOf(id string) (done, running int) {
 	if j := o.jobs[id]; j != nil {
-		return j.doneN, j.runs
+		return j.completedCount, j.runningTasks
 	}
 	return 0, 0
 }
--- a/controller/jobview.go
+++ b/controller/jobview.go
@@ -13,9 +13,9 @@
 // is fed by a listing and by changes, whoever asked for them: the watch that a node without
 // teams follows here, that of an owner, or a read made for an answer.
 
-// followPause is the least time between two answers of the watch that the view follows at a
+// followRetryDelay is the least time between two answers of the watch that the view follows at a
 // node that owns nothing: it need not be up to date, since what it says is always confirmed.
-const followPause = micros.Second
+const followRetryDelay = micros.Second
 
 // jobView is how this node reads the active jobs and how they ended.
 type jobView struct {
@@ -62,7 +62,7 @@
 		return
 	}
 	if j := o.jobs[id]; j != nil && j.state != jobEnded {
-		o.inherit(j)
+		o.inheritPriority(j)
 	}
 }
 
@@ -103,14 +103,14 @@
 // followJobs watches the jobs from the graph's revision on.
 func (c *Core) followJobs() {
 	view := &c.jobView
-	c.after(followPause, func() {
+	c.after(followRetryDelay, func() {
 		if c.owner != nil { // it follows the jobs itself
 			view.following = false
 			return
 		}
 		asked, after := c.now, c.graph.Revision()
 		c.store.Watch(budget.Reads, record.ActiveJobPrefix, after, c.watchWait(), func(r kv.Result) {
-			if !c.takeChanges(after, r) {
+			if !c.applyJobChanges(after, r) {
 				view.stopFollowing(c.now)
 				return
 			}
@@ -122,11 +122,11 @@
 
 // stopFollowing lets the next try begin after a pause.
 func (v *jobView) stopFollowing(now micros.Micros) {
-	v.following, v.retryAt = false, now+followPause
+	v.following, v.retryAt = false, now+followRetryDelay
 }
 
-// takeChanges applies the answer of a watch; false: it does not continue what is known.
-func (c *Core) takeChanges(after uint64, r kv.Result) bool {
+// applyJobChanges applies the answer of a watch; false: it does not continue what is known.
+func (c *Core) applyJobChanges(after uint64, r kv.Result) bool {
 	if r.Outcome == kv.Compacted {
 		c.graph.MarkUnsynced()
 	}
@@ -137,7 +137,7 @@
 // refreshQueue is the questions that need a view of the present state. One read serves all
 // that ask before it is sent.
 type refreshQueue struct {
-	questions   []func(ok bool)
+	callbacks   []func(ok bool)
 	requestedAt micros.Micros // the first of them
 	reading     bool
 }
@@ -146,24 +146,24 @@
 // present state cannot be known now.
 func (c *Core) refresh(done func(ok bool)) {
 	queue := &c.jobView.refreshQueue
-	if len(queue.questions) == 0 {
+	if len(queue.callbacks) == 0 {
 		queue.requestedAt = c.now
 	}
-	queue.questions = append(queue.questions, done)
+	queue.callbacks = append(queue.callbacks, done)
 	c.sendRefresh()
 }
 
 func (c *Core) sendRefresh() {
 	queue := &c.jobView.refreshQueue
-	if queue.reading || len(queue.questions) == 0 {
+	if queue.reading || len(queue.callbacks) == 0 {
 		return
 	}
 	if !c.budget.MayRequest(budget.UserRequests, c.now) && c.now-queue.requestedAt < submissionTimeout {
-		c.after(fastTick, c.sendRefresh)
+		c.after(fastTickInterval, c.sendRefresh)
 		return
 	}
-	batch, after := queue.questions, c.graph.Revision()
-	queue.questions = nil
+	batch, after := queue.callbacks, c.graph.Revision()
+	queue.callbacks = nil
 	if !c.graph.IsSynced() {
 		notifyAll(batch, false)
 		return
@@ -172,7 +172,7 @@
 	c.store.Do(budget.UserRequests, kv.Watch(record.ActiveJobPrefix, after, 0), func(r kv.Result) {
 		queue.reading = false
 		queue.requestedAt = c.now // what came meanwhile goes out now
-		ok := c.takeChanges(after, r)
+		ok := c.applyJobChanges(after, r)
 		if r.Outcome == kv.Compacted && c.owner != nil && c.owner.jobsListed {
 			c.owner.restartRecovery("changes of jobs were missed")
 		}
--- a/controller/jobview_test.go
+++ b/controller/jobview_test.go
@@ -79,7 +79,7 @@
 				rev := g.Revision()
 				put := kv.Change{Put: record.ActiveJobKey(id), Value: wire.Encode(record.NewJob(waitingJob(id), 1)), Version: rev + 1}
 				g.Apply(rev, &kv.WatchResult{Revision: rev + 2, Events: []kv.Change{put, {Delete: record.ActiveJobKey(id), Version: rev + 2}}}, o.c.wallClock)
-				o.c.nextSlow = 0
+				o.c.nextSlowTick = 0
 				o.c.Handle(o.c.now, o.c.now, Tick{})
 			}
 			if len(o.blockedJobs) != 4*chains || g.IsActive(id) {
--- a/controller/limits_test.go
+++ b/controller/limits_test.go
@@ -102,7 +102,7 @@
 	}
 	placed := 0
 	for range 20 {
-		o.scheduleWanted, o.nextSchedulingPass = true, 0
+		o.schedulingNeeded, o.nextSchedulingPass = true, 0
 		o.schedule()
 		for _, b := range o.blocks {
 			tx := &transaction{preconditions: map[string]uint64{}}
@@ -175,8 +175,8 @@
 	entries = append(entries, kv.Entry{Key: record.CompletionSegmentKey("red", "1"), Value: wire.Encode(rec), Version: 20},
 		kv.Entry{Key: record.CompletionSegmentKey("red", "2"), Value: wire.Encode(record.CompletionSegment{Chunks: map[string]string{wire.TaskName(jobName(3), 0): other.Chunk(0)}}), Version: 19})
 	o.recoverSegments(entries)
-	if j := o.jobs[jobName(3)]; !j.done.Has(5) || !j.done.Has(700) || j.doneN != 2 {
-		t.Fatalf("%d completions are known", j.doneN)
+	if j := o.jobs[jobName(3)]; !j.completed.Has(5) || !j.completed.Has(700) || j.completedCount != 2 {
+		t.Fatalf("%d completions are known", j.completedCount)
 	}
 	dropped := func() bool { return slices.Contains(o.obsoleteKeys, record.CompletionSegmentKey("red", "1")) }
 	for range 20 {
@@ -213,7 +213,7 @@
 	if len(o.blocks) != 1 {
 		t.Fatalf("%d blocks", len(o.blocks))
 	}
-	o.attach(o.jobs[id], 0, 1<<20|1, o.sortedMachines[0], attemptLive)
+	o.addAttempt(o.jobs[id], 0, 1<<20|1, o.sortedMachines[0], attemptLive)
 	o.flushRecords(&transaction{preconditions: map[string]uint64{}}, func() int { return 1 })
 	if !o.blocks[0].writing {
 		t.Fatal("the block was not written")
@@ -241,7 +241,7 @@
 		m := o.newMachine(machineInfo{fmt.Sprintf("m-%06d", i*7919), "mid", "a", false, fmt.Sprintf("10.1.%d.%d:9000", i*37%256, i*91%256)})
 		m.fencingToken, m.agentEpoch, m.tokenConfirmed, m.lastHeartbeat, m.state = uint64(1000+i*4711), 1, true, o.c.now, machineReady
 	}
-	o.scheduleWanted = true
+	o.schedulingNeeded = true
 	o.schedule()
 	if o.assumed != machines*tasksEach {
 		t.Errorf("%d of %d tasks were placed", o.assumed, machines*tasksEach)
--- a/controller/load.go
+++ b/controller/load.go
@@ -22,7 +22,7 @@
 
 // startRecovery reads all records after a takeover.
 func (o *owner) startRecovery() {
-	o.busy = true
+	o.readingRecords = true
 	o.reset()
 	l := &recovery{owner: o, startedAt: o.c.now}
 	l.list(record.ActiveJobPrefix, l.handleJobs)
@@ -51,7 +51,7 @@
 		switch {
 		case o.superseded():
 		case !ok:
-			o.busy, o.retryAt = false, o.c.now+readRetryDelay
+			o.readingRecords, o.retryAt = false, o.c.now+readRetryDelay
 		default:
 			next(entries, revision)
 		}
@@ -61,7 +61,7 @@
 // handleJobs takes the active jobs.
 func (l *recovery) handleJobs(entries []kv.Entry, revision uint64) {
 	o := l.owner
-	o.watchRev, o.cancellationsKnownUntil = revision, l.startedAt
+	o.watchRevision, o.cancellationsKnownUntil = revision, l.startedAt
 	o.c.graph.Reset(entries, revision)
 	o.jobsListed = true
 	for _, e := range entries {
@@ -93,7 +93,7 @@
 	o := l.owner
 	o.recoverReservations(entries)
 	o.recoverBlocks(l.blocks)
-	o.busy = false
+	o.readingRecords = false
 	o.activate()
 }
 
@@ -103,9 +103,9 @@
 		m.lastHeartbeat, m.recovered = o.c.now+o.c.cfg.FailoverGrace(), true
 		m.tokenConfirmedAt = m.lastHeartbeat
 	}
-	o.since = o.c.now
-	o.scheduleWanted = true
+	o.activeSince = o.c.now
+	o.schedulingNeeded = true
 	o.setState(ownerActive)
-	o.watchJobs(o.watchRev)
+	o.watchJobs(o.watchRevision)
 	o.c.types.nextReadAt = o.c.now
 }
--- a/controller/load_machines.go
+++ b/controller/load_machines.go
@@ -85,13 +85,13 @@
 	if j.state != jobEnded && j.task(task.Index) == taskDone {
 		return // the block was not written since
 	}
-	a := o.attach(j, task.Index, task.Attempt, m, attemptStarting)
+	a := o.addAttempt(j, task.Index, task.Attempt, m, attemptStarting)
 	j.everPlaced = true
 	if j.Gang {
 		o.setGangState(j, gangStarting)
 	}
 	if j.state == jobEnded {
-		o.stop(a, 0, "job is over")
+		o.stopAttempt(a, 0, "job is over")
 	}
 }
 
@@ -115,7 +115,7 @@
 		if j.state == jobEnded && len(j.attempts) == 0 {
 			delete(o.jobs, id)
 		}
-		if j.state == jobActive && j.Gang && len(j.attempts) > 0 && len(j.attempts)+j.doneN < j.Tasks {
+		if j.state == jobActive && j.Gang && len(j.attempts) > 0 && len(j.attempts)+j.completedCount < j.Tasks {
 			o.stopJob(j, 0, "gang was not recorded whole")
 		}
 	}
@@ -138,20 +138,20 @@
 			case out != kv.OK:
 				o.unresolvedJobs = append(o.unresolvedJobs, j)
 			default:
-				o.takeEnding(j, e.Value)
+				o.resolveJob(j, e.Value)
 			}
 		})
 	}
 }
 
-// takeEnding takes how a job ended. Of one that is done nothing runs any more, so its tasks
+// resolveJob takes how a job ended. Of one that is done nothing runs any more, so its tasks
 // are off their machines whether these report or not: a machine that is cut off need not be
 // deleted for them, as for tasks of a job that was cancelled, and a gang that runs there goes
 // on.
-func (o *owner) takeEnding(j *job, value []byte) {
+func (o *owner) resolveJob(j *job, value []byte) {
 	var final record.TerminalState
 	if wire.Decode(value, &final) == nil && final.Status == record.StatusDone {
-		for _, a := range j.sorted() {
+		for _, a := range j.sortedAttempts() {
 			if a.machine.agentEpoch == 0 { // else its report tells
 				o.setAttemptState(a, attemptClosed)
 			}
--- a/controller/load_shards.go
+++ b/controller/load_shards.go
@@ -58,18 +58,18 @@
 
 // recoverCompletions takes over the completed tasks of a chunk.
 func (o *owner) recoverCompletions(j *job, chunk int, bits string) {
-	j.unfold()
-	if err := j.done.MergeChunk(chunk, bits); err != nil {
+	j.allocateTaskStates()
+	if err := j.completed.MergeChunk(chunk, bits); err != nil {
 		o.c.log.Error("record cannot be read", "job", j.ID, "chunk", chunk, "error", err)
 		return
 	}
 	for i := chunk * record.TasksPerChunk; i < min((chunk+1)*record.TasksPerChunk, j.Tasks); i++ {
-		if j.done.Has(i) {
+		if j.completed.Has(i) {
 			j.setTaskState(i, taskDone)
 		}
 	}
 	j.everPlaced = true
-	if j.doneN == j.Tasks {
+	if j.completedCount == j.Tasks {
 		o.setJobState(j, jobFinishing)
 	}
 }
--- a/controller/lookup_reads.go
+++ b/controller/lookup_reads.go
@@ -14,14 +14,14 @@
 // compareVersions asks whether jobs' records are as this node knows them.
 func (c *Core) compareVersions(batch *lookupBatch) {
 	c.lookups.inFlight += len(batch.compared)
-	c.noteReadSent(batch.compared...)
+	c.recordReadSent(batch.compared...)
 	c.store.Do(budget.Reads, kv.Transaction(kv.SortedPreconditions(batch.versions), nil), func(r kv.Result) {
 		var committed kv.TransactionResult
 		switch {
 		case r.Outcome == kv.OK:
-			c.takeComparison(batch, nil)
+			c.applyComparison(batch, nil)
 		case r.Outcome == kv.PreconditionFailed && r.Decode(&committed) && len(committed.FailedPreconditions) > 0:
-			c.takeComparison(batch, committed.FailedPreconditions)
+			c.applyComparison(batch, committed.FailedPreconditions)
 		default:
 			for _, l := range batch.compared {
 				c.finishLookup(l, lookupResult{})
@@ -30,10 +30,10 @@
 	})
 }
 
-// takeComparison answers about the jobs of a batch whose keys did not fail, and reads the
+// applyComparison answers about the jobs of a batch whose keys did not fail, and reads the
 // others. Nothing says that all keys that failed are listed: if any did, the rest is compared
 // again.
-func (c *Core) takeComparison(batch *lookupBatch, failedKeys []string) {
+func (c *Core) applyComparison(batch *lookupBatch, failedKeys []string) {
 	failed := map[string]bool{}
 	for _, key := range failedKeys {
 		failed[key] = true
@@ -57,9 +57,9 @@
 	c.lookups.pending = append(again, c.lookups.pending...)
 }
 
-// noteReadSent notes that a read is sent for lookups now, or as soon as the budget allows. Later
+// recordReadSent notes that a read is sent for lookups now, or as soon as the budget allows. Later
 // reads of the same lookup continue it, so what it finds is certain as of the first.
-func (c *Core) noteReadSent(list ...*lookup) {
+func (c *Core) recordReadSent(list ...*lookup) {
 	for _, l := range list {
 		l.read = freshness.Evidence{Basis: freshness.RecordRead, SentAt: c.now, ViaPeer: c.store.UsesPeerRoute()}
 	}
@@ -67,11 +67,11 @@
 
 // readActive looks a job up by its records, first by that of an active job.
 func (c *Core) readActive(l *lookup) {
-	c.noteReadSent(l)
+	c.recordReadSent(l)
 	c.store.Get(budget.Reads, record.ActiveJobKey(l.id), func(out kv.Outcome, e kv.Entry) {
 		switch out {
 		case kv.OK:
-			c.takeActive(l, e)
+			c.handleActiveRead(l, e)
 		case kv.NotFound:
 			c.readTerminalState(l)
 		default:
@@ -80,15 +80,15 @@
 	})
 }
 
-// takeActive answers from the record of an active job, unless its state depends on others.
-func (c *Core) takeActive(l *lookup, e kv.Entry) {
+// handleActiveRead answers from the record of an active job, unless its state depends on others.
+func (c *Core) handleActiveRead(l *lookup, e kv.Entry) {
 	awaits, err := dag.HasDependencies(e.Value)
 	if err != nil {
 		c.finishLookup(l, lookupResult{})
 		return
 	}
 	if job := c.graph.Blocked(l.id); awaits && (job == nil || !job.Ready()) {
-		c.deriveAgain(l) // this node's view is behind
+		c.retryDerivation(l) // this node's view is behind
 		return
 	}
 	c.graph.SetVersion(l.id, e.Version)
@@ -155,7 +155,7 @@
 // ended: one read serves them all.
 func (c *Core) deriveStates(list []*lookup) {
 	c.lookups.inFlight += len(list)
-	c.noteReadSent(list...)
+	c.recordReadSent(list...)
 	c.refresh(func(ok bool) {
 		for _, l := range list {
 			if !ok {
@@ -167,8 +167,8 @@
 	})
 }
 
-// deriveAgain is deriveStates for a lookup that was sent.
-func (c *Core) deriveAgain(l *lookup) {
+// retryDerivation is deriveStates for a lookup that was sent.
+func (c *Core) retryDerivation(l *lookup) {
 	if l.expired(c.now) {
 		c.finishLookup(l, lookupResult{})
 		return
--- a/controller/lookups.go
+++ b/controller/lookups.go
@@ -22,9 +22,9 @@
 	maxPendingLookups   = 512
 	lookupTimeout       = 1500 * micros.Millisecond // users wait for 2 s
 	lookupBatchInterval = 60 * micros.Millisecond   // lookups gather for so long
-	// comparedPerOp is how many versions one commit compares for each write that it could
+	// comparisonsPerOp is how many versions one commit compares for each write that it could
 	// take, which bounds the commit's size.
-	comparedPerOp = 4
+	comparisonsPerOp = 4
 )
 
 // lookupOutcome is how a lookup ended.
@@ -79,7 +79,7 @@
 
 // lookup finds a job's state from the records, which alone are never outdated.
 func (c *Core) lookup(id string, done func(lookupResult)) {
-	c.count.lookups++
+	c.counters.lookups++
 	if status := c.terminalStates.of(id); status != "" {
 		done(terminalResult(status))
 		return
@@ -108,7 +108,7 @@
 		stage.pending = append(left, stage.pending...)
 		return
 	}
-	c.readSingly()
+	c.readIndividually()
 }
 
 // failExpiredLookups ends the lookups that waited for too long.
@@ -150,7 +150,7 @@
 
 // hasRoomToCompare tells whether a job's version can be compared with a batch.
 func (c *Core) hasRoomToCompare(batch *lookupBatch, id string, version uint64) bool {
-	return batch.versions[record.ActiveJobKey(id)] == version || len(batch.versions) < comparedPerOp*c.cfg.MaxTransactionOps
+	return batch.versions[record.ActiveJobKey(id)] == version || len(batch.versions) < comparisonsPerOp*c.cfg.MaxTransactionOps
 }
 
 // sendLookupBatch sends what the budget allows of a batch and hands back the rest, in the
@@ -184,8 +184,8 @@
 	return len(b.derived) > 0 && (len(b.compared) == 0 || b.derived[0].requestedAt < b.compared[0].requestedAt)
 }
 
-// readSingly reads the records of jobs that are not in the view, as the budget allows.
-func (c *Core) readSingly() {
+// readIndividually reads the records of jobs that are not in the view, as the budget allows.
+func (c *Core) readIndividually() {
 	stage := &c.lookups
 	for len(stage.pending) > 0 && c.budget.MayRequest(budget.Reads, c.now) {
 		first := stage.pending[0]
--- a/controller/machine.go
+++ b/controller/machine.go
@@ -140,7 +140,7 @@
 	switch s {
 	case machineReady:
 		m.idleSince, m.tokenConfirmedAt = o.c.now, max(m.tokenConfirmedAt, o.c.now)
-		o.scheduleWanted = true
+		o.schedulingNeeded = true
 	case machineTerminating:
 		o.terminationNeeded = true
 	case machineTransferring, machineDecommissioning, machineTerminated:
@@ -187,7 +187,7 @@
 	}
 	for _, a := range m.sortedAttempts() {
 		j := a.job
-		a.why = "machine is gone"
+		a.reason = "machine is gone"
 		if a.state != attemptCompleted || j.state == jobEnded {
 			o.setAttemptState(a, attemptClosed)
 		}
@@ -195,5 +195,5 @@
 			o.stopJob(j, 0, "gang lost a machine")
 		}
 	}
-	o.scheduleWanted = true
+	o.schedulingNeeded = true
 }
--- a/controller/machine_health.go
+++ b/controller/machine_health.go
@@ -24,8 +24,8 @@
 	// unreachable at the same time: that part of all, but so many at the least.
 	minUnreachableMachines = 2
 	unreachableDivisor     = 10
-	// unknownBoot is taken for the boot time of machines whose type is not known.
-	unknownBoot = micros.Minute
+	// defaultBootTime is taken for the boot time of machines whose type is not known.
+	defaultBootTime = micros.Minute
 )
 
 // A silent machine with a task of a cancelled job is given up once overdueDecommissionFraction of the
@@ -74,7 +74,7 @@
 		}
 	}
 	return fleetHealth{
-		isolated:        o.c.now-max(o.lastHeartbeat, o.since) > maxMissedHeartbeats*o.c.cfg.HeartbeatInterval,
+		isolated:        o.c.now-max(o.lastHeartbeat, o.activeSince) > maxMissedHeartbeats*o.c.cfg.HeartbeatInterval,
 		manyUnreachable: unreachable > max(minUnreachableMachines, len(o.sortedMachines)/unreachableDivisor),
 	}
 }
@@ -102,7 +102,7 @@
 // sinceLastHeartbeat is how long a machine has not reported here.
 func (o *owner) sinceLastHeartbeat(m *machine) micros.Micros {
 	if m.agentEpoch == 0 {
-		return o.c.now - o.since
+		return o.c.now - o.activeSince
 	}
 	return o.c.now - min(m.lastHeartbeat, o.c.now)
 }
@@ -119,7 +119,7 @@
 // executed after another has taken over.
 func (o *owner) checkMachineHealth() {
 	fleet := o.fleetHealth()
-	o.findPartitions()
+	o.detectPartitions()
 	for _, m := range o.sortedMachines {
 		if o.mustDecommission(m) {
 			o.decommission(m, decommissionOverdue)
@@ -141,7 +141,7 @@
 		return
 	}
 	if reason.isMachineLoss() {
-		o.noteSpotLost(m)
+		o.recordSpotReclaimed(m)
 	}
 	o.setMachineState(m, machineDecommissioning, string(reason))
 }
@@ -171,7 +171,7 @@
 	if o.retainedInPartition(m) {
 		return decommissionNone
 	}
-	boot := unknownBoot
+	boot := defaultBootTime
 	if t := o.c.types.find(m.machineType); t != nil {
 		boot = t.Boot
 	}
@@ -194,7 +194,7 @@
 		return decommissionNone
 	case silent > limit && (!fleet.isolated || silent > isolatedTimeoutFactor*limit):
 		return decommissionUnresponsive
-	case o.isUnreachable(m) && o.givesUpUnreachable(m, fleet):
+	case o.isUnreachable(m) && o.unreachableTimedOut(m, fleet):
 		return decommissionUnreachable
 	case m.state == machineDraining && len(m.attempts) == 0 && m.fencingToken != 0:
 		return decommissionDrained
@@ -210,9 +210,9 @@
 	return o.c.cfg.HeartbeatTimeout()
 }
 
-// givesUpUnreachable tells whether an unreachable machine is given up. With many of them the
+// unreachableTimedOut tells whether an unreachable machine is given up. With many of them the
 // fault is likely on this side: answers that come too late are dropped too.
-func (o *owner) givesUpUnreachable(m *machine, fleet fleetHealth) bool {
+func (o *owner) unreachableTimedOut(m *machine, fleet fleetHealth) bool {
 	return !fleet.manyUnreachable || o.c.now-m.tokenConfirmedAt > unreachableTimeoutFactor*o.c.cfg.HeartbeatTimeout()
 }
 
--- a/controller/machine_requests.go
+++ b/controller/machine_requests.go
@@ -93,7 +93,7 @@
 		if c.cluster.MemberID(node) == record.OwnerID(request.Owner) {
 			continue
 		}
-		share := c.ownerShare(node)
+		share := c.ownerSummary(node)
 		if c.hasIdleMachineFor(share.Idle, job) {
 			return node
 		}
@@ -104,11 +104,11 @@
 	return chosen
 }
 
-// ownerShare tells of a node's idle machines and teams, as far as is known.
-func (c *Core) ownerShare(node string) *peer.Beat {
+// ownerSummary tells of a node's idle machines and teams, as far as is known.
+func (c *Core) ownerSummary(node string) *peer.Beat {
 	share := &peer.Beat{}
 	if node == c.cfg.Node && c.owner != nil {
-		c.owner.describeShare(share)
+		c.owner.describeOwner(share)
 	} else if p := c.peers[node]; p != nil && p.fresh(c.now) {
 		share.Idle, share.Teams = p.idleMachines, p.teams
 	}
@@ -139,8 +139,8 @@
 	return most
 }
 
-// describeShare adds to a heartbeat what peers must know of this owner.
-func (o *owner) describeShare(heartbeat *peer.Beat) {
+// describeOwner adds to a heartbeat what peers must know of this owner.
+func (o *owner) describeOwner(heartbeat *peer.Beat) {
 	heartbeat.Jobs = o.jobCounts()
 	if o.ownsAllTeams() {
 		return // there is no owner to share machines with
@@ -152,7 +152,7 @@
 		}
 	}
 	for _, name := range sortedKeys(o.teams) {
-		used := o.teamUse(o.teams[name]).Used
+		used := o.teamUsage(o.teams[name]).Used
 		heartbeat.Teams = append(heartbeat.Teams, &peer.TeamUse{Team: name, Cpu: used.CPU, Gpu: used.GPU})
 	}
 }
--- a/controller/machine_transfers.go
+++ b/controller/machine_transfers.go
@@ -58,7 +58,7 @@
 		o.startTransfer(o.machines[a.Machine.Name], newOwner)
 	}
 	why := "room for " + job.ID
-	o.stopBundles(plan.Victims, why)
+	o.stopBundledAttempts(plan.Victims, why)
 	for _, a := range plan.Placement {
 		o.evictLongTasks(o.machines[a.Machine.Name], why)
 	}
@@ -68,10 +68,10 @@
 // empty: arrays' tasks that would keep it for long, as far as their teams' guarantees allow.
 func (o *owner) evictLongTasks(m *machine, why string) {
 	for _, a := range m.sortedAttempts() {
-		if a.job.Gang || a.state != attemptLive || o.remaining(a) < minRemainingForPreemption {
+		if a.job.Gang || a.state != attemptLive || o.remainingRunTime(a) < minRemainingForPreemption {
 			continue
 		}
-		use := o.teamUse(o.teams[a.job.Team])
+		use := o.teamUsage(o.teams[a.job.Team])
 		if use.Used = use.Used.Sub(a.job.Need); use.MeetsGuarantee() {
 			o.evict(a, why)
 		}
@@ -116,7 +116,7 @@
 
 // completeTransfer drops a machine whose new owner is recorded, and tells that owner.
 func (o *owner) completeTransfer(m *machine) {
-	o.ownedElsewhere[m.name] = o.c.now + elsewhereMemory
+	o.ownedElsewhere[m.name] = o.c.now + ownedElsewhereRetention
 	o.removeMachine(m)
 	if p := o.c.peers[m.transferTo.Node()]; p != nil {
 		given := &peer.Given{Block: transferBlockName(m)}
--- a/controller/owner.go
+++ b/controller/owner.go
@@ -27,12 +27,12 @@
 // owner is the part of a node that places jobs and gives commands. It works from the records:
 // after a takeover, or if they are not as they were known, a new owner reads all of them.
 type owner struct {
-	c       *Core
-	state   ownerState
-	since   micros.Micros // when it became active; before that, when it was made
-	busy    bool          // the records are being read
-	retryAt micros.Micros // a read or watch that failed is tried again then
-	teams   map[string]*team
+	c              *Core
+	state          ownerState
+	activeSince    micros.Micros // when it became active; before that, when it was made
+	readingRecords bool          // the records are being read
+	retryAt        micros.Micros // a read or watch that failed is tried again then
+	teams          map[string]*team
 
 	// Jobs.
 	jobs        map[string]*job
@@ -46,9 +46,9 @@
 	classes        *autoscaler.Classes
 
 	// The watch of the jobs' records.
-	jobsListed bool // the jobs were listed; changes since are taken
-	watchRev   uint64
-	watchDown  bool
+	jobsListed    bool // the jobs were listed; changes since are taken
+	watchRevision uint64
+	watchDown     bool
 	// cancellationsKnownUntil is when the last answered watch of the jobs began.
 	cancellationsKnownUntil micros.Micros
 
@@ -60,8 +60,8 @@
 	refusedOffers      map[autoscaler.Offer]micros.Micros // not asked for until then
 	recentlyTerminated map[string]micros.Micros           // machines that were returned, remembered until then
 	ownedElsewhere     map[string]micros.Micros           // machines that another owns, though no peer says so yet
-	unclaimed          map[string]micros.Micros           // listed machines that nobody claims, since when
-	partitioned        map[string]micros.Micros           // zones that are cut off, since when
+	unclaimedSince     map[string]micros.Micros           // listed machines that nobody claims, since when
+	partitionedSince   map[string]micros.Micros           // zones that are cut off, since when
 	terminationNeeded  bool                               // machines are to be returned to the cloud
 	terminating        bool                               // a request for that is under way
 	nextTermination    micros.Micros
@@ -78,7 +78,7 @@
 	commandsInFlight int // direct commands and questions to machines under way
 
 	// Scheduling passes, and the attempts that they have proposed.
-	scheduleWanted     bool
+	schedulingNeeded   bool
 	nextSchedulingPass micros.Micros
 	assumed            int // attempts that are not recorded yet
 	assumedJobs        int // jobs with such
@@ -90,8 +90,8 @@
 	flushAt            micros.Micros
 	obsoleteKeys       []string      // keys that nobody reads any more
 	obsoleteDeletedAt  micros.Micros // when some of them were deleted last, or there were none
-	swept              bool          // leftovers of long lists were looked for
-	sweptUntil         string        // the last key that was looked at
+	partsSwept         bool          // leftovers of long lists were looked for
+	partsSweepCursor   string        // the last key that was looked at
 }
 
 // team is a team that this node owns.
@@ -105,7 +105,7 @@
 // newOwner returns an owner of teams that has read no records yet.
 func newOwner(c *Core, teams map[string]cluster.Team) *owner {
 	o := &owner{
-		c: c, since: c.now, lastHeartbeat: c.now,
+		c: c, activeSince: c.now, lastHeartbeat: c.now,
 		teams:              map[string]*team{},
 		machines:           map[string]*machine{},
 		jobs:               map[string]*job{},
@@ -114,10 +114,10 @@
 		reservations:       map[string]*reservation{},
 		recentlyTerminated: map[string]micros.Micros{},
 		refusedOffers:      map[autoscaler.Offer]micros.Micros{},
-		partitioned:        map[string]micros.Micros{},
+		partitionedSince:   map[string]micros.Micros{},
 		classes:            autoscaler.NewClasses(),
 		ownedElsewhere:     map[string]micros.Micros{},
-		unclaimed:          map[string]micros.Micros{},
+		unclaimedSince:     map[string]micros.Micros{},
 	}
 	for _, t := range c.cfg.Teams {
 		if v, ok := teams[t.Name]; ok {
@@ -153,7 +153,7 @@
 	leader, term := o.c.node.Leader()
 	o.c.log.Info("owner", "from", o.state.String(), "to", s.String(), "jobs", len(o.jobs), "machines", len(o.machines),
 		"teams", len(o.teams), "member_version", o.c.node.RecordVersion(), "leader", leader, "term", term,
-		"jobs_revision", o.watchRev, "read_ago_us", int64(o.c.now-o.cancellationsKnownUntil))
+		"jobs_revision", o.watchRevision, "read_ago_us", int64(o.c.now-o.cancellationsKnownUntil))
 	o.state = s
 }
 
@@ -190,7 +190,7 @@
 func (o *owner) advance() {
 	switch o.state {
 	case ownerRecovering:
-		if !o.busy && o.c.now >= o.retryAt {
+		if !o.readingRecords && o.c.now >= o.retryAt {
 			o.startRecovery()
 		}
 	case ownerActive:
@@ -202,18 +202,18 @@
 	}
 }
 
-// slowTick does the slower duties of an active owner.
+// slowTickInterval does the slower duties of an active owner.
 func (o *owner) slowTick() {
 	if o.state != ownerActive {
 		return
 	}
-	if o.c.numbers.low(o.c.node.RecordVersion()) {
+	if o.c.numbers.nearlyExhausted(o.c.node.RecordVersion()) {
 		o.c.node.Rejoin(o.c.now, "its numbers are used up") // ends this owner
 		return
 	}
 	if o.watchDown && o.c.now >= o.retryAt {
 		o.watchDown = false
-		o.watchJobs(o.watchRev)
+		o.watchJobs(o.watchRevision)
 	}
 	o.readUnresolvedJobs()
 	o.sweepParts()
@@ -242,7 +242,7 @@
 		}
 		heard := m.lastHeartbeat
 		if heard > o.c.now { // it was given time after a takeover
-			heard = o.since
+			heard = o.activeSince
 		}
 		latest = max(latest, heard)
 		expected++
--- a/controller/partitions.go
+++ b/controller/partitions.go
@@ -21,21 +21,21 @@
 	return all >= minZoneMachines && float64(z.responsive) <= maxResponsiveFraction*float64(all) && heardInAll > z.responsive
 }
 
-// findPartitions finds zones that are cut off: nothing is rented there, and machines on which
+// detectPartitions finds zones that are cut off: nothing is rented there, and machines on which
 // gangs run are not given up at once, for what runs there goes on (see retainedInPartition).
-func (o *owner) findPartitions() {
+func (o *owner) detectPartitions() {
 	zones, heardInAll := o.zoneHealth()
 	for _, zone := range sortedKeys(zones) {
 		health := *zones[zone]
 		partitioned := health.partitioned(heardInAll)
-		if partitioned == (o.partitioned[zone] != 0) {
+		if partitioned == (o.partitionedSince[zone] != 0) {
 			continue
 		}
 		o.c.log.Warn("zone", "zone", zone, "partitioned", partitioned, "silent", health.unresponsive, "heard", health.responsive)
 		if partitioned {
-			o.partitioned[zone] = o.c.now
+			o.partitionedSince[zone] = o.c.now
 		} else {
-			delete(o.partitioned, zone)
+			delete(o.partitionedSince, zone)
 			o.extendHeartbeatGrace(zone)
 		}
 	}
@@ -75,10 +75,10 @@
 // which would lose its work and find no other machine, or gangs will want it as soon as the
 // partition ends. Not one with tasks of a job that is over, which must be gone in time.
 func (o *owner) retainedInPartition(m *machine) bool {
-	if o.partitioned[m.zone] == 0 || o.unresponsiveFor(m) > o.c.cfg.Tuning.PartitionTimeout || m.failed || m.reclaimAt != 0 {
+	if o.partitionedSince[m.zone] == 0 || o.unresponsiveFor(m) > o.c.cfg.Tuning.PartitionTimeout || m.failed || m.reclaimAt != 0 {
 		return false
 	}
-	gang := len(m.attempts) == 0 && o.scarce(m) && m.state <= machineReady
+	gang := len(m.attempts) == 0 && o.isScarce(m) && m.state <= machineReady
 	for _, a := range m.attempts {
 		if a.job.state == jobEnded {
 			return false
--- a/controller/peercalls.go
+++ b/controller/peercalls.go
@@ -64,7 +64,7 @@
 		c.handlePeerHeartbeat(request, from, body.Beat)
 		return
 	case *peer.Message_StoreCall:
-		c.relay(request, body.StoreCall)
+		c.relayToKV(request, body.StoreCall)
 		return
 	case *peer.Message_JobEnded:
 		c.cancellations.MarkEnded(body.JobEnded.Id, c.now)
@@ -89,5 +89,5 @@
 		c.respond(request, wire.StatusUnavailable, nil)
 		return
 	}
-	c.out = append(c.out, Respond{ID: request, Status: wire.StatusOK, Body: data})
+	c.effects = append(c.effects, Respond{ID: request, Status: wire.StatusOK, Body: data})
 }
--- a/controller/peers.go
+++ b/controller/peers.go
@@ -86,7 +86,7 @@
 		Ended: c.cancellations.Unacknowledged(p.Node), KnowsEnded: c.cancellations.PendingAcknowledgements(p.Node),
 	}
 	if c.owner != nil {
-		c.owner.describeShare(beat)
+		c.owner.describeOwner(beat)
 	}
 	return beat
 }
--- a/controller/placement_view.go
+++ b/controller/placement_view.go
@@ -6,9 +6,9 @@
 	"tamarindlead/sched"
 )
 
-// narrow leaves machines that share a block with those just used no more tasks than their
+// limitSlots leaves machines that share a block with those just used no more tasks than their
 // entries still have room for.
-func (o *owner) narrow(view []*sched.Machine, got []sched.Assignment) {
+func (o *owner) limitSlots(view []*sched.Machine, got []sched.Assignment) {
 	left := map[*block]float64{}
 	for _, as := range got {
 		b := o.machines[as.Machine.Name].block
@@ -24,16 +24,16 @@
 	}
 }
 
-// alikeWithin is how far prices may differ and still count as the same for placement:
+// priceClassRatio is how far prices may differ and still count as the same for placement:
 // where a task's image is then matters more.
-const alikeWithin = 1.5
+const priceClassRatio = 1.5
 
 // priceClass puts prices that are about the same into one class.
 func priceClass(price float64) float64 {
 	if price <= 0 {
 		return 0
 	}
-	return math.Round(math.Log(price) / math.Log(alikeWithin))
+	return math.Round(math.Log(price) / math.Log(priceClassRatio))
 }
 
 // machineView is what placement may use now.
@@ -49,7 +49,7 @@
 		view = append(view, &sched.Machine{
 			Name: m.name, Type: m.machineType, Zone: m.zone, Spot: m.spot,
 			Free: o.machineSize(m).Sub(m.used).Sub(o.reservedResources(m.name)), Slots: o.freeSlots(m, left),
-			Idle: len(m.attempts) == 0, Scarce: o.scarce(m), Price: priceClass(catalog.PricePerCPU(m.machineType, m.spot)), Images: m.cachedImages,
+			Idle: len(m.attempts) == 0, Scarce: o.isScarce(m), Price: priceClass(catalog.PricePerCPU(m.machineType, m.spot)), Images: m.cachedImages,
 		})
 	}
 	return view
--- a/controller/proposals.go
+++ b/controller/proposals.go
@@ -21,7 +21,7 @@
 			for j.task(j.firstPending) != taskPending {
 				j.firstPending++
 			}
-			o.attach(j, j.firstPending, number, m, attemptAssumed)
+			o.addAttempt(j, j.firstPending, number, m, attemptAssumed)
 		}
 		o.markDirty(m)
 		as.Machine.Free = as.Machine.Free.Sub(j.Need.Times(as.Count))
@@ -34,40 +34,40 @@
 // Numbers of attempts, rentals, blocks and shards are unique for ever: the revision of this
 // node's member record, then a count. The count goes on when all records are read again.
 const (
-	// countBits is the width of the count.
-	countBits = 20
-	// maxCount is the largest count.
-	maxCount = 1<<countBits - 1
-	// countMargin is how many numbers are left when a new member record is written. A pass
+	// sequenceBits is the width of the count.
+	sequenceBits = 20
+	// maxSequence is the largest count.
+	maxSequence = 1<<sequenceBits - 1
+	// sequenceMargin is how many numbers are left when a new member record is written. A pass
 	// takes a number for each job at most, and passes are a few a second.
-	countMargin = 1 << 16
+	sequenceMargin = 1 << 16
 )
 
-// numbers gives out the counts of numbers.
-type numbers struct {
+// numberGenerator gives out the counts of numbers.
+type numberGenerator struct {
 	revision uint64 // of the member record with which the count began
-	count    uint64
+	sequence uint64
 }
 
 // next returns a number that nobody has given out before.
-func (n *numbers) next(revision uint64) uint64 {
+func (n *numberGenerator) next(revision uint64) uint64 {
 	if n.revision != revision {
-		n.revision, n.count = revision, 0
+		n.revision, n.sequence = revision, 0
 	}
-	n.count++
-	return n.revision<<countBits | n.count
+	n.sequence++
+	return n.revision<<sequenceBits | n.sequence
 }
 
-// low tells that the counts for a revision are about to be used up.
-func (n *numbers) low(revision uint64) bool {
-	return n.revision == revision && n.count > maxCount-countMargin
+// nearlyExhausted tells that the counts for a revision are about to be used up.
+func (n *numberGenerator) nearlyExhausted(revision uint64) bool {
+	return n.revision == revision && n.sequence > maxSequence-sequenceMargin
 }
 
 // nextNumber gives out a number for an attempt, rental, block or shard.
 func (o *owner) nextNumber() uint64 { return o.c.numbers.next(o.c.node.RecordVersion()) }
 
-// recorded handles a proposed attempt whose record was written.
-func (o *owner) recorded(a *attempt) {
+// handleAttemptRecorded handles a proposed attempt whose record was written.
+func (o *owner) handleAttemptRecorded(a *attempt) {
 	if a.state != attemptAssumed {
 		return
 	}
@@ -76,7 +76,7 @@
 	j.everPlaced = j.everPlaced || !j.Gang
 	o.queueDispatch(a.machine)
 	if j.state != jobActive {
-		o.stop(a, 0, "job is over")
+		o.stopAttempt(a, 0, "job is over")
 		return
 	}
 	if !j.Gang || j.gangState != gangPlacing {
@@ -90,7 +90,7 @@
 	o.setGangState(j, gangStarting)
 	j.everPlaced = true
 	o.c.log.Info("gang placed", "job", j.ID, "class", j.Class, "tasks", j.Tasks, "ordinary", j.MinOnDemandTasks,
-		"since_accepted_s", math.Round((o.c.wallClock - j.since).Seconds()))
+		"since_accepted_s", math.Round((o.c.wallClock - j.readyAt).Seconds()))
 	for _, b := range j.attempts {
 		o.queueDispatch(b.machine)
 	}
--- a/controller/queries.go
+++ b/controller/queries.go
@@ -23,12 +23,12 @@
 	})
 }
 
-// statusForUsers is a job's state as users see it: one that is not over may be running, and
+// userFacingStatus is a job's state as users see it: one that is not over may be running, and
 // shows how many tasks are done and run.
-func (c *Core) statusForUsers(job string, status wire.JobPhase) wire.JobStatus {
+func (c *Core) userFacingStatus(job string, status wire.JobPhase) wire.JobStatus {
 	shown := wire.JobStatus{ID: job, Status: status}
 	if status == wire.JobQueued {
-		shown.Done, shown.Running = c.countsOf(job)
+		shown.Done, shown.Running = c.taskCounts(job)
 		if shown.Running > 0 {
 			shown.Status = wire.JobRunning
 		}
@@ -36,8 +36,8 @@
 	return shown
 }
 
-// countsOf tells how many tasks of a job are done and run, for display.
-func (c *Core) countsOf(job string) (done, running int) {
+// taskCounts tells how many tasks of a job are done and run, for display.
+func (c *Core) taskCounts(job string) (done, running int) {
 	if c.owner != nil && c.owner.jobs[job] != nil {
 		return c.owner.countsOf(job)
 	}
--- a/controller/refusals.go
+++ b/controller/refusals.go
@@ -23,7 +23,7 @@
 	reasonTooLong               refusalReason = "description too long"
 	reasonUnknownTeam           refusalReason = "unknown team"
 	reasonFitsNoType            refusalReason = "a task fits no allowed machine type"
-	reasonAboveTeamLimit        refusalReason = "more than the team's limit"
+	reasonAboveQuotaLimit       refusalReason = "more than the team's limit"
 	reasonDependsOnItself       refusalReason = "awaits itself"
 	reasonDependencyNotAccepted refusalReason = "awaits a job that was never accepted"
 )
--- a/controller/rentals.go
+++ b/controller/rentals.go
@@ -171,19 +171,19 @@
 		}
 	}
 	if len(names) < r.machineCount {
-		o.pauseOffer(r.offer)
+		o.backOffOffer(r.offer)
 	}
 	o.setScaleOutState(r, scaleOutGranted)
 }
 
 // handleScaleOutRefused ends a rental that the cloud cannot grant.
 func (o *owner) handleScaleOutRefused(r *scaleOutRequest) {
-	o.pauseOffer(r.offer)
+	o.backOffOffer(r.offer)
 	o.setScaleOutState(r, scaleOutDone)
 }
 
-// pauseOffer has an offer not be asked for until there may be machines again.
-func (o *owner) pauseOffer(offer autoscaler.Offer) {
+// backOffOffer has an offer not be asked for until there may be machines again.
+func (o *owner) backOffOffer(offer autoscaler.Offer) {
 	o.refusedOffers[offer] = o.c.now + o.c.cfg.Tuning.ScaleOutRetryDelay
 }
 
--- a/controller/reports.go
+++ b/controller/reports.go
@@ -12,10 +12,10 @@
 
 // handleHeartbeat handles a worker's report, whether this node owns machines or not.
 func (c *Core) handleHeartbeat(r Request) {
-	c.count.heartbeats++
+	c.counters.heartbeats++
 	report, err := wire.DecodeHeartbeat(r.Body)
 	if err != nil {
-		c.count.dropped++
+		c.counters.dropped++
 		c.respond(r.ID, wire.StatusBadRequest, wire.ErrorResponse{Error: err.Error()})
 		return
 	}
@@ -25,7 +25,7 @@
 	switch {
 	case c.owner != nil:
 		c.owner.handleHeartbeat(r.ID, report)
-	case c.keepsLease(report):
+	case c.mayExtendForeignLease(report):
 		c.respond(r.ID, wire.StatusOK, wire.HeartbeatResponse{FencingToken: report.FencingToken})
 	default:
 		c.respond(r.ID, wire.StatusMisdirected, wire.Redirect{HeartbeatNode: c.heartbeatTarget(report.Machine)})
@@ -36,7 +36,7 @@
 // after which a node takes its own zone for partitioned.
 const otherZoneTimeoutIntervals = 2
 
-// keepsLease tells whether to answer a worker that has tasks although this node owns nothing,
+// mayExtendForeignLease tells whether to answer a worker that has tasks although this node owns nothing,
 // so that its lease goes on. It does so only if the node's zone is partitioned: a worker of
 // the zone that comes here has then lost its owner in the same partition.
 //
@@ -44,7 +44,7 @@
 // tasks of jobs that were not over when this node last followed the records are kept; for
 // those that were cancelled since, the machine's present owner has it deleted in time. A node
 // that is cut off alone hears workers of other zones too, and redirects all.
-func (c *Core) keepsLease(report *wire.Heartbeat) bool {
+func (c *Core) mayExtendForeignLease(report *wire.Heartbeat) bool {
 	if report.Zone != c.cfg.Zone {
 		c.lastOtherZoneHeartbeat = c.now
 		return false
@@ -168,13 +168,13 @@
 	if !isOlderHeartbeat(m.agentEpoch, m.heartbeatSeq, report.AgentEpoch, report.HeartbeatSeq) {
 		return false // a late copy tells nothing, not even that the machine is alive
 	}
-	o.noteContact(m, report, regular)
+	o.updateContact(m, report, regular)
 	if report.PreemptionNoticeS != nil {
-		o.noticed(m, micros.FromSeconds(*report.PreemptionNoticeS))
+		o.handleReclaimNotice(m, micros.FromSeconds(*report.PreemptionNoticeS))
 	} else {
 		m.reclaimAt = 0
 	}
-	listed := o.takeTasks(m, report)
+	listed := o.reconcileTasks(m, report)
 	if m.dispatchNeeded {
 		o.queueDispatch(m)
 	}
@@ -185,15 +185,15 @@
 	}
 	for _, a := range m.sortedAttempts() {
 		if !listed[a.key()] {
-			o.missing(a)
+			o.reconcileMissing(a)
 		}
 	}
 	return true
 }
 
-// noteContact notes when and in which session the machine was heard, and which token it has
+// updateContact notes when and in which session the machine was heard, and which token it has
 // seen.
-func (o *owner) noteContact(m *machine, report *wire.Heartbeat, regular bool) {
+func (o *owner) updateContact(m *machine, report *wire.Heartbeat, regular bool) {
 	if regular {
 		o.lastHeartbeat, m.heartbeatReceived = o.c.now, true
 	}
@@ -218,9 +218,9 @@
 	}
 }
 
-// takeTasks applies the reported tasks to the machine's attempts and returns which of these
+// reconcileTasks applies the reported tasks to the machine's attempts and returns which of these
 // were listed.
-func (o *owner) takeTasks(m *machine, report *wire.Heartbeat) map[taskKey]bool {
+func (o *owner) reconcileTasks(m *machine, report *wire.Heartbeat) map[taskKey]bool {
 	listed := make(map[taskKey]bool, len(report.Tasks))
 	for i := range report.Tasks {
 		task := &report.Tasks[i]
@@ -233,7 +233,7 @@
 			continue
 		}
 		listed[a.key()] = true
-		o.sawTask(a, task)
+		o.reconcileTask(a, task)
 	}
 	return listed
 }
@@ -243,8 +243,8 @@
 	return session < thanSession || session == thanSession && seq < thanSeq
 }
 
-// sawTask applies what a report says of an attempt.
-func (o *owner) sawTask(a *attempt, t *wire.TaskStatus) {
+// reconcileTask applies what a report says of an attempt.
+func (o *owner) reconcileTask(a *attempt, t *wire.TaskStatus) {
 	a.heartbeatSeen, a.phase = true, t.Phase
 	switch a.state {
 	case attemptRecorded, attemptStarting:
@@ -257,32 +257,32 @@
 		// It may be an old report, of an earlier start of the same attempt: nothing is
 		// concluded before a report shows this owner's token.
 	case t.Phase == wire.PhaseExited:
-		o.exited(a, t)
-	case t.Phase == wire.PhaseRunning && a.running == 0:
-		a.running = o.c.now
+		o.handleTaskExit(a, t)
+	case t.Phase == wire.PhaseRunning && a.runningSince == 0:
+		a.runningSince = o.c.now
 	}
-	a.count(a.state == attemptLive && t.Phase == wire.PhaseRunning)
+	a.setCountedRunning(a.state == attemptLive && t.Phase == wire.PhaseRunning)
 }
 
-// missing handles an attempt that is certainly not on its machine.
-func (o *owner) missing(a *attempt) {
+// reconcileMissing handles an attempt that is certainly not on its machine.
+func (o *owner) reconcileMissing(a *attempt) {
 	switch a.state {
 	case attemptStarting:
 		if a.heartbeatSeen {
-			o.lost(a, "vanished")
+			o.handleAttemptLost(a, "vanished")
 		} else if a.startHeartbeatSeq < a.machine.heartbeatSeq {
 			o.setAttemptState(a, attemptRecorded) // the start was lost
 		}
 	case attemptLive:
-		o.lost(a, "vanished")
+		o.handleAttemptLost(a, "vanished")
 	case attemptStopping:
 		o.setAttemptState(a, attemptRemoving)
 	}
 }
 
-// lost handles an attempt that ended without a result.
-func (o *owner) lost(a *attempt, why string) {
-	a.why = why
+// handleAttemptLost handles an attempt that ended without a result.
+func (o *owner) handleAttemptLost(a *attempt, why string) {
+	a.reason = why
 	o.setAttemptState(a, attemptRemoving)
 	if a.job.Gang && a.job.gangState != gangStopping {
 		o.stopJob(a.job, 0, "gang lost a task")
--- a/controller/routes.go
+++ b/controller/routes.go
@@ -25,11 +25,11 @@
 	}
 	switch r.Path {
 	case pathUp:
-		c.handle(r, http.MethodGet, func() { c.handleHealthCheck(r.ID) })
+		c.handleMethod(r, http.MethodGet, func() { c.handleHealthCheck(r.ID) })
 	case PathHeartbeat:
-		c.handle(r, http.MethodPost, func() { c.handleHeartbeat(r) })
+		c.handleMethod(r, http.MethodPost, func() { c.handleHeartbeat(r) })
 	case pathJobs:
-		c.handle(r, http.MethodPost, func() { c.handleSubmission(r) })
+		c.handleMethod(r, http.MethodPost, func() { c.handleSubmission(r) })
 	default:
 		c.routeJobRequest(r)
 	}
@@ -43,14 +43,14 @@
 	case !found || strings.Contains(job, "/"):
 		c.respond(r.ID, wire.StatusNotFound, wire.ErrorResponse{Error: "no such path"})
 	case cancel:
-		c.handle(r, http.MethodPost, func() { c.cancel(c.newUserRequest(r), job) })
+		c.handleMethod(r, http.MethodPost, func() { c.cancel(c.newUserRequest(r), job) })
 	default:
-		c.handle(r, http.MethodGet, func() { c.handleQuery(c.newUserRequest(r), job) })
+		c.handleMethod(r, http.MethodGet, func() { c.handleQuery(c.newUserRequest(r), job) })
 	}
 }
 
-// handle calls a handler if the request has the method that it demands.
-func (c *Core) handle(r Request, method string, handler func()) {
+// handleMethod calls a handler if the request has the method that it demands.
+func (c *Core) handleMethod(r Request, method string, handler func()) {
 	if r.Method != method {
 		c.respond(r.ID, wire.StatusMethodNotAllowed, wire.ErrorResponse{Error: "method not allowed"})
 		return
@@ -60,7 +60,7 @@
 
 // handleHealthCheck tells whether this node can serve anybody.
 func (c *Core) handleHealthCheck(request uint64) {
-	if c.isolated() {
+	if c.isIsolated() {
 		c.refuse(request, wire.StatusUnavailable, reasonIsolated)
 		return
 	}
--- a/controller/scale.go
+++ b/controller/scale.go
@@ -16,10 +16,10 @@
 )
 
 const (
-	// worthMoving is how much machine time moving tasks off a drained machine must save.
-	worthMoving = 15 * micros.Second
-	// soonRetried is the rest of a job's pause after failures in which its work counts already.
-	soonRetried = 5 * micros.Second
+	// minConsolidationSaving is how much machine time moving tasks off a drained machine must save.
+	minConsolidationSaving = 15 * micros.Second
+	// retrySoonWindow is the rest of a job's pause after failures in which its work counts already.
+	retrySoonWindow = 5 * micros.Second
 )
 
 // catalog is what the cloud rents, as far as this node knows.
@@ -29,7 +29,7 @@
 
 // market is what may be rented now.
 func (o *owner) market() autoscaler.Market {
-	return autoscaler.Market{Catalog: o.c.catalog(), Now: o.c.now, UnavailableUntil: o.refusedOffers, Partitioned: o.partitioned}
+	return autoscaler.Market{Catalog: o.c.catalog(), Now: o.c.now, UnavailableUntil: o.refusedOffers, Partitioned: o.partitionedSince}
 }
 
 // offer is what the cloud rented a machine as.
@@ -37,18 +37,18 @@
 	return autoscaler.Offer{Type: m.machineType, Zone: m.zone, Spot: m.spot}
 }
 
-// scarce tells that some recent class of jobs fits no other type than the machine's.
-func (o *owner) scarce(m *machine) bool { return o.classes.Scarce(o.c.now, m.machineType, m.spot) }
+// isScarce tells that some recent class of jobs fits no other type than the machine's.
+func (o *owner) isScarce(m *machine) bool { return o.classes.Scarce(o.c.now, m.machineType, m.spot) }
 
-// noteRun learns from a task that completed.
-func (o *owner) noteRun(a *attempt) {
-	if a.running != 0 {
-		o.classes.RecordRunTime(a.job.Class, o.c.now-a.running, a.job.Estimate)
+// observeRunTime learns from a task that completed.
+func (o *owner) observeRunTime(a *attempt) {
+	if a.runningSince != 0 {
+		o.classes.RecordRunTime(a.job.Class, o.c.now-a.runningSince, a.job.Estimate)
 	}
 }
 
-// forgetClasses drops the statistics of classes that no job uses any more.
-func (o *owner) forgetClasses() {
+// pruneClasses drops the statistics of classes that no job uses any more.
+func (o *owner) pruneClasses() {
 	inUse := map[string]bool{}
 	for _, j := range o.queue {
 		inUse[j.Class] = true
@@ -67,19 +67,19 @@
 		return
 	}
 	o.nextAutoscaling = o.c.now + autoscalingInterval
-	o.scheduleWanted = true // pauses of jobs end without an event
-	o.noteSpotTime()
-	o.forgetClasses()
+	o.schedulingNeeded = true // pauses of jobs end without an event
+	o.recordSpotUptime()
+	o.pruneClasses()
 	demands := o.demands()
-	planner := o.planner(demands)
+	planner := o.newPlanner(demands)
 	if planner.MayScaleIn {
 		o.nextScaleIn = o.c.now + scaleInInterval
 	}
-	o.carryOut(planner.Plan(demands))
+	o.applyPlan(planner.Plan(demands))
 }
 
-// planner describes what there is now.
-func (o *owner) planner(demands []*autoscaler.Demand) *autoscaler.Planner {
+// newPlanner describes what there is now.
+func (o *owner) newPlanner(demands []*autoscaler.Demand) *autoscaler.Planner {
 	p := &autoscaler.Planner{
 		Market: o.market(), Classes: o.classes, SLOs: o.c.cfg.SLOs,
 		OpenScaleOuts: len(o.scaleOutRequests),
@@ -118,26 +118,26 @@
 	d.Age, d.IdleFor = o.c.wallClock-m.provisionedAt, o.c.now-m.idleSince
 	d.Claimed, d.Busy = m.fencingToken != 0, len(m.attempts) > 0
 	d.Reserved = o.isReserved(m.name)
-	d.OnlySlack = d.Busy && o.scarce(m) && o.hasNoDependentTasks(m)
+	d.OnlySlack = d.Busy && o.isScarce(m) && o.hasNoDependentTasks(m)
 	if forGangs {
-		d.BusyFor = o.busyFor(m)
+		d.BusyFor = o.remainingBusyTime(m)
 	}
 	return d
 }
 
-// busyFor is how long the tasks on a machine still take whose room is not free yet.
-func (o *owner) busyFor(m *machine) micros.Micros {
+// remainingBusyTime is how long the tasks on a machine still take whose room is not free yet.
+func (o *owner) remainingBusyTime(m *machine) micros.Micros {
 	longest := micros.Micros(0)
 	for _, a := range m.attempts {
 		if !a.resourcesReleased {
-			longest = max(longest, o.remaining(a))
+			longest = max(longest, o.remainingRunTime(a))
 		}
 	}
 	return longest
 }
 
-// carryOut does what was decided about capacity.
-func (o *owner) carryOut(plan autoscaler.Plan) {
+// applyPlan does what was decided about capacity.
+func (o *owner) applyPlan(plan autoscaler.Plan) {
 	for _, request := range plan.ScaleOutRequests {
 		o.requestScaleOut(request)
 	}
@@ -171,9 +171,9 @@
 		if a.job.Gang || a.job.CheckpointInterval == 0 {
 			return
 		}
-		longest = max(longest, o.remaining(a)-a.job.CheckpointDuration)
+		longest = max(longest, o.remainingRunTime(a)-a.job.CheckpointDuration)
 	}
-	if longest < worthMoving {
+	if longest < minConsolidationSaving {
 		return
 	}
 	for _, a := range m.sortedAttempts() {
@@ -230,10 +230,10 @@
 		}
 	}
 	if j.Gang {
-		j.MinOnDemandTasks = o.ordinaryFor(j)
+		j.MinOnDemandTasks = o.minOnDemandTasks(j)
 	}
 	tasks := min(j.pending, o.quotaHeadroom(j, sched.Resources{}))
-	if tasks > 0 && o.c.now+soonRetried >= j.notUntil {
+	if tasks > 0 && o.c.now+retrySoonWindow >= j.backoffUntil {
 		o.addPendingWork(d, j, tasks)
 		once := min(tasks, o.quotaHeadroom(j, counted[j.Team]))
 		counted[j.Team] = counted[j.Team].Add(j.Need.Times(once))
--- a/controller/scenario_figures_test.go
+++ b/controller/scenario_figures_test.go
@@ -34,7 +34,7 @@
 		return atLeast(t, d, func(id string) bool { return w.accepted[id] }), true
 	case "numbers-left":
 		owner := node().core
-		return fmt.Sprint(!owner.numbers.low(owner.node.RecordVersion())), true
+		return fmt.Sprint(!owner.numbers.nearlyExhausted(owner.node.RecordVersion())), true
 	case "count":
 		return countCommand(t, w, d), true
 	case "leader":
--- a/controller/scenario_nodes_test.go
+++ b/controller/scenario_nodes_test.go
@@ -73,7 +73,7 @@
 	case "numbers-low": // the owner has given out nearly all numbers of its record's version
 		owner := node().core
 		owner.numbers.next(owner.node.RecordVersion())
-		owner.numbers.count = maxCount - countMargin
+		owner.numbers.sequence = maxSequence - sequenceMargin
 	default:
 		return false
 	}
--- a/controller/schedule.go
+++ b/controller/schedule.go
@@ -25,10 +25,10 @@
 // schedule proposes places for waiting tasks. A proposal takes effect only when the
 // machine's record has been written with it.
 func (o *owner) schedule() {
-	if !o.scheduleWanted || o.committing || o.c.now < o.nextSchedulingPass || o.assumed >= maxAssumed {
+	if !o.schedulingNeeded || o.committing || o.c.now < o.nextSchedulingPass || o.assumed >= maxAssumed {
 		return
 	}
-	o.scheduleWanted, o.nextSchedulingPass = false, o.c.now+minPassInterval
+	o.schedulingNeeded, o.nextSchedulingPass = false, o.c.now+minPassInterval
 	pass := &schedulingPass{o: o, view: o.placementView(), reservedQuotas: quotaReservations{}, unplaceableShapes: map[shape]bool{}}
 	for _, j := range o.schedulingOrder() {
 		if pass.isExhausted() {
@@ -89,7 +89,7 @@
 
 // schedulable tells whether places may be looked for now for tasks of a job.
 func (o *owner) schedulable(j *job) bool {
-	if j.state != jobActive || j.pending == 0 || j.unsure || o.c.now < j.notUntil {
+	if j.state != jobActive || j.pending == 0 || j.recordStale || o.c.now < j.backoffUntil {
 		return false
 	}
 	return !j.Gang || j.gangState == gangNone
@@ -137,7 +137,7 @@
 
 func (p *schedulingPass) assume(j *job, assignments []sched.Assignment) {
 	p.o.assume(j, assignments)
-	p.o.narrow(p.view, assignments)
+	p.o.limitSlots(p.view, assignments)
 }
 
 // shape is what decides on which machines the tasks of a job fit.
@@ -207,7 +207,7 @@
 
 // isStarving tells that a job has waited for long and not begun.
 func (o *owner) isStarving(j *job) bool {
-	return !j.everPlaced && j.state == jobActive && o.c.wallClock-j.since > o.c.cfg.Tuning.StarvationTimeout
+	return !j.everPlaced && j.state == jobActive && o.c.wallClock-j.readyAt > o.c.cfg.Tuning.StarvationTimeout
 }
 
 // schedulingOrder lists the jobs in the order in which they are placed. Those that starve come first,
@@ -221,21 +221,21 @@
 		x, y := o.isStarving(a), o.isStarving(b)
 		switch {
 		case x != y:
-			return first(x)
+			return compareTrueFirst(x)
 		case x:
-			return cmp.Compare(a.since, b.since)
+			return cmp.Compare(a.readyAt, b.readyAt)
 		case a.Priority == b.Priority && covered[a] != covered[b]:
-			return first(covered[a])
+			return compareTrueFirst(covered[a])
 		case a.Priority == b.Priority:
-			return cmp.Or(o.compareUrgency(a, b), queueOrder(a, b))
+			return cmp.Or(o.compareUrgency(a, b), compareQueueOrder(a, b))
 		}
-		return queueOrder(a, b)
+		return compareQueueOrder(a, b)
 	})
 	return list
 }
 
-// first orders what has something before what has not.
-func first(has bool) int {
+// compareTrueFirst orders what has something before what has not.
+func compareTrueFirst(has bool) int {
 	if has {
 		return -1
 	}
@@ -286,7 +286,7 @@
 		}
 		wait := micros.Micros(0)
 		for _, a := range m.attempts {
-			wait = max(wait, o.remaining(a))
+			wait = max(wait, o.remainingRunTime(a))
 		}
 		if best < 0 || wait < soonest {
 			best, soonest = i, wait
--- a/controller/shards.go
+++ b/controller/shards.go
@@ -55,7 +55,7 @@
 // noteFinished remembers that an attempt's completion must be recorded.
 func (j *job) noteFinished(a *attempt) {
 	chunk := a.index / record.TasksPerChunk
-	j.finished[chunk] = append(j.finished[chunk], a)
+	j.unrecordedCompletions[chunk] = append(j.unrecordedCompletions[chunk], a)
 }
 
 // newCompletionSegment makes a shard without chunks.
@@ -175,8 +175,8 @@
 	s.dirty, s.writing, s.sources = false, true, nil
 	for _, k := range s.sortedChunks() {
 		j := s.chunks[k]
-		w.finished = append(w.finished, j.finished[k.chunk]...)
-		delete(j.finished, k.chunk)
+		w.finished = append(w.finished, j.unrecordedCompletions[k.chunk]...)
+		delete(j.unrecordedCompletions, k.chunk)
 	}
 	t.results = append(t.results, w.finish)
 }
@@ -185,7 +185,7 @@
 func (s *completionSegment) completions() record.CompletionSegment {
 	chunks := map[string]string{}
 	for k, j := range s.chunks {
-		chunks[k.name()] = j.done.Chunk(k.chunk)
+		chunks[k.name()] = j.completed.Chunk(k.chunk)
 	}
 	return record.CompletionSegment{Chunks: chunks}
 }
@@ -207,6 +207,6 @@
 		source.unwrittenTargets--
 	}
 	for _, a := range w.finished {
-		w.owner.finishedRecorded(a)
+		w.owner.handleCompletionRecorded(a)
 	}
 }
--- a/controller/status.go
+++ b/controller/status.go
@@ -7,8 +7,8 @@
 	"tamarindlead/sched"
 )
 
-// statusEvery is how often the counters go to the log.
-const statusEvery = 10 * micros.Second
+// statusInterval is how often the counters go to the log.
+const statusInterval = 10 * micros.Second
 
 const secondsPerHour = 3600
 
@@ -17,20 +17,20 @@
 	events, heartbeats, lookups, calls int
 	refused                            int // requests answered 429 or 503
 	dropped                            int // messages that could not be read
-	at                                 micros.Micros
+	loggedAt                           micros.Micros
 }
 
 // tickStatus logs the counters, and at an owner what its machines do.
 func (c *Core) tickStatus() {
-	n := &c.count
-	if c.now-n.at < statusEvery {
+	n := &c.counters
+	if c.now-n.loggedAt < statusInterval {
 		return
 	}
 	usage := c.store.TakeUsage()
 	c.log.Info("status", "events", n.events, "reports", n.heartbeats, "lookups", n.lookups, "calls", n.calls,
 		"open_calls", len(c.calls), "store_requests", usage.Requests, "store_writes", usage.Writes, "refused", n.refused,
 		"dropped", n.dropped, "waiting", len(c.submissions.pending), "violations", c.violations)
-	*n = counters{at: c.now}
+	*n = counters{loggedAt: c.now}
 	if c.owner != nil && c.owner.state == ownerActive {
 		c.owner.logStatus()
 	}
--- a/controller/store.go
+++ b/controller/store.go
@@ -48,8 +48,8 @@
 	})
 }
 
-// relay sends a peer's request to the state service.
-func (c *Core) relay(id uint64, call *peer.StoreCall) {
+// relayToKV sends a peer's request to the state service.
+func (c *Core) relayToKV(id uint64, call *peer.StoreCall) {
 	request := kv.Request{Method: call.Method, Target: call.Target, Body: call.Body}
 	c.store.Relay(request, func(r kv.Response) {
 		c.respondToPeer(id, &peer.Message{Body: &peer.Message_StoreReply{StoreReply: &peer.StoreReply{
@@ -67,9 +67,9 @@
 	return min(kv.WatchWait, max(c.cancellations.MaxStaleness()/3, minWatchWait))
 }
 
-// isolated tells that this node reaches neither the state service nor any peer. In an outage
+// isIsolated tells that this node reaches neither the state service nor any peer. In an outage
 // of the state service peers can be reached.
-func (c *Core) isolated() bool {
+func (c *Core) isIsolated() bool {
 	if len(c.cfg.Siblings) == 0 || !c.store.Unavailable() {
 		return false
 	}
--- a/controller/submissions.go
+++ b/controller/submissions.go
@@ -64,7 +64,7 @@
 	}
 	writes, size := record.JobWrites(job, c.wallClock, c.cfg.MaxValueBytes)
 	refused := c.checkPlaceable(job)
-	if c.tooLong(writes, size) {
+	if c.exceedsRecordLimits(writes, size) {
 		refused = &refusal{wire.StatusBadRequest, reasonTooLong}
 	}
 	if refused != nil {
@@ -94,8 +94,8 @@
 	}
 }
 
-// tooLong tells that the records of a job exceed the limits of the state service.
-func (c *Core) tooLong(writes []kv.Write, size int) bool {
+// exceedsRecordLimits tells that the records of a job exceed the limits of the state service.
+func (c *Core) exceedsRecordLimits(writes []kv.Write, size int) bool {
 	return len(writes) > c.cfg.MaxTransactionOps || size > maxCommitBytes || kv.EncodedSizeBound(writes[0].Value) > c.cfg.MaxValueBytes
 }
 
@@ -112,13 +112,13 @@
 	if job.Gang {
 		need = need.Times(job.Tasks)
 	}
-	if !withinLimit(need, team.QuotaLimit) {
-		return permanentRefusal(reasonAboveTeamLimit)
+	if !withinQuotaLimit(need, team.QuotaLimit) {
+		return permanentRefusal(reasonAboveQuotaLimit)
 	}
 	return nil
 }
 
-func withinLimit(used, limit sched.Resources) bool {
+func withinQuotaLimit(used, limit sched.Resources) bool {
 	return (limit.CPU == 0 || used.CPU <= limit.CPU) && (limit.GPU == 0 || used.GPU <= limit.GPU)
 }
 
--- a/controller/task_exits.go
+++ b/controller/task_exits.go
@@ -7,11 +7,11 @@
 
 // Pauses after failures, and how faulty machines are told from faulty jobs.
 const (
-	// errorPause is the first pause of a job that fails; it doubles with each failure.
-	errorPause    = micros.Second
-	maxErrorPause = 60 * micros.Second
-	// maxErrorDoublings keeps the doubled pause from overflowing.
-	maxErrorDoublings = 8
+	// initialErrorBackoff is the first pause of a job that fails; it doubles with each failure.
+	initialErrorBackoff = micros.Second
+	maxErrorBackoff     = 60 * micros.Second
+	// maxBackoffDoublings keeps the doubled pause from overflowing.
+	maxBackoffDoublings = 8
 	// startRefusalQuarantine is how long nothing is placed on a machine that refused a start.
 	startRefusalQuarantine = 5 * micros.Second
 	// maxFaultyMachines is the number of machines on which a job may fail before the job
@@ -19,27 +19,27 @@
 	maxFaultyMachines = 2
 )
 
-// exited handles a task that the machine reports as ended.
-func (o *owner) exited(a *attempt, task *wire.TaskStatus) {
+// handleTaskExit handles a task that the machine reports as ended.
+func (o *owner) handleTaskExit(a *attempt, task *wire.TaskStatus) {
 	if task.Cause == wire.CauseDone {
-		o.completed(a)
+		o.handleTaskCompleted(a)
 		return
 	}
 	switch task.Cause {
 	case wire.CauseError:
-		o.failed(a, true)
+		o.handleTaskFailed(a, true)
 	case wire.CauseUnknownTask:
-		o.failed(a, false)
+		o.handleTaskFailed(a, false)
 	case wire.CauseInsufficientResources, wire.CauseBusy:
 		a.machine.quarantinedUntil = o.c.now + startRefusalQuarantine
 	}
 	o.c.log.Info("task ended", "task", task.Task, "machine", a.machine.name, "cause", task.Cause,
-		"saved", task.Checkpointed, "why", a.why)
-	o.lost(a, string(task.Cause))
+		"saved", task.Checkpointed, "why", a.reason)
+	o.handleAttemptLost(a, string(task.Cause))
 }
 
-// completed handles a task that ended with its result.
-func (o *owner) completed(a *attempt) {
+// handleTaskCompleted handles a task that ended with its result.
+func (o *owner) handleTaskCompleted(a *attempt) {
 	j := a.job
 	a.machine.consecutiveErrors = 0
 	if j.state != jobActive {
@@ -48,12 +48,12 @@
 	}
 	j.failures = 0
 	clear(j.failedOn)
-	o.noteRun(a)
+	o.observeRunTime(a)
 	o.setAttemptState(a, attemptCompleted)
 	if j.Gang {
 		o.completeGang(a)
 	}
-	if j.doneN == j.Tasks {
+	if j.completedCount == j.Tasks {
 		o.setJobState(j, jobFinishing)
 	}
 }
@@ -64,8 +64,8 @@
 // ends by itself, and keeps its resources until its machine reports that.
 func (o *owner) completeGang(first *attempt) {
 	j := first.job
-	for _, a := range j.sorted() {
-		if a.number == first.number && (first.running != 0 || a.running != 0) {
+	for _, a := range j.sortedAttempts() {
+		if a.number == first.number && (first.runningSince != 0 || a.runningSince != 0) {
 			o.setAttemptState(a, attemptCompleted)
 		}
 	}
@@ -74,8 +74,8 @@
 	}
 }
 
-// failed counts a failure, and tells a faulty machine from a job that fails everywhere.
-func (o *owner) failed(a *attempt, machineToo bool) {
+// handleTaskFailed counts a failure, and tells a faulty machine from a job that fails everywhere.
+func (o *owner) handleTaskFailed(a *attempt, machineToo bool) {
 	j, m := a.job, a.machine
 	j.failures++
 	j.failedOn[m.name] = true
@@ -91,8 +91,8 @@
 		}
 	}
 	if len(j.failedOn) > maxFaultyMachines || j.Gang {
-		pause := errorPause << min(j.failures, maxErrorDoublings)
-		j.notUntil = max(j.notUntil, o.c.now+min(pause, maxErrorPause))
+		pause := initialErrorBackoff << min(j.failures, maxBackoffDoublings)
+		j.backoffUntil = max(j.backoffUntil, o.c.now+min(pause, maxErrorBackoff))
 	}
 }
 
@@ -106,11 +106,11 @@
 		o.stopJob(a.job, grace, why)
 		return
 	}
-	o.stop(a, grace, why)
+	o.stopAttempt(a, grace, why)
 }
 
-// noticed handles the cloud's notice that it reclaims a spot machine.
-func (o *owner) noticed(m *machine, left micros.Micros) {
+// handleReclaimNotice handles the cloud's notice that it reclaims a spot machine.
+func (o *owner) handleReclaimNotice(m *machine, left micros.Micros) {
 	first := m.reclaimAt == 0
 	m.reclaimAt = o.c.now + left
 	if m.state == machineReady || m.state == machineTransferring {
@@ -119,27 +119,27 @@
 	if !first {
 		return
 	}
-	o.noteSpotLost(m)
+	o.recordSpotReclaimed(m)
 	for _, a := range m.sortedAttempts() {
 		// A task that would not complete in time is stopped now: it saves if it can, and
 		// starts elsewhere the sooner. One that cannot save and has run for long may still
 		// complete, so it goes on.
 		ran := micros.Micros(0)
-		if a.running != 0 && a.job.CheckpointInterval == 0 {
-			ran = o.c.now - a.running
+		if a.runningSince != 0 && a.job.CheckpointInterval == 0 {
+			ran = o.c.now - a.runningSince
 		}
-		if o.remaining(a) > left-micros.Second && ran < left {
+		if o.remainingRunTime(a) > left-micros.Second && ran < left {
 			o.evict(a, "machine is taken back")
 		}
 	}
 }
 
-// remaining estimates how long an attempt still takes.
-func (o *owner) remaining(a *attempt) micros.Micros {
+// remainingRunTime estimates how long an attempt still takes.
+func (o *owner) remainingRunTime(a *attempt) micros.Micros {
 	total := o.estimatedRunTime(a.job)
-	if a.running == 0 {
+	if a.runningSince == 0 {
 		return total
 	}
-	ran := o.c.now - a.running
+	ran := o.c.now - a.runningSince
 	return max(total-ran, ran/4, micros.Second)
 }
--- a/controller/timers.go
+++ b/controller/timers.go
@@ -4,10 +4,10 @@
 
 // Intervals of ticks.
 const (
-	// slowTick is how often the slower duties are looked at: heartbeats, leases, holds.
-	slowTick = 250 * micros.Millisecond
-	// fastTick is how exactly time is seen to pass while something waits for a moment.
-	fastTick = 50 * micros.Millisecond
+	// slowTickInterval is how often the slower duties are looked at: heartbeats, leases, holds.
+	slowTickInterval = 250 * micros.Millisecond
+	// fastTickInterval is how exactly time is seen to pass while something waits for a moment.
+	fastTickInterval = 50 * micros.Millisecond
 )
 
 // timer calls a function once a time has come.
@@ -34,11 +34,11 @@
 	}
 }
 
-// TickEvery tells how often the time must be passed to the core now.
-func (c *Core) TickEvery() micros.Micros {
+// TickInterval tells how often the time must be passed to the core now.
+func (c *Core) TickInterval() micros.Micros {
 	if c.owner != nil || len(c.submissions.pending) > 0 || len(c.lookups.pending) > 0 ||
 		len(c.timers) > 0 || c.cancellations.Pending() {
-		return fastTick
+		return fastTickInterval
 	}
-	return slowTick
+	return slowTickInterval
 }
--- a/controller/waiting.go
+++ b/controller/waiting.go
@@ -36,7 +36,7 @@
 		return
 	}
 	delete(o.blockedJobs, j.ID)
-	j.since = max(j.accepted, waiting.LatestDependencyDone)
+	j.readyAt = max(j.accepted, waiting.LatestDependencyDone)
 	o.setJobState(j, jobActive)
 	o.c.log.Info("job is ready", "job", j.ID, "class", j.Class, "waited_s", (o.c.wallClock - j.accepted).Seconds())
 	o.enqueue(j)
@@ -97,7 +97,7 @@
 			continue
 		}
 		j.cancelQueued = false
-		if waiting != nil && waiting.Cancelled() && !j.unsure {
+		if waiting != nil && waiting.Cancelled() && !j.recordStale {
 			o.recordCascadedCancellation(t, j, waiting.CancelledRoot)
 		}
 	}
@@ -142,12 +142,12 @@
 
 // recheckBlockedJob handles a waiting job's record that is not as it was: it was cancelled.
 func (o *owner) recheckBlockedJob(j *job) {
-	j.unsure = true
+	j.recordStale = true
 	o.c.refresh(func(ok bool) {
 		if o.superseded() || o.blockedJobs[j.ID] != j {
 			return
 		}
-		j.unsure = false
+		j.recordStale = false
 		if ok && !o.c.graph.IsActive(j.ID) {
 			o.removeBlockedJob(j)
 			return
@@ -160,34 +160,34 @@
 	})
 }
 
-// sweepAfter lets a takeover do first what is urgent.
-const sweepAfter = 20 * micros.Second
+// partsSweepDelay lets a takeover do first what is urgent.
+const partsSweepDelay = 20 * micros.Second
 
 // sweepParts finds keys of lists whose jobs were over before an owner could have them
 // deleted.
 func (o *owner) sweepParts() {
-	if o.swept || o.c.now-o.since < sweepAfter || !o.c.budget.MayRequest(budget.Cleanup, o.c.now) {
+	if o.partsSwept || o.c.now-o.activeSince < partsSweepDelay || !o.c.budget.MayRequest(budget.Cleanup, o.c.now) {
 		return
 	}
-	o.swept = true
-	o.c.store.Do(budget.Cleanup, kv.List(record.DependencyPartPrefix, o.sweptUntil), func(r kv.Result) {
+	o.partsSwept = true
+	o.c.store.Do(budget.Cleanup, kv.List(record.DependencyPartPrefix, o.partsSweepCursor), func(r kv.Result) {
 		var page kv.Page
 		if o.superseded() {
 			return
 		}
 		if r.Outcome != kv.OK || !r.Decode(&page) {
-			o.swept = false
+			o.partsSwept = false
 			return
 		}
 		o.c.refresh(func(ok bool) {
 			switch {
 			case o.superseded():
 			case !ok:
-				o.swept = false
+				o.partsSwept = false
 			default:
 				o.dropLeftoverParts(page.Entries)
 				if page.More && len(page.Entries) > 0 { // the next page comes with a later tick
-					o.sweptUntil, o.swept = page.Entries[len(page.Entries)-1].Key, false
+					o.partsSweepCursor, o.partsSwept = page.Entries[len(page.Entries)-1].Key, false
 				}
 			}
 		})
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -127,7 +127,7 @@
 		case <-tick.C:
 			n.mu.Lock()
 			n.handle(nil, controller.Tick{})
-			tick.Reset(n.core.TickEvery().Duration())
+			tick.Reset(n.core.TickInterval().Duration())
 			n.mu.Unlock()
 		case <-sweep.C:
 			n.client.Sweep()
