--- a/controller/authorization_test.go
+++ b/controller/authorization_test.go
@@ -11,7 +11,7 @@
 // activeOwner returns an active owner with a machine that it has claimed, and on it an attempt
 // whose place is recorded.
 func activeOwner() (*owner, *machine, *attempt) {
-	core := answeringCore()
+	core := newRespondingCore()
 	o := newOwner(core, map[string]cluster.Team{})
 	core.setOwner(o)
 	o.setState(ownerActive)
@@ -22,9 +22,9 @@
 	return o, m, o.addAttempt(j, 0, 1, m, attemptRecorded)
 }
 
-// TestStartsRestOnRecords sees that a start is ordered only on a recorded placement under a token
+// TestStartsRequireRecords sees that a start is ordered only on a recorded placement under a token
 // that the machine has shown, and that anything else is a violation.
-func TestStartsRestOnRecords(t *testing.T) {
+func TestStartsRequireRecords(t *testing.T) {
 	for _, c := range []struct {
 		name       string
 		change     func(o *owner, m *machine, a *attempt)
@@ -54,30 +54,30 @@
 	}
 }
 
-// TestReleasesRestOnRecords sees that the cloud is asked to delete a machine only if that is
+// TestTerminationsRequireRecords sees that the cloud is asked to delete a machine only if that is
 // recorded.
-func TestReleasesRestOnRecords(t *testing.T) {
+func TestTerminationsRequireRecords(t *testing.T) {
 	for state, want := range map[machineState]bool{machineTerminating: true, machineDecommissioning: false, machineReady: false} {
 		o, m, _ := activeOwner()
 		m.state = state
-		if got := o.mayTerminate(m); got != want || o.c.Violations() != violationsIf(!want) {
+		if got := o.mayTerminate(m); got != want || o.c.Violations() != expectedViolations(!want) {
 			t.Errorf("%v: allowed %t with %d violations", state, got, o.c.Violations())
 		}
 	}
 }
 
-// TestRentalsRestOnRecords sees that the cloud is asked for machines only under a recorded name.
-func TestRentalsRestOnRecords(t *testing.T) {
+// TestScaleOutRequiresRecords sees that the cloud is asked for machines only under a recorded name.
+func TestScaleOutRequiresRecords(t *testing.T) {
 	for state, want := range map[scaleOutState]bool{scaleOutPlanned: false, scaleOutRequested: true, scaleOutGranted: false, scaleOutDone: false} {
 		o, _, _ := activeOwner()
 		r := &scaleOutRequest{name: "h-1", offer: autoscaler.Offer{Type: "small", Zone: "a"}, machineCount: 1, state: state}
-		if got := o.mayRequestScaleOut(r); got != want || o.c.Violations() != violationsIf(!want) {
+		if got := o.mayRequestScaleOut(r); got != want || o.c.Violations() != expectedViolations(!want) {
 			t.Errorf("%v: allowed %t with %d violations", state, got, o.c.Violations())
 		}
 	}
 }
 
-func violationsIf(expected bool) int {
+func expectedViolations(expected bool) int {
 	if expected {
 		return 1
 	}
--- a/controller/bench_test.go
+++ b/controller/bench_test.go
@@ -93,7 +93,7 @@
 
 func (s *ownerStore) Watch(string, uint64, func(micros.Micros, kv.Result)) {}
 
-func benchReport(m *machine, seq uint64) []byte {
+func benchHeartbeat(m *machine, seq uint64) []byte {
 	r := wire.Heartbeat{Machine: m.name, Endpoint: m.endpoint, Type: m.machineType, Zone: m.zone, Spot: m.spot, AgentEpoch: 1, HeartbeatSeq: seq, FencingToken: 1}
 	for _, a := range m.sortedAttempts() {
 		r.Tasks = append(r.Tasks, wire.TaskStatus{Task: wire.TaskName(a.job.ID, a.index), Attempt: a.number, Phase: wire.PhaseRunning})
@@ -101,12 +101,12 @@
 	return wire.Encode(r)
 }
 
-// BenchmarkReport handles one report, with all that follows every event.
-func BenchmarkReport(b *testing.B) {
+// BenchmarkHeartbeat handles one report, with all that follows every event.
+func BenchmarkHeartbeat(b *testing.B) {
 	o := benchOwner()
 	var bodies [][]byte
 	for _, m := range o.sortedMachines {
-		bodies = append(bodies, benchReport(m, 1<<40))
+		bodies = append(bodies, benchHeartbeat(m, 1<<40))
 	}
 	o.schedulingNeeded, o.committing = false, true // a commit is under way
 	for i := 0; b.Loop(); i++ {
@@ -156,8 +156,8 @@
 	}
 }
 
-// BenchmarkTakeover builds machines and attempts from the records of an earlier owner.
-func BenchmarkTakeover(b *testing.B) {
+// BenchmarkFailover builds machines and attempts from the records of an earlier owner.
+func BenchmarkFailover(b *testing.B) {
 	o := benchOwner()
 	var entries []kv.Entry
 	for _, bl := range o.blocks {
--- a/controller/blocks_test.go
+++ b/controller/blocks_test.go
@@ -70,9 +70,9 @@
 	}
 }
 
-// TestShardsWait guards against completions of many teams that take all writes: every team
+// TestCompletionSegmentsYieldToPlacements guards against completions of many teams that take all writes: every team
 // has a shard that changes all the time, and placements must not wait behind them.
-func TestShardsWait(t *testing.T) {
+func TestCompletionSegmentsYieldToPlacements(t *testing.T) {
 	o := benchOwner()
 	for _, b := range o.blocks {
 		b.dirty = false
@@ -151,9 +151,9 @@
 	}
 }
 
-// TestGuardsOfBlock guards against a block that needs more guards than a commit takes: it is
+// TestBlockPreconditionLimit guards against a block that needs more guards than a commit takes: it is
 // written in several steps, and every attempt is recorded in the end.
-func TestGuardsOfBlock(t *testing.T) {
+func TestBlockPreconditionLimit(t *testing.T) {
 	o := benchOwner()
 	o.c.cfg.MaxTransactionOps = 3
 	b := o.blocks[0]
--- a/controller/dump_test.go
+++ b/controller/dump_test.go
@@ -62,8 +62,8 @@
 	Cancelled micros.Micros
 }
 
-// noteMessage passes on what a node said to another.
-func (w *world) noteMessage(body []byte) {
+// recordPeerMessage passes on what a node said to another.
+func (w *simulation) recordPeerMessage(body []byte) {
 	if w.onMessage != nil && len(body) > 0 {
 		w.onMessage(body)
 	}
@@ -72,12 +72,12 @@
 // dumpLease is how long the leases of the nodes of a dump last still.
 const dumpLease = 2 * micros.Second
 
-// loadWorld makes a world that goes on from a dump; its users ask for their jobs.
-func loadWorld(d *dump) *world {
+// loadSimulation makes a world that goes on from a dump; its users ask for their jobs.
+func loadSimulation(d *dump) *simulation {
 	cfg := d.Settings
-	w := newWorld(1, &cfg)
-	w.now, w.state.Now, w.cloud.Now = d.Now, d.Now, d.Now
-	w.state.Load(d.Records, d.Revision, dumpLease)
+	w := newSimulation(1, &cfg)
+	w.now, w.kvStore.Now, w.cloud.Now = d.Now, d.Now, d.Now
+	w.kvStore.Load(d.Records, d.Revision, dumpLease)
 	w.cloud.Types, w.cloud.Capacity = d.Types, d.Capacity
 	w.cloud.RestoreGrants(d.Grants, d.Rented)
 	for _, task := range d.Done {
@@ -87,12 +87,12 @@
 		job := j.Job
 		id := job.ID
 		w.submitted[id], w.infos[id], w.bodies[id] = &job, j.Info, wire.Encode(wire.FromJob(&job))
-		w.asked[id], w.wantsEnd[id] = w.now, j.WantsEnd
+		w.submittedAt[id], w.cancelRequested[id] = w.now, j.WantsEnd
 		if j.Accepted {
-			w.accepted[id], w.crowd.acceptedAt[id] = true, w.now
+			w.accepted[id], w.users.acceptedAt[id] = true, w.now
 		}
 		if j.Told != "" {
-			w.told[id], w.crowd.toldAt[id] = j.Told, w.now
+			w.reportedTerminal[id], w.users.terminalSeenAt[id] = j.Told, w.now
 		}
 		if j.Cancelled > 0 {
 			w.cancelled[id] = j.Cancelled
@@ -165,32 +165,32 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			for i, r := range d.Records {
-				if got := readingOf(r.Key, r.Value); got != meaning(d.Readings[i]) {
+				if got := decodedText(r.Key, r.Value); got != withoutDefaults(d.Readings[i]) {
 					t.Errorf("%s is read as\n%s\nin production as\n%s", r.Key, got, d.Readings[i])
 				}
 			}
 			for i, m := range d.Messages {
-				if got := messageReading(m); got != d.Said[i] {
+				if got := decodedMessage(m); got != d.Said[i] {
 					t.Errorf("a message is read as\n%s\nin production as\n%s", got, d.Said[i])
 				}
 			}
-			playOut(t, loadWorld(d))
-			w := loadWorld(d) // and with the smaller limits at once
-			w.next = nextLimits{on: true, value: 1 << 10, ops: 5, writes: 15, rps: 150}
-			w.state.MaxValueBytes, w.state.MaxOps, w.state.WriteRate, w.state.RequestRate = 1<<10, 5, 15, 150
-			playOut(t, w)
+			runToCompletion(t, loadSimulation(d))
+			w := loadSimulation(d) // and with the smaller limits at once
+			w.nextLimits = nextLimits{on: true, value: 1 << 10, ops: 5, writes: 15, rps: 150}
+			w.kvStore.MaxValueBytes, w.kvStore.MaxOps, w.kvStore.WriteRate, w.kvStore.RequestRate = 1<<10, 5, 15, 150
+			runToCompletion(t, w)
 		})
 	}
 }
 
-// playOut plays until all jobs have ended.
-func playOut(t *testing.T, w *world) {
+// runToCompletion plays until all jobs have ended.
+func runToCompletion(t *testing.T, w *simulation) {
 	t.Helper()
-	for end := w.now + 300*micros.Second; w.now < end && len(unfinished(w)) > 0 && len(w.broken) == 0; {
+	for end := w.now + 300*micros.Second; w.now < end && len(unfinished(w)) > 0 && len(w.violations) == 0; {
 		w.run(micros.Second)
 	}
-	if len(w.broken) > 0 {
-		t.Errorf("rules broken:\n%s", strings.Join(w.broken, "\n"))
+	if len(w.violations) > 0 {
+		t.Errorf("rules broken:\n%s", strings.Join(w.violations, "\n"))
 	}
 	if left := unfinished(w); len(left) > 0 {
 		t.Errorf("not done: %s", strings.Join(left, " "))
@@ -203,24 +203,24 @@
 	for name, d := range readDumps(t) {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			w := loadWorld(d)
-			w.beginOld(t, 1)
+			w := loadSimulation(d)
+			w.startWithProduction(t, 1)
 			for _, n := range w.nodes[1:] { // so that the old one leads first
-				n.downTo = w.now + 6*micros.Second
+				n.downUntil = w.now + 6*micros.Second
 			}
 			w.run(12 * micros.Second)
 			if w.leader() != 0 {
 				t.Fatal("the node of the production version does not lead")
 			}
-			w.nodes[0].version = present
-			w.crash(w.nodes[0], worldLife)
-			playOut(t, w)
+			w.nodes[0].version = currentVersion
+			w.crash(w.nodes[0], restartDelay)
+			runToCompletion(t, w)
 		})
 	}
 }
 
-// kindOfRecord is the part of a key that tells what is recorded.
-func kindOfRecord(key string) string {
+// recordKind is the part of a key that tells what is recorded.
+func recordKind(key string) string {
 	for _, p := range []string{record.MemberPrefix, record.TeamPrefix, record.BlockPrefix, record.ActiveJobPrefix, record.TerminalStatePrefix, record.CompletionSegmentPrefix, record.ScaleOutRequestPrefix, record.ReservationPrefix} {
 		if strings.HasPrefix(key, p) {
 			return p
@@ -232,13 +232,13 @@
 // kinds that a world of each version must have written, so that nothing goes unchecked.
 var recordKinds = []string{record.LeaderKey, record.MachineTypesKey, record.MemberPrefix, record.TeamPrefix, record.BlockPrefix, record.ActiveJobPrefix, record.TerminalStatePrefix, record.CompletionSegmentPrefix, record.ScaleOutRequestPrefix, record.ReservationPrefix}
 
-// TestDumpsHoldAll sees that the dumps hold every kind of record and message.
-func TestDumpsHoldAll(t *testing.T) {
+// TestDumpsCoverAllKinds sees that the dumps hold every kind of record and message.
+func TestDumpsCoverAllKinds(t *testing.T) {
 	seen, said := map[string]bool{}, ""
 	condemned := false
 	for _, d := range readDumps(t) {
 		for i, r := range d.Records {
-			seen[kindOfRecord(r.Key)] = true
+			seen[recordKind(r.Key)] = true
 			condemned = condemned || strings.Contains(d.Readings[i], `"condemned":true`)
 		}
 		said += strings.Join(d.Said, "\n")
@@ -262,10 +262,10 @@
 
 // differences collects what two versions read differently.
 type differences struct {
-	of    *production
+	name  *production
 	seen  map[string]bool
 	kinds map[string]bool
-	list  []string
+	found []string
 }
 
 func (f *differences) record(key string, value []byte) {
@@ -273,8 +273,8 @@
 	if f.seen[text] {
 		return
 	}
-	f.seen[text], f.kinds[kindOfRecord(key)] = true, true
-	f.compare(key, readingOf(key, value), f.of.reads(key, value))
+	f.seen[text], f.kinds[recordKind(key)] = true, true
+	f.compare(key, decodedText(key, value), f.name.decodeRecord(key, value))
 }
 
 func (f *differences) message(body []byte) {
@@ -282,18 +282,18 @@
 		return
 	}
 	f.seen[string(body)] = true
-	own := messageReading(body)
+	own := decodedMessage(body)
 	for _, m := range messageKinds {
 		if strings.Contains(own, `"`+m+`":`) {
 			f.kinds[m] = true
 		}
 	}
-	f.compare("a message", own, f.of.readsMessage(body))
+	f.compare("a message", own, f.name.decodeMessage(body))
 }
 
 func (f *differences) compare(what, own, old string) {
 	if own != old || strings.HasPrefix(own, "error") {
-		f.list = append(f.list, what+" means\n"+own+"\nand in production\n"+old)
+		f.found = append(f.found, what+" means\n"+own+"\nand in production\n"+old)
 	}
 }
 
@@ -301,13 +301,13 @@
 // says while plain jobs are all that there is: each record and message must mean to it what
 // it means to us.
 func TestProductionReads(t *testing.T) {
-	f := &differences{of: startProduction(t), seen: map[string]bool{}, kinds: map[string]bool{}}
-	playDumpScript(t, func(w *world) {
-		w.state.OnPut = func(key string, value []byte, _ uint64) { f.record(key, value) }
+	f := &differences{name: startProduction(t), seen: map[string]bool{}, kinds: map[string]bool{}}
+	runDumpScript(t, func(w *simulation) {
+		w.kvStore.OnPut = func(key string, value []byte, _ uint64) { f.record(key, value) }
 		w.onMessage = f.message
 	}, nil)
-	if len(f.list) > 0 {
-		t.Errorf("%d differences, the first:\n%s", len(f.list), f.list[0])
+	if len(f.found) > 0 {
+		t.Errorf("%d differences, the first:\n%s", len(f.found), f.found[0])
 	}
 	for _, k := range slices.Concat(recordKinds, messageKinds) {
 		if !f.kinds[k] {
@@ -316,11 +316,11 @@
 	}
 }
 
-// TestWaitingJobInProduction is what the version in production does with a job that waits
+// TestBlockedJobInProduction is what the version in production does with a job that waits
 // for others, should a node go back to it all the same: its description is kept where that
 // version does not look, so it starts nothing, goes on calling the job queued, and accepts it
 // no second time.
-func TestWaitingJobInProduction(t *testing.T) {
+func TestBlockedJobInProduction(t *testing.T) {
 	d := readDumps(t)["begun"]
 	id := "req-000099"
 	j := sched.Job{ID: id, Class: "work", Team: "red", Tasks: 2, Need: sched.NewResources(1, 0, 1), Image: "img", ImageGB: 1, Estimate: micros.Second}
@@ -328,16 +328,16 @@
 	d.Records = append(d.Records, fake.Record{Key: record.ActiveJobKey(id), Value: value, Version: d.Revision + 1})
 	d.Revision++
 	d.Jobs = append(d.Jobs, dumpJob{Job: j, Info: fake.TaskInfo{CPU: 1, Mem: 1, Run: micros.Second, Fetch: micros.Second, Tasks: 2}, Accepted: true})
-	w := loadWorld(d)
-	w.beginOld(t, len(w.nodes))
-	if old := w.production.reads(record.ActiveJobKey(id), value); !strings.HasPrefix(old, "error") {
+	w := loadSimulation(d)
+	w.startWithProduction(t, len(w.nodes))
+	if old := w.production.decodeRecord(record.ActiveJobKey(id), value); !strings.HasPrefix(old, "error") {
 		t.Errorf("the version in production reads %s", old)
 	}
 	w.run(60 * micros.Second)
 	statuses := map[string]int{}
 	for i := range w.nodes {
 		for _, r := range []Request{{Method: "GET", Path: "/api/jobs/" + id}, {Method: "POST", Path: "/api/jobs", Body: w.bodies[id]}} {
-			w.ask(w.nodes[i], r, 5*micros.Second, func(a Respond) {
+			w.sendRequest(w.nodes[i], r, 5*micros.Second, func(a Respond) {
 				var st wire.JobState
 				if wire.Decode(a.Body, &st) != nil {
 					st.Status = "unreadable"
@@ -350,10 +350,10 @@
 	if statuses["GET queued"] != len(w.nodes) || statuses["POST queued"] != len(w.nodes) {
 		t.Errorf("answers: %v", statuses)
 	}
-	if w.began[id] != 0 || w.running[wire.TaskName(id, 0)] != "" || w.done[wire.TaskName(id, 0)] {
+	if w.startedAt[id] != 0 || w.running[wire.TaskName(id, 0)] != "" || w.done[wire.TaskName(id, 0)] {
 		t.Error("it has started")
 	}
-	if len(w.broken) > 0 {
-		t.Errorf("rules broken:\n%s", strings.Join(w.broken, "\n"))
+	if len(w.violations) > 0 {
+		t.Errorf("rules broken:\n%s", strings.Join(w.violations, "\n"))
 	}
 }
--- a/controller/dump_write_test.go
+++ b/controller/dump_write_test.go
@@ -11,8 +11,8 @@
 	"tamarindlead/internal/wire"
 )
 
-// mostMessages is how many messages of each kind a dump holds.
-const mostMessages = 6
+// maxMessages is how many messages of each kind a dump holds.
+const maxMessages = 6
 
 // TestDump writes the dumps of production/*.cbor. See production/README.md.
 func TestDump(t *testing.T) {
@@ -22,45 +22,45 @@
 	}
 	var bodies [][]byte
 	count := map[string]int{}
-	playDumpScript(t, func(w *world) {
+	runDumpScript(t, func(w *simulation) {
 		bodies, count = nil, map[string]int{}
-		f := &differences{of: w.production, seen: map[string]bool{}}
+		f := &differences{name: w.production, seen: map[string]bool{}}
 		w.onMessage = func(body []byte) {
 			f.kinds = map[string]bool{}
 			f.message(body)
 			for kind := range f.kinds {
-				if kind == "beat" && bytes.Contains([]byte(messageReading(body)), []byte(`"idle"`)) {
+				if kind == "beat" && bytes.Contains([]byte(decodedMessage(body)), []byte(`"idle"`)) {
 					kind = "beat of an owner"
 				}
-				if count[kind]++; count[kind] <= mostMessages {
+				if count[kind]++; count[kind] <= maxMessages {
 					bodies = append(bodies, body)
 				}
 			}
 		}
-	}, func(w *world, name string) {
-		d := w.save()
+	}, func(w *simulation, name string) {
+		d := w.writeDump()
 		d.Commit, d.Messages = commit, bodies
 		for _, m := range bodies {
-			d.Said = append(d.Said, w.production.readsMessage(m))
+			d.Said = append(d.Said, w.production.decodeMessage(m))
 		}
 		if err := os.WriteFile("production/"+name+".cbor", record.Compress(wire.Encode(toProduction(d))), 0o644); err != nil {
 			t.Fatal(err)
 		}
 		kinds := map[string]int{}
 		for _, r := range d.Records {
-			kinds[kindOfRecord(r.Key)]++
+			kinds[recordKind(r.Key)]++
 		}
 		t.Logf("%s: %v %v", name, kinds, count)
 	})
 }
 
-// save takes a dump; the messages come from elsewhere.
-func (w *world) save() *dump {
+// writeDump takes a dump; the messages come from elsewhere.
+func (w *simulation) writeDump() *dump {
 	d := &dump{Settings: *w.cfg, Now: w.now, Types: w.cloud.Types, Capacity: w.cloud.Capacity, Done: sortedKeys(w.done)}
-	d.Records, d.Revision = w.state.Records()
+	d.Records, d.Revision = w.kvStore.Records()
 	d.Grants, d.Rented = w.cloud.Grants()
 	for _, r := range d.Records {
-		d.Readings = append(d.Readings, w.production.reads(r.Key, r.Value))
+		d.Readings = append(d.Readings, w.production.decodeRecord(r.Key, r.Value))
 	}
 	for _, name := range w.cloud.Names() {
 		m := dumpMachine{CloudMachine: *w.cloud.Machines[name]}
@@ -74,7 +74,7 @@
 		d.Machines = append(d.Machines, m)
 	}
 	for _, id := range sortedKeys(w.submitted) {
-		d.Jobs = append(d.Jobs, dumpJob{*w.submitted[id], w.infos[id], w.accepted[id], w.wantsEnd[id], w.told[id], w.cancelled[id]})
+		d.Jobs = append(d.Jobs, dumpJob{*w.submitted[id], w.infos[id], w.accepted[id], w.cancelRequested[id], w.reportedTerminal[id], w.cancelled[id]})
 	}
 	return d
 }
--- a/controller/effects_test.go
+++ b/controller/effects_test.go
@@ -27,7 +27,7 @@
 		if d.Cmd != "play" {
 			d.Fatalf(t, "unknown command %s", d.Cmd)
 		}
-		return playRecorded(t, arg(t, d, "scenario", "")).String()
+		return runRecorded(t, arg(t, d, "scenario", "")).String()
 	})
 }
 
@@ -35,8 +35,8 @@
 func TestRecordedEffectsDiffer(t *testing.T) {
 	base := []Effect{Call{ID: 1, Addr: "state", Method: "GET", Target: "/kv/types", Timeout: 5, MaxBody: 6}, Respond{ID: 2, Status: 200, Body: []byte("x")}}
 	digest := func(ev Event, effects []Effect) string {
-		r := newEffectRecord()
-		r.note(0, micros.Second, ev, effects)
+		r := newEffectDigest()
+		r.add(0, micros.Second, ev, effects)
 		return r.String()
 	}
 	same := digest(Tick{}, base)
@@ -65,21 +65,21 @@
 	}
 }
 
-// playRecorded plays a scenario and digests what its nodes took and returned.
-func playRecorded(t *testing.T, scenario string) *effectRecord {
-	record := newEffectRecord()
-	playScenario(t, filepath.Join("testdata", scenario+".txt"), func(*datadriven.TestData) {}, func(w *world) {
-		w.onEffects = func(n *simNode, ev Event, effects []Effect) { record.note(n.index, w.now-micros.Hour, ev, effects) }
+// runRecorded plays a scenario and digests what its nodes took and returned.
+func runRecorded(t *testing.T, scenario string) *effectDigest {
+	record := newEffectDigest()
+	runScenario(t, filepath.Join("testdata", scenario+".txt"), func(*datadriven.TestData) {}, func(w *simulation) {
+		w.onEffects = func(n *simNode, ev Event, effects []Effect) { record.add(n.index, w.now-micros.Hour, ev, effects) }
 	})
 	return record
 }
 
-// recordedEvery is how much simulated time one line of a record covers: the first line that
+// digestInterval is how much simulated time one line of a record covers: the first line that
 // differs tells about when the behaviour does.
-const recordedEvery = 10 * micros.Second
+const digestInterval = 10 * micros.Second
 
-// effectRecord digests events and effects. Each line holds the digest of all up to its time.
-type effectRecord struct {
+// effectDigest digests events and effects. Each line holds the digest of all up to its time.
+type effectDigest struct {
 	sum     hash.Hash64
 	events  int
 	effects int
@@ -87,14 +87,14 @@
 	lines   []string
 }
 
-func newEffectRecord() *effectRecord {
-	return &effectRecord{sum: fnv.New64a(), next: recordedEvery}
+func newEffectDigest() *effectDigest {
+	return &effectDigest{sum: fnv.New64a(), next: digestInterval}
 }
 
-func (r *effectRecord) note(node int, now micros.Micros, ev Event, effects []Effect) {
+func (r *effectDigest) add(node int, now micros.Micros, ev Event, effects []Effect) {
 	for now >= r.next {
 		r.line()
-		r.next += recordedEvery
+		r.next += digestInterval
 	}
 	r.events++
 	r.effects += len(effects)
@@ -154,12 +154,12 @@
 	return ordered
 }
 
-func (r *effectRecord) line() {
+func (r *effectDigest) line() {
 	r.lines = append(r.lines, fmt.Sprintf("%ds events=%d effects=%d digest=%s",
 		r.next/micros.Second, r.events, r.effects, hex.EncodeToString(r.sum.Sum(nil))))
 }
 
-func (r *effectRecord) String() string {
+func (r *effectDigest) String() string {
 	r.line()
 	return strings.Join(r.lines, "\n") + "\n"
 }
--- a/controller/fault_pairs_faults_test.go
+++ b/controller/fault_pairs_faults_test.go
@@ -11,19 +11,19 @@
 	"tamarindlead/micros"
 )
 
-// drawTroubles draws two troubles or three, none twice. In a third of the runs the state
+// generateFaults draws two troubles or three, none twice. In a third of the runs the state
 // service goes down second: what a user was told just before must reach the others all the
 // same.
-func (p *pairs) drawTroubles() []pairTrouble {
+func (p *faultPairRun) generateFaults() []pairFault {
 	n := 2
 	if p.rng.IntN(3) == 0 {
 		n++
 	}
-	var kinds []pairTrouble
+	var kinds []pairFault
 	outage := p.rng.IntN(3) == 0
 	for len(kinds) < n {
-		k := pairTable[p.rng.IntN(len(pairTable))]
-		if slices.ContainsFunc(kinds, func(o pairTrouble) bool { return o.name == k.name }) ||
+		k := pairFaults[p.rng.IntN(len(pairFaults))]
+		if slices.ContainsFunc(kinds, func(o pairFault) bool { return o.name == k.name }) ||
 			outage && len(kinds) == 1 && !k.outage {
 			continue
 		}
@@ -32,43 +32,43 @@
 	return kinds
 }
 
-// unevenStream is the source of what drawUnevenAnswers draws, so that the troubles of a seed stay
+// responseDelayStream is the source of what generateResponseDelays draws, so that the troubles of a seed stay
 // the same.
-const unevenStream = 9
+const responseDelayStream = 9
 
-// drawUnevenAnswers lets some answers of the state service, or of other controllers, or both come
+// generateResponseDelays lets some answers of the state service, or of other controllers, or both come
 // late in three of four runs, until the troubles are over.
-func (p *pairs) drawUnevenAnswers() {
-	rng := rand.New(rand.NewPCG(p.seed, unevenStream))
+func (p *faultPairRun) generateResponseDelays() {
+	rng := rand.New(rand.NewPCG(p.seed, responseDelayStream))
 	kind := rng.IntN(4)
-	set := func(name string, u *unevenDelay) {
+	set := func(name string, u *responseDelay) {
 		u.share = 0.1 + 0.4*rng.Float64()
-		u.most = micros.FromMillis(50 + 450*rng.Float64())
-		p.note("%s of the %s come late, each by up to %v", fmt.Sprintf("%.0f%%", 100*u.share), name, u.most)
+		u.maxDelay = micros.FromMillis(50 + 450*rng.Float64())
+		p.logf("%s of the %s come late, each by up to %v", fmt.Sprintf("%.0f%%", 100*u.share), name, u.maxDelay)
 	}
 	if kind&1 != 0 {
-		set("answers of the state service", &p.w.faults.unevenState)
+		set("answers of the state service", &p.w.kvFaults.kvResponseDelay)
 	}
 	if kind&2 != 0 {
-		set("answers of other controllers", &p.w.faults.unevenPeers)
+		set("answers of other controllers", &p.w.kvFaults.peerResponseDelay)
 	}
 }
 
-// victim picks a node: mostly one that owns, and of those the owner of a job that is to be
+// pickNode picks a node: mostly one that owns, and of those the owner of a job that is to be
 // cancelled.
-func (p *pairs) victim() *simNode {
+func (p *faultPairRun) pickNode() *simNode {
 	w := p.w
 	var owners, likely []*simNode
 	for _, n := range w.nodes {
-		if by, _ := n.owns(); by == nil {
+		if by, _ := n.ownership(); by == nil {
 			continue
 		}
 		owners = append(owners, n)
-		if n.old != nil {
+		if n.productionCore != nil {
 			continue
 		}
 		for id := range n.core.owner.jobs {
-			if w.wantsEnd[id] {
+			if w.cancelRequested[id] {
 				likely = append(likely, n)
 				break
 			}
@@ -84,8 +84,8 @@
 	return pick[p.rng.IntN(len(pick))]
 }
 
-// machinesHit picks machines: mostly those of jobs that are cancelled or are to be.
-func (p *pairs) machinesHit() []*fake.Worker {
+// pickMachines picks machines: mostly those of jobs that are cancelled or are to be.
+func (p *faultPairRun) pickMachines() []*fake.Worker {
 	w := p.w
 	var all, likely []*fake.Worker
 	for _, name := range w.workerNames() {
@@ -95,7 +95,7 @@
 		}
 		all = append(all, k)
 		for task := range k.Tasks {
-			if id, _, _ := wire.SplitTaskName(task); w.wantsEnd[id] && k.Live(task) {
+			if id, _, _ := wire.SplitTaskName(task); w.cancelRequested[id] && k.Live(task) {
 				likely = append(likely, k)
 				break
 			}
@@ -108,38 +108,38 @@
 	return all[:min(len(all), 1+p.rng.IntN(4))]
 }
 
-// pairTrouble is a kind of trouble. It begins, tells about itself, and how long it lasts
+// pairFault is a kind of trouble. It begins, tells about itself, and how long it lasts
 // and how it ends.
-type pairTrouble struct {
+type pairFault struct {
 	name   string
-	begin  func(p *pairs) (about string, lasts micros.Micros, end func())
+	begin  func(p *faultPairRun) (about string, lasts micros.Micros, end func())
 	outage bool // of the state service
 }
 
-func (p *pairs) begin(kind pairTrouble) {
+func (p *faultPairRun) begin(kind pairFault) {
 	about, lasts, end := kind.begin(p)
-	p.note("%s %s for %v", kind.name, about, lasts)
+	p.logf("%s %s for %v", kind.name, about, lasts)
 	p.w.after(lasts, func() {
 		if end != nil {
 			end()
 		}
-		p.troubles--
+		p.openFaults--
 	})
 }
 
-// nodeTrouble is one that befalls a node.
-func nodeTrouble(name string, from, to float64, set func(w *world, n *simNode, on bool)) pairTrouble {
-	return pairTrouble{name: name, begin: func(p *pairs) (string, micros.Micros, func()) {
-		n := p.victim()
+// newNodeFault is one that befalls a node.
+func newNodeFault(name string, from, to float64, set func(w *simulation, n *simNode, on bool)) pairFault {
+	return pairFault{name: name, begin: func(p *faultPairRun) (string, micros.Micros, func()) {
+		n := p.pickNode()
 		set(p.w, n, true)
 		return nodeName(n.index), p.seconds(from, to), func() { set(p.w, n, false) }
 	}}
 }
 
-// machineTrouble is one that befalls machines.
-func machineTrouble(name string, from, to float64, set func(k *fake.Worker, on bool)) pairTrouble {
-	return pairTrouble{name: name, begin: func(p *pairs) (string, micros.Micros, func()) {
-		list := p.machinesHit()
+// newMachineFault is one that befalls machines.
+func newMachineFault(name string, from, to float64, set func(k *fake.Worker, on bool)) pairFault {
+	return pairFault{name: name, begin: func(p *faultPairRun) (string, micros.Micros, func()) {
+		list := p.pickMachines()
 		var names []string
 		for _, k := range list {
 			set(k, true)
@@ -153,33 +153,33 @@
 	}}
 }
 
-// worldTrouble is one that befalls all.
-func worldTrouble(name string, from, to float64, set func(w *world, on bool)) pairTrouble {
-	return pairTrouble{name: name, begin: func(p *pairs) (string, micros.Micros, func()) {
+// newClusterFault is one that befalls all.
+func newClusterFault(name string, from, to float64, set func(w *simulation, on bool)) pairFault {
+	return pairFault{name: name, begin: func(p *faultPairRun) (string, micros.Micros, func()) {
 		set(p.w, true)
 		return "", p.seconds(from, to), func() { set(p.w, false) }
 	}}
 }
 
-// stateOutage lets the state service refuse everybody.
-func stateOutage(name string, from, to float64) pairTrouble {
-	t := worldTrouble(name, from, to, func(w *world, on bool) { w.state.Unavailable = on })
+// newKVOutage lets the state service refuse everybody.
+func newKVOutage(name string, from, to float64) pairFault {
+	t := newClusterFault(name, from, to, func(w *simulation, on bool) { w.kvStore.Unavailable = on })
 	t.outage = true
 	return t
 }
 
 // crashTime is how long a crashed node stays away.
-func (p *pairs) crashTime() micros.Micros {
-	return []micros.Micros{micros.Second / 5, worldLife, 10 * micros.Second}[p.rng.IntN(3)]
+func (p *faultPairRun) crashTime() micros.Micros {
+	return []micros.Micros{micros.Second / 5, restartDelay, 10 * micros.Second}[p.rng.IntN(3)]
 }
 
-var pairTable = []pairTrouble{
-	{name: "node crashes", begin: func(p *pairs) (string, micros.Micros, func()) {
-		n, away := p.victim(), p.crashTime()
+var pairFaults = []pairFault{
+	{name: "node crashes", begin: func(p *faultPairRun) (string, micros.Micros, func()) {
+		n, away := p.pickNode(), p.crashTime()
 		p.w.crash(n, away)
 		return nodeName(n.index), away, nil
 	}},
-	{name: "all nodes crash", begin: func(p *pairs) (string, micros.Micros, func()) {
+	{name: "all nodes crash", begin: func(p *faultPairRun) (string, micros.Micros, func()) {
 		longest := micros.Micros(0)
 		for _, n := range p.w.nodes {
 			away := p.crashTime()
@@ -191,102 +191,102 @@
 		}
 		return "", longest, nil
 	}},
-	{name: "leaders crash one after the other", begin: func(p *pairs) (string, micros.Micros, func()) {
+	{name: "leaders crash one after the other", begin: func(p *faultPairRun) (string, micros.Micros, func()) {
 		over := p.w.now + 30*micros.Second
 		var again func()
 		again = func() {
 			if p.w.now < over {
-				p.w.crash(p.victim(), p.crashTime())
+				p.w.crash(p.pickNode(), p.crashTime())
 				p.w.after(p.seconds(1, 8), again)
 			}
 		}
 		again()
 		return "", 40 * micros.Second, nil
 	}},
-	{name: "an owner crashes as a cancellation is told", begin: func(p *pairs) (string, micros.Micros, func()) {
-		p.onTold = func(id string) {
-			n := p.victim()
-			p.note("%s is told to be cancelled: %s crashes", id, nodeName(n.index))
+	{name: "an owner crashes as a cancellation is told", begin: func(p *faultPairRun) (string, micros.Micros, func()) {
+		p.onCancelAcknowledged = func(id string) {
+			n := p.pickNode()
+			p.logf("%s is told to be cancelled: %s crashes", id, nodeName(n.index))
 			p.w.crash(n, p.crashTime())
 		}
-		return "", 30 * micros.Second, func() { p.onTold = nil }
+		return "", 30 * micros.Second, func() { p.onCancelAcknowledged = nil }
 	}},
-	{name: "an owner is refused by the state service as a cancellation is told", begin: func(p *pairs) (string, micros.Micros, func()) {
+	{name: "an owner is refused by the state service as a cancellation is told", begin: func(p *faultPairRun) (string, micros.Micros, func()) {
 		refused := ""
-		p.onTold = func(id string) {
-			refused = nodeName(p.victim().index)
-			p.note("%s is told to be cancelled: %s is refused", id, refused)
-			p.w.state.RefusedCallers[refused] = true
+		p.onCancelAcknowledged = func(id string) {
+			refused = nodeName(p.pickNode().index)
+			p.logf("%s is told to be cancelled: %s is refused", id, refused)
+			p.w.kvStore.RefusedCallers[refused] = true
 		}
-		return "", 30 * micros.Second, func() { p.onTold = nil; delete(p.w.state.RefusedCallers, refused) }
+		return "", 30 * micros.Second, func() { p.onCancelAcknowledged = nil; delete(p.w.kvStore.RefusedCallers, refused) }
 	}},
-	nodeTrouble("node cut off", 2, 30, func(_ *world, n *simNode, on bool) { n.cut = on }),
-	nodeTrouble("node cut off, its messages held", 2, 30, func(_ *world, n *simNode, on bool) { n.cut, n.hold = on, on }),
-	nodeTrouble("workers and node do not reach each other", 5, 30, func(_ *world, n *simNode, on bool) { n.deaf = on }),
-	nodeTrouble("node reaches neither state service nor siblings", 5, 40, func(_ *world, n *simNode, on bool) { n.alone = on }),
-	nodeTrouble("state service refuses node", 3, 25, func(w *world, n *simNode, on bool) {
+	newNodeFault("node cut off", 2, 30, func(_ *simulation, n *simNode, on bool) { n.partitioned = on }),
+	newNodeFault("node cut off, its messages held", 2, 30, func(_ *simulation, n *simNode, on bool) { n.partitioned, n.delaysOutbound = on, on }),
+	newNodeFault("workers and node do not reach each other", 5, 30, func(_ *simulation, n *simNode, on bool) { n.workersUnreachable = on }),
+	newNodeFault("node reaches neither state service nor siblings", 5, 40, func(_ *simulation, n *simNode, on bool) { n.onlyWorkersReachable = on }),
+	newNodeFault("state service refuses node", 3, 25, func(w *simulation, n *simNode, on bool) {
 		if on {
-			w.state.RefusedCallers[nodeName(n.index)] = true
+			w.kvStore.RefusedCallers[nodeName(n.index)] = true
 		} else {
-			delete(w.state.RefusedCallers, nodeName(n.index))
+			delete(w.kvStore.RefusedCallers, nodeName(n.index))
 		}
 	}),
-	stateOutage("state service down", 5, 15),
-	stateOutage("state service down for long", 50, 70), // longer than CancelIn
-	worldTrouble("state service slow", 15, 40, func(w *world, on bool) {
-		w.faults.slow = 0
+	newKVOutage("state service down", 5, 15),
+	newKVOutage("state service down for long", 50, 70), // longer than CancelIn
+	newClusterFault("state service slow", 15, 40, func(w *simulation, on bool) {
+		w.kvFaults.responseDelay = 0
 		if on {
-			w.faults.slow = 600 * micros.Millisecond
+			w.kvFaults.responseDelay = 600 * micros.Millisecond
 		}
 	}),
-	{name: "zone cut off", begin: func(p *pairs) (string, micros.Micros, func()) {
-		p.w.dark = p.w.cfg.Zones[p.rng.IntN(len(p.w.cfg.Zones))]
-		return p.w.dark, p.seconds(8, 45), func() { p.w.dark = "" }
+	{name: "zone cut off", begin: func(p *faultPairRun) (string, micros.Micros, func()) {
+		p.w.partitionedZone = p.w.cfg.Zones[p.rng.IntN(len(p.w.cfg.Zones))]
+		return p.w.partitionedZone, p.seconds(8, 45), func() { p.w.partitionedZone = "" }
 	}},
-	machineTrouble("machines hang", 3, 30, func(k *fake.Worker, on bool) { k.Hung = on }),
-	machineTrouble("machines hang for long", 50, 70, func(k *fake.Worker, on bool) { k.Hung = on }),
-	machineTrouble("machines cut off", 5, 40, func(k *fake.Worker, on bool) { k.Partitioned = on }),
-	machineTrouble("machines deaf", 5, 30, func(k *fake.Worker, on bool) { k.InboundBlocked = on }),
-	{name: "machines taken without notice", begin: func(p *pairs) (string, micros.Micros, func()) {
+	newMachineFault("machines hang", 3, 30, func(k *fake.Worker, on bool) { k.Hung = on }),
+	newMachineFault("machines hang for long", 50, 70, func(k *fake.Worker, on bool) { k.Hung = on }),
+	newMachineFault("machines cut off", 5, 40, func(k *fake.Worker, on bool) { k.Partitioned = on }),
+	newMachineFault("machines deaf", 5, 30, func(k *fake.Worker, on bool) { k.InboundBlocked = on }),
+	{name: "machines taken without notice", begin: func(p *faultPairRun) (string, micros.Micros, func()) {
 		names := ""
-		for _, k := range p.machinesHit() {
+		for _, k := range p.pickMachines() {
 			p.w.cloud.Reclaim(k.Machine.Name)
 			names += " " + k.Machine.Name
 		}
-		p.w.noteGone()
+		p.w.forgetDeletedMachines()
 		return names, 0, nil
 	}},
-	worldTrouble("copies of reports come late", 20, 50, func(w *world, on bool) {
-		w.copies, w.copyBy = 0, 25*micros.Second
+	newClusterFault("copies of reports come late", 20, 50, func(w *simulation, on bool) {
+		w.duplicateHeartbeatShare, w.maxCopyDelay = 0, 25*micros.Second
 		if on {
-			w.copies = 0.2
+			w.duplicateHeartbeatShare = 0.2
 		}
 	}),
-	worldTrouble("messages lost, late and twice", 15, 40, func(w *world, on bool) {
-		w.loss, w.late, w.dup = 0, 0, 0
+	newClusterFault("messages lost, late and twice", 15, 40, func(w *simulation, on bool) {
+		w.lossRate, w.lateRequestRate, w.duplicateRequestRate = 0, 0, 0
 		if on {
-			w.loss, w.late, w.dup = 0.03, 0.03, 0.03
+			w.lossRate, w.lateRequestRate, w.duplicateRequestRate = 0.03, 0.03, 0.03
 		}
 	}),
-	worldTrouble("messages between controllers lost", 15, 50, func(w *world, on bool) {
-		w.faults.peerShare = 0
+	newClusterFault("messages between controllers lost", 15, 50, func(w *simulation, on bool) {
+		w.kvFaults.peerLossRate = 0
 		if on {
-			w.faults.peerShare = 0.7
+			w.kvFaults.peerLossRate = 0.7
 		}
 	}),
-	{name: "one-task jobs come four a second, a quarter cancelled", begin: func(p *pairs) (string, micros.Micros, func()) {
+	{name: "one-task jobs come four a second, a quarter cancelled", begin: func(p *faultPairRun) (string, micros.Micros, func()) {
 		for i := range 60 + p.rng.IntN(60) {
-			p.drawSmall(1000+i, micros.Micros(i)*micros.Second/4)
+			p.generateSmallJob(1000+i, micros.Micros(i)*micros.Second/4)
 		}
 		return "", 30 * micros.Second, nil
 	}},
-	{name: "jobs are cancelled as they end", begin: func(p *pairs) (string, micros.Micros, func()) {
+	{name: "jobs are cancelled as they end", begin: func(p *faultPairRun) (string, micros.Micros, func()) {
 		over := p.w.now + p.seconds(20, 50)
-		p.cancelEnding(over, map[string]bool{})
+		p.cancelFinishingJobs(over, map[string]bool{})
 		return "", over - p.w.now, nil
 	}},
-	worldTrouble("cloud down", 10, 40, func(w *world, on bool) { w.cloud.Unavailable = on }),
-	worldTrouble("the next machines never come up", 10, 10, func(w *world, on bool) {
+	newClusterFault("cloud down", 10, 40, func(w *simulation, on bool) { w.cloud.Unavailable = on }),
+	newClusterFault("the next machines never come up", 10, 10, func(w *simulation, on bool) {
 		if on {
 			w.cloud.FailedBoots = 3
 		}
--- a/controller/fault_pairs_jobs_test.go
+++ b/controller/fault_pairs_jobs_test.go
@@ -11,9 +11,9 @@
 	"tamarindlead/sched"
 )
 
-// drawJob draws a job, when it comes, and whether and when it is cancelled: often between
+// generateJob draws a job, when it comes, and whether and when it is cancelled: often between
 // the beginnings of two troubles.
-func (p *pairs) drawJob(i int, first, second micros.Micros) {
+func (p *faultPairRun) generateJob(i int, first, second micros.Micros) {
 	r, w := p.rng, p.w
 	id := fmt.Sprintf("req-%06d", i)
 	j := &sched.Job{
@@ -43,7 +43,7 @@
 	cancelAt, atOnce := micros.Micros(0), false
 	if r.IntN(3) == 0 {
 		kind := r.IntN(5)
-		if p.gap {
+		if p.outageSecond {
 			kind = r.IntN(10)
 		}
 		switch kind {
@@ -81,14 +81,14 @@
 		text += fmt.Sprintf(", cancelled at %v", cancelAt)
 		w.after(cancelAt, func() { p.cancel(id) })
 	}
-	p.note("%s", text)
-	w.after(at, func() { w.asked[id] = w.now; p.submit(id, atOnce) })
+	p.logf("%s", text)
+	w.after(at, func() { w.submittedAt[id] = w.now; p.submit(id, atOnce) })
 	w.after(at+2*micros.Second, func() { p.poll(id) })
 }
 
-// checkWaiting finds jobs that have waited for long although there was room for them all
+// checkSchedulingDelay finds jobs that have waited for long although there was room for them all
 // the while.
-func (p *pairs) checkWaiting() {
+func (p *faultPairRun) checkSchedulingDelay() {
 	w := p.w
 	used := map[string]float64{}
 	on := map[string][]string{} // job -> zones of its tasks
@@ -98,7 +98,7 @@
 		on[id] = append(on[id], w.cloud.Machines[name].Zone)
 	}
 	seen := map[string]bool{}
-	for _, id := range p.open() {
+	for _, id := range p.openJobs() {
 		j := w.submitted[id]
 		pending := j.Tasks - len(on[id])
 		for i := range j.Tasks {
@@ -107,7 +107,7 @@
 			}
 		}
 		team, _ := w.cfg.Team(j.Team)
-		if !w.accepted[id] || w.wantsEnd[id] || w.waitsForOthers(id) || pending <= 0 || j.Gang && len(on[id]) > 0 {
+		if !w.accepted[id] || w.cancelRequested[id] || w.isBlocked(id) || pending <= 0 || j.Gang && len(on[id]) > 0 {
 			continue
 		}
 		need := j.Need.CPUs()
@@ -120,7 +120,7 @@
 		room, inZone := 0, map[string]int{}
 		for _, name := range w.workerNames() {
 			k := w.workers[name]
-			n := p.roomOn(k, j)
+			n := p.tasksThatFit(k, j)
 			if j.OneZone && len(on[id]) > 0 && on[id][0] != k.Machine.Zone {
 				n = 0
 			}
@@ -139,42 +139,42 @@
 			inZone[k.Machine.Zone] += n
 			room += n
 			if !j.Gang {
-				p.waits(seen, id, name)
+				p.recordSchedulableWait(seen, id, name)
 			}
 		}
 		if j.OneZone {
 			room = slices.Max(append(slices.Collect(maps.Values(inZone)), 0))
 		}
 		if j.Gang && room >= j.Tasks {
-			p.waits(seen, id, "")
+			p.recordSchedulableWait(seen, id, "")
 		}
 	}
-	maps.DeleteFunc(p.fits, func(key string, _ micros.Micros) bool { return !seen[key] })
+	maps.DeleteFunc(p.fitsSince, func(key string, _ micros.Micros) bool { return !seen[key] })
 }
 
-// roomOn tells how many tasks of a job fit on a machine now.
-func (p *pairs) roomOn(k *fake.Worker, j *sched.Job) int {
+// tasksThatFit tells how many tasks of a job fit on a machine now.
+func (p *faultPairRun) tasksThatFit(k *fake.Worker, j *sched.Job) int {
 	w := p.w
 	m := k.Machine
 	if m.Gone || k.Hung || k.Partitioned || k.InboundBlocked || k.FailsTasks || k.Notice != nil || !j.Allows(m.Type, m.Zone, m.Spot) {
 		return 0
 	}
-	return roomOn(k, w.infos[j.ID])
+	return freeTaskSlots(k, w.infos[j.ID])
 }
 
-func (p *pairs) waits(seen map[string]bool, id, name string) {
+func (p *faultPairRun) recordSchedulableWait(seen map[string]bool, id, name string) {
 	key := id + " " + name
 	seen[key] = true
-	if _, ok := p.fits[key]; !ok {
-		p.fits[key] = p.w.now
+	if _, ok := p.fitsSince[key]; !ok {
+		p.fitsSince[key] = p.w.now
 	}
-	if p.w.now-p.fits[key] > pairsWait {
-		p.w.breakRule("left waiting: %s, with room for it on %q", id, name)
+	if p.w.now-p.fitsSince[key] > maxSchedulingDelay {
+		p.w.reportViolation("left waiting: %s, with room for it on %q", id, name)
 	}
 }
 
-// drawSmall draws a job of one task that comes after some time.
-func (p *pairs) drawSmall(i int, in micros.Micros) {
+// generateSmallJob draws a job of one task that comes after some time.
+func (p *faultPairRun) generateSmallJob(i int, in micros.Micros) {
 	w, id := p.w, fmt.Sprintf("req-%06d", i)
 	j := &sched.Job{
 		ID: id, Class: "small", Team: []string{"red", "blue"}[p.rng.IntN(2)], Priority: sched.Priority(p.rng.IntN(4)),
@@ -182,7 +182,7 @@
 	}
 	w.submitted[id], w.bodies[id] = j, wire.Encode(wire.FromJob(j))
 	w.infos[id] = fake.TaskInfo{CPU: 1, Mem: 1, Run: p.seconds(1, 5), Fetch: micros.Second, Tasks: 1}
-	w.after(in, func() { w.asked[id] = w.now; p.submit(id, false) })
+	w.after(in, func() { w.submittedAt[id] = w.now; p.submit(id, false) })
 	w.after(in+2*micros.Second, func() { p.poll(id) })
 	if p.rng.IntN(4) == 0 {
 		w.after(in+p.seconds(0, 6), func() { p.cancel(id) })
--- a/controller/fault_pairs_pipelines_test.go
+++ b/controller/fault_pairs_pipelines_test.go
@@ -10,9 +10,9 @@
 	"tamarindlead/sched"
 )
 
-// drawPipelines adds pipelines to a drawn run: chains, diamonds and fans, some with a job
+// generatePipelines adds pipelines to a drawn run: chains, diamonds and fans, some with a job
 // cancelled as the troubles meet, some whose last job comes when the others are over.
-func (p *pairs) drawPipelines(seed uint64, first, second micros.Micros) {
+func (p *faultPairRun) generatePipelines(seed uint64, first, second micros.Micros) {
 	r := rand.New(rand.NewPCG(seed, 5))
 	seconds := func(from, to float64) micros.Micros { return micros.FromSeconds(from + r.Float64()*(to-from)) }
 	next := 100
@@ -23,7 +23,7 @@
 			id := jobName(next)
 			next++
 			made = append(made, id)
-			p.drawStage(r, id, at, awaits)
+			p.generateStage(r, id, at, awaits)
 			return id
 		}
 		shape := ""
@@ -68,32 +68,32 @@
 				when = at + seconds(0, 60)
 			case 1: // as it ends
 				text += fmt.Sprintf(", %s cancelled as it ends", id)
-				p.w.pipelines.atDone[id] = append(p.w.pipelines.atDone[id], func() { p.cancel(id) })
+				p.w.pipelines.onDone[id] = append(p.w.pipelines.onDone[id], func() { p.cancel(id) })
 				continue
 			}
 			text += fmt.Sprintf(", %s cancelled at %v", id, when)
 			p.w.after(when, func() { p.cancel(id) })
 		}
-		p.note("%s", text)
+		p.logf("%s", text)
 	}
-	p.drawBadAwaits(r)
+	p.generateInvalidDependencies(r)
 }
 
-// drawBadAwaits submits a job that awaits one that nobody submitted, and one whose list cannot
+// generateInvalidDependencies submits a job that awaits one that nobody submitted, and one whose list cannot
 // be read, in the middle of the troubles.
-func (p *pairs) drawBadAwaits(r *rand.Rand) {
+func (p *faultPairRun) generateInvalidDependencies(r *rand.Rand) {
 	w := p.w
 	for i, awaits := range []any{[]string{"req-000100", "req-000950"}, []any{"req-000100", nil}} {
 		id := jobName(910 + i)
 		j := &sched.Job{ID: id, Class: "stage", Team: "red", Tasks: 1, Need: sched.NewResources(1, 0, 1), Image: "img", ImageGB: 1}
-		p.bad[id] = []int{422, 400}[i]
+		p.invalidJobs[id] = []int{422, 400}[i]
 		w.submitted[id], w.bodies[id] = j, withField(wire.Encode(wire.FromJob(j)), "awaits", awaits)
-		w.after(pairsLead+micros.FromSeconds(30*r.Float64()), func() { w.asked[id] = w.now; p.submit(id, false) })
+		w.after(faultPairsLeadTime+micros.FromSeconds(30*r.Float64()), func() { w.submittedAt[id] = w.now; p.submit(id, false) })
 	}
 }
 
-// drawStage draws one job of a pipeline.
-func (p *pairs) drawStage(r *rand.Rand, id string, at micros.Micros, awaits []string) {
+// generateStage draws one job of a pipeline.
+func (p *faultPairRun) generateStage(r *rand.Rand, id string, at micros.Micros, awaits []string) {
 	w := p.w
 	run := micros.FromSeconds(2 + r.Float64()*10)
 	if len(awaits) == 0 && r.IntN(3) == 0 {
@@ -115,14 +115,14 @@
 	w.infos[id] = fake.TaskInfo{
 		CPU: 1, Mem: 1, Run: run, Fetch: micros.Second, Save: j.CheckpointDuration, Saves: j.CheckpointInterval > 0, Gang: j.Gang, Tasks: j.Tasks,
 	}
-	w.noteAwaits(id, awaits)
+	w.setDependencies(id, awaits)
 	when := w.whenAccepted
 	if len(awaits) > 0 && r.IntN(6) == 0 {
-		when = w.whenOver
+		when = w.whenTerminal
 	}
 	w.after(at, func() {
 		when(awaits, func() {
-			w.asked[id] = w.now
+			w.submittedAt[id] = w.now
 			p.submit(id, false)
 			w.after(2*micros.Second, func() { p.poll(id) })
 		})
--- a/controller/fault_pairs_users_test.go
+++ b/controller/fault_pairs_users_test.go
@@ -8,9 +8,9 @@
 	"tamarindlead/sched"
 )
 
-// drawBad submits jobs that can never run or lack a field in the middle of the troubles:
+// generateInvalidJobs submits jobs that can never run or lack a field in the middle of the troubles:
 // they may be refused for the moment or for good, in their way, and never accepted.
-func (p *pairs) drawBad() {
+func (p *faultPairRun) generateInvalidJobs() {
 	w := p.w
 	for i, status := range []int{422, 422, 400} {
 		id := fmt.Sprintf("req-%06d", 900+i)
@@ -23,79 +23,79 @@
 		case 2:
 			j.Tasks = 0
 		}
-		p.bad[id] = status
+		p.invalidJobs[id] = status
 		w.submitted[id], w.bodies[id] = j, wire.Encode(wire.FromJob(j))
-		w.after(pairsLead+p.seconds(0, 30), func() { w.asked[id] = w.now; p.submit(id, false) })
+		w.after(faultPairsLeadTime+p.seconds(0, 30), func() { w.submittedAt[id] = w.now; p.submit(id, false) })
 	}
 }
 
-// ask sends a user's request about a job and checks the answer.
-func (p *pairs) ask(node int, method, id, end string, done func(Respond)) {
+// request sends a user's request about a job and checks the answer.
+func (p *faultPairRun) request(node int, method, id, end string, done func(Respond)) {
 	w := p.w
 	path, body := "/api/jobs/"+id+end, []byte(nil)
 	if method == "POST" && end == "" {
 		path, body = "/api/jobs", w.bodies[id]
 	}
-	told, accepted, sent := w.told[id], w.accepted[id], w.now
+	told, accepted, sent := w.reportedTerminal[id], w.accepted[id], w.now
 	w.user(node, method, path, body, func(r Respond) {
 		p.check(id, r, sent, accepted)
 		if w.accepted[id] && !accepted {
-			p.lookEverywhere(id)
+			p.queryAllNodes(id)
 		}
-		if w.told[id] != "" && told == "" {
-			p.lookEverywhere(id)
+		if w.reportedTerminal[id] != "" && told == "" {
+			p.queryAllNodes(id)
 		}
 		done(r)
 	})
 }
 
-func (p *pairs) check(id string, r Respond, sent micros.Micros, accepted bool) {
+func (p *faultPairRun) check(id string, r Respond, sent micros.Micros, accepted bool) {
 	w := p.w
-	if p.bad[id] != 0 {
-		if r.Status == 200 || r.Status == 201 || (r.Status == 400 || r.Status == 422) && r.Status != p.bad[id] {
-			w.breakRule("refusals: %s is answered %d, not %d", id, r.Status, p.bad[id])
+	if p.invalidJobs[id] != 0 {
+		if r.Status == 200 || r.Status == 201 || (r.Status == 400 || r.Status == 422) && r.Status != p.invalidJobs[id] {
+			w.reportViolation("refusals: %s is answered %d, not %d", id, r.Status, p.invalidJobs[id])
 		}
 		return
 	}
 	if (r.Status == 400 || r.Status == 422) && !accepted {
-		w.breakRule("refusals: %s is answered %d", id, r.Status)
+		w.reportViolation("refusals: %s is answered %d", id, r.Status)
 	}
-	was := w.told[id]
-	w.checkAnswer(id, r, sent)
-	if was == "" && w.told[id] == wire.JobCancelled && p.onTold != nil {
-		do := p.onTold
-		p.onTold = nil
+	was := w.reportedTerminal[id]
+	w.checkResponse(id, r, sent)
+	if was == "" && w.reportedTerminal[id] == wire.JobCancelled && p.onCancelAcknowledged != nil {
+		do := p.onCancelAcknowledged
+		p.onCancelAcknowledged = nil
 		do(id)
 	}
 }
 
-// lookEverywhere asks all nodes, again and again, and repeats the submission, right after a
+// queryAllNodes asks all nodes, again and again, and repeats the submission, right after a
 // job was accepted or ended.
-func (p *pairs) lookEverywhere(id string) {
+func (p *faultPairRun) queryAllNodes(id string) {
 	w := p.w
 	for _, ms := range []int{0, 3, 15, 70, 400, 3000} {
 		w.after(micros.Micros(ms)*micros.Millisecond, func() {
 			for n := range w.nodes {
-				p.ask(n, "GET", id, "", func(Respond) {})
+				p.request(n, "GET", id, "", func(Respond) {})
 			}
 			n := p.rng.IntN(len(w.nodes))
-			p.ask(n, "POST", id, "", func(Respond) {})
-			if w.told[id] == wire.JobDone && p.rng.IntN(20) == 0 {
-				w.wantsEnd[id] = true // too late: it stays done
+			p.request(n, "POST", id, "", func(Respond) {})
+			if w.reportedTerminal[id] == wire.JobDone && p.rng.IntN(20) == 0 {
+				w.cancelRequested[id] = true // too late: it stays done
 			}
-			if w.wantsEnd[id] {
-				p.ask((n+1)%len(w.nodes), "POST", id, "/cancel", func(Respond) {})
+			if w.cancelRequested[id] {
+				p.request((n+1)%len(w.nodes), "POST", id, "/cancel", func(Respond) {})
 			}
 		})
 	}
 }
 
-func (p *pairs) submit(id string, cancelAtOnce bool) {
+func (p *faultPairRun) submit(id string, cancelAtOnce bool) {
 	w := p.w
-	if (w.accepted[id] || w.told[id] != "") && p.bad[id] == 0 {
+	if (w.accepted[id] || w.reportedTerminal[id] != "") && p.invalidJobs[id] == 0 {
 		return
 	}
-	p.ask(p.rng.IntN(len(w.nodes)), "POST", id, "", func(r Respond) {
+	p.request(p.rng.IntN(len(w.nodes)), "POST", id, "", func(r Respond) {
 		switch r.Status {
 		case 200, 201:
 			if cancelAtOnce {
@@ -109,9 +109,9 @@
 }
 
 // cancel asks for the end of a job until it is confirmed.
-func (p *pairs) cancel(id string) {
+func (p *faultPairRun) cancel(id string) {
 	w := p.w
-	if w.told[id] != "" {
+	if w.reportedTerminal[id] != "" {
 		return
 	}
 	again := func() { w.after(micros.Second, func() { p.cancel(id) }) }
@@ -119,33 +119,33 @@
 		again()
 		return
 	}
-	w.wantsEnd[id] = true
-	p.ask(p.rng.IntN(len(w.nodes)), "POST", id, "/cancel", func(r Respond) {
+	w.cancelRequested[id] = true
+	p.request(p.rng.IntN(len(w.nodes)), "POST", id, "/cancel", func(r Respond) {
 		if r.Status != 200 {
 			again()
 		}
 	})
 }
 
-func (p *pairs) poll(id string) {
+func (p *faultPairRun) poll(id string) {
 	w := p.w
-	if w.told[id] != "" {
+	if w.reportedTerminal[id] != "" {
 		return
 	}
-	p.ask(p.rng.IntN(len(w.nodes)), "GET", id, "", func(r Respond) {
-		if w.told[id] == "" {
+	p.request(p.rng.IntN(len(w.nodes)), "GET", id, "", func(r Respond) {
+		if w.reportedTerminal[id] == "" {
 			w.after(4*micros.Second, func() { p.poll(id) })
 		}
 	})
 }
 
-// cancelEnding cancels half of the jobs that end, at the moment of their end.
-func (p *pairs) cancelEnding(over micros.Micros, seen map[string]bool) {
+// cancelFinishingJobs cancels half of the jobs that end, at the moment of their end.
+func (p *faultPairRun) cancelFinishingJobs(over micros.Micros, seen map[string]bool) {
 	w := p.w
 	if w.now >= over {
 		return
 	}
-	for _, id := range p.open() {
+	for _, id := range p.openJobs() {
 		last := !seen[id]
 		for i := range w.submitted[id].Tasks {
 			last = last && w.done[wire.TaskName(id, i)]
@@ -157,5 +157,5 @@
 			}
 		}
 	}
-	w.after(worldStep, func() { p.cancelEnding(over, seen) })
+	w.after(simulationStep, func() { p.cancelFinishingJobs(over, seen) })
 }
--- a/controller/faults_state_test.go
+++ b/controller/faults_state_test.go
@@ -13,62 +13,62 @@
 	"tamarindlead/micros"
 )
 
-// stateFaults are troubles between the controllers and the state service, and among the
+// kvFaults are troubles between the controllers and the state service, and among the
 // controllers. They draw from a row of their own, so that scenarios without them stay as
 // they are.
-type stateFaults struct {
-	rng       *rand.Rand
-	lateShare float64       // of the transactions: no answer, carried out late
-	atOnce    bool          // carried out at once, only the answer is lost
-	slow      micros.Micros // the state service answers after so long
-	peerShare float64       // of the messages between controllers: lost
-	peerBack  bool          // only the answers to them are
-	peerSpare bool          // but not what they say once a second, nor what they pass on
-	lateDone  int           // transactions that were carried out late and held
-	lostDone  int           // transactions that were carried out, their answer lost
+type kvFaults struct {
+	rng                  *rand.Rand
+	lateTransactionRate  float64       // of the transactions: no answer, carried out late
+	responseLostOnly     bool          // carried out at once, only the answer is lost
+	responseDelay        micros.Micros // the state service answers after so long
+	peerLossRate         float64       // of the messages between controllers: lost
+	peerResponsesOnly    bool          // only the answers to them are
+	peerHeartbeatsSpared bool          // but not what they say once a second, nor what they pass on
+	lateApplied          int           // transactions that were carried out late and held
+	lostResponses        int           // transactions that were carried out, their answer lost
 
-	unevenState unevenDelay // of the answers of the state service
-	unevenPeers unevenDelay // of those of other controllers
+	kvResponseDelay   responseDelay // of the answers of the state service
+	peerResponseDelay responseDelay // of those of other controllers
 }
 
-func newStateFaults(seed uint64) stateFaults {
-	return stateFaults{
-		rng:         rand.New(rand.NewPCG(seed, 2)),
-		unevenState: newUnevenDelay(seed, unevenStateStream),
-		unevenPeers: newUnevenDelay(seed, unevenPeersStream),
+func newKVFaults(seed uint64) kvFaults {
+	return kvFaults{
+		rng:               rand.New(rand.NewPCG(seed, 2)),
+		kvResponseDelay:   newResponseDelay(seed, kvDelayStream),
+		peerResponseDelay: newResponseDelay(seed, peerDelayStream),
 	}
 }
 
 // Transactions without an answer are carried out within these times.
 const (
-	lateWriteFrom = 2 * micros.Second
-	lateWriteTo   = 12 * micros.Second
+	minLateWrite = 2 * micros.Second
+	maxLateWrite = 12 * micros.Second
 )
 
-// stateCall brings a call to the state service, with the troubles of the moment.
-func (w *world) stateCall(n *simNode, c Call, answer func(fake.Response)) {
-	f := &w.faults
-	whole := f.unevenState.hold(w, n, answer)
+// callKVStore brings a call to the state service, with the troubles of the moment.
+func (w *simulation) callKVStore(n *simNode, c Call, answer func(fake.Response)) {
+	f := &w.kvFaults
+	whole := f.kvResponseDelay.delayResponse(w, n, answer)
 	answer = func(r fake.Response) {
-		if !n.alone { // the cut holds answers too, those of open watches among them
+		if !n.onlyWorkersReachable { // the cut holds answers too, those of open watches among them
 			whole(r)
 		}
 	}
-	deliver := func(answer func(fake.Response)) { w.executeState(n, c, w.now, answer) }
+	deliver := func(answer func(fake.Response)) { w.executeKV(n, c, w.now, answer) }
 	commit := strings.HasPrefix(c.Target, "/commit")
-	if commit && f.lateShare > 0 && f.rng.Float64() < f.lateShare {
-		if f.atOnce {
-			deliver(func(r fake.Response) { f.lostDone += held(r) })
+	if commit && f.lateTransactionRate > 0 && f.rng.Float64() < f.lateTransactionRate {
+		if f.responseLostOnly {
+			deliver(func(r fake.Response) { f.lostResponses += held(r) })
 			return
 		}
-		span := int64(lateWriteTo - lateWriteFrom)
-		w.after(lateWriteFrom+micros.Micros(f.rng.Int64N(span)), func() {
-			deliver(func(r fake.Response) { f.lateDone += held(r) })
+		span := int64(maxLateWrite - minLateWrite)
+		w.after(minLateWrite+micros.Micros(f.rng.Int64N(span)), func() {
+			deliver(func(r fake.Response) { f.lateApplied += held(r) })
 		})
 		return
 	}
-	if f.slow > 0 && !strings.HasPrefix(c.Target, "/changes") {
-		half := f.slow / 2
+	if f.responseDelay > 0 && !strings.HasPrefix(c.Target, "/changes") {
+		half := f.responseDelay / 2
 		w.after(half, func() {
 			deliver(func(r fake.Response) { w.after(half, func() { answer(r) }) })
 		})
@@ -84,35 +84,35 @@
 	return 0
 }
 
-// peerLost draws whether a message between controllers, or the answer to it, gets lost.
-func (w *world) peerLost(c Call, answer bool) bool {
-	f := &w.faults
-	if f.peerShare == 0 || f.peerBack != answer {
+// dropPeerMessage draws whether a message between controllers, or the answer to it, gets lost.
+func (w *simulation) dropPeerMessage(c Call, answer bool) bool {
+	f := &w.kvFaults
+	if f.peerLossRate == 0 || f.peerResponsesOnly != answer {
 		return false
 	}
-	if f.peerSpare {
+	if f.peerHeartbeatsSpared {
 		var m peer.Message
 		if proto.Unmarshal(c.Body, &m) == nil && (m.GetBeat() != nil || m.GetStoreCall() != nil) {
 			return false
 		}
 	}
-	return f.rng.Float64() < f.peerShare
+	return f.rng.Float64() < f.peerLossRate
 }
 
-// stateVerb plays the commands of this file; ok is false for any other.
-func stateVerb(t *testing.T, w *world, d *datadriven.TestData, node func() *simNode, during func(func())) (out string, ok bool) {
-	f := &w.faults
+// runKVFaultCommand plays the commands of this file; ok is false for any other.
+func runKVFaultCommand(t *testing.T, w *simulation, d *datadriven.TestData, node func() *simNode, during func(func())) (out string, ok bool) {
+	f := &w.kvFaults
 	switch d.Cmd {
 	case "late-writes":
-		f.lateShare, f.atOnce = argNumber(t, d, "share", 1), d.HasArg("at-once")
-		during(func() { f.lateShare = 0 })
+		f.lateTransactionRate, f.responseLostOnly = argNumber(t, d, "share", 1), d.HasArg("at-once")
+		during(func() { f.lateTransactionRate = 0 })
 	case "slow-state":
-		f.slow = micros.FromMillis(argNumber(t, d, "ms", 1000))
-		during(func() { f.slow = 0 })
+		f.responseDelay = micros.FromMillis(argNumber(t, d, "ms", 1000))
+		during(func() { f.responseDelay = 0 })
 	case "lose-peer-messages":
-		f.peerShare, f.peerSpare = argNumber(t, d, "share", 1), d.HasArg("spare-beats")
-		f.peerBack = d.HasArg("answers")
-		during(func() { f.peerShare = 0 })
+		f.peerLossRate, f.peerHeartbeatsSpared = argNumber(t, d, "share", 1), d.HasArg("spare-beats")
+		f.peerResponsesOnly = d.HasArg("answers")
+		during(func() { f.peerLossRate = 0 })
 	case "cancel-jobs":
 		// Users cancel a row of jobs, beginning at one node.
 		to, every := node().index, argSeconds(t, d, "every", 0)
--- a/controller/faults_workers_test.go
+++ b/controller/faults_workers_test.go
@@ -15,83 +15,83 @@
 
 // workerFaults are troubles of reports, direct commands, machines and leaders.
 type workerFaults struct {
-	apart     map[string]micros.Micros // by how much each task of a job takes longer than the one before
-	lateShare float64                  // of the reports, of which copies come late
-	forNext   bool                     // the copies are kept for the next owner
-	kept      []keptReport             // those copies
-	holdOf    []string                 // the next reports of these machines are held back
-	held      []keptReport             // until a new owner has acted
-	captured  [][]byte                 // reports that come again when asked for
-	slowShare float64                  // of the direct commands, held up on the way there or back
-	slowFrom  micros.Micros
-	slowBy    micros.Micros
-	slowThere bool          // only on the way there
-	lag       micros.Micros // of commits
-	owners    map[int]any
-	acting    map[int]any
+	taskStagger            map[string]micros.Micros // by how much each task of a job takes longer than the one before
+	duplicateHeartbeatRate float64                  // of the reports, of which copies come late
+	replayToNextOwner      bool                     // the copies are kept for the next owner
+	replayHeartbeats       []savedHeartbeat         // those copies
+	delayNextOf            []string                 // the next reports of these machines are held back
+	delayedHeartbeats      []savedHeartbeat         // until a new owner has acted
+	capturedHeartbeats     [][]byte                 // reports that come again when asked for
+	commandDelayRate       float64                  // of the direct commands, held up on the way there or back
+	minCommandDelay        micros.Micros
+	commandDelay           micros.Micros
+	delayRequestOnly       bool          // only on the way there
+	commitDelay            micros.Micros // of commits
+	owners                 map[int]any
+	acting                 map[int]any
 }
 
-type keptReport struct{ body []byte }
+type savedHeartbeat struct{ body []byte }
 
-const mostKept = 64 // copies for the next owner
+const maxSavedHeartbeats = 64 // copies for the next owner
 
-// noteApart has each task of a job take longer than the one before it.
-func (w *world) noteApart(id string, step micros.Micros) {
+// setTaskStagger has each task of a job take longer than the one before it.
+func (w *simulation) setTaskStagger(id string, step micros.Micros) {
 	if step > 0 {
-		if w.apart == nil {
-			w.apart = map[string]micros.Micros{}
+		if w.taskStagger == nil {
+			w.taskStagger = map[string]micros.Micros{}
 		}
-		w.apart[id] = step
+		w.taskStagger[id] = step
 	}
 }
 
-// between draws a time.
-func (w *world) between(low, high micros.Micros) micros.Micros {
+// randomDuration draws a time.
+func (w *simulation) randomDuration(low, high micros.Micros) micros.Micros {
 	return low + micros.Micros(w.rng.Int64N(int64(max(1, high-low))))
 }
 
-// deliver brings a worker's report to a node; nobody waits for the answer.
-func (w *world) deliver(node int, body []byte) {
-	w.ask(w.nodes[node], Request{Method: "POST", Path: PathHeartbeat, Body: body}, micros.Second, func(Respond) {})
+// deliverHeartbeat brings a worker's report to a node; nobody waits for the answer.
+func (w *simulation) deliverHeartbeat(node int, body []byte) {
+	w.sendRequest(w.nodes[node], Request{Method: "POST", Path: PathHeartbeat, Body: body}, micros.Second, func(Respond) {})
 }
 
-// keepCopies makes the copies of a report that come later. It returns true if the report
+// duplicateHeartbeat makes the copies of a report that come later. It returns true if the report
 // itself does not arrive now.
-func (w *world) keepCopies(k *fake.Worker, body []byte) bool {
-	if w.lateShare > 0 && w.rng.Float64() < w.lateShare {
-		if w.forNext {
-			if w.kept = append(w.kept, keptReport{body}); len(w.kept) > mostKept {
-				w.kept = w.kept[1:]
+func (w *simulation) duplicateHeartbeat(k *fake.Worker, body []byte) bool {
+	if w.duplicateHeartbeatRate > 0 && w.rng.Float64() < w.duplicateHeartbeatRate {
+		if w.replayToNextOwner {
+			if w.replayHeartbeats = append(w.replayHeartbeats, savedHeartbeat{body}); len(w.replayHeartbeats) > maxSavedHeartbeats {
+				w.replayHeartbeats = w.replayHeartbeats[1:]
 			}
 		} else {
 			to := w.rng.IntN(len(w.nodes))
-			w.after(w.between(2*micros.Second, 2*w.cfg.WorkerLease), func() { w.deliver(to, body) })
+			w.after(w.randomDuration(2*micros.Second, 2*w.cfg.WorkerLease), func() { w.deliverHeartbeat(to, body) })
 		}
 	}
-	i := slices.Index(w.holdOf, k.Machine.Name)
+	i := slices.Index(w.delayNextOf, k.Machine.Name)
 	if i < 0 {
 		return false
 	}
-	w.holdOf = slices.Delete(w.holdOf, i, i+1)
-	w.held = append(w.held, keptReport{body})
+	w.delayNextOf = slices.Delete(w.delayNextOf, i, i+1)
+	w.delayedHeartbeats = append(w.delayedHeartbeats, savedHeartbeat{body})
 	return true
 }
 
-// noteLeader delivers what was kept for a new owner: copies to every controller as it begins
+// replayToLeader delivers what was kept for a new owner: copies to every controller as it begins
 // and again as it becomes active, a report that was held back once it has acted.
-func (w *world) noteLeader() {
+func (w *simulation) replayToLeader() {
 	if w.owners == nil {
 		w.owners, w.acting = map[int]any{}, map[int]any{}
 	}
 	copies := func() {
-		for _, r := range w.kept {
+		for _, r := range w.replayHeartbeats {
 			for i := range w.nodes {
-				w.deliver(i, r.body)
+				w.deliverHeartbeat(i, r.body)
 			}
 		}
 	}
 	for i, n := range w.nodes {
-		o, active := n.owns()
+		o, active := n.ownership()
 		if o == nil {
 			w.owners[i], w.acting[i] = nil, nil
 			continue
@@ -103,36 +103,36 @@
 		if active && w.acting[i] != o {
 			w.acting[i] = o
 			copies()
-			w.kept = nil
-			for _, r := range w.held {
-				w.after(4*micros.Second, func() { w.deliver(i, r.body) })
+			w.replayHeartbeats = nil
+			for _, r := range w.delayedHeartbeats {
+				w.after(4*micros.Second, func() { w.deliverHeartbeat(i, r.body) })
 			}
-			w.held = nil
+			w.delayedHeartbeats = nil
 		}
 	}
 }
 
-// heldUp holds up a direct command, or its answer. It returns how to answer, or nil if the
+// delayCommand holds up a direct command, or its answer. It returns how to answer, or nil if the
 // command comes later.
-func (w *world) heldUp(n *simNode, c Call, answer func(fake.Response)) func(fake.Response) {
-	if w.slowShare == 0 || w.rng.Float64() >= w.slowShare {
+func (w *simulation) delayCommand(n *simNode, c Call, answer func(fake.Response)) func(fake.Response) {
+	if w.commandDelayRate == 0 || w.rng.Float64() >= w.commandDelayRate {
 		return answer
 	}
-	wait := w.between(w.slowFrom, w.slowBy)
-	if w.slowThere || w.rng.IntN(2) == 0 {
+	wait := w.randomDuration(w.minCommandDelay, w.commandDelay)
+	if w.delayRequestOnly || w.rng.IntN(2) == 0 {
 		k := w.workers[strings.TrimPrefix(c.Addr, "worker:")]
-		w.after(wait, func() { w.toWorker(k, c, answer) })
+		w.after(wait, func() { w.executeWhenResumed(k, c, answer) })
 		return nil
 	}
 	return func(r fake.Response) { w.after(wait, func() { answer(r) }) }
 }
 
-// toWorker executes a command that was held up on its way, once the machine goes on.
-func (w *world) toWorker(k *fake.Worker, c Call, answer func(fake.Response)) {
+// executeWhenResumed executes a command that was held up on its way, once the machine goes on.
+func (w *simulation) executeWhenResumed(k *fake.Worker, c Call, answer func(fake.Response)) {
 	switch {
 	case k.Machine.Gone:
 	case k.Hung || k.Partitioned:
-		w.after(worldStep, func() { w.toWorker(k, c, answer) })
+		w.after(simulationStep, func() { w.executeWhenResumed(k, c, answer) })
 	case c.Target == "/inspect":
 		answer(fake.Response{Status: 200, Body: wire.Encode(k.BuildHeartbeat())})
 	default:
@@ -140,18 +140,18 @@
 	}
 }
 
-// afterLag executes a commit later while commits lag.
-func (w *world) afterLag(c Call, do func()) {
-	if w.lag == 0 || c.Target != "/commit" {
+// afterCommitDelay executes a commit later while commits lag.
+func (w *simulation) afterCommitDelay(c Call, do func()) {
+	if w.commitDelay == 0 || c.Target != "/commit" {
 		do()
 		return
 	}
-	w.after(w.between(w.lag/2, w.lag), do)
+	w.after(w.randomDuration(w.commitDelay/2, w.commitDelay), do)
 }
 
-// chosen lists the machines that a command names by count, share or zone, those with the
+// selectMachines lists the machines that a command names by count, share or zone, those with the
 // most tasks first; nil: it names none so.
-func (w *world) chosen(t *testing.T, d *datadriven.TestData) []string {
+func (w *simulation) selectMachines(t *testing.T, d *datadriven.TestData) []string {
 	if !d.HasArg("count") && !d.HasArg("share") && !d.HasArg("zone") {
 		return nil
 	}
@@ -176,53 +176,53 @@
 	return names[:n]
 }
 
-// withoutChoice is a command's arguments without those of chosen.
-func withoutChoice(d *datadriven.TestData) []datadriven.CmdArg {
+// withoutSelectors is a command's arguments without those of chosen.
+func withoutSelectors(d *datadriven.TestData) []datadriven.CmdArg {
 	return slices.DeleteFunc(slices.Clone(d.CmdArgs), func(a datadriven.CmdArg) bool {
 		return a.Key == "count" || a.Key == "share" || a.Key == "zone"
 	})
 }
 
-// workerFaultCommand executes a scenario's command of these troubles; false: it is none.
-func workerFaultCommand(t *testing.T, w *world, d *datadriven.TestData, during func(func())) bool {
+// runWorkerFaultCommand executes a scenario's command of these troubles; false: it is none.
+func runWorkerFaultCommand(t *testing.T, w *simulation, d *datadriven.TestData, during func(func())) bool {
 	switch d.Cmd {
 	case "late-reports":
-		w.lateShare, w.forNext = argNumber(t, d, "share", 0), d.HasArg("for-next")
-		during(func() { w.lateShare = 0 })
+		w.duplicateHeartbeatRate, w.replayToNextOwner = argNumber(t, d, "share", 0), d.HasArg("for-next")
+		during(func() { w.duplicateHeartbeatRate = 0 })
 	case "hold-report":
-		w.holdOf = append(w.holdOf, arg(t, d, "machine", w.workerNames()[0]))
+		w.delayNextOf = append(w.delayNextOf, arg(t, d, "machine", w.workerNames()[0]))
 	case "capture-reports":
-		w.captured = nil
+		w.capturedHeartbeats = nil
 		for _, n := range w.workerNames() {
-			w.captured = append(w.captured, wire.Encode(w.workers[n].BuildHeartbeat()))
+			w.capturedHeartbeats = append(w.capturedHeartbeats, wire.Encode(w.workers[n].BuildHeartbeat()))
 		}
 	case "replay-reports": // at all nodes, again and again
 		for at := micros.Micros(0); at < argSeconds(t, d, "for", 10); at += 50 * micros.Millisecond {
 			w.after(at, func() {
-				for _, body := range w.captured {
+				for _, body := range w.capturedHeartbeats {
 					for i := range w.nodes {
-						w.deliver(i, body)
+						w.deliverHeartbeat(i, body)
 					}
 				}
 			})
 		}
 	case "slow-commands":
-		w.slowShare, w.slowThere = argNumber(t, d, "share", 1), d.HasArg("there")
-		w.slowFrom, w.slowBy = argSeconds(t, d, "from", 1), argSeconds(t, d, "by", 8)
-		during(func() { w.slowShare = 0 })
+		w.commandDelayRate, w.delayRequestOnly = argNumber(t, d, "share", 1), d.HasArg("there")
+		w.minCommandDelay, w.commandDelay = argSeconds(t, d, "from", 1), argSeconds(t, d, "by", 8)
+		during(func() { w.commandDelayRate = 0 })
 	case "slow-writes":
-		w.lag = argSeconds(t, d, "s", 0)
-		during(func() { w.lag = 0 })
+		w.commitDelay = argSeconds(t, d, "s", 0)
+		during(func() { w.commitDelay = 0 })
 	case "fast-boot":
-		w.cloud.BootTime = func(micros.Micros) micros.Micros { return w.between(micros.Second/2, 2*micros.Second) }
+		w.cloud.BootTime = func(micros.Micros) micros.Micros { return w.randomDuration(micros.Second/2, 2*micros.Second) }
 		during(func() { w.cloud.BootTime = nil })
 	case "cancel-now":
-		w.cancelNow(arg(t, d, "count", 1), argSeconds(t, d, "hang", 0), d.HasArg("cut"))
+		w.cancelDuringFaults(arg(t, d, "count", 1), argSeconds(t, d, "hang", 0), d.HasArg("cut"))
 	case "change-leader":
 		times := arg(t, d, "times", 10)
 		every := argSeconds(t, d, "within", 120) / micros.Micros(times)
 		for i := range times {
-			w.after(every*micros.Micros(i)+w.between(0, every/4), func() { w.changeLeader(i, every) })
+			w.after(every*micros.Micros(i)+w.randomDuration(0, every/4), func() { w.changeLeader(i, every) })
 		}
 	default:
 		return false
@@ -230,15 +230,15 @@
 	return true
 }
 
-// mostHung is how many machines of cancelled jobs hang.
-const mostHung = 8
+// maxHungMachines is how many machines of cancelled jobs hang.
+const maxHungMachines = 8
 
-// cancelNow has users cancel running jobs within a fifth of a second; some of their machines
+// cancelDuringFaults has users cancel running jobs within a fifth of a second; some of their machines
 // hang, or are cut off.
-func (w *world) cancelNow(count int, hang micros.Micros, cut bool) {
+func (w *simulation) cancelDuringFaults(count int, hang micros.Micros, cut bool) {
 	var jobs []string
 	for task := range w.running {
-		if id, _, _ := wire.SplitTaskName(task); !w.wantsEnd[id] && !slices.Contains(jobs, id) {
+		if id, _, _ := wire.SplitTaskName(task); !w.cancelRequested[id] && !slices.Contains(jobs, id) {
 			jobs = append(jobs, id)
 		}
 	}
@@ -248,7 +248,7 @@
 	for _, task := range sortedKeys(w.running) {
 		id, _, _ := wire.SplitTaskName(task)
 		name := w.running[task]
-		if hang == 0 || !slices.Contains(jobs, id) || hung[name] || len(hung) == mostHung {
+		if hang == 0 || !slices.Contains(jobs, id) || hung[name] || len(hung) == maxHungMachines {
 			continue
 		}
 		hung[name] = true
@@ -262,13 +262,13 @@
 		w.after(hang, func() { k.Hung = false })
 	}
 	for _, id := range jobs {
-		w.after(w.between(0, micros.Second/5), func() { w.cancel(id, w.rng.IntN(len(w.nodes))) })
+		w.after(w.randomDuration(0, micros.Second/5), func() { w.cancel(id, w.rng.IntN(len(w.nodes))) })
 	}
 }
 
 // changeLeader takes the lead from whoever has it: it ends for a moment or for longer, or is
 // cut off, or loses the state service and its siblings, in turn.
-func (w *world) changeLeader(turn int, every micros.Micros) {
+func (w *simulation) changeLeader(turn int, every micros.Micros) {
 	i := w.leader()
 	if i < 0 {
 		return
@@ -278,18 +278,18 @@
 	case 0:
 		w.crash(n, micros.Second/5)
 	case 1:
-		n.cut, n.hold = true, true
-		w.after(every*3/4, func() { n.cut = false })
+		n.partitioned, n.delaysOutbound = true, true
+		w.after(every*3/4, func() { n.partitioned = false })
 	case 2:
-		n.alone = true
-		w.after(every*3/4, func() { n.alone = false })
+		n.onlyWorkersReachable = true
+		w.after(every*3/4, func() { n.onlyWorkersReachable = false })
 	case 3:
 		w.crash(n, every/2)
 	}
 }
 
-// cancelledRunning counts the tasks on machines whose users were told that they are cancelled.
-func (w *world) cancelledRunning() int {
+// countCancelledRunning counts the tasks on machines whose users were told that they are cancelled.
+func (w *simulation) countCancelledRunning() int {
 	n := 0
 	for task := range w.running {
 		if id, _, _ := wire.SplitTaskName(task); w.cancelled[id] > 0 {
--- a/controller/gangs_test.go
+++ b/controller/gangs_test.go
@@ -10,9 +10,9 @@
 	"tamarindlead/sched"
 )
 
-// TestKeepForSpots guards against spot machines that stand idle for a gang which may not use
+// TestSpotMachinesNotReservedForExcess guards against spot machines that stand idle for a gang which may not use
 // so many of them, while gangs that could use them wait.
-func TestKeepForSpots(t *testing.T) {
+func TestSpotMachinesNotReservedForExcess(t *testing.T) {
 	o := testOwner()
 	gang := &sched.Job{
 		ID: "req-000001", Class: "merge", Team: "red", Gang: true, Tasks: 4,
@@ -51,9 +51,9 @@
 	}
 }
 
-// TestFreedRoom guards against room that is counted twice: a hold for it would wait for ever,
+// TestFreedCapacityCountedOnce guards against room that is counted twice: a hold for it would wait for ever,
 // since another gang has taken what there is.
-func TestFreedRoom(t *testing.T) {
+func TestFreedCapacityCountedOnce(t *testing.T) {
 	o := testOwner()
 	for i := range 2 {
 		gang := &sched.Job{
@@ -72,9 +72,9 @@
 	}
 }
 
-// TestGuaranteed guards against gangs that stop each other in turn: a guarantee covers a
+// TestGuaranteedQuota guards against gangs that stop each other in turn: a guarantee covers a
 // team's earliest unfinished jobs, whether they run at the moment or not.
-func TestGuaranteed(t *testing.T) {
+func TestGuaranteedQuota(t *testing.T) {
 	o := testOwner()
 	o.teams["red"].GuaranteedQuota = sched.NewResources(100, 0, 0)
 	for i, cpus := range []float64{60, 30, 20, 5} {
--- a/controller/incompatible_test.go
+++ b/controller/incompatible_test.go
@@ -151,14 +151,14 @@
 	return nil, false
 }
 
-// TestIncompatibleIsSeen makes each field of each record and message incompatible and sees
+// TestIncompatibleFieldsAreDetected makes each field of each record and message incompatible and sees
 // that the comparison of TestProductionReads and TestProductionRecords reports it: that what
 // the version in production reads then differs from what was meant.
-func TestIncompatibleIsSeen(t *testing.T) {
+func TestIncompatibleFieldsAreDetected(t *testing.T) {
 	p := startProduction(t)
 	records := fullRecords()
 	for key, value := range records {
-		if own, old := readingOf(key, value), p.reads(key, value); own != old {
+		if own, old := decodedText(key, value), p.decodeRecord(key, value); own != old {
 			t.Errorf("%s means\n%s\nand in production\n%s", key, own, old)
 		}
 	}
@@ -167,7 +167,7 @@
 		kind, rest, _ := strings.Cut(field, " ")
 		for name, how := range mutations {
 			for key, value := range records {
-				if kindOfRecord(key) != kind {
+				if recordKind(key) != kind {
 					continue
 				}
 				var v any
@@ -183,10 +183,10 @@
 				}
 				tried++
 				changed := wire.Encode(v)
-				if p.reads(key, changed) == readingOf(key, value) {
+				if p.decodeRecord(key, changed) == decodedText(key, value) {
 					t.Errorf("%s %s is not seen in production", field, name)
 				}
-				if readingOf(key, changed) == readingOf(key, value) {
+				if decodedText(key, changed) == decodedText(key, value) {
 					t.Errorf("%s %s is not seen by the present version", field, name)
 				}
 			}
@@ -198,13 +198,13 @@
 		f := body.Get(i)
 		m := &peer.Message{From: "n1"}
 		if f.Message() != nil {
-			fill(m.ProtoReflect().Mutable(f).Message())
+			fillMessage(m.ProtoReflect().Mutable(f).Message())
 		}
 		data, err := proto.Marshal(m)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if own, old := messageReading(data), p.readsMessage(data); own != old {
+		if own, old := decodedMessage(data), p.decodeMessage(data); own != old {
 			t.Errorf("a message means\n%s\nand in production\n%s", own, old)
 		}
 		for _, path := range fieldPaths(f) {
@@ -214,7 +214,7 @@
 					t.Errorf("%v is not there to be %s", path, name)
 				}
 				messages++
-				if p.readsMessage(changed) == messageReading(data) {
+				if p.decodeMessage(changed) == decodedMessage(data) {
 					t.Errorf("%v of %s %s is not seen in production", path, f.Name(), name)
 				}
 			}
@@ -226,15 +226,15 @@
 	}
 }
 
-// fill sets all fields of a message.
-func fill(m protoreflect.Message) {
+// fillMessage sets all fields of a message.
+func fillMessage(m protoreflect.Message) {
 	fields := m.Descriptor().Fields()
 	for i := range fields.Len() {
 		f := fields.Get(i)
 		if f.IsList() {
 			l := m.Mutable(f).List()
 			if f.Message() != nil {
-				fill(l.AppendMutable().Message())
+				fillMessage(l.AppendMutable().Message())
 			} else {
 				l.Append(protoreflect.ValueOfString("x"))
 			}
--- a/controller/job_view_test.go
+++ b/controller/job_view_test.go
@@ -11,15 +11,15 @@
 	"tamarindlead/sched"
 )
 
-func waitingJob(id string, awaits ...string) *sched.Job {
+func newBlockedJob(id string, awaits ...string) *sched.Job {
 	return &sched.Job{
 		ID: id, Class: "work", Team: "red", Priority: sched.Normal, Tasks: 3, Need: sched.NewResources(2, 0, 2),
 		Image: "img", ImageGB: 1, Estimate: 10 * micros.Second, Dependencies: awaits,
 	}
 }
 
-// manyWaiting is an owner with so many chains of jobs, all but the first of each waiting.
-func manyWaiting(chains, length int) *owner {
+// newOwnerWithBlockedJobs is an owner with so many chains of jobs, all but the first of each waiting.
+func newOwnerWithBlockedJobs(chains, length int) *owner {
 	o := testOwner()
 	var entries []kv.Entry
 	for i := range chains * length {
@@ -27,7 +27,7 @@
 		if i%length > 0 {
 			awaits = []string{jobName(i - 1)}
 		}
-		writes, _ := record.JobWrites(waitingJob(jobName(i), awaits...), 1, 8<<10)
+		writes, _ := record.JobWrites(newBlockedJob(jobName(i), awaits...), 1, 8<<10)
 		entries = append(entries, kv.Entry{Key: writes[0].Put, Value: wire.Encode(writes[0].Value), Version: uint64(i + 1)})
 	}
 	o.c.graph.Reset(entries, uint64(len(entries)))
@@ -38,11 +38,11 @@
 	return o
 }
 
-// TestWaitingCostsNothing guards that an event looks only at the jobs that depend on it,
+// TestBlockedJobsCostNothing guards that an event looks only at the jobs that depend on it,
 // however many wait, and that those are in none of the owner's lists.
-func TestWaitingCostsNothing(t *testing.T) {
+func TestBlockedJobsCostNothing(t *testing.T) {
 	for _, chains := range []int{10, 1000} {
-		o := manyWaiting(chains, 5)
+		o := newOwnerWithBlockedJobs(chains, 5)
 		if len(o.queue) != chains || len(o.jobs) != chains || len(o.blockedJobs) != 4*chains {
 			t.Fatalf("%d chains: queue %d, jobs %d, waiting %d", chains, len(o.queue), len(o.jobs), len(o.blockedJobs))
 		}
@@ -66,18 +66,18 @@
 	}
 }
 
-// BenchmarkWaiting passes the time, a done job and a report of the present state to an owner
+// BenchmarkBlockedJobs passes the time, a done job and a report of the present state to an owner
 // of many jobs that wait.
-func BenchmarkWaiting(b *testing.B) {
+func BenchmarkBlockedJobs(b *testing.B) {
 	for _, chains := range []int{10, 1000} {
 		b.Run(fmt.Sprint(4*chains), func(b *testing.B) {
-			o := manyWaiting(chains, 5)
+			o := newOwnerWithBlockedJobs(chains, 5)
 			o.queue, o.committing = nil, true // only what waits
 			clear(o.jobs)
 			g, id := o.c.graph, jobName(5*chains)
 			for b.Loop() {
 				rev := g.Revision()
-				put := kv.Change{Put: record.ActiveJobKey(id), Value: wire.Encode(record.NewJob(waitingJob(id), 1)), Version: rev + 1}
+				put := kv.Change{Put: record.ActiveJobKey(id), Value: wire.Encode(record.NewJob(newBlockedJob(id), 1)), Version: rev + 1}
 				g.Apply(rev, &kv.WatchResult{Revision: rev + 2, Events: []kv.Change{put, {Delete: record.ActiveJobKey(id), Version: rev + 2}}}, o.c.wallClock)
 				o.c.nextSlowTick = 0
 				o.c.Handle(o.c.now, o.c.now, Tick{})
--- a/controller/limits_test.go
+++ b/controller/limits_test.go
@@ -27,7 +27,7 @@
 	rps    float64
 }
 
-func nextLimitsOf(t *testing.T, d *datadriven.TestData) nextLimits {
+func parseNextLimits(t *testing.T, d *datadriven.TestData) nextLimits {
 	return nextLimits{
 		on: !d.HasArg("later"), value: arg(t, d, "next-value", 0), ops: arg(t, d, "next-ops", 0),
 		writes: argNumber(t, d, "next-writes", 0), rps: argNumber(t, d, "next-rps", 0),
@@ -53,28 +53,28 @@
 	}
 }
 
-// limitVerb plays the commands of this file; false for any other.
-func limitVerb(t *testing.T, w *world, d *datadriven.TestData) bool {
+// runLimitCommand plays the commands of this file; false for any other.
+func runLimitCommand(t *testing.T, w *simulation, d *datadriven.TestData) bool {
 	switch d.Cmd {
 	case "state-limits":
 		// The state service has other limits from now on.
-		s := w.state
+		s := w.kvStore
 		s.MaxValueBytes, s.MaxOps = arg(t, d, "value", s.MaxValueBytes), arg(t, d, "ops", s.MaxOps)
 		s.WriteRate, s.RequestRate = argNumber(t, d, "writes", s.WriteRate), argNumber(t, d, "rps", s.RequestRate)
 	case "settings":
 		// Nodes that start from now on have the settings with the limits to come.
-		w.next.on = d.HasArg("next")
+		w.nextLimits.on = d.HasArg("next")
 	default:
 		return false
 	}
 	return true
 }
 
-// recordsAbove counts the records that are larger than a size.
-func (w *world) recordsAbove(prefix string, bytes, least int) string {
+// countRecordsAbove counts the records that are larger than a size.
+func (w *simulation) countRecordsAbove(prefix string, bytes, least int) string {
 	n := 0
-	for _, k := range w.state.Keys(prefix) {
-		if v, _ := w.state.Get(k); fake.JSONSize(v) > bytes {
+	for _, k := range w.kvStore.Keys(prefix) {
+		if v, _ := w.kvStore.Get(k); fake.JSONSize(v) > bytes {
 			n++
 		}
 	}
@@ -84,9 +84,9 @@
 	return fmt.Sprint(n)
 }
 
-// TestSlotsFitValue guards against starts that fill a block beyond a value: all of one pass
+// TestTaskSlotsFitValueLimit guards against starts that fill a block beyond a value: all of one pass
 // are of different jobs, on machines whose block is new, and the smallest values are meant.
-func TestSlotsFitValue(t *testing.T) {
+func TestTaskSlotsFitValueLimit(t *testing.T) {
 	o := testOwner()
 	o.c.cfg.MaxValueBytes, o.c.cfg.MaxTransactionOps = 2<<10, 500
 	for i := range 400 {
@@ -128,9 +128,9 @@
 	}
 }
 
-// TestOutgrownEntry guards against a commit that is refused for ever: one machine's entry,
+// TestOversizedBlockEntry guards against a commit that is refused for ever: one machine's entry,
 // written while values were larger, fits none.
-func TestOutgrownEntry(t *testing.T) {
+func TestOversizedBlockEntry(t *testing.T) {
 	o := benchOwner()
 	b := o.blocks[0]
 	m := b.machines[0]
@@ -153,10 +153,10 @@
 	}
 }
 
-// TestShardsMove guards against completions that are lost while chunks change their shard:
+// TestCompletionSegmentsMove guards against completions that are lost while chunks change their shard:
 // those of two records count together, and an old record goes only after the new one is
 // written.
-func TestShardsMove(t *testing.T) {
+func TestCompletionSegmentsMove(t *testing.T) {
 	o := testOwner()
 	o.c.cfg.MaxValueBytes = 1024
 	var entries []kv.Entry
@@ -197,9 +197,9 @@
 	}
 }
 
-// TestSlotsOfIdle guards against machines that stand idle for ever: where a block's record
+// TestTaskSlotsOfIdleMachines guards against machines that stand idle for ever: where a block's record
 // holds few tasks, its size is that of the entries, not of tasks.
-func TestSlotsOfIdle(t *testing.T) {
+func TestTaskSlotsOfIdleMachines(t *testing.T) {
 	o := testOwner()
 	o.c.cfg.MaxValueBytes = 2 << 10
 	id := jobName(1)
@@ -225,9 +225,9 @@
 	}
 }
 
-// TestFillsIdleMachines guards against machines that fill up only some tasks with each write:
+// TestIdleMachinesFilledInOneWrite guards against machines that fill up only some tasks with each write:
 // tasks that are not recorded yet share the description of their job, and take little else.
-func TestFillsIdleMachines(t *testing.T) {
+func TestIdleMachinesFilledInOneWrite(t *testing.T) {
 	o := testOwner()
 	o.c.cfg.MaxValueBytes, o.c.cfg.MaxTransactionOps = 4<<10, 12
 	for i := range 5 {
--- a/controller/pipelines_test.go
+++ b/controller/pipelines_test.go
@@ -9,28 +9,28 @@
 	"tamarindlead/micros"
 )
 
-// pipelines are the jobs that wait for others. They draw from a row of their own, so that
+// pipelineState are the jobs that wait for others. They draw from a row of their own, so that
 // scenarios without them stay as they are.
-type pipelines struct {
-	rng       *rand.Rand
-	awaits    map[string][]string      // those that a job names
-	ancestors map[string][]string      // those that it needs, directly or through others
-	atDone    map[string][]func()      // what happens as a job's last task completes
-	early     int                      // tasks that waited for others and started
-	waited    map[string]int           // how often a job was told to be queued while it waited
-	endedAt   map[string]micros.Micros // when a job's last task completed
+type pipelineState struct {
+	rng             *rand.Rand
+	dependencies    map[string][]string      // those that a job names
+	ancestors       map[string][]string      // those that it needs, directly or through others
+	onDone          map[string][]func()      // what happens as a job's last task completes
+	earlyStarts     int                      // tasks that waited for others and started
+	queuedResponses map[string]int           // how often a job was told to be queued while it waited
+	endedAt         map[string]micros.Micros // when a job's last task completed
 }
 
-func newPipelines(seed uint64) pipelines {
-	return pipelines{
-		rng: rand.New(rand.NewPCG(seed, 4)), awaits: map[string][]string{}, ancestors: map[string][]string{},
-		atDone: map[string][]func(){}, waited: map[string]int{}, endedAt: map[string]micros.Micros{},
+func newPipelineState(seed uint64) pipelineState {
+	return pipelineState{
+		rng: rand.New(rand.NewPCG(seed, 4)), dependencies: map[string][]string{}, ancestors: map[string][]string{},
+		onDone: map[string][]func(){}, queuedResponses: map[string]int{}, endedAt: map[string]micros.Micros{},
 	}
 }
 
-// noteAwaits has a job wait for others, and writes them into its submission. The jobs
+// setDependencies has a job wait for others, and writes them into its submission. The jobs
 // awaited are known before. "null" and "none" stand for no list and an empty one.
-func (w *world) noteAwaits(id string, awaits []string) {
+func (w *simulation) setDependencies(id string, awaits []string) {
 	if len(awaits) == 0 {
 		return
 	}
@@ -43,7 +43,7 @@
 		return
 	}
 	p := &w.pipelines
-	p.awaits[id] = awaits
+	p.dependencies[id] = awaits
 	seen := map[string]bool{}
 	for _, other := range awaits {
 		seen[other] = true
@@ -65,8 +65,8 @@
 	return wire.Encode(fields)
 }
 
-// allDone tells whether all tasks of a job have completed.
-func (w *world) allDone(id string) bool {
+// allTasksDone tells whether all tasks of a job have completed.
+func (w *simulation) allTasksDone(id string) bool {
 	j := w.submitted[id]
 	if j == nil {
 		return false
@@ -79,9 +79,9 @@
 	return true
 }
 
-// recorded is the final state that the state service keeps of a job, or "".
-func (w *world) recorded(id string) wire.JobPhase {
-	value, ok := w.state.Get(record.TerminalStatePrefix + id)
+// recordedTerminalState is the final state that the state service keeps of a job, or "".
+func (w *simulation) recordedTerminalState(id string) wire.JobPhase {
+	value, ok := w.kvStore.Get(record.TerminalStatePrefix + id)
 	if !ok {
 		return ""
 	}
@@ -89,87 +89,87 @@
 		Status wire.JobPhase `cbor:"s"`
 	}
 	if err := wire.Decode(value, &f); err != nil {
-		w.breakRule("record: the final state of %s cannot be read: %v", id, err)
+		w.reportViolation("record: the final state of %s cannot be read: %v", id, err)
 	}
 	return f.Status
 }
 
-// waitsForOthers tells whether users were not told yet of all jobs that a job awaits that
+// isBlocked tells whether users were not told yet of all jobs that a job awaits that
 // they are done.
-func (w *world) waitsForOthers(id string) bool {
-	return slices.ContainsFunc(w.pipelines.awaits[id], func(other string) bool { return w.told[other] != wire.JobDone })
+func (w *simulation) isBlocked(id string) bool {
+	return slices.ContainsFunc(w.pipelines.dependencies[id], func(other string) bool { return w.reportedTerminal[other] != wire.JobDone })
 }
 
 // mayBeCancelled tells whether a job may be called cancelled: its user asked for it, or a
 // job that it needs was cancelled by its user.
-func (w *world) mayBeCancelled(id string) bool {
-	return w.wantsEnd[id] || slices.ContainsFunc(w.pipelines.ancestors[id], func(a string) bool {
-		return w.wantsEnd[a] && w.recorded(a) == wire.JobCancelled
+func (w *simulation) mayBeCancelled(id string) bool {
+	return w.cancelRequested[id] || slices.ContainsFunc(w.pipelines.ancestors[id], func(a string) bool {
+		return w.cancelRequested[a] && w.recordedTerminalState(a) == wire.JobCancelled
 	})
 }
 
-// fallsWithOthers tells whether a job cannot be expected to be done, since one that it needs
+// hasFailedDependency tells whether a job cannot be expected to be done, since one that it needs
 // cannot.
-func (w *world) fallsWithOthers(id string) bool {
+func (w *simulation) hasFailedDependency(id string) bool {
 	return slices.ContainsFunc(w.pipelines.ancestors[id], func(a string) bool {
-		return w.told[a] != wire.JobDone && (w.wantsEnd[a] || w.infos[a].Fails)
+		return w.reportedTerminal[a] != wire.JobDone && (w.cancelRequested[a] || w.infos[a].Fails)
 	})
 }
 
-// checkEarly holds a start against the jobs that the task's job awaits.
-func (w *world) checkEarly(task, id string) {
+// checkStartAfterDependencies holds a start against the jobs that the task's job awaits.
+func (w *simulation) checkStartAfterDependencies(task, id string) {
 	p := &w.pipelines
-	for _, other := range p.awaits[id] {
-		if !w.allDone(other) {
-			w.breakRule("too_early: %s starts before all tasks of %s are done", task, other)
+	for _, other := range p.dependencies[id] {
+		if !w.allTasksDone(other) {
+			w.reportViolation("too_early: %s starts before all tasks of %s are done", task, other)
 		}
-		if s := w.recorded(other); s != wire.JobDone {
-			w.breakRule("too_early: %s starts while %s is recorded as %q", task, other, s)
+		if s := w.recordedTerminalState(other); s != wire.JobDone {
+			w.reportViolation("too_early: %s starts while %s is recorded as %q", task, other, s)
 		}
 	}
-	if len(p.awaits[id]) > 0 {
-		p.early++
-		if w.told[id] == wire.JobCancelled && !w.wantsEnd[id] {
-			w.breakRule("ran_cancelled: %s starts after its user was told that a job before it is cancelled", task)
+	if len(p.dependencies[id]) > 0 {
+		p.earlyStarts++
+		if w.reportedTerminal[id] == wire.JobCancelled && !w.cancelRequested[id] {
+			w.reportViolation("ran_cancelled: %s starts after its user was told that a job before it is cancelled", task)
 		}
 	}
 }
 
 // checkOrphans finds tasks on machines long after a job that they need was cancelled.
-func (w *world) checkOrphans(task, id string) {
+func (w *simulation) checkOrphans(task, id string) {
 	for _, a := range w.pipelines.ancestors[id] {
 		if at, ok := w.cancelled[a]; ok && w.now > at+w.cfg.CancellationDeadline {
-			w.breakRule("ran_cancelled: %s is still on %s, %s before it is cancelled", task, w.running[task], a)
+			w.reportViolation("ran_cancelled: %s is still on %s, %s before it is cancelled", task, w.running[task], a)
 		}
 	}
 }
 
 // checkRefused sees that a job is refused for good because of those that it awaits only if
 // one of them was not accepted before the question.
-func (w *world) checkRefused(id string, status int, sent micros.Micros) {
-	awaits := w.pipelines.awaits[id]
+func (w *simulation) checkRefused(id string, status int, sent micros.Micros) {
+	awaits := w.pipelines.dependencies[id]
 	if len(awaits) == 0 || status == 404 || w.neverFits(w.submitted[id]) != "" {
 		return
 	}
 	for _, other := range awaits {
-		if at, ok := w.crowd.acceptedAt[other]; !ok || at > sent {
+		if at, ok := w.users.acceptedAt[other]; !ok || at > sent {
 			return
 		}
 	}
-	w.breakRule("refused: %s is answered %d although all jobs that it awaits were accepted", id, status)
+	w.reportViolation("refused: %s is answered %d although all jobs that it awaits were accepted", id, status)
 }
 
 // checkDependencies holds what a user is told of a job against the jobs that it needs.
-func (w *world) checkAwaited(id string, status wire.JobPhase) {
+func (w *simulation) checkDependencyStatus(id string, status wire.JobPhase) {
 	p := &w.pipelines
-	if len(p.awaits[id]) == 0 {
+	if len(p.dependencies[id]) == 0 {
 		return
 	}
-	if _, ok := w.crowd.acceptedAt[id]; !ok {
-		for _, other := range p.awaits[id] {
-			_, active := w.state.Get(record.ActiveJobPrefix + other)
-			if !active && w.recorded(other) == "" {
-				w.breakRule("accepted_bad: %s is accepted, %s that it awaits never was", id, other)
+	if _, ok := w.users.acceptedAt[id]; !ok {
+		for _, other := range p.dependencies[id] {
+			_, active := w.kvStore.Get(record.ActiveJobPrefix + other)
+			if !active && w.recordedTerminalState(other) == "" {
+				w.reportViolation("accepted_bad: %s is accepted, %s that it awaits never was", id, other)
 			}
 		}
 	}
@@ -178,36 +178,36 @@
 	}
 	for _, a := range p.ancestors[id] {
 		if at, ok := w.cancelled[a]; ok && w.now > at+w.cfg.CancellationDeadline {
-			w.breakRule("orphaned: %s is called %s %v after the user of %s was told that it is cancelled", id, status, w.now-at, a)
+			w.reportViolation("orphaned: %s is called %s %v after the user of %s was told that it is cancelled", id, status, w.now-at, a)
 		}
 	}
-	waits := slices.ContainsFunc(p.awaits[id], func(other string) bool { return !w.allDone(other) })
+	waits := slices.ContainsFunc(p.dependencies[id], func(other string) bool { return !w.allTasksDone(other) })
 	if waits {
-		p.waited[id]++
+		p.queuedResponses[id]++
 	}
 	if waits && status != wire.JobQueued {
-		w.breakRule("answer: %s is called %s while it waits for others", id, status)
+		w.reportViolation("answer: %s is called %s while it waits for others", id, status)
 	}
 }
 
-// noteTaskDone does what is to happen at the moment at which a job's last task completes.
-func (w *world) noteTaskDone(id string) {
+// taskDone does what is to happen at the moment at which a job's last task completes.
+func (w *simulation) taskDone(id string) {
 	p := &w.pipelines
-	if _, ok := p.endedAt[id]; ok || !w.allDone(id) {
+	if _, ok := p.endedAt[id]; ok || !w.allTasksDone(id) {
 		return
 	}
 	p.endedAt[id] = w.now
-	for _, do := range p.atDone[id] {
+	for _, do := range p.onDone[id] {
 		do()
 	}
-	delete(p.atDone, id)
+	delete(p.onDone, id)
 }
 
-// since is the moment from which a job's times count: when it was submitted, or the last job
+// eligibleSince is the moment from which a job's times count: when it was submitted, or the last job
 // that it needs ended.
-func (w *world) since(id string) micros.Micros {
-	at := w.asked[id]
-	for _, other := range w.pipelines.awaits[id] {
+func (w *simulation) eligibleSince(id string) micros.Micros {
+	at := w.submittedAt[id]
+	for _, other := range w.pipelines.dependencies[id] {
 		at = max(at, w.pipelines.endedAt[other])
 	}
 	return at
@@ -215,59 +215,59 @@
 
 // whenAccepted does something as soon as the users of all these jobs were told that they are
 // accepted.
-func (w *world) whenAccepted(ids []string, do func()) {
+func (w *simulation) whenAccepted(ids []string, do func()) {
 	if slices.ContainsFunc(ids, func(id string) bool { return !w.accepted[id] }) {
-		w.after(worldStep, func() { w.whenAccepted(ids, do) })
+		w.after(simulationStep, func() { w.whenAccepted(ids, do) })
 		return
 	}
 	do()
 }
 
-// whenOver does something as soon as the users of all these jobs were told that they are
+// whenTerminal does something as soon as the users of all these jobs were told that they are
 // over.
-func (w *world) whenOver(ids []string, do func()) {
-	if slices.ContainsFunc(ids, func(id string) bool { return w.told[id] == "" }) {
-		w.after(worldStep, func() { w.whenOver(ids, do) })
+func (w *simulation) whenTerminal(ids []string, do func()) {
+	if slices.ContainsFunc(ids, func(id string) bool { return w.reportedTerminal[id] == "" }) {
+		w.after(simulationStep, func() { w.whenTerminal(ids, do) })
 		return
 	}
 	do()
 }
 
-// submitAwaiting submits a job as soon as those that it awaits are accepted, or over, and
+// submitAfterDependencies submits a job as soon as those that it awaits are accepted, or over, and
 // polls it.
-func (w *world) submitAwaiting(id string, to int, over bool) {
+func (w *simulation) submitAfterDependencies(id string, to int, over bool) {
 	when := w.whenAccepted
 	if over {
-		when = w.whenOver
+		when = w.whenTerminal
 	}
-	when(w.pipelines.awaits[id], func() {
-		w.asked[id] = w.now
+	when(w.pipelines.dependencies[id], func() {
+		w.submittedAt[id] = w.now
 		w.submit(id, to)
 		w.after(2*micros.Second, func() { w.poll(id, to) })
 	})
 }
 
-// pipelinesServed sees at a day's end that jobs after others are done, or run, or still have
+// checkPipelinesCompleted sees at a day's end that jobs after others are done, or run, or still have
 // to wait for one that runs.
-func (w *world) pipelinesServed() {
-	goesOn := func(id string) bool { return w.told[id] == wire.JobDone || w.onMachines(id) > 0 }
-	for _, id := range sortedKeys(w.pipelines.awaits) {
-		if !w.accepted[id] || w.wantsEnd[id] || w.infos[id].Fails || w.fallsWithOthers(id) || goesOn(id) {
+func (w *simulation) checkPipelinesCompleted() {
+	goesOn := func(id string) bool { return w.reportedTerminal[id] == wire.JobDone || w.onMachines(id) > 0 }
+	for _, id := range sortedKeys(w.pipelines.dependencies) {
+		if !w.accepted[id] || w.cancelRequested[id] || w.infos[id].Fails || w.hasFailedDependency(id) || goesOn(id) {
 			continue
 		}
-		open := slices.DeleteFunc(slices.Clone(w.pipelines.ancestors[id]), func(a string) bool { return w.told[a] == wire.JobDone })
-		last := max(w.since(id), w.calm)
+		open := slices.DeleteFunc(slices.Clone(w.pipelines.ancestors[id]), func(a string) bool { return w.reportedTerminal[a] == wire.JobDone })
+		last := max(w.eligibleSince(id), w.faultsEndedAt)
 		for _, a := range w.pipelines.ancestors[id] {
-			last = max(last, w.since(a), w.pipelines.endedAt[a])
+			last = max(last, w.eligibleSince(a), w.pipelines.endedAt[a])
 		}
-		if w.now-last > waitsFor && !slices.ContainsFunc(open, func(a string) bool { return w.onMachines(a) > 0 }) {
-			w.breakRule("unserved: %s is not done, and neither it nor a job that it needs runs", id)
+		if w.now-last > maxSchedulableWait && !slices.ContainsFunc(open, func(a string) bool { return w.onMachines(a) > 0 }) {
+			w.reportViolation("unserved: %s is not done, and neither it nor a job that it needs runs", id)
 		}
 	}
 }
 
-// badAwaits are lists of jobs to wait for that must be refused, and how; 0: accepted.
-var badAwaits = []struct {
+// invalidDependencies are lists of jobs to wait for that must be refused, and how; 0: accepted.
+var invalidDependencies = []struct {
 	name  string
 	value func(id, known string) any
 	want  int
--- a/controller/preemption_test.go
+++ b/controller/preemption_test.go
@@ -9,9 +9,9 @@
 	"tamarindlead/sched"
 )
 
-// evictionOwner is an owner with one machine, on which a low array of two tasks runs, and a
+// newPreemptionOwner is an owner with one machine, on which a low array of two tasks runs, and a
 // gang that fits only in its place. The first task has run for 20 s of 30 s.
-func evictionOwner(checkpoint micros.Micros) (o *owner, gang, array *job) {
+func newPreemptionOwner(checkpoint micros.Micros) (o *owner, gang, array *job) {
 	o = testOwner()
 	o.c.types.list[0].Zones = nil // nothing can be rented
 	array = addTestJob(o, 1, &sched.Job{
@@ -34,10 +34,10 @@
 	return o.jobs[spec.ID]
 }
 
-// TestEvictionInVainBacksOff guards against a gang that evicts again on every retry although
+// TestFailedPreemptionBacksOff guards against a gang that evicts again on every retry although
 // it never starts: each hold in vain doubles the pause before the next eviction.
-func TestEvictionInVainBacksOff(t *testing.T) {
-	o, gang, _ := evictionOwner(0)
+func TestFailedPreemptionBacksOff(t *testing.T) {
+	o, gang, _ := newPreemptionOwner(0)
 	wait := o.c.cfg.Tuning.ReservationTimeout
 	for n := range 3 {
 		if !o.preempt(gang) {
@@ -64,10 +64,10 @@
 	}
 }
 
-// TestVictimsAboutToEnd guards against stopping what is about to end, since a stop would not be
+// TestPreemptionSparesEndingTasks guards against stopping what is about to end, since a stop would not be
 // faster: its room counts as free soon.
-func TestVictimsAboutToEnd(t *testing.T) {
-	o, gang, array := evictionOwner(0)
+func TestPreemptionSparesEndingTasks(t *testing.T) {
+	o, gang, array := newPreemptionOwner(0)
 	if n := len(o.victims(gang.Job, sched.Preempt, nil)); n != 1 {
 		t.Fatalf("%d victims 10 s before the array's end", n)
 	}
@@ -82,11 +82,11 @@
 	}
 }
 
-// TestLostWorkOfVictims guards the order in which machines are tried: what can save loses the
+// TestPreemptionOrderByLostWork guards the order in which machines are tried: what can save loses the
 // time for saving only, what cannot loses all of its run.
-func TestLostWorkOfVictims(t *testing.T) {
+func TestPreemptionOrderByLostWork(t *testing.T) {
 	for checkpoint, want := range map[micros.Micros]float64{0: 14 * 20, 15 * micros.Second: 14 * 1} {
-		o, gang, _ := evictionOwner(checkpoint)
+		o, gang, _ := newPreemptionOwner(checkpoint)
 		list := o.victims(gang.Job, sched.Preempt, nil)
 		if len(list) != 1 || list[0].Tasks[0].LostWork != want {
 			t.Errorf("checkpoints every %v: victims %+v, lost should be %g", checkpoint, list, want)
--- a/controller/priority_inheritance_test.go
+++ b/controller/priority_inheritance_test.go
@@ -13,24 +13,24 @@
 	"tamarindlead/sched"
 )
 
-// tree is a core that owns team red, and the jobs whose records it was given.
-type tree struct {
+// inheritanceTest is a core that owns team red, and the jobs whose records it was given.
+type inheritanceTest struct {
 	*testing.T
-	c        *Core
-	o        *owner
+	core     *Core
+	owner    *owner
 	jobs     map[string]*sched.Job // active
 	accepted map[string]micros.Micros
 }
 
-func newTree(t *testing.T) *tree {
+func newInheritanceTest(t *testing.T) *inheritanceTest {
 	o := testOwner()
 	o.jobsListed = true
 	o.c.graph.Reset(nil, 0)
-	return &tree{T: t, c: o.c, o: o, jobs: map[string]*sched.Job{}, accepted: map[string]micros.Micros{}}
+	return &inheritanceTest{T: t, core: o.c, owner: o, jobs: map[string]*sched.Job{}, accepted: map[string]micros.Micros{}}
 }
 
 // submit has a job accepted at a second, which awaits others.
-func (w *tree) submit(j sched.Job, at micros.Micros, awaits ...string) {
+func (w *inheritanceTest) submit(j sched.Job, at micros.Micros, awaits ...string) {
 	j.Tasks, j.Class, j.Need, j.Image, j.Dependencies = 1, "stage", sched.NewResources(1, 0, 1), "img", awaits
 	if j.Team == "" {
 		j.Team = "red"
@@ -44,32 +44,32 @@
 }
 
 // apply has the core take one change of the jobs' records.
-func (w *tree) apply(change kv.Change) {
+func (w *inheritanceTest) apply(change kv.Change) {
 	w.Helper()
-	after := w.c.graph.Revision()
+	after := w.core.graph.Revision()
 	change.Version = after + 1
-	if !w.c.graph.Apply(after, &kv.WatchResult{Revision: after + 1, Events: []kv.Change{change}}, w.c.wallClock) {
+	if !w.core.graph.Apply(after, &kv.WatchResult{Revision: after + 1, Events: []kv.Change{change}}, w.core.wallClock) {
 		w.Fatal("a change is refused")
 	}
 }
 
-func (w *tree) over(id string, status wire.JobPhase) {
+func (w *inheritanceTest) finish(id string, status wire.JobPhase) {
 	delete(w.jobs, id)
 	w.apply(kv.Change{Delete: record.ActiveJobKey(id)})
-	w.c.applyTerminalState(id, record.TerminalState{Status: record.Status(status), FinishedAt: 1})
+	w.core.applyTerminalState(id, record.TerminalState{Status: record.Status(status), FinishedAt: 1})
 }
 
 // check holds what the owner makes of a job against what is expected.
-func (w *tree) check(id string, priority sched.Priority, mustEnd float64) {
+func (w *inheritanceTest) check(id string, priority sched.Priority, mustEnd float64) {
 	w.Helper()
-	j := w.o.jobs[id]
+	j := w.owner.jobs[id]
 	if j == nil {
 		w.Fatalf("%s is not placed", id)
 	}
 	if j.Priority != priority || j.effectiveDeadline != micros.FromSeconds(mustEnd) {
 		w.Fatalf("%s has priority %d and must end at %v, want %d and %v", id, j.Priority, j.effectiveDeadline, priority, mustEnd)
 	}
-	if !slices.IsSortedFunc(w.o.queue, compareQueueOrder) {
+	if !slices.IsSortedFunc(w.owner.queue, compareQueueOrder) {
 		w.Fatalf("the queue is out of order")
 	}
 }
@@ -82,7 +82,7 @@
 // TestInheritChain guards against a first stage that does not inherit from the last, of
 // another team, and against one that goes on doing so after the last is over. Guard: jobgraph's passOn.
 func TestInheritChain(t *testing.T) {
-	w := newTree(t)
+	w := newInheritanceTest(t)
 	w.submit(stage(9, 1, 10, 0), 0)
 	w.submit(stage(1, 0, 10, 0), 0)
 	w.submit(stage(2, 0, 20, 0), 0, jobName(1))
@@ -92,54 +92,54 @@
 	w.submit(last, 7*micros.Second, jobName(2))
 	w.check(jobName(1), 2, 107-5-20)
 	w.check(jobName(9), 1, 0)
-	if w.o.queue[0].ID != jobName(1) {
-		t.Fatalf("%s is first", w.o.queue[0].ID)
+	if w.owner.queue[0].ID != jobName(1) {
+		t.Fatalf("%s is first", w.owner.queue[0].ID)
 	}
-	w.over(jobName(1), wire.JobDone)
+	w.finish(jobName(1), wire.JobDone)
 	w.check(jobName(2), 2, 107-5)
-	w.over(jobName(3), wire.JobCancelled)
+	w.finish(jobName(3), wire.JobCancelled)
 	w.check(jobName(2), 0, 0)
 }
 
 // TestInheritDiamond guards against an edge that is left out: the highest priority may come
 // by one way and the earliest end by another. Guard: jobgraph's inheritedBy.
 func TestInheritDiamond(t *testing.T) {
-	w := newTree(t)
+	w := newInheritanceTest(t)
 	w.submit(stage(1, 0, 10, 0), 0)
 	w.submit(stage(2, 1, 50, 0), 0, jobName(1))
 	w.submit(stage(3, 2, 5, 300), 0, jobName(1))
 	w.submit(stage(4, 0, 5, 200), 0, jobName(2), jobName(3), jobName(1))
 	w.check(jobName(1), 2, 200-5-50)
-	w.over(jobName(3), wire.JobCancelled) // and the last with it, which is not recorded yet
+	w.finish(jobName(3), wire.JobCancelled) // and the last with it, which is not recorded yet
 	w.check(jobName(1), 1, 0)
 	w.submit(stage(5, 0, 7, 90), 0, jobName(2))
 	w.check(jobName(1), 1, 90-7-50)
-	w.over(jobName(2), wire.JobCancelled)
-	w.over(jobName(4), wire.JobCancelled)
-	w.over(jobName(5), wire.JobCancelled)
+	w.finish(jobName(2), wire.JobCancelled)
+	w.finish(jobName(4), wire.JobCancelled)
+	w.finish(jobName(5), wire.JobCancelled)
 	w.check(jobName(1), 0, 0)
 }
 
 // TestInheritOwnDeadline guards against an order that changes without pipelines: a deadline
 // counts only for a job that others await or that awaits some. Guard: inherit.
 func TestInheritOwnDeadline(t *testing.T) {
-	w := newTree(t)
+	w := newInheritanceTest(t)
 	w.submit(stage(1, 1, 10, 40), 3*micros.Second)
 	w.check(jobName(1), 1, 0)
 	w.submit(stage(2, 0, 1, 0), 0, jobName(1))
 	w.check(jobName(1), 1, 43)
-	w.over(jobName(2), wire.JobCancelled)
+	w.finish(jobName(2), wire.JobCancelled)
 	w.check(jobName(1), 1, 0)
 }
 
-// TestInheritDrawn holds what is kept against what all records say, after each of many drawn
+// TestInheritRandomized holds what is kept against what all records say, after each of many drawn
 // events.
-func TestInheritDrawn(t *testing.T) {
+func TestInheritRandomized(t *testing.T) {
 	for seed := range uint64(20) {
 		r := rand.New(rand.NewPCG(seed, 6))
-		w := newTree(t)
+		w := newInheritanceTest(t)
 		cancelled := map[string]bool{} // with one before them, which is not recorded yet
-		g := w.c.graph
+		g := w.core.graph
 		for i := range 150 {
 			ids := sortedKeys(w.jobs)
 			switch n := r.IntN(10); {
@@ -161,10 +161,10 @@
 			case n < 8: // done, if it may be
 				id := ids[r.IntN(len(ids))]
 				if v := g.Blocked(id); v == nil || v.Ready() {
-					w.over(id, wire.JobDone)
+					w.finish(id, wire.JobDone)
 				}
 			default:
-				w.over(ids[r.IntN(len(ids))], wire.JobCancelled)
+				w.finish(ids[r.IntN(len(ids))], wire.JobCancelled)
 			}
 			clear(cancelled)
 			for id := range w.jobs {
@@ -177,13 +177,13 @@
 	}
 }
 
-// with is what is inherited from two jobs.
-func with(a, b dag.Inheritance) dag.Inheritance {
+// mergeInherited is what is inherited from two jobs.
+func mergeInherited(a, b dag.Inheritance) dag.Inheritance {
 	return dag.Inheritance{Priority: max(a.Priority, b.Priority), LatestFinish: dag.EarlierDeadline(a.LatestFinish, b.LatestFinish)}
 }
 
 // checkAll computes anew what each active job inherits.
-func (w *tree) checkAll(seed uint64, cancelled map[string]bool) {
+func (w *inheritanceTest) checkAll(seed uint64, cancelled map[string]bool) {
 	w.Helper()
 	ids := sortedKeys(w.jobs)
 	want := map[string]dag.Inheritance{}
@@ -192,29 +192,29 @@
 		if cancelled[j.ID] {
 			continue
 		}
-		if w.c.graph.Blocked(j.ID) == nil {
+		if w.core.graph.Blocked(j.ID) == nil {
 			continue
 		}
-		in := with(dag.Inheritance{Priority: j.Priority, LatestFinish: dag.AbsoluteDeadline(w.accepted[j.ID], j.Deadline)}, want[j.ID])
+		in := mergeInherited(dag.Inheritance{Priority: j.Priority, LatestFinish: dag.AbsoluteDeadline(w.accepted[j.ID], j.Deadline)}, want[j.ID])
 		if in.LatestFinish != 0 {
 			in.LatestFinish = max(1, in.LatestFinish-j.Estimate)
 		}
 		for _, x := range j.Dependencies {
 			if w.jobs[x] != nil {
-				want[x] = with(want[x], in)
+				want[x] = mergeInherited(want[x], in)
 			}
 		}
 	}
 	for _, id := range ids {
-		got, _ := w.c.graph.Inherited(id)
+		got, _ := w.core.graph.Inherited(id)
 		if !cancelled[id] && got != want[id] {
 			w.Fatalf("seed %d: %s inherits %v, want %v", seed, id, got, want[id])
 		}
-		if j := w.o.jobs[id]; j != nil && j.Priority != max(w.jobs[id].Priority, want[id].Priority) {
+		if j := w.owner.jobs[id]; j != nil && j.Priority != max(w.jobs[id].Priority, want[id].Priority) {
 			w.Fatalf("seed %d: %s has priority %d at its owner", seed, id, j.Priority)
 		}
 	}
-	if !slices.IsSortedFunc(w.o.queue, compareQueueOrder) {
+	if !slices.IsSortedFunc(w.owner.queue, compareQueueOrder) {
 		w.Fatalf("seed %d: the queue is out of order", seed)
 	}
 }
@@ -224,11 +224,11 @@
 // Guards: urgent and maxQueueingDelay in demands.
 func TestDeadlineDemand(t *testing.T) {
 	for _, due := range []float64{0, 400, 50} {
-		w := newTree(t)
-		w.submit(stage(1, 0, 10, 0), w.c.wallClock)
-		w.submit(stage(2, 0, 25, due), w.c.wallClock, jobName(1))
-		g := w.o.demands()[0]
-		want := w.o.maxWait(w.o.jobs[g.Representative.ID])
+		w := newInheritanceTest(t)
+		w.submit(stage(1, 0, 10, 0), w.core.wallClock)
+		w.submit(stage(2, 0, 25, due), w.core.wallClock, jobName(1))
+		g := w.owner.demands()[0]
+		want := w.owner.maxWait(w.owner.jobs[g.Representative.ID])
 		if due == 50 {
 			want = 15 * micros.Second // 50 s less both estimates
 		}
--- a/controller/production_decode_test.go
+++ b/controller/production_decode_test.go
@@ -17,18 +17,18 @@
 // What this version reads in records and messages, to be compared with what the version in
 // production reads (production/_node/read.go).
 
-// readingOf tells what this version reads in a record.
-func readingOf(key string, value []byte) string {
+// decodedText tells what this version reads in a record.
+func decodedText(key string, value []byte) string {
 	text, err := readRecord(key, value)
 	if err != nil {
 		return "error: " + err.Error()
 	}
-	return meaning(text)
+	return withoutDefaults(text)
 }
 
-// meaning leaves out what is not set, so that a field which only one version knows makes no
+// withoutDefaults leaves out what is not set, so that a field which only one version knows makes no
 // difference as long as it is not used.
-func meaning(text string) string {
+func withoutDefaults(text string) string {
 	var v any
 	d := json.NewDecoder(strings.NewReader(text))
 	d.UseNumber()
@@ -175,8 +175,8 @@
 	return string(text), err
 }
 
-// messageReading tells what this version reads in a message between siblings.
-func messageReading(body []byte) string {
+// decodedMessage tells what this version reads in a message between siblings.
+func decodedMessage(body []byte) string {
 	var m peer.Message
 	if err := proto.Unmarshal(body, &m); err != nil {
 		return "error: " + err.Error()
--- a/controller/production_test.go
+++ b/controller/production_test.go
@@ -40,26 +40,26 @@
 
 var productionLine = regexp.MustCompile(`(?m)^production = "([0-9a-f]{40})"$`)
 
-// productionVerb plays the commands of this file; ok is false for any other.
-func productionVerb(t *testing.T, w *world, d *datadriven.TestData, node func() *simNode) (out string, ok bool) {
-	down := argSeconds(t, d, "for", worldLife.Seconds())
+// runProductionCommand plays the commands of this file; ok is false for any other.
+func runProductionCommand(t *testing.T, w *simulation, d *datadriven.TestData, node func() *simNode) (out string, ok bool) {
+	down := argSeconds(t, d, "for", restartDelay.Seconds())
 	switch d.Cmd {
 	case "upgrade": // a node ends and returns with the present version
 		n := node()
-		n.version = present
+		n.version = currentVersion
 		w.crash(n, down)
 	case "downgrade":
 		n := node()
-		n.version = inProduction
+		n.version = productionVersion
 		w.crash(n, down)
 	case "downgrade-all": // all end at once and return with the version in production
 		for _, n := range w.nodes {
-			n.version = inProduction
+			n.version = productionVersion
 			w.crash(n, down)
 		}
 	case "upgrade-all":
 		for _, n := range w.nodes {
-			n.version = present
+			n.version = currentVersion
 			w.crash(n, down)
 		}
 	case "leader-version":
@@ -73,11 +73,11 @@
 	return "", true
 }
 
-// beginOld has the world's first nodes begin with the version in production.
-func (w *world) beginOld(t *testing.T, nodes int) {
+// startWithProduction has the world's first nodes begin with the version in production.
+func (w *simulation) startWithProduction(t *testing.T, nodes int) {
 	w.production = startProduction(t)
 	for _, n := range w.nodes[:nodes] {
-		n.version = inProduction
+		n.version = productionVersion
 	}
 }
 
@@ -166,7 +166,7 @@
 
 // The program's Ask, Answer and Effect (production/_node/main.go).
 type (
-	productionAsk struct {
+	productionRequest struct {
 		Node     int
 		Now      micros.Micros
 		Settings *config.Settings
@@ -179,7 +179,7 @@
 		Value    []byte
 		Message  bool
 	}
-	productionAnswer struct {
+	productionResponse struct {
 		Effects []productionEffect
 		Owner   int
 		Active  bool
@@ -220,7 +220,7 @@
 	return &production{out: gob.NewEncoder(stdin), in: gob.NewDecoder(stdout)}
 }
 
-func (p *production) ask(a productionAsk) (answer productionAnswer) {
+func (p *production) exchange(a productionRequest) (answer productionResponse) {
 	if p.err == nil {
 		p.err = p.out.Encode(toProduction(a))
 	}
@@ -230,42 +230,42 @@
 	return answer
 }
 
-// reads tells what the production version reads in a record.
-func (p *production) reads(key string, value []byte) string {
-	return meaning(p.ask(productionAsk{Read: true, Key: key, Value: value}).Text)
+// decodeRecord tells what the production version reads in a record.
+func (p *production) decodeRecord(key string, value []byte) string {
+	return withoutDefaults(p.exchange(productionRequest{Read: true, Key: key, Value: value}).Text)
 }
 
-// readsMessage is the same for a message between siblings.
-func (p *production) readsMessage(body []byte) string {
-	return p.ask(productionAsk{Message: true, Value: body}).Text
+// decodeMessage is the same for a message between siblings.
+func (p *production) decodeMessage(body []byte) string {
+	return p.exchange(productionRequest{Message: true, Value: body}).Text
 }
 
-// oldCore is a node's core of the production version.
-type oldCore struct {
-	of     *production
-	node   int
-	owning int
-	active bool
+// productionCore is a node's core of the production version.
+type productionCore struct {
+	process   *production
+	node      int
+	ownership int
+	active    bool
 }
 
-func (w *world) startOld(n *simNode, cfg *config.Settings) {
-	n.old = &oldCore{of: w.production, node: n.index}
-	n.old.of.ask(productionAsk{Node: n.index, Now: w.now, Settings: cfg, Seed: w.rng.Uint64(), Debug: os.Getenv("SCENARIO_LOG") != ""})
+func (w *simulation) startProductionNode(n *simNode, cfg *config.Settings) {
+	n.productionCore = &productionCore{process: w.production, node: n.index}
+	n.productionCore.process.exchange(productionRequest{Node: n.index, Now: w.now, Settings: cfg, Seed: w.rng.Uint64(), Debug: os.Getenv("SCENARIO_LOG") != ""})
 }
 
-func (o *oldCore) handle(w *world, ev Event) []Effect {
-	a := productionAsk{Node: o.node, Now: w.now}
+func (o *productionCore) handle(w *simulation, ev Event) []Effect {
+	a := productionRequest{Node: o.node, Now: w.now}
 	switch ev := ev.(type) {
 	case Request:
 		a.Request = &ev
 	case CallDone:
 		a.Done = &ev
 	}
-	answer := o.of.ask(a)
-	if o.of.err != nil {
-		w.breakRule("the production version has ended: %v", o.of.err)
+	answer := o.process.exchange(a)
+	if o.process.err != nil {
+		w.reportViolation("the production version has ended: %v", o.process.err)
 	}
-	o.owning, o.active = answer.Owner, answer.Active
+	o.ownership, o.active = answer.Owner, answer.Active
 	var out []Effect
 	for _, e := range answer.Effects {
 		if e.Call != nil {
@@ -281,26 +281,26 @@
 type version int
 
 const (
-	present version = iota
-	inProduction
+	currentVersion version = iota
+	productionVersion
 )
 
 func (v version) String() string { return [...]string{"present", "production"}[v] }
 
-func (n *simNode) handle(w *world, ev Event) []Effect {
-	if n.old != nil {
-		return n.old.handle(w, ev)
+func (n *simNode) handle(w *simulation, ev Event) []Effect {
+	if n.productionCore != nil {
+		return n.productionCore.handle(w, ev)
 	}
 	return n.core.Handle(w.now, w.now, ev)
 }
 
-// owns tells whether the node owns teams, and by what; nil: it does not.
-func (n *simNode) owns() (by any, active bool) {
+// ownership tells whether the node owns teams, and by what; nil: it does not.
+func (n *simNode) ownership() (by any, active bool) {
 	switch {
 	case !n.up:
-	case n.old != nil && n.old.owning > 0:
-		return fmt.Sprint(n.life, " ", n.old.owning), n.old.active
-	case n.old == nil && n.core.owner != nil:
+	case n.productionCore != nil && n.productionCore.ownership > 0:
+		return fmt.Sprint(n.incarnation, " ", n.productionCore.ownership), n.productionCore.active
+	case n.productionCore == nil && n.core.owner != nil:
 		return n.core.owner, n.core.owner.state == ownerActive
 	}
 	return nil, false
--- a/controller/recovery_machines_test.go
+++ b/controller/recovery_machines_test.go
@@ -29,7 +29,7 @@
 // tasks, and ended or read all records again before it had seen that another owner's block has
 // the machine with a task.
 func TestLoadKeepsAttemptsOfAdoptedMachines(t *testing.T) {
-	core := answeringCore()
+	core := newRespondingCore()
 	o := newOwner(core, map[string]cluster.Team{})
 	core.setOwner(o)
 	job := &sched.Job{ID: "req-000001", Team: "red", Tasks: 1, Need: sched.NewResources(1, 0, 1)}
--- a/controller/responses_test.go
+++ b/controller/responses_test.go
@@ -10,20 +10,20 @@
 	"tamarindlead/sched"
 )
 
-// answeringCore returns the core of a node that has just started alone.
-func answeringCore() *Core {
+// newRespondingCore returns the core of a node that has just started alone.
+func newRespondingCore() *Core {
 	cfg := &config.Settings{
 		Node: "n0", Zone: "a", KVAddr: "state", CloudAddr: "cloud", Zones: []string{"a"}, Sockets: 400,
 		KVRequestRate: 150, KVWriteRate: 40, CloudRequestRate: 5, MaxTransactionOps: 12, MaxValueBytes: 8 << 10, WorkerLease: 15 * micros.Second,
 		CancellationDeadline: 45 * micros.Second, HeartbeatInterval: 3 * micros.Second, Tuning: config.DefaultTuning(),
 	}
-	w := newWorld(1, cfg)
+	w := newSimulation(1, cfg)
 	w.run(micros.Second)
 	return w.nodes[0].core
 }
 
-// respondedWith returns the status of the one response among effects.
-func respondedWith(t *testing.T, effects []Effect) int {
+// responseStatus returns the status of the one response among effects.
+func responseStatus(t *testing.T, effects []Effect) int {
 	t.Helper()
 	status := 0
 	for _, e := range effects {
@@ -37,9 +37,9 @@
 	return status
 }
 
-// TestCheckAnswerWithholdsOldKnowledge sees that an answer which rests on a read from before
+// TestCheckResponseRejectsStaleRead sees that an answer which rests on a read from before
 // the request is refused instead, and counted as a violation.
-func TestCheckAnswerWithholdsOldKnowledge(t *testing.T) {
+func TestCheckResponseRejectsStaleRead(t *testing.T) {
 	const job = "req-000001"
 	read := func(at micros.Micros) lookupResult {
 		return activeResult(7, freshness.Evidence{Basis: freshness.RecordRead, SentAt: at})
@@ -58,29 +58,29 @@
 		{"final state of a job that is over", terminalResult(wire.JobCancelled), true, wire.StatusOK, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			core := answeringCore()
+			core := newRespondingCore()
 			if c.ended {
 				core.cancellations.MarkEnded(job, core.now)
 			}
 			core.effects = nil
 			core.respondQuery(userRequest{id: 1, receivedAt: 100}, job, c.result)
-			if status := respondedWith(t, core.effects); status != c.status || core.Violations() != c.violations {
+			if status := responseStatus(t, core.effects); status != c.status || core.Violations() != c.violations {
 				t.Errorf("answered %d with %d violations, want %d and %d", status, core.Violations(), c.status, c.violations)
 			}
 		})
 	}
 }
 
-// TestLateRequestsAreLookedUp sees that of the requests that joined a submission only those are
+// TestLateDuplicateRequestsAreLookedUp sees that of the requests that joined a submission only those are
 // answered by its commit that came before the commit was sent.
-func TestLateRequestsAreLookedUp(t *testing.T) {
-	core := answeringCore()
-	job := answeringJob()
+func TestLateDuplicateRequestsAreLookedUp(t *testing.T) {
+	core := newRespondingCore()
+	job := newSmallJob()
 	sub := &submission{job: job, requests: []userRequest{{1, core.now - 1}, {2, core.now + 1}}, status: wire.JobQueued}
 	core.submissions.byJob[job.ID] = sub
 	core.effects = nil
 	core.submissions.handleAccepted(sub, freshness.Evidence{Basis: freshness.OwnTransaction, SentAt: core.now})
-	if status := respondedWith(t, core.effects); status != wire.StatusAccepted {
+	if status := responseStatus(t, core.effects); status != wire.StatusAccepted {
 		t.Errorf("the request that came before the commit is answered %d", status)
 	}
 	if waiting := core.lookups.pending; len(waiting) != 1 || waiting[0].id != job.ID {
@@ -91,17 +91,17 @@
 	}
 }
 
-// answeringJob is a small job.
-func answeringJob() *sched.Job {
+// newSmallJob is a small job.
+func newSmallJob() *sched.Job {
 	return &sched.Job{
 		ID: "req-000001", Class: "work", Team: "red", Priority: sched.Normal, Tasks: 1,
 		Need: sched.NewResources(1, 0, 1), Image: "img", ImageGB: 1, Estimate: 10 * micros.Second,
 	}
 }
 
-// TestRefusalRestsOnDependencies sees that a refusal because of an awaited job answers only
+// TestRefusalRequiresCurrentDependencies sees that a refusal because of an awaited job answers only
 // requests that came before that job was looked up, though the job itself is looked up later.
-func TestRefusalRestsOnDependencies(t *testing.T) {
+func TestRefusalRequiresCurrentDependencies(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		cameAt micros.Micros // from the look at the awaited job
@@ -111,16 +111,16 @@
 		{"joined after", 1, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			core := answeringCore()
+			core := newRespondingCore()
 			asked := core.now - micros.Second
-			sub := &submission{job: answeringJob(), requests: []userRequest{{1, asked + c.cameAt}}, dependenciesReadAt: asked}
+			sub := &submission{job: newSmallJob(), requests: []userRequest{{1, asked + c.cameAt}}, dependenciesReadAt: asked}
 			core.submissions.byJob[sub.job.ID] = sub
 			core.submissions.answerDuplicateOrRefuse(sub, permanentRefusal(reasonDependencyNotAccepted))
 			lookup := core.lookups.pending[0]
 			core.lookups.pending = nil
 			core.effects = nil
 			lookup.done(lookupResult{outcome: lookupNotFound, evidence: freshness.Evidence{Basis: freshness.RecordRead, SentAt: core.now}})
-			if status := respondedWith(t, core.effects); status != c.status || core.Violations() != 0 {
+			if status := responseStatus(t, core.effects); status != c.status || core.Violations() != 0 {
 				t.Errorf("answered %d with %d violations, want %d", status, core.Violations(), c.status)
 			}
 			if again := len(core.lookups.pending); again != 1 && c.status == 0 {
--- a/controller/scenario_figures_test.go
+++ b/controller/scenario_figures_test.go
@@ -11,47 +11,47 @@
 
 // This file prints what a scenario looks at.
 
-// figureVerb plays the commands that print something; ok is false for any other.
-func figureVerb(t *testing.T, w *world, d *datadriven.TestData, node func() *simNode) (out string, ok bool) {
+// runQueryCommand plays the commands that print something; ok is false for any other.
+func runQueryCommand(t *testing.T, w *simulation, d *datadriven.TestData, node func() *simNode) (out string, ok bool) {
 	switch id := jobArg(t, d); d.Cmd {
 	case "up":
 		return w.get(t, node(), "/up"), true
 	case "ask":
 		return w.get(t, node(), "/api/jobs/"+id), true
 	case "damaged":
-		return w.damaged(node()), true
+		return w.sendUndecodableMessages(node()), true
 	case "status":
-		if s, ok := w.told[id]; ok {
+		if s, ok := w.reportedTerminal[id]; ok {
 			return string(s), true
 		}
 		return "open", true
 	case "began-by":
 		limit := argSeconds(t, d, "s", 240)
-		return atLeast(t, d, func(id string) bool { return w.began[id] != 0 && w.began[id]-w.since(id) <= limit }), true
+		return atLeast(t, d, func(id string) bool { return w.startedAt[id] != 0 && w.startedAt[id]-w.eligibleSince(id) <= limit }), true
 	case "done-of":
-		return atLeast(t, d, func(id string) bool { return w.told[id] == wire.JobDone }), true
+		return atLeast(t, d, func(id string) bool { return w.reportedTerminal[id] == wire.JobDone }), true
 	case "accepted":
 		return atLeast(t, d, func(id string) bool { return w.accepted[id] }), true
 	case "numbers-left":
 		owner := node().core
 		return fmt.Sprint(!owner.numbers.nearlyExhausted(owner.node.RecordVersion())), true
 	case "count":
-		return countCommand(t, w, d), true
+		return runCountCommand(t, w, d), true
 	case "leader":
 		return fmt.Sprint(w.leader() >= 0), true
 	}
 	return "", false
 }
 
-// countCommand prints a figure of the world.
-func countCommand(t *testing.T, w *world, d *datadriven.TestData) string {
+// runCountCommand prints a figure of the world.
+func runCountCommand(t *testing.T, w *simulation, d *datadriven.TestData) string {
 	switch what := arg(t, d, "what", "running"); what {
 	case "running":
 		return fmt.Sprint(len(w.running))
 	case "held":
-		return fmt.Sprint(len(w.held) + len(w.holdOf))
+		return fmt.Sprint(len(w.delayedHeartbeats) + len(w.delayNextOf))
 	case "cancelled-running":
-		return fmt.Sprint(w.cancelledRunning())
+		return fmt.Sprint(w.countCancelledRunning())
 	case "starts":
 		return fmt.Sprint(w.starts)
 	case "stopped", "error":
@@ -69,30 +69,30 @@
 	case "told-cancelled": // jobs whose users were told so
 		return fmt.Sprint(len(w.cancelled))
 	case "starts-after-cancel":
-		return fmt.Sprint(w.crowd.startsAfterCancel)
+		return fmt.Sprint(w.users.startsAfterCancel)
 	case "cancelled-at-end":
-		return fmt.Sprint(w.crowd.cancelledAtEnd)
+		return fmt.Sprint(w.users.cancelledAtEnd)
 	case "looks", "odd-requests", "late-writes", "lost-answers", "held-answers", "answers", "refused-429", "refused-503": // how often a meeting came about
 		n := map[string]int{
-			"looks":        w.crowd.closeLooks,
-			"odd-requests": w.crowd.oddRequestsSent,
-			"late-writes":  w.faults.lateDone,
-			"lost-answers": w.faults.lostDone,
-			"held-answers": w.faults.unevenState.held + w.faults.unevenPeers.held,
-			"answers":      w.crowd.answers[arg(t, d, "job", "")],
-			"refused-429":  w.crowd.refusals[wire.StatusTooManyRequests],
-			"refused-503":  w.crowd.refusals[wire.StatusUnavailable],
+			"looks":        w.users.consistencyChecks,
+			"odd-requests": w.users.unusualRequestsSent,
+			"late-writes":  w.kvFaults.lateApplied,
+			"lost-answers": w.kvFaults.lostResponses,
+			"held-answers": w.kvFaults.kvResponseDelay.delayedCount + w.kvFaults.peerResponseDelay.delayedCount,
+			"answers":      w.users.responseCount[arg(t, d, "job", "")],
+			"refused-429":  w.users.refusals[wire.StatusTooManyRequests],
+			"refused-503":  w.users.refusals[wire.StatusUnavailable],
 		}[what]
 		if least := arg(t, d, "least", 0); least > 0 && n >= least {
 			return "enough"
 		}
 		return fmt.Sprint(n)
 	case "limited":
-		return fmt.Sprint(w.state.Throttled)
+		return fmt.Sprint(w.kvStore.Throttled)
 	case "records-above": // a size, in the form in which the limits count it
-		return w.recordsAbove(arg(t, d, "prefix", ""), arg(t, d, "bytes", 0), arg(t, d, "least", 0))
+		return w.countRecordsAbove(arg(t, d, "prefix", ""), arg(t, d, "bytes", 0), arg(t, d, "least", 0))
 	case "records":
-		return fmt.Sprint(len(w.state.Keys(arg(t, d, "prefix", ""))))
+		return fmt.Sprint(len(w.kvStore.Keys(arg(t, d, "prefix", ""))))
 	default:
 		d.Fatalf(t, "unknown figure %s", what)
 	}
--- a/controller/scenario_jobs_test.go
+++ b/controller/scenario_jobs_test.go
@@ -17,11 +17,11 @@
 // jobArg is the job that a command names.
 func jobArg(t *testing.T, d *datadriven.TestData) string { return arg(t, d, "job", "req-000001") }
 
-// jobVerb plays the commands of users; ok is false for any other.
-func jobVerb(t *testing.T, w *world, d *datadriven.TestData) (out string, ok bool) {
+// runJobCommand plays the commands of users; ok is false for any other.
+func runJobCommand(t *testing.T, w *simulation, d *datadriven.TestData) (out string, ok bool) {
 	switch d.Cmd {
 	case "submit":
-		return submitCommand(t, w, d, jobArg(t, d)), true
+		return runSubmitCommand(t, w, d, jobArg(t, d)), true
 	case "jobs":
 		submitMany(t, w, d)
 	case "again":
@@ -35,13 +35,13 @@
 }
 
 // submitMany submits a row of jobs; the teams may take turns.
-func submitMany(t *testing.T, w *world, d *datadriven.TestData) {
+func submitMany(t *testing.T, w *simulation, d *datadriven.TestData) {
 	for i := range arg(t, d, "count", 10) {
 		one := *d
 		if n := arg(t, d, "over", 0); n > 0 {
 			one.CmdArgs = append([]datadriven.CmdArg{{Key: "team", Vals: []string{teamName(i % n)}}}, d.CmdArgs...)
 		}
-		submitCommand(t, w, &one, fmt.Sprintf("req-%06d", arg(t, d, "from", 1)+i))
+		runSubmitCommand(t, w, &one, fmt.Sprintf("req-%06d", arg(t, d, "from", 1)+i))
 	}
 }
 
@@ -59,7 +59,7 @@
 	return fmt.Sprint(n)
 }
 
-func submitCommand(t *testing.T, w *world, d *datadriven.TestData, id string) string {
+func runSubmitCommand(t *testing.T, w *simulation, d *datadriven.TestData, id string) string {
 	run := argSeconds(t, d, "run", 10)
 	j := &sched.Job{
 		ID: id, Class: arg(t, d, "class", "work"), Team: arg(t, d, "team", "red"),
@@ -76,25 +76,25 @@
 	if j.Types != nil {
 		j.Types[0] = "small"
 	}
-	w.submitted[id], w.asked[id] = j, w.now
+	w.submitted[id], w.submittedAt[id] = j, w.now
 	w.bodies[id] = wire.Encode(wire.FromJob(j))
 	w.infos[id] = fake.TaskInfo{
 		CPU: j.Need.CPUs(), Mem: argNumber(t, d, "mem", 2), Run: run, Fetch: micros.Second, Save: j.CheckpointDuration,
 		Saves: j.CheckpointInterval > 0, Gang: j.Gang, Tasks: j.Tasks, Fails: d.HasArg("fails"),
 	}
-	w.noteApart(id, argSeconds(t, d, "apart", 0))
-	w.noteAwaits(id, awaitsArg(t, d))
+	w.setTaskStagger(id, argSeconds(t, d, "apart", 0))
+	w.setDependencies(id, dependenciesArg(t, d))
 	if d.HasArg("check") {
 		status, state := -1, ""
 		sent := w.now
 		w.user(arg(t, d, "to", 0), "POST", "/api/jobs", w.bodies[id], func(r Respond) {
-			w.checkAnswer(id, r, sent)
-			status, state = r.Status, answerState(r)
+			w.checkResponse(id, r, sent)
+			status, state = r.Status, responseState(r)
 		})
 		for end := w.now + 6*micros.Second; status < 0 && w.now < end; {
-			w.run(worldStep)
+			w.run(simulationStep)
 		}
-		if w.accepted[id] && len(w.pipelines.awaits[id]) > 0 {
+		if w.accepted[id] && len(w.pipelines.dependencies[id]) > 0 {
 			w.poll(id, 0)
 		}
 		if d.HasArg("state") {
@@ -102,8 +102,8 @@
 		}
 		return fmt.Sprint(status)
 	}
-	if len(w.pipelines.awaits[id]) > 0 && !d.HasArg("at-once") {
-		w.submitAwaiting(id, arg(t, d, "to", 0), d.HasArg("over"))
+	if len(w.pipelines.dependencies[id]) > 0 && !d.HasArg("at-once") {
+		w.submitAfterDependencies(id, arg(t, d, "to", 0), d.HasArg("over"))
 		return ""
 	}
 	w.submit(id, arg(t, d, "to", 0))
@@ -112,10 +112,10 @@
 }
 
 // unfinished lists accepted or submitted jobs whose users were told no final state.
-func unfinished(w *world) []string {
+func unfinished(w *simulation) []string {
 	var left []string
 	for _, id := range sortedKeys(w.submitted) {
-		if w.told[id] == "" {
+		if w.reportedTerminal[id] == "" {
 			left = append(left, id)
 		}
 	}
--- a/controller/scenario_machines_test.go
+++ b/controller/scenario_machines_test.go
@@ -11,11 +11,11 @@
 
 // This file plays what befalls machines and the cloud.
 
-// machineVerb plays the commands of this file; false for any other.
-func machineVerb(t *testing.T, w *world, d *datadriven.TestData, during func(func())) bool {
+// runMachineCommand plays the commands of this file; false for any other.
+func runMachineCommand(t *testing.T, w *simulation, d *datadriven.TestData, during func(func())) bool {
 	switch d.Cmd {
 	case "machine":
-		machineCommand(t, w, d, during)
+		runMachineFaultCommand(t, w, d, during)
 	case "cloud-down":
 		w.cloud.Unavailable = true
 		during(func() { w.cloud.Unavailable = false })
@@ -27,12 +27,12 @@
 	return true
 }
 
-func machineCommand(t *testing.T, w *world, d *datadriven.TestData, during func(func())) {
+func runMachineFaultCommand(t *testing.T, w *simulation, d *datadriven.TestData, during func(func())) {
 	names := w.workerNames()
-	if chosen := w.chosen(t, d); chosen != nil {
+	if chosen := w.selectMachines(t, d); chosen != nil {
 		names = chosen
 		one := *d
-		one.CmdArgs = append(withoutChoice(d), datadriven.CmdArg{Key: "name", Vals: []string{"all"}})
+		one.CmdArgs = append(withoutSelectors(d), datadriven.CmdArg{Key: "name", Vals: []string{"all"}})
 		d = &one
 	}
 	which := arg(t, d, "name", names[0])
@@ -40,7 +40,7 @@
 		for _, n := range names {
 			one := *d
 			one.CmdArgs = append([]datadriven.CmdArg{{Key: "name", Vals: []string{n}}}, slices.DeleteFunc(slices.Clone(d.CmdArgs), func(a datadriven.CmdArg) bool { return a.Key == "name" })...)
-			machineCommand(t, w, &one, during)
+			runMachineFaultCommand(t, w, &one, during)
 		}
 		return
 	}
@@ -55,7 +55,7 @@
 	switch {
 	case d.HasArg("die"):
 		k.Hung = true
-		w.after(40*micros.Second, func() { k.Machine.Gone = true; w.noteGone() })
+		w.after(40*micros.Second, func() { k.Machine.Gone = true; w.forgetDeletedMachines() })
 	case d.HasArg("hang"):
 		k.Hung = true
 		during(func() { k.Hung = false })
@@ -73,11 +73,11 @@
 		during(func() { k.FailsTasks = false })
 	case d.HasArg("taken"):
 		w.cloud.Reclaim(which)
-		w.noteGone()
+		w.forgetDeletedMachines()
 	case d.HasArg("notice"):
 		left := argNumber(t, d, "notice", 20)
 		k.Notice, k.Changed = &left, true
-		w.after(micros.FromSeconds(left), func() { w.cloud.Reclaim(which); w.noteGone() })
+		w.after(micros.FromSeconds(left), func() { w.cloud.Reclaim(which); w.forgetDeletedMachines() })
 	default:
 		d.Fatalf(t, "what happens to the machine?")
 	}
--- a/controller/scenario_seeds_test.go
+++ b/controller/scenario_seeds_test.go
@@ -48,15 +48,15 @@
 		for seed := 1; seed <= seeds; seed++ {
 			t.Run(fmt.Sprintf("%s/%d", scenario, seed), func(t *testing.T) {
 				t.Parallel()
-				playWithSeed(t, scenario, seed)
+				runWithSeed(t, scenario, seed)
 			})
 		}
 	}
 }
 
-// playWithSeed plays a scenario in a world with the given seed.
-func playWithSeed(t *testing.T, scenario string, seed int) {
+// runWithSeed plays a scenario in a world with the given seed.
+func runWithSeed(t *testing.T, scenario string, seed int) {
 	override := datadriven.CmdArg{Key: seedOverride, Vals: []string{strconv.Itoa(seed)}}
 	prepare := func(d *datadriven.TestData) { d.CmdArgs = append(d.CmdArgs, override) }
-	playScenario(t, filepath.Join("testdata", scenario+".txt"), prepare, func(*world) {})
+	runScenario(t, filepath.Join("testdata", scenario+".txt"), prepare, func(*simulation) {})
 }
--- a/controller/scenario_setup_test.go
+++ b/controller/scenario_setup_test.go
@@ -15,8 +15,8 @@
 
 // This file makes the worlds of scenarios.
 
-// scenarioWorld makes zones, two machine types and a few machines.
-func scenarioWorld(t *testing.T, d *datadriven.TestData) *world {
+// newScenarioSimulation makes zones, two machine types and a few machines.
+func newScenarioSimulation(t *testing.T, d *datadriven.TestData) *simulation {
 	team := func(name string) config.Team {
 		return config.Team{
 			Name:            name,
@@ -41,9 +41,9 @@
 	}
 	cfg.Tuning.MaxMachines = arg(t, d, "most", 0)
 	cfg.Tuning.SpreadTeams = d.HasArg("spread")
-	w := newWorld(scenarioSeed(t, d), cfg)
-	w.next = nextLimitsOf(t, d)
-	w.setUnevenOnDemand(t)
+	w := newSimulation(scenarioSeed(t, d), cfg)
+	w.nextLimits = parseNextLimits(t, d)
+	w.applyResponseDelayFromEnv(t)
 	w.cloud.Now = w.now
 	bigZones := zones[arg(t, d, "no-big-in", 0):] // the first zones may lack the big type
 	w.cloud.Types = []wire.MachineType{
@@ -62,9 +62,9 @@
 	for i := range arg(t, d, "machines", 4) {
 		w.cloud.Add(arg(t, d, "type", "small"), zones[i%len(zones)], false, 0)
 	}
-	w.loss, w.late, w.dup = argNumber(t, d, "loss", 0), argNumber(t, d, "late", 0), argNumber(t, d, "dup", 0)
+	w.lossRate, w.lateRequestRate, w.duplicateRequestRate = argNumber(t, d, "loss", 0), argNumber(t, d, "late", 0), argNumber(t, d, "dup", 0)
 	if n := arg(t, d, "production", -1); n >= 0 { // so many nodes begin with that version
-		w.beginOld(t, n)
+		w.startWithProduction(t, n)
 	}
 	return w
 }
--- a/controller/scenario_test.go
+++ b/controller/scenario_test.go
@@ -16,25 +16,25 @@
 func TestScenarios(t *testing.T) {
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
 		t.Parallel()
-		playScenario(t, path, func(*datadriven.TestData) {}, func(*world) {})
+		runScenario(t, path, func(*datadriven.TestData) {}, func(*simulation) {})
 	})
 }
 
-// playScenario plays a file. prepare may change the command that makes the world, and made is
+// runScenario plays a file. prepare may change the command that makes the world, and made is
 // shown the world.
-func playScenario(t *testing.T, path string, prepare func(d *datadriven.TestData), made func(w *world)) {
+func runScenario(t *testing.T, path string, prepare func(d *datadriven.TestData), made func(w *simulation)) {
 	t.Helper()
-	var w *world
+	var w *simulation
 	datadriven.RunTest(t, path, func(t *testing.T, d *datadriven.TestData) string {
 		if d.Cmd == "world" {
 			prepare(d)
-			w = scenarioWorld(t, d)
+			w = newScenarioSimulation(t, d)
 			made(w)
 			return ""
 		}
-		out := scenarioCommand(t, w, d)
-		if len(w.broken) > 0 {
-			t.Fatalf("%s: rules broken:\n%s", filepath.Base(d.Pos), strings.Join(w.broken, "\n"))
+		out := runScenarioCommand(t, w, d)
+		if len(w.violations) > 0 {
+			t.Fatalf("%s: rules broken:\n%s", filepath.Base(d.Pos), strings.Join(w.violations, "\n"))
 		}
 		return out
 	})
@@ -60,9 +60,9 @@
 	return argSeconds(t, d, key, def).Seconds()
 }
 
-// scenarioCommand plays a command other than that which makes the world.
-func scenarioCommand(t *testing.T, w *world, d *datadriven.TestData) string {
-	node := func() *simNode { return chosenNode(t, w, d) }
+// runScenarioCommand plays a command other than that which makes the world.
+func runScenarioCommand(t *testing.T, w *simulation, d *datadriven.TestData) string {
+	node := func() *simNode { return nodeArg(t, w, d) }
 	// during undoes a fault after the time given by "for".
 	during := func(undo func()) {
 		if d.HasArg("for") {
@@ -71,18 +71,18 @@
 	}
 	withoutOutput := func(ok bool) (string, bool) { return "", ok }
 	verbs := []func() (out string, ok bool){
-		func() (string, bool) { return timeVerb(t, w, d) },
-		func() (string, bool) { return jobVerb(t, w, d) },
-		func() (string, bool) { return figureVerb(t, w, d, node) },
-		func() (string, bool) { return withoutOutput(nodeVerb(t, w, d, node, during)) },
-		func() (string, bool) { return withoutOutput(machineVerb(t, w, d, during)) },
-		func() (string, bool) { return stateVerb(t, w, d, node, during) },
-		func() (string, bool) { return withoutOutput(unevenVerb(t, w, d, during)) },
-		func() (string, bool) { return withoutOutput(limitVerb(t, w, d)) },
-		func() (string, bool) { return userVerb(t, w, d) },
-		func() (string, bool) { return pipelineVerb(t, w, d, node) },
-		func() (string, bool) { return productionVerb(t, w, d, node) },
-		func() (string, bool) { return withoutOutput(workerFaultCommand(t, w, d, during)) },
+		func() (string, bool) { return runTimeCommand(t, w, d) },
+		func() (string, bool) { return runJobCommand(t, w, d) },
+		func() (string, bool) { return runQueryCommand(t, w, d, node) },
+		func() (string, bool) { return withoutOutput(runNodeCommand(t, w, d, node, during)) },
+		func() (string, bool) { return withoutOutput(runMachineCommand(t, w, d, during)) },
+		func() (string, bool) { return runKVFaultCommand(t, w, d, node, during) },
+		func() (string, bool) { return withoutOutput(runResponseDelayCommand(t, w, d, during)) },
+		func() (string, bool) { return withoutOutput(runLimitCommand(t, w, d)) },
+		func() (string, bool) { return runUserCommand(t, w, d) },
+		func() (string, bool) { return runPipelineCommand(t, w, d, node) },
+		func() (string, bool) { return runProductionCommand(t, w, d, node) },
+		func() (string, bool) { return withoutOutput(runWorkerFaultCommand(t, w, d, during)) },
 	}
 	for _, verb := range verbs {
 		if out, ok := verb(); ok {
@@ -93,8 +93,8 @@
 	return ""
 }
 
-// timeVerb plays the commands that let time pass; ok is false for any other.
-func timeVerb(t *testing.T, w *world, d *datadriven.TestData) (out string, ok bool) {
+// runTimeCommand plays the commands that let time pass; ok is false for any other.
+func runTimeCommand(t *testing.T, w *simulation, d *datadriven.TestData) (out string, ok bool) {
 	switch d.Cmd {
 	case "run":
 		w.run(argSeconds(t, d, "s", 1))
@@ -109,15 +109,15 @@
 		return "done", true
 	case "until-began":
 		id := jobArg(t, d)
-		for limit := w.now + argSeconds(t, d, "s", 240); w.now < limit && w.began[id] == 0; {
+		for limit := w.now + argSeconds(t, d, "s", 240); w.now < limit && w.startedAt[id] == 0; {
 			w.run(micros.Second)
 		}
-		if w.began[id] == 0 {
+		if w.startedAt[id] == 0 {
 			return "not begun", true
 		}
 		return "begun", true
 	case "calm":
-		w.calm = w.now
+		w.faultsEndedAt = w.now
 	default:
 		return "", false
 	}
--- a/controller/simulation_users_test.go
+++ b/controller/simulation_users_test.go
@@ -5,30 +5,30 @@
 )
 
 // user sends a user's request to a node and checks the answer against the rules.
-func (w *world) user(node int, method, path string, body []byte, done func(Respond)) {
-	if w.parted(w.nodeZone(node), "") {
+func (w *simulation) user(node int, method, path string, body []byte, done func(Respond)) {
+	if w.partitioned(w.nodeZone(node), "") {
 		w.after(500*micros.Millisecond, func() { done(Respond{}) })
 		return
 	}
-	w.ask(w.nodes[node], Request{Method: method, Path: path, Body: body}, 5*micros.Second, done)
+	w.sendRequest(w.nodes[node], Request{Method: method, Path: path, Body: body}, 5*micros.Second, done)
 }
 
 // submit sends a job and keeps asking as a user would.
-func (w *world) submit(id string, node int) {
+func (w *simulation) submit(id string, node int) {
 	sent := w.now
 	w.user(node, "POST", "/api/jobs", w.bodies[id], func(r Respond) {
-		w.checkAnswer(id, r, sent)
+		w.checkResponse(id, r, sent)
 		if r.Status != 200 && r.Status != 201 && r.Status != 400 && r.Status != 422 {
 			w.after(micros.Second, func() { w.submit(id, (node+1)%len(w.nodes)) })
 		}
 	})
 }
 
-func (w *world) cancel(id string, node int) {
-	w.wantsEnd[id] = true
+func (w *simulation) cancel(id string, node int) {
+	w.cancelRequested[id] = true
 	sent := w.now
 	w.user(node, "POST", "/api/jobs/"+id+"/cancel", nil, func(r Respond) {
-		w.checkAnswer(id, r, sent)
+		w.checkResponse(id, r, sent)
 		if r.Status != 200 && r.Status != 404 {
 			w.after(micros.Second, func() { w.cancel(id, (node+1)%len(w.nodes)) })
 		}
@@ -36,11 +36,11 @@
 }
 
 // poll asks for a job now and then until it is over.
-func (w *world) poll(id string, node int) {
+func (w *simulation) poll(id string, node int) {
 	sent := w.now
-	w.ask(w.nodes[node], Request{Method: "GET", Path: "/api/jobs/" + id}, 2*micros.Second, func(r Respond) {
-		w.checkAnswer(id, r, sent)
-		if w.told[id] == "" {
+	w.sendRequest(w.nodes[node], Request{Method: "GET", Path: "/api/jobs/" + id}, 2*micros.Second, func(r Respond) {
+		w.checkResponse(id, r, sent)
+		if w.reportedTerminal[id] == "" {
 			w.after(5*micros.Second, func() { w.poll(id, (node+1)%len(w.nodes)) })
 		}
 	})
--- a/controller/simulation_workers_test.go
+++ b/controller/simulation_workers_test.go
@@ -6,8 +6,8 @@
 	"tamarindlead/micros"
 )
 
-// noteGone drops what ran on machines that were deleted.
-func (w *world) noteGone() {
+// forgetDeletedMachines drops what ran on machines that were deleted.
+func (w *simulation) forgetDeletedMachines() {
 	for task, name := range w.running {
 		if w.cloud.Machines[name].Gone {
 			delete(w.running, task)
@@ -15,9 +15,9 @@
 	}
 }
 
-func (w *world) workerNames() []string { return sortedKeys(w.workers) }
+func (w *simulation) workerNames() []string { return sortedKeys(w.workers) }
 
-func (w *world) bootMachines() {
+func (w *simulation) bootMachines() {
 	for _, name := range w.cloud.Names() {
 		m := w.cloud.Machines[name]
 		if m.Started || m.Gone || m.UpAt == 0 || w.now < m.UpAt {
@@ -29,11 +29,11 @@
 	}
 }
 
-func (w *world) bootWorker(m *fake.CloudMachine, t wire.MachineType) *fake.Worker {
+func (w *simulation) bootWorker(m *fake.CloudMachine, t wire.MachineType) *fake.Worker {
 	return w.fleet.Boot(m, t, w.rng.IntN(len(w.nodes)), w.now)
 }
 
-func (w *world) typeOf(name string) wire.MachineType {
+func (w *simulation) typeOf(name string) wire.MachineType {
 	for _, t := range w.cloud.Types {
 		if t.Name == name {
 			return t
@@ -42,31 +42,31 @@
 	return wire.MachineType{}
 }
 
-func (w *world) info(task string) (fake.TaskInfo, bool) {
+func (w *simulation) info(task string) (fake.TaskInfo, bool) {
 	id, index, _ := wire.SplitTaskName(task)
 	i, ok := w.infos[id]
-	i.Run += micros.Micros(index) * w.apart[id]
+	i.Run += micros.Micros(index) * w.taskStagger[id]
 	return i, ok
 }
 
-func (w *world) onStart(k *fake.Worker, task string, attempt uint64) {
+func (w *simulation) onStart(k *fake.Worker, task string, attempt uint64) {
 	w.starts++
 	id, _, _ := wire.SplitTaskName(task)
-	w.noteStart(id)
-	w.checkEarly(task, id)
+	w.jobStarted(id)
+	w.checkStartAfterDependencies(task, id)
 	j := w.submitted[id]
 	if other, ok := w.running[task]; ok && other != k.Machine.Name {
-		w.breakRule("ran_twice: %s starts on %s while on %s", task, k.Machine.Name, other)
+		w.reportViolation("ran_twice: %s starts on %s while on %s", task, k.Machine.Name, other)
 	}
 	if at, ok := w.cancelled[id]; ok && w.now > at+w.cfg.CancellationDeadline {
-		w.breakRule("ran_cancelled: %s starts", task)
+		w.reportViolation("ran_cancelled: %s starts", task)
 	}
 	w.running[task] = k.Machine.Name
-	if _, ok := w.began[id]; !ok && (!j.Gang || w.onMachines(id) == j.Tasks) {
-		w.began[id] = w.now
+	if _, ok := w.startedAt[id]; !ok && (!j.Gang || w.onMachines(id) == j.Tasks) {
+		w.startedAt[id] = w.now
 	}
 	if !j.Allows(k.Machine.Type, k.Machine.Zone, k.Machine.Spot) {
-		w.breakRule("wrong_place: %s on %s", task, k.Machine.Name)
+		w.reportViolation("wrong_place: %s on %s", task, k.Machine.Name)
 	}
 	zones := map[string]int{}
 	for other, name := range w.running {
@@ -75,12 +75,12 @@
 		}
 	}
 	if j.OneZone && len(zones) > 1 || zones[k.Machine.Zone] > j.ZoneCap() {
-		w.breakRule("wrong_place: %s in zones %v", task, zones)
+		w.reportViolation("wrong_place: %s in zones %v", task, zones)
 	}
 }
 
 // onMachines counts the tasks of a job that are on machines.
-func (w *world) onMachines(id string) int {
+func (w *simulation) onMachines(id string) int {
 	n := 0
 	for task := range w.running {
 		if o, _, _ := wire.SplitTaskName(task); o == id {
@@ -90,20 +90,20 @@
 	return n
 }
 
-func (w *world) onExit(k *fake.Worker, task string, cause wire.ExitCause) {
+func (w *simulation) onExit(k *fake.Worker, task string, cause wire.ExitCause) {
 	w.stops[string(cause)]++
 	if w.running[task] == k.Machine.Name {
 		delete(w.running, task)
 	}
 }
 
-func (w *world) onDone(task string) {
+func (w *simulation) onDone(task string) {
 	id, _, _ := wire.SplitTaskName(task)
 	w.jobEnded(id)
-	w.noteTaskDone(id)
+	w.taskDone(id)
 }
 
-func (w *world) stepWorker(k *fake.Worker) {
+func (w *simulation) stepWorker(k *fake.Worker) {
 	if k.Machine.Gone {
 		return
 	}
@@ -115,17 +115,17 @@
 	session := k.AgentEpoch
 	node := w.nodes[k.Node]
 	body := wire.Encode(k.BuildHeartbeat())
-	if w.rng.Float64() < w.copies {
+	if w.rng.Float64() < w.duplicateHeartbeatShare {
 		copyTo := w.nodes[w.rng.IntN(len(w.nodes))]
-		w.after(micros.Micros(w.rng.Int64N(int64(w.copyBy))), func() {
-			w.ask(copyTo, Request{Method: "POST", Path: "/hello", Body: body}, micros.Second, func(Respond) {})
+		w.after(micros.Micros(w.rng.Int64N(int64(w.maxCopyDelay))), func() {
+			w.sendRequest(copyTo, Request{Method: "POST", Path: "/hello", Body: body}, micros.Second, func(Respond) {})
 		})
 	}
-	if w.keepCopies(k, body) || k.HeartbeatsBlocked || node.deaf || w.parted(w.nodeZone(k.Node), k.Machine.Zone) || w.rng.Float64() < w.loss {
+	if w.duplicateHeartbeat(k, body) || k.HeartbeatsBlocked || node.workersUnreachable || w.partitioned(w.nodeZone(k.Node), k.Machine.Zone) || w.rng.Float64() < w.lossRate {
 		w.after(4*micros.Second, func() { k.HandleHeartbeatResponse(w.now, 0, nil, session, w.nodeOf, len(w.nodes)) })
 		return
 	}
-	w.ask(node, Request{Method: "POST", Path: "/hello", Body: body}, 4*micros.Second, func(r Respond) {
+	w.sendRequest(node, Request{Method: "POST", Path: "/hello", Body: body}, 4*micros.Second, func(r Respond) {
 		if k.InboundBlocked {
 			w.after(4*micros.Second, func() { k.HandleHeartbeatResponse(w.now, 0, nil, session, w.nodeOf, len(w.nodes)) })
 			return
--- a/controller/terminal_state_reads_test.go
+++ b/controller/terminal_state_reads_test.go
@@ -16,9 +16,9 @@
 	"tamarindlead/micros"
 )
 
-// TestReadFinals guards that final records are found among many others, in no more requests
+// TestReadTerminalStates guards that final records are found among many others, in no more requests
 // than there are jobs.
-func TestReadFinals(t *testing.T) {
+func TestReadTerminalStates(t *testing.T) {
 	for seed := range uint64(40) {
 		rng := rand.New(rand.NewPCG(seed, 10))
 		c, s := testOwner().c, fake.NewKVStore()
@@ -75,18 +75,18 @@
 	}
 }
 
-// TestSweepsAllParts guards against leftovers of long lists beyond the first page of a listing.
-func TestSweepsAllParts(t *testing.T) {
-	w := scenarioWorld(t, &datadriven.TestData{Pos: "finalreads_test.go", Cmd: "world"})
+// TestCleanupOfAllPages guards against leftovers of long lists beyond the first page of a listing.
+func TestCleanupOfAllPages(t *testing.T) {
+	w := newScenarioSimulation(t, &datadriven.TestData{Pos: "finalreads_test.go", Cmd: "world"})
 	var leftovers []fake.Record
 	for i := range 2*kv.PageSize + 1 {
 		leftovers = append(leftovers, fake.Record{
 			Key: record.DependencyPartKey(jobName(i), 0), Value: wire.Encode(record.DependencyPart{JobIDs: []string{jobName(i + 1)}}), Version: uint64(i + 1),
 		})
 	}
-	w.state.Load(leftovers, uint64(len(leftovers)), micros.Second)
+	w.kvStore.Load(leftovers, uint64(len(leftovers)), micros.Second)
 	w.run(partsSweepDelay + 120*micros.Second)
-	if left := w.state.Keys(record.DependencyPartPrefix); len(left) > 0 || len(w.broken) > 0 {
-		t.Fatalf("%d parts are left, the first is %s; rules broken: %v", len(left), left[0], w.broken)
+	if left := w.kvStore.Keys(record.DependencyPartPrefix); len(left) > 0 || len(w.violations) > 0 {
+		t.Fatalf("%d parts are left, the first is %s; rules broken: %v", len(left), left[0], w.violations)
 	}
 }
--- a/controller/terminal_states_test.go
+++ b/controller/terminal_states_test.go
@@ -7,8 +7,8 @@
 	"tamarindlead/internal/wire"
 )
 
-// TestFinalStates checks that a final state never changes, and that the oldest go first.
-func TestFinalStates(t *testing.T) {
+// TestTerminalStates checks that a final state never changes, and that the oldest go first.
+func TestTerminalStates(t *testing.T) {
 	finals := newTerminalStates()
 	finals.remember("first", wire.JobDone)
 	finals.remember("first", wire.JobCancelled)
--- a/controller/users_requests_test.go
+++ b/controller/users_requests_test.go
@@ -11,14 +11,14 @@
 	"tamarindlead/sched"
 )
 
-// oddRequests sends one odd request after the other.
-func (w *world) oddRequests() {
-	users := &w.crowd
-	if w.now > users.oddRequestsUntil {
+// sendUnusualRequests sends one odd request after the other.
+func (w *simulation) sendUnusualRequests() {
+	users := &w.users
+	if w.now > users.unusualRequestsUntil {
 		return
 	}
-	w.after(200*micros.Millisecond, w.oddRequests)
-	users.oddRequestsSent++
+	w.after(200*micros.Millisecond, w.sendUnusualRequests)
+	users.unusualRequestsSent++
 	to, sent := users.rng.IntN(len(w.nodes)), w.now
 	pick := func(is func(id string) bool) string {
 		var ids []string
@@ -32,44 +32,44 @@
 		}
 		return ids[users.rng.IntN(len(ids))]
 	}
-	switch users.oddRequestsSent % 5 {
+	switch users.unusualRequestsSent % 5 {
 	case 0: // an unfinished job again
-		if id := pick(func(id string) bool { return w.told[id] == "" }); id != "" {
-			w.user(to, "POST", "/api/jobs", w.bodies[id], func(r Respond) { w.checkAnswer(id, r, sent) })
+		if id := pick(func(id string) bool { return w.reportedTerminal[id] == "" }); id != "" {
+			w.user(to, "POST", "/api/jobs", w.bodies[id], func(r Respond) { w.checkResponse(id, r, sent) })
 		}
 	case 1: // a cancellation of one that is done, or was cancelled
-		if id := pick(func(id string) bool { return w.told[id] != "" }); id != "" {
-			w.user(to, "POST", "/api/jobs/"+id+"/cancel", nil, func(r Respond) { w.checkAnswer(id, r, sent) })
+		if id := pick(func(id string) bool { return w.reportedTerminal[id] != "" }); id != "" {
+			w.user(to, "POST", "/api/jobs/"+id+"/cancel", nil, func(r Respond) { w.checkResponse(id, r, sent) })
 		}
 	case 2: // a job that nobody submitted
-		id := "req-99" + jobName(users.oddRequestsSent)[len("req-00"):]
+		id := "req-99" + jobName(users.unusualRequestsSent)[len("req-00"):]
 		path := "/api/jobs/" + id
-		w.user(to, "GET", path, nil, func(r Respond) { w.checkAnswer(id, r, sent) })
-		w.user(to, "POST", path+"/cancel", nil, func(r Respond) { w.checkAnswer(id, r, sent) })
+		w.user(to, "GET", path, nil, func(r Respond) { w.checkResponse(id, r, sent) })
+		w.user(to, "POST", path+"/cancel", nil, func(r Respond) { w.checkResponse(id, r, sent) })
 	case 3:
-		w.sendBad(to, w.malformed(users.oddRequestsSent/5), 400)
+		w.sendInvalidJob(to, w.malformedJob(users.unusualRequestsSent/5), 400)
 	case 4:
-		w.sendBad(to, w.unrunnable(users.oddRequestsSent/5), 422)
+		w.sendInvalidJob(to, w.unrunnableJob(users.unusualRequestsSent/5), 422)
 	}
 }
 
-// sendBad submits a job that must be refused for good: as malformed (400) at once whatever
+// sendInvalidJob submits a job that must be refused for good: as malformed (400) at once whatever
 // else happens, as one that never runs (422) unless the node cannot decide.
-func (w *world) sendBad(to int, b badJob, want int) {
-	users := &w.crowd
-	users.mustRefuse[b.id] = b.why
+func (w *simulation) sendInvalidJob(to int, b invalidJob, want int) {
+	users := &w.users
+	users.mustRefuse[b.id] = b.reason
 	w.user(to, "POST", "/api/jobs", b.body, func(r Respond) {
 		undecided := r.Status == 0 || want == 422 && (r.Status == 503 || r.Status == 429)
 		if r.Status != want && !undecided {
-			w.breakRule("accepted_bad: a submission must be answered %d, is answered %d: %s", want, r.Status, b.why)
+			w.reportViolation("accepted_bad: a submission must be answered %d, is answered %d: %s", want, r.Status, b.reason)
 		}
 		sent := w.now
-		w.user(to, "GET", "/api/jobs/"+b.id, nil, func(r Respond) { w.checkAnswer(b.id, r, sent) })
+		w.user(to, "GET", "/api/jobs/"+b.id, nil, func(r Respond) { w.checkResponse(b.id, r, sent) })
 	})
 }
 
-// goodFields are those of a job that could run; the odd ones differ in one.
-func (w *world) goodFields(id string) map[string]any {
+// validJobFields are those of a job that could run; the odd ones differ in one.
+func (w *simulation) validJobFields(id string) map[string]any {
 	j := &sched.Job{
 		ID: id, Class: "work", Team: w.cfg.Teams[0].Name, Priority: sched.Normal, Tasks: 2,
 		Need: sched.NewResources(1, 0, 1), Image: "img", ImageGB: 1, Estimate: 10 * micros.Second,
@@ -79,40 +79,40 @@
 	return fields
 }
 
-func (w *world) malformed(n int) badJob {
+func (w *simulation) malformedJob(n int) invalidJob {
 	id := jobName(980000 + n)
-	fields := w.goodFields(id)
+	fields := w.validJobFields(id)
 	needed := []string{"ref", "queue", "desk", "shape", "urgency", "legs", "cpus", "cards", "memGb", "bundle", "sizeGb",
 		"samePlace", "apart", "loaners", "expectS", "snapshotS", "stowS"}
-	switch i := n % (len(needed) + len(badValues) + 4); {
+	switch i := n % (len(needed) + len(invalidValues) + 4); {
 	case i < len(needed):
 		delete(fields, needed[i])
-		return badJob{id, needed[i] + " is missing", wire.Encode(fields)}
-	case i < len(needed)+len(badValues):
-		b := badValues[i-len(needed)]
+		return invalidJob{id, needed[i] + " is missing", wire.Encode(fields)}
+	case i < len(needed)+len(invalidValues):
+		b := invalidValues[i-len(needed)]
 		fields[b.field] = b.value
-		return badJob{id, b.field + " is invalid", wire.Encode(fields)}
-	case i == len(needed)+len(badValues):
+		return invalidJob{id, b.field + " is invalid", wire.Encode(fields)}
+	case i == len(needed)+len(invalidValues):
 		fields["ref"] = "job-7"
-		return badJob{"job-7", "ref is invalid", wire.Encode(fields)}
-	case i == len(needed)+len(badValues)+1:
-		return badJob{id, "not CBOR", []byte{0xff, 0x00}}
-	case i == len(needed)+len(badValues)+2:
-		return badJob{id, "a list", wire.Encode([]any{fields})}
+		return invalidJob{"job-7", "ref is invalid", wire.Encode(fields)}
+	case i == len(needed)+len(invalidValues)+1:
+		return invalidJob{id, "not CBOR", []byte{0xff, 0x00}}
+	case i == len(needed)+len(invalidValues)+2:
+		return invalidJob{id, "a list", wire.Encode([]any{fields})}
 	default:
 		body := wire.Encode(fields)
-		return badJob{id, "cut short", body[:len(body)-3]}
+		return invalidJob{id, "cut short", body[:len(body)-3]}
 	}
 }
 
-func (w *world) unrunnable(n int) badJob {
+func (w *simulation) unrunnableJob(n int) invalidJob {
 	id := jobName(990000 + n)
-	fields := w.goodFields(id)
-	set := func(why string, pairs ...any) badJob {
+	fields := w.validJobFields(id)
+	set := func(why string, pairs ...any) invalidJob {
 		for i := 0; i < len(pairs); i += 2 {
 			fields[pairs[i].(string)] = pairs[i+1]
 		}
-		return badJob{id, why, wire.Encode(fields)}
+		return invalidJob{id, why, wire.Encode(fields)}
 	}
 	limit := w.cfg.Teams[0].QuotaLimit.CPUs()
 	switch n % 6 {
@@ -134,19 +134,19 @@
 	}
 }
 
-// userVerb plays the commands of this file; ok is false for any other.
-func userVerb(t *testing.T, w *world, d *datadriven.TestData) (out string, ok bool) {
-	users := &w.crowd
-	span := func() micros.Micros { return argSeconds(t, d, "for", worldForever.Seconds()) }
+// runUserCommand plays the commands of this file; ok is false for any other.
+func runUserCommand(t *testing.T, w *simulation, d *datadriven.TestData) (out string, ok bool) {
+	users := &w.users
+	span := func() micros.Micros { return argSeconds(t, d, "for", simulationHorizon.Seconds()) }
 	switch d.Cmd {
 	case "close-looks":
-		users.closeLooksUntil, users.cancelShare = w.now+span(), argNumber(t, d, "cancels", 0)
+		users.consistencyChecksUntil, users.cancelShare = w.now+span(), argNumber(t, d, "cancels", 0)
 	case "cancel-at-end":
 		users.cancelAtEndShare = argNumber(t, d, "share", 1)
 		w.after(span(), func() { users.cancelAtEndShare = 0 })
 	case "odd-requests":
-		users.oddRequestsUntil = w.now + span()
-		w.oddRequests()
+		users.unusualRequestsUntil = w.now + span()
+		w.sendUnusualRequests()
 	case "burst":
 		rate, share := argNumber(t, d, "rate", 4), argNumber(t, d, "cancelled", 0)
 		for i := range int(rate * span().Seconds()) {
@@ -156,17 +156,17 @@
 				if users.rng.Float64() < share {
 					users.cancelAfter[id] = micros.Micros(users.rng.Int64N(int64(10 * micros.Second)))
 				}
-				submitCommand(t, w, &one, id)
+				runSubmitCommand(t, w, &one, id)
 			})
 		}
 	case "types-without": // a machine type is no longer offered
 		name := arg(t, d, "name", "big")
 		w.cloud.Types = slices.DeleteFunc(slices.Clone(w.cloud.Types), func(m wire.MachineType) bool { return m.Name == name })
 	case "end-of-day":
-		if w.calm == 0 {
+		if w.faultsEndedAt == 0 {
 			d.Fatalf(t, "a day ends after calm")
 		}
-		w.endOfDay()
+		w.checkCompletion()
 	default:
 		return "", false
 	}
