--- /dev/null
+++ b/internal/cancellation/announcement.go
@@ -0,0 +1,126 @@
+package cancellation
+
+import "tamarindlead/micros"
+
+const (
+	// resendInterval is the time between announcements to a peer that has not acknowledged.
+	resendInterval = 500 * micros.Millisecond
+	// maxAnnouncements bounds the cancelled jobs whose acknowledgements are pending.
+	maxAnnouncements = 512
+)
+
+// announcement is a cancelled job that peers must acknowledge before the cancellation may be
+// acknowledged to users.
+type announcement struct {
+	job          string
+	since        micros.Micros
+	sent         bool
+	nextSend     micros.Micros
+	acknowledged map[string]bool // by peer
+	requests     []request
+}
+
+// request is a user's request that is pending until an announcement completes.
+type request struct {
+	deadline micros.Micros
+	done     func(mayAcknowledge bool)
+}
+
+// Announce announces to the peers that a job is cancelled, and calls done once it is decided
+// whether the cancellation may be acknowledged to the user. After the deadline the caller has no
+// use for the answer.
+func (t *Tracker) Announce(job string, deadline, now micros.Micros, done func(mayAcknowledge bool)) {
+	a := t.announcements[job]
+	if a == nil {
+		if len(t.announcements) >= maxAnnouncements {
+			done(false)
+			return
+		}
+		t.MarkEnded(job, now)
+		a = &announcement{job: job, since: now, acknowledged: map[string]bool{}}
+		t.announcements[job] = a
+	}
+	a.requests = append(a.requests, request{deadline, done})
+	t.advance(a, now)
+}
+
+// Pending reports whether any announcement lacks a required acknowledgement.
+func (t *Tracker) Pending() bool { return len(t.announcements) > 0 }
+
+// advance removes an announcement once no acknowledgement is required any more; otherwise it
+// sends it again to the peers that must acknowledge it.
+func (t *Tracker) advance(a *announcement, now micros.Micros) {
+	if t.announcements[a.job] != a {
+		return // complete
+	}
+	complete := t.isComplete(a, now)
+	if complete {
+		delete(t.announcements, a.job)
+		t.recordUnacknowledged(a, now)
+		t.host.MayAcknowledge(a.job)
+	}
+	t.answerRequests(a, complete, now)
+	if !complete && now >= a.nextSend {
+		t.send(a, now)
+	}
+}
+
+// isComplete reports whether the cancellation may be acknowledged to users.
+func (t *Tracker) isComplete(a *announcement, now micros.Micros) bool {
+	if now < t.withholdUntil {
+		return false
+	}
+	for _, p := range t.peers {
+		if !a.acknowledged[p.name] && now < p.ackRequiredUntil {
+			return false
+		}
+	}
+	return true
+}
+
+// recordUnacknowledged records, for each peer that has not acknowledged the announcement, that
+// the cancellation is acknowledged to users now.
+func (t *Tracker) recordUnacknowledged(a *announcement, now micros.Micros) {
+	for _, p := range t.peers {
+		if !a.acknowledged[p.name] {
+			p.userAcknowledgedWithoutPeer = now
+		}
+	}
+}
+
+// answerRequests answers the requests that have no reason to stay pending.
+func (t *Tracker) answerRequests(a *announcement, complete bool, now micros.Micros) {
+	pending := a.requests[:0]
+	for _, r := range a.requests {
+		switch {
+		case complete:
+			r.done(true)
+		case now > r.deadline || r.deadline < t.withholdUntil:
+			r.done(false)
+		default:
+			pending = append(pending, r)
+		}
+	}
+	a.requests = pending
+}
+
+// send sends an announcement to the peers that have not acknowledged it: the first time to all,
+// because an owner should stop the tasks at once, later to those whose acknowledgement is
+// required.
+func (t *Tracker) send(a *announcement, now micros.Micros) {
+	a.nextSend = now + resendInterval
+	for _, name := range t.settings.Peers {
+		p := t.peers[name]
+		if a.acknowledged[name] || a.sent && now >= p.ackRequiredUntil {
+			continue
+		}
+		t.host.SendAnnouncement(name, a.job, func(now micros.Micros) { t.acknowledge(a, name, now) })
+	}
+	a.sent = true
+}
+
+// acknowledge records a peer's acknowledgement of an announcement.
+func (t *Tracker) acknowledge(a *announcement, peer string, now micros.Micros) {
+	a.acknowledged[peer] = true
+	t.advance(a, now)
+}
--- a/internal/cancellation/simulation_test.go
+++ b/internal/cancellation/simulation_test.go
@@ -9,29 +9,45 @@
 	"tamarindlead/micros"
 )
 
-// TestNeverBeyondTheBound plays random losses, delays, restarts and clocks of different rates
-// in a cluster whose state service does not answer. The rule: when a node renews a lease, the
-// worker's tasks end in time even of the earliest job that users were told is cancelled and
-// that the node does not know of.
-func TestNeverBeyondTheBound(t *testing.T) {
+// TestLeaseBoundUnderFaults plays random message losses, delays, restarts and clocks of different
+// rates in a cluster whose key-value store does not answer. The rule: when a node renews a
+// lease, the worker's tasks end in time even for the earliest job whose cancellation was
+// acknowledged to users and that the node does not know.
+func TestLeaseBoundUnderFaults(t *testing.T) {
 	for seed := range uint64(100) {
-		newCluster(t, seed).play()
+		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
+			newCluster(t, seed).play()
+		})
 	}
 }
 
+const (
+	nodeCount = 3
+	// stepTime is the simulated time between two steps.
+	stepTime = 100 * micros.Millisecond
+	// steps is the length of a simulation.
+	steps = 3000
+	// heartbeatSteps is the number of steps between two heartbeats of a node.
+	heartbeatSteps = 10
+	// maxDelay bounds the delay of a message.
+	maxDelay = 700 * micros.Millisecond
+	// maxDrift bounds the error of a clock's rate, in parts per million.
+	maxDrift = 900
+)
+
 // cluster is a simulated cluster of trackers.
 type cluster struct {
 	t            *testing.T
-	seed         uint64
 	rng          *rand.Rand
 	now          micros.Micros // true time
 	nodes        []*node
-	acknowledged map[string]micros.Micros // jobs of which users were told, since when
-	jobs         int                      // that were cancelled
-	renewed      int
+	acknowledged map[string]micros.Micros // by job: when its cancellation was acknowledged to users
+	jobs         int                      // cancelled so far
+	renewals     int
 	pending      []message
 }
 
+// message is a message in transit.
 type message struct {
 	at      micros.Micros
 	deliver func()
@@ -39,20 +55,26 @@
 
 // node is a tracker with a clock of its own.
 type node struct {
-	*cluster
+	cluster          *cluster
+	name             string
 	index            int
-	rate             int64 // of the clock: parts in a million that it is too fast
+	drift            int64 // error of the clock's rate, in parts per million
 	offset           micros.Micros
 	tracker          *Tracker
-	knows            map[string]bool
-	partitionedUntil micros.Micros // messages are lost until then
-	readUntil        micros.Micros // true time
+	knows            map[string]bool // ended jobs
+	partitionedUntil micros.Micros   // true time; until then all messages are lost
+	readUntil        micros.Micros   // true time
 }
 
 func newCluster(t *testing.T, seed uint64) *cluster {
-	c := &cluster{t: t, seed: seed, rng: rand.New(rand.NewPCG(seed, 7)), now: start, acknowledged: map[string]micros.Micros{}}
-	for i := range 3 {
-		n := &node{cluster: c, index: i, rate: c.rng.Int64N(1801) - 900, offset: micros.Micros(i) * micros.Hour}
+	c := &cluster{
+		t: t, rng: rand.New(rand.NewPCG(seed, 7)), now: start, acknowledged: map[string]micros.Micros{},
+	}
+	for i := range nodeCount {
+		n := &node{
+			cluster: c, name: nodeName(i), index: i,
+			drift: c.rng.Int64N(2*maxDrift+1) - maxDrift, offset: micros.Micros(i) * micros.Hour,
+		}
 		n.restart()
 		n.readUntil = start
 		c.nodes = append(c.nodes, n)
@@ -64,31 +86,36 @@
 
 func nodeName(i int) string { return fmt.Sprint("n", i) }
 
-func (n *node) clock() micros.Micros { return n.at(n.cluster.now) }
+// clock returns the time on the node's clock.
+func (n *node) clock() micros.Micros { return n.clockAt(n.cluster.now) }
 
-func (n *node) at(now micros.Micros) micros.Micros {
-	return now + n.offset + micros.Micros(int64(now)/1_000_000*n.rate)
+// clockAt converts a true time to the node's clock.
+func (n *node) clockAt(now micros.Micros) micros.Micros {
+	return now + n.offset + micros.Micros(int64(now)/1_000_000*n.drift)
 }
 
 func (n *node) restart() {
 	n.knows, n.readUntil = map[string]bool{}, 0
 	var peers []string
-	for i := range 3 {
+	for i := range nodeCount {
 		if i != n.index {
 			peers = append(peers, nodeName(i))
 		}
 	}
-	n.tracker = New(Settings{Peers: peers, Lease: lease, CancelWithin: cancel}, n, n.clock())
+	n.tracker = New(Settings{Peers: peers, Lease: lease, CancelWithin: cancelWithin}, n, n.clock())
 }
 
+// JobEnded implements Host.
 func (n *node) JobEnded(job string) { n.knows[job] = true }
 
+// MayAcknowledge implements Host.
 func (n *node) MayAcknowledge(job string) {
-	if _, ok := n.acknowledged[job]; !ok {
-		n.acknowledged[job] = n.cluster.now
+	if _, ok := n.cluster.acknowledged[job]; !ok {
+		n.cluster.acknowledged[job] = n.cluster.now
 	}
 }
 
+// SendAnnouncement implements Host.
 func (n *node) SendAnnouncement(peer, job string, acknowledged func(now micros.Micros)) {
 	tracker := n.tracker
 	n.call(peer, func(to *node) func() {
@@ -101,51 +128,48 @@
 	})
 }
 
-// call sends a message to a peer, and what that returns back, if neither is lost.
-func (n *node) call(peer string, handle func(to *node) (back func())) {
-	to := n.nodes[slices.IndexFunc(n.nodes, func(n *node) bool { return nodeName(n.index) == peer })]
+// call sends a message to a peer, and the response that handle returns back, unless one of them
+// is lost.
+func (n *node) call(peer string, handle func(to *node) (respond func())) {
+	nodes := n.cluster.nodes
+	to := nodes[slices.IndexFunc(nodes, func(n *node) bool { return n.name == peer })]
 	n.post(to, func() {
-		if back := handle(to); back != nil {
-			to.post(n, back)
+		if respond := handle(to); respond != nil {
+			to.post(n, respond)
 		}
 	})
 }
 
 func (n *node) post(to *node, deliver func()) {
-	if n.cluster.now < n.partitionedUntil || n.cluster.now < to.partitionedUntil || n.rng.IntN(10) == 0 {
+	c := n.cluster
+	if c.now < n.partitionedUntil || c.now < to.partitionedUntil || c.rng.IntN(10) == 0 {
 		return
 	}
-	delay := micros.Micros(n.rng.Int64N(int64(700 * micros.Millisecond)))
-	n.pending = append(n.pending, message{n.cluster.now + delay, deliver})
+	delay := micros.Micros(c.rng.Int64N(int64(maxDelay)))
+	c.pending = append(c.pending, message{c.now + delay, deliver})
 }
 
 // heartbeat exchanges heartbeats with a peer.
 func (n *node) heartbeat(peer string) {
-	tracker, asked, from := n.tracker, n.clock(), nodeName(n.index)
+	tracker, sentAt := n.tracker, n.clock()
 	cancelled, acknowledged := tracker.Unacknowledged(peer), tracker.PendingAcknowledgements(peer)
 	n.call(peer, func(to *node) func() {
-		to.tracker.HandlePeerHeartbeat(from, cancelled, acknowledged, to.clock())
-		answerCancelled, answerAcknowledged := to.tracker.Unacknowledged(from), to.tracker.PendingAcknowledgements(from)
-		grant := to.tracker.Grant(from, to.clock())
+		to.tracker.HandlePeerHeartbeat(n.name, cancelled, acknowledged, to.clock())
+		peerCancelled, peerAcknowledged := to.tracker.Unacknowledged(n.name), to.tracker.PendingAcknowledgements(n.name)
+		grant := to.tracker.Grant(n.name, to.clock())
 		return func() {
 			if n.tracker != tracker {
 				return
 			}
-			tracker.HandlePeerHeartbeat(peer, answerCancelled, answerAcknowledged, n.clock())
-			tracker.ApplyGrant(peer, grant, asked, n.at(n.readUntil), n.clock())
+			tracker.HandlePeerHeartbeat(peer, peerCancelled, peerAcknowledged, n.clock())
+			tracker.ApplyGrant(peer, grant, sentAt, n.clockAt(n.readUntil), n.clock())
 		}
 	})
 }
 
-// Of a simulation: the time between steps, their number, and every how many steps a node
-// sends heartbeats.
-const (
-	stepTime       = 100 * micros.Millisecond
-	steps          = 3000
-	heartbeatSteps = 10
-)
-
+// play runs the simulation.
 func (c *cluster) play() {
+	c.t.Helper()
 	for step := range steps {
 		c.now += stepTime
 		c.deliver()
@@ -158,8 +182,8 @@
 			n.checkRenewal()
 		}
 	}
-	if len(c.acknowledged) == 0 || c.renewed == 0 {
-		c.t.Fatalf("seed %d: %d jobs told, %d renewals", c.seed, len(c.acknowledged), c.renewed)
+	if len(c.acknowledged) == 0 || c.renewals == 0 {
+		c.t.Fatalf("%d cancellations acknowledged, %d renewals; want some of both", len(c.acknowledged), c.renewals)
 	}
 }
 
@@ -176,8 +200,8 @@
 	}
 }
 
-// injectFault cuts a node off, restarts it, or has it cancel a job or read the records: now and
-// then.
+// injectFault occasionally partitions a node or restarts it, or has it cancel a job or read the
+// records.
 func (c *cluster) injectFault(n *node) {
 	switch c.rng.IntN(400) {
 	case 0, 1, 2:
@@ -198,24 +222,25 @@
 	}
 }
 
-// readRecords is a read of the records: a job's record says that it is cancelled before that is
-// announced.
+// readRecords reads the records of all jobs: a cancellation is recorded before it is announced.
 func (n *node) readRecords() {
 	n.readUntil = n.cluster.now
-	for i := range n.jobs {
+	for i := range n.cluster.jobs {
 		n.knows[jobName(i+1)] = true
 	}
 }
 
+// checkRenewal fails the test if the node renews a lease that may outlast the time limit of a
+// cancelled job that it does not know.
 func (n *node) checkRenewal() {
-	now := n.cluster.now
-	if !n.tracker.MayRenewLease(n.at(n.readUntil), n.clock()) {
+	c := n.cluster
+	if !n.tracker.MayRenewLease(n.clockAt(n.readUntil), n.clock()) {
 		return
 	}
-	n.renewed++
-	for job, at := range n.acknowledged {
-		if !n.knows[job] && now+lease > at+cancel {
-			n.t.Fatalf("seed %d: %s renews at %v, %v after users were told of %s", n.seed, nodeName(n.index), now, now-at, job)
+	c.renewals++
+	for job, at := range c.acknowledged {
+		if !n.knows[job] && c.now+lease > at+cancelWithin {
+			c.t.Fatalf("%s renews at %v, %v after the cancellation of %s was acknowledged to users", n.name, c.now, c.now-at, job)
 		}
 	}
 }
--- a/internal/cancellation/tracker_test.go
+++ b/internal/cancellation/tracker_test.go
@@ -9,256 +9,271 @@
 )
 
 const (
-	start   = micros.Hour
-	seconds = micros.Second
-	lease   = 20 * seconds
-	cancel  = 60 * seconds
+	start        = micros.Hour
+	lease        = 20 * micros.Second
+	cancelWithin = 60 * micros.Second
 )
 
-// recorder is a host that records what it is asked to do.
+// afterRestart is when a tracker that began at start no longer withholds acknowledgements.
+const afterRestart = start + ackPeriod + ackPeriod/driftFraction
+
+func inSeconds(s int) micros.Micros { return micros.Micros(s) * micros.Second }
+
+// recorder is a Host that records the calls to it.
 type recorder struct {
 	ended          []string
 	mayAcknowledge []string
-	sent           []string // "peer job"
-	answered       []func(now micros.Micros)
+	sent           []string                  // "peer job"
+	responses      []func(now micros.Micros) // of the peers, in the order of sent
 }
 
-func (r *recorder) JobEnded(job string)       { r.ended = append(r.ended, job) }
+// JobEnded implements Host.
+func (r *recorder) JobEnded(job string) { r.ended = append(r.ended, job) }
+
+// MayAcknowledge implements Host.
 func (r *recorder) MayAcknowledge(job string) { r.mayAcknowledge = append(r.mayAcknowledge, job) }
+
+// SendAnnouncement implements Host.
 func (r *recorder) SendAnnouncement(peer, job string, acknowledged func(now micros.Micros)) {
 	r.sent = append(r.sent, peer+" "+job)
-	r.answered = append(r.answered, acknowledged)
+	r.responses = append(r.responses, acknowledged)
 }
 
-func newTracker(now micros.Micros, peers ...string) (*Tracker, *recorder) {
+// newTracker returns the tracker of a node that starts at start.
+func newTracker(peers ...string) (*Tracker, *recorder) {
 	host := &recorder{}
-	return New(Settings{Peers: peers, Lease: lease, CancelWithin: cancel}, host, now), host
+	return New(Settings{Peers: peers, Lease: lease, CancelWithin: cancelWithin}, host, start), host
 }
 
-// afterRestart is when a tracker that began at start no longer withholds.
-const afterRestart = start + ackPeriod + ackPeriod/driftFraction
-
-// answer collects what a request was answered.
+// answer records the answers to a request.
 type answer struct {
-	n              int
-	mayAcknowledge bool
+	count          int
+	mayAcknowledge bool // the last
 }
 
-func (a *answer) done(mayTell bool) { a.n, a.mayAcknowledge = a.n+1, mayTell }
+func (a *answer) done(mayAcknowledge bool) { a.count, a.mayAcknowledge = a.count+1, mayAcknowledge }
 
 func TestSingleNodeAcknowledgesAtOnce(t *testing.T) {
-	tracker, host := newTracker(start)
+	tracker, host := newTracker()
 	var got answer
-	tracker.Announce("j", start+seconds, start, got.done)
+	tracker.Announce("j", start+micros.Second, start, got.done)
 	if got != (answer{1, true}) || tracker.Pending() || !slices.Equal(host.mayAcknowledge, []string{"j"}) {
-		t.Fatalf("answer %+v, told %v", got, host.mayAcknowledge)
+		t.Fatalf("answer %+v, acknowledged to users %v", got, host.mayAcknowledge)
 	}
 	if !tracker.MayRenewLease(0, start) {
-		t.Fatal("a node without peers knows all that users were told")
+		t.Fatal("a node without peers does not renew, although it knows all cancellations")
 	}
 }
 
-// TestRestartWithholds checks that a node that starts keeps what an earlier incarnation may
-// have granted: it tells nobody, acknowledged or not, and refuses at once what cannot wait.
+// TestRestartWithholds checks that a node that starts honors the grants of an earlier
+// incarnation: it withholds all acknowledgements to users, whether peers have acknowledged or
+// not, and refuses requests at once whose deadline is earlier.
 func TestRestartWithholds(t *testing.T) {
-	tracker, host := newTracker(start, "b")
+	tracker, host := newTracker("b")
 	var early, late answer
-	tracker.Announce("j", start+seconds, start, early.done)
+	tracker.Announce("j", start+micros.Second, start, early.done)
 	if early != (answer{1, false}) {
-		t.Fatalf("a request that cannot wait for the end of withholding: %+v", early)
+		t.Fatalf("request with a deadline within the withholding period: %+v", early)
 	}
-	tracker.Announce("j", start+inSeconds(30), start+seconds, late.done)
-	host.answered[0](start + seconds)
+	tracker.Announce("j", start+inSeconds(30), start+micros.Second, late.done)
+	host.responses[0](start + micros.Second)
 	tracker.Tick(afterRestart - 1)
-	if late.n != 0 || len(host.mayAcknowledge) != 0 {
-		t.Fatal("users are told although an earlier incarnation's grant may last")
+	if late.count != 0 || len(host.mayAcknowledge) != 0 {
+		t.Fatal("acknowledged to users although an earlier incarnation's grant may be valid")
 	}
 	tracker.Tick(afterRestart)
 	if late != (answer{1, true}) {
-		t.Fatalf("after withholding: %+v", late)
+		t.Fatalf("after the withholding period: %+v", late)
 	}
 	if afterRestart-start <= ackPeriod {
-		t.Fatal("drift of clocks is not allowed for")
+		t.Fatal("the withholding period does not allow for clock drift")
 	}
 }
 
-func inSeconds(s int) micros.Micros { return micros.Micros(s) * seconds }
-
-// TestWaitsForAcknowledgement checks that users are told only once a peer that holds an
-// acknowledgement period has acknowledged, or the period is over.
+// TestWaitsForAcknowledgement checks that a cancellation is acknowledged to users only once a
+// peer that holds a grant has acknowledged it, or the grant has expired.
 func TestWaitsForAcknowledgement(t *testing.T) {
 	now := start + inSeconds(60)
-	for _, acknowledge := range []bool{true, false} {
-		tracker, host := newTracker(start, "b", "c")
-		tracker.Grant("b", now)
-		var got answer
-		tracker.Announce("j", now+inSeconds(60), now, got.done)
-		if want := []string{"b j", "c j"}; !slices.Equal(host.sent, want) {
-			t.Fatalf("sent %v, not %v", host.sent, want)
-		}
-		if got.n != 0 || !tracker.Pending() {
-			t.Fatal("told without acknowledgement")
-		}
-		end := now + ackPeriod
-		if acknowledge {
-			end = now + inSeconds(2)
-			host.answered[0](end) // c holds no period
-		} else {
-			tracker.Tick(end - 1)
-			if got.n != 0 {
-				t.Fatal("told within the period")
+	cases := []struct {
+		name        string
+		acknowledge bool // by b; c holds no grant
+		completeAt  micros.Micros
+		sinceB      micros.Micros // at the next grant, one second later
+	}{
+		{"acknowledged", true, now + inSeconds(2), now + inSeconds(3) - start},
+		{"expired", false, now + ackPeriod, inSeconds(1)},
+	}
+	for _, c := range cases {
+		t.Run(c.name, func(t *testing.T) {
+			tracker, host := newTracker("b", "c")
+			tracker.Grant("b", now)
+			var got answer
+			tracker.Announce("j", now+inSeconds(60), now, got.done)
+			if want := []string{"b j", "c j"}; !slices.Equal(host.sent, want) {
+				t.Fatalf("sent %v; want %v", host.sent, want)
 			}
-			tracker.Tick(end)
-		}
-		if got != (answer{1, true}) || tracker.Pending() {
-			t.Fatalf("acknowledged %t: %+v", acknowledge, got)
-		}
-		// The next grant says which of them did not acknowledge.
-		for peer, want := range map[string]micros.Micros{"b": inSeconds(1), "c": inSeconds(1)} {
-			if peer == "b" && acknowledge {
-				want = end + inSeconds(1) - start
+			if got.count != 0 || !tracker.Pending() {
+				t.Fatal("acknowledged to users without the peer's acknowledgement")
 			}
-			if ago := tracker.Grant(peer, end+inSeconds(1)).SinceUserAcknowledged; ago != want {
-				t.Errorf("acknowledged %t: told %v ago without %s, not %v", acknowledge, ago, peer, want)
+			if c.acknowledge {
+				host.responses[0](c.completeAt)
+			} else {
+				tracker.Tick(c.completeAt - 1)
+				if got.count != 0 {
+					t.Fatal("acknowledged to users before the grant expired")
+				}
+				tracker.Tick(c.completeAt)
 			}
-		}
+			if got != (answer{1, true}) || tracker.Pending() {
+				t.Fatalf("answer %+v, pending %t", got, tracker.Pending())
+			}
+			// The next grants show which peers have not acknowledged.
+			for peer, want := range map[string]micros.Micros{"b": c.sinceB, "c": inSeconds(1)} {
+				if since := tracker.Grant(peer, c.completeAt+inSeconds(1)).SinceUserAcknowledged; since != want {
+					t.Errorf("acknowledged to users %v ago without %s; want %v", since, peer, want)
+				}
+			}
+		})
 	}
 }
 
-// TestRepeats checks that an announcement is repeated to the peers that must acknowledge it,
-// and that a request whose deadline passes is refused while the announcement goes on.
-func TestRepeats(t *testing.T) {
+// TestResend checks that an announcement is sent again to the peers that must acknowledge it, and
+// that a request is refused after its deadline while the announcement stays pending.
+func TestResend(t *testing.T) {
 	now := start + inSeconds(60)
-	tracker, host := newTracker(start, "b", "c")
+	tracker, host := newTracker("b", "c")
 	tracker.Grant("b", now)
 	var got answer
-	tracker.Announce("j", now+seconds, now, got.done)
+	tracker.Announce("j", now+micros.Second, now, got.done)
 	for range 20 {
 		now += 100 * micros.Millisecond
 		tracker.Tick(now)
 	}
 	if want := []string{"b j", "c j", "b j", "b j", "b j", "b j"}; !slices.Equal(host.sent, want) {
-		t.Fatalf("sent %v, not %v", host.sent, want)
+		t.Fatalf("sent %v; want %v", host.sent, want)
 	}
 	if got != (answer{1, false}) || !tracker.Pending() {
 		t.Fatalf("after the deadline: %+v", got)
 	}
 	if !slices.Equal(host.ended, []string{"j"}) || !tracker.HasEnded("j") {
-		t.Fatal("the node's own tasks are not stopped once")
+		t.Fatal("the end of the job is not recorded exactly once")
 	}
 }
 
 func TestAcknowledgedByHeartbeat(t *testing.T) {
 	now := start + inSeconds(60)
-	tracker, _ := newTracker(start, "b")
+	tracker, _ := newTracker("b")
 	tracker.Grant("b", now)
 	var got answer
 	tracker.Announce("j", now+inSeconds(9), now, got.done)
 	if jobs := tracker.Unacknowledged("b"); !slices.Equal(jobs, []string{"j"}) {
-		t.Fatalf("the heartbeat names %v", jobs)
+		t.Fatalf("the heartbeat lists %v", jobs)
 	}
-	receiver, host := newTracker(start, "a")
+	receiver, host := newTracker("a")
 	receiver.HandlePeerHeartbeat("a", tracker.Unacknowledged("b"), nil, now)
 	if !slices.Equal(host.ended, []string{"j"}) || !receiver.HasEnded("j") {
-		t.Fatal("the receiver does not take the job for over")
+		t.Fatal("the receiver does not record the end of the job")
 	}
-	tracker.HandlePeerHeartbeat("b", nil, receiver.PendingAcknowledgements("a"), now+seconds)
+	tracker.HandlePeerHeartbeat("b", nil, receiver.PendingAcknowledgements("a"), now+micros.Second)
 	if got != (answer{1, true}) || len(tracker.Unacknowledged("b")) != 0 {
 		t.Fatalf("after the acknowledging heartbeat: %+v", got)
 	}
 }
 
-// TestNoGrantWhileUnacknowledged checks that a peer that does not acknowledge gets no new
-// period, so that users do not wait for it for ever.
+// TestNoGrantWhileUnacknowledged checks that a peer that does not acknowledge gets no new grant,
+// so that users do not wait for it forever.
 func TestNoGrantWhileUnacknowledged(t *testing.T) {
 	now := start + inSeconds(60)
-	tracker, _ := newTracker(start, "b")
+	tracker, _ := newTracker("b")
 	tracker.Grant("b", now)
 	var got answer
 	tracker.Announce("j", now+inSeconds(600), now, got.done)
-	began := now
-	for got.n == 0 && now < began+inSeconds(60) {
-		now += seconds
+	announcedAt := now
+	for got.count == 0 && now < announcedAt+inSeconds(60) {
+		now += micros.Second
 		tracker.Grant("b", now)
 		tracker.Tick(now)
 	}
-	if limit := began + 2*ackPeriod + inSeconds(2); got != (answer{1, true}) || now > limit {
-		t.Fatalf("told after %v: %+v", now-began, got)
+	if limit := announcedAt + 2*ackPeriod + inSeconds(2); got != (answer{1, true}) || now > limit {
+		t.Fatalf("after %v: %+v", now-announcedAt, got)
 	}
 }
 
 func TestBounds(t *testing.T) {
 	now := start + inSeconds(60)
-	tracker, _ := newTracker(start, "b")
+	tracker, _ := newTracker("b")
 	tracker.Grant("b", now)
 	for i := range maxAnnouncements {
-		tracker.Announce(fmt.Sprint(i), now+seconds, now, func(bool) {})
+		tracker.Announce(fmt.Sprint(i), now+micros.Second, now, func(bool) {})
 	}
 	var got answer
-	tracker.Announce("one more", now+seconds, now, got.done)
+	tracker.Announce("one more", now+micros.Second, now, got.done)
 	if got != (answer{1, false}) {
 		t.Fatalf("beyond the bound: %+v", got)
 	}
 	if n := len(tracker.Unacknowledged("b")); n != maxInHeartbeat {
-		t.Fatalf("a heartbeat names %d jobs", n)
+		t.Fatalf("a heartbeat lists %d jobs", n)
 	}
 	tracker.PruneEnded(now + endedRetention)
 	if !tracker.HasEnded("0") {
-		t.Fatal("forgotten too early")
+		t.Fatal("pruned too early")
 	}
 	if tracker.PruneEnded(now + endedRetention + 1); tracker.HasEnded("0") {
-		t.Fatal("kept for ever")
+		t.Fatal("never pruned")
 	}
 }
 
 // TestLeaseBound checks up to when leases are renewed after the last read and the last grant.
 func TestLeaseBound(t *testing.T) {
-	tracker, _ := newTracker(start, "b", "c")
-	age := cancel - lease - stopMargin
-	read := start + inSeconds(5)
-	if !tracker.MayRenewLease(read, read+age) || tracker.MayRenewLease(read, read+age+1) {
-		t.Fatal("not renewed just up to the bound after the last read")
+	tracker, _ := newTracker("b", "c")
+	staleness := cancelWithin - lease - stopMargin
+	readUntil := start + inSeconds(5)
+	if !tracker.MayRenewLease(readUntil, readUntil+staleness) || tracker.MayRenewLease(readUntil, readUntil+staleness+1) {
+		t.Fatal("leases are not renewed exactly up to the bound after the last read")
 	}
-	asked, now := start+inSeconds(10), start+inSeconds(11)
+	sentAt, now := start+inSeconds(10), start+inSeconds(11)
 	grant := Grant{Period: ackPeriod, SinceUserAcknowledged: inSeconds(11)}
-	tracker.ApplyGrant("b", grant, asked, read, now)
-	if tracker.MayRenewLease(0, now+age) {
-		t.Fatal("one peer's grant suffices")
+	tracker.ApplyGrant("b", grant, sentAt, readUntil, now)
+	if tracker.MayRenewLease(0, now+staleness) {
+		t.Fatal("leases are renewed by the grant of one peer of two")
 	}
-	tracker.ApplyGrant("c", grant, asked, read, now)
-	until := asked + ackPeriod - ackPeriod/driftFraction
-	if !tracker.MayRenewLease(0, until+age) || tracker.MayRenewLease(0, until+age+1) {
-		t.Fatal("not renewed just up to the bound after the grants")
+	tracker.ApplyGrant("c", grant, sentAt, readUntil, now)
+	until := sentAt + ackPeriod - ackPeriod/driftFraction
+	if !tracker.MayRenewLease(0, until+staleness) || tracker.MayRenewLease(0, until+staleness+1) {
+		t.Fatal("leases are not renewed exactly up to the bound after the grants")
 	}
 }
 
-// TestGrantAfterUnknownUserAcknowledgement checks that a grant does not count if the peer told users
-// without our acknowledgement after the time up to which we know.
+// TestGrantAfterUnknownUserAcknowledgement checks that a grant does not count if the peer
+// acknowledged a cancellation to users, without this node's acknowledgement, after the time up to
+// which this node knows all cancellations.
 func TestGrantAfterUnknownUserAcknowledgement(t *testing.T) {
-	read, now := start+inSeconds(5), start+inSeconds(100)
+	readUntil, now := start+inSeconds(5), start+inSeconds(100)
 	cases := []struct {
 		name  string
 		grant Grant
 		want  bool
 	}{
-		{"told before the last read", Grant{ackPeriod, inSeconds(96)}, true},
-		{"told after the last read", Grant{ackPeriod, inSeconds(94)}, false},
-		{"told within the drift of clocks", Grant{ackPeriod, inSeconds(95)}, false},
+		{"acknowledged before the last read", Grant{ackPeriod, inSeconds(96)}, true},
+		{"acknowledged after the last read", Grant{ackPeriod, inSeconds(94)}, false},
+		{"acknowledged within the clock drift", Grant{ackPeriod, inSeconds(95)}, false},
 		{"nothing granted", Grant{0, inSeconds(96)}, false},
 	}
 	for _, c := range cases {
-		tracker, _ := newTracker(start, "b")
-		tracker.ApplyGrant("b", c.grant, now, read, now)
-		if got := tracker.MayRenewLease(0, now); got != c.want {
-			t.Errorf("%s: renewed %t", c.name, got)
-		}
+		t.Run(c.name, func(t *testing.T) {
+			tracker, _ := newTracker("b")
+			tracker.ApplyGrant("b", c.grant, now, readUntil, now)
+			if got := tracker.MayRenewLease(0, now); got != c.want {
+				t.Errorf("renewed %t; want %t", got, c.want)
+			}
+		})
 	}
 }
 
-// TestGrantContinues checks that a grant counts, without any read, if an earlier one of the
-// same peer reaches the time at which it last told users.
+// TestGrantContinues checks that a grant counts, without any read, if an earlier grant of the
+// same peer reaches the time at which the peer last acknowledged a cancellation to users.
 func TestGrantContinues(t *testing.T) {
-	tracker, _ := newTracker(start, "b")
+	tracker, _ := newTracker("b")
 	tracker.ApplyGrant("b", Grant{ackPeriod, inSeconds(10)}, start, start, start)
 	for now := start; now < start+inSeconds(300); now += inSeconds(5) {
 		tracker.ApplyGrant("b", Grant{ackPeriod, inSeconds(10)}, now, 0, now)
