--- a/internal/dag/blocked.go
+++ b/internal/dag/blocked.go
@@ -9,81 +9,84 @@
 	"tamarindlead/sched"
 )
 
-// This file is the jobs that await others, and the edges between them and what they await.
-
-// BlockedJob is an active job that awaits others. Its priority, estimate and deadline are the
-// job's own: what it passes on to those before it follows from them.
+// BlockedJob is an active job that was submitted with dependencies. Its priority, estimate and
+// deadline are the job's own; what it propagates upstream is computed from them.
 type BlockedJob struct {
 	ID                   string
 	Version              uint64 // of its record
 	Class                string
 	Estimate             micros.Micros // as submitted
-	DependencyParts      int           // keys that hold the list of jobs that it awaits, 0: the record itself does
-	LatestDependencyDone micros.Micros // the latest wall clock time at which a job that it awaited was done
-	CancelledRoot        string        // the job before it that was cancelled by its user, or ""
+	DependencyParts      int           // number of keys that hold the list of dependencies; 0: the record itself holds it
+	LatestDependencyDone micros.Micros // latest wall clock time at which a dependency was done
+	CancelledRoot        string        // upstream job that its user cancelled, or ""
 
 	priority            sched.Priority
 	accepted            micros.Micros
 	deadline            micros.Micros   // from submission, 0 for none
-	dependenciesKnown   bool            // the list of jobs that it awaits is known
-	pendingDependencies map[string]bool // those that are not known to be done
+	dependenciesKnown   bool            // the list of dependencies is known
+	pendingDependencies map[string]bool // dependencies that are not known to be done
 
-	correctedEstimate micros.Micros // the estimate as corrected when the job began to pass on
-	propagated        Inheritance   // what it passes on to those that it needs, while it does
+	correctedEstimate micros.Micros // as of when the job began to propagate
+	propagated        Inheritance   // what it propagates to its dependencies, while propagating
 	propagating       bool
-	queued            bool // in the walk that goes on
+	queued            bool // in the propagation queue
 }
 
-// Ready tells that all that the job awaits is done.
-func (w *BlockedJob) Ready() bool {
-	return w.dependenciesKnown && len(w.pendingDependencies) == 0 && w.CancelledRoot == ""
+// Ready reports whether all dependencies of the job are known to be done.
+func (b *BlockedJob) Ready() bool {
+	return b.dependenciesKnown && len(b.pendingDependencies) == 0 && b.CancelledRoot == ""
 }
 
-// DependenciesKnown tells whether the list of jobs that the job awaits is known.
-func (w *BlockedJob) DependenciesKnown() bool { return w.dependenciesKnown }
+// DependenciesKnown reports whether the job's list of dependencies is known.
+func (b *BlockedJob) DependenciesKnown() bool { return b.dependenciesKnown }
 
-// Cancelled tells that the job is cancelled with one before it.
-func (w *BlockedJob) Cancelled() bool { return w.CancelledRoot != "" }
+// Cancelled reports whether the job is cancelled because an upstream job is.
+func (b *BlockedJob) Cancelled() bool { return b.CancelledRoot != "" }
 
-// dependencyFields are the fields of a record.Job that tell whether the job awaits others.
-// Most jobs do not: that their descriptions are not decoded here saves much time.
+// dependencyFields are the fields of a record.Job that concern dependencies. Most jobs have
+// none: not decoding their descriptions here saves much time.
 type dependencyFields struct {
 	Accepted        micros.Micros    `cbor:"at"`
 	Blocked         *wire.Submission `cbor:"w"`
 	DependencyParts int              `cbor:"p"`
 }
 
-// HasDependencies tells from a job's record whether the job was submitted to await others.
+// HasDependencies reports whether a job's record shows that it was submitted with dependencies.
 func HasDependencies(value []byte) (bool, error) {
-	var rec dependencyFields
-	if err := wire.Decode(value, &rec); err != nil {
+	var fields dependencyFields
+	if err := wire.Decode(value, &fields); err != nil {
 		return false, fmt.Errorf("job's record: %w", err)
 	}
-	return rec.Blocked != nil, nil
+	return fields.Blocked != nil, nil
 }
 
-// addBlocked notes a job that awaits others; it returns nil for any other.
+// addBlocked adds a job with dependencies and returns it; it returns nil for any other job.
 func (g *Graph) addBlocked(id string, value []byte, version uint64) *BlockedJob {
 	if job := g.blocked[id]; job != nil && job.Version == version {
 		return job
 	}
-	var rec dependencyFields
-	if err := wire.Decode(value, &rec); err != nil || rec.Blocked == nil {
-		return nil // who places the job reports what cannot be read
+	var fields dependencyFields
+	if err := wire.Decode(value, &fields); err != nil || fields.Blocked == nil {
+		return nil // the code that places jobs reports records that it cannot decode
 	}
 	job := &BlockedJob{
-		ID: id, Version: version, DependencyParts: rec.DependencyParts,
-		accepted: rec.Accepted, pendingDependencies: map[string]bool{},
+		ID:                  id,
+		Version:             version,
+		DependencyParts:     fields.DependencyParts,
+		accepted:            fields.Accepted,
+		pendingDependencies: map[string]bool{},
 	}
 	g.blocked[id] = job
-	spec, err := rec.Blocked.Job()
+	spec, err := fields.Blocked.Job()
 	if err != nil {
 		g.log.Error("record cannot be read", "key", record.ActiveJobKey(id), "error", err)
-		return job // neither ready nor answered about
+		return job // with unknown dependencies, so that it never becomes ready
 	}
-	job.Class, job.Estimate = spec.Class, spec.Estimate
-	job.priority, job.deadline = spec.Priority, spec.Deadline
-	if rec.DependencyParts > 0 {
+	job.Class = spec.Class
+	job.Estimate = spec.Estimate
+	job.priority = spec.Priority
+	job.deadline = spec.Deadline
+	if fields.DependencyParts > 0 {
 		g.incomplete[id] = true
 		return job
 	}
@@ -91,31 +94,31 @@
 	return job
 }
 
-// SetDependencies takes the list of a job whose record does not hold it.
-func (g *Graph) SetDependencies(job *BlockedJob, awaited []string) {
+// SetDependencies sets the dependencies of a job whose record does not hold them.
+func (g *Graph) SetDependencies(job *BlockedJob, dependencies []string) {
 	if g.blocked[job.ID] == job && !job.dependenciesKnown {
-		g.setPendingDependencies(job, awaited)
+		g.setPendingDependencies(job, dependencies)
 	}
 }
 
-// setPendingDependencies takes the list of jobs that a job awaits.
-func (g *Graph) setPendingDependencies(job *BlockedJob, awaited []string) {
+// setPendingDependencies links a job to those dependencies that are not known to be done.
+func (g *Graph) setPendingDependencies(job *BlockedJob, dependencies []string) {
 	job.dependenciesKnown = true
 	delete(g.incomplete, job.ID)
-	for _, id := range awaited {
+	for _, id := range dependencies {
 		if !g.observer.IsDone(id) {
 			g.link(job, id)
 		}
 	}
 	if !job.Cancelled() {
-		g.propagateFrom(job)
+		g.startPropagating(job)
 	}
 	if job.Ready() {
 		g.observer.JobReady(job)
 	}
 }
 
-// link notes that a job waits for another.
+// link adds the edge from a job to a dependency.
 func (g *Graph) link(job *BlockedJob, id string) {
 	job.pendingDependencies[id] = true
 	if g.dependents[id] == nil {
@@ -125,12 +128,12 @@
 	if !g.active[id] {
 		g.unresolvedJobs[id] = true
 	}
-	if other := g.blocked[id]; other != nil && other.Cancelled() && !job.Cancelled() {
-		g.cancel(job, other.CancelledRoot)
+	if dependency := g.blocked[id]; dependency != nil && dependency.Cancelled() && !job.Cancelled() {
+		g.cancel(job, dependency.CancelledRoot)
 	}
 }
 
-// unlink notes that a job does not wait for another any more.
+// unlink removes the edge from a job to a dependency.
 func (g *Graph) unlink(job *BlockedJob, id string) {
 	g.work.Jobs++
 	delete(job.pendingDependencies, id)
@@ -143,8 +146,8 @@
 	}
 }
 
-// removeBlocked forgets a waiting job that is over. The order in which it is unlinked changes
-// nothing: each edge concerns another job.
+// removeBlocked removes a blocked job that has ended. Its edges are removed in any order: each
+// concerns another dependency.
 func (g *Graph) removeBlocked(job *BlockedJob) {
 	g.stopPropagating(job)
 	for id := range job.pendingDependencies {
--- a/internal/dag/inheritance.go
+++ b/internal/dag/inheritance.go
@@ -7,35 +7,37 @@
 	"tamarindlead/sched"
 )
 
-// This file is priority inheritance among jobs that wait for others: a job is treated as
-// having the highest priority of itself and of all active jobs that need it, directly or
-// through others, and it must end early enough for each of those to meet its deadline. What is
-// inherited is kept for all jobs that others await, of any team and owner.
+// This file implements priority inheritance along dependencies: a job gets the highest priority
+// of itself and all its active downstream jobs, and a latest finish that lets each of them meet
+// its deadline. Inheritance is kept for all dependencies, of any team and owner.
 //
-// An event costs those whose inheritance it changes, and what they await. A job is accepted
-// after those that it awaits, so that its record's version is higher than theirs: taken from
-// the highest version down, each job is looked at once for an event, in whatever shape the
-// jobs depend on each other.
+// An event visits the jobs whose inheritance it changes and their dependencies. A job is accepted
+// after its dependencies, so that its record has a higher version than theirs: visited in
+// descending order of versions, each job is visited once per event, whatever the shape of the
+// graph.
 
-// Inheritance is what a job has from those that need it.
+// Inheritance is what a job inherits from its downstream jobs.
 type Inheritance struct {
 	Priority     sched.Priority
-	LatestFinish micros.Micros // the latest end that lets all of them meet their deadlines, 0 for none
+	LatestFinish micros.Micros // latest end that lets all of them meet their deadlines, 0 for none
 }
 
-// merge is what is inherited from two.
-func (a Inheritance) merge(b Inheritance) Inheritance {
-	return Inheritance{max(a.Priority, b.Priority), EarlierDeadline(a.LatestFinish, b.LatestFinish)}
+// merge returns the inheritance from two sources.
+func (i Inheritance) merge(other Inheritance) Inheritance {
+	return Inheritance{max(i.Priority, other.Priority), EarlierDeadline(i.LatestFinish, other.LatestFinish)}
 }
 
-// mayDetermine tells whether what one passed may have been the reason for what is inherited, and
-// is not any more with what it passes now.
-func (a Inheritance) mayDetermine(all, now Inheritance) bool {
-	return a.Priority == all.Priority && now.Priority < a.Priority ||
-		a.LatestFinish != 0 && a.LatestFinish == all.LatestFinish && EarlierDeadline(a.LatestFinish, now.LatestFinish) != now.LatestFinish
+// mayDetermine reports whether one dependent's contribution i may have determined the merged
+// inheritance in a way that its new contribution does not.
+func (i Inheritance) mayDetermine(merged, replacement Inheritance) bool {
+	if i.Priority == merged.Priority && replacement.Priority < i.Priority {
+		return true
+	}
+	return i.LatestFinish != 0 && i.LatestFinish == merged.LatestFinish &&
+		EarlierDeadline(i.LatestFinish, replacement.LatestFinish) != replacement.LatestFinish
 }
 
-// EarlierDeadline is the earlier of two times, of which 0 stands for none.
+// EarlierDeadline returns the earlier of two times, each of which may be 0 for none.
 func EarlierDeadline(a, b micros.Micros) micros.Micros {
 	if a == 0 || b == 0 {
 		return max(a, b)
@@ -43,8 +45,8 @@
 	return min(a, b)
 }
 
-// AbsoluteDeadline is when a job of its own must have ended, 0 for never. It counts from the submission,
-// however long the job waits.
+// AbsoluteDeadline returns the time by which a job must have ended, or 0 for no deadline. The
+// deadline counts from acceptance, however long the job is blocked.
 func AbsoluteDeadline(accepted, deadline micros.Micros) micros.Micros {
 	if deadline == 0 {
 		return 0
@@ -52,124 +54,150 @@
 	return accepted + deadline
 }
 
-// Inherited returns what a job inherits; awaited tells whether active jobs need it.
-func (g *Graph) Inherited(id string) (inherited Inheritance, awaited bool) {
-	inherited, awaited = g.inherited[id]
-	return inherited, awaited
+// Inherited returns a job's inheritance, and whether active jobs depend on the job.
+func (g *Graph) Inherited(id string) (inherited Inheritance, isDependency bool) {
+	inherited, isDependency = g.inherited[id]
+	return inherited, isDependency
 }
 
-// propagatedBy is what a job passes on to those that it awaits.
+// propagatedBy returns what a job propagates to its dependencies.
 func (g *Graph) propagatedBy(job *BlockedJob) Inheritance {
 	own := Inheritance{job.priority, AbsoluteDeadline(job.accepted, job.deadline)}
-	all := own.merge(g.inherited[job.ID])
-	if all.LatestFinish != 0 {
-		all.LatestFinish = max(1, all.LatestFinish-job.correctedEstimate)
+	merged := own.merge(g.inherited[job.ID])
+	if merged.LatestFinish != 0 {
+		merged.LatestFinish = max(1, merged.LatestFinish-job.correctedEstimate) // 0 stands for none
 	}
-	return all
+	return merged
 }
 
-// latestFirst is a queue of jobs of which each is taken before those that it awaits.
-type latestFirst []*BlockedJob
+// propagationQueue is a heap of jobs in descending order of versions: each job comes before its
+// dependencies.
+type propagationQueue []*BlockedJob
+
+// Len implements heap.Interface.
+func (q propagationQueue) Len() int { return len(q) }
+
+// Less implements heap.Interface.
+func (q propagationQueue) Less(i, k int) bool { return q[i].Version > q[k].Version }
 
-func (l latestFirst) Len() int           { return len(l) }
-func (l latestFirst) Less(i, k int) bool { return l[i].Version > l[k].Version }
-func (l latestFirst) Swap(i, k int)      { l[i], l[k] = l[k], l[i] }
-func (l *latestFirst) Push(job any)      { *l = append(*l, job.(*BlockedJob)) }
+// Swap implements heap.Interface.
+func (q propagationQueue) Swap(i, k int) { q[i], q[k] = q[k], q[i] }
 
-func (l *latestFirst) Pop() any {
-	last := len(*l) - 1
-	job := (*l)[last]
-	*l = (*l)[:last]
+// Push implements heap.Interface.
+func (q *propagationQueue) Push(job any) { *q = append(*q, job.(*BlockedJob)) }
+
+// Pop implements heap.Interface.
+func (q *propagationQueue) Pop() any {
+	last := len(*q) - 1
+	job := (*q)[last]
+	*q = (*q)[:last]
 	return job
 }
 
-// propagateFrom has a job pass on what it does by now, and so on for all for which that changes
-// something.
-func (g *Graph) propagateFrom(job *BlockedJob) {
+// startPropagating makes a job propagate its current inheritance upstream.
+func (g *Graph) startPropagating(job *BlockedJob) {
 	if !job.propagating {
 		job.correctedEstimate = g.observer.EstimateOf(job)
 	}
 	g.propagate(job, true)
 }
 
-// stopPropagating has a job that is over or cancelled pass on nothing any more.
+// stopPropagating makes a job that has ended or is cancelled propagate nothing.
 func (g *Graph) stopPropagating(job *BlockedJob) {
 	if job.propagating {
 		g.propagate(job, false)
 	}
 }
 
-// propagate carries a change from a job to those that it needs.
-func (g *Graph) propagate(first *BlockedJob, passing bool) {
-	for queue := (latestFirst{first}); len(queue) > 0; {
+// propagate applies a change of a job's inheritance or state to its upstream jobs.
+func (g *Graph) propagate(first *BlockedJob, propagates bool) {
+	queue := propagationQueue{first}
+	for len(queue) > 0 {
 		job := heap.Pop(&queue).(*BlockedJob)
 		job.queued = false
-		before, now, passedBefore := job.propagated, g.propagatedBy(job), job.propagating
-		job.propagating = job != first || passing
-		job.propagated = now
-		if passedBefore && job.propagating && now == before {
+		change := g.updatePropagated(job, job != first || propagates)
+		if change.isEmpty() {
 			continue
 		}
-		change := propagationChange{propagatedBefore: passedBefore, propagates: job.propagating, before: before}
-		if job.propagating {
-			change.now = now
-		}
-		// The order does not matter: each job awaited takes the change for itself.
+		// The order does not matter: the change applies to each dependency by itself.
 		for id := range job.pendingDependencies {
 			if !g.applyPropagation(id, change) {
 				continue
 			}
-			if next := g.blocked[id]; next != nil && next.propagating && !next.queued {
-				next.queued = true
-				heap.Push(&queue, next)
+			if dependency := g.blocked[id]; dependency != nil && dependency.propagating && !dependency.queued {
+				dependency.queued = true
+				heap.Push(&queue, dependency)
 			}
 		}
 	}
 }
 
-// propagationChange is how what a job passes on has changed.
+// propagationChange is a change of what a job propagates.
 type propagationChange struct {
 	propagatedBefore, propagates bool
-	before, now                  Inheritance
+	before                       Inheritance // meaningful if propagatedBefore
+	after                        Inheritance // zero if the job no longer propagates
+}
+
+// isEmpty reports whether the job propagates the same as before.
+func (c propagationChange) isEmpty() bool {
+	return c.propagatedBefore && c.propagates && c.before == c.after
+}
+
+// updatePropagated recomputes what a job propagates and returns the change.
+func (g *Graph) updatePropagated(job *BlockedJob, propagates bool) propagationChange {
+	change := propagationChange{
+		propagatedBefore: job.propagating,
+		propagates:       propagates,
+		before:           job.propagated,
+	}
+	job.propagating = propagates
+	job.propagated = g.propagatedBy(job)
+	if propagates {
+		change.after = job.propagated
+	}
+	return change
 }
 
-// applyPropagation has a job inherit what one that awaits it passes on; it tells whether that
-// changed what the job inherits.
+// applyPropagation applies a change of what one dependent of a job propagates; it reports whether
+// the job's inheritance changed.
 func (g *Graph) applyPropagation(id string, change propagationChange) bool {
 	g.work.Edges++
 	before, known := g.inherited[id]
-	now := before
+	after := before
 	if change.propagates {
-		now = before.merge(change.now)
+		after = before.merge(change.after)
 	}
-	if change.propagatedBefore && change.before.mayDetermine(before, change.now) {
-		now = g.inheritedBy(id, before)
+	if change.propagatedBefore && change.before.mayDetermine(before, change.after) {
+		after = g.inheritedBy(id, before)
 	}
-	if known && now == before || !known && !change.propagates {
+	if known && after == before || !known && !change.propagates {
 		return false
 	}
-	g.inherited[id] = now
+	g.inherited[id] = after
 	g.observer.InheritanceChanged(id)
 	return true
 }
 
-// inheritedBy is what a job inherits from all that await it; the search ends where it is as
-// much as it was.
-func (g *Graph) inheritedBy(id string, most Inheritance) Inheritance {
-	var all Inheritance
+// inheritedBy returns a job's inheritance from all its dependents after one of them lowered its
+// contribution. limit is the previous inheritance, which the result cannot exceed: the search
+// ends where it is reached.
+func (g *Graph) inheritedBy(id string, limit Inheritance) Inheritance {
+	var merged Inheritance
 	for _, dependent := range g.dependents[id] {
 		g.work.Edges++
 		if !dependent.propagating {
 			continue
 		}
-		if all = all.merge(dependent.propagated); all == most {
+		merged = merged.merge(dependent.propagated)
+		if merged == limit {
 			break
 		}
 	}
-	return all
+	return merged
 }
 
-// disinherit forgets what a job inherits: nobody awaits it any more.
+// disinherit removes the inheritance of a job without dependents.
 func (g *Graph) disinherit(id string) {
 	if _, known := g.inherited[id]; known {
 		delete(g.inherited, id)
--- a/internal/dag/inheritance_test.go
+++ b/internal/dag/inheritance_test.go
@@ -3,113 +3,119 @@
 import (
 	"testing"
 
-	"tamarindlead/internal/kv"
-	"tamarindlead/internal/record"
 	"tamarindlead/micros"
 	"tamarindlead/sched"
 )
 
-// fanFixture is a graph of jobs that all run for as long as estimated.
+// fanFixture is a graph of jobs that all run as long as estimated.
 type fanFixture struct {
 	*testing.T
-	g *Graph
+	graph *Graph
 }
 
 func newFanFixture(t *testing.T) *fanFixture {
-	g := newTestGraph(t)
-	g.Reset(nil, 0)
+	g, _ := newSyncedGraph(t)
 	return &fanFixture{t, g}
 }
 
-// submit has a job accepted at a time, which awaits others.
-func (f *fanFixture) submit(job sched.Job, at micros.Micros, awaits ...string) {
+// submit applies the record of a job that is accepted at time 0.
+func (f *fanFixture) submit(job sched.Job, dependencies ...string) {
 	f.Helper()
 	job.Tasks, job.Class, job.Need, job.Image, job.Team = 1, "stage", sched.NewResources(1, 0, 1), "img", "red"
-	job.Dependencies = awaits
-	submit(f, f.g, &job, at)
+	job.Dependencies = dependencies
+	submit(f, f.graph, &job, 0)
 }
 
-const (
-	done      = true
-	cancelled = false
-)
+// done ends a job as done.
+func (f *fanFixture) done(id string) {
+	f.Helper()
+	end(f, f.graph, id)
+	f.graph.MarkDone(id, 1)
+}
+
+// cancelled ends a job as cancelled by its user.
+func (f *fanFixture) cancelled(id string) {
+	f.Helper()
+	end(f, f.graph, id)
+	f.graph.MarkCancelled(id, id)
+}
 
-func (f *fanFixture) end(id string, isDone bool) {
+// checkInherited checks a job's inheritance; the latest finish is in seconds.
+func (f *fanFixture) checkInherited(id string, priority sched.Priority, latestFinish float64) {
 	f.Helper()
-	apply(f, f.g, kv.Change{Delete: record.ActiveJobKey(id)})
-	if isDone {
-		f.g.MarkDone(id, 1)
-	} else {
-		f.g.MarkCancelled(id, id)
+	want := Inheritance{priority, micros.FromSeconds(latestFinish)}
+	if got, _ := f.graph.Inherited(id); got != want {
+		f.Fatalf("%s inherits %v; want %v", id, got, want)
 	}
 }
 
-// check holds what a job of the lowest priority and without deadline inherits against what is
-// expected.
-func (f *fanFixture) check(id string, priority sched.Priority, mustEnd float64) {
+// checkCost checks how many edges an operation visits.
+func (f *fanFixture) checkCost(limit int, name string, operation func()) {
 	f.Helper()
-	want := Inheritance{priority, micros.FromSeconds(mustEnd)}
-	if got, _ := f.g.Inherited(id); got != want {
-		f.Fatalf("%s inherits %v, want %v", id, got, want)
+	before := f.graph.work.Edges
+	operation()
+	if edges := f.graph.work.Edges - before; edges > limit {
+		f.Errorf("%s: %d edges visited; want at most %d", name, edges, limit)
 	}
 }
 
+// stage returns a job with an estimate and a deadline in seconds.
 func stage(id int, priority sched.Priority, estimate, deadline float64) sched.Job {
-	return sched.Job{ID: jobName(id), Priority: priority,
-		Estimate: micros.FromSeconds(estimate), Deadline: micros.FromSeconds(deadline)}
+	return sched.Job{
+		ID: jobName(id), Priority: priority,
+		Estimate: micros.FromSeconds(estimate), Deadline: micros.FromSeconds(deadline),
+	}
 }
 
-// TestInheritFans guards against a pass over all jobs for each event: 600 jobs that one
-// awaits, 600 that await one, and a ladder of diamonds in which ways double with each step.
-// Guards: the versions' order in propagate, the early end in inheritedBy.
-func TestInheritFans(t *testing.T) {
-	const many = 600
+// fan is the number of jobs in a fan-in or fan-out.
+const fan = 600
+
+// TestInheritanceCostOfFans bounds the cost of an event for a job with 600 dependencies, and for
+// 600 jobs with one common dependency. It fails without the early exit in inheritedBy.
+func TestInheritanceCostOfFans(t *testing.T) {
 	f := newFanFixture(t)
-	var all []string
-	for i := range many {
-		f.submit(stage(i, 0, 10, 0), 0)
-		all = append(all, jobName(i))
-	}
-	g := f.g
-	cost := func(most int, what string, do func()) {
-		t.Helper()
-		before := g.work.Edges
-		do()
-		if n := g.work.Edges - before; n > most {
-			t.Errorf("%s: %d edges looked at, want %d at most", what, n, most)
-		}
+	var dependencies []string
+	for i := range fan {
+		f.submit(stage(i, 0, 10, 0))
+		dependencies = append(dependencies, jobName(i))
 	}
-	cost(many, "fan-in", func() { f.submit(stage(1000, 2, 10, 100), 0, all...) })
-	f.check(jobName(7), 2, 90)
-	cost(1, "one of them done", func() { f.end(all[0], done) })
-	cost(2*many, "fan-in cancelled", func() { f.end(jobName(1000), cancelled) })
-	f.check(jobName(7), 0, 0)
+	shared, fanIn := jobName(7), jobName(1000)
+	f.checkCost(fan, "fan-in", func() { f.submit(stage(1000, 2, 10, 100), dependencies...) })
+	f.checkInherited(shared, 2, 90)
+	f.checkCost(1, "one dependency done", func() { f.done(dependencies[0]) })
+	f.checkCost(2*fan, "fan-in cancelled", func() { f.cancelled(fanIn) })
+	f.checkInherited(shared, 0, 0)
 
-	cost(many, "fan-out", func() {
-		for i := range many {
-			f.submit(stage(2000+i, 1, 10, 100), 0, jobName(7))
+	f.checkCost(fan, "fan-out", func() {
+		for i := range fan {
+			f.submit(stage(2000+i, 1, 10, 100), shared)
 		}
 	})
-	cost(20*many, "fan-out cancelled one by one", func() {
-		for i := range many - 1 {
-			f.end(jobName(2000+i), cancelled)
-			f.check(jobName(7), 1, 90)
+	f.checkCost(20*fan, "fan-out cancelled one by one", func() {
+		for i := range fan - 1 {
+			f.cancelled(jobName(2000 + i))
+			f.checkInherited(shared, 1, 90)
 		}
 	})
-	cost(2, "last of them cancelled", func() { f.end(jobName(2000+many-1), cancelled) })
-	f.check(jobName(7), 0, 0)
+	f.checkCost(2, "last of the fan-out cancelled", func() { f.cancelled(jobName(2000 + fan - 1)) })
+	f.checkInherited(shared, 0, 0)
+}
 
-	const steps = 40
-	f.submit(stage(5000, 0, 1, 0), 0)
-	for i := range steps {
-		at := 5000 + 3*i
-		f.submit(stage(at+1, 0, 1, 0), 0, jobName(at))
-		f.submit(stage(at+2, 0, 2, 0), 0, jobName(at))
-		f.submit(stage(at+3, 0, 1, 0), 0, jobName(at+1), jobName(at+2))
+// TestInheritanceCostOfDiamonds bounds the cost of an event in a chain of diamonds, where the
+// number of paths doubles with each. It fails without the order of versions in propagationQueue.
+func TestInheritanceCostOfDiamonds(t *testing.T) {
+	const diamonds = 40
+	f := newFanFixture(t)
+	f.submit(stage(0, 0, 1, 0))
+	for i := range diamonds {
+		top := 3 * i
+		f.submit(stage(top+1, 0, 1, 0), jobName(top))
+		f.submit(stage(top+2, 0, 2, 0), jobName(top))
+		f.submit(stage(top+3, 0, 1, 0), jobName(top+1), jobName(top+2))
 	}
-	last := 5000 + 3*steps
-	cost(4*steps+1, "ladder", func() { f.submit(stage(last+1, 2, 1, 500), 0, jobName(last)) })
-	f.check(jobName(5000), 2, 500-1-3*steps)
-	cost(12*steps, "ladder's last cancelled", func() { f.end(jobName(last+1), cancelled) })
-	f.check(jobName(5000), 0, 0)
+	bottom := 3 * diamonds
+	f.checkCost(4*diamonds+1, "submission", func() { f.submit(stage(bottom+1, 2, 1, 500), jobName(bottom)) })
+	f.checkInherited(jobName(0), 2, 500-1-3*diamonds)
+	f.checkCost(12*diamonds, "cancellation", func() { f.cancelled(jobName(bottom + 1)) })
+	f.checkInherited(jobName(0), 0, 0)
 }
--- a/internal/dag/resolution.go
+++ b/internal/dag/resolution.go
@@ -6,14 +6,12 @@
 	"tamarindlead/micros"
 )
 
-// This file takes how awaited jobs ended, and tells what must still be read about them.
-
-// MarkDone notes that a job is done, at a wall clock time, for those that await it.
+// MarkDone applies to a job's dependents that the job was done at a wall clock time.
 func (g *Graph) MarkDone(id string, at micros.Micros) {
-	for _, name := range sortedKeys(g.dependents[id]) {
-		job := g.dependents[id][name]
+	for _, dependentID := range sortedKeys(g.dependents[id]) {
+		job := g.dependents[id][dependentID]
 		if job == nil {
-			continue
+			continue // removed by the observer during this loop
 		}
 		job.LatestDependencyDone = max(job.LatestDependencyDone, at)
 		g.unlink(job, id)
@@ -23,37 +21,38 @@
 	}
 }
 
-// MarkCancelled notes that a job that ended was cancelled: by its user if it is the root, else
-// with the root before it.
+// MarkCancelled applies to a job's dependents that the job ended as cancelled. root is the job
+// that a user cancelled: the job itself or one upstream of it.
 func (g *Graph) MarkCancelled(id, root string) {
 	delete(g.unresolvedJobs, id)
-	for _, name := range sortedKeys(g.dependents[id]) {
-		if job := g.dependents[id][name]; job != nil && !job.Cancelled() {
+	for _, dependentID := range sortedKeys(g.dependents[id]) {
+		if job := g.dependents[id][dependentID]; job != nil && !job.Cancelled() {
 			g.cancel(job, root)
 		}
 	}
 }
 
-// cancel notes that a job is cancelled with one before it, and with it all that await it,
-// directly or through others.
+// cancel marks a job and all its downstream jobs as cancelled with a root.
 func (g *Graph) cancel(job *BlockedJob, root string) {
 	job.CancelledRoot = root
-	for list := []*BlockedJob{job}; len(list) > 0; {
-		job, list = list[0], list[1:]
+	queue := []*BlockedJob{job}
+	for len(queue) > 0 {
+		next := queue[0]
+		queue = queue[1:]
 		g.work.Jobs++
-		g.stopPropagating(job)
-		g.observer.JobCancelled(job.ID)
-		for _, name := range sortedKeys(g.dependents[job.ID]) {
-			if next := g.dependents[job.ID][name]; !next.Cancelled() {
-				next.CancelledRoot = root
-				list = append(list, next)
+		g.stopPropagating(next)
+		g.observer.JobCancelled(next.ID)
+		for _, dependentID := range sortedKeys(g.dependents[next.ID]) {
+			if dependent := g.dependents[next.ID][dependentID]; !dependent.Cancelled() {
+				dependent.CancelledRoot = root
+				queue = append(queue, dependent)
 			}
 		}
 	}
 }
 
-// AssumeDone takes it that all that a waiting job awaits is done, since somebody who had read
-// that has placed the job.
+// AssumeDone marks all dependencies of a blocked job as done, because an owner that had read
+// their terminal states has placed the job.
 func (g *Graph) AssumeDone(job *BlockedJob) {
 	for _, id := range sortedKeys(job.pendingDependencies) {
 		g.unlink(job, id)
@@ -62,13 +61,13 @@
 	delete(g.incomplete, job.ID)
 }
 
-// HasUnresolvedJobs tells whether awaited jobs are over of which it is not known how they ended.
+// HasUnresolvedJobs reports whether any dependency has ended in an unknown terminal state.
 func (g *Graph) HasUnresolvedJobs() bool { return len(g.unresolvedJobs) > 0 }
 
-// UnresolvedJobs lists those jobs in order.
+// UnresolvedJobs returns the dependencies that have ended in an unknown terminal state, sorted.
 func (g *Graph) UnresolvedJobs() []string { return sortedKeys(g.unresolvedJobs) }
 
-// FirstIncomplete returns a waiting job whose list of awaited jobs is not known yet, or nil.
+// FirstIncomplete returns the first blocked job whose list of dependencies is not known, or nil.
 func (g *Graph) FirstIncomplete() *BlockedJob {
 	if len(g.incomplete) == 0 {
 		return nil
@@ -76,16 +75,19 @@
 	return g.blocked[sortedKeys(g.incomplete)[0]]
 }
 
-// FindUnresolved finds what must be read before the state of jobs is known: the list of one, or
-// how some ended that they need.
-func (g *Graph) FindUnresolved(ids []string) (partial *BlockedJob, unresolved bool) {
+// FindUnresolved returns what must be read before the state of some jobs is known: it searches
+// them and their upstream jobs for one whose list of dependencies is unknown, and reports
+// whether any of them has ended in an unknown terminal state. If incomplete is not nil, the search
+// ended there and unresolved is false.
+func (g *Graph) FindUnresolved(ids []string) (incomplete *BlockedJob, unresolved bool) {
 	if len(g.unresolvedJobs) == 0 && len(g.incomplete) == 0 {
 		return nil, false
 	}
 	seen := map[string]bool{}
-	for list := slices.Clone(ids); len(list) > 0; {
-		id := list[0]
-		list = list[1:]
+	queue := slices.Clone(ids)
+	for len(queue) > 0 {
+		id := queue[0]
+		queue = queue[1:]
 		if seen[id] {
 			continue
 		}
@@ -93,12 +95,12 @@
 		unresolved = unresolved || g.unresolvedJobs[id]
 		job := g.blocked[id]
 		switch {
-		case job == nil || job.Cancelled():
+		case job == nil || job.Cancelled(): // its state is known
 		case !job.dependenciesKnown:
 			return job, false
 		default:
-			for other := range job.pendingDependencies {
-				list = append(list, other)
+			for dependency := range job.pendingDependencies {
+				queue = append(queue, dependency)
 			}
 		}
 	}
--- /dev/null
+++ b/internal/dag/simulation_test.go
@@ -0,0 +1,291 @@
+package dag
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"slices"
+	"testing"
+
+	"tamarindlead/internal/kv"
+	"tamarindlead/internal/record"
+	"tamarindlead/internal/wire"
+	"tamarindlead/micros"
+)
+
+// Phases of active jobs in the simulation, besides wire.JobDone and wire.JobCancelled.
+const (
+	phaseBlocked wire.JobPhase = "blocked"
+	phaseReady   wire.JobPhase = "ready"
+)
+
+// terminalState is how a job ended.
+type terminalState struct {
+	phase wire.JobPhase
+	at    micros.Micros
+	root  string // of a cancelled job: the job that its user cancelled
+}
+
+// applyTo applies a job's terminal state to a graph.
+func (s terminalState) applyTo(g *Graph, id string) {
+	if s.phase == wire.JobDone {
+		g.MarkDone(id, s.at)
+	} else {
+		g.MarkCancelled(id, s.root)
+	}
+}
+
+// records are the jobs' records in a key-value store, with their history.
+type records struct {
+	revision       uint64
+	dependencies   map[string][]string // of all accepted jobs
+	active         map[string]uint64   // versions
+	terminalStates map[string]terminalState
+	history        []kv.Change
+}
+
+func newRecords() *records {
+	return &records{
+		dependencies:   map[string][]string{},
+		active:         map[string]uint64{},
+		terminalStates: map[string]terminalState{},
+	}
+}
+
+func (r *records) accept(id string, dependencies []string) {
+	r.revision++
+	r.dependencies[id] = dependencies
+	r.active[id] = r.revision
+	r.history = append(r.history, kv.Change{
+		Put: record.ActiveJobKey(id), Value: encodeJob(testJob(id, dependencies...), 1), Version: r.revision,
+	})
+}
+
+func (r *records) end(id string, state terminalState) {
+	r.revision++
+	delete(r.active, id)
+	r.terminalStates[id] = state
+	r.history = append(r.history, kv.Change{Delete: record.ActiveJobKey(id), Version: r.revision})
+}
+
+// since returns the changes after a revision.
+func (r *records) since(after uint64) *kv.WatchResult {
+	changes := &kv.WatchResult{Revision: r.revision}
+	for _, change := range r.history {
+		if change.Version > after {
+			changes.Events = append(changes.Events, change)
+		}
+	}
+	return changes
+}
+
+// list returns the records of the active jobs.
+func (r *records) list() []kv.Entry {
+	var entries []kv.Entry
+	for _, id := range sortedKeys(r.active) {
+		key := record.ActiveJobKey(id)
+		i := slices.IndexFunc(r.history, func(change kv.Change) bool { return change.Put == key })
+		entries = append(entries, kv.Entry{Key: key, Value: r.history[i].Value, Version: r.active[id]})
+	}
+	return entries
+}
+
+// phaseOf returns a job's phase as a function of records alone.
+func (r *records) phaseOf(id string) wire.JobPhase {
+	if state, ended := r.terminalStates[id]; ended {
+		return state.phase
+	}
+	phase := phaseReady
+	for _, dependency := range r.dependencies[id] {
+		switch r.phaseOf(dependency) {
+		case wire.JobCancelled:
+			return wire.JobCancelled
+		case wire.JobDone:
+		default:
+			phase = phaseBlocked
+		}
+	}
+	return phase
+}
+
+// rootOf returns an upstream job that its user cancelled, or "".
+func (r *records) rootOf(id string) string {
+	for _, dependency := range r.dependencies[id] {
+		state, ended := r.terminalStates[dependency]
+		switch {
+		case ended && state.phase == wire.JobCancelled:
+			return state.root
+		case !ended && r.phaseOf(dependency) == wire.JobCancelled:
+			return r.rootOf(dependency)
+		}
+	}
+	return ""
+}
+
+// TestGraph plays random histories of records, with stale listings and with changes that are
+// delivered twice or from too early on, and compares the graph with the records.
+func TestGraph(t *testing.T) {
+	for seed := range uint64(60) {
+		t.Run(fmt.Sprint(seed), func(t *testing.T) {
+			t.Parallel()
+			newSimulation(t, seed).play()
+		})
+	}
+}
+
+// simulation is a graph that follows a random history of records.
+type simulation struct {
+	t       *testing.T
+	rng     *rand.Rand
+	graph   *Graph
+	records *records
+	step    int
+	stale   []kv.Entry // listing as of staleAt
+	staleAt uint64
+}
+
+func newSimulation(t *testing.T, seed uint64) *simulation {
+	g, _ := newSyncedGraph(t)
+	return &simulation{t: t, rng: rand.New(rand.NewPCG(seed, 9)), graph: g, records: newRecords()}
+}
+
+func (s *simulation) play() {
+	for s.step = range 400 {
+		s.changeRecords()
+		if s.rng.IntN(3) == 0 {
+			continue // the changes are delivered with later ones
+		}
+		s.deliverChanges()
+		s.resolve()
+		s.checkDependents()
+		for id := range s.records.dependencies {
+			s.checkJob(id)
+		}
+	}
+}
+
+// changeRecords accepts or ends a job, or delivers a listing.
+func (s *simulation) changeRecords() {
+	switch p := s.rng.IntN(10); {
+	case p < 4 || len(s.records.dependencies) < 3:
+		s.accept()
+	case p < 8:
+		if id := s.pick(); s.records.phaseOf(id) == phaseReady {
+			s.records.end(id, terminalState{phase: wire.JobDone, at: micros.Micros(s.step), root: id})
+		}
+	case p < 9:
+		if id := s.pick(); s.records.active[id] != 0 {
+			s.cancel(id)
+		}
+	default:
+		s.list()
+	}
+}
+
+// pick returns a random accepted job.
+func (s *simulation) pick() string {
+	ids := sortedKeys(s.records.dependencies)
+	return ids[s.rng.IntN(len(ids))]
+}
+
+func (s *simulation) accept() {
+	var dependencies []string
+	for range s.rng.IntN(4) {
+		if len(s.records.dependencies) > 0 {
+			dependencies = append(dependencies, s.pick())
+		}
+	}
+	slices.Sort(dependencies)
+	s.records.accept(jobName(s.step), slices.Compact(dependencies))
+}
+
+// cancel ends a job as cancelled: by its user, or as downstream of a cancelled job.
+func (s *simulation) cancel(id string) {
+	state := terminalState{phase: wire.JobCancelled, root: id}
+	if s.records.phaseOf(id) == wire.JobCancelled && s.rng.IntN(2) == 0 {
+		state.root = s.records.rootOf(id)
+	}
+	s.records.end(id, state)
+}
+
+// list takes a listing for later use, or delivers the last one with some pages read anew.
+func (s *simulation) list() {
+	if s.rng.IntN(2) == 0 {
+		s.stale, s.staleAt = s.records.list(), s.records.revision
+		return
+	}
+	from := record.ActiveJobKey(jobName(s.rng.IntN(s.step + 1)))
+	entries := slices.DeleteFunc(slices.Clone(s.stale), func(entry kv.Entry) bool { return entry.Key >= from })
+	for _, entry := range s.records.list() {
+		if entry.Key >= from {
+			entries = append(entries, entry)
+		}
+	}
+	s.graph.Reset(entries, s.staleAt)
+}
+
+// deliverChanges delivers changes with a gap, then all changes twice.
+func (s *simulation) deliverChanges() {
+	if ahead := s.graph.revision + 1; s.graph.Apply(ahead, s.records.since(ahead), wallClock) {
+		s.t.Fatalf("step %d: changes after a gap were applied", s.step)
+	}
+	after := s.graph.revision - min(s.graph.revision, s.rng.Uint64N(5))
+	for range 2 {
+		if !s.graph.Apply(after, s.records.since(after), wallClock) {
+			s.t.Fatalf("step %d: changes without a gap were refused", s.step)
+		}
+	}
+}
+
+// resolve applies the terminal states that the graph lacks.
+func (s *simulation) resolve() {
+	for _, id := range sortedKeys(s.graph.unresolvedJobs) {
+		state, ended := s.records.terminalStates[id]
+		if !ended {
+			s.t.Fatalf("step %d: %s is unresolved but has not ended", s.step, id)
+		}
+		state.applyTo(s.graph, id)
+	}
+	s.graph.Apply(0, s.records.since(0), wallClock)
+	if len(s.graph.unresolvedJobs) > 0 {
+		s.t.Fatalf("step %d: changes were applied again: unresolved %v", s.step, s.graph.UnresolvedJobs())
+	}
+}
+
+// checkDependents checks that each edge is known at both its ends.
+func (s *simulation) checkDependents() {
+	for dependency, dependents := range s.graph.dependents {
+		for id, job := range dependents {
+			if s.graph.blocked[id] != job || !job.pendingDependencies[dependency] {
+				s.t.Fatalf("step %d: %s is listed as a dependent of %s", s.step, id, dependency)
+			}
+		}
+	}
+}
+
+// checkJob compares a job's state in the graph with the records.
+func (s *simulation) checkJob(id string) {
+	active := s.records.active[id] != 0
+	if s.graph.active[id] != active {
+		s.t.Fatalf("step %d: %s is active: %t; want %t", s.step, id, s.graph.active[id], active)
+	}
+	job := s.graph.blocked[id]
+	if hasDependencies := active && len(s.records.dependencies[id]) > 0; (job != nil) != hasDependencies {
+		s.t.Fatalf("step %d: %s is %v in the graph; active with dependencies: %t", s.step, id, job, hasDependencies)
+	}
+	if job == nil {
+		return
+	}
+	got := phaseBlocked
+	switch {
+	case job.Cancelled():
+		got = wire.JobCancelled
+		if root := s.records.terminalStates[job.CancelledRoot]; root.phase != wire.JobCancelled {
+			s.t.Fatalf("step %d: %s is cancelled with %s, whose phase is %q", s.step, id, job.CancelledRoot, root.phase)
+		}
+	case job.Ready():
+		got = phaseReady
+	}
+	if want := s.records.phaseOf(id); got != want {
+		s.t.Fatalf("step %d: %s is %s; want %s as the records say", s.step, id, got, want)
+	}
+}
