--- a/internal/cluster/assign.go
+++ b/internal/cluster/assign.go
@@ -9,106 +9,110 @@
 	"tamarindlead/micros"
 )
 
-// Limits of assignment.
 const (
 	// memberJoinGracePeriod is how long a new leader waits for the other nodes to join before it
-	// spreads teams that nobody owns yet.
+	// spreads teams that were never assigned.
 	memberJoinGracePeriod = 1500 * micros.Millisecond
-	// assignRetryInterval is the least time between two commits: the watch shows meanwhile what the
-	// first one changed.
+	// assignRetryInterval is the minimum time between two transactions: meanwhile the watch
+	// shows the changes of the first one.
 	assignRetryInterval = 500 * micros.Millisecond
-	// maxPredecessors bounds the list of earlier owners whose machines an owner takes over.
+	// maxPredecessors bounds the list of earlier owners whose machines an owner recovers.
 	maxPredecessors = 12
 )
 
-// assignment is the leader's work of giving teams to members.
+// assignment is the state of the leader's assignment of teams to members.
 type assignment struct {
 	committing bool
 	nextAt     micros.Micros
 }
 
-// noOwner stands for the owner of teams that were never assigned.
+// noOwner is the owner of teams that were never assigned.
 const noOwner record.OwnerID = ""
 
-// assign gives teams without a live owner to members. All teams of one lost owner go to one
-// successor, which takes over its machines and what runs on them.
+// assign gives orphaned teams to members. All teams of one failed owner go to one successor, which
+// takes over its machines and their tasks.
 func (n *Node) assign(now micros.Micros) {
-	if n.assignment.committing || now < n.assignment.nextAt || !n.following {
+	if n.assignment.committing || now < n.assignment.nextAt || !n.watching {
 		return
 	}
-	lost := n.orphanedTeams()
-	if len(lost) == 0 || len(lost[noOwner]) > 0 && n.awaitingMembers(now) {
+	orphaned := n.orphanedTeams()
+	if len(orphaned) == 0 || len(orphaned[noOwner]) > 0 && n.awaitingMembers(now) {
 		return
 	}
-	guards, writes := n.planAssignment(lost)
+	preconditions, writes := n.planAssignment(orphaned)
 	if len(writes) == 0 {
 		return
 	}
-	guards[record.LeaderKey] = n.leadership.term
+	preconditions[record.LeaderKey] = n.leadership.term
 	n.assignment.committing = true
-	n.kvClient.Call(kv.Transaction(kv.SortedPreconditions(guards), writes), func(now micros.Micros, _ kv.Result) {
-		// Whatever the outcome, the watch tells what holds.
+	transaction := kv.Transaction(kv.SortedPreconditions(preconditions), writes)
+	n.kvClient.Call(transaction, func(now micros.Micros, _ kv.Result) {
+		// The result does not matter: the watch shows what was assigned, and teams that are
+		// still orphaned are assigned by a later tick.
 		n.assignment.committing = false
 		n.assignment.nextAt = now + assignRetryInterval
 	})
 }
 
-// orphanedTeams lists the teams without a live owner by their earlier owner.
+// orphanedTeams returns the teams without a live owner by their earlier owner.
 func (n *Node) orphanedTeams() map[record.OwnerID][]string {
-	lost := map[record.OwnerID][]string{}
+	orphaned := map[record.OwnerID][]string{}
 	for _, name := range n.view.teamNames {
-		if team, ok := n.view.teams[name]; !ok {
-			lost[noOwner] = append(lost[noOwner], name)
-		} else if id := team.OwnerID(); !n.view.IsLive(id) {
-			lost[id] = append(lost[id], name)
+		team, assigned := n.view.teams[name]
+		switch {
+		case !assigned:
+			orphaned[noOwner] = append(orphaned[noOwner], name)
+		case !n.view.IsLive(team.OwnerID()):
+			orphaned[team.OwnerID()] = append(orphaned[team.OwnerID()], name)
 		}
 	}
-	return lost
+	return orphaned
 }
 
-// awaitingMembers tells that teams are to be spread and more nodes may soon join.
+// awaitingMembers reports whether teams are spread and more nodes may join soon.
 func (n *Node) awaitingMembers(now micros.Micros) bool {
 	return n.config.Tuning.SpreadTeams && len(n.view.members) <= len(n.config.Siblings) &&
 		now-n.leadership.leadingSince < memberJoinGracePeriod
 }
 
-// planAssignment chooses an owner for each lost team, as far as one commit can hold, and
-// returns the commit's guards and writes.
-func (n *Node) planAssignment(lost map[record.OwnerID][]string) (guards map[string]uint64, writes []kv.Write) {
-	guards = map[string]uint64{}
-	assigned := map[string]int{} // teams by node
-	for _, lostOwner := range slices.Sorted(maps.Keys(lost)) {
+// planAssignment chooses an owner for each orphaned team, up to the size limit of a transaction,
+// and returns the transaction's preconditions and writes.
+func (n *Node) planAssignment(orphaned map[record.OwnerID][]string) (preconditions map[string]uint64, writes []kv.Write) {
+	preconditions = map[string]uint64{}
+	assigned := map[string]int{} // number of teams by node
+	for _, predecessor := range slices.Sorted(maps.Keys(orphaned)) {
 		successor := ""
-		for _, name := range lost[lostOwner] {
-			if successor == "" || lostOwner == noOwner {
+		for _, name := range orphaned[predecessor] {
+			if successor == "" || predecessor == noOwner {
 				successor = n.chooseOwner(assigned)
 			}
 			if successor == "" || len(writes) >= n.config.TxnOps {
 				continue
 			}
 			assigned[successor]++
-			memberGuard := n.view.MemberPrecondition(successor)
-			guards[memberGuard.Key] = memberGuard.Version
-			guards[record.TeamKey(name)] = n.view.teams[name].Version
-			writes = append(writes, kv.Write{Put: record.TeamKey(name), Value: n.assignedRecord(name, successor)})
-			n.log.Info("team assigned", "team", name, "to", successor, "from", lostOwner, "term", n.leadership.term)
+			member := n.view.MemberPrecondition(successor)
+			preconditions[member.Key] = member.Version
+			preconditions[record.TeamKey(name)] = n.view.teams[name].Version
+			writes = append(writes, kv.Write{Put: record.TeamKey(name), Value: n.assignedTeam(name, successor)})
+			n.log.Info("team assigned", "team", name, "to", successor, "from", predecessor, "term", n.leadership.term)
 		}
 	}
-	return guards, writes
+	return preconditions, writes
 }
 
-// assignedRecord is a team's record with a new owner, who takes over from the earlier ones.
-func (n *Node) assignedRecord(name, owner string) record.Team {
+// assignedTeam returns a team's record with a new owner, which recovers from the earlier owners.
+func (n *Node) assignedTeam(name, owner string) record.Team {
 	assigned := record.Team{Owner: owner, Incarnation: n.view.members[owner].Incarnation, Term: n.leadership.term}
 	if team, ok := n.view.teams[name]; ok {
-		all := append(slices.Clone(team.Predecessors), team.OwnerID())
-		assigned.Predecessors = all[max(0, len(all)-maxPredecessors):]
+		predecessors := append(slices.Clone(team.Predecessors), team.OwnerID())
+		assigned.Predecessors = predecessors[max(0, len(predecessors)-maxPredecessors):]
 	}
 	return assigned
 }
 
-// chooseOwner chooses a member for a team. If teams are not spread, all go to one node: this
-// one, or the one that owns teams already. If they are, the one with the fewest is chosen.
+// chooseOwner returns the member to own a team, or "" if there are no members: the member with
+// the fewest teams if teams are spread, else the one with the most, so that one node owns all.
+// Among equals the leader itself is preferred, then the first by name.
 func (n *Node) chooseOwner(assigned map[string]int) string {
 	owned := maps.Clone(assigned)
 	for _, team := range n.view.teams {
--- a/internal/cluster/assign_test.go
+++ b/internal/cluster/assign_test.go
@@ -9,7 +9,7 @@
 	"tamarindlead/internal/record"
 )
 
-// assignments are the owners of the teams that a commit writes.
+// assignments returns the owners that a transaction writes, by the keys of the teams.
 func assignments(body transactionBody) map[string]string {
 	owners := map[string]string{}
 	for _, write := range body.Writes {
@@ -18,6 +18,7 @@
 	return owners
 }
 
+// expectAssignment removes the earliest pending call, which must assign teams as wanted.
 func (f *fixture) expectAssignment(want map[string]string) (stubCall, transactionBody) {
 	f.t.Helper()
 	call, body := f.expectTransaction()
@@ -29,22 +30,24 @@
 
 func TestUnassignedTeamsGoToTheLeader(t *testing.T) {
 	f := newFixture(t, testSettings("blue", "red"))
-	f.leading(memberEntry("n1", 1, 2))
+	f.lead(memberEntry("n1", 1, 2))
 	f.tick(0)
 	call, body := f.expectAssignment(map[string]string{"c/t/blue": "n0", "c/t/red": "n0"})
 	want := []kv.Precondition{
-		{Key: "c/leader", Version: leaderRevision}, {Key: "c/n/n0", Version: joinRevision},
-		{Key: "c/t/blue"}, {Key: "c/t/red"},
+		{Key: "c/leader", Version: leaderRevision},
+		{Key: "c/n/n0", Version: joinRevision},
+		{Key: "c/t/blue"},
+		{Key: "c/t/red"},
 	}
 	if !slices.Equal(body.Preconditions, want) {
-		t.Errorf("guards %v; want %v", body.Preconditions, want)
+		t.Errorf("preconditions %v; want %v", body.Preconditions, want)
 	}
-	record := body.Writes[0].Value
-	if record["i"] != f.node.Incarnation() || record["e"] != uint64(leaderRevision) || record["h"] != nil {
-		t.Errorf("record %v", record)
+	team := body.Writes[0].Value
+	if team["i"] != f.node.Incarnation() || team["e"] != uint64(leaderRevision) || team["h"] != nil {
+		t.Errorf("record %v", team)
 	}
 	f.tick(assignRetryInterval)
-	f.expectNoCall() // one commit at a time
+	f.expectNoCall() // one transaction at a time
 	f.fail(call, kv.Unknown)
 	f.tick(assignRetryInterval - 1)
 	f.expectNoCall()
@@ -52,42 +55,45 @@
 	f.expectTransaction()
 }
 
-// TestTeamsOfAFailedOwnerGoToOneSuccessor: also if teams are spread, since its machines go with them.
-func TestTeamsOfAFailedOwnerGoToOneSuccessor(t *testing.T) {
-	for _, spread := range []bool{false, true} {
-		settings := testSettings("blue", "green", "red")
-		settings.Tuning.SpreadTeams = spread
-		f := newFixture(t, settings)
-		lost := record.Team{Owner: "n2", Incarnation: 9, Predecessors: []record.OwnerID{"n1/3"}}
-		f.leading(memberEntry("n1", 1, 2), memberEntry("n2", 10, 8), teamEntry("blue", lost, 4), teamEntry("red", lost, 5),
-			teamEntry("green", record.Team{Owner: "n1", Incarnation: 1}, 6))
-		f.tick(0)
-		call, body := f.expectTransaction()
-		owners := assignments(body)
-		if len(owners) != 2 || owners["c/t/blue"] != owners["c/t/red"] {
-			t.Errorf("spread %t: assigned %v; want both to one", spread, owners)
-		}
-		// Together: where teams are. Spread: this node is one of the two without any.
-		if want := map[bool]string{false: "n1", true: "n0"}[spread]; owners["c/t/red"] != want {
-			t.Errorf("spread %t: assigned to %s; want %s", spread, owners["c/t/red"], want)
-		}
-		if got := fmt.Sprint(body.Writes[0].Value["h"]); got != "[n1/3 n2/9]" {
-			t.Errorf("predecessors %s", got)
-		}
-		if !slices.Contains(body.Preconditions, kv.Precondition{Key: "c/t/red", Version: 5}) {
-			t.Errorf("guards %v lack the team's version", body.Preconditions)
-		}
-		f.answer(call, kv.TransactionResult{Revision: 30})
+// TestTeamsOfFailedOwnerGoToOneSuccessor checks that also spread teams of one failed owner stay
+// together, because its machines go with them.
+func TestTeamsOfFailedOwnerGoToOneSuccessor(t *testing.T) {
+	cases := []struct {
+		name   string
+		spread bool
+		want   string
+	}{
+		{"together", false, "n1"}, // which owns a team
+		{"spread", true, "n0"},    // which owns none
+	}
+	for _, c := range cases {
+		t.Run(c.name, func(t *testing.T) {
+			settings := testSettings("blue", "green", "red")
+			settings.Tuning.SpreadTeams = c.spread
+			f := newFixture(t, settings)
+			orphaned := record.Team{Owner: "n2", Incarnation: 9, Predecessors: []record.OwnerID{"n1/3"}}
+			f.lead(memberEntry("n1", 1, 2), memberEntry("n2", 10, 8), teamEntry("blue", orphaned, 4), teamEntry("red", orphaned, 5),
+				teamEntry("green", record.Team{Owner: "n1", Incarnation: 1}, 6))
+			f.tick(0)
+			call, body := f.expectAssignment(map[string]string{"c/t/blue": c.want, "c/t/red": c.want})
+			if got := fmt.Sprint(body.Writes[0].Value["h"]); got != "[n1/3 n2/9]" {
+				t.Errorf("predecessors %s", got)
+			}
+			if !slices.Contains(body.Preconditions, kv.Precondition{Key: "c/t/red", Version: 5}) {
+				t.Errorf("preconditions %v lack the team's version", body.Preconditions)
+			}
+			f.answer(call, kv.TransactionResult{Revision: 30})
+		})
 	}
 }
 
 func TestPredecessorsAreBounded(t *testing.T) {
 	f := newFixture(t, testSettings("red"))
-	lost := record.Team{Owner: "n2", Incarnation: 9}
+	orphaned := record.Team{Owner: "n2", Incarnation: 9}
 	for i := range maxPredecessors {
-		lost.Predecessors = append(lost.Predecessors, record.NewOwnerID("n1", uint64(i)))
+		orphaned.Predecessors = append(orphaned.Predecessors, record.NewOwnerID("n1", uint64(i)))
 	}
-	f.leading(teamEntry("red", lost, 4))
+	f.lead(teamEntry("red", orphaned, 4))
 	f.tick(0)
 	_, body := f.expectTransaction()
 	list := body.Writes[0].Value["h"].([]any)
@@ -100,19 +106,19 @@
 	settings := testSettings("blue", "green", "red")
 	settings.Tuning.SpreadTeams = true
 	f := newFixture(t, settings)
-	f.leading(memberEntry("n1", 1, 2))
+	f.lead(memberEntry("n1", 1, 2))
 	f.tick(0)
-	f.expectNoCall() // n2 may join yet
-	f.changed(memberEntry("n2", 1, 21))
+	f.expectNoCall() // n2 may still join
+	f.put(memberEntry("n2", 1, 21))
 	f.tick(0)
 	f.expectAssignment(map[string]string{"c/t/blue": "n0", "c/t/green": "n1", "c/t/red": "n2"})
 }
 
-func TestSpreadingDoesNotWaitForever(t *testing.T) {
+func TestTeamsAreSpreadAfterGracePeriod(t *testing.T) {
 	settings := testSettings("blue", "green", "red")
 	settings.Tuning.SpreadTeams = true
 	f := newFixture(t, settings)
-	f.leading(memberEntry("n1", 1, 2))
+	f.lead(memberEntry("n1", 1, 2))
 	f.tick(memberJoinGracePeriod - 1)
 	f.expectNoCall()
 	f.tick(1)
@@ -123,30 +129,33 @@
 	settings := testSettings("a", "b", "c")
 	settings.TxnOps = 2
 	f := newFixture(t, settings)
-	f.leading()
+	f.lead()
 	f.tick(0)
 	f.expectAssignment(map[string]string{"c/t/a": "n0", "c/t/b": "n0"})
 }
 
 func TestOnlyTheLeaderAssigns(t *testing.T) {
 	f := newFixture(t, testSettings("red"))
-	f.joined(leaderEntry("n1", 1, 3))
+	f.join(leaderEntry("n1", 1, 3))
 	f.tick(0)
 	f.expectNoCall()
 }
 
-// TestLeaderTakesTeamsItselfIfAllIsEqual: without owners, and also if its name comes later.
-func TestLeaderTakesTeamsItselfIfAllIsEqual(t *testing.T) {
+// TestChooseOwnerPrefersLeader checks that a node without an advantage over the leader is not
+// chosen, even if its name comes first.
+func TestChooseOwnerPrefersLeader(t *testing.T) {
 	for _, spread := range []bool{false, true} {
-		settings := testSettings("red")
-		settings.Node, settings.Tuning.SpreadTeams = "n1", spread
-		f := newFixture(t, settings)
-		for _, node := range []string{"n0", "n1", "n2"} {
-			entry := memberEntry(node, 1, 2)
-			f.node.view.put(entry.Key, entry.Value, entry.Version)
-		}
-		if got := f.node.chooseOwner(map[string]int{}); got != "n1" {
-			t.Errorf("spread %t: %s is chosen; want n1", spread, got)
-		}
+		t.Run(fmt.Sprintf("spread %t", spread), func(t *testing.T) {
+			settings := testSettings("red")
+			settings.Node, settings.Tuning.SpreadTeams = "n1", spread
+			f := newFixture(t, settings)
+			for _, node := range []string{"n0", "n1", "n2"} {
+				entry := memberEntry(node, 1, 2)
+				f.node.view.put(entry.Key, entry.Value, entry.Version)
+			}
+			if got := f.node.chooseOwner(map[string]int{}); got != "n1" {
+				t.Errorf("chose %s; want n1", got)
+			}
+		})
 	}
 }
--- a/internal/cluster/stub_test.go
+++ b/internal/cluster/fixture_test.go
@@ -15,38 +15,45 @@
 
 const testTTL = 9 * micros.Second
 
-// stubCall is a call that waits for its answer.
+// stubCall is a pending call.
 type stubCall struct {
 	request kv.Request
 	done    func(micros.Micros, kv.Result)
 }
 
-// stubKVClient keeps calls until a test answers them.
+// stubKVClient records calls until a test answers them.
 type stubKVClient struct {
 	calls   []stubCall
 	watches []stubCall
 }
 
+// Call implements KVClient.
 func (s *stubKVClient) Call(request kv.Request, done func(micros.Micros, kv.Result)) {
 	s.calls = append(s.calls, stubCall{request, done})
 }
 
+// Watch implements KVClient.
 func (s *stubKVClient) Watch(prefix string, after uint64, done func(micros.Micros, kv.Result)) {
 	s.watches = append(s.watches, stubCall{kv.Watch(prefix, after, 0), done})
 }
 
-// stubHost counts notifications.
+// stubHost is a Host that counts notifications.
 type stubHost struct {
 	ownershipChanges int
 	viewChanges      int
 	unreachable      bool
 }
 
-func (h *stubHost) OwnershipChanged()          { h.ownershipChanges++ }
-func (h *stubHost) ViewChanged()               { h.viewChanges++ }
+// OwnershipChanged implements Host.
+func (h *stubHost) OwnershipChanged() { h.ownershipChanges++ }
+
+// ViewChanged implements Host.
+func (h *stubHost) ViewChanged() { h.viewChanges++ }
+
+// UnreachableByWorkers implements Host.
 func (h *stubHost) UnreachableByWorkers() bool { return h.unreachable }
 
-// fixture is node n0 of three, with what surrounds it.
+// fixture is node n0 of a cluster of three, with stubs of what it depends on.
 type fixture struct {
 	t        *testing.T
 	now      micros.Micros
@@ -55,6 +62,7 @@
 	node     *Node
 }
 
+// testSettings returns the settings of node n0 in a cluster with some teams.
 func testSettings(teams ...string) *config.Settings {
 	settings := &config.Settings{
 		Node: "n0", Siblings: []config.Sibling{{Node: "n1"}, {Node: "n2"}}, TxnOps: 16,
@@ -73,16 +81,17 @@
 	return f
 }
 
+// tick advances the time and ticks the node.
 func (f *fixture) tick(after micros.Micros) {
 	f.now += after
 	f.node.Tick(f.now)
 }
 
-// expect takes the earliest call that waits, which must be as said.
+// expect removes the earliest pending call, which must have a method and target.
 func (f *fixture) expect(method, target string) stubCall {
 	f.t.Helper()
 	if len(f.kvClient.calls) == 0 {
-		f.t.Fatalf("no call waits; want %s %s", method, target)
+		f.t.Fatalf("no call is pending; want %s %s", method, target)
 	}
 	call := f.kvClient.calls[0]
 	f.kvClient.calls = f.kvClient.calls[1:]
@@ -95,19 +104,22 @@
 func (f *fixture) expectNoCall() {
 	f.t.Helper()
 	if len(f.kvClient.calls) > 0 {
-		f.t.Fatalf("unexpected call %s %s", f.kvClient.calls[0].request.Method, f.kvClient.calls[0].request.Target)
+		request := f.kvClient.calls[0].request
+		f.t.Fatalf("unexpected call %s %s", request.Method, request.Target)
 	}
 }
 
+// answer completes a call with a body.
 func (f *fixture) answer(call stubCall, body any) {
 	call.done(f.now, kv.Result{Outcome: kv.OK, Body: wire.Encode(body)})
 }
 
+// fail completes a call with an outcome other than success.
 func (f *fixture) fail(call stubCall, outcome kv.Outcome) {
 	call.done(f.now, kv.Result{Outcome: outcome})
 }
 
-// transactionBody is what a commit demands and writes.
+// transactionBody is the body of a transaction's request.
 type transactionBody struct {
 	Preconditions []kv.Precondition `cbor:"guards"`
 	Writes        []struct {
@@ -117,6 +129,7 @@
 	} `cbor:"writes"`
 }
 
+// expectTransaction removes the earliest pending call, which must be a transaction.
 func (f *fixture) expectTransaction() (stubCall, transactionBody) {
 	f.t.Helper()
 	call := f.expect("POST", "/commit")
@@ -131,39 +144,40 @@
 	memberTarget = "/kv/c/n/n0"
 	leaderTarget = "/kv/c/leader"
 	testLease    = 5
-	joinRevision = 10
+
+	joinRevision   = 10 // of the transaction that makes the node a member
+	leaderRevision = 20 // of the transaction that makes the node the leader
 )
 
+// listTarget is the target of the request that lists the cluster's records.
 var listTarget = kv.List(record.ClusterPrefix, "").Target
 
-// joined answers the calls that make the node a member, whose records it then lists.
-func (f *fixture) joined(entries ...kv.Entry) {
+// join makes the node a member, whose listing shows its own record and further entries.
+func (f *fixture) join(entries ...kv.Entry) {
 	f.t.Helper()
 	f.tick(0)
 	read := f.expect("GET", memberTarget)
 	list := f.expect("GET", listTarget)
 	f.fail(read, kv.NotFound)
 	f.answer(f.expect("POST", "/leases"), kv.LeaseGrant{Lease: testLease})
-	commit, _ := f.expectTransaction()
-	f.answer(commit, kv.TransactionResult{Revision: joinRevision})
+	transaction, _ := f.expectTransaction()
+	f.answer(transaction, kv.TransactionResult{Revision: joinRevision})
 	entries = append([]kv.Entry{f.ownEntry()}, entries...)
 	f.answer(list, kv.Page{Entries: entries, Revision: joinRevision})
 }
 
-// leading makes the node a member and the leader.
-func (f *fixture) leading(entries ...kv.Entry) {
+// lead makes the node a member and the leader.
+func (f *fixture) lead(entries ...kv.Entry) {
 	f.t.Helper()
-	f.joined(entries...)
+	f.join(entries...)
 	f.tick(campaignJitter)
-	commit, _ := f.expectTransaction()
-	f.answer(commit, kv.TransactionResult{Revision: leaderRevision})
+	transaction, _ := f.expectTransaction()
+	f.answer(transaction, kv.TransactionResult{Revision: leaderRevision})
 	if !f.node.IsLeader() {
 		f.t.Fatal("the node does not lead")
 	}
 }
 
-const leaderRevision = 20
-
 func (f *fixture) ownEntry() kv.Entry {
 	return memberEntry("n0", f.node.Incarnation(), joinRevision)
 }
@@ -183,8 +197,9 @@
 	return kv.Entry{Key: record.TeamKey(name), Value: wire.Encode(team), Version: version}
 }
 
-// changed answers the latest watch with records that were put.
-func (f *fixture) changed(entries ...kv.Entry) {
+// put completes the pending watch with records that were written.
+func (f *fixture) put(entries ...kv.Entry) {
+	f.t.Helper()
 	var changes kv.WatchResult
 	for _, entry := range entries {
 		changes.Events = append(changes.Events, kv.Change{Put: entry.Key, Value: entry.Value, Version: entry.Version})
@@ -193,15 +208,17 @@
 	f.answerWatch(changes)
 }
 
-// deleted answers the latest watch with a record that is gone.
-func (f *fixture) deleted(key string, revision uint64) {
+// delete completes the pending watch with a record that was deleted.
+func (f *fixture) delete(key string, revision uint64) {
+	f.t.Helper()
 	f.answerWatch(kv.WatchResult{Events: []kv.Change{{Delete: key, Version: revision}}, Revision: revision})
 }
 
+// answerWatch completes the pending watch.
 func (f *fixture) answerWatch(changes kv.WatchResult) {
 	f.t.Helper()
 	if len(f.kvClient.watches) != 1 {
-		f.t.Fatalf("%d watches; want 1", len(f.kvClient.watches))
+		f.t.Fatalf("%d watches are pending; want 1", len(f.kvClient.watches))
 	}
 	watch := f.kvClient.watches[0]
 	f.kvClient.watches = nil
--- a/internal/cluster/leadership.go
+++ b/internal/cluster/leadership.go
@@ -1,54 +1,70 @@
 package cluster
 
 import (
+	"fmt"
+
 	"tamarindlead/internal/kv"
 	"tamarindlead/internal/record"
 	"tamarindlead/internal/wire"
 	"tamarindlead/micros"
 )
 
-// campaignJitter is the longest random pause before a campaign, so that nodes seldom
-// campaign at the same time.
+// campaignJitter bounds the random delay of a campaign, which makes simultaneous campaigns
+// unlikely.
 const campaignJitter = 150 * micros.Millisecond
 
-// leadState is the state machine of leadership.
+// leadState is a state of a node's leadership.
 type leadState int
 
 const (
-	leadUnknown     leadState = iota // nothing read yet
+	leadUnknown     leadState = iota // no record was read yet
 	leadFollower                     // another node leads
-	leadVacant                       // nobody leads
-	leadCampaigning                  // trying to lead
+	leadVacant                       // no node leads
+	leadCampaigning                  // this node tries to become the leader
 	leadLeading                      // this node leads
 )
 
+// String returns the name of the state in log lines.
 func (s leadState) String() string {
-	return [...]string{"unknown", "follower", "vacant", "campaigning", "leading"}[s]
+	switch s {
+	case leadUnknown:
+		return "unknown"
+	case leadFollower:
+		return "follower"
+	case leadVacant:
+		return "vacant"
+	case leadCampaigning:
+		return "campaigning"
+	case leadLeading:
+		return "leading"
+	default:
+		return fmt.Sprintf("leadState(%d)", int(s))
+	}
 }
 
-// leadership is what a node knows of the leader, and its own part in it.
+// leadership is what a node knows of the leader, and the state of its own campaign.
 type leadership struct {
 	state        leadState
-	leader       string        // node
+	leader       string        // node, or ""
 	term         uint64        // revision of the leader's record
-	leadingSince micros.Micros // when this node began to lead
-	campaignAt   micros.Micros
-	pausedUntil  micros.Micros // before that it does not campaign
+	leadingSince micros.Micros // when this node became the leader
+	campaignAt   micros.Micros // when the next campaign is due, while no node leads
+	pausedUntil  micros.Micros // earliest time of the next campaign after a failure
 }
 
-// IsLeader tells whether this node leads, as far as it knows.
+// IsLeader reports whether this node leads, as far as it knows.
 func (n *Node) IsLeader() bool { return n.leadership.state == leadLeading }
 
-// Leader returns the node that leads, as far as is known, or "", and its term.
+// Leader returns the last known leader, or "", and its term.
 func (n *Node) Leader() (node string, term uint64) { return n.leadership.leader, n.leadership.term }
 
-// setLeadState is the one place where the state of leadership changes.
+// setLeadState changes the state of leadership; nothing else does.
 func (n *Node) setLeadState(now micros.Micros, to leadState) {
 	l := &n.leadership
 	if l.state == to {
 		return
 	}
-	n.log.Info("leadership", "from", l.state.String(), "to", to.String(), "leader", l.leader, "term", l.term)
+	n.log.Info("leadership changed", "from", l.state.String(), "to", to.String(), "leader", l.leader, "term", l.term)
 	l.state = to
 	switch to {
 	case leadLeading:
@@ -57,14 +73,15 @@
 		l.leader = ""
 		jitter := micros.Micros(n.random.Int64N(int64(campaignJitter)))
 		l.campaignAt = max(now+jitter, l.pausedUntil)
+	case leadUnknown, leadFollower, leadCampaigning: // no further state
 	}
 }
 
 func (n *Node) tickLeadership(now micros.Micros) {
 	l := &n.leadership
 	switch {
-	case !n.following:
-		n.follow()
+	case !n.watching:
+		n.readAndWatch()
 	case l.state == leadVacant && now >= l.campaignAt && n.membership.state == memberJoined:
 		n.campaign(now)
 	case l.state == leadLeading:
@@ -72,8 +89,8 @@
 	}
 }
 
-// leaderChanged takes the leader's record.
-func (n *Node) leaderChanged(now micros.Micros, value []byte, version uint64) {
+// handleLeaderRecord applies the leader's record. A record that cannot be decoded is ignored.
+func (n *Node) handleLeaderRecord(now micros.Micros, value []byte, version uint64) {
 	l := &n.leadership
 	var leader record.Leader
 	if wire.Decode(value, &leader) != nil || version < l.term {
@@ -83,22 +100,21 @@
 		return
 	}
 	l.leader, l.term = leader.Node, version
-	isOwn := leader.Node == n.config.Node
 	switch {
-	case !isOwn:
+	case leader.Node != n.config.Node:
 		n.setLeadState(now, leadFollower)
 	case leader.Incarnation == n.incarnation && l.state == leadCampaigning:
-		// This node's own commit, seen before its answer.
+		// The watch shows this node's own transaction before its result arrives.
 	default:
-		// An earlier incarnation of this node led, or a commit of this one was executed that
-		// seemed to have failed. There is no need to wait until that lease ends: commits
-		// made under it fail on their guards.
+		// An earlier incarnation of this node led, or a transaction of this one was executed
+		// although it seemed to have failed. There is no need to wait until that lease
+		// expires: transactions of that term fail on their preconditions.
 		n.setLeadState(now, leadVacant)
 	}
 }
 
-// leaderAbsent takes it that there was no leader's record at a revision.
-func (n *Node) leaderAbsent(now micros.Micros, revision uint64) {
+// handleLeaderAbsence applies that there was no leader's record at a revision.
+func (n *Node) handleLeaderAbsence(now micros.Micros, revision uint64) {
 	l := &n.leadership
 	if revision >= l.term && l.state != leadCampaigning {
 		l.term = 0
@@ -106,7 +122,8 @@
 	}
 }
 
-// ObserveTerm takes from another node that somebody leads by a newer record.
+// ObserveTerm applies the leader that another node knows, if its term is newer: this node then
+// stops leading before the watch shows the record.
 func (n *Node) ObserveTerm(now micros.Micros, term uint64, leader string) {
 	l := &n.leadership
 	if term > l.term && l.state == leadLeading && leader != n.config.Node {
@@ -115,7 +132,7 @@
 	}
 }
 
-// stopLeading ends leading or campaigning, since this node is no longer a member.
+// stopLeading ends this node's leadership or campaign, because it is no longer a member.
 func (n *Node) stopLeading(now micros.Micros) {
 	l := &n.leadership
 	if l.state == leadLeading || l.state == leadCampaigning {
@@ -124,18 +141,18 @@
 	}
 }
 
-// campaign tries to put the leader's record on this node's lease. Whatever is seen of a rival
-// meanwhile makes the commit fail by its guard on the record's version.
+// campaign tries to put the leader's record on this node's lease. If a rival has written the
+// record meanwhile, the transaction fails on its precondition on the record's version.
 func (n *Node) campaign(now micros.Micros) {
 	l := &n.leadership
 	n.setLeadState(now, leadCampaigning)
-	guards := []kv.Precondition{{Key: record.LeaderKey, Version: l.term}, n.OwnPrecondition()}
+	preconditions := []kv.Precondition{{Key: record.LeaderKey, Version: l.term}, n.OwnPrecondition()}
 	leader := record.Leader{Node: n.config.Node, Incarnation: n.incarnation}
 	writes := []kv.Write{{Put: record.LeaderKey, Lease: n.membership.lease, Value: leader}}
-	n.kvClient.Call(kv.Transaction(guards, writes), func(now micros.Micros, reply kv.Result) {
+	n.kvClient.Call(kv.Transaction(preconditions, writes), func(now micros.Micros, result kv.Result) {
 		var committed kv.TransactionResult
-		if !decode(reply, &committed) || l.state != leadCampaigning {
-			n.campaignFailed(now)
+		if !decode(result, &committed) || l.state != leadCampaigning {
+			n.handleCampaignFailure(now)
 			return
 		}
 		l.leader, l.term = n.config.Node, committed.Revision
@@ -143,21 +160,21 @@
 	})
 }
 
-// campaignFailed starts over: the commit may have been executed all the same, which reading
-// the record will show.
-func (n *Node) campaignFailed(now micros.Micros) {
+// handleCampaignFailure prepares the next campaign. The transaction may have been executed although no
+// result arrived: reading the record shows that.
+func (n *Node) handleCampaignFailure(now micros.Micros) {
 	l := &n.leadership
 	if l.state != leadCampaigning {
 		return
 	}
 	l.pausedUntil = max(l.pausedUntil, now+2*campaignJitter)
 	n.setLeadState(now, leadVacant)
-	n.kvClient.Call(kv.Get(record.LeaderKey), func(now micros.Micros, reply kv.Result) {
+	n.kvClient.Call(kv.Get(record.LeaderKey), func(now micros.Micros, result kv.Result) {
 		var entry kv.Entry
 		switch {
-		case decode(reply, &entry):
-			n.leaderChanged(now, entry.Value, entry.Version)
-		case reply.Outcome == kv.NotFound && l.state == leadVacant:
+		case decode(result, &entry):
+			n.handleLeaderRecord(now, entry.Value, entry.Version)
+		case result.Outcome == kv.NotFound && l.state == leadVacant:
 			l.term = 0
 		}
 	})
--- a/internal/cluster/leadership_test.go
+++ b/internal/cluster/leadership_test.go
@@ -16,36 +16,36 @@
 	}
 }
 
-// campaigning makes the node a member that tries to lead.
-func (f *fixture) campaigning(entries ...kv.Entry) (stubCall, transactionBody) {
+// campaign makes the node a member that campaigns, and returns the campaign's transaction.
+func (f *fixture) campaign(entries ...kv.Entry) (stubCall, transactionBody) {
 	f.t.Helper()
-	f.joined(entries...)
+	f.join(entries...)
 	f.tick(campaignJitter)
 	return f.expectTransaction()
 }
 
 func TestCampaign(t *testing.T) {
 	f := newFixture(t, testSettings("red"))
-	commit, body := f.campaigning()
+	transaction, body := f.campaign()
 	want := []kv.Precondition{{Key: record.LeaderKey, Version: 0}, {Key: "c/n/n0", Version: joinRevision}}
 	if fmt.Sprint(body.Preconditions) != fmt.Sprint(want) {
-		t.Errorf("guards %v; want %v", body.Preconditions, want)
+		t.Errorf("preconditions %v; want %v", body.Preconditions, want)
 	}
 	if len(body.Writes) != 1 || body.Writes[0].Put != record.LeaderKey || body.Writes[0].Lease != testLease ||
 		body.Writes[0].Value["n"] != "n0" || body.Writes[0].Value["i"] != f.node.Incarnation() {
 		t.Errorf("writes %v", body.Writes)
 	}
-	f.answer(commit, kv.TransactionResult{Revision: leaderRevision})
+	f.answer(transaction, kv.TransactionResult{Revision: leaderRevision})
 	f.expectLeadState(leadLeading, "n0", leaderRevision)
 }
 
 func TestNoCampaignWhileAnotherLeads(t *testing.T) {
 	f := newFixture(t, testSettings("red"))
-	f.joined(leaderEntry("n1", 1, 3))
+	f.join(leaderEntry("n1", 1, 3))
 	f.expectLeadState(leadFollower, "n1", 3)
 	f.tick(campaignJitter)
 	f.expectNoCall()
-	f.deleted(record.LeaderKey, 12)
+	f.delete(record.LeaderKey, 12)
 	f.expectLeadState(leadVacant, "", 0)
 	f.tick(campaignJitter)
 	f.expectTransaction()
@@ -63,8 +63,8 @@
 
 func TestCampaignLost(t *testing.T) {
 	f := newFixture(t, testSettings("red"))
-	commit, _ := f.campaigning()
-	f.fail(commit, kv.PreconditionFailed)
+	transaction, _ := f.campaign()
+	f.fail(transaction, kv.PreconditionFailed)
 	f.expectLeadState(leadVacant, "", 0)
 	f.answer(f.expect("GET", leaderTarget), leaderEntry("n1", 1, 15))
 	f.expectLeadState(leadFollower, "n1", 15)
@@ -72,8 +72,8 @@
 
 func TestCampaignFailsWithoutRival(t *testing.T) {
 	f := newFixture(t, testSettings("red"))
-	commit, _ := f.campaigning(leaderEntry("n0", 1, 3))
-	f.fail(commit, kv.PreconditionFailed)
+	transaction, _ := f.campaign(leaderEntry("n0", 1, 3))
+	f.fail(transaction, kv.PreconditionFailed)
 	f.fail(f.expect("GET", leaderTarget), kv.NotFound)
 	f.expectLeadState(leadVacant, "", 0)
 	f.tick(2*campaignJitter - 1)
@@ -81,71 +81,71 @@
 	f.tick(campaignJitter)
 	_, body := f.expectTransaction()
 	if body.Preconditions[0].Version != 0 {
-		t.Errorf("guarded on version %d of the leader's record; want 0", body.Preconditions[0].Version)
+		t.Errorf("precondition on version %d of the leader's record; want 0", body.Preconditions[0].Version)
 	}
 }
 
-// TestRivalSeenWhileCampaigning: the answer to a commit that lost against a rival comes after the
-// watch has shown the rival.
+// TestRivalSeenWhileCampaigning checks a transaction that lost against a rival and whose result
+// arrives after the watch has shown the rival.
 func TestRivalSeenWhileCampaigning(t *testing.T) {
 	f := newFixture(t, testSettings("red"))
-	commit, _ := f.campaigning()
-	f.changed(leaderEntry("n2", 4, 15))
+	transaction, _ := f.campaign()
+	f.put(leaderEntry("n2", 4, 15))
 	f.expectLeadState(leadFollower, "n2", 15)
-	f.fail(commit, kv.PreconditionFailed)
+	f.fail(transaction, kv.PreconditionFailed)
 	f.expectLeadState(leadFollower, "n2", 15)
 	f.expectNoCall()
 }
 
-func TestOwnCommitSeenBeforeItsAnswer(t *testing.T) {
+func TestOwnTransactionSeenBeforeItsResult(t *testing.T) {
 	f := newFixture(t, testSettings("red"))
-	commit, _ := f.campaigning()
-	f.changed(leaderEntry("n0", f.node.Incarnation(), leaderRevision))
+	transaction, _ := f.campaign()
+	f.put(leaderEntry("n0", f.node.Incarnation(), leaderRevision))
 	f.expectLeadState(leadCampaigning, "n0", leaderRevision)
-	f.answer(commit, kv.TransactionResult{Revision: leaderRevision})
+	f.answer(transaction, kv.TransactionResult{Revision: leaderRevision})
 	f.expectLeadState(leadLeading, "n0", leaderRevision)
 }
 
-// TestCommitExecutedAfterItFailed: the node does not lead by a record that it does not know to be
-// its own success; it campaigns against that record.
-func TestCommitExecutedAfterItFailed(t *testing.T) {
+// TestTransactionExecutedAfterItFailed checks that the node does not lead by a record of its own
+// transaction if that seemed to have failed: it campaigns against that record.
+func TestTransactionExecutedAfterItFailed(t *testing.T) {
 	f := newFixture(t, testSettings("red"))
-	commit, _ := f.campaigning()
-	f.fail(commit, kv.Unknown)
+	transaction, _ := f.campaign()
+	f.fail(transaction, kv.Unknown)
 	f.expect("GET", leaderTarget)
-	f.changed(leaderEntry("n0", f.node.Incarnation(), leaderRevision))
+	f.put(leaderEntry("n0", f.node.Incarnation(), leaderRevision))
 	if f.node.IsLeader() {
 		t.Fatal("the node leads")
 	}
 	f.tick(3 * campaignJitter)
 	_, body := f.expectTransaction()
 	if body.Preconditions[0].Version != leaderRevision {
-		t.Errorf("guarded on version %d; want %d", body.Preconditions[0].Version, leaderRevision)
+		t.Errorf("precondition on version %d; want %d", body.Preconditions[0].Version, leaderRevision)
 	}
 }
 
 func TestEarlierIncarnationLed(t *testing.T) {
 	f := newFixture(t, testSettings("red"))
-	_, body := f.campaigning(leaderEntry("n0", 1, 3))
+	_, body := f.campaign(leaderEntry("n0", 1, 3))
 	if body.Preconditions[0].Version != 3 {
-		t.Errorf("guarded on version %d; want 3", body.Preconditions[0].Version)
+		t.Errorf("precondition on version %d; want 3", body.Preconditions[0].Version)
 	}
 }
 
-func TestOlderRecordsOfLeaderAreIgnored(t *testing.T) {
+func TestOlderLeaderRecordsAreIgnored(t *testing.T) {
 	f := newFixture(t, testSettings("red"))
-	f.leading()
-	f.changed(leaderEntry("n1", 1, leaderRevision-1))
+	f.lead()
+	f.put(leaderEntry("n1", 1, leaderRevision-1))
 	f.expectLeadState(leadLeading, "n0", leaderRevision)
-	f.deleted(record.LeaderKey, leaderRevision-1)
+	f.delete(record.LeaderKey, leaderRevision-1)
 	f.expectLeadState(leadLeading, "n0", leaderRevision)
-	f.deleted(record.LeaderKey, leaderRevision+1)
+	f.delete(record.LeaderKey, leaderRevision+1)
 	f.expectLeadState(leadVacant, "", 0)
 }
 
 func TestObserveTerm(t *testing.T) {
 	f := newFixture(t, testSettings("red"))
-	f.leading()
+	f.lead()
 	f.node.ObserveTerm(f.now, leaderRevision, "n1")
 	f.node.ObserveTerm(f.now, leaderRevision+1, "n0")
 	f.expectLeadState(leadLeading, "n0", leaderRevision)
@@ -153,41 +153,42 @@
 	f.expectLeadState(leadFollower, "n1", leaderRevision+1)
 }
 
-func TestRecordsAreReadAgainAfterAFailure(t *testing.T) {
+func TestRecordsAreReadAgainAfterFailure(t *testing.T) {
 	f := newFixture(t, testSettings("red"))
-	f.joined(leaderEntry("n1", 1, 3), memberEntry("n1", 1, 2))
+	f.join(leaderEntry("n1", 1, 3), memberEntry("n1", 1, 2))
 	f.fail(f.kvClient.watches[0], kv.Unknown)
 	f.kvClient.watches = nil
 	f.tick(0)
 	f.answer(f.expect("GET", listTarget), kv.Page{Revision: 40, Entries: []kv.Entry{f.ownEntry()}})
 	f.expectLeadState(leadVacant, "", 0)
 	if f.node.View().IsMember("n1") {
-		t.Error("a record that is gone is still known")
+		t.Error("a record that was deleted is still known")
 	}
 	if f.host.viewChanges != 2 {
 		t.Errorf("%d notifications of changes; want 2", f.host.viewChanges)
 	}
 }
 
-// TestEarlierIncarnationSeenWhileCampaigning: a late commit of an earlier incarnation puts its
-// record; this one's commit fails by it, and is tried again against that record.
+// TestEarlierIncarnationSeenWhileCampaigning checks a campaign that fails because a late
+// transaction of an earlier incarnation wrote the leader's record: the next campaign is against
+// that record.
 func TestEarlierIncarnationSeenWhileCampaigning(t *testing.T) {
 	f := newFixture(t, testSettings("red"))
-	commit, _ := f.campaigning()
-	f.changed(leaderEntry("n0", f.node.Incarnation()+1, 15))
+	transaction, _ := f.campaign()
+	f.put(leaderEntry("n0", f.node.Incarnation()+1, 15))
 	f.expectLeadState(leadVacant, "", 15)
-	f.fail(commit, kv.PreconditionFailed)
+	f.fail(transaction, kv.PreconditionFailed)
 	f.tick(campaignJitter)
 	_, body := f.expectTransaction()
 	if body.Preconditions[0].Version != 15 {
-		t.Errorf("guarded on version %d; want 15", body.Preconditions[0].Version)
+		t.Errorf("precondition on version %d; want 15", body.Preconditions[0].Version)
 	}
 }
 
-// TestWatchGoesOnFromItsRevision: an answer of an older revision does not set the watch back.
-func TestWatchGoesOnFromItsRevision(t *testing.T) {
+// TestWatchNeverGoesBack checks that a result of an older revision does not set the watch back.
+func TestWatchNeverGoesBack(t *testing.T) {
 	f := newFixture(t, testSettings("red"))
-	f.joined(leaderEntry("n1", 1, 3))
+	f.join(leaderEntry("n1", 1, 3))
 	f.answerWatch(kv.WatchResult{Revision: joinRevision - 1})
 	want := kv.Watch(record.ClusterPrefix, joinRevision, 0).Target
 	if len(f.kvClient.watches) != 1 || f.kvClient.watches[0].request.Target != want {
--- a/internal/cluster/membership.go
+++ b/internal/cluster/membership.go
@@ -1,62 +1,75 @@
 package cluster
 
 import (
+	"fmt"
+
 	"tamarindlead/internal/kv"
 	"tamarindlead/internal/record"
 	"tamarindlead/micros"
 )
 
-// Times of membership.
 const (
-	// joinRetry is the pause after joining failed or the record was lost.
-	joinRetry = 300 * micros.Millisecond
-	// renewalsPerLease is how often a lease is renewed in its time: two renewals may fail.
+	// joinRetryDelay is the delay before joining again after a failure or the loss of the record.
+	joinRetryDelay = 300 * micros.Millisecond
+	// renewalsPerLease is the number of renewals within the duration of a lease: two may fail.
 	renewalsPerLease = 3
-	// renewRetry is the pause after a renewal that failed.
-	renewRetry = 250 * micros.Millisecond
-	// leavePause is how long a node that workers cannot reach stays out.
-	leavePause = 20 * micros.Second
+	// renewRetryDelay is the delay before renewing again after a failure.
+	renewRetryDelay = 250 * micros.Millisecond
+	// leaveDuration is how long a node that left because workers cannot reach it stays absent.
+	leaveDuration = 20 * micros.Second
 )
 
-// memberState is the state machine of membership.
+// memberState is a state of a node's membership.
 type memberState int
 
 const (
-	memberAbsent  memberState = iota // has no lease
-	memberJoining                    // is getting one
-	memberJoined                     // its record is on its lease
+	memberAbsent  memberState = iota // the node has no lease
+	memberJoining                    // the node is getting a lease
+	memberJoined                     // the node's record is on its lease
 )
 
-func (s memberState) String() string { return [...]string{"out", "joining", "in"}[s] }
+// String returns the name of the state in log lines.
+func (s memberState) String() string {
+	switch s {
+	case memberAbsent:
+		return "absent"
+	case memberJoining:
+		return "joining"
+	case memberJoined:
+		return "joined"
+	default:
+		return fmt.Sprintf("memberState(%d)", int(s))
+	}
+}
 
-// membership is this node's own record. It hangs on a lease, as does the leader's record if
-// this node leads. Whatever the node writes as an owner is guarded on it.
+// membership is the state of this node's own record. The record is on a lease, as is the leader's
+// record if this node leads. All that the node writes as an owner has it as a precondition.
 type membership struct {
 	state       memberState
 	lease       uint64
-	version     uint64
-	renewing    bool
+	version     uint64 // of the record
+	renewing    bool   // a renewal is in flight
 	renewAt     micros.Micros
-	pausedUntil micros.Micros // before that it does not join
+	pausedUntil micros.Micros // earliest time to join
 }
 
-// RecordVersion is the version of this node's own record: the last one it had, and 0 before
-// it was a member.
+// RecordVersion returns the last known version of this node's own record, or 0 if the node has
+// never been a member.
 func (n *Node) RecordVersion() uint64 { return n.membership.version }
 
-// OwnPrecondition is the guard that this incarnation of the node is still a member.
+// OwnPrecondition returns the precondition that this incarnation of the node is still a member.
 func (n *Node) OwnPrecondition() kv.Precondition {
 	return kv.Precondition{Key: record.MemberKey(n.config.Node), Version: n.membership.version}
 }
 
-// setMemberState is the one place where the state of membership changes.
-func (n *Node) setMemberState(now micros.Micros, to memberState, why string) {
+// setMemberState changes the state of membership; nothing else does.
+func (n *Node) setMemberState(now micros.Micros, to memberState, reason string) {
 	m := &n.membership
 	if m.state == to {
 		return
 	}
-	n.log.Info("membership", "from", m.state.String(), "to", to.String(), "why", why, "incarnation", n.incarnation,
-		"lease", m.lease, "version", m.version)
+	n.log.Info("membership changed", "from", m.state.String(), "to", to.String(), "reason", reason,
+		"incarnation", n.incarnation, "lease", m.lease, "version", m.version)
 	m.state = to
 	if to == memberAbsent {
 		n.stopLeading(now)
@@ -75,43 +88,44 @@
 		if n.host.UnreachableByWorkers() {
 			n.leave(now)
 		}
+	case memberJoining: // each result starts the next step
 	}
 }
 
-// join reads the version of this node's record, gets a lease, and puts the record on it.
+// join reads the version of this node's record, requests a lease, and puts the record on it.
 func (n *Node) join(now micros.Micros) {
-	n.setMemberState(now, memberJoining, "starts")
-	n.kvClient.Call(kv.Get(record.MemberKey(n.config.Node)), func(now micros.Micros, reply kv.Result) {
+	n.setMemberState(now, memberJoining, "joining")
+	n.kvClient.Call(kv.Get(record.MemberKey(n.config.Node)), func(now micros.Micros, result kv.Result) {
 		var earlier kv.Entry
-		if reply.Outcome != kv.NotFound && !decode(reply, &earlier) {
-			n.joinFailed(now)
+		if result.Outcome != kv.NotFound && !decode(result, &earlier) {
+			n.handleJoinFailure(now)
 			return
 		}
-		n.grantLease(earlier.Version)
+		n.requestLease(earlier.Version)
 	})
 }
 
-func (n *Node) grantLease(earlierVersion uint64) {
-	n.kvClient.Call(kv.GrantLease(n.config.Tuning.LeaderTTL), func(now micros.Micros, reply kv.Result) {
+func (n *Node) requestLease(earlierVersion uint64) {
+	n.kvClient.Call(kv.GrantLease(n.config.Tuning.LeaderTTL), func(now micros.Micros, result kv.Result) {
 		var granted kv.LeaseGrant
-		if !decode(reply, &granted) {
-			n.joinFailed(now)
+		if !decode(result, &granted) {
+			n.handleJoinFailure(now)
 			return
 		}
 		n.putRecord(granted.Lease, earlierVersion)
 	})
 }
 
-// putRecord writes this node's record. The guard on the version that was read before the
-// lease was granted keeps late commits of an earlier incarnation from replacing it.
+// putRecord writes this node's record. Its precondition on the version that was read before the
+// lease was granted rejects it if a late transaction of an earlier incarnation came first.
 func (n *Node) putRecord(lease, earlierVersion uint64) {
 	key := record.MemberKey(n.config.Node)
-	guards := []kv.Precondition{{Key: key, Version: earlierVersion}}
+	preconditions := []kv.Precondition{{Key: key, Version: earlierVersion}}
 	writes := []kv.Write{{Put: key, Lease: lease, Value: record.Member{Incarnation: n.incarnation}}}
-	n.kvClient.Call(kv.Transaction(guards, writes), func(now micros.Micros, reply kv.Result) {
+	n.kvClient.Call(kv.Transaction(preconditions, writes), func(now micros.Micros, result kv.Result) {
 		var committed kv.TransactionResult
-		if !decode(reply, &committed) {
-			n.joinFailed(now)
+		if !decode(result, &committed) {
+			n.handleJoinFailure(now)
 			return
 		}
 		m := &n.membership
@@ -121,13 +135,14 @@
 	})
 }
 
-func (n *Node) joinFailed(now micros.Micros) {
-	n.membership.pausedUntil = now + joinRetry
-	n.setMemberState(now, memberAbsent, "could not join")
+func (n *Node) handleJoinFailure(now micros.Micros) {
+	n.membership.pausedUntil = now + joinRetryDelay
+	n.setMemberState(now, memberAbsent, "joining failed")
 }
 
 func (n *Node) renewInterval() micros.Micros { return n.config.Tuning.LeaderTTL / renewalsPerLease }
 
+// renew renews the lease when that is due.
 func (n *Node) renew(now micros.Micros) {
 	m := &n.membership
 	if m.renewing || now < m.renewAt {
@@ -135,41 +150,42 @@
 	}
 	m.renewing = true
 	lease := m.lease
-	n.kvClient.Call(kv.RenewLease(lease), func(now micros.Micros, reply kv.Result) {
+	n.kvClient.Call(kv.RenewLease(lease), func(now micros.Micros, result kv.Result) {
 		m.renewing = false
 		if m.state != memberJoined || m.lease != lease {
 			return
 		}
-		switch reply.Outcome {
+		switch result.Outcome {
 		case kv.OK:
 			m.renewAt = now + n.renewInterval()
 		case kv.NotFound:
-			n.setMemberState(now, memberAbsent, "its lease has ended")
+			n.setMemberState(now, memberAbsent, "lease expired")
 		default:
-			// In an outage, or if this node alone is refused, it cannot tell whether the
-			// lease has ended. It goes on: if others have taken over, the machines'
-			// tokens and the guards of commits are theirs.
-			m.renewAt = now + renewRetry
+			// In an outage, or if only this node is refused, it does not know whether the
+			// lease has expired. It stays a member: after a failover, the fencing tokens of
+			// machines and the preconditions of transactions reject its actions.
+			m.renewAt = now + renewRetryDelay
 		}
 	})
 }
 
-// leave gives up membership, and with it leading and owning, so that a node that workers can
+// leave gives up membership, and with it leadership and teams, so that a node that workers can
 // reach takes over.
 func (n *Node) leave(now micros.Micros) {
-	n.log.Warn("leaving: workers reach a peer but not this node")
-	n.membership.pausedUntil = now + leavePause
+	n.log.Warn("leaving the cluster: workers reach a peer but not this node")
+	n.membership.pausedUntil = now + leaveDuration
+	// If the call fails, the lease expires by itself.
 	n.kvClient.Call(kv.RevokeLease(n.membership.lease), func(micros.Micros, kv.Result) {})
-	n.setMemberState(now, memberAbsent, "workers do not reach it")
+	n.setMemberState(now, memberAbsent, "unreachable by workers")
 }
 
-// RecordLost must be called when a guard on this node's own record did not hold: another
-// incarnation has replaced the record, or its lease has ended.
-func (n *Node) RecordLost(now micros.Micros) { n.Rejoin(now, "its record has changed") }
+// RecordLost must be called when a precondition on this node's own record failed: another
+// incarnation has replaced the record, or its lease has expired.
+func (n *Node) RecordLost(now micros.Micros) { n.Rejoin(now, "record changed") }
 
-// Rejoin has the node write its record anew, so that the record has a higher version. What it
-// owned it owns again afterwards, since its incarnation stays the same.
-func (n *Node) Rejoin(now micros.Micros, why string) {
-	n.membership.pausedUntil = now + joinRetry
-	n.setMemberState(now, memberAbsent, why)
+// Rejoin makes the node write its record again, so that the record gets a higher version. The node
+// then owns the same teams, because its incarnation stays the same.
+func (n *Node) Rejoin(now micros.Micros, reason string) {
+	n.membership.pausedUntil = now + joinRetryDelay
+	n.setMemberState(now, memberAbsent, reason)
 }
--- a/internal/cluster/membership_test.go
+++ b/internal/cluster/membership_test.go
@@ -9,101 +9,118 @@
 	"tamarindlead/micros"
 )
 
+// expectJoinAfter checks that the node begins to join after a delay, not earlier.
+func (f *fixture) expectJoinAfter(delay micros.Micros) {
+	f.t.Helper()
+	f.tick(delay - 1)
+	f.expectNoCall()
+	f.tick(1)
+	f.expect("GET", memberTarget)
+}
+
+// expectAbsent checks that the node neither is a member nor leads.
+func (f *fixture) expectAbsent() {
+	f.t.Helper()
+	if f.node.membership.state != memberAbsent || f.node.IsLeader() {
+		f.t.Errorf("state %s, leading %t", f.node.membership.state, f.node.IsLeader())
+	}
+}
+
 func TestJoin(t *testing.T) {
 	f := newFixture(t, testSettings("red"))
 	f.tick(0)
 	f.fail(f.expect("GET", memberTarget), kv.NotFound)
 	f.expect("GET", listTarget)
 	f.answer(f.expect("POST", "/leases"), kv.LeaseGrant{Lease: testLease})
-	commit, body := f.expectTransaction()
+	transaction, body := f.expectTransaction()
 	if want := []kv.Precondition{{Key: "c/n/n0", Version: 0}}; fmt.Sprint(body.Preconditions) != fmt.Sprint(want) {
-		t.Errorf("guards %v; want %v", body.Preconditions, want)
+		t.Errorf("preconditions %v; want %v", body.Preconditions, want)
 	}
 	if len(body.Writes) != 1 || body.Writes[0].Put != "c/n/n0" || body.Writes[0].Lease != testLease ||
 		body.Writes[0].Value["i"] != f.node.Incarnation() {
 		t.Errorf("writes %v", body.Writes)
 	}
-	f.answer(commit, kv.TransactionResult{Revision: joinRevision})
+	f.answer(transaction, kv.TransactionResult{Revision: joinRevision})
 	if f.node.membership.state != memberJoined || f.node.RecordVersion() != joinRevision {
 		t.Errorf("state %s, version %d", f.node.membership.state, f.node.RecordVersion())
 	}
-	if guard := f.node.OwnPrecondition(); guard != (kv.Precondition{Key: "c/n/n0", Version: joinRevision}) {
-		t.Errorf("own guard %v", guard)
+	if got, want := f.node.OwnPrecondition(), (kv.Precondition{Key: "c/n/n0", Version: joinRevision}); got != want {
+		t.Errorf("own precondition %v; want %v", got, want)
 	}
-	if f.host.ownershipChanges != 2 { // joining, in
+	if f.host.ownershipChanges != 2 { // joining, joined
 		t.Errorf("%d notifications; want 2", f.host.ownershipChanges)
 	}
 }
 
-// TestJoinReplacesEarlierIncarnation: the commit is guarded on the version that was read first,
-// so a commit of the earlier incarnation that is executed meanwhile makes it fail.
+// TestJoinReplacesEarlierIncarnation checks that the transaction has the version that was read
+// first as its precondition, so that it fails if one of the earlier incarnation is executed
+// meanwhile.
 func TestJoinReplacesEarlierIncarnation(t *testing.T) {
 	f := newFixture(t, testSettings("red"))
 	f.tick(0)
 	f.answer(f.expect("GET", memberTarget), memberEntry("n0", 1, 7))
 	f.expect("GET", listTarget)
 	f.answer(f.expect("POST", "/leases"), kv.LeaseGrant{Lease: testLease})
-	commit, body := f.expectTransaction()
+	transaction, body := f.expectTransaction()
 	if body.Preconditions[0].Version != 7 {
-		t.Errorf("guarded on version %d; want 7", body.Preconditions[0].Version)
+		t.Errorf("precondition on version %d; want 7", body.Preconditions[0].Version)
 	}
-	f.fail(commit, kv.PreconditionFailed)
+	f.fail(transaction, kv.PreconditionFailed)
 	if f.node.membership.state != memberAbsent || f.node.RecordVersion() != 0 {
 		t.Errorf("state %s, version %d", f.node.membership.state, f.node.RecordVersion())
 	}
-	f.tick(joinRetry - 1)
-	f.expectNoCall()
-	f.tick(1)
-	f.expect("GET", memberTarget)
+	f.expectJoinAfter(joinRetryDelay)
 }
 
 func TestJoinRetriesAfterEachStep(t *testing.T) {
-	for step := range 3 {
-		f := newFixture(t, testSettings("red"))
-		f.tick(0)
-		call := f.expect("GET", memberTarget)
-		f.expect("GET", listTarget)
-		if step > 0 {
-			f.fail(call, kv.NotFound)
-			call = f.expect("POST", "/leases")
-		}
-		if step > 1 {
-			f.answer(call, kv.LeaseGrant{Lease: testLease})
-			call, _ = f.expectTransaction()
-		}
-		f.fail(call, kv.Unknown)
-		if f.node.membership.state != memberAbsent {
-			t.Errorf("step %d: state %s; want out", step, f.node.membership.state)
-		}
-		f.tick(joinRetry)
-		f.expect("GET", memberTarget)
+	for step, name := range []string{"read", "lease", "transaction"} {
+		t.Run(name, func(t *testing.T) {
+			f := newFixture(t, testSettings("red"))
+			f.tick(0)
+			call := f.expect("GET", memberTarget)
+			f.expect("GET", listTarget)
+			if step > 0 {
+				f.fail(call, kv.NotFound)
+				call = f.expect("POST", "/leases")
+			}
+			if step > 1 {
+				f.answer(call, kv.LeaseGrant{Lease: testLease})
+				call, _ = f.expectTransaction()
+			}
+			f.fail(call, kv.Unknown)
+			if f.node.membership.state != memberAbsent {
+				t.Errorf("state %s; want %s", f.node.membership.state, memberAbsent)
+			}
+			f.tick(joinRetryDelay)
+			f.expect("GET", memberTarget)
+		})
 	}
 }
 
 func TestRenewal(t *testing.T) {
 	f := newFixture(t, testSettings("red"))
-	f.joined(leaderEntry("n1", 1, 3))
+	f.join(leaderEntry("n1", 1, 3))
 	renewal := fmt.Sprintf("/leases/%d/extend", testLease)
 	f.tick(testTTL/3 - 1)
 	f.expectNoCall()
 	f.tick(1)
 	call := f.expect("POST", renewal)
 	f.tick(micros.Second)
-	f.expectNoCall() // one at a time
+	f.expectNoCall() // one renewal at a time
 	f.fail(call, kv.Unknown)
 	if f.node.membership.state != memberJoined {
-		t.Fatal("a renewal that fails does not end the lease")
+		t.Fatal("a failed renewal ends membership")
 	}
-	f.tick(renewRetry)
+	f.tick(renewRetryDelay)
 	f.answer(f.expect("POST", renewal), nil)
 	f.tick(testTTL/3 - 1)
 	f.expectNoCall()
 }
 
-func TestLeaseEnds(t *testing.T) {
+func TestLeaseExpires(t *testing.T) {
 	f := newFixture(t, testSettings("red"))
-	f.leading(teamEntry("red", record.Team{Owner: "n0"}, 4))
-	f.changed(teamEntry("red", record.Team{Owner: "n0", Incarnation: f.node.Incarnation()}, 25))
+	f.lead(teamEntry("red", record.Team{Owner: "n0"}, 4))
+	f.put(teamEntry("red", record.Team{Owner: "n0", Incarnation: f.node.Incarnation()}, 25))
 	if len(f.node.OwnTeams()) != 1 {
 		t.Fatal("the node owns no team")
 	}
@@ -115,24 +132,25 @@
 		t.Errorf("state %s, leading %t, teams %v", f.node.membership.state, f.node.IsLeader(), f.node.OwnTeams())
 	}
 	if f.host.ownershipChanges != notified+1 {
-		t.Error("the host was not told")
+		t.Error("the host was not notified exactly once")
 	}
 	f.tick(0)
 	f.expect("GET", memberTarget)
 }
 
-// TestLateRenewal: the answer to a renewal of an earlier lease says nothing of the present one.
+// TestLateRenewal checks that the result of renewing an earlier lease does not affect the current
+// one.
 func TestLateRenewal(t *testing.T) {
 	f := newFixture(t, testSettings("red"))
-	f.joined(leaderEntry("n1", 1, 3))
+	f.join(leaderEntry("n1", 1, 3))
 	f.tick(testTTL / 3)
 	late := f.expect("POST", fmt.Sprintf("/leases/%d/extend", testLease))
 	f.node.RecordLost(f.now)
-	f.tick(joinRetry)
+	f.tick(joinRetryDelay)
 	f.fail(f.expect("GET", memberTarget), kv.NotFound)
 	f.answer(f.expect("POST", "/leases"), kv.LeaseGrant{Lease: testLease + 1})
-	commit, _ := f.expectTransaction()
-	f.answer(commit, kv.TransactionResult{Revision: 30})
+	transaction, _ := f.expectTransaction()
+	f.answer(transaction, kv.TransactionResult{Revision: 30})
 	f.fail(late, kv.NotFound)
 	if f.node.membership.state != memberJoined || f.node.RecordVersion() != 30 {
 		t.Errorf("state %s, version %d", f.node.membership.state, f.node.RecordVersion())
@@ -141,30 +159,20 @@
 
 func TestRecordLost(t *testing.T) {
 	f := newFixture(t, testSettings("red"))
-	f.leading()
+	f.lead()
 	f.kvClient.calls = nil
 	f.node.RecordLost(f.now)
-	if f.node.membership.state != memberAbsent || f.node.IsLeader() {
-		t.Errorf("state %s, leading %t", f.node.membership.state, f.node.IsLeader())
-	}
-	f.tick(joinRetry - 1)
-	f.expectNoCall()
-	f.tick(1)
-	f.expect("GET", memberTarget)
+	f.expectAbsent()
+	f.expectJoinAfter(joinRetryDelay)
 }
 
 func TestUnreachableNodeLeaves(t *testing.T) {
 	f := newFixture(t, testSettings("red"))
-	f.leading()
+	f.lead()
 	f.kvClient.calls = nil
 	f.host.unreachable = true
 	f.tick(0)
 	f.expect("DELETE", fmt.Sprintf("/leases/%d", testLease))
-	if f.node.membership.state != memberAbsent || f.node.IsLeader() {
-		t.Errorf("state %s, leading %t", f.node.membership.state, f.node.IsLeader())
-	}
-	f.tick(leavePause - 1)
-	f.expectNoCall()
-	f.tick(1)
-	f.expect("GET", memberTarget)
+	f.expectAbsent()
+	f.expectJoinAfter(leaveDuration)
 }
--- a/internal/cluster/node.go
+++ b/internal/cluster/node.go
@@ -1,8 +1,11 @@
-// Package cluster is one controller node's part in the cluster. The node becomes a member by
-// a record on a lease of the state service, follows the records of all members, of the leader
-// and of the teams' owners, campaigns for leadership, and as the leader assigns teams to
-// members. It has no clock and no connections: the time is passed in, and requests go out
-// through a Store.
+// Package cluster implements a controller node's membership, leadership and the assignment of
+// teams. The node becomes a member by a record on a lease of the key-value store, watches the
+// records of all members, of the leader and of the teams' owners, campaigns for leadership, and
+// as the leader assigns teams to members.
+//
+// It owns the node's lease and record, its incarnation, and the view of the cluster's records.
+// It has no clock and does no I/O: the time is passed in, and requests are sent through a
+// KVClient. It must not know what owners do with their teams: jobs, machines and workers.
 package cluster
 
 import (
@@ -15,28 +18,27 @@
 	"tamarindlead/micros"
 )
 
-// KVClient calls the state service for a Node.
+// KVClient sends a Node's requests to the key-value store.
 type KVClient interface {
-	// Call sends a request. Once the call has ended, done gets the time and the reply; that
+	// Call sends a request. Once the call has ended, done gets the time and the result; that
 	// is at once if the request cannot be sent now.
-	Call(request kv.Request, done func(now micros.Micros, reply kv.Result))
+	Call(request kv.Request, done func(now micros.Micros, result kv.Result))
 	// Watch waits for changes of keys with a prefix after a revision.
-	Watch(prefix string, after uint64, done func(now micros.Micros, reply kv.Result))
+	Watch(prefix string, after uint64, done func(now micros.Micros, result kv.Result))
 }
 
-// Host is the user of a Node, which is told of changes.
+// Host is the user of a Node, which is notified of changes.
 type Host interface {
-	// OwnershipChanged tells that the teams which this node owns may have changed.
+	// OwnershipChanged is called when the teams that this node owns may have changed.
 	OwnershipChanged()
-	// ViewChanged tells that records were read anew or changed. It follows
-	// OwnershipChanged.
+	// ViewChanged is called when records were read or have changed, after OwnershipChanged.
 	ViewChanged()
-	// UnreachableByWorkers tells whether workers reach other nodes but not this one, so that
+	// UnreachableByWorkers reports whether workers reach other nodes but not this one, so that
 	// another node should own this one's teams.
 	UnreachableByWorkers() bool
 }
 
-// Node is a controller node as a member of the cluster, and perhaps its leader.
+// Node is a controller node as a member of the cluster, and possibly its leader.
 type Node struct {
 	config      *config.Settings
 	log         *slog.Logger
@@ -46,41 +48,45 @@
 	incarnation uint64
 
 	view       View
-	following  bool // the records were read, or are being read, and a watch follows them
+	watching   bool // the records were read, or are being read, and are watched from then on
 	membership membership
 	leadership leadership
 	assignment assignment
 }
 
-// incarnationBits is the size of the random number that tells incarnations of a node apart.
+// incarnationBits is the size of the random number that identifies an incarnation of a node.
 const incarnationBits = 52
 
-// New returns the node of a process that has just started: a new incarnation, which is no
+// New returns the node of a process that has just started: a new incarnation, which is not a
 // member yet.
-func New(settings *config.Settings, store KVClient, host Host, random *rand.Rand, log *slog.Logger) *Node {
+func New(settings *config.Settings, kvClient KVClient, host Host, random *rand.Rand, log *slog.Logger) *Node {
 	return &Node{
-		config: settings, log: log, random: random, kvClient: store, host: host,
+		config:      settings,
+		log:         log,
+		random:      random,
+		kvClient:    kvClient,
+		host:        host,
 		incarnation: random.Uint64() >> (64 - incarnationBits),
 		view:        newView(settings.Teams),
 	}
 }
 
-// Tick does what is due at this time: it joins, renews the lease, campaigns, assigns teams.
+// Tick does what is due: it joins the cluster, renews the lease, campaigns and assigns teams.
 func (n *Node) Tick(now micros.Micros) {
 	n.tickMembership(now)
 	n.tickLeadership(now)
 }
 
-// View returns what the records say of the cluster. It follows later changes.
+// View returns the view of the cluster's records, which follows later changes.
 func (n *Node) View() *View { return &n.view }
 
-// ID names this incarnation of the node as an owner.
+// ID returns the identity of this incarnation of the node as an owner.
 func (n *Node) ID() record.OwnerID { return record.NewOwnerID(n.config.Node, n.incarnation) }
 
-// Incarnation is the number that tells this incarnation of the node from earlier ones.
+// Incarnation returns the number that distinguishes this incarnation of the node from others.
 func (n *Node) Incarnation() uint64 { return n.incarnation }
 
-// OwnTeams returns the teams that this node owns: none, unless it is a member.
+// OwnTeams returns the teams that this node owns, by name: none unless it is a member.
 func (n *Node) OwnTeams() map[string]Team {
 	own := map[string]Team{}
 	if n.membership.state != memberJoined {
--- a/internal/cluster/view.go
+++ b/internal/cluster/view.go
@@ -11,21 +11,21 @@
 	"tamarindlead/internal/wire"
 )
 
-// View is what the records say of the cluster: which nodes are members, and which node owns
-// each team.
+// View is the state of the cluster as its records show it: the members, and the owner of each
+// team.
 type View struct {
 	teamNames []string // the configured teams
 	members   map[string]Member
 	teams     map[string]Team
 }
 
-// Member is a node that has a record on its lease.
+// Member is a node whose record is on its lease.
 type Member struct {
 	Incarnation uint64
 	Version     uint64 // of the record
 }
 
-// Team is a team's record.
+// Team is a team's record with its version.
 type Team struct {
 	record.Team
 	Version uint64
@@ -42,7 +42,7 @@
 
 func (v *View) reset() { v.members, v.teams = map[string]Member{}, map[string]Team{} }
 
-// put takes a member's or a team's record. One that cannot be read is ignored.
+// put applies a member's or a team's record. A record that cannot be decoded is ignored.
 func (v *View) put(key string, value []byte, version uint64) {
 	if node, ok := strings.CutPrefix(key, record.MemberPrefix); ok {
 		var member record.Member
@@ -59,40 +59,40 @@
 	}
 }
 
-// remove forgets a member whose record is gone. Teams' records are never deleted.
+// remove removes a member whose record was deleted. Teams' records are never deleted.
 func (v *View) remove(key string) {
 	if node, ok := strings.CutPrefix(key, record.MemberPrefix); ok {
 		delete(v.members, node)
 	}
 }
 
-// IsLive tells whether an incarnation of a node is a member.
+// IsLive reports whether an owner, which is an incarnation of a node, is a member.
 func (v *View) IsLive(owner record.OwnerID) bool {
 	node := owner.Node()
 	member, ok := v.members[node]
 	return ok && record.NewOwnerID(node, member.Incarnation) == owner
 }
 
-// IsMember tells whether any incarnation of a node is a member.
+// IsMember reports whether any incarnation of a node is a member.
 func (v *View) IsMember(node string) bool {
 	_, ok := v.members[node]
 	return ok
 }
 
-// Members returns the nodes that are members, in the order of their names.
+// Members returns the names of the nodes that are members, sorted.
 func (v *View) Members() []string { return slices.Sorted(maps.Keys(v.members)) }
 
-// MemberID names the incarnation of a node that is a member.
+// MemberID returns the identity of the incarnation of a node that is a member.
 func (v *View) MemberID(node string) record.OwnerID {
 	return record.NewOwnerID(node, v.members[node].Incarnation)
 }
 
-// MemberPrecondition is the guard that a node is still the member that is known here.
+// MemberPrecondition returns the precondition that a node's record still has its known version.
 func (v *View) MemberPrecondition(node string) kv.Precondition {
 	return kv.Precondition{Key: record.MemberKey(node), Version: v.members[node].Version}
 }
 
-// Owners counts the nodes that own teams, members or not; at least 1.
+// Owners returns the number of nodes that own teams, members or not; at least 1.
 func (v *View) Owners() int {
 	owners := map[string]bool{}
 	for _, team := range v.teams {
@@ -101,7 +101,7 @@
 	return max(1, len(owners))
 }
 
-// LiveOwners counts the nodes that own teams and are members.
+// LiveOwners returns the number of nodes that own teams and are members.
 func (v *View) LiveOwners() int {
 	owners := map[string]bool{}
 	for _, team := range v.teams {
@@ -112,8 +112,8 @@
 	return len(owners)
 }
 
-// FirstOwner is the node that takes what belongs to no owner: the one that owns the first of
-// the teams with a live owner. It is "" if there is none.
+// FirstOwner returns the node that is responsible for objects without an owner: the owner of the
+// first team by name that has a live owner, or "" if no team has one.
 func (v *View) FirstOwner() string {
 	for _, name := range slices.Sorted(maps.Keys(v.teams)) {
 		if team := v.teams[name]; v.IsLive(team.OwnerID()) {
@@ -123,8 +123,8 @@
 	return ""
 }
 
-// HasSuccessor tells whether an owner still owns a team, or a team's present owner takes over
-// from it.
+// HasSuccessor reports whether an owner still owns a team, or the current owner of a team is a
+// successor of it.
 func (v *View) HasSuccessor(owner record.OwnerID) bool {
 	for _, team := range v.teams {
 		if slices.Contains(team.Predecessors, owner) || team.OwnerID() == owner {
--- a/internal/cluster/view_test.go
+++ b/internal/cluster/view_test.go
@@ -22,14 +22,14 @@
 		t.Errorf("members %v", got)
 	}
 	if !view.IsLive("n1/4") || view.IsLive("n1/3") || view.IsLive("n0/4") {
-		t.Error("an incarnation is live if it is that of a member's record")
+		t.Error("IsLive differs from the incarnations of the members' records")
 	}
 	if view.MemberID("n2") != "n2/5" || view.MemberPrecondition("n2") != (kv.Precondition{Key: "c/n/n2", Version: 7}) {
-		t.Errorf("ID %s, guard %v", view.MemberID("n2"), view.MemberPrecondition("n2"))
+		t.Errorf("ID %s, precondition %v", view.MemberID("n2"), view.MemberPrecondition("n2"))
 	}
 	view.remove("c/n/n1")
 	if view.IsMember("n1") || !view.IsMember("n2") {
-		t.Error("a member whose record is gone is one no longer")
+		t.Error("IsMember differs from the members whose records remain")
 	}
 }
 
@@ -51,10 +51,10 @@
 	}
 }
 
-func TestViewIgnoresRecordsThatCannotBeRead(t *testing.T) {
+func TestViewIgnoresUndecodableRecords(t *testing.T) {
 	view := testView(kv.Entry{Key: "c/n/n1", Value: []byte{0xff}, Version: 1}, kv.Entry{Key: "c/t/red", Value: []byte{0xff}, Version: 2})
 	if view.IsMember("n1") || len(view.teams) > 0 {
-		t.Error("a damaged record was taken")
+		t.Error("an undecodable record was applied")
 	}
 }
 
@@ -65,14 +65,14 @@
 	}
 }
 
-// TestOwnTeams: a record of another incarnation gives this one nothing.
+// TestOwnTeams checks that a node does not own the teams of another incarnation of it.
 func TestOwnTeams(t *testing.T) {
 	f := newFixture(t, testSettings("blue", "red"))
-	f.joined(leaderEntry("n1", 1, 3), teamEntry("blue", record.Team{Owner: "n0", Incarnation: 1}, 4))
+	f.join(leaderEntry("n1", 1, 3), teamEntry("blue", record.Team{Owner: "n0", Incarnation: 1}, 4))
 	if got := f.node.OwnTeams(); len(got) != 0 {
 		t.Errorf("teams %v of an earlier incarnation", got)
 	}
-	f.changed(teamEntry("red", record.Team{Owner: "n0", Incarnation: f.node.Incarnation()}, 12))
+	f.put(teamEntry("red", record.Team{Owner: "n0", Incarnation: f.node.Incarnation()}, 12))
 	if got := f.node.OwnTeams(); len(got) != 1 || got["red"].Version != 12 {
 		t.Errorf("teams %v; want red", got)
 	}
--- a/internal/cluster/follow.go
+++ b/internal/cluster/watch.go
@@ -6,19 +6,20 @@
 	"tamarindlead/micros"
 )
 
-// decode reads the body of a call that was executed, and tells whether it could.
-func decode(reply kv.Result, into any) bool {
-	return reply.Outcome == kv.OK && reply.Decode(into)
+// decode decodes the body of a successful call's result into a value. It reports whether the call
+// succeeded and its body was valid: callers treat both failures alike.
+func decode(result kv.Result, into any) bool {
+	return result.Outcome == kv.OK && result.Decode(into)
 }
 
-// follow reads the cluster's records and then watches them. After a failure the next tick
-// starts over.
-func (n *Node) follow() {
-	n.following = true
-	n.kvClient.Call(kv.List(record.ClusterPrefix, ""), func(now micros.Micros, reply kv.Result) {
+// readAndWatch reads the cluster's records and then watches them. After a failure the next tick
+// reads them again.
+func (n *Node) readAndWatch() {
+	n.watching = true
+	n.kvClient.Call(kv.List(record.ClusterPrefix, ""), func(now micros.Micros, result kv.Result) {
 		var page kv.Page
-		if !decode(reply, &page) {
-			n.following = false
+		if !decode(result, &page) {
+			n.watching = false
 			return
 		}
 		n.applyPage(now, page)
@@ -26,44 +27,49 @@
 	})
 }
 
-func (n *Node) applyPage(now micros.Micros, page kv.Page) {
-	n.view.reset()
-	hasLeader := false
-	for _, entry := range page.Entries {
-		n.applyRecord(now, entry.Key, entry.Value, entry.Version)
-		hasLeader = hasLeader || entry.Key == record.LeaderKey
-	}
-	if !hasLeader {
-		n.leaderAbsent(now, page.Revision)
-	}
-	n.host.OwnershipChanged()
-	n.host.ViewChanged()
-}
-
+// watch applies the changes of the cluster's records after a revision, until a watch fails.
 func (n *Node) watch(after uint64) {
-	n.kvClient.Watch(record.ClusterPrefix, after, func(now micros.Micros, reply kv.Result) {
+	n.kvClient.Watch(record.ClusterPrefix, after, func(now micros.Micros, result kv.Result) {
 		var changes kv.WatchResult
-		if !decode(reply, &changes) {
-			n.following = false
+		if !decode(result, &changes) {
+			n.watching = false
 			return
 		}
 		for _, change := range changes.Events {
 			n.applyChange(now, change)
 		}
 		if len(changes.Events) > 0 {
-			n.host.OwnershipChanged()
-			n.host.ViewChanged()
+			n.notifyHost()
 		}
 		n.watch(max(after, changes.Revision))
 	})
 }
 
+// applyPage replaces the view by a listing of the cluster's records.
+func (n *Node) applyPage(now micros.Micros, page kv.Page) {
+	n.view.reset()
+	hasLeader := false
+	for _, entry := range page.Entries {
+		n.applyRecord(now, entry.Key, entry.Value, entry.Version)
+		hasLeader = hasLeader || entry.Key == record.LeaderKey
+	}
+	if !hasLeader {
+		n.handleLeaderAbsence(now, page.Revision)
+	}
+	n.notifyHost()
+}
+
+func (n *Node) notifyHost() {
+	n.host.OwnershipChanged()
+	n.host.ViewChanged()
+}
+
 func (n *Node) applyChange(now micros.Micros, change kv.Change) {
 	switch {
 	case change.Put != "":
 		n.applyRecord(now, change.Put, change.Value, change.Version)
 	case change.Delete == record.LeaderKey:
-		n.leaderAbsent(now, change.Version)
+		n.handleLeaderAbsence(now, change.Version)
 	default:
 		n.view.remove(change.Delete)
 	}
@@ -71,7 +77,7 @@
 
 func (n *Node) applyRecord(now micros.Micros, key string, value []byte, version uint64) {
 	if key == record.LeaderKey {
-		n.leaderChanged(now, value, version)
+		n.handleLeaderRecord(now, value, version)
 		return
 	}
 	n.view.put(key, value, version)
