--- a/internal/cancellation/tracker_test.go
+++ b/internal/cancellation/tracker_test.go
@@ -90,6 +90,14 @@
 	}
 }
 
+// checkGrant checks a grant's time since users got an acknowledgement without the peer's.
+func checkGrant(t *testing.T, tracker *Tracker, peer string, now, want micros.Micros) {
+	t.Helper()
+	if since := tracker.Grant(peer, now).SinceUserAcknowledged; since != want {
+		t.Errorf("acknowledged to users %v ago without %s; want %v", since, peer, want)
+	}
+}
+
 // TestWaitsForAcknowledgement checks that a cancellation is acknowledged to users only once a
 // peer that holds a grant has acknowledged it, or the grant has expired.
 func TestWaitsForAcknowledgement(t *testing.T) {
@@ -128,11 +136,8 @@
 				t.Fatalf("answer %+v, pending %t", got, tracker.Pending())
 			}
 			// The next grants show which peers have not acknowledged.
-			for peer, want := range map[string]micros.Micros{"b": c.sinceB, "c": inSeconds(1)} {
-				if since := tracker.Grant(peer, c.completeAt+inSeconds(1)).SinceUserAcknowledged; since != want {
-					t.Errorf("acknowledged to users %v ago without %s; want %v", since, peer, want)
-				}
-			}
+			checkGrant(t, tracker, "b", c.completeAt+inSeconds(1), c.sinceB)
+			checkGrant(t, tracker, "c", c.completeAt+inSeconds(1), inSeconds(1))
 		})
 	}
 }
--- a/internal/dag/inheritance.go
+++ b/internal/dag/inheritance.go
@@ -65,7 +65,7 @@
 	own := Inheritance{job.priority, AbsoluteDeadline(job.accepted, job.deadline)}
 	merged := own.merge(g.inherited[job.ID])
 	if merged.LatestFinish != 0 {
-		merged.LatestFinish = max(1, merged.LatestFinish-job.correctedEstimate) // 0 stands for none
+		merged.LatestFinish = max(1, merged.LatestFinish-job.correctedEstimate) // 0 means none
 	}
 	return merged
 }
--- a/internal/dag/simulation_test.go
+++ b/internal/dag/simulation_test.go
@@ -207,7 +207,7 @@
 	s.records.end(id, state)
 }
 
-// list takes a listing for later use, or delivers the last one with some pages read anew.
+// list takes a listing for later use, or delivers the last one with its later pages read now.
 func (s *simulation) list() {
 	if s.rng.IntN(2) == 0 {
 		s.stale, s.staleAt = s.records.list(), s.records.revision
