--- a/micros/micros.go
+++ b/micros/micros.go
@@ -1,5 +1,7 @@
-// Package micros holds the one type for times and durations in this project:
-// whole microseconds. Conversions happen at the edges only.
+// Package micros defines Micros, the type of all points in time and durations in this
+// project: whole microseconds. Values are converted where they enter or leave the process
+// only (settings, wire formats, the standard library), so that arithmetic in between is
+// exact and a simulated clock needs nothing but an integer. The package reads no clock.
 package micros
 
 import (
@@ -7,11 +9,11 @@
 	"time"
 )
 
-// Micros is a point in time (since an arbitrary but fixed start) or a duration,
-// in whole microseconds.
+// Micros is a duration, or a point in time since an arbitrary but fixed epoch, in whole
+// microseconds.
 type Micros int64
 
-// Usual durations.
+// Common durations.
 const (
 	Millisecond Micros = 1000
 	Second      Micros = 1000 * Millisecond
@@ -20,25 +22,25 @@
 )
 
 // FromSeconds converts decimal seconds, rounding to the nearest microsecond.
-func FromSeconds(s float64) Micros { return Micros(math.Round(s * 1e6)) }
+func FromSeconds(seconds float64) Micros { return Micros(math.Round(seconds * float64(Second))) }
 
-// FromMillis converts decimal milliseconds.
-func FromMillis(ms float64) Micros { return Micros(math.Round(ms * 1e3)) }
+// FromMillis converts decimal milliseconds, rounding to the nearest microsecond.
+func FromMillis(millis float64) Micros { return Micros(math.Round(millis * float64(Millisecond))) }
 
-// FromDuration converts from the standard library's type.
+// FromDuration converts a time.Duration, truncating to whole microseconds.
 func FromDuration(d time.Duration) Micros { return Micros(d / time.Microsecond) }
 
 // Seconds returns m in decimal seconds.
-func (m Micros) Seconds() float64 { return float64(m) / 1e6 }
+func (m Micros) Seconds() float64 { return float64(m) / float64(Second) }
 
-// Millis returns m in whole milliseconds.
+// Millis returns m in milliseconds, truncated to a whole number.
 func (m Micros) Millis() int64 { return int64(m / Millisecond) }
 
-// Duration converts to the standard library's type.
+// Duration returns m as a time.Duration.
 func (m Micros) Duration() time.Duration { return time.Duration(m) * time.Microsecond }
 
-// Time places m on the standard library's time line, for libraries that want one.
+// Time returns m as a time.Time, with the Unix epoch as the start.
 func (m Micros) Time() time.Time { return time.UnixMicro(int64(m)) }
 
-// String prints m in seconds.
+// String formats m like a time.Duration, for example "1m30s".
 func (m Micros) String() string { return m.Duration().String() }
