--- a/config/config_test.go
+++ b/config/config_test.go
@@ -2,8 +2,6 @@
 
 import (
 	"errors"
-	"os"
-	"path/filepath"
 	"strings"
 	"testing"
 
@@ -67,11 +65,20 @@
 		t.Fatal(err)
 	}
 	if s.WorkerLease != 17*micros.Second || s.MaxValueBytes != 8192 || s.MemoryBytes != 125e6 || s.Teams[0].QuotaLimit.CPUs() != 16 {
-		t.Fatalf("read as %+v", s)
+		t.Fatalf("settings %+v", s)
 	}
 }
 
-func TestParseNamesTheKey(t *testing.T) {
+// requireKeyError requires an error about the key, which its text starts with.
+func requireKeyError(t *testing.T, err error, key string) {
+	t.Helper()
+	var keyErr *KeyError
+	if !errors.As(err, &keyErr) || keyErr.Key != key || !strings.HasPrefix(err.Error(), key+": ") {
+		t.Errorf("error %v, want one about %s", err, key)
+	}
+}
+
+func TestParseErrorsNameTheKey(t *testing.T) {
 	cases := []struct{ from, to, key string }{
 		{`node = "n0"`, ``, "node"},
 		{`listen = "127.0.0.1:8080"`, `listen = "here"`, "listen"},
@@ -89,15 +96,13 @@
 	for _, c := range cases {
 		t.Run(c.to, func(t *testing.T) {
 			_, err := Parse([]byte(strings.Replace(platform, c.from, c.to, 1)))
-			if err == nil || !strings.Contains(err.Error(), c.key) {
-				t.Fatalf("error %v does not name %s", err, c.key)
-			}
+			requireKeyError(t, err, c.key)
 		})
 	}
 }
 
-// TestParseUpcomingLimits guards against records and requests that the limits to come would not allow,
-// and against limits that cannot be meant.
+// TestParseUpcomingLimits guards against records and requests that the upcoming limits would
+// not allow, and against limits with which no controller can work.
 func TestParseUpcomingLimits(t *testing.T) {
 	with := func(lines string) string {
 		return strings.Replace(platform, "[params.cloud]", "[params.state.next]\n"+lines+"\n\n[params.cloud]", 1)
@@ -106,103 +111,51 @@
 		rps, writes float64
 		value, ops  int
 	}
-	now := limits{150, 20, 8192, 16}
+	present := limits{150, 20, 8192, 16}
 	for _, c := range []struct {
 		lines string
 		want  limits
 	}{
-		{"", now},
+		{"", present},
 		{"write_rps = 15.0\nvalue_kb = 2.0\ntxn_ops = 5", limits{150, 15, 2048, 5}},
 		{"rps = 100.0", limits{100, 20, 8192, 16}},
 		{"rps = 100", limits{100, 20, 8192, 16}},
 		{"value_kb = 2.5", limits{150, 20, 2560, 16}},
-		{"rps = 500.0\nwrite_rps = 90.0\nvalue_kb = 64.0\ntxn_ops = 64", now}, // until then the smaller hold
-		{"other = 1", now},
+		{"rps = 500.0\nwrite_rps = 90.0\nvalue_kb = 64.0\ntxn_ops = 64", present}, // larger limits apply only once in effect
+		{"other = 1", present},
 	} {
-		s, err := Parse([]byte(with(c.lines)))
-		if err != nil {
-			t.Errorf("%q: %v", c.lines, err)
-			continue
-		}
-		if got := (limits{s.KVRequestRate, s.KVWriteRate, s.MaxValueBytes, s.MaxTransactionOps}); got != c.want {
-			t.Errorf("%q: read as %v", c.lines, got)
-		}
+		t.Run(c.lines, func(t *testing.T) {
+			s, err := Parse([]byte(with(c.lines)))
+			if err != nil {
+				t.Fatal(err)
+			}
+			if got := (limits{s.KVRequestRate, s.KVWriteRate, s.MaxValueBytes, s.MaxTransactionOps}); got != c.want {
+				t.Errorf("limits %v, want %v", got, c.want)
+			}
+		})
 	}
 	for _, line := range []string{
 		"value_kb = 0.0", "value_kb = -2.0", "value_kb = 0.5", "value_kb = nan", "value_kb = inf", `value_kb = "two"`,
 		"txn_ops = 0", "txn_ops = 3", "txn_ops = -5", "txn_ops = 4.5", `txn_ops = "five"`,
 		"write_rps = 0.0", "write_rps = -1.0", "write_rps = nan", "rps = 0.0", "rps = inf", "rps = true",
 	} {
-		key := "params.state.next." + strings.Fields(line)[0]
-		if _, err := Parse([]byte(with(line))); err == nil || !strings.Contains(err.Error(), key) {
-			t.Errorf("%s: error %v does not name %s", line, err, key)
-		}
-	}
-}
-
-func TestParseTuning(t *testing.T) {
-	tu, err := ParseTuning([]byte("# ours\nmachine.idle_s = 45\npreempt.domains: 2\n"))
-	if err != nil || tu.IdleTimeout != 45*micros.Second || tu.MaxDomains != 2 || tu.ReservationTimeout != DefaultTuning().ReservationTimeout {
-		t.Fatalf("read as %+v, %v", tu, err)
-	}
-	for text, key := range map[string]string{
-		"machine.idel_s = 45": "machine.idel_s", "machine.idle_s = soon": "machine.idle_s", "leader.ttl_s = 0.01": "leader.ttl_s",
-	} {
-		if _, err := ParseTuning([]byte(text)); err == nil || !strings.Contains(err.Error(), key) {
-			t.Errorf("%s: error %v", text, err)
-		}
-	}
-}
-
-// TestOperatingListsAll keeps the operators' page complete.
-func TestOperatingListsAll(t *testing.T) {
-	page, err := os.ReadFile(filepath.Join("..", "docs", "operating.md"))
-	if err != nil {
-		t.Fatal(err)
-	}
-	for key, p := range tuningProperties {
-		if !strings.Contains(string(page), "`"+key+"`") || !strings.Contains(string(page), p.description) {
-			t.Errorf("docs/operating.md lacks %s (%s)", key, p.description)
-		}
-	}
-	for old := range aliases {
-		if !strings.Contains(string(page), "`"+old+"`") {
-			t.Errorf("docs/operating.md lacks the old name %s", old)
-		}
+		t.Run(line, func(t *testing.T) {
+			_, err := Parse([]byte(with(line)))
+			requireKeyError(t, err, "params.state.next."+strings.Fields(line)[0])
+		})
 	}
 }
 
-// TestRenamedProperties keeps files with old names of properties valid.
-func TestRenamedProperties(t *testing.T) {
-	for old, current := range aliases {
-		if _, exists := tuningProperties[old]; exists {
-			t.Errorf("%s is both a property and an alias", old)
-		}
-		byOld, err := ParseTuning([]byte(old + " = 7"))
-		if err != nil {
-			t.Errorf("%s: %v", old, err)
-		}
-		byCurrent, err := ParseTuning([]byte(current + " = 7"))
-		if err != nil || byOld != byCurrent || byOld == DefaultTuning() {
-			t.Errorf("%s is read as %+v, %s as %+v, %v", old, byOld, current, byCurrent, err)
-		}
-		_, err = ParseTuning([]byte(old + " = 7\n" + current + " = 7"))
-		if !errors.Is(err, ErrDuplicateProperty) {
-			t.Errorf("%s with %s: error %v", old, current, err)
+// TestTimeoutsFollowHeartbeatInterval guards against giving up machines whose heartbeat
+// interval is too long for the default timeouts.
+func TestTimeoutsFollowHeartbeatInterval(t *testing.T) {
+	for _, c := range []struct{ interval, timeout, grace float64 }{{3, 10, 8}, {5, 10, 8}, {10, 20, 16}} {
+		s := Settings{HeartbeatInterval: micros.FromSeconds(c.interval), Tuning: DefaultTuning()}
+		if got, want := s.HeartbeatTimeout(), micros.FromSeconds(c.timeout); got != want {
+			t.Errorf("heartbeats every %g s: timeout %v, want %v", c.interval, got, want)
 		}
-	}
-	if _, err := ParseTuning([]byte("machine.idel_s = 1")); !errors.Is(err, ErrUnknownProperty) {
-		t.Errorf("a misspelt key: error %v", err)
-	}
-}
-
-// TestTimeoutsFollowHeartbeats guards against giving up machines whose reports come too
-// seldom for the defaults.
-func TestTimeoutsFollowHeartbeats(t *testing.T) {
-	for _, c := range []struct{ report, silent, grace float64 }{{3, 10, 8}, {5, 10, 8}, {10, 20, 16}} {
-		s := Settings{HeartbeatInterval: micros.FromSeconds(c.report), Tuning: DefaultTuning()}
-		if s.HeartbeatTimeout() != micros.FromSeconds(c.silent) || s.FailoverGrace() != micros.FromSeconds(c.grace) {
-			t.Errorf("reports every %g s: %v and %v", c.report, s.HeartbeatTimeout(), s.FailoverGrace())
+		if got, want := s.FailoverGrace(), micros.FromSeconds(c.grace); got != want {
+			t.Errorf("heartbeats every %g s: grace %v, want %v", c.interval, got, want)
 		}
 	}
 }
