--- a/sched/bundles.go
+++ b/sched/bundles.go
@@ -7,21 +7,21 @@
 	"tamarindlead/micros"
 )
 
-// VictimTask is a task of a victim on a machine.
+// VictimTask is a running task of a victim.
 type VictimTask struct {
 	Index     int
 	Machine   string
 	Role      string
 	Resources Resources
-	Since     micros.Micros
-	LostWork  float64 // work that a stop undoes, in processor seconds
+	Since     micros.Micros // start of the task
+	LostWork  float64       // work that stopping it undoes, in processor seconds
 }
 
 // Role is a part of a gang with a minimum of its own.
 type Role struct{ Ready, Min int }
 
-// Victim is a job whose tasks could be stopped. An array has the minimum 0: all of it
-// is surplus.
+// Victim is a job whose tasks could be preempted. An array has the minimum 0: all its tasks
+// are surplus.
 type Victim struct {
 	Job            string
 	Team           string
@@ -34,110 +34,122 @@
 	Tasks          []VictimTask
 }
 
-// Bundle is a part of a victim that is stopped together or, if it is safe, in part.
+// Bundle is a part of a victim. A safe bundle holds surplus tasks, which may be stopped one
+// by one; the tasks of any other are stopped together with the rest of their gang.
 type Bundle struct {
 	Victim        *Victim
 	Safe          bool
 	Tasks         []VictimTask
-	FreedInDomain Resources // what it frees in the domain
+	FreedInDomain Resources
 	roi           float64
 	group         int // rank of its ROI, see rankROI
 }
 
-// each calls f with each amount and a way to read the same amount of others.
-func (r Resources) each(f func(amount int64, of func(Resources) int64)) {
-	f(r.CPU, func(o Resources) int64 { return o.CPU })
-	f(r.GPU, func(o Resources) int64 { return o.GPU })
-	f(r.Mem, func(o Resources) int64 { return o.Mem })
+// newBundle returns a bundle of tasks of a victim.
+func newBundle(v *Victim, safe bool, tasks []VictimTask) Bundle {
+	b := Bundle{Victim: v, Safe: safe, Tasks: tasks}
+	for _, t := range tasks {
+		b.FreedInDomain = b.FreedInDomain.Add(t.Resources)
+	}
+	return b
 }
 
-// Gain is what a bundle contributes to a need: the sum of min(freed, needed)/needed
-// over what is needed at all.
-func Gain(local, need Resources) float64 {
+// gain returns what freed resources contribute to a need: the sum of min(freed, needed)/needed
+// over the resources that are needed.
+func gain(freed, need Resources) float64 {
 	sum := 0.0
-	need.each(func(n int64, of func(Resources) int64) {
-		if n > 0 {
-			sum += float64(min(of(local), n)) / float64(n)
+	freedAmounts := freed.each()
+	for i, needed := range need.each() {
+		if needed > 0 {
+			sum += float64(min(freedAmounts[i], needed)) / float64(needed)
 		}
-	})
+	}
 	return sum
 }
 
-// Cost is what stopping costs everywhere: the sum of footprint/needed.
-func Cost(whole, need Resources) float64 {
+// cost returns what stopping a whole job costs: the sum of footprint/needed over the
+// resources that are needed.
+func cost(footprint, need Resources) float64 {
 	sum := 0.0
-	need.each(func(n int64, of func(Resources) int64) {
-		if n > 0 {
-			sum += float64(of(whole)) / float64(n)
+	amounts := footprint.each()
+	for i, needed := range need.each() {
+		if needed > 0 {
+			sum += float64(amounts[i]) / float64(needed)
 		}
-	})
+	}
 	return sum
 }
 
-// ROI is gain over cost; a victim that has nothing of what is needed has none.
-func ROI(local, whole, need Resources) float64 {
-	cost := Cost(whole, need)
-	if cost <= 0 {
+// roi returns the return on investment of stopping a job: gain over cost, or 0 for a victim
+// that has nothing of what is needed.
+func roi(freed, footprint, need Resources) float64 {
+	invested := cost(footprint, need)
+	if invested <= 0 {
 		return 0
 	}
-	return Gain(local, need) / cost
+	return gain(freed, need) / invested
+}
+
+// splitVictim splits a victim's tasks in a domain into a safe bundle and one that is stopped
+// whole. Either may be absent.
+func splitVictim(v *Victim, inDomain func(machine string) bool, need Resources) []Bundle {
+	local := localTasks(v, inDomain, need)
+	if len(local) == 0 {
+		return nil
+	}
+	if v.ReadyTasks < v.MinTasks { // the gang is broken: stopping more of it loses nothing
+		return []Bundle{newBundle(v, true, local)}
+	}
+	safe, core := v.splitSurplus(local)
+	var bundles []Bundle
+	if len(safe) > 0 {
+		bundles = append(bundles, newBundle(v, true, safe))
+	}
+	if len(core) > 0 {
+		bundles = append(bundles, newBundle(v, false, core))
+	}
+	return bundles
 }
 
-// SplitVictim parts a victim's tasks in a domain into a safe and a whole bundle.
-func SplitVictim(v *Victim, in func(machine string) bool, need Resources) []Bundle {
+// localTasks returns a victim's tasks in a domain in the order in which to stop them.
+func localTasks(v *Victim, inDomain func(machine string) bool, need Resources) []VictimTask {
 	var local []VictimTask
 	for _, t := range v.Tasks {
-		if in(t.Machine) {
+		if inDomain(t.Machine) {
 			local = append(local, t)
 		}
 	}
-	if len(local) == 0 {
-		return nil
-	}
 	slices.SortStableFunc(local, func(a, b VictimTask) int {
 		return cmp.Or(
-			-cmp.Compare(Gain(a.Resources, need), Gain(b.Resources, need)),                                                // the most useful
-			cmp.Compare(a.Resources.CPU+a.Resources.GPU+a.Resources.Mem, b.Resources.CPU+b.Resources.GPU+b.Resources.Mem), // the least waste
-			-cmp.Compare(a.Since, b.Since), // the youngest
+			-cmp.Compare(gain(a.Resources, need), gain(b.Resources, need)), // the most useful
+			cmp.Compare(a.Resources.total(), b.Resources.total()),          // the least waste
+			-cmp.Compare(a.Since, b.Since),                                 // the youngest
 			cmp.Compare(a.Index, b.Index),
 		)
 	})
+	return local
+}
+
+// splitSurplus splits tasks into those that the victim can spare, in the given order, and
+// those that its gang or a role of it needs.
+func (v *Victim) splitSurplus(tasks []VictimTask) (safe, core []VictimTask) {
 	surplus := v.ReadyTasks - v.MinTasks
-	if surplus < 0 { // broken already: nothing more is lost
-		return []Bundle{newBundle(v, true, local)}
-	}
-	minimum := 0
-	left := map[string]int{}
-	for name, r := range v.Roles {
-		minimum += r.Min
-		left[name] = r.Ready - r.Min
+	roleMinimums := 0
+	roleSurplus := map[string]int{}
+	for name, role := range v.Roles {
+		roleMinimums += role.Min
+		roleSurplus[name] = role.Ready - role.Min
 	}
-	enforce := len(v.Roles) > 0 && v.MinTasks >= minimum
-	var safe, core []VictimTask
-	for _, t := range local {
-		if surplus > 0 && (!enforce || left[t.Role] > 0) {
+	// Minimums of roles that add up to more than that of the gang contradict it: it prevails.
+	enforceRoles := len(v.Roles) > 0 && v.MinTasks >= roleMinimums
+	for _, t := range tasks {
+		if surplus > 0 && (!enforceRoles || roleSurplus[t.Role] > 0) {
 			safe = append(safe, t)
 			surplus--
-			left[t.Role]--
+			roleSurplus[t.Role]--
 		} else {
 			core = append(core, t)
 		}
 	}
-	var out []Bundle
-	if len(safe) > 0 {
-		out = append(out, newBundle(v, true, safe))
-	}
-	if len(core) > 0 {
-		out = append(out, newBundle(v, false, core))
-	}
-	return out
-}
-
-// newBundle sums up what the tasks free.
-func newBundle(v *Victim, safe bool, tasks []VictimTask) Bundle {
-	b := Bundle{Victim: v, Safe: safe, Tasks: tasks}
-	for _, t := range tasks {
-		b.FreedInDomain = b.FreedInDomain.Add(t.Resources)
-	}
-	return b
+	return safe, core
 }
--- a/sched/domains.go
+++ b/sched/domains.go
@@ -2,6 +2,7 @@
 
 import (
 	"cmp"
+	"maps"
 	"slices"
 )
 
@@ -11,12 +12,25 @@
 	Machines []*Machine
 }
 
-// Domains lists where a gang could be placed: each zone if it must be in one, else the
-// whole share; the one with the least missing first. After each comes a narrow one
-// (ours): just the machines that could take the gang's tasks with the least to stop,
-// because room that is freed here and there adds up to a domain's need without a
-// place for a single task.
-func Domains(j *Job, machines []*Machine, victims []*Victim, most int) []Domain {
+// Domains returns the domains in which a gang could be placed, at most limit: each zone if it
+// must be in one, else all machines; the one that lacks the least first. Each is followed by
+// a narrow domain, an addition to the published design: only those machines that could take
+// the gang's tasks with the least work lost, because resources that are freed on scattered
+// machines add up to a domain's need without room for a single task.
+func Domains(j *Job, machines []*Machine, victims []*Victim, limit int) []Domain {
+	onMachine := victimTasksByMachine(victims)
+	var domains []Domain
+	for _, wide := range wideDomains(j, machines) {
+		domains = append(domains, wide)
+		if narrow := narrowDomain(j, wide, onMachine); len(narrow.Machines) > 0 {
+			domains = append(domains, narrow)
+		}
+	}
+	return domains[:min(len(domains), limit)]
+}
+
+// victimTasksByMachine returns the tasks of all victims by machine, the least lost work first.
+func victimTasksByMachine(victims []*Victim) map[string][]VictimTask {
 	onMachine := map[string][]VictimTask{}
 	for _, v := range victims {
 		for _, t := range v.Tasks {
@@ -29,6 +43,21 @@
 	for _, tasks := range onMachine {
 		slices.SortStableFunc(tasks, func(a, b VictimTask) int { return cmp.Compare(a.LostWork, b.LostWork) })
 	}
+	return onMachine
+}
+
+// totalLostWork returns the work that is undone when all of a victim is stopped.
+func totalLostWork(v *Victim) float64 {
+	sum := 0.0
+	for _, t := range v.Tasks {
+		sum += t.LostWork
+	}
+	return sum
+}
+
+// wideDomains returns the allowed machines by zone if the gang must be in one, else all of
+// them as one domain; the one that lacks the least first.
+func wideDomains(j *Job, machines []*Machine) []Domain {
 	byName := map[string][]*Machine{}
 	for _, m := range machines {
 		if !j.Allows(m.Type, m.Zone, m.Spot) {
@@ -40,75 +69,74 @@
 		}
 		byName[name] = append(byName[name], m)
 	}
-	var wide []Domain
-	for name, list := range byName {
-		wide = append(wide, Domain{name, list})
+	domains := make([]Domain, 0, len(byName))
+	lacking := make(map[string]float64, len(byName))
+	for _, name := range slices.Sorted(maps.Keys(byName)) {
+		domain := Domain{Name: name, Machines: byName[name]}
+		domains = append(domains, domain)
+		lacking[name] = domain.lacking(j)
+	}
+	slices.SortStableFunc(domains, func(a, b Domain) int { return cmp.Compare(lacking[a.Name], lacking[b.Name]) })
+	return domains
+}
+
+// lacking returns what the domain lacks for all tasks of the job, in needs of one task.
+func (d Domain) lacking(j *Job) float64 {
+	var free Resources
+	for _, m := range d.Machines {
+		free = free.Add(m.Free)
 	}
-	lacking := func(d Domain) float64 {
-		var free Resources
-		for _, m := range d.Machines {
-			free = free.Add(m.Free)
+	deficit := j.Need.Times(j.Tasks).Sub(free).nonNegative()
+	return cost(deficit, j.Need)
+}
+
+// narrowDomain returns the machines on which the least work is lost for each task of the
+// gang, as many as it needs.
+func narrowDomain(j *Job, wide Domain, onMachine map[string][]VictimTask) Domain {
+	var options []narrowOption
+	for _, m := range wide.Machines {
+		if option := newNarrowOption(j, m, onMachine[m.Name]); option.slots > 0 {
+			options = append(options, option)
 		}
-		return Cost(positive(j.Need.Times(j.Tasks).Sub(free)), j.Need)
 	}
-	slices.SortFunc(wide, func(a, b Domain) int {
-		return cmp.Or(cmp.Compare(lacking(a), lacking(b)), cmp.Compare(a.Name, b.Name))
+	slices.SortStableFunc(options, func(a, b narrowOption) int {
+		return cmp.Or(cmp.Compare(a.lostPerSlot, b.lostPerSlot), cmp.Compare(a.machine.Name, b.machine.Name))
 	})
-	var out []Domain
-	for _, d := range wide {
-		out = append(out, d)
-		if n := narrowDomain(j, d, onMachine); len(n.Machines) > 0 {
-			out = append(out, n)
+	narrow := Domain{Name: wide.Name + " narrow"}
+	slots := 0
+	for _, option := range options {
+		if slots >= j.Tasks {
+			break
 		}
+		slots += option.slots
+		narrow.Machines = append(narrow.Machines, option.machine)
 	}
-	return out[:min(len(out), most)]
+	return narrow
 }
 
-// positive drops negative amounts.
-func positive(r Resources) Resources {
-	return Resources{max(r.CPU, 0), max(r.GPU, 0), max(r.Mem, 0)}
+// narrowOption is a machine with the most tasks of a gang that it could take.
+type narrowOption struct {
+	machine     *Machine
+	slots       int
+	lostPerSlot float64 // work lost to free them
 }
 
-// totalLostWork is the work that is undone when all of a victim is stopped.
-func totalLostWork(v *Victim) float64 {
-	sum := 0.0
-	for _, t := range v.Tasks {
-		sum += t.LostWork
-	}
-	return sum
-}
-
-// narrowDomain takes the machines on which the least work is undone for each task of the gang.
-func narrowDomain(j *Job, d Domain, onMachine map[string][]VictimTask) Domain {
-	type option struct {
-		m     *Machine
-		slots int
-		lost  float64 // for each slot
-	}
-	var options []option
-	for _, m := range d.Machines {
-		free, lost, best := m.Free, 0.0, option{m: m}
-		note := func() {
-			if n := j.Need.Count(free, min(j.Tasks, m.Slots)); n > best.slots {
-				best.slots, best.lost = n, lost/float64(n)
-			}
-		}
-		note()
-		for _, t := range onMachine[m.Name] {
-			free, lost = free.Add(t.Resources), lost+t.LostWork
-			note()
-		}
-		if best.slots > 0 {
-			options = append(options, best)
+// newNarrowOption stops one task after the other until no more tasks of the gang would fit.
+func newNarrowOption(j *Job, m *Machine, stoppable []VictimTask) narrowOption {
+	option := narrowOption{machine: m}
+	limit := min(j.Tasks, m.Slots)
+	free, lost := m.Free, 0.0
+	update := func() {
+		if slots := j.Need.Count(free, limit); slots > option.slots {
+			option.slots = slots
+			option.lostPerSlot = lost / float64(slots)
 		}
 	}
-	slices.SortStableFunc(options, func(a, b option) int {
-		return cmp.Or(cmp.Compare(a.lost, b.lost), cmp.Compare(a.m.Name, b.m.Name))
-	})
-	out := Domain{Name: d.Name + " narrow"}
-	for slots, i := 0, 0; i < len(options) && slots < j.Tasks; i++ {
-		slots += options[i].slots
-		out.Machines = append(out.Machines, options[i].m)
+	update()
+	for _, t := range stoppable {
+		free = free.Add(t.Resources)
+		lost += t.LostWork
+		update()
 	}
-	return out
+	return option
 }
--- /dev/null
+++ b/sched/machine.go
@@ -0,0 +1,60 @@
+package sched
+
+import "tamarindlead/micros"
+
+// MachineType is a type of machine that the cloud offers.
+type MachineType struct {
+	Name        string
+	Size        Resources
+	CacheGB     float64 // for images
+	FetchGBPerS float64 // rate at which images are fetched
+	Price       float64 // per hour
+	SpotPrice   float64 // per hour
+	Boot        micros.Micros
+	Zones       []string
+}
+
+// Machine is a machine as placement sees it.
+type Machine struct {
+	Name string
+	Type string
+	Zone string
+	Spot bool
+	// Free is what no task uses.
+	Free Resources
+	// Slots is the number of further tasks that its record can hold.
+	Slots int
+	// Idle reports that no task runs on it.
+	Idle bool
+	// Scarce reports that some jobs fit only this type, so that others use it last.
+	Scarce bool
+	// Price is the price per processor and hour, or a class of prices.
+	Price float64
+	// Images are those in its cache.
+	Images []string
+	// Slack reports that this is only the part of a machine that the jobs which fit no other
+	// type cannot use.
+	Slack bool
+	// ReservedForGangs reports that only gangs may use it.
+	ReservedForGangs bool
+	// ReservedForJob is the only gang that may use it, or "".
+	ReservedForJob string
+}
+
+// Assignment places Count tasks on a machine.
+type Assignment struct {
+	Machine *Machine
+	Count   int
+}
+
+// accepts reports whether a task of the job may run on the machine and fits its free
+// resources.
+func (m *Machine) accepts(j *Job) bool {
+	if m.ReservedForGangs && !j.Gang {
+		return false
+	}
+	if m.ReservedForJob != "" && m.ReservedForJob != j.ID {
+		return false
+	}
+	return m.Slots > 0 && j.Allows(m.Type, m.Zone, m.Spot) && j.Need.Fits(m.Free)
+}
--- a/sched/place_property_test.go
+++ b/sched/place_property_test.go
@@ -9,8 +9,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestMain fixes the seed of drawn cases, so that the verdict is always the same. Another
-// seed can be given on the command line.
+// TestMain fixes the seed of the drawn cases, so that the verdict is always the same. The
+// -rapid.seed flag sets another one.
 func TestMain(m *testing.M) {
 	if err := flag.Set("rapid.seed", "1"); err != nil {
 		panic(err)
@@ -18,7 +18,7 @@
 	os.Exit(m.Run())
 }
 
-// drawMachines draws machines of two types in three zones with some room left.
+// drawMachines draws machines of two types in three zones with some free resources.
 func drawMachines(t *rapid.T) []*Machine {
 	return rapid.SliceOfN(rapid.Custom(func(t *rapid.T) *Machine {
 		return &Machine{
@@ -29,8 +29,8 @@
 			Free:             NewResources(float64(rapid.IntRange(-2, 16).Draw(t, "cpus")), 0, float64(rapid.IntRange(0, 64).Draw(t, "mem"))),
 			Slots:            rapid.IntRange(0, 5).Draw(t, "slots"),
 			Scarce:           rapid.Bool().Draw(t, "scarce"),
-			ReservedForGangs: rapid.IntRange(0, 3).Draw(t, "kept") == 0,
-			ReservedForJob:   rapid.SampledFrom([]string{"", "", "", "job", "other"}).Draw(t, "for"),
+			ReservedForGangs: rapid.IntRange(0, 3).Draw(t, "reserved for gangs") == 0,
+			ReservedForJob:   rapid.SampledFrom([]string{"", "", "", "job", "other"}).Draw(t, "reserved for job"),
 		}
 	}), 0, 12).Draw(t, "machines")
 }
@@ -53,14 +53,14 @@
 		j.Types = []string{"big"}
 	}
 	if j.Gang && j.Spot {
-		j.MinOnDemandTasks = rapid.IntRange(0, j.Tasks).Draw(t, "ordinary")
+		j.MinOnDemandTasks = rapid.IntRange(0, j.Tasks).Draw(t, "on-demand tasks")
 	}
 	return j
 }
 
-// TestPlaceKeepsRestrictions draws jobs and machines: whatever is placed fits, is allowed
-// there, keeps the job's rules on zones and spot machines, and a gang is placed whole.
-func TestPlaceKeepsRestrictions(t *testing.T) {
+// TestPlaceObeysRestrictions draws jobs and machines: whatever is placed fits, is allowed
+// there and obeys the job's rules on zones and spot machines, and a gang is placed whole.
+func TestPlaceObeysRestrictions(t *testing.T) {
 	placed := 0
 	rapid.Check(t, func(t *rapid.T) {
 		j, machines := drawJob(t), drawMachines(t)
@@ -95,12 +95,13 @@
 	}
 }
 
+// checkTotals checks what holds for all assignments of a job together.
 func checkTotals(t *rapid.T, j *Job, want, total, spots int, byZone map[string]int) {
 	if total > want || j.Gang && total != 0 && total != j.Tasks {
 		t.Fatalf("%d of %d tasks placed", total, want)
 	}
 	if j.Gang && spots > j.Tasks-j.MinOnDemandTasks {
-		t.Fatalf("%d tasks on spot machines, %d must be on ordinary ones", spots, j.MinOnDemandTasks)
+		t.Fatalf("%d tasks on spot machines, %d must be on on-demand ones", spots, j.MinOnDemandTasks)
 	}
 	if j.OneZone && len(byZone) > 1 {
 		t.Fatalf("tasks in several zones: %v", byZone)
--- a/sched/preempt.go
+++ b/sched/preempt.go
@@ -2,12 +2,12 @@
 
 import "slices"
 
-// Eviction decides which work is stopped to make room for a gang, after the Gang-Aware
-// Preemption & Reclaim design, sections 3.3 to 3.5; docs/design.md says what was kept and what
-// was changed. Victims are split into bundles (bundles.go), which are ranked and checked against
-// guarantees (ranking.go) in one domain after the other (domains.go).
+// Preemption follows the Gang-Aware Preemption & Reclaim design, sections 3.3 to 3.5;
+// docs/design.md lists the differences. Victims are split into bundles (bundles.go), which
+// are ranked and checked against guaranteed quotas (ranking.go) in one domain after the other
+// (domains.go).
 
-// PreemptionPlan is what to stop, and where the gang goes then.
+// PreemptionPlan is what to stop for a gang, and where the gang is placed afterwards.
 type PreemptionPlan struct {
 	Mode      PreemptionMode
 	Domain    string
@@ -15,124 +15,140 @@
 	Placement []Assignment
 }
 
-// PlanPreemption walks the domains and returns the first plan whose dry run passes, or nil.
-func PlanPreemption(j *Job, domains []Domain, victims []*Victim, r PreemptionRules) *PreemptionPlan {
-	for _, d := range domains {
-		if p := planPreemptionIn(j, d, victims, r); p != nil {
-			return p
+// PlanPreemption returns the plan for the first of the domains whose dry run places the
+// gang, or nil if there is none.
+func PlanPreemption(j *Job, domains []Domain, victims []*Victim, rules PreemptionRules) *PreemptionPlan {
+	for _, domain := range domains {
+		if plan := planInDomain(j, domain, victims, rules); plan != nil {
+			return plan
 		}
 	}
 	return nil
 }
 
-// planPreemptionIn plans in one domain: bundles are taken until they cover what is missing, and a dry
-// run must place the gang.
-func planPreemptionIn(j *Job, d Domain, victims []*Victim, r PreemptionRules) *PreemptionPlan {
-	need, total := resourceDeficit(j, d)
-	taken, covered := SelectBundles(rankedBundles(d, victims, need, r), need)
+// planInDomain selects bundles until they cover what is missing in a domain. It returns nil
+// unless a dry run then places the gang.
+func planInDomain(j *Job, domain Domain, victims []*Victim, rules PreemptionRules) *PreemptionPlan {
+	need, total := resourceDeficit(j, domain)
+	selected, covered := selectBundles(rankedBundles(domain, victims, need, rules), need)
 	if !covered && need != total {
 		return nil
 	}
-	place := DryRun(j, d, taken)
-	if place == nil {
+	placement := dryRun(j, domain, selected)
+	if placement == nil {
 		return nil
 	}
-	taken, place = dropUnneededBundles(j, d, taken, place)
-	return &PreemptionPlan{Mode: r.Mode, Domain: d.Name, Victims: trimSafeBundles(j, d, taken, place), Placement: place}
+	selected, placement = dropUnneededBundles(j, domain, selected, placement)
+	return &PreemptionPlan{
+		Mode:      rules.Mode,
+		Domain:    domain.Name,
+		Victims:   trimSafeBundles(j, domain, selected, placement),
+		Placement: placement,
+	}
 }
 
-// resourceDeficit is what a gang lacks in a domain, and what it needs in total. If there is room
-// enough, but not where a task could use it, it lacks all.
-func resourceDeficit(j *Job, d Domain) (need, total Resources) {
+// resourceDeficit returns what a gang lacks in a domain, and what it needs in total. If there
+// are enough free resources, but not where a task could use them, it lacks all.
+func resourceDeficit(j *Job, domain Domain) (need, total Resources) {
 	var free Resources
-	for _, m := range d.Machines {
-		free = free.Add(positive(m.Free))
+	for _, m := range domain.Machines {
+		free = free.Add(m.Free.nonNegative())
 	}
 	total = j.Need.Times(j.Tasks)
-	need = positive(total.Sub(free))
+	need = total.Sub(free).nonNegative()
 	if need == (Resources{}) {
 		need = total
 	}
 	return need, total
 }
 
-// rankedBundles are the bundles of a domain that the guarantees allow to stop, in order.
-func rankedBundles(d Domain, victims []*Victim, need Resources, r PreemptionRules) []Bundle {
-	inDomain := map[string]bool{}
-	for _, m := range d.Machines {
-		inDomain[m.Name] = true
+// rankedBundles returns the bundles of a domain that the rules allow to stop, in order.
+func rankedBundles(domain Domain, victims []*Victim, need Resources, rules PreemptionRules) []Bundle {
+	machines := map[string]bool{}
+	for _, m := range domain.Machines {
+		machines[m.Name] = true
 	}
+	inDomain := func(machine string) bool { return machines[machine] }
 	var bundles []Bundle
 	for _, v := range victims {
-		bundles = append(bundles, SplitVictim(v, func(m string) bool { return inDomain[m] }, need)...)
+		bundles = append(bundles, splitVictim(v, inDomain, need)...)
 	}
-	r.Sort(bundles, need)
-	bundles = r.FilterByGuarantee(bundles)
-	r.Sort(bundles, need)
+	rules.sort(bundles, need)
+	bundles = rules.filterByGuarantee(bundles)
+	rules.sort(bundles, need) // the ROI groups depend on which bundles are left
 	return bundles
 }
 
-// dropUnneededBundles spares the bundles without which the dry run passes too, the last in order
-// first (ours).
-func dropUnneededBundles(j *Job, d Domain, taken []Bundle, place []Assignment) ([]Bundle, []Assignment) {
-	for i := len(taken) - 1; i >= 0; i-- {
-		rest := slices.Delete(slices.Clone(taken), i, i+1)
-		if p := DryRun(j, d, rest); p != nil {
-			taken, place = rest, p
+// dropUnneededBundles drops bundles without which the dry run places the gang too, the last
+// in order first. It is an addition to the published design.
+func dropUnneededBundles(j *Job, domain Domain, selected []Bundle, placement []Assignment) ([]Bundle, []Assignment) {
+	for i := len(selected) - 1; i >= 0; i-- {
+		rest := slices.Delete(slices.Clone(selected), i, i+1)
+		if alternative := dryRun(j, domain, rest); alternative != nil {
+			selected, placement = rest, alternative
 		}
 	}
-	return taken, place
+	return selected, placement
 }
 
-// trimSafeBundles drops tasks of safe bundles that the placement does not need.
-func trimSafeBundles(j *Job, d Domain, taken []Bundle, place []Assignment) []Bundle {
-	wants := map[string]Resources{}
-	for _, a := range place {
-		wants[a.Machine.Name] = j.Need.Times(a.Count)
-	}
-	for _, m := range d.Machines {
-		wants[m.Name] = positive(wants[m.Name].Sub(positive(m.Free)))
-	}
-	var out []Bundle
-	for _, b := range taken {
-		if !b.Safe {
-			for _, t := range b.Tasks {
-				wants[t.Machine] = positive(wants[t.Machine].Sub(t.Resources))
-			}
-			out = append(out, b)
+// trimSafeBundles drops tasks of safe bundles that the placement does not need. The bundles
+// that are stopped whole come first in the result.
+func trimSafeBundles(j *Job, domain Domain, selected []Bundle, placement []Assignment) []Bundle {
+	missing := missingByMachine(j, domain, placement)
+	free := func(t VictimTask) { missing[t.Machine] = missing[t.Machine].Sub(t.Resources).nonNegative() }
+	var trimmed []Bundle
+	for _, b := range selected {
+		if b.Safe {
+			continue
 		}
+		for _, t := range b.Tasks {
+			free(t)
+		}
+		trimmed = append(trimmed, b)
 	}
-	for _, b := range taken {
+	for _, b := range selected {
 		if !b.Safe {
 			continue
 		}
-		var kept []VictimTask
+		var needed []VictimTask
 		for _, t := range b.Tasks {
-			if wants[t.Machine] != (Resources{}) {
-				wants[t.Machine] = positive(wants[t.Machine].Sub(t.Resources))
-				kept = append(kept, t)
+			if missing[t.Machine] != (Resources{}) {
+				free(t)
+				needed = append(needed, t)
 			}
 		}
-		if len(kept) > 0 {
-			out = append(out, newBundle(b.Victim, true, kept))
+		if len(needed) > 0 {
+			trimmed = append(trimmed, newBundle(b.Victim, true, needed))
 		}
 	}
-	return out
+	return trimmed
+}
+
+// missingByMachine returns what must be freed on each machine for a placement.
+func missingByMachine(j *Job, domain Domain, placement []Assignment) map[string]Resources {
+	missing := map[string]Resources{}
+	for _, a := range placement {
+		missing[a.Machine.Name] = j.Need.Times(a.Count)
+	}
+	for _, m := range domain.Machines {
+		missing[m.Name] = missing[m.Name].Sub(m.Free.nonNegative()).nonNegative()
+	}
+	return missing
 }
 
-// DryRun places the gang in the domain as if the bundles were gone.
-func DryRun(j *Job, d Domain, stopped []Bundle) []Assignment {
+// dryRun places the gang in the domain as if the bundles had been stopped.
+func dryRun(j *Job, domain Domain, stopped []Bundle) []Assignment {
 	freed := map[string]Resources{}
 	for _, b := range stopped {
 		for _, t := range b.Tasks {
 			freed[t.Machine] = freed[t.Machine].Add(t.Resources)
 		}
 	}
-	view := make([]*Machine, 0, len(d.Machines))
-	for _, m := range d.Machines {
-		c := *m
-		c.Free = c.Free.Add(freed[m.Name])
-		view = append(view, &c)
+	machines := make([]*Machine, 0, len(domain.Machines))
+	for _, m := range domain.Machines {
+		simulated := *m
+		simulated.Free = m.Free.Add(freed[m.Name])
+		machines = append(machines, &simulated)
 	}
-	return Place(j, view, j.Tasks, nil)
+	return Place(j, machines, j.Tasks, nil)
 }
--- a/sched/preempt_test.go
+++ b/sched/preempt_test.go
@@ -2,15 +2,19 @@
 
 import (
 	"fmt"
+	"maps"
+	"math"
 	"math/rand/v2"
 	"slices"
 	"testing"
 )
 
-func all(string) bool { return true }
+// allMachines is a domain without bounds.
+func allMachines(string) bool { return true }
 
 func cpus(n float64) Resources { return NewResources(n, 0, 0) }
 
+// tasks returns n tasks of a role with consecutive indexes.
 func tasks(role string, from, n int) []VictimTask {
 	var list []VictimTask
 	for i := range n {
@@ -19,18 +23,20 @@
 	return list
 }
 
-// The figures are those of the worked examples in section 3.4 of the paper.
+// TestSplitExamples checks the worked examples in section 3.4 of the published design.
 func TestSplitExamples(t *testing.T) {
 	cases := []struct {
 		name       string
-		v          Victim
+		victim     Victim
 		safe, core int
 		role       string // of the safe task
 	}{
 		{"surplus above the minimum", Victim{MinTasks: 3, ReadyTasks: 5, Tasks: tasks("", 0, 5)}, 2, 3, ""},
-		{"roles", Victim{MinTasks: 4, ReadyTasks: 5,
+		{"roles", Victim{
+			MinTasks: 4, ReadyTasks: 5,
 			Roles: map[string]Role{"driver": {1, 1}, "worker": {4, 3}},
-			Tasks: append(tasks("driver", 0, 1), tasks("worker", 1, 4)...)}, 1, 4, "worker"},
+			Tasks: append(tasks("driver", 0, 1), tasks("worker", 1, 4)...),
+		}, 1, 4, "worker"},
 		{"broken already", Victim{MinTasks: 3, ReadyTasks: 2, Tasks: tasks("", 0, 2)}, 2, 0, ""},
 		{"array", Victim{MinTasks: 0, ReadyTasks: 4, Tasks: tasks("", 0, 4)}, 4, 0, ""},
 		{"gang", Victim{MinTasks: 4, ReadyTasks: 4, Tasks: tasks("", 0, 4)}, 0, 4, ""},
@@ -38,7 +44,7 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			safe, core := 0, 0
-			for _, b := range SplitVictim(&c.v, all, cpus(10)) {
+			for _, b := range splitVictim(&c.victim, allMachines, cpus(10)) {
 				if !b.Safe {
 					core += len(b.Tasks)
 					continue
@@ -55,13 +61,13 @@
 	}
 }
 
-// The figures are those of the worked examples in section 3.4.3 of the paper.
+// TestROIExamples checks the worked examples in section 3.4.3 of the published design.
 func TestROIExamples(t *testing.T) {
 	gpus := func(n float64) Resources { return NewResources(0, n, 0) }
 	cases := []struct {
-		name               string
-		local, whole, need Resources
-		want               float64
+		name                   string
+		freed, footprint, need Resources
+		want                   float64
 	}{
 		{"A: spread wide", gpus(2), gpus(4), gpus(2), 0.5},
 		{"B: all here", gpus(2), gpus(2), gpus(2), 1},
@@ -75,133 +81,177 @@
 		{"no need", cpus(1), cpus(1), Resources{}, 0},
 	}
 	for _, c := range cases {
-		if got := ROI(c.local, c.whole, c.need); got < c.want-1e-9 || got > c.want+1e-9 {
-			t.Errorf("%s: ROI %g, want %g", c.name, got, c.want)
-		}
+		t.Run(c.name, func(t *testing.T) {
+			if got := roi(c.freed, c.footprint, c.need); math.Abs(got-c.want) > 1e-9 {
+				t.Errorf("ROI %g, want %g", got, c.want)
+			}
+		})
 	}
 }
 
-// ROI decides only beyond the threshold; within it, the next criterion does.
-func TestSortThreshold(t *testing.T) {
-	victim := func(job string, whole float64, p Priority) *Victim {
-		return &Victim{Job: job, Team: "x", Priority: p, MinTasks: 1, ReadyTasks: 1, TotalResources: cpus(whole),
-			Tasks: []VictimTask{{Machine: "m", Resources: cpus(10)}}}
-	}
-	r := PreemptionRules{Mode: Reclaim, ROIThreshold: 0.05, Teams: map[string]TeamUsage{"x": {Used: cpus(100)}}}
-	sorted := func(vs ...*Victim) string {
-		var bs []Bundle
-		for _, v := range vs {
-			bs = append(bs, SplitVictim(v, all, cpus(10))...)
-		}
-		r.Sort(bs, cpus(10))
-		out := ""
-		for _, b := range bs {
-			out += b.Victim.Job
+// TestSortByROIThreshold checks that ROI decides only beyond the threshold; within it, the
+// next criterion does.
+func TestSortByROIThreshold(t *testing.T) {
+	rules := PreemptionRules{Mode: Reclaim, ROIThreshold: 0.05, Teams: map[string]TeamUsage{"x": {Used: cpus(100)}}}
+	victim := func(job string, footprint float64, priority Priority) *Victim {
+		return &Victim{
+			Job: job, Team: "x", Priority: priority, MinTasks: 1, ReadyTasks: 1, TotalResources: cpus(footprint),
+			Tasks: []VictimTask{{Machine: "m", Resources: cpus(10)}},
 		}
-		return out
 	}
-	// ROI 1.0 and 0.97: equal, so the lower priority goes first.
-	if got := sorted(victim("a", 10, High), victim("b", 10.3, Low)); got != "ba" {
-		t.Errorf("within the threshold: %s", got)
+	for _, c := range []struct {
+		name    string
+		victims []*Victim
+		want    []string
+	}{
+		{"ROI 1.0 and 0.97: the lower priority first", []*Victim{victim("a", 10, High), victim("b", 10.3, Low)}, []string{"b", "a"}},
+		{"ROI 1.0 and 0.5: the higher ROI first", []*Victim{victim("a", 10, High), victim("b", 20, Low)}, []string{"a", "b"}},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			var bundles []Bundle
+			for _, v := range c.victims {
+				bundles = append(bundles, splitVictim(v, allMachines, cpus(10))...)
+			}
+			rules.sort(bundles, cpus(10))
+			var order []string
+			for _, b := range bundles {
+				order = append(order, b.Victim.Job)
+			}
+			if !slices.Equal(order, c.want) {
+				t.Errorf("order %v, want %v", order, c.want)
+			}
+		})
 	}
-	// ROI 1.0 and 0.5: ROI decides in spite of priority.
-	if got := sorted(victim("a", 10, High), victim("b", 20, Low)); got != "ab" {
-		t.Errorf("beyond the threshold: %s", got)
+}
+
+// TestPreemptionModeString checks the names in log lines.
+func TestPreemptionModeString(t *testing.T) {
+	for mode, want := range map[PreemptionMode]string{Preempt: "preempt", Reclaim: "reclaim", 7: "PreemptionMode(7)"} {
+		if got := mode.String(); got != want {
+			t.Errorf("mode %d is %q, want %q", int(mode), got, want)
+		}
 	}
 }
 
-// TestPreemptionProperties draws worlds and checks what must hold in all of them.
+// TestPreemptionProperties draws clusters and checks every plan for them. The seed is fixed,
+// so the verdict is always the same.
 func TestPreemptionProperties(t *testing.T) {
+	const clusters, minPlans = 3000, 300
 	rng := rand.New(rand.NewPCG(7, 7))
 	plans := 0
-	for n := range 3000 {
-		machines, victims, teams := drawWorld(rng)
-		j := &Job{ID: "new", Team: "red", Gang: true, Priority: High, Tasks: 1 + rng.IntN(4),
-			Need: NewResources(float64(2+rng.IntN(7)), 0, 4), OneZone: rng.IntN(2) == 0, Spot: true}
+	for n := range clusters {
+		machines, victims, teams := drawCluster(rng)
+		j := &Job{
+			ID: "new", Team: "red", Gang: true, Priority: High, Tasks: 1 + rng.IntN(4),
+			Need: NewResources(float64(2+rng.IntN(7)), 0, 4), OneZone: rng.IntN(2) == 0, Spot: true,
+		}
 		mode := PreemptionMode(rng.IntN(2))
-		var list []*Victim
-		for _, v := range victims {
-			if mode == Preempt && (v.Team != "red" || v.Priority >= j.Priority) || mode == Reclaim && v.Team == "red" {
-				continue
+		eligible := slices.DeleteFunc(victims, func(v *Victim) bool {
+			if mode == Preempt {
+				return v.Team != j.Team || v.Priority >= j.Priority
 			}
-			list = append(list, v)
-		}
-		p := PlanPreemption(j, Domains(j, machines, list, 8), list, PreemptionRules{mode, 0.05, teams})
-		if p == nil {
+			return v.Team == j.Team
+		})
+		plan := PlanPreemption(j, Domains(j, machines, eligible, 8), eligible, PreemptionRules{mode, 0.05, teams})
+		if plan == nil {
 			continue
 		}
 		plans++
-		if err := checkPlan(j, machines, p, teams); err != nil {
-			t.Fatalf("world %d: %v", n, err)
+		if err := checkPlan(j, machines, plan, teams); err != nil {
+			t.Fatalf("cluster %d: %v", n, err)
 		}
 	}
-	if plans < 300 {
-		t.Fatalf("only %d plans were made: the worlds test nothing", plans)
+	if plans < minPlans {
+		t.Fatalf("%d plans of %d clusters: the cases test too little", plans, clusters)
 	}
 }
 
-func drawWorld(rng *rand.Rand) ([]*Machine, []*Victim, map[string]TeamUsage) {
+// drawCluster draws machines, the jobs that run on them and their teams.
+func drawCluster(rng *rand.Rand) ([]*Machine, []*Victim, map[string]TeamUsage) {
 	var machines []*Machine
 	for i := range 6 {
-		machines = append(machines, &Machine{Name: fmt.Sprint("m", i), Type: "t", Zone: string(rune('a' + i%2)),
-			Free: NewResources(8, 0, 32), Slots: 100})
+		machines = append(machines, &Machine{
+			Name: fmt.Sprint("m", i), Type: "t", Zone: string(rune('a' + i%2)),
+			Free: NewResources(8, 0, 32), Slots: 100,
+		})
 	}
 	var victims []*Victim
 	teams := map[string]TeamUsage{}
 	for i := range 8 {
 		team := []string{"red", "blue", "green"}[rng.IntN(3)]
 		v := &Victim{Job: fmt.Sprint("j", i), Team: team, Priority: Priority(rng.IntN(4))}
-		res := NewResources(float64(1+rng.IntN(4)), 0, 2)
-		for k := range 1 + rng.IntN(4) {
-			m := machines[rng.IntN(len(machines))]
-			if !res.Fits(m.Free) {
-				continue
-			}
-			m.Free = m.Free.Sub(res)
-			v.Tasks = append(v.Tasks, VictimTask{Index: k, Machine: m.Name, Resources: res})
-			v.TotalResources = v.TotalResources.Add(res)
-		}
-		v.ReadyTasks = len(v.Tasks)
-		if rng.IntN(2) == 0 {
-			v.MinTasks = v.ReadyTasks
-		}
-		use := teams[team]
-		use.Used = use.Used.Add(v.TotalResources)
-		use.GuaranteedQuota = cpus(float64(rng.IntN(12)))
-		teams[team] = use
+		drawTasks(rng, v, machines)
+		usage := teams[team]
+		usage.Used = usage.Used.Add(v.TotalResources)
+		usage.GuaranteedQuota = cpus(float64(rng.IntN(12)))
+		teams[team] = usage
 		victims = append(victims, v)
 	}
 	return machines, victims, teams
 }
 
-func checkPlan(j *Job, machines []*Machine, p *PreemptionPlan, teams map[string]TeamUsage) error {
+// drawTasks places tasks of a victim on machines. Half of the victims are gangs.
+func drawTasks(rng *rand.Rand, v *Victim, machines []*Machine) {
+	need := NewResources(float64(1+rng.IntN(4)), 0, 2)
+	for i := range 1 + rng.IntN(4) {
+		m := machines[rng.IntN(len(machines))]
+		if !need.Fits(m.Free) {
+			continue
+		}
+		m.Free = m.Free.Sub(need)
+		v.Tasks = append(v.Tasks, VictimTask{Index: i, Machine: m.Name, Resources: need})
+		v.TotalResources = v.TotalResources.Add(need)
+	}
+	v.ReadyTasks = len(v.Tasks)
+	if rng.IntN(2) == 0 {
+		v.MinTasks = v.ReadyTasks
+	}
+}
+
+// checkPlan returns an error unless the plan obeys its rules and places the gang.
+func checkPlan(j *Job, machines []*Machine, plan *PreemptionPlan, teams map[string]TeamUsage) error {
+	if err := checkVictims(j, plan, teams); err != nil {
+		return err
+	}
 	free := map[string]Resources{}
 	for _, m := range machines {
 		free[m.Name] = m.Free
 	}
-	left := map[string]Resources{}
-	for name, t := range teams {
-		left[name] = t.Used
+	for _, b := range plan.Victims {
+		for _, t := range b.Tasks {
+			free[t.Machine] = free[t.Machine].Add(t.Resources)
+		}
 	}
-	for _, b := range p.Victims {
-		gone := b.FreedInDomain
+	return checkPlacement(j, plan.Placement, free)
+}
+
+// checkVictims returns an error unless the mode allows to stop each of the victims.
+func checkVictims(j *Job, plan *PreemptionPlan, teams map[string]TeamUsage) error {
+	usage := maps.Clone(teams)
+	for _, b := range plan.Victims {
+		freed := b.FreedInDomain
 		if !b.Safe {
-			gone = b.Victim.TotalResources
+			freed = b.Victim.TotalResources
 		}
-		left[b.Victim.Team] = left[b.Victim.Team].Sub(gone)
-		if p.Mode == Reclaim && !meetsGuarantee(left[b.Victim.Team], teams[b.Victim.Team].GuaranteedQuota) {
-			return fmt.Errorf("team %s falls below its guarantee", b.Victim.Team)
+		team := b.Victim.Team
+		left := TeamUsage{Used: usage[team].Used.Sub(freed), GuaranteedQuota: teams[team].GuaranteedQuota}
+		usage[team] = left
+		if plan.Mode == Reclaim && !left.MeetsGuarantee() {
+			return fmt.Errorf("team %s falls below its guaranteed quota", team)
 		}
-		if p.Mode == Preempt && b.Victim.Priority >= j.Priority {
+		if plan.Mode == Preempt && b.Victim.Priority >= j.Priority {
 			return fmt.Errorf("victim %s has the same or a higher priority", b.Victim.Job)
 		}
-		for _, t := range b.Tasks {
-			free[t.Machine] = free[t.Machine].Add(t.Resources)
-		}
 	}
+	return nil
+}
+
+// checkPlacement returns an error unless all tasks of the gang are placed and fit the free
+// resources.
+func checkPlacement(j *Job, placement []Assignment, free map[string]Resources) error {
 	placed := 0
 	var zones []string
-	for _, a := range p.Placement {
+	for _, a := range placement {
 		placed += a.Count
 		if !j.Need.Times(a.Count).Fits(free[a.Machine.Name]) {
 			return fmt.Errorf("%s does not fit on %s", j.ID, a.Machine.Name)
--- a/sched/ranking.go
+++ b/sched/ranking.go
@@ -2,78 +2,90 @@
 
 import (
 	"cmp"
+	"fmt"
+	"maps"
 	"slices"
 )
 
-// PreemptionMode tells on what ground work is stopped.
+// PreemptionMode is the ground on which work is stopped.
 type PreemptionMode int
 
 const (
 	// Preempt stops work of lower priority in the same team.
 	Preempt PreemptionMode = iota
-	// Reclaim stops work that other teams run beyond their guarantees.
+	// Reclaim stops work that other teams run beyond their guaranteed quotas.
 	Reclaim
 )
 
-func (m PreemptionMode) String() string { return [...]string{"preempt", "reclaim"}[m] }
+// String returns the name of the mode in log lines.
+func (m PreemptionMode) String() string {
+	switch m {
+	case Preempt:
+		return "preempt"
+	case Reclaim:
+		return "reclaim"
+	}
+	return fmt.Sprintf("PreemptionMode(%d)", int(m))
+}
 
-// TeamUsage is what a team uses and what is guaranteed to it.
+// TeamUsage is what a team uses and its guaranteed quota.
 type TeamUsage struct {
 	Used            Resources
 	GuaranteedQuota Resources
 }
 
-// OverQuotaRatio is how far a team is above its guarantee, relative to the guarantee.
+// OverQuotaRatio returns how far a team is above its guaranteed quota, relative to the quota.
 func (t TeamUsage) OverQuotaRatio() float64 {
-	ratio := func(used, guarantee int64) float64 {
-		return float64(used-guarantee) / float64(max(guarantee, 1))
+	ratio := func(used, guaranteed int64) float64 {
+		return float64(used-guaranteed) / float64(max(guaranteed, 1))
 	}
 	return max(ratio(t.Used.CPU, t.GuaranteedQuota.CPU), ratio(t.Used.GPU, t.GuaranteedQuota.GPU))
 }
 
-// MeetsGuarantee tells whether a team still uses all that is guaranteed to it.
-func (t TeamUsage) MeetsGuarantee() bool { return meetsGuarantee(t.Used, t.GuaranteedQuota) }
+// MeetsGuarantee reports whether a team uses at least its guaranteed quota. Memory is not
+// guaranteed.
+func (t TeamUsage) MeetsGuarantee() bool {
+	return t.Used.CPU >= t.GuaranteedQuota.CPU && t.Used.GPU >= t.GuaranteedQuota.GPU
+}
 
-// meetsGuarantee tells whether used still holds all that is guaranteed. Resources
-// that have no guarantee do not count.
-func meetsGuarantee(used, guarantee Resources) bool {
-	return used.CPU >= guarantee.CPU && used.GPU >= guarantee.GPU
+// without returns the usage of the team once resources are freed.
+func (t TeamUsage) without(freed Resources) TeamUsage {
+	return TeamUsage{Used: t.Used.Sub(freed), GuaranteedQuota: t.GuaranteedQuota}
 }
 
-// PreemptionRules are what selection must respect.
+// PreemptionRules are the rules that the selection of victims obeys.
 type PreemptionRules struct {
 	Mode         PreemptionMode
 	ROIThreshold float64 // ROIs that differ by no more count as equal
 	Teams        map[string]TeamUsage
 }
 
-// rankROI gives whole bundles the rank of their ROI. "Differs by more than the
-// threshold" is not transitive, so it cannot be used for sorting as it stands.
-// Instead a group is opened by the highest ROI left and takes all that are within the
-// threshold of it. Two bundles that differ by more are always ordered by ROI; two in
-// one group never are.
+// rankROI ranks bundles that are stopped whole by their ROI. "Differs by more than the
+// threshold" is not transitive, so it cannot be used for sorting directly. Instead the
+// highest ROI left opens a group, which takes all that are within the threshold of it. Two
+// bundles that differ by more are always ordered by ROI; two in one group never are.
 func (r PreemptionRules) rankROI(bundles []Bundle, need Resources) {
-	var whole []int
+	var unsafe []*Bundle
 	for i := range bundles {
 		b := &bundles[i]
 		b.group, b.roi = 0, 0
 		if !b.Safe {
-			b.roi = ROI(b.FreedInDomain, b.Victim.TotalResources, need)
-			whole = append(whole, i)
+			b.roi = roi(b.FreedInDomain, b.Victim.TotalResources, need)
+			unsafe = append(unsafe, b)
 		}
 	}
-	slices.SortStableFunc(whole, func(x, y int) int { return -cmp.Compare(bundles[x].roi, bundles[y].roi) })
-	group, head := 0, 0.0
-	for n, i := range whole {
-		if b := &bundles[i]; n == 0 || head-b.roi > r.ROIThreshold {
-			group, head = group+1, b.roi
+	slices.SortStableFunc(unsafe, func(a, b *Bundle) int { return -cmp.Compare(a.roi, b.roi) })
+	group, highest := 0, 0.0
+	for i, b := range unsafe {
+		if i == 0 || highest-b.roi > r.ROIThreshold {
+			group, highest = group+1, b.roi
 		}
-		bundles[i].group = group
+		b.group = group
 	}
 }
 
-// Sort orders bundles: safe ones first, then as the mode asks.
-func (r PreemptionRules) Sort(bundles []Bundle, need Resources) {
+// sort orders bundles: safe ones first, then by the criteria of the mode.
+func (r PreemptionRules) sort(bundles []Bundle, need Resources) {
 	r.rankROI(bundles, need)
 	slices.SortStableFunc(bundles, func(a, b Bundle) int {
 		if a.Safe != b.Safe {
@@ -82,62 +94,73 @@
 			}
 			return 1
 		}
-		priority := cmp.Compare(a.Victim.Priority, b.Victim.Priority)
-		roi := cmp.Compare(a.group, b.group)
-		last := cmp.Or(-cmp.Compare(a.Victim.Since, b.Victim.Since), cmp.Compare(a.Victim.Job, b.Victim.Job))
+		byPriority := cmp.Compare(a.Victim.Priority, b.Victim.Priority)
+		byROI := cmp.Compare(a.group, b.group)
+		youngestFirst := -cmp.Compare(a.Victim.Since, b.Victim.Since)
+		byName := cmp.Compare(a.Victim.Job, b.Victim.Job)
 		if r.Mode == Preempt {
-			return cmp.Or(priority, roi, last)
+			return cmp.Or(byPriority, byROI, youngestFirst, byName)
 		}
-		fair := -cmp.Compare(r.Teams[a.Victim.Team].OverQuotaRatio(), r.Teams[b.Victim.Team].OverQuotaRatio())
-		return cmp.Or(fair, roi, priority, last)
+		byFairShare := -cmp.Compare(r.overQuotaRatio(a.Victim), r.overQuotaRatio(b.Victim))
+		return cmp.Or(byFairShare, byROI, byPriority, youngestFirst, byName)
 	})
 }
 
-// FilterByGuarantee is the one guarantee check over the ordered bundles. It drops whole bundles
-// with any refused task and trims safe ones. A whole bundle counts with all that its
-// gang runs anywhere, since all of that is stopped; once refused it uses up nothing.
-func (r PreemptionRules) FilterByGuarantee(bundles []Bundle) []Bundle {
+func (r PreemptionRules) overQuotaRatio(v *Victim) float64 {
+	return r.Teams[v.Team].OverQuotaRatio()
+}
+
+// filterByGuarantee is the only check of guaranteed quotas. It goes over the bundles in
+// order, drops each that is stopped whole if its team would fall below its quota, and trims
+// safe ones. A bundle that is stopped whole counts with all that its gang runs anywhere,
+// since all of that is stopped; a dropped one does not count.
+func (r PreemptionRules) filterByGuarantee(bundles []Bundle) []Bundle {
 	if r.Mode == Preempt {
-		return bundles // the room stays within the team
+		return bundles // what is freed stays within the team
+	}
+	usage := maps.Clone(r.Teams)
+	if usage == nil {
+		usage = map[string]TeamUsage{}
 	}
-	used := map[string]Resources{}
-	for name, t := range r.Teams {
-		used[name] = t.Used
+	// free reports whether the team may lose the resources, and takes them from its usage.
+	free := func(team string, freed Resources) bool {
+		left := usage[team].without(freed)
+		if !left.MeetsGuarantee() {
+			return false
+		}
+		usage[team] = left
+		return true
 	}
-	var out []Bundle
+	var allowed []Bundle
 	for _, b := range bundles {
-		team := b.Victim.Team
-		guarantee := r.Teams[team].GuaranteedQuota
 		if !b.Safe {
-			if left := used[team].Sub(b.Victim.TotalResources); meetsGuarantee(left, guarantee) {
-				used[team] = left
-				out = append(out, b)
+			if free(b.Victim.Team, b.Victim.TotalResources) {
+				allowed = append(allowed, b)
 			}
 			continue
 		}
-		var allowed []VictimTask
+		var tasks []VictimTask
 		for _, t := range b.Tasks {
-			if left := used[team].Sub(t.Resources); meetsGuarantee(left, guarantee) {
-				used[team] = left
-				allowed = append(allowed, t)
+			if free(b.Victim.Team, t.Resources) {
+				tasks = append(tasks, t)
 			}
 		}
-		if len(allowed) > 0 {
-			out = append(out, newBundle(b.Victim, true, allowed))
+		if len(tasks) > 0 {
+			allowed = append(allowed, newBundle(b.Victim, true, tasks))
 		}
 	}
-	return out
+	return allowed
 }
 
-// SelectBundles takes bundles in order until they cover the need.
-func SelectBundles(bundles []Bundle, need Resources) (taken []Bundle, covered bool) {
+// selectBundles takes bundles in order until they cover the need, and reports whether they do.
+func selectBundles(bundles []Bundle, need Resources) (selected []Bundle, covered bool) {
 	var freed Resources
 	for _, b := range bundles {
 		if need.Fits(freed) {
 			break
 		}
-		taken = append(taken, b)
+		selected = append(selected, b)
 		freed = freed.Add(b.FreedInDomain)
 	}
-	return taken, need.Fits(freed)
+	return selected, need.Fits(freed)
 }
