--- a/config/config_test.go
+++ b/config/config_test.go
@@ -101,12 +101,14 @@
 	}
 }
 
+// withUpcomingLimits returns a platform file with lines in the table of upcoming limits.
+func withUpcomingLimits(lines string) string {
+	return strings.Replace(platform, "[params.cloud]", "[params.state.next]\n"+lines+"\n\n[params.cloud]", 1)
+}
+
 // TestParseUpcomingLimits guards against records and requests that the upcoming limits would
-// not allow, and against limits with which no controller can work.
+// not allow.
 func TestParseUpcomingLimits(t *testing.T) {
-	with := func(lines string) string {
-		return strings.Replace(platform, "[params.cloud]", "[params.state.next]\n"+lines+"\n\n[params.cloud]", 1)
-	}
 	type limits struct {
 		rps, writes float64
 		value, ops  int
@@ -125,7 +127,7 @@
 		{"other = 1", present},
 	} {
 		t.Run(c.lines, func(t *testing.T) {
-			s, err := Parse([]byte(with(c.lines)))
+			s, err := Parse([]byte(withUpcomingLimits(c.lines)))
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -134,13 +136,16 @@
 			}
 		})
 	}
+}
+
+func TestParseInvalidUpcomingLimits(t *testing.T) {
 	for _, line := range []string{
 		"value_kb = 0.0", "value_kb = -2.0", "value_kb = 0.5", "value_kb = nan", "value_kb = inf", `value_kb = "two"`,
 		"txn_ops = 0", "txn_ops = 3", "txn_ops = -5", "txn_ops = 4.5", `txn_ops = "five"`,
 		"write_rps = 0.0", "write_rps = -1.0", "write_rps = nan", "rps = 0.0", "rps = inf", "rps = true",
 	} {
 		t.Run(line, func(t *testing.T) {
-			_, err := Parse([]byte(with(line)))
+			_, err := Parse([]byte(withUpcomingLimits(line)))
 			requireKeyError(t, err, "params.state.next."+strings.Fields(line)[0])
 		})
 	}
