--- a/internal/autoscaler/catalog.go
+++ b/internal/autoscaler/catalog.go
@@ -1,10 +1,3 @@
-// Package capacity holds the policy of renting: which machines are asked for, which are kept
-// ready for gangs, and which are drained because the others suffice or because they are idle.
-//
-// The package has no clock, no network and no records. Its user describes machines, rentals
-// and waiting work as plain values (Planner, Machine, Demand) and carries out what Plan
-// returns. What has to be remembered between two plans is in Classes (statistics of classes
-// of jobs) and in SpotRisk (losses of spot machines).
 package autoscaler
 
 import (
@@ -14,28 +7,29 @@
 	"tamarindlead/sched"
 )
 
-// Offer is one kind of machine that the cloud may rent.
+// Offer is what a scale-out request may ask for: machines of a type in a zone, spot or
+// on-demand.
 type Offer struct {
 	Type string
 	Zone string
 	Spot bool
 }
 
-// Catalog lists the machine types of the cloud.
+// Catalog holds the machine types of the cloud.
 type Catalog struct {
 	Types    []sched.MachineType
-	MaxTasks int // that one machine takes, however small they are
+	MaxTasks int // of one machine, however small the tasks are
 }
 
-// minTaskCPUs is what a task counts for that takes fewer processors, so that work without
-// any does not look like none.
+// minTaskCPUs is the least number of processors that a task counts for, so that work that
+// needs none does not count as no work.
 const minTaskCPUs = 0.01
 
 // TaskCPUs returns the processors that one task of a job counts for.
 func TaskCPUs(job *sched.Job) float64 { return max(job.Need.CPUs(), minTaskCPUs) }
 
-// Find returns the machine type of that name, or nil.
-func (c Catalog) Find(name string) *sched.MachineType {
+// find returns the machine type of that name, or nil.
+func (c Catalog) find(name string) *sched.MachineType {
 	for i := range c.Types {
 		if c.Types[i].Name == name {
 			return &c.Types[i]
@@ -44,24 +38,24 @@
 	return nil
 }
 
-// UsableCPUs tells how many processors of a whole machine a job could use.
-func (c Catalog) UsableCPUs(job *sched.Job, offer Offer) float64 {
-	t := c.Find(offer.Type)
+// usableCPUs returns how many processors of an empty machine a job could use.
+func (c Catalog) usableCPUs(job *sched.Job, offer Offer) float64 {
+	t := c.find(offer.Type)
 	if t == nil || !job.Allows(offer.Type, offer.Zone, offer.Spot) {
 		return 0
 	}
 	return float64(c.tasksOn(job, t.Size)) * TaskCPUs(job)
 }
 
-// tasksOn tells how many tasks of a job a machine of that size takes.
+// tasksOn returns how many tasks of a job fit an empty machine of that size.
 func (c Catalog) tasksOn(job *sched.Job, size sched.Resources) int {
 	return job.Need.Count(size, c.MaxTasks)
 }
 
-// PricePerCPU is what a processor of a machine costs an hour. A spot machine of a type
-// without a spot price counts as an ordinary one.
+// PricePerCPU returns the price per processor and hour of a machine, or 0 if its type is not
+// known. A spot machine of a type without a spot price counts as an on-demand one.
 func (c Catalog) PricePerCPU(typeName string, spot bool) float64 {
-	t := c.Find(typeName)
+	t := c.find(typeName)
 	if t == nil || t.Size.CPU == 0 {
 		return 0
 	}
@@ -72,14 +66,15 @@
 	return price / t.Size.CPUs()
 }
 
-// LowestPrice is what a processor of the cheapest spot or ordinary machine for a job costs
-// an hour, whether the cloud has one now or not. It is 0 if there is no such machine type.
+// LowestPrice returns the price per processor and hour of the cheapest spot or on-demand
+// machine for a job, whether the cloud has one now or not, or 0 if no such machine type
+// exists.
 func (c Catalog) LowestPrice(job *sched.Job, spot bool) float64 {
 	lowest := 0.0
 	for _, t := range c.Types {
 		price := hourlyPrice(t, spot)
 		for _, zone := range t.Zones {
-			cpus := c.UsableCPUs(job, Offer{Type: t.Name, Zone: zone, Spot: spot})
+			cpus := c.usableCPUs(job, Offer{Type: t.Name, Zone: zone, Spot: spot})
 			if cpus <= 0 || spot && price <= 0 {
 				continue
 			}
@@ -91,22 +86,24 @@
 	return lowest
 }
 
-// BootTime is how long the quickest machine for a job takes to boot.
+// BootTime returns the boot time of the fastest machine type for a job, or 0 if no type
+// fits.
 func (c Catalog) BootTime(job *sched.Job) micros.Micros {
-	least := micros.Micros(0)
+	shortest := micros.Micros(0)
 	for _, t := range c.Types {
-		if compatible(job, t) && (least == 0 || t.Boot < least) {
-			least = t.Boot
+		if compatible(job, t) && (shortest == 0 || t.Boot < shortest) {
+			shortest = t.Boot
 		}
 	}
-	return least
+	return shortest
 }
 
-// compatible tells whether a task of a job may run on machines of a type and fits them.
+// compatible reports whether a task of a job may run on machines of a type and fits them.
 func compatible(job *sched.Job, t sched.MachineType) bool {
 	return job.Need.Fits(t.Size) && (job.Types == nil || slices.Contains(job.Types, t.Name))
 }
 
+// hourlyPrice returns the price of a whole machine.
 func hourlyPrice(t sched.MachineType, spot bool) float64 {
 	if spot {
 		return t.SpotPrice
--- a/internal/autoscaler/classes.go
+++ b/internal/autoscaler/classes.go
@@ -6,199 +6,193 @@
 	"slices"
 	"strings"
 
-	"tamarindlead/config"
 	"tamarindlead/micros"
 	"tamarindlead/sched"
 )
 
-// Bounds of what is learned about classes of jobs.
+// Parameters of the statistics of classes.
 const (
-	// classRetention is how long a class counts after its last job came.
+	// classRetention is how long a class counts after its last submission.
 	classRetention = 10 * micros.Minute
-	// averageWeight divides a job's weight in the average size of its class's tasks.
+	// averageWeight is the divisor of the weight of a new job in the average need of its class.
 	averageWeight = 8
-	// maxGangSizes is how many gangs of a class tell what sizes are to be expected.
+	// maxGangSizes is how many of its latest gangs predict the sizes of a class's gangs.
 	maxGangSizes = 40
 	// correctionWeight is the weight of one task in the correction of estimates.
 	correctionWeight = 0.03
-	// minCorrection and maxCorrection bound what one task may say about the estimates.
+	// minCorrection and maxCorrection bound the ratio that one task contributes.
 	minCorrection = 0.3
 	maxCorrection = 3.0
 )
 
-// classStats is what is known of a class of jobs.
+// classStats are the statistics of one class of jobs.
 type classStats struct {
 	latest         *sched.Job
-	lastSubmission micros.Micros // when its latest job came
+	lastSubmission micros.Micros // of its latest job
 	types          []string      // machine types that its latest job fits
-	typesKey       string        // the same in one word
-	correction     float64       // real run time by estimate
+	typesKey       string        // the same, as a key
+	correction     float64       // average ratio of actual to estimated run times
 	gangSizes      []int         // of its latest gangs
 	averageNeed    sched.Resources
 }
 
-// Classes are the statistics of classes of jobs.
+// Classes holds statistics of job classes, learned from submissions and run times.
 type Classes struct {
 	byName map[string]*classStats
 }
 
-// NewClasses returns statistics without any class.
+// NewClasses returns statistics of no classes.
 func NewClasses() *Classes { return &Classes{byName: map[string]*classStats{}} }
 
-// RecordSubmission learns from a job that came.
+// RecordSubmission records that a job was submitted.
 func (c *Classes) RecordSubmission(now micros.Micros, job *sched.Job, catalog Catalog) {
-	k := c.byName[job.Class]
-	if k == nil {
-		k = &classStats{correction: 1}
-		c.byName[job.Class] = k
+	stats := c.byName[job.Class]
+	if stats == nil {
+		stats = &classStats{correction: 1}
+		c.byName[job.Class] = stats
 	}
-	k.lastSubmission, k.latest = now, job
-	k.updateAverageNeed(job.Need)
-	k.updateTypes(catalog)
+	stats.lastSubmission, stats.latest = now, job
+	stats.updateAverageNeed(job.Need)
+	stats.updateTypes(catalog)
 	if job.Gang {
-		k.gangSizes = append(k.gangSizes, job.Tasks)
-		k.gangSizes = k.gangSizes[max(0, len(k.gangSizes)-maxGangSizes):]
+		stats.gangSizes = append(stats.gangSizes, job.Tasks)
+		stats.gangSizes = stats.gangSizes[max(0, len(stats.gangSizes)-maxGangSizes):]
 	}
 }
 
-// updateAverageNeed updates the average of what a task of the class takes.
-func (k *classStats) updateAverageNeed(need sched.Resources) {
-	if k.averageNeed == (sched.Resources{}) {
-		k.averageNeed = need
+// updateAverageNeed updates the moving average of the needs of the class's tasks.
+func (s *classStats) updateAverageNeed(need sched.Resources) {
+	if s.averageNeed == (sched.Resources{}) {
+		s.averageNeed = need
 		return
 	}
-	step := need.Sub(k.averageNeed)
-	k.averageNeed = k.averageNeed.Add(sched.Resources{CPU: step.CPU / averageWeight, GPU: step.GPU / averageWeight, Mem: step.Mem / averageWeight})
+	step := need.Sub(s.averageNeed)
+	s.averageNeed = s.averageNeed.Add(sched.Resources{
+		CPU: step.CPU / averageWeight,
+		GPU: step.GPU / averageWeight,
+		Mem: step.Mem / averageWeight,
+	})
 }
 
-// updateTypes finds the machine types that the class fits.
-func (k *classStats) updateTypes(catalog Catalog) {
-	k.types = nil
+// updateTypes updates the machine types that the class fits.
+func (s *classStats) updateTypes(catalog Catalog) {
+	s.types = nil
 	for _, t := range catalog.Types {
-		if compatible(k.latest, t) {
-			k.types = append(k.types, t.Name)
+		if compatible(s.latest, t) {
+			s.types = append(s.types, t.Name)
 		}
 	}
-	k.typesKey = strings.Join(k.types, " ")
+	s.typesKey = strings.Join(s.types, " ")
+}
+
+// singleType reports whether the class fits one machine type only.
+func (s *classStats) singleType() bool { return len(s.types) == 1 }
+
+// dependsOn reports whether the class fits no other machine type.
+func (s *classStats) dependsOn(typeName string) bool {
+	return s.singleType() && s.types[0] == typeName
 }
 
-// RecordRunTime learns from a task that completed how far estimates are off.
+// recent reports whether the latest submission counts towards scarcity.
+func (s *classStats) recent(now micros.Micros) bool { return now-s.lastSubmission < classRetention }
+
+// RecordRunTime records how long a completed task of a class took, and its estimate.
 func (c *Classes) RecordRunTime(name string, took, estimate micros.Micros) {
-	k := c.byName[name]
-	if k == nil || estimate <= 0 {
+	stats := c.byName[name]
+	if stats == nil || estimate <= 0 {
 		return
 	}
-	ratio := took.Seconds() / estimate.Seconds()
-	k.correction += correctionWeight * (min(max(ratio, minCorrection), maxCorrection) - k.correction)
+	ratio := min(max(took.Seconds()/estimate.Seconds(), minCorrection), maxCorrection)
+	stats.correction += correctionWeight * (ratio - stats.correction)
 }
 
-// CorrectedEstimate returns an estimate as corrected by what tasks of the class really took.
+// CorrectedEstimate returns an estimate corrected by the actual run times of the class.
 func (c *Classes) CorrectedEstimate(name string, estimate micros.Micros) micros.Micros {
-	if k := c.byName[name]; k != nil {
-		return micros.Micros(float64(estimate) * k.correction)
+	if stats := c.byName[name]; stats != nil {
+		return micros.Micros(float64(estimate) * stats.correction)
 	}
 	return estimate
 }
 
-// RemoveExpired drops classes that no job has named for long and that are not in use: users choose
-// the names, and nothing may grow with the age of the service.
+// RemoveExpired removes classes without a recent submission that are not in use: users choose
+// the names, so that their number would grow without bound. It also finds the types of
+// classes whose jobs were submitted before the catalog was known.
 func (c *Classes) RemoveExpired(now micros.Micros, inUse map[string]bool, catalog Catalog) {
-	maps.DeleteFunc(c.byName, func(name string, k *classStats) bool {
-		if len(k.types) == 0 {
-			k.updateTypes(catalog) // the types were not known when its job came
+	maps.DeleteFunc(c.byName, func(name string, stats *classStats) bool {
+		if len(stats.types) == 0 {
+			stats.updateTypes(catalog)
 		}
-		return !inUse[name] && now-k.lastSubmission > classRetention
+		return !inUse[name] && now-stats.lastSubmission > classRetention
 	})
 }
 
-// Known tells whether the class is remembered.
-func (c *Classes) Known(name string) bool { return c.byName[name] != nil }
-
-// TypesKey names the machine types that a class fits in one word.
+// TypesKey returns a key of the machine types that a class fits, or "" if it is not known.
 func (c *Classes) TypesKey(name string) string {
-	if k := c.byName[name]; k != nil {
-		return k.typesKey
+	if stats := c.byName[name]; stats != nil {
+		return stats.typesKey
 	}
 	return ""
 }
 
-// SingleType tells that a class fits one machine type only.
+// SingleType reports whether a class fits one machine type only.
 func (c *Classes) SingleType(name string) bool {
-	k := c.byName[name]
-	return k != nil && len(k.types) == 1
+	stats := c.byName[name]
+	return stats != nil && stats.singleType()
 }
 
-// Scarce tells that some recent class of jobs fits no other machine type, and may use these
-// machines: spot machines of a type that only jobs without them depend on are like any others.
+// Scarce reports whether some recent class of jobs fits no other machine type and may use
+// these machines: if only jobs that must not use spot machines depend on a type, its spot
+// machines are not scarce.
 func (c *Classes) Scarce(now micros.Micros, typeName string, spot bool) bool {
-	for _, k := range c.byName {
-		if len(k.types) == 1 && k.types[0] == typeName && (k.latest.Spot || !spot) && now-k.lastSubmission < classRetention {
+	for _, stats := range c.byName {
+		mayUse := stats.latest.Spot || !spot
+		if stats.dependsOn(typeName) && mayUse && stats.recent(now) {
 			return true
 		}
 	}
 	return false
 }
 
-// Avoids tells that a class takes machines of a type only if nothing else is free.
-func (c *Classes) Avoids(now micros.Micros, name, typeName string, spot bool) bool {
-	k := c.byName[name]
-	return k != nil && len(k.types) > 1 && c.Scarce(now, typeName, spot)
+// avoids reports whether a class uses machines of a type only if nothing else is free.
+func (c *Classes) avoids(now micros.Micros, name, typeName string, spot bool) bool {
+	stats := c.byName[name]
+	return stats != nil && len(stats.types) > 1 && c.Scarce(now, typeName, spot)
 }
 
-// LargestSingleTypeNeeds returns, by machine type, what a task of the jobs takes that fit this
-// type only; of several classes the one that takes the most processors counts.
+// LargestSingleTypeNeeds returns, by machine type, the need of a task of the classes that fit
+// this type only; of several classes the one that needs the most processors counts.
 func (c *Classes) LargestSingleTypeNeeds(now micros.Micros) map[string]sched.Resources {
 	needs := map[string]sched.Resources{}
 	for _, name := range sortedKeys(c.byName) {
-		k := c.byName[name]
-		if len(k.types) == 1 && now-k.lastSubmission < classRetention && needs[k.types[0]].CPU < k.latest.Need.CPU {
-			needs[k.types[0]] = k.latest.Need
+		stats := c.byName[name]
+		if !stats.singleType() || !stats.recent(now) {
+			continue
+		}
+		only := stats.types[0]
+		if needs[only].CPU < stats.latest.Need.CPU {
+			needs[only] = stats.latest.Need
 		}
 	}
 	return needs
 }
 
-// MaxAverageTasks is how many tasks of the class with the smallest usual tasks fit into a
-// machine of that size.
+// MaxAverageTasks returns how many average tasks of a class fit a machine of that size, at
+// most maxTasks; of all classes the one with the smallest tasks counts.
 func (c *Classes) MaxAverageTasks(size sched.Resources, maxTasks int) int {
 	most := 0
-	for _, k := range c.byName {
-		most = max(most, k.averageNeed.Count(size, maxTasks))
+	for _, stats := range c.byName {
+		most = max(most, stats.averageNeed.Count(size, maxTasks))
 	}
 	return most
 }
 
-// hasGangs tells that a gang of the class has come.
+// hasGangs reports whether a gang of the class was submitted.
 func (c *Classes) hasGangs(name string) bool {
-	k := c.byName[name]
-	return k != nil && len(k.gangSizes) > 0
-}
-
-// Bounds of keeping machines ready for gangs that are expected.
-const (
-	// slowBootFactor is how much longer than usual machines often take to boot.
-	slowBootFactor = 1.5
-	// warmPoolRetention is how long after a gang others of its class are expected.
-	warmPoolRetention = micros.Minute
-)
-
-// WarmPoolSize tells how many tasks of a class should find machines at once, and a job of that
-// class: when gangs should start sooner than a machine boots, as many as the size of gang
-// that the objective's share of them does not exceed.
-func (c *Classes) WarmPoolSize(now micros.Micros, name string, objectives []config.SLO, catalog Catalog) (int, *sched.Job) {
-	k := c.byName[name]
-	if k == nil || len(k.gangSizes) == 0 || now-k.lastSubmission > warmPoolRetention {
-		return 0, nil
-	}
-	objective, ok := shortestWaitSLO(objectives, name)
-	boot := catalog.BootTime(k.latest)
-	if !ok || objective.Threshold > micros.Micros(slowBootFactor*float64(boot)) {
-		return 0, nil
-	}
-	sizes := slices.Sorted(slices.Values(k.gangSizes))
-	return sizes[min(int(objective.Fraction*float64(len(sizes))), len(sizes)-1)], k.latest
+	stats := c.byName[name]
+	return stats != nil && len(stats.gangSizes) > 0
 }
 
+// sortedKeys returns the keys of a map in ascending order.
 func sortedKeys[K cmp.Ordered, V any](m map[K]V) []K {
 	return slices.Sorted(maps.Keys(m))
 }
--- /dev/null
+++ b/internal/autoscaler/classes_test.go
@@ -0,0 +1,98 @@
+package autoscaler
+
+import (
+	"testing"
+
+	"tamarindlead/micros"
+	"tamarindlead/sched"
+)
+
+func TestCorrectedEstimate(t *testing.T) {
+	const estimate = 10 * micros.Second
+	c := NewClasses()
+	c.RecordSubmission(0, testArray("j", 1), testCatalog())
+	if got := c.CorrectedEstimate("j", estimate); got != estimate {
+		t.Errorf("without run times: %v, want %v", got, estimate)
+	}
+	for range 500 {
+		c.RecordRunTime("j", 2*estimate, estimate)
+	}
+	if got := c.CorrectedEstimate("j", estimate).Seconds(); got < 19.9 || got > 20 {
+		t.Errorf("run times of twice the estimates: %g s, want almost 20 s", got)
+	}
+	for range 500 {
+		c.RecordRunTime("j", micros.Hour, estimate)
+	}
+	if got := c.CorrectedEstimate("j", estimate).Seconds(); got > 30 {
+		t.Errorf("the correction is not bounded: %g s", got)
+	}
+	if got := c.CorrectedEstimate("other", micros.Second); got != micros.Second {
+		t.Errorf("unknown class: %v, want 1s", got)
+	}
+}
+
+func TestScarce(t *testing.T) {
+	c, catalog := NewClasses(), testCatalog()
+	big := testArray("big", 16)
+	big.Spot = false
+	c.RecordSubmission(0, big, catalog)
+	c.RecordSubmission(0, testArray("small", 1), catalog)
+
+	for class, want := range map[string]bool{"big": true, "small": false, "unknown": false} {
+		if got := c.SingleType(class); got != want {
+			t.Errorf("SingleType(%s) = %t", class, got)
+		}
+	}
+	for offer, want := range map[Offer]bool{
+		{Type: "large"}: true, {Type: "large", Spot: true}: false, {Type: "small"}: false,
+	} {
+		if got := c.Scarce(1, offer.Type, offer.Spot); got != want {
+			t.Errorf("Scarce(%+v) = %t", offer, got)
+		}
+	}
+	if !c.avoids(1, "small", "large", false) {
+		t.Error("a class that fits another type does not avoid the scarce one")
+	}
+	if c.avoids(1, "big", "large", false) {
+		t.Error("a class avoids the only type that it fits")
+	}
+	if got := c.LargestSingleTypeNeeds(1); len(got) != 1 || got["large"] != big.Need {
+		t.Errorf("LargestSingleTypeNeeds() = %v", got)
+	}
+	if c.Scarce(classRetention, "large", false) {
+		t.Error("a type is scarce because of a class that is not recent")
+	}
+}
+
+func TestRemoveExpired(t *testing.T) {
+	c := NewClasses()
+	c.RecordSubmission(0, testArray("old", 16), Catalog{}) // the types are not known yet
+	c.RecordSubmission(0, testArray("used", 16), Catalog{})
+	if c.SingleType("old") {
+		t.Error("a class depends on a type before any is known")
+	}
+	c.RemoveExpired(1, nil, testCatalog())
+	if !c.SingleType("old") || c.TypesKey("old") != "large" {
+		t.Error("the types are not updated once they are known")
+	}
+	c.RemoveExpired(classRetention+1, map[string]bool{"used": true}, testCatalog())
+	if got := c.TypesKey("old"); got != "" {
+		t.Errorf("types %q of an expired class", got)
+	}
+	if got := c.TypesKey("used"); got != "large" {
+		t.Errorf("types %q of a class in use, want large", got)
+	}
+}
+
+func TestMaxAverageTasks(t *testing.T) {
+	c := NewClasses()
+	for range 200 {
+		c.RecordSubmission(0, testArray("j", 4), testCatalog())
+	}
+	size := sched.NewResources(32, 0, 256)
+	for limit, want := range map[int]int{128: 8, 5: 5} {
+		if got := c.MaxAverageTasks(size, limit); got != want {
+			t.Errorf("MaxAverageTasks of at most %d = %d, want %d", limit, got, want)
+		}
+	}
+}
--- a/internal/autoscaler/gang_capacity.go
+++ b/internal/autoscaler/gang_capacity.go
@@ -1,28 +1,27 @@
 package autoscaler
 
-import (
-	"tamarindlead/sched"
-)
+import "tamarindlead/sched"
 
-// zoneCapacity is how many tasks of gangs a zone takes.
+// gangCapacity is the room of machines for tasks of the gangs of one demand, by zone.
+type gangCapacity map[string]*zoneCapacity
+
+// zoneCapacity is how many tasks of gangs the machines of a zone have room for.
 type zoneCapacity struct {
 	onDemand int
 	spot     int
 }
 
-// gangCapacityFor is what machines offer to gangs of one demand, by zone.
-type gangCapacity map[string]*zoneCapacity
-
-func (r gangCapacity) zone(name string) *zoneCapacity {
-	if r[name] == nil {
-		r[name] = &zoneCapacity{}
+// zone returns the capacity of a zone, which can be changed.
+func (c gangCapacity) zone(name string) *zoneCapacity {
+	if c[name] == nil {
+		c[name] = &zoneCapacity{}
 	}
-	return r[name]
+	return c[name]
 }
 
-// add counts room for tasks on machines of an offer.
-func (r gangCapacity) add(offer Offer, tasks int) {
-	zone := r.zone(offer.Zone)
+// add adds room for tasks on machines of an offer.
+func (c gangCapacity) add(offer Offer, tasks int) {
+	zone := c.zone(offer.Zone)
 	if offer.Spot {
 		zone.spot += tasks
 	} else {
@@ -30,17 +29,18 @@
 	}
 }
 
-// fits tells how many tasks of a gang the zone takes.
+// fits returns how many tasks of a gang the zone has room for.
 func (z *zoneCapacity) fits(job *sched.Job) int {
-	return min(job.Tasks, z.onDemand+min(z.spot, job.Tasks-job.MinOnDemandTasks))
+	spot := min(z.spot, job.Tasks-job.MinOnDemandTasks)
+	return min(job.Tasks, z.onDemand+spot)
 }
 
-// take uses up room for n tasks, of which at most spotMax on spot machines, and tells how
-// many of them found room on machines of either kind.
-func (z *zoneCapacity) take(n, spotMax int) (ordinary, spot int) {
-	spot = min(n, z.spot, spotMax)
-	ordinary = min(n-spot, z.onDemand)
-	z.onDemand -= ordinary
+// take uses up room for at most limit tasks, of which at most spotLimit on spot machines. It
+// returns for how many of them there was room on machines of either kind.
+func (z *zoneCapacity) take(limit, spotLimit int) (onDemand, spot int) {
+	spot = min(limit, z.spot, spotLimit)
+	onDemand = min(limit-spot, z.onDemand)
+	z.onDemand -= onDemand
 	z.spot -= spot
-	return ordinary, spot
+	return onDemand, spot
 }
--- /dev/null
+++ b/internal/autoscaler/gang_mix_test.go
@@ -0,0 +1,35 @@
+package autoscaler
+
+import (
+	"testing"
+
+	"tamarindlead/micros"
+)
+
+func TestOnDemandTasks(t *testing.T) {
+	const tasks = 8
+	mix := GangMix{
+		Tasks: tasks, SpotPrice: 0.25, OnDemandPrice: 1,
+		Estimate: 10 * micros.Minute, Checkpoint: 10 * micros.Second, Recovery: 20 * micros.Second,
+	}
+	if got := mix.OnDemandTasks(); got != 0 {
+		t.Errorf("no losses: %d tasks on on-demand machines, want 0", got)
+	}
+	mix.LossPerSecond = 0.1
+	if got := mix.OnDemandTasks(); got != tasks {
+		t.Errorf("a loss every ten seconds: %d tasks on on-demand machines, want all", got)
+	}
+	mix.LossPerSecond = 0.005
+	some := mix.OnDemandTasks()
+	if some == 0 || some == tasks {
+		t.Errorf("some losses: %d tasks on on-demand machines, want a mix", some)
+	}
+	mix.SpotPrice = 2 // above the on-demand price
+	if got := mix.OnDemandTasks(); got != tasks {
+		t.Errorf("expensive spot machines: %d tasks on on-demand machines, want all", got)
+	}
+	mix.MaxSpot = true
+	if got := mix.OnDemandTasks(); got > some {
+		t.Errorf("with MaxSpot: %d tasks on on-demand machines, want at most %d", got, some)
+	}
+}
--- a/internal/autoscaler/scale_in.go
+++ b/internal/autoscaler/scale_in.go
@@ -3,192 +3,92 @@
 import (
 	"cmp"
 	"math"
-	"slices"
 
 	"tamarindlead/micros"
 	"tamarindlead/sched"
 )
 
-// Bounds of replacing machines and of scaling down.
 const (
-	// replacePrice is the part of a machine's price at which another is worth a move.
-	replacePrice = 0.6
-	// loadVariation is the room that is left when machines are drained, in parts of all, by
-	// the root of their number: the more machines, the less their load varies in proportion.
+	// loadVariation, divided by the root of the number of machines, is the fraction of
+	// capacity that scale-in leaves free: the more machines, the less their load varies in
+	// proportion.
 	loadVariation = 0.85
-	// minHeadroom and maxHeadroom bound that part.
+	// minHeadroom and maxHeadroom bound that fraction.
 	minHeadroom = 0.05
 	maxHeadroom = 0.5
-	// drainShare is the part of all machines that is drained at once, one at least.
-	drainShare = 0.03
-	// drainBefore and idleDrainBefore tell how long before the end of the time that is charged
-	// in any case a machine may be drained: one with tasks needs time to become empty.
-	drainBefore     = 20 * micros.Second
-	idleDrainBefore = 5 * micros.Second
+	// drainFraction is the fraction of all machines that may be drained at once, at least one.
+	drainFraction = 0.03
+	// drainLead is how long before the end of the least billed time a machine with tasks may
+	// be drained, since it needs time to become empty.
+	drainLead = 20 * micros.Second
 )
 
-// replaceExpensive rents cheaper machines for work that runs on expensive ones, which then
-// become empty and are returned.
-func (p *Planner) replaceExpensive(demands []*Demand) {
-	if p.OpenScaleOuts+len(p.plan.ScaleOutRequests) > 0 {
-		return
-	}
-	for _, d := range demands {
-		best := p.cheapestOf(d.Representative, false, anyOffer)
-		if best == nil || len(d.UsedByOffer) == 0 || d.Representative.Gang {
-			continue
-		}
-		if cpus := p.replaceableCPUs(d, best); cpus >= best.cpus/2 {
-			p.requestScaleOut(d.Representative, best, cpus-best.cpus/2)
-			return
-		}
-	}
-}
-
-// replaceableCPUs is what the work uses on machines that are worth replacing by an offer, less
-// what is free already on machines that are not.
-func (p *Planner) replaceableCPUs(d *Demand, best *choice) float64 {
-	var expensive sched.Resources
-	for offer, used := range d.UsedByOffer {
-		if p.worthReplacing(offer, best) {
-			expensive = expensive.Add(used)
-		}
-	}
-	cpus := expensive.CPUs()
-	for _, m := range p.Machines {
-		if m.State != MachineOther && d.usableCPUs(p.Catalog, m.Offer) > 0 && !p.worthReplacing(m.Offer, best) {
-			cpus -= max(0, m.free().CPUs())
-		}
-	}
-	return cpus
-}
-
-func (p *Planner) worthReplacing(offer Offer, best *choice) bool {
-	return p.PricePerCPU(offer.Type, offer.Spot)*replacePrice >= best.price
-}
-
-// scaleIn drains the most expensive machines once the others can carry the work: some at a
-// time, so that what leaves them finds its place.
+// scaleIn drains the most expensive machines once the others can run the work: few at a time,
+// so that tasks that leave them can be placed elsewhere.
 func (p *Planner) scaleIn(demands []*Demand) {
-	most := max(1, int(drainShare*float64(len(p.Machines))))
-	room := max(minHeadroom, loadVariation/math.Sqrt(float64(max(1, len(p.Machines)))))
-	limit := max(1-room, 1-maxHeadroom)
+	left := max(1, int(drainFraction*float64(len(p.Machines))))
 	for _, d := range demands {
-		if d.Representative.Gang {
-			continue
-		}
-		needed := d.Used + d.PendingCPUSeconds/p.targetSeconds()
-		for ; most > 0; most-- {
-			m := p.mostExpensive(d.Representative)
-			if m == nil {
-				break
-			}
-			usable := d.usableCPUs(p.Catalog, m.Offer)
-			if needed >= limit*(d.Capacity-usable) {
-				break
-			}
-			d.Capacity -= usable
-			needed -= m.Used.CPUs()
-			p.drain(m, DrainSurplus)
+		if !d.Representative.Gang {
+			left -= p.scaleInFor(d, left)
 		}
 	}
 }
 
-func (p *Planner) drain(m *Machine, reason DrainReason) {
-	m.State = MachineOther
-	p.plan.Drains = append(p.plan.Drains, Drain{Machine: m.Name, Reason: reason})
-}
-
-// mostExpensive finds the machine to drain first: the one that costs the most, and of equal
-// ones that with the least work.
-func (p *Planner) mostExpensive(job *sched.Job) *Machine {
-	var best *Machine
-	for _, m := range p.Machines {
-		if !p.mayDrain(m, job) {
-			continue
+// scaleInFor drains machines that a demand does not need, at most limit, and returns how many.
+func (p *Planner) scaleInFor(d *Demand, limit int) int {
+	maxLoad := p.maxLoad()
+	needed := d.Used + d.PendingCPUSeconds/p.targetSeconds()
+	drained := 0
+	for drained < limit {
+		m := p.mostExpensive(d.Representative)
+		if m == nil {
+			break
 		}
-		if best == nil || cmp.Or(-p.comparePrices(m, best), cmp.Compare(m.Used.CPU, best.Used.CPU)) < 0 {
-			best = m
+		usable := d.usableCPUs(p.Catalog, m.Offer)
+		if needed >= maxLoad*(d.Capacity-usable) {
+			break
 		}
+		d.Capacity -= usable
+		needed -= m.Used.CPUs()
+		p.drain(m, DrainSurplus)
+		drained++
 	}
-	return best
-}
-
-// mayDrain tells whether a machine that a job could use may be drained: spot machines cost
-// little, and one that is charged for in any case may as well stay.
-func (p *Planner) mayDrain(m *Machine, job *sched.Job) bool {
-	return m.State == MachineReady && !m.Spot && !m.Reserved && m.Age >= minBilledTime-drainBefore &&
-		!p.avoids(job, m.Offer) && p.UsableCPUs(job, m.Offer) > 0
-}
-
-func (p *Planner) comparePrices(a, b *Machine) int {
-	return cmp.Compare(p.PricePerCPU(a.Type, a.Spot), p.PricePerCPU(b.Type, b.Spot))
+	return drained
 }
 
-// drainIdle drains machines that have had nothing to do for a while, but for those that are
-// kept ready for gangs and those that waiting work could use.
-func (p *Planner) drainIdle(demands []*Demand) {
-	ready := p.remainingWarmPool()
-	waiting := map[*Demand]int{} // tasks of gangs that wait
-	for _, d := range demands {
-		waiting[d] = d.pendingTasks()
-	}
-	for _, m := range p.idleMachines() {
-		needed := ready.Claim(m.Offer, m.free()) || p.neededByPendingWork(m, demands, waiting)
-		if !needed && m.IdleFor > p.idleTimeout(m) && m.Age > minBilledTime-idleDrainBefore {
-			p.drain(m, DrainIdle)
-		}
-	}
+// maxLoad returns the fraction of the remaining capacity that may be in use after scale-in.
+func (p *Planner) maxLoad() float64 {
+	machines := float64(max(1, len(p.Machines)))
+	headroom := max(minHeadroom, loadVariation/math.Sqrt(machines))
+	return max(1-headroom, 1-maxHeadroom)
 }
 
-// remainingWarmPool is what idle machines must still be kept ready for: what only finishes short
-// work is ready too.
-func (p *Planner) remainingWarmPool() *WarmPool {
-	ready := NewWarmPool(p.Now, p.Classes, p.SLOs, p.Catalog)
+// mostExpensive returns the machine to drain first: the most expensive one, and of equal ones
+// that with the least processors in use. It returns nil if there is none.
+func (p *Planner) mostExpensive(job *sched.Job) *Machine {
+	var first *Machine
 	for _, m := range p.Machines {
-		if m.State == MachineReady && m.Busy && m.OnlySlack && p.Classes.Scarce(p.Now, m.Type, m.Spot) {
-			ready.Claim(m.Offer, m.free())
+		if p.canDrain(m, job) && (first == nil || p.compareForDrain(m, first) < 0) {
+			first = m
 		}
 	}
-	return ready
+	return first
 }
 
-// idleMachines lists the machines without tasks, the cheapest first: what is kept ready
-// should cost little.
-func (p *Planner) idleMachines() []*Machine {
-	var idle []*Machine
-	for _, m := range p.Machines {
-		if m.State == MachineReady && !m.Busy && m.Claimed && !m.Reserved {
-			idle = append(idle, m)
-		}
-	}
-	slices.SortStableFunc(idle, p.comparePrices)
-	return idle
+// compareForDrain orders machines, the one to drain first first.
+func (p *Planner) compareForDrain(a, b *Machine) int {
+	return cmp.Or(-p.comparePrices(a, b), cmp.Compare(a.Used.CPU, b.Used.CPU))
 }
 
-// idleTimeout is how long a machine may be idle: an ordinary one half as long as a spot machine.
-func (p *Planner) idleTimeout(m *Machine) micros.Micros {
-	if m.Spot {
-		return p.IdleTimeout
+// canDrain reports whether a machine that a job could use may be drained. Spot machines stay,
+// since they cost little, and so does one whose time is billed in any case.
+func (p *Planner) canDrain(m *Machine, job *sched.Job) bool {
+	if m.State != MachineReady || m.Spot || m.Reserved || m.Age < minBilledTime-drainLead {
+		return false
 	}
-	return p.IdleTimeout / 2
+	return !p.avoids(job, m.Offer) && p.usableCPUs(job, m.Offer) > 0
 }
 
-// neededByPendingWork tells that work waits which an idle machine could take: for its record to be
-// written, or for more machines that a gang needs. To return machines and rent others would
-// cost writes and boot times, and make it wait longer.
-func (p *Planner) neededByPendingWork(m *Machine, demands []*Demand, waiting map[*Demand]int) bool {
-	for _, d := range demands {
-		switch {
-		case d.usableCPUs(p.Catalog, m.Offer) == 0:
-		case !d.Representative.Gang:
-			if d.PendingCPUSeconds > 0 && !p.avoids(d.Representative, m.Offer) {
-				return true
-			}
-		case waiting[d] > 0:
-			waiting[d] -= p.tasksOn(d.Representative, m.Size)
-			return true
-		}
-	}
-	return false
+func (p *Planner) comparePrices(a, b *Machine) int {
+	return cmp.Compare(p.PricePerCPU(a.Type, a.Spot), p.PricePerCPU(b.Type, b.Spot))
 }
--- a/internal/autoscaler/slo.go
+++ b/internal/autoscaler/slo.go
@@ -5,53 +5,61 @@
 	"tamarindlead/micros"
 )
 
-// The part of a class's slack that waiting may use up: the rest is for estimates that are off
-// and for machines that boot slowly.
+// Fractions of a class's slack that waiting may use up: the rest is for wrong estimates and
+// for machines that boot slowly.
 const (
-	arrayWaitShare = 0.6
-	gangWaitShare  = 0.7
+	arrayWaitFraction = 0.6
+	gangWaitFraction  = 0.7
 )
 
-// minSlack is what waiting may take at the least, also of an objective that is missed already.
+// minSlack bounds the slack from below, also that of an SLO that cannot be met any more.
 const minSlack = micros.Second
 
-// shortestWaitSLO finds the objective for a class that allows the shortest wait.
-func shortestWaitSLO(objectives []config.SLO, class string) (config.SLO, bool) {
+// shortestWaitSLO returns the SLO of a class that allows the shortest wait.
+func shortestWaitSLO(slos []config.SLO, class string) (config.SLO, bool) {
 	var shortest config.SLO
-	for _, o := range objectives {
-		if o.Kind == config.SLOWaitTime && o.Class == class && (shortest.Threshold == 0 || o.Threshold < shortest.Threshold) {
-			shortest = o
+	for _, slo := range slos {
+		if slo.Kind != config.SLOWaitTime || slo.Class != class {
+			continue
+		}
+		if shortest.Threshold == 0 || slo.Threshold < shortest.Threshold {
+			shortest = slo
 		}
 	}
 	return shortest, shortest.Threshold != 0
 }
 
-// WaitTarget tells how long jobs of a class may wait by their objectives, given the estimate
-// of their run time. A class without objectives may wait for the usual time.
-func WaitTarget(objectives []config.SLO, class string, gang bool, estimate, usual micros.Micros) micros.Micros {
+// WaitTarget returns how long jobs of a class may wait by its SLOs, given the estimate of their
+// run time. A class without SLOs may wait for the default time.
+func WaitTarget(slos []config.SLO, class string, gang bool, estimate, defaultWait micros.Micros) micros.Micros {
 	least := micros.Micros(0)
-	for _, o := range objectives {
-		if o.Class != class {
-			continue
-		}
-		slack := o.Threshold
-		switch o.Kind {
-		case config.SLOWaitTime:
-		case config.SLOCompletionTime:
-			slack -= estimate
-		default:
+	for _, slo := range slos {
+		if slo.Class != class {
 			continue
 		}
-		if slack = max(slack, minSlack); least == 0 || slack < least {
+		slack, ok := waitSlack(slo, estimate)
+		if ok && (least == 0 || slack < least) {
 			least = slack
 		}
 	}
 	if least == 0 {
-		return usual
+		return defaultWait
 	}
-	share := arrayWaitShare
+	fraction := arrayWaitFraction
 	if gang {
-		share = gangWaitShare
+		fraction = gangWaitFraction
+	}
+	return micros.Micros(float64(least) * fraction)
+}
+
+// waitSlack returns the time that an SLO leaves for waiting, if it is of a known kind.
+func waitSlack(slo config.SLO, estimate micros.Micros) (slack micros.Micros, ok bool) {
+	switch slo.Kind {
+	case config.SLOWaitTime:
+		return max(slo.Threshold, minSlack), true
+	case config.SLOCompletionTime:
+		return max(slo.Threshold-estimate, minSlack), true
+	default:
+		return 0, false
 	}
-	return micros.Micros(float64(least) * share)
 }
