--- a/config/platform.go
+++ b/config/platform.go
@@ -23,10 +23,10 @@
 	bytesPerMB = 1e6 // the platform counts memory in decimal megabytes
 )
 
-// upcomingLimits are limits of the key-value store that take effect at some later moment,
+// nextLimits are limits of the key-value store that take effect at some later moment,
 // without notice. Each may be absent. Decoding errors show the names of the type and its
 // fields.
-type upcomingLimits struct {
+type nextLimits struct {
 	RPS      *float64 `toml:"rps"`
 	WriteRPS *float64 `toml:"write_rps"`
 	ValueKB  *float64 `toml:"value_kb"`
@@ -79,7 +79,7 @@
 			WriteRPS float64        `toml:"write_rps"`
 			ValueKB  float64        `toml:"value_kb"`
 			TxnOps   int            `toml:"txn_ops"`
-			Next     upcomingLimits `toml:"next"`
+			Next     nextLimits `toml:"next"`
 		} `toml:"state"`
 		Cloud struct {
 			RPS      float64 `toml:"rps"`
@@ -181,7 +181,7 @@
 // applyUpcomingLimits lowers the present limits to the upcoming ones. They hold from the
 // start, because a record that is written under the larger limits could not be rewritten
 // once the smaller ones are in effect.
-func (c *checker) applyUpcomingLimits(s *Settings, upcoming *upcomingLimits) {
+func (c *checker) applyUpcomingLimits(s *Settings, upcoming *nextLimits) {
 	const table = "params.state.next."
 	s.KVRequestRate = c.lowerRate(table+"rps", s.KVRequestRate, upcoming.RPS)
 	s.KVWriteRate = c.lowerRate(table+"write_rps", s.KVWriteRate, upcoming.WriteRPS)
--- a/controller/cloud_list.go
+++ b/controller/cloud_list.go
@@ -50,7 +50,7 @@
 	})
 }
 
-// applyPage takes one page of the list. A reading that fails is dropped.
+// handleCloudListPage takes one page of the list. A reading that fails is dropped.
 func (o *owner) handleCloudListPage(status wire.Status, body []byte) {
 	l := &o.cloudListing
 	l.nextAt = o.c.now + max(o.c.cfg.CloudListLag, minListInterval)
--- a/controller/dependencies.go
+++ b/controller/dependencies.go
@@ -151,7 +151,7 @@
 	})
 }
 
-// terminalStatesRead answers if a final record decides, and else finds out what is before the active.
+// handleTerminalStatesRead answers if a final record decides, and else finds out what is before the active.
 func (d *dependencyCheck) handleTerminalStatesRead(inactive []string, found map[string]record.TerminalState) {
 	root := ""
 	for _, id := range inactive {
--- a/controller/job_queue.go
+++ b/controller/job_queue.go
@@ -148,7 +148,7 @@
 	return list
 }
 
-// taskCounts tells how many tasks of a job are done and run.
+// countsOf tells how many tasks of a job are done and run.
 func (o *owner) countsOf(id string) (done, running int) {
 	if j := o.jobs[id]; j != nil {
 		return j.completedCount, j.runningTasks
--- a/controller/machine_requests.go
+++ b/controller/machine_requests.go
@@ -22,7 +22,7 @@
 // requestMachines asks the leader for machines for some tasks of a job. With reclaim, owners
 // whose teams are above their guarantees may stop tasks for it.
 func (o *owner) requestMachines(job *sched.Job, tasks int, reclaim bool) {
-	if o.c.cluster.Owners() < 2 || o.c.now < o.nextMachineRequest {
+	if o.c.cluster.OwnerCount() < 2 || o.c.now < o.nextMachineRequest {
 		return
 	}
 	o.nextMachineRequest = o.c.now + machineRequestInterval
--- a/controller/membership.go
+++ b/controller/membership.go
@@ -64,7 +64,7 @@
 
 // updateRateLimits sets this node's part of the state service's limits by who is a member.
 func (c *Core) updateRateLimits() {
-	role := budget.Role{Nodes: len(c.cluster.Members()), Owners: c.cluster.LiveOwners(), OwnsTeams: c.owner != nil}
+	role := budget.Role{Nodes: len(c.cluster.Members()), Owners: c.cluster.LiveOwnerCount(), OwnsTeams: c.owner != nil}
 	if !c.cluster.IsMember(c.cfg.Node) {
 		role.Nodes++
 	}
--- a/controller/owner.go
+++ b/controller/owner.go
@@ -202,7 +202,7 @@
 	}
 }
 
-// slowTickInterval does the slower duties of an active owner.
+// slowTick does the slower duties of an active owner.
 func (o *owner) slowTick() {
 	if o.state != ownerActive {
 		return
--- a/controller/pipelines_test.go
+++ b/controller/pipelines_test.go
@@ -159,7 +159,7 @@
 	w.reportViolation("refused: %s is answered %d although all jobs that it awaits were accepted", id, status)
 }
 
-// checkDependencies holds what a user is told of a job against the jobs that it needs.
+// checkDependencyStatus holds what a user is told of a job against the jobs that it needs.
 func (w *simulation) checkDependencyStatus(id string, status wire.JobPhase) {
 	p := &w.pipelines
 	if len(p.dependencies[id]) == 0 {
--- a/controller/users_test.go
+++ b/controller/users_test.go
@@ -329,7 +329,7 @@
 	return room >= need
 }
 
-// tasksThatFit counts the tasks of a kind for which a worker has room.
+// freeTaskSlots counts the tasks of a kind for which a worker has room.
 func freeTaskSlots(k *fake.Worker, info fake.TaskInfo) int {
 	cpu, mem := k.CPU, k.Mem
 	for name, t := range k.Tasks {
--- a/internal/cluster/view.go
+++ b/internal/cluster/view.go
@@ -92,8 +92,8 @@
 	return kv.Precondition{Key: record.MemberKey(node), Version: v.members[node].Version}
 }
 
-// Owners returns the number of nodes that own teams, members or not; at least 1.
-func (v *View) Owners() int {
+// OwnerCount returns the number of nodes that own teams, members or not; at least 1.
+func (v *View) OwnerCount() int {
 	owners := map[string]bool{}
 	for _, team := range v.teams {
 		owners[team.Owner] = true
@@ -101,8 +101,8 @@
 	return max(1, len(owners))
 }
 
-// LiveOwners returns the number of nodes that own teams and are members.
-func (v *View) LiveOwners() int {
+// LiveOwnerCount returns the number of nodes that own teams and are members.
+func (v *View) LiveOwnerCount() int {
 	owners := map[string]bool{}
 	for _, team := range v.teams {
 		if v.IsLive(team.OwnerID()) {
--- a/internal/cluster/view_test.go
+++ b/internal/cluster/view_test.go
@@ -38,8 +38,8 @@
 		teamEntry("blue", record.Team{Owner: "n2", Incarnation: 5, Predecessors: []record.OwnerID{"n0/1"}}, 8),
 		teamEntry("red", record.Team{Owner: "n1", Incarnation: 4}, 9),
 		teamEntry("gone", record.Team{Owner: "n0"}, 10)) // not configured
-	if view.Owners() != 2 || view.LiveOwners() != 1 {
-		t.Errorf("%d owners, %d live; want 2, 1", view.Owners(), view.LiveOwners())
+	if view.OwnerCount() != 2 || view.LiveOwnerCount() != 1 {
+		t.Errorf("%d owners, %d live; want 2, 1", view.OwnerCount(), view.LiveOwnerCount())
 	}
 	if got := view.FirstOwner(); got != "n1" {
 		t.Errorf("first owner %q; want n1: the owner of blue is no member", got)
@@ -60,8 +60,8 @@
 
 func TestEmptyView(t *testing.T) {
 	view := testView()
-	if view.Owners() != 1 || view.LiveOwners() != 0 || view.FirstOwner() != "" {
-		t.Errorf("%d owners, %d live, first %q", view.Owners(), view.LiveOwners(), view.FirstOwner())
+	if view.OwnerCount() != 1 || view.LiveOwnerCount() != 0 || view.FirstOwner() != "" {
+		t.Errorf("%d owners, %d live, first %q", view.OwnerCount(), view.LiveOwnerCount(), view.FirstOwner())
 	}
 }
 
