--- a/controller/attempt.go
+++ b/controller/attempt.go
@@ -1,7 +1,6 @@
 package controller
 
 import (
-	"tamarindlead/internal/record"
 	"tamarindlead/internal/wire"
 	"tamarindlead/micros"
 )
@@ -67,46 +66,6 @@
 	return a.job.state == jobActive && (!a.job.Gang || a.job.gangState == gangStarting)
 }
 
-// setAttemptState is the one place where an attempt changes its state.
-func (o *owner) setAttemptState(a *attempt, s attemptState) {
-	if a.state == s || a.state == attemptClosed {
-		return
-	}
-	was := a.state
-	a.state = s
-	if o.c.debug {
-		o.c.log.Debug("attempt", "task", a.taskName(), "try", a.number,
-			"machine", a.machine.name, "token", a.machine.fencingToken, "from", was.String(), "to", s.String(), "why", a.reason)
-	}
-	if was == attemptAssumed {
-		o.countAssumed(a.job, -1)
-	}
-	a.setCountedRunning(s == attemptLive && a.countedRunning)
-	if t := o.teams[a.job.Team]; t != nil {
-		switch attemptStopping {
-		case s:
-			t.stopping = t.stopping.Add(a.job.Need)
-		case was:
-			t.stopping = t.stopping.Sub(a.job.Need)
-		}
-	}
-	switch s {
-	case attemptRemoving:
-		o.releaseResources(a)
-		o.markDirty(a.machine)
-	case attemptCompleted:
-		o.releaseResources(a)
-		a.job.setTaskState(a.index, taskDone)
-		if !a.job.Gang { // a gang is done as a whole, which its final record tells
-			a.job.noteFinished(a)
-			o.segmentFor(a.job, a.index/record.TasksPerChunk).markDirty(o.c.now)
-		}
-	case attemptClosed:
-		o.releaseResources(a)
-		o.handleAttemptClosed(a)
-	}
-}
-
 // setCountedRunning notes whether an attempt's task runs.
 func (a *attempt) setCountedRunning(runs bool) {
 	if a.countedRunning == runs {
@@ -119,112 +78,6 @@
 	}
 }
 
-// countAssumed keeps count of attempts that are not recorded yet, and of jobs with such.
-func (o *owner) countAssumed(j *job, by int) {
-	was := j.assumed > 0
-	j.assumed += by
-	o.assumed += by
-	if is := j.assumed > 0; is != was {
-		if is {
-			o.assumedJobs++
-		} else {
-			o.assumedJobs--
-		}
-	}
-}
-
-// releaseResources gives back what an attempt took of its machine and of its team's limit, once it
-// is certain that the task is not there. Its task waits until that is recorded.
-func (o *owner) releaseResources(a *attempt) {
-	if a.resourcesReleased {
-		return
-	}
-	a.resourcesReleased = true
-	a.machine.used = a.machine.used.Sub(a.job.Need)
-	if t := o.teams[a.job.Team]; t != nil {
-		t.used = t.used.Sub(a.job.Need)
-	}
-	o.schedulingNeeded = true
-}
-
-// handleAttemptClosed frees what an attempt took. Its task may be placed again from now on.
-func (o *owner) handleAttemptClosed(a *attempt) {
-	m, j := a.machine, a.job
-	delete(m.attempts, a.key())
-	if len(m.attempts) == 0 {
-		m.idleSince = o.c.now
-		if m.state == machineTransferring {
-			o.markDirty(m)
-		}
-	}
-	if j.attempts[a.index] == a {
-		delete(j.attempts, a.index)
-		if a.index < j.Tasks {
-			j.setTaskState(a.index, taskPending)
-		}
-	}
-	if len(j.attempts) == 0 {
-		j.idleSince = o.c.now
-		o.setGangState(j, gangNone)
-		if j.state == jobEnded {
-			delete(o.jobs, j.ID)
-		}
-	}
-	o.schedulingNeeded = true
-}
-
-// addAttempt gives an attempt its place.
-func (o *owner) addAttempt(j *job, index int, number uint64, m *machine, s attemptState) *attempt {
-	a := &attempt{job: j, index: index, number: number, machine: m, state: s, placedAt: o.c.now}
-	m.attempts[a.key()] = a
-	m.used = m.used.Add(j.Need)
-	m.addCachedImage(j.Image)
-	if t := o.teams[j.Team]; t != nil {
-		t.used = t.used.Add(j.Need)
-	}
-	j.attempts[index] = a
-	if index < j.Tasks {
-		j.setTaskState(index, taskPlaced)
-	}
-	if s == attemptAssumed {
-		o.countAssumed(j, 1)
-	}
-	return a
-}
-
-// stopAttempt ends an attempt, with grace for saving if its machine has it already.
-func (o *owner) stopAttempt(a *attempt, grace micros.Micros, why string) {
-	switch a.state {
-	case attemptAssumed:
-		// Its commit may be under way; if so it is recorded first and leaves then.
-		a.reason = why
-		if !a.machine.block.writing {
-			o.setAttemptState(a, attemptClosed)
-		} else {
-			o.setAttemptState(a, attemptRemoving)
-		}
-	case attemptRecorded:
-		a.reason = why
-		o.setAttemptState(a, attemptRemoving)
-	case attemptStarting, attemptLive:
-		a.reason, a.gracePeriod = why, grace
-		o.setAttemptState(a, attemptStopping)
-		o.queueDispatch(a.machine)
-	case attemptStopping:
-		a.gracePeriod = min(a.gracePeriod, grace)
-	}
-}
-
-// stopJob ends everything that a job has on machines.
-func (o *owner) stopJob(j *job, grace micros.Micros, why string) {
-	if j.gangState != gangNone {
-		o.setGangState(j, gangStopping)
-	}
-	for _, a := range j.sortedAttempts() {
-		o.stopAttempt(a, grace, why)
-	}
-}
-
 // sortedAttempts lists the job's attempts in the order of their tasks.
 func (j *job) sortedAttempts() []*attempt {
 	list := make([]*attempt, 0, len(j.attempts))
--- a/controller/autoscaling.go
+++ b/controller/autoscaling.go
@@ -32,11 +32,6 @@
 	return autoscaler.Market{Catalog: o.c.catalog(), Now: o.c.now, UnavailableUntil: o.refusedOffers, Partitioned: o.partitionedSince}
 }
 
-// offer is what the cloud rented a machine as.
-func (m *machine) offer() autoscaler.Offer {
-	return autoscaler.Offer{Type: m.machineType, Zone: m.zone, Spot: m.spot}
-}
-
 // isScarce tells that some recent class of jobs fits no other type than the machine's.
 func (o *owner) isScarce(m *machine) bool { return o.classes.Scarce(o.c.now, m.machineType, m.spot) }
 
--- a/controller/block_split.go
+++ b/controller/block_split.go
@@ -76,7 +76,7 @@
 		target.add(m)
 		m.dirty = true
 		if target != b {
-			o.markBlockDirty(target)
+			target.markDirty(o.c.now)
 		}
 	}
 	o.c.log.Info("block split", "block", b.name, "bytes", size, "machines", len(all), "kept", len(b.machines), "parts", made)
@@ -90,12 +90,3 @@
 	b.unwrittenTargets++
 	return part
 }
-
-// estimatedBytes estimates what all entries take.
-func (b *block) estimatedBytes() float64 {
-	sum := 0.0
-	for _, m := range b.machines {
-		sum += b.entryBytes(m)
-	}
-	return sum
-}
--- a/controller/block_write.go
+++ b/controller/block_write.go
@@ -256,7 +256,7 @@
 	}
 	for _, source := range w.sources {
 		source.unwrittenTargets--
-		w.owner.markBlockDirty(source) // if it is empty now, its record is deleted
+		source.markDirty(w.owner.c.now) // if it is empty now, its record is deleted
 	}
 	w.advanceMachines(revision)
 	w.markChanged()
@@ -266,7 +266,7 @@
 // rollBack marks everything dirty again.
 func (w *blockWrite) rollBack() {
 	b := w.block
-	w.owner.markBlockDirty(b)
+	b.markDirty(w.owner.c.now)
 	b.sources = append(b.sources, w.sources...)
 	for _, m := range b.machines {
 		m.dirty = true
@@ -295,7 +295,7 @@
 		o.handleAttemptRecorded(a)
 	}
 	for _, m := range w.terminated {
-		o.removeMachine(m)
+		o.forgetMachine(m)
 	}
 	for _, m := range w.transferred {
 		o.completeTransfer(m)
@@ -307,25 +307,7 @@
 	for _, m := range w.block.machines {
 		m.dirty = m.dirty || m.needsWrite()
 		if m.dirty {
-			w.owner.markBlockDirty(w.block)
+			w.block.markDirty(w.owner.c.now)
 		}
 	}
 }
-
-// needsWrite tells whether a machine's state or an attempt on it waits for the record.
-func (m *machine) needsWrite() bool {
-	for _, a := range m.attempts {
-		if a.state == attemptAssumed || a.state == attemptRemoving {
-			return true
-		}
-	}
-	switch m.state {
-	case machineDecommissioning, machineTerminated:
-		return true
-	case machineTransferring:
-		if len(m.attempts) == 0 {
-			return true
-		}
-	}
-	return m.isUnclaimed() || m.fencing == fencingNeeded
-}
--- a/controller/blocks_test.go
+++ b/controller/blocks_test.go
@@ -126,7 +126,7 @@
 	}
 	from := o.newBlock(transferPrefix + "m-900000")
 	from.version = 7
-	m := o.newMachineInBlock(from, machineInfo{name: "m-900000", machineType: "mid", zone: o.c.cfg.Zones[0], endpoint: "worker"})
+	m := o.addMachine(from, machineInfo{name: "m-900000", machineType: "mid", zone: o.c.cfg.Zones[0], endpoint: "worker"})
 	m.fencingToken, m.recorded, m.state = 7, true, machineReady
 	write := func() []string {
 		tx := &transaction{preconditions: map[string]uint64{}}
--- a/controller/commands.go
+++ b/controller/commands.go
@@ -87,16 +87,6 @@
 	return wire.Command{Verb: wire.VerbStop, Task: task, Attempt: attempt, GraceS: &seconds}
 }
 
-// hasPendingStarts tells whether attempts on the machine wait for their start command.
-func (m *machine) hasPendingStarts() bool {
-	for _, a := range m.attempts {
-		if a.state == attemptRecorded && (!a.job.Gang || a.job.gangState == gangStarting) {
-			return true
-		}
-	}
-	return false
-}
-
 // queueDispatch has the next dispatchQueuedMachines look for commands for a machine.
 func (o *owner) queueDispatch(m *machine) {
 	m.dispatchNeeded = true
--- a/controller/commits.go
+++ b/controller/commits.go
@@ -217,7 +217,7 @@
 // another owner's, or ours if it was given to us.
 func (o *owner) dropOwnedElsewhere(m *machine, block string) {
 	o.ownedElsewhere[m.name] = o.c.now + ownedElsewhereRetention
-	o.removeMachine(m)
+	o.forgetMachine(m)
 	o.receiveTransfer(block)
 }
 
--- a/controller/gangs.go
+++ b/controller/gangs.go
@@ -56,11 +56,6 @@
 // dependsOnMachineType tells that a class of jobs fits one machine type only.
 func (o *owner) dependsOnMachineType(j *job) bool { return o.classes.SingleType(j.Class) }
 
-// slack is what is left of a machine once it is full of tasks of that size.
-func (m *machine) slack(need sched.Resources) sched.Resources {
-	return m.size.Sub(need.Times(need.Count(m.size, maxEntryTasks)))
-}
-
 // hasNoDependentTasks tells that no job which depends on the machine's type has tasks on it.
 func (o *owner) hasNoDependentTasks(m *machine) bool {
 	for _, a := range m.attempts {
--- a/controller/job.go
+++ b/controller/job.go
@@ -146,18 +146,23 @@
 	}
 }
 
-// setJobState is the one place where a job changes its state.
-func (o *owner) setJobState(j *job, s jobState) {
-	if j.state != s {
-		o.c.log.Debug("job", "job", j.ID, "from", j.state.String(), "to", s.String())
-		j.state = s
-	}
+// chunkBytes bounds what a chunk takes in its shard.
+func (j *job) chunkBytes(chunk int) int { return record.ChunkSize(j.ID, j.Tasks, chunk) }
+
+// noteFinished remembers that an attempt's completion must be recorded.
+func (j *job) noteFinished(a *attempt) {
+	chunk := a.index / record.TasksPerChunk
+	j.unrecordedCompletions[chunk] = append(j.unrecordedCompletions[chunk], a)
 }
 
-// setGangState is the one place where a gang's attempt changes its state.
-func (o *owner) setGangState(j *job, s gangState) {
-	if j.gangState != s {
-		o.c.log.Debug("gang", "job", j.ID, "from", j.gangState.String(), "to", s.String())
-		j.gangState = s
+// tasksByZone counts a job's tasks by zone, if its place depends on that.
+func (j *job) tasksByZone() map[string]int {
+	in := map[string]int{}
+	if !j.OneZone && !j.Spread {
+		return in
+	}
+	for _, a := range j.attempts {
+		in[a.machine.zone]++
 	}
+	return in
 }
--- a/controller/job_queue.go
+++ b/controller/job_queue.go
@@ -1,7 +1,6 @@
 package controller
 
 import (
-	"cmp"
 	"slices"
 	"strings"
 
@@ -51,17 +50,6 @@
 	o.schedulingNeeded = true
 }
 
-// queueJob puts a job at its place in the queue.
-func (o *owner) queueJob(j *job) {
-	i, _ := slices.BinarySearchFunc(o.queue, j, compareQueueOrder)
-	o.queue = slices.Insert(o.queue, i, j)
-}
-
-// compareQueueOrder compares jobs in the queue: higher priority first, then who came, or was ready, first.
-func compareQueueOrder(a, b *job) int {
-	return cmp.Or(-cmp.Compare(a.Priority, b.Priority), cmp.Compare(a.readyAt, b.readyAt), cmp.Compare(a.ID, b.ID))
-}
-
 // watchJobs follows jobs that are accepted, and those that are over.
 func (o *owner) watchJobs(after uint64) {
 	c := o.c
--- a/controller/machine.go
+++ b/controller/machine.go
@@ -5,6 +5,7 @@
 	"maps"
 	"slices"
 
+	"tamarindlead/internal/autoscaler"
 	"tamarindlead/internal/record"
 	"tamarindlead/internal/wire"
 	"tamarindlead/micros"
@@ -129,37 +130,6 @@
 	}
 }
 
-// setMachineState is the one place where a machine changes its state.
-func (o *owner) setMachineState(m *machine, s machineState, why string) {
-	if m.state == s {
-		return
-	}
-	o.c.log.Info("machine", "machine", m.name, "type", m.machineType, "zone", m.zone, "spot", m.spot,
-		"from", m.state.String(), "to", s.String(), "why", why)
-	m.state = s
-	switch s {
-	case machineReady:
-		m.idleSince, m.tokenConfirmedAt = o.c.now, max(m.tokenConfirmedAt, o.c.now)
-		o.schedulingNeeded = true
-	case machineTerminating:
-		o.terminationNeeded = true
-	case machineTransferring, machineDecommissioning, machineTerminated:
-		o.markDirty(m)
-	}
-}
-
-// setFencingState is the one place where a machine's fence changes its state.
-func (o *owner) setFencingState(m *machine, s fencingState) {
-	if m.fencing == s {
-		return
-	}
-	o.c.log.Debug("fence", "machine", m.name, "from", m.fencing.String(), "to", s.String())
-	m.fencing = s
-	if s == fencingNeeded {
-		o.markDirty(m)
-	}
-}
-
 // sortedAttempts lists the machine's attempts by job and task.
 func (m *machine) sortedAttempts() []*attempt {
 	list := slices.Collect(maps.Values(m.attempts))
@@ -178,22 +148,95 @@
 	return list
 }
 
-// removeMachine drops a machine whose record is gone; its tasks may run elsewhere now.
-func (o *owner) removeMachine(m *machine) {
-	o.unregisterMachine(m)
-	if m.pendingRequest != 0 {
-		o.c.refuse(m.pendingRequest, wire.StatusUnavailable, "machine was returned")
-		m.pendingRequest = 0
+// isUnclaimed tells that the machine has no token yet, nor waits for verify.
+func (m *machine) isUnclaimed() bool { return m.fencingToken == 0 && !m.verifying }
+
+// needsWrite tells whether a machine's state or an attempt on it waits for the record.
+func (m *machine) needsWrite() bool {
+	for _, a := range m.attempts {
+		if a.state == attemptAssumed || a.state == attemptRemoving {
+			return true
+		}
 	}
-	for _, a := range m.sortedAttempts() {
-		j := a.job
-		a.reason = "machine is gone"
-		if a.state != attemptCompleted || j.state == jobEnded {
-			o.setAttemptState(a, attemptClosed)
+	switch m.state {
+	case machineDecommissioning, machineTerminated:
+		return true
+	case machineTransferring:
+		if len(m.attempts) == 0 {
+			return true
+		}
+	}
+	return m.isUnclaimed() || m.fencing == fencingNeeded
+}
+
+// offer is what the cloud rented a machine as.
+func (m *machine) offer() autoscaler.Offer {
+	return autoscaler.Offer{Type: m.machineType, Zone: m.zone, Spot: m.spot}
+}
+
+// hasPendingStarts tells whether attempts on the machine wait for their start command.
+func (m *machine) hasPendingStarts() bool {
+	for _, a := range m.attempts {
+		if a.state == attemptRecorded && (!a.job.Gang || a.job.gangState == gangStarting) {
+			return true
 		}
-		if j.Gang && j.state == jobActive && len(j.attempts) > 0 && j.gangState != gangStopping {
-			o.stopJob(j, 0, "gang lost a machine")
+	}
+	return false
+}
+
+// expectsHeartbeat tells that a machine is up as far as is known. Nothing can be concluded from the
+// silence of one that still boots, but after a takeover one with tasks was up.
+func (m *machine) expectsHeartbeat() bool {
+	switch {
+	case m.state >= machineDecommissioning:
+		return false
+	case m.state == machineBooting:
+		return m.recovered && len(m.attempts) > 0
+	}
+	return true
+}
+
+// urgency is what the machine's own state adds to the urgency of its block.
+func (m *machine) urgency() int {
+	switch {
+	case m.isUnclaimed():
+		return claimWeight
+	case m.fencing == fencingNeeded:
+		return fencingWeight
+	case m.state == machineDecommissioning || m.state == machineTerminated:
+		return machineWeight
+	}
+	return 0
+}
+
+// attemptsUrgency is what the attempts on a machine add to the urgency of its block.
+func (m *machine) attemptsUrgency() int {
+	n := 0
+	for _, a := range m.attempts {
+		switch {
+		case a.state != attemptAssumed && a.state != attemptRemoving:
+		case a.job.Gang:
+			n += gangWeight
+		default:
+			n++
 		}
 	}
-	o.schedulingNeeded = true
+	return n
+}
+
+// slack is what is left of a machine once it is full of tasks of that size.
+func (m *machine) slack(need sched.Resources) sched.Resources {
+	return m.size.Sub(need.Times(need.Count(m.size, maxEntryTasks)))
+}
+
+// machineInfo is what a machine is: that never changes, but for the endpoint, which is "" until
+// the machine has reported.
+type machineInfo struct {
+	name        string
+	machineType string
+	zone        string
+	spot        bool
+	endpoint    string
 }
+
+func compareMachineName(m *machine, name string) int { return cmp.Compare(m.name, name) }
--- a/controller/machine_claims.go
+++ b/controller/machine_claims.go
@@ -24,12 +24,6 @@
 // ownsAllTeams tells that this node owns all teams: then no other owner's record can come up.
 func (o *owner) ownsAllTeams() bool { return len(o.teams) == len(o.c.cfg.Teams) }
 
-// isUnclaimed tells that the machine has no token yet, nor waits for verify.
-func (m *machine) isUnclaimed() bool { return m.fencingToken == 0 && !m.verifying }
-
-// hasUnclaimed tells whether the block has machines that must be claimed.
-func (b *block) hasUnclaimed() bool { return slices.ContainsFunc(b.machines, (*machine).isUnclaimed) }
-
 // handleClaimed takes the revision of a commit as a machine's token.
 func (o *owner) handleClaimed(m *machine, revision uint64) {
 	m.fencingToken, m.tokenConfirmed = revision, false
--- a/controller/machine_transfers.go
+++ b/controller/machine_transfers.go
@@ -117,7 +117,7 @@
 // completeTransfer drops a machine whose new owner is recorded, and tells that owner.
 func (o *owner) completeTransfer(m *machine) {
 	o.ownedElsewhere[m.name] = o.c.now + ownedElsewhereRetention
-	o.removeMachine(m)
+	o.forgetMachine(m)
 	if p := o.c.peers[m.transferTo.Node()]; p != nil {
 		given := &peer.Given{Block: transferBlockName(m)}
 		o.c.sendPeerMessage(p, &peer.Message{Body: &peer.Message_Given{Given: given}})
--- a/controller/owner.go
+++ b/controller/owner.go
@@ -4,14 +4,12 @@
 	"maps"
 	"slices"
 
-	"tamarindlead/config"
 	"tamarindlead/internal/autoscaler"
 	"tamarindlead/internal/cluster"
 	"tamarindlead/internal/kv"
 	"tamarindlead/internal/record"
 	"tamarindlead/internal/wire"
 	"tamarindlead/micros"
-	"tamarindlead/sched"
 )
 
 // ownerState is the state machine of owning teams and machines.
@@ -32,12 +30,9 @@
 	activeSince    micros.Micros // when it became active; before that, when it was made
 	readingRecords bool          // the records are being read
 	retryAt        micros.Micros // a read or watch that failed is tried again then
-	teams          map[string]*team
+	*Inventory
 
 	// Jobs.
-	jobs        map[string]*job
-	queue       []*job          // active jobs in the order in which they are placed
-	blockedJobs map[string]*job // those that wait for others, which are not among the jobs
 	// cascadedCancellations are waiting jobs that are cancelled with one before them, to be recorded.
 	cascadedCancellations []string
 	// unresolvedJobs are jobs that records name, of which it is not known how they ended.
@@ -53,8 +48,6 @@
 	cancellationsKnownUntil micros.Micros
 
 	// Machines.
-	machines           map[string]*machine
-	sortedMachines     []*machine // the same in the order of their names
 	cloudListing       cloudList
 	scaleOutRequests   map[string]*scaleOutRequest
 	refusedOffers      map[autoscaler.Offer]micros.Micros // not asked for until then
@@ -62,7 +55,6 @@
 	ownedElsewhere     map[string]micros.Micros           // machines that another owns, though no peer says so yet
 	unclaimedSince     map[string]micros.Micros           // listed machines that nobody claims, since when
 	partitionedSince   map[string]micros.Micros           // zones that are cut off, since when
-	terminationNeeded  bool                               // machines are to be returned to the cloud
 	terminating        bool                               // a request for that is under way
 	nextTermination    micros.Micros
 	nextAutoscaling    micros.Micros
@@ -78,10 +70,7 @@
 	commandsInFlight int // direct commands and questions to machines under way
 
 	// Scheduling passes, and the attempts that they have proposed.
-	schedulingNeeded   bool
 	nextSchedulingPass micros.Micros
-	assumed            int // attempts that are not recorded yet
-	assumedJobs        int // jobs with such
 
 	// Commits.
 	blocks             []*block
@@ -94,22 +83,10 @@
 	partsSweepCursor   string        // the last key that was looked at
 }
 
-// team is a team that this node owns.
-type team struct {
-	record   cluster.Team
-	used     sched.Resources
-	stopping sched.Resources // the part of it that is being stopped
-	config.Team
-}
-
 // newOwner returns an owner of teams that has read no records yet.
 func newOwner(c *Core, teams map[string]cluster.Team) *owner {
 	o := &owner{
 		c: c, activeSince: c.now, lastHeartbeat: c.now,
-		teams:              map[string]*team{},
-		machines:           map[string]*machine{},
-		jobs:               map[string]*job{},
-		blockedJobs:        map[string]*job{},
 		scaleOutRequests:   map[string]*scaleOutRequest{},
 		reservations:       map[string]*reservation{},
 		recentlyTerminated: map[string]micros.Micros{},
@@ -119,6 +96,7 @@
 		ownedElsewhere:     map[string]micros.Micros{},
 		unclaimedSince:     map[string]micros.Micros{},
 	}
+	o.Inventory = NewInventory(inventoryHost{o}, c.log)
 	for _, t := range c.cfg.Teams {
 		if v, ok := teams[t.Name]; ok {
 			o.teams[t.Name] = &team{record: v, Team: t}
@@ -258,18 +236,6 @@
 	return max(minAllUnresponsiveTimeout, o.c.cfg.HeartbeatInterval*5/4)
 }
 
-// expectsHeartbeat tells that a machine is up as far as is known. Nothing can be concluded from the
-// silence of one that still boots, but after a takeover one with tasks was up.
-func (m *machine) expectsHeartbeat() bool {
-	switch {
-	case m.state >= machineDecommissioning:
-		return false
-	case m.state == machineBooting:
-		return m.recovered && len(m.attempts) > 0
-	}
-	return true
-}
-
 // preconditions builds a list of guards that always holds this node's own record: an owner
 // that has lost it can change nothing.
 func (o *owner) preconditions(more map[string]uint64) []kv.Precondition {
--- a/controller/recovery.go
+++ b/controller/recovery.go
@@ -4,7 +4,6 @@
 	"tamarindlead/internal/kv"
 	"tamarindlead/internal/record"
 	"tamarindlead/micros"
-	"tamarindlead/sched"
 )
 
 // readRetryDelay is the pause before records are read again, after a request that failed.
@@ -30,18 +29,11 @@
 
 // reset forgets what was read or decided before.
 func (o *owner) reset() {
-	clear(o.jobs)
-	clear(o.blockedJobs)
+	o.Inventory.reset()
 	o.jobsListed, o.cascadedCancellations = false, nil
-	clear(o.machines)
-	o.sortedMachines, o.blocks, o.completionSegments, o.dispatchQueue, o.unresolvedJobs = nil, nil, nil, nil, nil
-	o.assumed, o.assumedJobs = 0, 0
+	o.blocks, o.completionSegments, o.dispatchQueue, o.unresolvedJobs = nil, nil, nil, nil
 	clear(o.scaleOutRequests)
 	clear(o.reservations)
-	for _, t := range o.teams {
-		t.used, t.stopping = sched.Resources{}, sched.Resources{}
-	}
-	o.queue = nil
 }
 
 // list reads the records with a prefix.
--- a/controller/recovery_machines.go
+++ b/controller/recovery_machines.go
@@ -45,7 +45,7 @@
 	for i := range data.Machines {
 		o.recoverMachine(b, data, &data.Machines[i])
 	}
-	o.markBlockDirty(b)
+	b.markDirty(o.c.now)
 	return nil
 }
 
@@ -55,7 +55,7 @@
 		return // it is in a newer block
 	}
 	kind := data.MachineTypes[entry.MachineType]
-	m := o.newMachineInBlock(b, machineInfo{
+	m := o.addMachine(b, machineInfo{
 		name: entry.Name, machineType: kind.Type, zone: kind.Zone, spot: kind.Spot, endpoint: entry.Endpoint,
 	})
 	m.provisionedAt = micros.Micros(entry.LaunchedAt + data.LaunchTimeBase)
--- a/controller/scheduling.go
+++ b/controller/scheduling.go
@@ -260,18 +260,6 @@
 	return j.Need.Count(free, j.pending)
 }
 
-// tasksByZone counts a job's tasks by zone, if its place depends on that.
-func (j *job) tasksByZone() map[string]int {
-	in := map[string]int{}
-	if !j.OneZone && !j.Spread {
-		return in
-	}
-	for _, a := range j.attempts {
-		in[a.machine.zone]++
-	}
-	return in
-}
-
 // reserveSoonestFree keeps the machine that will have room for a waiting gang the soonest free
 // of jobs that come after it; without that, small tasks would fill every gap first.
 func (o *owner) reserveSoonestFree(j *job, view []*sched.Machine) []*sched.Machine {
--- a/controller/write_priority.go
+++ b/controller/write_priority.go
@@ -84,34 +84,6 @@
 	return n
 }
 
-// urgency is what the machine's own state adds to the urgency of its block.
-func (m *machine) urgency() int {
-	switch {
-	case m.isUnclaimed():
-		return claimWeight
-	case m.fencing == fencingNeeded:
-		return fencingWeight
-	case m.state == machineDecommissioning || m.state == machineTerminated:
-		return machineWeight
-	}
-	return 0
-}
-
-// attemptsUrgency is what the attempts on a machine add to the urgency of its block.
-func (m *machine) attemptsUrgency() int {
-	n := 0
-	for _, a := range m.attempts {
-		switch {
-		case a.state != attemptAssumed && a.state != attemptRemoving:
-		case a.job.Gang:
-			n += gangWeight
-		default:
-			n++
-		}
-	}
-	return n
-}
-
 // segmentUrgency orders shards among blocks. A completion waits at no cost: its room is free,
 // and its machine goes on reporting it. Many teams have as many shards, all of which change
 // with every second; written first, they would take all writes from placements.
