--- a/internal/kv/list.go
+++ b/internal/kv/list.go
@@ -4,7 +4,7 @@
 	"tamarindlead/internal/budget"
 )
 
-// listing is a listing of all keys with a prefix, under way.
+// listing is a ListAll call in progress.
 type listing struct {
 	client   *Client
 	prefix   string
@@ -13,27 +13,27 @@
 	done     func(ok bool, entries []Entry, revision uint64)
 }
 
-// ListAll reads all keys with a prefix, page by page, and passes on the revision of the first
-// page: a watch from there misses nothing.
+// ListAll reads all keys with a prefix, page by page. It passes the revision of the first page
+// to done, so that a watch from there misses no change.
 func (c *Client) ListAll(prefix string, done func(ok bool, entries []Entry, revision uint64)) {
 	l := &listing{client: c, prefix: prefix, done: done}
 	l.readPage("")
 }
 
 func (l *listing) readPage(after string) {
-	l.client.doWithTimeout(budget.Ownership, List(l.prefix, after), listTimeout, func(reply Result) {
-		if reply.Outcome == Throttled {
-			// To start over would use up the budget again before the end is reached.
+	l.client.doWithTimeout(budget.Ownership, List(l.prefix, after), listTimeout, func(result Result) {
+		if result.Outcome == Throttled {
+			// Starting over would exhaust the budget again before the last page.
 			l.client.host.After(ThrottledPause, func() { l.readPage(after) })
 			return
 		}
-		l.handlePage(reply)
+		l.handlePage(result)
 	})
 }
 
-func (l *listing) handlePage(reply Result) {
+func (l *listing) handlePage(result Result) {
 	var page Page
-	if reply.Outcome != OK || !reply.Decode(&page) {
+	if result.Outcome != OK || !result.Decode(&page) {
 		l.done(false, nil, 0)
 		return
 	}
--- /dev/null
+++ b/internal/kv/result.go
@@ -0,0 +1,93 @@
+package kv
+
+import (
+	"fmt"
+	"net/http"
+
+	"tamarindlead/internal/wire"
+)
+
+// Outcome classifies how a call to the key-value store ended.
+type Outcome int
+
+// The outcomes of a call.
+const (
+	OK                 Outcome = iota
+	NotFound                   // the key or lease does not exist
+	PreconditionFailed         // a precondition of a transaction did not hold
+	Compacted                  // the revision is too old to watch from
+	Throttled                  // over the store's rate limit or this node's budget: not executed
+	Refused                    // refused, or never sent: not executed
+	Unknown                    // no response: executed, not executed, or yet to be executed
+	InvalidRequest             // the store rejects the request as malformed
+)
+
+// String returns the outcome's name for logs and tests.
+func (o Outcome) String() string {
+	switch o {
+	case OK:
+		return "ok"
+	case NotFound:
+		return "not found"
+	case PreconditionFailed:
+		return "precondition failed"
+	case Compacted:
+		return "compacted"
+	case Throttled:
+		return "throttled"
+	case Refused:
+		return "refused"
+	case Unknown:
+		return "unknown"
+	case InvalidRequest:
+		return "invalid request"
+	}
+	return fmt.Sprintf("Outcome(%d)", int(o))
+}
+
+// Result is the end of a call. Body is the store's response, if there was one.
+type Result struct {
+	Outcome Outcome
+	Body    []byte
+}
+
+// Decode decodes the body into v, and reports whether that succeeded.
+func (r Result) Decode(v any) bool { return wire.Decode(r.Body, v) == nil }
+
+// Response is what the network returned for a request.
+type Response struct {
+	Status int // of HTTP; 0 if no response came
+	Body   []byte
+	Sent   bool // for status 0: the request may have reached the store
+}
+
+// answered reports whether the store itself responded. Status 503 doesn't count, as an
+// overloaded intermediary sends it too.
+func (r Response) answered() bool {
+	return r.Status != 0 && r.Status != http.StatusServiceUnavailable
+}
+
+func (r Response) result() Result { return Result{r.outcome(), r.Body} }
+
+func (r Response) outcome() Outcome {
+	switch r.Status {
+	case http.StatusOK:
+		return OK
+	case http.StatusNotFound:
+		return NotFound
+	case http.StatusConflict:
+		return PreconditionFailed
+	case http.StatusGone:
+		return Compacted
+	case http.StatusTooManyRequests:
+		return Throttled
+	case http.StatusServiceUnavailable:
+		return Refused
+	case 0:
+		if !r.Sent {
+			return Refused
+		}
+		return Unknown
+	}
+	return InvalidRequest
+}
--- a/internal/kv/route.go
+++ b/internal/kv/route.go
@@ -2,34 +2,62 @@
 
 import "tamarindlead/micros"
 
-// DirectlyConnected tells whether the state service serves this node itself.
+// route is the path that a node's calls take to the store.
+type route int
+
+const (
+	routeDirect route = iota
+	routePeer
+)
+
+// Thresholds for leaving the direct route and returning to it.
+const (
+	maxDirectFailures    = 2                        // consecutive failures before the route is left
+	directFailureTimeout = 500 * micros.Millisecond // time without a success before it is left
+	probeInterval        = micros.Second            // time between probes of the direct route
+)
+
+// DirectlyConnected reports whether the store serves this node by the direct route.
 func (c *Client) DirectlyConnected() bool {
-	return c.route == routeDirect && c.failures < maxDirectFailures
+	return c.route == routeDirect && c.directFailures < maxDirectFailures
 }
 
-// UsesPeerRoute tells whether calls go through a peer now.
-func (c *Client) UsesPeerRoute() bool { return c.route == routePeer && c.host.ConnectedPeer() != "" }
+// UsesPeerRoute reports whether calls go through a peer now.
+func (c *Client) UsesPeerRoute() bool { return c.relayPeer() != "" }
 
-// Unavailable tells that the state service answers neither this node nor a peer that could relay.
-// Users are then refused at once. Renewals of the node's lease go on and show when it answers
-// again.
+// relayPeer returns the peer that calls go through now, or "" for the direct route.
+func (c *Client) relayPeer() string {
+	if c.route != routePeer {
+		return ""
+	}
+	return c.host.ConnectedPeer()
+}
+
+// Unavailable reports whether the store serves neither this node nor a peer that could relay.
+// Users are refused at once then. Renewals of the node's lease continue and detect when the
+// store responds again.
 func (c *Client) Unavailable() bool {
-	return c.failures >= 2*maxDirectFailures && c.sinceSuccess() >= 2*directFailureTimeout && c.host.ConnectedPeer() == ""
+	return c.directFailures >= 2*maxDirectFailures && c.sinceSuccess() >= 2*directFailureTimeout && c.host.ConnectedPeer() == ""
 }
 
-// LastSuccess is when the state service last answered this node itself.
+// LastSuccess returns the time at which the store last responded by the direct route.
 func (c *Client) LastSuccess() micros.Micros { return c.lastSuccess }
 
 func (c *Client) sinceSuccess() micros.Micros { return c.host.Now() - c.lastSuccess }
 
-// Tick leaves the direct route when it does not work, and tries to return to it.
+// Tick leaves the direct route if it fails, and probes it while it is left.
 func (c *Client) Tick() {
-	if c.route == routeDirect {
-		if c.failures >= maxDirectFailures && c.sinceSuccess() >= directFailureTimeout && c.host.ConnectedPeer() != "" {
+	switch c.route {
+	case routeDirect:
+		if c.directFailures >= maxDirectFailures && c.sinceSuccess() >= directFailureTimeout && c.host.ConnectedPeer() != "" {
 			c.setRoute(routePeer)
 		}
-		return
+	case routePeer:
+		c.probeDirectRoute()
 	}
+}
+
+func (c *Client) probeDirectRoute() {
 	now := c.host.Now()
 	if c.probing || now < c.nextProbe {
 		return
@@ -41,13 +69,14 @@
 	})
 }
 
-// recordDirectResponse notes the end of a call by the direct route.
+// recordDirectResponse records the end of a call by the direct route. Any response of the store
+// returns the client to that route.
 func (c *Client) recordDirectResponse(r Response) {
 	if !r.answered() {
-		c.failures++
+		c.directFailures++
 		return
 	}
-	c.failures, c.lastSuccess = 0, c.host.Now()
+	c.directFailures, c.lastSuccess = 0, c.host.Now()
 	c.setRoute(routeDirect)
 }
 
@@ -56,5 +85,5 @@
 		return
 	}
 	c.route = r
-	c.log.Info("route to the state service", "through_peer", r == routePeer)
+	c.log.Info("route to the key-value store changed", "via_peer", r == routePeer)
 }
