--- a/internal/record/cluster.go
+++ b/internal/record/cluster.go
@@ -1,8 +1,8 @@
 package record
 
-// Member announces a node that runs. It is attached to the node's lease.
+// Member registers a running node. It is attached to the node's lease.
 type Member struct {
-	Incarnation uint64 `cbor:"i"` // tells incarnations of one node apart
+	Incarnation uint64 `cbor:"i"` // distinguishes the runs of one node
 }
 
 // Leader names the leader. It is attached to the leader's lease.
@@ -11,13 +11,13 @@
 	Incarnation uint64 `cbor:"i"`
 }
 
-// Team names a team's owner, and the earlier owners whose machines it takes over.
+// Team names a team's owner, and the previous owners whose machines it recovers.
 type Team struct {
 	Owner        string    `cbor:"o"` // node
 	Incarnation  uint64    `cbor:"i"` // of the owner
 	Term         uint64    `cbor:"e"` // of the leader that assigned the team
-	Predecessors []OwnerID `cbor:"h"` // the earlier owners, the latest last
+	Predecessors []OwnerID `cbor:"h"` // the previous owners, the latest last
 }
 
-// OwnerID names the incarnation of the node that owns the team.
+// OwnerID returns the ID of the incarnation that owns the team.
 func (t Team) OwnerID() OwnerID { return NewOwnerID(t.Owner, t.Incarnation) }
--- a/internal/record/compress.go
+++ b/internal/record/compress.go
@@ -7,7 +7,7 @@
 	"sync"
 )
 
-// compressors are reused, since each takes much memory to make.
+// compressors holds idle writers, since a writer is expensive to allocate.
 var compressors = sync.Pool{New: func() any {
 	w, err := flate.NewWriter(nil, flate.BestSpeed)
 	if err != nil {
@@ -16,22 +16,23 @@
 	return w
 }}
 
-// maxDecompressedBytes bounds what a value may become, in bytes: a damaged one must not fill the
-// memory.
+// maxDecompressedBytes bounds the size of decompressed data, so that a damaged value cannot
+// exhaust the memory.
 const maxDecompressedBytes = 4 << 20
 
-// Compress returns data in deflate form.
+// Compress returns data compressed with deflate.
 func Compress(data []byte) []byte {
 	var out bytes.Buffer
 	w := compressors.Get().(*flate.Writer)
 	defer compressors.Put(w)
 	w.Reset(&out)
-	w.Write(data) // a buffer takes all
-	w.Close()
+	// A flate.Writer returns only the errors of the writer below it, and a buffer has none.
+	_, _ = w.Write(data)
+	_ = w.Close()
 	return out.Bytes()
 }
 
-// Decompress is the inverse of Compress. What exceeds 4 MiB is cut off.
+// Decompress is the inverse of Compress. It truncates the result to 4 MiB.
 func Decompress(data []byte) ([]byte, error) {
 	r := flate.NewReader(bytes.NewReader(data))
 	return io.ReadAll(io.LimitReader(r, maxDecompressedBytes))
--- a/internal/record/owner.go
+++ b/internal/record/owner.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// OwnerID names one incarnation of a node as an owner of teams and machines.
+// OwnerID identifies one incarnation of a node as an owner of teams and machines.
 type OwnerID string
 
 // NewOwnerID returns the ID of an incarnation of a node.
--- /dev/null
+++ b/internal/record/terminal_state.go
@@ -0,0 +1,31 @@
+package record
+
+import (
+	"tamarindlead/internal/wire"
+	"tamarindlead/micros"
+)
+
+// Status is the terminal status of a job.
+type Status string
+
+// The terminal statuses of jobs.
+const (
+	StatusDone      = Status(wire.JobDone)
+	StatusCancelled = Status(wire.JobCancelled)
+)
+
+// TerminalState is the terminal state of a job. It is never deleted.
+type TerminalState struct {
+	Status              Status        `cbor:"s"`
+	FinishedAt          micros.Micros `cbor:"at,omitempty"` // wall clock time; 0 if an older version wrote it
+	CancelledDependency string        `cbor:"b,omitempty"`  // the dependency whose cancellation cancelled this job
+}
+
+// CancelledRoot returns the job whose cancellation by its user led to this state: a dependency
+// of the cancelled job with the given id, or that job itself.
+func (s *TerminalState) CancelledRoot(id string) string {
+	if s.CancelledDependency != "" {
+		return s.CancelledDependency
+	}
+	return id
+}
