--- a/internal/freshness/freshness.go
+++ b/internal/freshness/freshness.go
@@ -1,64 +1,76 @@
-// Package freshness decides whether what a node knows about a job may answer a user's request.
+// Package freshness decides whether a node's knowledge about a job is recent enough to answer a
+// user's request, so that answers about a job are linearizable.
 //
-// Once any node has told a user that a job is accepted, done or cancelled, no node may answer a
-// request that came after that with anything older. Other nodes change the records at any time,
-// so only knowledge that was asked for after the request came is certainly as new as all that
-// its user was told before. A final state never changes and may be told at any time.
+// Once any node has answered that a job is accepted, done or cancelled, no node may answer a
+// later request with an older state. Any node may change the records at any time. Only a read
+// that was sent after a request had arrived is therefore certain to reflect every answer given
+// before that request. A terminal state never changes and may be answered at any time.
+//
+// The package owns this rule only. It knows neither the records nor how they are read, and has
+// no clock.
 package freshness
 
-import "tamarindlead/micros"
+import (
+	"fmt"
+
+	"tamarindlead/micros"
+)
 
-// Basis is what kind of knowledge an answer rests on.
+// Basis is the kind of knowledge that an answer rests on.
 type Basis int
 
 // The kinds of knowledge.
 const (
-	NoBasis        Basis = iota // nothing: no answer may rest on it
+	NoBasis        Basis = iota // none: no answer may rest on it
 	RecordRead                  // records that were read, or whose versions were compared
-	OwnTransaction              // the commit that recorded the job
-	TerminalState               // the final state, which never changes
+	OwnTransaction              // the transaction that recorded the job
+	TerminalState               // the terminal state, which never changes
 )
 
-// String returns the basis as logs show it.
+// String returns the basis as it appears in logs.
 func (b Basis) String() string {
 	switch b {
+	case NoBasis:
+		return "none"
 	case RecordRead:
 		return "read"
 	case OwnTransaction:
-		return "commit"
+		return "transaction"
 	case TerminalState:
-		return "final"
+		return "terminal"
 	}
-	return "none"
+	return fmt.Sprintf("Basis(%d)", int(b))
 }
 
-// Evidence is the knowledge that an answer rests on.
+// Evidence describes the knowledge that an answer rests on.
 type Evidence struct {
 	Basis Basis
-	// SentAt is when the request to the state service was sent, the first if there were
-	// several. What happened before is known, what happened later may not be.
+	// SentAt is the time at which the request to the key-value store was sent, or the first of
+	// several requests. Earlier changes are known; later ones may not be.
 	SentAt micros.Micros
-	// Version is that of the job's record, 0 if it has none or is over.
+	// Version is the version of the job's record, or 0 if the job has none or has ended.
 	Version uint64
-	// ViaPeer tells that a peer passed the request on to the state service.
+	// ViaPeer reports whether a peer relayed the request to the key-value store.
 	ViaPeer bool
 }
 
-// OfTerminalState is the evidence of a final state.
+// OfTerminalState returns the evidence of a terminal state.
 func OfTerminalState() Evidence { return Evidence{Basis: TerminalState} }
 
-// Covers tells whether an answer with this evidence may go to a request that came at a time.
+// Covers reports whether an answer with this evidence may be sent to a request that arrived at
+// the given time.
 //
-// Both times are those of the events in which the request came and the read was sent. At equal
-// times the read may have been sent in an event before the request's, within the same
-// microsecond. Nobody can have been told anything newer between the two: that takes at least one
-// more exchange with the state service.
-func (e Evidence) Covers(cameAt micros.Micros) bool {
+// Both times are those of the events in which the request arrived and the read was sent. If they
+// are equal, the read may have been sent in an event before that of the request, within the same
+// microsecond. No newer answer can have been given between the two, since that takes at least
+// one more exchange with the key-value store.
+func (e Evidence) Covers(arrivedAt micros.Micros) bool {
 	switch e.Basis {
 	case TerminalState:
 		return true
 	case RecordRead, OwnTransaction:
-		return e.SentAt >= cameAt
+		return e.SentAt >= arrivedAt
+	case NoBasis:
 	}
 	return false
 }
--- a/internal/freshness/freshness_test.go
+++ b/internal/freshness/freshness_test.go
@@ -1,50 +1,58 @@
 package freshness
 
 import (
+	"fmt"
 	"testing"
 
 	"tamarindlead/micros"
 )
 
-// TestCovers plays each kind of knowledge against requests that came before, with and after the
-// read that it rests on.
+// TestCovers checks each kind of knowledge against requests that arrived before, with and after
+// the read that it rests on.
 func TestCovers(t *testing.T) {
-	const sent = 10 * micros.Second
+	const sentAt = 10 * micros.Second
 	for _, c := range []struct {
 		basis                Basis
-		before, equal, after bool // when the request came
+		before, equal, after bool // whether a request that arrived then is covered
 	}{
 		{NoBasis, false, false, false},
 		{RecordRead, true, true, false},
 		{OwnTransaction, true, true, false},
 		{TerminalState, true, true, true},
 	} {
-		e := Evidence{Basis: c.basis, SentAt: sent}
-		for _, when := range []struct {
-			cameAt micros.Micros
-			want   bool
-		}{{sent - 1, c.before}, {sent, c.equal}, {sent + 1, c.after}} {
-			if got := e.Covers(when.cameAt); got != when.want {
-				t.Errorf("%v sent at %d covers a request of %d: %t, want %t", c.basis, e.SentAt, when.cameAt, got, when.want)
-			}
+		evidence := Evidence{Basis: c.basis, SentAt: sentAt}
+		for _, request := range []struct {
+			name      string
+			arrivedAt micros.Micros
+			want      bool
+		}{
+			{"before", sentAt - 1, c.before},
+			{"equal", sentAt, c.equal},
+			{"after", sentAt + 1, c.after},
+		} {
+			t.Run(fmt.Sprintf("%v/%s", c.basis, request.name), func(t *testing.T) {
+				if got := evidence.Covers(request.arrivedAt); got != request.want {
+					t.Errorf("sent at %d, arrived at %d: covered %t, want %t", sentAt, request.arrivedAt, got, request.want)
+				}
+			})
 		}
 	}
 }
 
-// TestOfTerminalState sees that a final state answers all requests.
+// TestOfTerminalState checks that a terminal state answers every request.
 func TestOfTerminalState(t *testing.T) {
 	if !OfTerminalState().Covers(1 << 60) {
-		t.Error("a final state must answer any request")
+		t.Error("a terminal state does not cover a late request")
 	}
 }
 
-// TestBasisString sees that logs tell the kinds of knowledge apart.
+// TestBasisString checks that logs distinguish the kinds of knowledge.
 func TestBasisString(t *testing.T) {
-	seen := map[string]bool{}
-	for _, b := range []Basis{NoBasis, RecordRead, OwnTransaction, TerminalState} {
-		if seen[b.String()] {
-			t.Errorf("%s names two kinds", b)
+	seen := map[string]Basis{}
+	for b := range TerminalState + 2 {
+		if other, ok := seen[b.String()]; ok {
+			t.Errorf("kinds %d and %d are both %q", other, b, b)
 		}
-		seen[b.String()] = true
+		seen[b.String()] = b
 	}
 }
