--- a/internal/wire/cloud.go
+++ b/internal/wire/cloud.go
@@ -5,7 +5,7 @@
 	"tamarindlead/sched"
 )
 
-// MachineType is a kind of machine that the cloud rents.
+// MachineType is a machine type that the cloud offers.
 type MachineType struct {
 	Name        string   `cbor:"name"`
 	CPUs        float64  `cbor:"cpus"`
@@ -19,28 +19,39 @@
 	Zones       []string `cbor:"halls"`
 }
 
-// MachineTypes is the response of GET /machine_types.
+// MachineTypes is the response to GET /machine_types.
 type MachineTypes struct {
 	Entries []MachineType `cbor:"builds"`
 }
 
-// Types converts the list, leaving out entries without name or size.
+// Types returns the entries as the scheduler represents them, without the invalid ones.
 func (m MachineTypes) Types() []sched.MachineType {
 	var types []sched.MachineType
-	for _, b := range m.Entries {
-		if b.Name == "" || !(b.CPUs > 0) || !(b.CPUs <= maxAmount) || !(b.MemGB <= maxAmount) {
+	for _, entry := range m.Entries {
+		if !entry.valid() {
 			continue
 		}
 		types = append(types, sched.MachineType{
-			Name: b.Name, Size: sched.NewResources(b.CPUs, b.GPUs, b.MemGB), CacheGB: b.CacheGB,
-			FetchGBPerS: b.FetchGBPerS, Price: b.HourlyPrice, SpotPrice: b.SpotPrice,
-			Boot: micros.FromSeconds(b.BootS), Zones: b.Zones,
+			Name:        entry.Name,
+			Size:        sched.NewResources(entry.CPUs, entry.GPUs, entry.MemGB),
+			CacheGB:     entry.CacheGB,
+			FetchGBPerS: entry.FetchGBPerS,
+			Price:       entry.HourlyPrice,
+			SpotPrice:   entry.SpotPrice,
+			Boot:        micros.FromSeconds(entry.BootS),
+			Zones:       entry.Zones,
 		})
 	}
 	return types
 }
 
-// ScaleOutRequest is the body of POST /rentals.
+// valid reports whether a machine type has a name and a plausible size. The comparisons are
+// false for NaN.
+func (t MachineType) valid() bool {
+	return t.Name != "" && t.CPUs > 0 && t.CPUs <= maxAmount && t.MemGB <= maxAmount
+}
+
+// ScaleOutRequest is the body of POST /rentals, which requests machines.
 type ScaleOutRequest struct {
 	RequestID string `cbor:"hire"`
 	Type      string `cbor:"build"`
@@ -49,30 +60,34 @@
 	Number    int    `cbor:"number"`
 }
 
-// MachineNames lists machines, in answers to rentals and in releases.
+// MachineNames lists machines: in the response to a ScaleOutRequest, and in the body of POST
+// /rentals/release.
 type MachineNames struct {
 	Machines []string `cbor:"berths"`
 }
 
-// States of a machine in the cloud's list.
+// ListStatus is the status of a machine in the cloud's list.
+type ListStatus string
+
+// The statuses of a machine.
 const (
-	ListBooting = "booting"
-	ListRunning = "running"
-	ListFailed  = "failed"
+	ListBooting ListStatus = "booting"
+	ListRunning ListStatus = "running"
+	ListFailed  ListStatus = "failed"
 )
 
-// ListedMachine is an entry of the cloud's list.
+// ListedMachine is an entry of a MachineList.
 type ListedMachine struct {
-	Name     string  `cbor:"ref"`
-	Endpoint string  `cbor:"endpoint"`
-	Type     string  `cbor:"build"`
-	Zone     string  `cbor:"hall"`
-	Spot     bool    `cbor:"loaners"`
-	Status   string  `cbor:"status"`
-	AgeS     float64 `cbor:"heldS"`
+	Name     string     `cbor:"ref"`
+	Endpoint string     `cbor:"endpoint"`
+	Type     string     `cbor:"build"`
+	Zone     string     `cbor:"hall"`
+	Spot     bool       `cbor:"loaners"`
+	Status   ListStatus `cbor:"status"`
+	AgeS     float64    `cbor:"heldS"`
 }
 
-// MachineList is the response of GET /rentals.
+// MachineList is a page of the response to GET /rentals.
 type MachineList struct {
 	Machines []ListedMachine `cbor:"berths"`
 	More     bool            `cbor:"more"`
--- a/internal/wire/http.go
+++ b/internal/wire/http.go
@@ -4,12 +4,12 @@
 const (
 	PathJobs         = "/api/jobs" // on a controller: submissions, and below it jobs by id
 	PathCancelSuffix = "/cancel"   // after a job's path
-	PathHealth       = "/up"
-	PathHeartbeat    = "/hello"   // on a controller: a worker reports
-	PathCommands     = "/orders"  // on a worker: commands sent directly
-	PathInspect      = "/inspect" // on a worker: its report, without commands
+	PathHealth       = "/up"       // on a controller
+	PathHeartbeat    = "/hello"    // on a controller: heartbeats of workers
+	PathCommands     = "/orders"   // on a worker: commands sent directly
+	PathInspect      = "/inspect"  // on a worker: returns a heartbeat, takes no commands
 	PathMachineTypes = "/machine_types"
-	PathRentals      = "/rentals" // on the cloud: requests for machines, and their list
+	PathRentals      = "/rentals" // on the cloud: scale-out requests, and the list of machines
 	PathRelease      = "/rentals/release"
 )
 
@@ -23,9 +23,9 @@
 	StatusBadRequest       Status = 400
 	StatusNotFound         Status = 404
 	StatusMethodNotAllowed Status = 405
-	StatusConflict         Status = 409 // a guard, token or session did not match
+	StatusConflict         Status = 409 // a precondition, fencing token or agent epoch did not match
 	StatusCompacted        Status = 410 // the revision to watch from is too old
-	StatusMisdirected      Status = 421 // a worker should report to another controller
+	StatusMisdirected      Status = 421 // another controller handles the worker's heartbeats
 	StatusUnprocessable    Status = 422 // the job can never run
 	StatusTooManyRequests  Status = 429
 	StatusUnavailable      Status = 503
--- a/internal/wire/worker.go
+++ b/internal/wire/worker.go
@@ -1,13 +1,11 @@
 package wire
 
-import (
-	"math"
-)
+import "math"
 
-// TaskPhase is a task's state on its machine.
+// TaskPhase is a task's phase on its machine.
 type TaskPhase string
 
-// States of a task on a machine.
+// The phases of a task.
 const (
 	PhaseFetching       TaskPhase = "pulling"
 	PhaseWaitingForGang TaskPhase = "gathering"
@@ -16,10 +14,10 @@
 	PhaseExited         TaskPhase = "ended"
 )
 
-// ExitCause is why a task exited.
+// ExitCause is the reason for which a task exited.
 type ExitCause string
 
-// Causes of an exit.
+// The causes of an exit.
 const (
 	CauseDone                  ExitCause = "done"
 	CauseStopped               ExitCause = "stopped"
@@ -31,7 +29,7 @@
 	CauseUnknownTask           ExitCause = "no_such"
 )
 
-// TaskStatus is one task of a report.
+// TaskStatus is the status of one task in a heartbeat.
 type TaskStatus struct {
 	Task         string    `cbor:"leg"`
 	Attempt      uint64    `cbor:"try"`
@@ -40,7 +38,7 @@
 	Checkpointed bool      `cbor:"kept,omitempty"`
 }
 
-// Heartbeat is what a worker says of itself.
+// Heartbeat is the state of a worker and its tasks, as the worker reports it.
 type Heartbeat struct {
 	Machine           string       `cbor:"berth"`
 	Endpoint          string       `cbor:"endpoint"`
@@ -54,63 +52,70 @@
 	Tasks             []TaskStatus `cbor:"legs"`
 }
 
-// DecodeHeartbeat reads and checks a worker's report.
+// DecodeHeartbeat decodes and validates a heartbeat.
 func DecodeHeartbeat(data []byte) (*Heartbeat, error) {
-	if len(data) == 0 || data[0]>>5 != 5 {
-		return nil, ErrNotMap
-	}
-	var r Heartbeat
-	if err := Decode(data, &r); err != nil {
+	var h Heartbeat
+	if err := decodeMap(data, &h); err != nil {
 		return nil, err
 	}
 	switch {
-	case r.Machine == "" || len(r.Machine) > maxName || !validKeySegment(r.Machine):
-		return nil, &FieldError{"berth", "missing or invalid"}
-	case r.AgentEpoch == 0:
-		return nil, &FieldError{"shift", "missing"}
-	case r.PreemptionNoticeS != nil && (math.IsNaN(*r.PreemptionNoticeS) || math.Abs(*r.PreemptionNoticeS) > maxSeconds):
-		return nil, &FieldError{"recallS", "out of range"}
+	case h.Machine == "" || len(h.Machine) > maxName || !validKeySegment(h.Machine):
+		return nil, &FieldError{"berth", problemMissingOrInvalid}
+	case h.AgentEpoch == 0:
+		return nil, &FieldError{"shift", problemMissing}
+	case h.PreemptionNoticeS != nil && !validNotice(*h.PreemptionNoticeS):
+		return nil, &FieldError{"recallS", problemOutOfRange}
 	}
-	return &r, nil
+	return &h, nil
 }
 
-// validKeySegment tells whether a name can be part of a key in the state service.
-func validKeySegment(s string) bool {
-	for i := 0; i < len(s); i++ {
-		if s[i] <= ' ' || s[i] >= 0x7f || s[i] == '/' || s[i] == '?' || s[i] == '%' {
+// validNotice reports whether the time until a preemption is plausible. It is negative if that
+// time has passed.
+func validNotice(seconds float64) bool {
+	return !math.IsNaN(seconds) && math.Abs(seconds) <= maxSeconds
+}
+
+// validKeySegment reports whether a name can be a segment of a key in the key-value store.
+func validKeySegment(name string) bool {
+	for i := range len(name) {
+		c := name[i]
+		if c <= ' ' || c >= 0x7f || c == '/' || c == '?' || c == '%' {
 			return false
 		}
 	}
 	return true
 }
 
-// Verbs of commands.
+// Verb is the action of a command.
+type Verb string
+
+// The verbs of commands.
 const (
-	VerbStart  = "start"
-	VerbStop   = "halt"
-	VerbForget = "reap"
+	VerbStart  Verb = "start"
+	VerbStop   Verb = "halt"
+	VerbForget Verb = "reap" // forget a task that has exited
 )
 
-// Command is one order to a worker.
+// Command is a command to a worker.
 type Command struct {
-	Verb    string   `cbor:"verb"`
+	Verb    Verb     `cbor:"verb"`
 	Task    string   `cbor:"leg"`
 	Attempt uint64   `cbor:"try"`
 	GraceS  *float64 `cbor:"windDownS,omitempty"`
 }
 
-// HeartbeatResponse is the response to a report.
+// HeartbeatResponse is the response to a heartbeat.
 type HeartbeatResponse struct {
 	FencingToken uint64    `cbor:"baton"`
 	Commands     []Command `cbor:"orders"`
 }
 
-// Redirect sends a worker to another controller.
+// Redirect is the response to a heartbeat that another controller must handle.
 type Redirect struct {
 	HeartbeatNode string `cbor:"foreman,omitempty"`
 }
 
-// CommandsRequest is the body of POST /orders.
+// CommandsRequest is the body of POST /orders, which sends commands outside of heartbeats.
 type CommandsRequest struct {
 	FencingToken uint64    `cbor:"baton"`
 	AgentEpoch   uint64    `cbor:"shift"`
