--- a/controller/scale.go
+++ b/controller/autoscaling.go
@@ -11,15 +11,15 @@
 
 // Times between decisions about capacity.
 const (
-	scaleEvery     = micros.Second
-	scaleDownEvery = 2 * micros.Second // what leaves drained machines finds its place meanwhile
+	autoscalingInterval = micros.Second
+	scaleInInterval     = 2 * micros.Second // what leaves drained machines finds its place meanwhile
 )
 
 const (
-	// worthMoving is how much machine time moving tasks off a drained machine must save.
-	worthMoving = 15 * micros.Second
-	// soonRetried is the rest of a job's pause after failures in which its work counts already.
-	soonRetried = 5 * micros.Second
+	// minConsolidationSaving is how much machine time moving tasks off a drained machine must save.
+	minConsolidationSaving = 15 * micros.Second
+	// retrySoonWindow is the rest of a job's pause after failures in which its work counts already.
+	retrySoonWindow = 5 * micros.Second
 )
 
 // catalog is what the cloud rents, as far as this node knows.
@@ -29,26 +29,26 @@
 
 // market is what may be rented now.
 func (o *owner) market() autoscaler.Market {
-	return autoscaler.Market{Catalog: o.c.catalog(), Now: o.c.now, UnavailableUntil: o.refusedOffers, Partitioned: o.partitioned}
+	return autoscaler.Market{Catalog: o.c.catalog(), Now: o.c.now, UnavailableUntil: o.refusedOffers, Partitioned: o.partitionedSince}
 }
 
 // offer is what the cloud rented a machine as.
 func (m *machine) offer() autoscaler.Offer {
-	return autoscaler.Offer{Type: m.kind, Zone: m.zone, Spot: m.spot}
+	return autoscaler.Offer{Type: m.machineType, Zone: m.zone, Spot: m.spot}
 }
 
-// scarce tells that some recent class of jobs fits no other type than the machine's.
-func (o *owner) scarce(m *machine) bool { return o.classes.Scarce(o.c.now, m.kind, m.spot) }
+// isScarce tells that some recent class of jobs fits no other type than the machine's.
+func (o *owner) isScarce(m *machine) bool { return o.classes.Scarce(o.c.now, m.machineType, m.spot) }
 
-// noteRun learns from a task that completed.
-func (o *owner) noteRun(a *attempt) {
-	if a.running != 0 {
-		o.classes.RecordRunTime(a.job.Class, o.c.now-a.running, a.job.Estimate)
+// observeRunTime learns from a task that completed.
+func (o *owner) observeRunTime(a *attempt) {
+	if a.runningSince != 0 {
+		o.classes.RecordRunTime(a.job.Class, o.c.now-a.runningSince, a.job.Estimate)
 	}
 }
 
-// forgetClasses drops the statistics of classes that no job uses any more.
-func (o *owner) forgetClasses() {
+// pruneClasses drops the statistics of classes that no job uses any more.
+func (o *owner) pruneClasses() {
 	inUse := map[string]bool{}
 	for _, j := range o.queue {
 		inUse[j.Class] = true
@@ -56,110 +56,110 @@
 	o.classes.RemoveExpired(o.c.now, inUse, o.c.catalog())
 }
 
-// tickScale asks for rentals and decides about more of them, and about machines to drain.
-func (o *owner) tickScale() {
-	for _, name := range sortedKeys(o.rentals) {
-		if r := o.rentals[name]; r.state == rentalAsking {
-			o.ask(r)
+// tickAutoscaling asks for rentals and decides about more of them, and about machines to drain.
+func (o *owner) tickAutoscaling() {
+	for _, name := range sortedKeys(o.scaleOutRequests) {
+		if r := o.scaleOutRequests[name]; r.state == scaleOutRequested {
+			o.sendScaleOutRequest(r)
 		}
 	}
-	if o.c.now < o.nextScale || len(o.c.types.list) == 0 {
+	if o.c.now < o.nextAutoscaling || len(o.c.types.list) == 0 {
 		return
 	}
-	o.nextScale = o.c.now + scaleEvery
-	o.scheduleWanted = true // pauses of jobs end without an event
-	o.noteSpotTime()
-	o.forgetClasses()
+	o.nextAutoscaling = o.c.now + autoscalingInterval
+	o.schedulingNeeded = true // pauses of jobs end without an event
+	o.recordSpotUptime()
+	o.pruneClasses()
 	demands := o.demands()
-	planner := o.planner(demands)
+	planner := o.newPlanner(demands)
 	if planner.MayScaleIn {
-		o.nextScaleDown = o.c.now + scaleDownEvery
+		o.nextScaleIn = o.c.now + scaleInInterval
 	}
-	o.carryOut(planner.Plan(demands))
+	o.applyPlan(planner.Plan(demands))
 }
 
-// planner describes what there is now.
-func (o *owner) planner(demands []*autoscaler.Demand) *autoscaler.Planner {
+// newPlanner describes what there is now.
+func (o *owner) newPlanner(demands []*autoscaler.Demand) *autoscaler.Planner {
 	p := &autoscaler.Planner{
 		Market: o.market(), Classes: o.classes, SLOs: o.c.cfg.SLOs,
-		OpenScaleOuts: len(o.rentals),
+		OpenScaleOuts: len(o.scaleOutRequests),
 		QueueTarget:   o.c.cfg.Tuning.QueueTarget, IdleTimeout: o.c.cfg.Tuning.IdleTimeout,
 		MaxMachines: o.c.cfg.Tuning.MaxMachines,
-		MayScaleIn:  o.c.now >= o.nextScaleDown,
+		MayScaleIn:  o.c.now >= o.nextScaleIn,
 	}
-	for _, name := range sortedKeys(o.rentals) {
-		if r := o.rentals[name]; r.state < rentalGranted {
-			p.PendingScaleOuts = append(p.PendingScaleOuts, autoscaler.ScaleOut{Offer: r.offer, Number: r.number})
+	for _, name := range sortedKeys(o.scaleOutRequests) {
+		if r := o.scaleOutRequests[name]; r.state < scaleOutGranted {
+			p.PendingScaleOuts = append(p.PendingScaleOuts, autoscaler.ScaleOut{Offer: r.offer, Number: r.machineCount})
 		}
 	}
 	gangs := false
 	for _, d := range demands {
 		gangs = gangs || d.Representative.Gang
 	}
-	for _, m := range o.list {
-		p.Machines = append(p.Machines, o.describe(m, gangs))
+	for _, m := range o.sortedMachines {
+		p.Machines = append(p.Machines, o.describeMachine(m, gangs))
 	}
 	return p
 }
 
-// describe tells planning about a machine. How long its tasks still take matters for gangs
+// describeMachine tells planning about a machine. How long its tasks still take matters for gangs
 // only.
-func (o *owner) describe(m *machine, forGangs bool) *autoscaler.Machine {
+func (o *owner) describeMachine(m *machine, forGangs bool) *autoscaler.Machine {
 	d := &autoscaler.Machine{Name: m.name, Offer: m.offer()}
 	switch m.state {
 	case machineBooting:
 		d.State = autoscaler.MachineBooting
-	case machineUp:
+	case machineReady:
 		d.State = autoscaler.MachineReady
 	default:
 		return d
 	}
 	d.Size, d.Used = o.machineSize(m), m.used
-	d.Age, d.IdleFor = o.c.wallClock-m.rented, o.c.now-m.idleSince
-	d.Claimed, d.Busy = m.token != 0, len(m.attempts) > 0
-	d.Reserved = o.isHeld(m.name)
-	d.OnlySlack = d.Busy && o.scarce(m) && o.onlySlack(m)
+	d.Age, d.IdleFor = o.c.wallClock-m.provisionedAt, o.c.now-m.idleSince
+	d.Claimed, d.Busy = m.fencingToken != 0, len(m.attempts) > 0
+	d.Reserved = o.isReserved(m.name)
+	d.OnlySlack = d.Busy && o.isScarce(m) && o.hasNoDependentTasks(m)
 	if forGangs {
-		d.BusyFor = o.busyFor(m)
+		d.BusyFor = o.remainingBusyTime(m)
 	}
 	return d
 }
 
-// busyFor is how long the tasks on a machine still take whose room is not free yet.
-func (o *owner) busyFor(m *machine) micros.Micros {
+// remainingBusyTime is how long the tasks on a machine still take whose room is not free yet.
+func (o *owner) remainingBusyTime(m *machine) micros.Micros {
 	longest := micros.Micros(0)
 	for _, a := range m.attempts {
-		if !a.freed {
-			longest = max(longest, o.remaining(a))
+		if !a.resourcesReleased {
+			longest = max(longest, o.remainingRunTime(a))
 		}
 	}
 	return longest
 }
 
-// carryOut does what was decided about capacity.
-func (o *owner) carryOut(plan autoscaler.Plan) {
+// applyPlan does what was decided about capacity.
+func (o *owner) applyPlan(plan autoscaler.Plan) {
 	for _, request := range plan.ScaleOutRequests {
-		o.rent(request)
+		o.requestScaleOut(request)
 	}
 	for _, shortage := range plan.Shortages {
-		o.requestForArray(shortage)
+		o.requestMachinesForArray(shortage)
 	}
 	for _, drain := range plan.Drains {
 		m := o.machines[drain.Machine]
-		o.setMachine(m, machineDraining, drain.Reason.String())
+		o.setMachineState(m, machineDraining, drain.Reason.String())
 		if drain.Reason == autoscaler.DrainSurplus {
 			o.consolidate(m)
 		}
 	}
 }
 
-// requestForArray asks other owners for machines: nothing can be rented for an array, but
+// requestMachinesForArray asks other owners for machines: nothing can be rented for an array, but
 // what they have idle may serve.
-func (o *owner) requestForArray(shortage autoscaler.Shortage) {
+func (o *owner) requestMachinesForArray(shortage autoscaler.Shortage) {
 	if o.c.now < o.nextArrayRequest {
 		return
 	}
-	o.nextArrayRequest = o.c.now + arrayRequestPause
+	o.nextArrayRequest = o.c.now + arrayRequestInterval
 	o.requestMachines(shortage.Job, shortage.Tasks, false)
 }
 
@@ -171,24 +171,24 @@
 		if a.job.Gang || a.job.CheckpointInterval == 0 {
 			return
 		}
-		longest = max(longest, o.remaining(a)-a.job.CheckpointDuration)
+		longest = max(longest, o.remainingRunTime(a)-a.job.CheckpointDuration)
 	}
-	if longest < worthMoving {
+	if longest < minConsolidationSaving {
 		return
 	}
-	for _, a := range m.sorted() {
+	for _, a := range m.sortedAttempts() {
 		o.evict(a, "machine is drained")
 	}
 }
 
 // maxWait tells how long a job may wait by its class's objectives.
 func (o *owner) maxWait(j *job) micros.Micros {
-	return autoscaler.WaitTarget(o.c.cfg.SLOs, j.Class, j.Gang, o.estimate(j), o.c.cfg.Tuning.QueueTarget)
+	return autoscaler.WaitTarget(o.c.cfg.SLOs, j.Class, j.Gang, o.estimatedRunTime(j), o.c.cfg.Tuning.QueueTarget)
 }
 
-// estimate is the owner's estimate of a task's run time, corrected by what tasks of
+// estimatedRunTime is the owner's estimate of a task's run time, corrected by what tasks of
 // its class really took.
-func (o *owner) estimate(j *job) micros.Micros {
+func (o *owner) estimatedRunTime(j *job) micros.Micros {
 	return o.classes.CorrectedEstimate(j.Class, j.Estimate)
 }
 
@@ -210,7 +210,7 @@
 		key := demandKey{j.Gang, j.Spot, j.Zone, o.classes.TypesKey(j.Class)}
 		d := byKey[key]
 		if d == nil {
-			d = autoscaler.NewDemand(j.Job, o.waitLimit(j))
+			d = autoscaler.NewDemand(j.Job, o.maxQueueingDelay(j))
 			byKey[key] = d
 			list = append(list, d)
 		}
@@ -222,42 +222,42 @@
 // addDemand adds what runs and what waits of a job. Each job may use all that its team's limit
 // leaves, but all of them together may use it once only.
 func (o *owner) addDemand(d *autoscaler.Demand, j *job, counted map[string]sched.Resources) {
-	d.MaxWait = min(d.MaxWait, o.waitLimit(j))
+	d.MaxWait = min(d.MaxWait, o.maxQueueingDelay(j))
 	for _, a := range j.attempts {
-		if !a.freed {
+		if !a.resourcesReleased {
 			offer := a.machine.offer()
 			d.UsedByOffer[offer] = d.UsedByOffer[offer].Add(j.Need)
 		}
 	}
 	if j.Gang {
-		j.MinOnDemandTasks = o.ordinaryFor(j)
+		j.MinOnDemandTasks = o.minOnDemandTasks(j)
 	}
-	tasks := min(j.pending, o.withinTeam(j, sched.Resources{}))
-	if tasks > 0 && o.c.now+soonRetried >= j.notUntil {
-		o.addWaitingWork(d, j, tasks)
-		once := min(tasks, o.withinTeam(j, counted[j.Team]))
+	tasks := min(j.pending, o.quotaHeadroom(j, sched.Resources{}))
+	if tasks > 0 && o.c.now+retrySoonWindow >= j.backoffUntil {
+		o.addPendingWork(d, j, tasks)
+		once := min(tasks, o.quotaHeadroom(j, counted[j.Team]))
 		counted[j.Team] = counted[j.Team].Add(j.Need.Times(once))
 		d.QuotaHeadroom += float64(once) * autoscaler.TaskCPUs(j.Job)
 		d.QuotaLimited = d.QuotaLimited || once < j.pending
 	}
 }
 
-// addWaitingWork adds so many tasks of a job that have no place.
-func (o *owner) addWaitingWork(d *autoscaler.Demand, j *job, tasks int) {
-	work := float64(tasks) * autoscaler.TaskCPUs(j.Job) * max(o.estimate(j).Seconds(), 1)
+// addPendingWork adds so many tasks of a job that have no place.
+func (o *owner) addPendingWork(d *autoscaler.Demand, j *job, tasks int) {
+	work := float64(tasks) * autoscaler.TaskCPUs(j.Job) * max(o.estimatedRunTime(j).Seconds(), 1)
 	d.PendingCPUSeconds += work
-	if j.Priority == sched.Low && !o.urgent(j) {
+	if j.Priority == sched.Low && !o.isUrgent(j) {
 		d.LowPriorityCPUSeconds += work
 		d.LowPriorityMaxWait = max(d.LowPriorityMaxWait, o.maxWait(j))
 	}
 	if j.Gang && tasks == j.Tasks {
-		d.Gangs = append(d.Gangs, autoscaler.Gang{Job: j.Job, Reserved: o.holds[j.ID] != nil})
+		d.Gangs = append(d.Gangs, autoscaler.Gang{Job: j.Job, Reserved: o.reservations[j.ID] != nil})
 	}
 }
 
 // machineSize is what a machine offers, once its type is known.
 func (o *owner) machineSize(m *machine) sched.Resources {
-	if t := o.c.types.find(m.kind); t != nil {
+	if t := o.c.types.find(m.machineType); t != nil {
 		m.size = t.Size
 	}
 	return m.size
--- a/controller/blocks.go
+++ b/controller/blocks.go
@@ -22,15 +22,15 @@
 	// newJobBytes is what a job's first task in a block takes, at most as a rule: it brings the
 	// description of the job.
 	newJobBytes = 40
-	// assumedTasks is how many tasks a machine gets while no job is known.
-	assumedTasks = 16
-	// machineFill is the part of a value that a block may take when machines are added to it.
-	machineFill = 0.7
-	// taskFill is the part of a value that a block may take when tasks are placed on its machines.
-	taskFill = 0.85
-	// slotShares is among how many machines the free bytes of a block are divided, at most:
+	// defaultTasksPerMachine is how many tasks a machine gets while no job is known.
+	defaultTasksPerMachine = 16
+	// maxFillForMachines is the part of a value that a block may take when machines are added to it.
+	maxFillForMachines = 0.7
+	// maxFillForTasks is the part of a value that a block may take when tasks are placed on its machines.
+	maxFillForTasks = 0.85
+	// maxFreeBytesSplit is among how many machines the free bytes of a block are divided, at most:
 	// tasks that are placed in one pass may go to several machines of one block.
-	slotShares = 3
+	maxFreeBytesSplit = 3
 )
 
 // Prefixes of the names of blocks that are made for one machine.
@@ -70,10 +70,10 @@
 func (o *owner) blockFor(kind, zone string) *block {
 	most := o.maxMachines(kind)
 	for _, b := range o.blocks {
-		if n := len(b.machines); n == 0 || n >= most || b.forOneMachine() {
+		if n := len(b.machines); n == 0 || n >= most || b.isSingleMachine() {
 			continue
 		}
-		if first := b.machines[0]; first.kind == kind && first.zone == zone {
+		if first := b.machines[0]; first.machineType == kind && first.zone == zone {
 			return b
 		}
 	}
@@ -83,13 +83,13 @@
 // maxMachines is how many machines of a type share a block: as many as fit, each with the
 // tasks that it may get.
 func (o *owner) maxMachines(kind string) int {
-	tasks := assumedTasks
+	tasks := defaultTasksPerMachine
 	if t := o.c.types.find(kind); t != nil {
 		if n := o.classes.MaxAverageTasks(t.Size, maxEntryTasks); n > 0 {
 			tasks = n
 		}
 	}
-	fillBytes := int(float64(o.c.cfg.MaxValueBytes) * machineFill)
+	fillBytes := int(float64(o.c.cfg.MaxValueBytes) * maxFillForMachines)
 	fitting := fillBytes / (machineEntryBytes + tasks*taskEntryBytes)
 	return min(max(1, fitting), maxBlockMachines)
 }
@@ -108,19 +108,19 @@
 		return 0
 	}
 	slots := 1 + int((free-newJobBytes)/b.taskBytes())
-	return min(slots/min(slotShares, len(b.machines)), maxEntryTasks-len(m.attempts))
+	return min(slots/min(maxFreeBytesSplit, len(b.machines)), maxEntryTasks-len(m.attempts))
 }
 
 // freeBytes is how much more of a value the tasks of a block may take. Of the tasks that are
 // not recorded yet, one of each job is taken to bring the job's description: were all taken for
 // that, a block would get few tasks with each write.
 func (o *owner) freeBytes(b *block) float64 {
-	free := float64(o.c.cfg.MaxValueBytes) * taskFill
+	free := float64(o.c.cfg.MaxValueBytes) * maxFillForTasks
 	newJobs := map[*job]bool{}
 	for _, m := range b.machines {
 		free -= b.entryBytes(m)
 		for _, a := range m.attempts {
-			if a.state == attemptProposed && !newJobs[a.job] {
+			if a.state == attemptAssumed && !newJobs[a.job] {
 				newJobs[a.job] = true
 				free -= max(0, newJobBytes-b.taskBytes())
 			}
@@ -143,8 +143,8 @@
 // isTransfer tells that the block was made by another owner, to transfer a machine.
 func (b *block) isTransfer() bool { return strings.HasPrefix(b.name, transferPrefix) }
 
-// forOneMachine tells that the block was made for one machine.
-func (b *block) forOneMachine() bool { return b.isAdopted() || b.isTransfer() }
+// isSingleMachine tells that the block was made for one machine.
+func (b *block) isSingleMachine() bool { return b.isAdopted() || b.isTransfer() }
 
 // mergeTransferred moves a machine from the block in which it was transferred to a shared
 // one: hundreds of blocks with one machine would use up the writes. The old record is deleted
@@ -155,8 +155,8 @@
 		return
 	}
 	m := b.machines[0]
-	target := o.blockFor(m.kind, m.zone)
-	settled := m.token != 0 && m.fence == fenceNone && !m.verifying && m.state < machineTransferring
+	target := o.blockFor(m.machineType, m.zone)
+	settled := m.fencingToken != 0 && m.fencing == fencingNone && !m.verifying && m.state < machineTransferring
 	if !settled || target.writing {
 		return
 	}
@@ -194,8 +194,8 @@
 	}
 }
 
-// dropEmpty forgets a block without machines, once nothing must be written for it.
-func (o *owner) dropEmpty(b *block) {
+// removeEmptyBlock forgets a block without machines, once nothing must be written for it.
+func (o *owner) removeEmptyBlock(b *block) {
 	if len(b.machines) == 0 && !b.writing && !b.dirty {
 		o.blocks = slices.DeleteFunc(o.blocks, func(x *block) bool { return x == b })
 	}
--- a/controller/blocks_test.go
+++ b/controller/blocks_test.go
@@ -27,7 +27,7 @@
 		for _, m := range b.machines { // changes go on meanwhile
 			o.markDirty(m)
 		}
-		tx := &txn{guards: map[string]uint64{}}
+		tx := &transaction{preconditions: map[string]uint64{}}
 		o.flushRecords(tx, func() int { return o.c.cfg.MaxTransactionOps - len(tx.writes) })
 		for _, w := range tx.writes {
 			name := (w.Put + w.Delete)[len(record.BlockPrefix):]
@@ -47,7 +47,7 @@
 				stored[name] = append(stored[name], m.Name)
 			}
 		}
-		o.settle(tx, true, 10)
+		o.finishTransaction(tx, true, 10)
 		all := map[string]bool{}
 		for _, list := range stored {
 			for _, name := range list {
@@ -70,9 +70,9 @@
 	}
 }
 
-// TestShardsWait guards against completions of many teams that take all writes: every team
+// TestCompletionSegmentsYieldToPlacements guards against completions of many teams that take all writes: every team
 // has a shard that changes all the time, and placements must not wait behind them.
-func TestShardsWait(t *testing.T) {
+func TestCompletionSegmentsYieldToPlacements(t *testing.T) {
 	o := benchOwner()
 	for _, b := range o.blocks {
 		b.dirty = false
@@ -80,17 +80,17 @@
 	waits := o.blocks[:3]
 	for _, b := range waits {
 		j := o.queue[len(o.queue)-1]
-		o.attach(j, j.lowest, 9, b.machines[0], attemptProposed)
-		j.lowest++
+		o.addAttempt(j, j.firstPending, 9, b.machines[0], attemptAssumed)
+		j.firstPending++
 		o.markDirty(b.machines[0])
 	}
 	for i := range 10 {
-		s := &shard{team: "red", name: record.FormatNumber(uint64(i)), chunks: map[chunkKey]*job{}}
+		s := &completionSegment{team: "red", name: record.FormatNumber(uint64(i)), chunks: map[chunkKey]*job{}}
 		s.markDirty(o.c.now)
-		o.shards = append(o.shards, s)
+		o.completionSegments = append(o.completionSegments, s)
 	}
 	o.c.now += micros.Second
-	tx := &txn{guards: map[string]uint64{}}
+	tx := &transaction{preconditions: map[string]uint64{}}
 	o.flushRecords(tx, func() int { return 5 - len(tx.writes) })
 	for _, b := range waits {
 		if !b.writing {
@@ -106,7 +106,7 @@
 func BenchmarkBlock(b *testing.B) {
 	o := benchOwner()
 	for b.Loop() {
-		t := &txn{guards: map[string]uint64{}}
+		t := &transaction{preconditions: map[string]uint64{}}
 		bl := o.blocks[0]
 		bl.writing = false
 		o.writeBlock(t, bl, 16)
@@ -126,10 +126,10 @@
 	}
 	from := o.newBlock(transferPrefix + "m-900000")
 	from.version = 7
-	m := o.newMachineIn(from, machineInfo{name: "m-900000", kind: "mid", zone: o.c.cfg.Zones[0], endpoint: "worker"})
-	m.token, m.recorded, m.state = 7, true, machineUp
+	m := o.newMachineInBlock(from, machineInfo{name: "m-900000", machineType: "mid", zone: o.c.cfg.Zones[0], endpoint: "worker"})
+	m.fencingToken, m.recorded, m.state = 7, true, machineReady
 	write := func() []string {
-		tx := &txn{guards: map[string]uint64{}}
+		tx := &transaction{preconditions: map[string]uint64{}}
 		o.flushRecords(tx, func() int { return o.c.cfg.MaxTransactionOps - len(tx.writes) })
 		var deleted []string
 		for _, w := range tx.writes {
@@ -137,7 +137,7 @@
 				deleted = append(deleted, w.Delete)
 			}
 		}
-		o.settle(tx, true, 10)
+		o.finishTransaction(tx, true, 10)
 		return deleted
 	}
 	if deleted := write(); len(deleted) > 0 || m.block == from || !slices.Contains(m.block.machines, m) {
@@ -151,9 +151,9 @@
 	}
 }
 
-// TestGuardsOfBlock guards against a block that needs more guards than a commit takes: it is
+// TestBlockPreconditionLimit guards against a block that needs more guards than a commit takes: it is
 // written in several steps, and every attempt is recorded in the end.
-func TestGuardsOfBlock(t *testing.T) {
+func TestBlockPreconditionLimit(t *testing.T) {
 	o := benchOwner()
 	o.c.cfg.MaxTransactionOps = 3
 	b := o.blocks[0]
@@ -161,7 +161,7 @@
 	for range 20 {
 		j := o.queue[len(o.queue)-1]
 		o.queue = o.queue[:len(o.queue)-1]
-		proposed = append(proposed, o.attach(j, j.lowest, 9, b.machines[0], attemptProposed))
+		proposed = append(proposed, o.addAttempt(j, j.firstPending, 9, b.machines[0], attemptAssumed))
 	}
 	o.markDirty(b.machines[0])
 	waiting := len(proposed)
@@ -169,15 +169,15 @@
 		if commits == len(proposed) {
 			t.Fatalf("%d attempts are not recorded after %d commits", waiting, commits)
 		}
-		tx := &txn{guards: map[string]uint64{}}
+		tx := &transaction{preconditions: map[string]uint64{}}
 		o.writeBlock(tx, b, o.c.cfg.MaxTransactionOps)
-		if most := maxGuardsPerOp * o.c.cfg.MaxTransactionOps; len(tx.writes) != 1 || len(tx.guards) > most {
-			t.Fatalf("%d writes under %d guards", len(tx.writes), len(tx.guards))
+		if most := maxPreconditionsPerOp * o.c.cfg.MaxTransactionOps; len(tx.writes) != 1 || len(tx.preconditions) > most {
+			t.Fatalf("%d writes under %d guards", len(tx.writes), len(tx.preconditions))
 		}
-		o.settle(tx, true, 10)
+		o.finishTransaction(tx, true, 10)
 		waiting = 0
 		for _, a := range proposed {
-			if a.state == attemptProposed {
+			if a.state == attemptAssumed {
 				waiting++
 			}
 		}
--- a/controller/gangs.go
+++ b/controller/gangs.go
@@ -10,32 +10,32 @@
 // which machines are kept ready for gangs that come, and what gangs leave of the machines
 // that they use. Which machines are reserved for gangs that wait is in gang_reservations.go.
 
-// gangPatience is how long a gang that waits lets gangs that came later pass.
-const gangPatience = 40 * micros.Second
+// gangStarvationAfter is how long a gang that waits lets gangs that came later pass.
+const gangStarvationAfter = 40 * micros.Second
 
-// waitsLong tells that a job has waited for longer than gangs let later ones pass.
-func (o *owner) waitsLong(j *job) bool { return o.c.wallClock-j.since > gangPatience }
+// waitsTooLong tells that a job has waited for longer than gangs let later ones pass.
+func (o *owner) waitsTooLong(j *job) bool { return o.c.wallClock-j.readyAt > gangStarvationAfter }
 
-// noteSpotTime counts the time that spot machines are up.
-func (o *owner) noteSpotTime() {
-	for _, m := range o.list {
-		if m.spot && (m.state == machineUp || m.state == machineDraining) {
-			o.c.spotRisk.RecordUptime(scaleEvery)
+// recordSpotUptime counts the time that spot machines are up.
+func (o *owner) recordSpotUptime() {
+	for _, m := range o.sortedMachines {
+		if m.spot && (m.state == machineReady || m.state == machineDraining) {
+			o.c.spotRisk.RecordUptime(autoscalingInterval)
 		}
 	}
 }
 
-// noteSpotLost counts a spot machine that the cloud took.
-func (o *owner) noteSpotLost(m *machine) {
-	if m.spot && !m.lost {
-		m.lost = true
+// recordSpotReclaimed counts a spot machine that the cloud took.
+func (o *owner) recordSpotReclaimed(m *machine) {
+	if m.spot && !m.spotReclaimed {
+		m.spotReclaimed = true
 		o.c.spotRisk.RecordLoss()
 	}
 }
 
-// ordinaryFor tells how many tasks of a gang must not be on spot machines. A gang that waits
+// minOnDemandTasks tells how many tasks of a gang must not be on spot machines. A gang that waits
 // for long takes as many spot machines as make good progress.
-func (o *owner) ordinaryFor(j *job) int {
+func (o *owner) minOnDemandTasks(j *job) int {
 	if !j.Spot {
 		return j.Tasks
 	}
@@ -44,27 +44,27 @@
 		Tasks:         j.Tasks,
 		SpotPrice:     catalog.LowestPrice(j.Job, true),
 		OnDemandPrice: catalog.LowestPrice(j.Job, false),
-		Estimate:      o.estimate(j),
+		Estimate:      o.estimatedRunTime(j),
 		Checkpoint:    j.CheckpointInterval,
 		Recovery:      catalog.BootTime(j.Job),
 		LossPerSecond: o.c.spotRisk.PerSecond(o.c.cfg.Tuning.SpotLossesPerHour),
-		MaxSpot:       o.waitsLong(j),
+		MaxSpot:       o.waitsTooLong(j),
 	}
 	return mix.OnDemandTasks()
 }
 
-// dependent tells that a class of jobs fits one machine type only.
-func (o *owner) dependent(j *job) bool { return o.classes.SingleType(j.Class) }
+// dependsOnMachineType tells that a class of jobs fits one machine type only.
+func (o *owner) dependsOnMachineType(j *job) bool { return o.classes.SingleType(j.Class) }
 
 // slack is what is left of a machine once it is full of tasks of that size.
 func (m *machine) slack(need sched.Resources) sched.Resources {
 	return m.size.Sub(need.Times(need.Count(m.size, maxEntryTasks)))
 }
 
-// onlySlack tells that no job which depends on the machine's type has tasks on it.
-func (o *owner) onlySlack(m *machine) bool {
+// hasNoDependentTasks tells that no job which depends on the machine's type has tasks on it.
+func (o *owner) hasNoDependentTasks(m *machine) bool {
 	for _, a := range m.attempts {
-		if !a.freed && o.dependent(a.job) {
+		if !a.resourcesReleased && o.dependsOnMachineType(a.job) {
 			return false
 		}
 	}
@@ -97,11 +97,11 @@
 // far as it is free, and whether there is any.
 func (o *owner) slackLeft(m *machine, v *sched.Machine, need sched.Resources) (sched.Resources, bool) {
 	left := m.slack(need)
-	if left.CPU <= 0 || o.onlySlack(m) || o.isHeld(v.Name) {
+	if left.CPU <= 0 || o.hasNoDependentTasks(m) || o.isReserved(v.Name) {
 		return sched.Resources{}, false
 	}
 	for _, a := range m.attempts {
-		if !a.freed && !o.dependent(a.job) {
+		if !a.resourcesReleased && !o.dependsOnMachineType(a.job) {
 			left = left.Sub(a.job.Need)
 		}
 	}
--- a/controller/job.go
+++ b/controller/job.go
@@ -13,7 +13,7 @@
 	jobActive    jobState = iota // tasks wait or run
 	jobFinishing                 // all tasks are done, which is not recorded yet
 	jobEnded                     // over: what is still on machines must go
-	jobWaiting                   // others that it awaits are not done
+	jobBlocked                   // others that it awaits are not done
 )
 
 func (s jobState) String() string { return [...]string{"active", "finishing", "ended", "waiting"}[s] }
@@ -34,53 +34,53 @@
 	// version is that of the job's record.
 	version  uint64
 	accepted micros.Micros
-	// since is when the job was accepted, or when it became ready if it waited for others:
+	// readyAt is when the job was accepted, or when it became ready if it waited for others:
 	// its service level objectives count from here.
-	since micros.Micros
-	// own is the priority as submitted; the job's priority may be inherited.
-	own sched.Priority
-	// mustEnd is the latest end with which this job and all that need it meet their
+	readyAt micros.Micros
+	// submittedPriority is the priority as submitted; the job's priority may be inherited.
+	submittedPriority sched.Priority
+	// effectiveDeadline is the latest end with which this job and all that need it meet their
 	// deadlines; 0 for none.
-	mustEnd micros.Micros
-	// parts is the number of further keys of its list of jobs that it awaits.
-	parts int
+	effectiveDeadline micros.Micros
+	// dependencyParts is the number of further keys of its list of jobs that it awaits.
+	dependencyParts int
 
 	// tasks are the states of its tasks; nil while all are pending (see unfold).
-	tasks   []taskState
-	pending int
-	lowest  int // no task below it is pending
-	// done is the set of completed tasks, doneN their number.
-	done  record.Bitmap
-	doneN int
-	// shards hold the completions, and finished those that are not recorded yet, by chunk.
-	shards   map[int]*shard
-	finished map[int][]*attempt
+	tasks        []taskState
+	pending      int
+	firstPending int // no task below it is pending
+	// completed is the set of completed tasks, completedCount their number.
+	completed      record.Bitmap
+	completedCount int
+	// segments hold the completions, and finished those that are not recorded yet, by chunk.
+	segments              map[int]*completionSegment
+	unrecordedCompletions map[int][]*attempt
 
 	// attempts are the placements of its tasks, by task.
-	attempts map[int]*attempt
-	proposed int // attempts that are not recorded yet
-	runs     int // tasks that run, for display
-	gang     gangState
-	// began tells whether some of it was placed, and idleSince since when nothing of it is
+	attempts     map[int]*attempt
+	assumed      int // attempts that are not recorded yet
+	runningTasks int // tasks that run, for display
+	gangState    gangState
+	// everPlaced tells whether some of it was placed, and idleSince since when nothing of it is
 	// on machines.
-	began     bool
-	idleSince micros.Micros
-
-	// notUntil is the end of its pause after failures.
-	notUntil micros.Micros
-	failures int // in a row, without any success
-	failedOn map[string]bool
-	// evictAt is when room may be made for it again, and evictions how often in a row that
+	everPlaced bool
+	idleSince  micros.Micros
+
+	// backoffUntil is the end of its pause after failures.
+	backoffUntil micros.Micros
+	failures     int // in a row, without any success
+	failedOn     map[string]bool
+	// nextPreemptionAt is when room may be made for it again, and evictions how often in a row that
 	// was in vain.
-	evictAt   micros.Micros
-	evictions int
+	nextPreemptionAt  micros.Micros
+	failedPreemptions int
 
 	// writing: its final record is being written.
 	writing bool
 	// cancelQueued: it is to be recorded as cancelled with a job that it awaits.
 	cancelQueued bool
-	// unsure: its record has changed, so nothing is placed until it was read again.
-	unsure bool
+	// recordStale: its record has changed, so nothing is placed until it was read again.
+	recordStale bool
 	// endedAt is a time before which no user was told that it is cancelled; 0: it was not.
 	endedAt micros.Micros
 }
@@ -101,12 +101,12 @@
 
 func newJob(j *sched.Job, version uint64, accepted micros.Micros) *job {
 	return &job{
-		Job: j, version: version, accepted: accepted, since: accepted, own: j.Priority,
-		pending:  j.Tasks,
-		shards:   map[int]*shard{},
-		finished: map[int][]*attempt{},
-		attempts: map[int]*attempt{},
-		failedOn: map[string]bool{},
+		Job: j, version: version, accepted: accepted, readyAt: accepted, submittedPriority: j.Priority,
+		pending:               j.Tasks,
+		segments:              map[int]*completionSegment{},
+		unrecordedCompletions: map[int][]*attempt{},
+		attempts:              map[int]*attempt{},
+		failedOn:              map[string]bool{},
 	}
 }
 
@@ -118,16 +118,16 @@
 	return j.tasks[i]
 }
 
-// unfold makes room for the states of single tasks, which a job that only waits does
+// allocateTaskStates makes room for the states of single tasks, which a job that only waits does
 // without: a queue of large jobs must fit into little memory.
-func (j *job) unfold() {
+func (j *job) allocateTaskStates() {
 	if j.tasks == nil {
-		j.tasks, j.done = make([]taskState, j.Tasks), make(record.Bitmap, (j.Tasks+7)/8)
+		j.tasks, j.completed = make([]taskState, j.Tasks), make(record.Bitmap, (j.Tasks+7)/8)
 	}
 }
 
-func (j *job) setTask(i int, s taskState) {
-	j.unfold()
+func (j *job) setTaskState(i int, s taskState) {
+	j.allocateTaskStates()
 	was := j.tasks[i]
 	if was == s || was == taskDone {
 		return // done is final
@@ -138,26 +138,26 @@
 		j.pending--
 	case s == taskPending:
 		j.pending++
-		j.lowest = min(j.lowest, i)
+		j.firstPending = min(j.firstPending, i)
 	}
 	if s == taskDone {
-		j.done.Set(i)
-		j.doneN++
+		j.completed.Set(i)
+		j.completedCount++
 	}
 }
 
-// setJob is the one place where a job changes its state.
-func (o *owner) setJob(j *job, s jobState) {
+// setJobState is the one place where a job changes its state.
+func (o *owner) setJobState(j *job, s jobState) {
 	if j.state != s {
 		o.c.log.Debug("job", "job", j.ID, "from", j.state.String(), "to", s.String())
 		j.state = s
 	}
 }
 
-// setGang is the one place where a gang's attempt changes its state.
-func (o *owner) setGang(j *job, s gangState) {
-	if j.gang != s {
-		o.c.log.Debug("gang", "job", j.ID, "from", j.gang.String(), "to", s.String())
-		j.gang = s
+// setGangState is the one place where a gang's attempt changes its state.
+func (o *owner) setGangState(j *job, s gangState) {
+	if j.gangState != s {
+		o.c.log.Debug("gang", "job", j.ID, "from", j.gangState.String(), "to", s.String())
+		j.gangState = s
 	}
 }
--- a/controller/job_queue.go
+++ b/controller/job_queue.go
@@ -13,10 +13,10 @@
 	"tamarindlead/micros"
 )
 
-// loadJob takes an accepted job from its record, unless it is known or of another owner's team.
-func (o *owner) loadJob(key string, value []byte, version uint64) {
+// recoverJob takes an accepted job from its record, unless it is known or of another owner's team.
+func (o *owner) recoverJob(key string, value []byte, version uint64) {
 	id := strings.TrimPrefix(key, record.ActiveJobPrefix)
-	if o.jobs[id] != nil || o.waiting[id] != nil || o.c.cancellations.HasEnded(id) {
+	if o.jobs[id] != nil || o.blockedJobs[id] != nil || o.c.cancellations.HasEnded(id) {
 		return
 	}
 	var rec record.Job
@@ -34,8 +34,8 @@
 	}
 	j := newJob(spec, version, rec.AcceptedAt)
 	if rec.Blocked != nil {
-		j.parts = rec.DependencyParts
-		o.addWaiting(j)
+		j.dependencyParts = rec.DependencyParts
+		o.addBlockedJob(j)
 		return
 	}
 	o.enqueue(j)
@@ -45,21 +45,21 @@
 func (o *owner) enqueue(j *job) {
 	j.idleSince = o.c.now
 	o.jobs[j.ID] = j
-	o.inherit(j)
+	o.inheritPriority(j)
 	o.queueJob(j)
 	o.classes.RecordSubmission(o.c.now, j.Job, o.c.catalog())
-	o.scheduleWanted = true
+	o.schedulingNeeded = true
 }
 
 // queueJob puts a job at its place in the queue.
 func (o *owner) queueJob(j *job) {
-	i, _ := slices.BinarySearchFunc(o.queue, j, queueOrder)
+	i, _ := slices.BinarySearchFunc(o.queue, j, compareQueueOrder)
 	o.queue = slices.Insert(o.queue, i, j)
 }
 
-// queueOrder compares jobs in the queue: higher priority first, then who came, or was ready, first.
-func queueOrder(a, b *job) int {
-	return cmp.Or(-cmp.Compare(a.Priority, b.Priority), cmp.Compare(a.since, b.since), cmp.Compare(a.ID, b.ID))
+// compareQueueOrder compares jobs in the queue: higher priority first, then who came, or was ready, first.
+func compareQueueOrder(a, b *job) int {
+	return cmp.Or(-cmp.Compare(a.Priority, b.Priority), cmp.Compare(a.readyAt, b.readyAt), cmp.Compare(a.ID, b.ID))
 }
 
 // watchJobs follows jobs that are accepted, and those that are over.
@@ -72,13 +72,13 @@
 		}
 		switch {
 		case r.Outcome == kv.Compacted:
-			o.resync("the watch fell behind")
+			o.restartRecovery("the watch fell behind")
 			return
 		case r.Outcome != kv.OK:
 			o.retryWatch(after)
 			return
-		case !c.takeChanges(after, r):
-			o.resync("the watch cannot be followed")
+		case !c.applyJobChanges(after, r):
+			o.restartRecovery("the watch cannot be followed")
 			return
 		}
 		o.cancellationsKnownUntil = asked
@@ -88,15 +88,15 @@
 
 // retryWatch watches again after a pause, which the slow tick ends.
 func (o *owner) retryWatch(after uint64) {
-	o.watchRev, o.watchDown, o.retryAt = after, true, o.c.now+loadRetry
+	o.watchRevision, o.watchDown, o.retryAt = after, true, o.c.now+readRetryDelay
 }
 
-// jobRemoved handles a job that is over: by our own commit, or cancelled, of which users were
+// handleJobRemoved handles a job that is over: by our own commit, or cancelled, of which users were
 // told at since or later.
-func (o *owner) jobRemoved(id string, since micros.Micros) {
-	if j := o.waiting[id]; j != nil && !j.writing {
+func (o *owner) handleJobRemoved(id string, since micros.Micros) {
+	if j := o.blockedJobs[id]; j != nil && !j.writing {
 		o.c.log.Info("job cancelled while it waits", "job", id)
-		o.forgetWaiting(j)
+		o.removeBlockedJob(j)
 		return
 	}
 	j := o.jobs[id]
@@ -111,24 +111,24 @@
 
 // endJob takes a job out of the queue; its record is gone.
 func (o *owner) endJob(j *job) {
-	o.setJob(j, jobEnded)
+	o.setJobState(j, jobEnded)
 	o.queue = slices.DeleteFunc(o.queue, func(q *job) bool { return q == j })
 	o.dropChunks(j)
 	o.dropParts(j)
 	if len(j.attempts) == 0 {
 		delete(o.jobs, j.ID)
 	}
-	for _, a := range j.sorted() {
-		if a.state != attemptFinished {
+	for _, a := range j.sortedAttempts() {
+		if a.state != attemptCompleted {
 			continue
 		}
 		if o.machines[a.machine.name] == a.machine {
-			o.setAttempt(a, attemptLeaving)
+			o.setAttemptState(a, attemptRemoving)
 		} else {
-			o.setAttempt(a, attemptClosed)
+			o.setAttemptState(a, attemptClosed)
 		}
 	}
-	o.scheduleWanted = true
+	o.schedulingNeeded = true
 }
 
 // maxJobCounts bounds the counts in a heartbeat: the jobs that are placed first are told of.
@@ -141,17 +141,17 @@
 		if len(list) == maxJobCounts {
 			break
 		}
-		if len(j.attempts) > 0 || j.doneN > 0 {
-			list = append(list, &peer.JobCount{Id: j.ID, Done: uint32(j.doneN), Running: uint32(j.runs)})
+		if len(j.attempts) > 0 || j.completedCount > 0 {
+			list = append(list, &peer.JobCount{Id: j.ID, Done: uint32(j.completedCount), Running: uint32(j.runningTasks)})
 		}
 	}
 	return list
 }
 
-// countsOf tells how many tasks of a job are done and run.
+// taskCounts tells how many tasks of a job are done and run.
 func (o *owner) countsOf(id string) (done, running int) {
 	if j := o.jobs[id]; j != nil {
-		return j.doneN, j.runs
+		return j.completedCount, j.runningTasks
 	}
 	return 0, 0
 }
--- a/controller/jobview.go
+++ b/controller/job_view.go
@@ -13,34 +13,34 @@
 // is fed by a listing and by changes, whoever asked for them: the watch that a node without
 // teams follows here, that of an owner, or a read made for an answer.
 
-// followPause is the least time between two answers of the watch that the view follows at a
+// followRetryDelay is the least time between two answers of the watch that the view follows at a
 // node that owns nothing: it need not be up to date, since what it says is always confirmed.
-const followPause = micros.Second
+const followRetryDelay = micros.Second
 
 // jobView is how this node reads the active jobs and how they ended.
 type jobView struct {
 	following bool
-	nextTry   micros.Micros
+	retryAt   micros.Micros
 	// cancellationsKnownUntil is when what was read last by the watch was asked for.
 	cancellationsKnownUntil micros.Micros
 
-	refresh    refreshQueue
-	resolution endResolution
+	refreshQueue refreshQueue
+	resolution   terminalStateResolution
 }
 
 // jobObserver passes on to the owner what the graph of jobs tells.
 type jobObserver struct{ c *Core }
 
 func (w jobObserver) JobPut(key string, value []byte, version uint64) {
-	if o := w.c.owner; o != nil && o.listed {
-		o.loadJob(key, value, version)
+	if o := w.c.owner; o != nil && o.jobsListed {
+		o.recoverJob(key, value, version)
 	}
 }
 
 func (w jobObserver) JobDeleted(id string) {
-	if o := w.c.owner; o != nil && o.listed {
+	if o := w.c.owner; o != nil && o.jobsListed {
 		// Users may have been told as early as what was known before ends.
-		o.jobRemoved(id, o.cancellationsKnownUntil)
+		o.handleJobRemoved(id, o.cancellationsKnownUntil)
 	}
 }
 
@@ -52,7 +52,7 @@
 
 func (w jobObserver) JobCancelled(id string) {
 	if o := w.c.owner; o != nil {
-		o.queueCancelled(id)
+		o.queueCascadedCancellation(id)
 	}
 }
 
@@ -62,7 +62,7 @@
 		return
 	}
 	if j := o.jobs[id]; j != nil && j.state != jobEnded {
-		o.inherit(j)
+		o.inheritPriority(j)
 	}
 }
 
@@ -73,12 +73,12 @@
 	return job.Estimate
 }
 
-func (w jobObserver) IsDone(id string) bool { return w.c.finals.of(id) == wire.JobDone }
+func (w jobObserver) IsDone(id string) bool { return w.c.terminalStates.of(id) == wire.JobDone }
 
 // tickJobView follows the jobs at a node that does not own; an owner does so itself.
 func (c *Core) tickJobView() {
 	view := &c.jobView
-	if view.following || c.now < view.nextTry || c.owner != nil {
+	if view.following || c.now < view.retryAt || c.owner != nil {
 		return
 	}
 	view.following = true
@@ -103,14 +103,14 @@
 // followJobs watches the jobs from the graph's revision on.
 func (c *Core) followJobs() {
 	view := &c.jobView
-	c.after(followPause, func() {
+	c.after(followRetryDelay, func() {
 		if c.owner != nil { // it follows the jobs itself
 			view.following = false
 			return
 		}
 		asked, after := c.now, c.graph.Revision()
 		c.store.Watch(budget.Reads, record.ActiveJobPrefix, after, c.watchWait(), func(r kv.Result) {
-			if !c.takeChanges(after, r) {
+			if !c.applyJobChanges(after, r) {
 				view.stopFollowing(c.now)
 				return
 			}
@@ -122,11 +122,11 @@
 
 // stopFollowing lets the next try begin after a pause.
 func (v *jobView) stopFollowing(now micros.Micros) {
-	v.following, v.nextTry = false, now+followPause
+	v.following, v.retryAt = false, now+followRetryDelay
 }
 
-// takeChanges applies the answer of a watch; false: it does not continue what is known.
-func (c *Core) takeChanges(after uint64, r kv.Result) bool {
+// applyJobChanges applies the answer of a watch; false: it does not continue what is known.
+func (c *Core) applyJobChanges(after uint64, r kv.Result) bool {
 	if r.Outcome == kv.Compacted {
 		c.graph.MarkUnsynced()
 	}
@@ -137,51 +137,51 @@
 // refreshQueue is the questions that need a view of the present state. One read serves all
 // that ask before it is sent.
 type refreshQueue struct {
-	questions []func(ok bool)
-	askedAt   micros.Micros // the first of them
-	reading   bool
+	callbacks   []func(ok bool)
+	requestedAt micros.Micros // the first of them
+	reading     bool
 }
 
 // refresh hands over once this node's view is at least as new as the question; false: the
 // present state cannot be known now.
 func (c *Core) refresh(done func(ok bool)) {
-	queue := &c.jobView.refresh
-	if len(queue.questions) == 0 {
-		queue.askedAt = c.now
+	queue := &c.jobView.refreshQueue
+	if len(queue.callbacks) == 0 {
+		queue.requestedAt = c.now
 	}
-	queue.questions = append(queue.questions, done)
+	queue.callbacks = append(queue.callbacks, done)
 	c.sendRefresh()
 }
 
 func (c *Core) sendRefresh() {
-	queue := &c.jobView.refresh
-	if queue.reading || len(queue.questions) == 0 {
+	queue := &c.jobView.refreshQueue
+	if queue.reading || len(queue.callbacks) == 0 {
 		return
 	}
-	if !c.budget.MayRequest(budget.UserRequests, c.now) && c.now-queue.askedAt < acceptWithin {
-		c.after(fastTick, c.sendRefresh)
+	if !c.budget.MayRequest(budget.UserRequests, c.now) && c.now-queue.requestedAt < submissionTimeout {
+		c.after(fastTickInterval, c.sendRefresh)
 		return
 	}
-	batch, after := queue.questions, c.graph.Revision()
-	queue.questions = nil
+	batch, after := queue.callbacks, c.graph.Revision()
+	queue.callbacks = nil
 	if !c.graph.IsSynced() {
-		answerAll(batch, false)
+		notifyAll(batch, false)
 		return
 	}
 	queue.reading = true
 	c.store.Do(budget.UserRequests, kv.Watch(record.ActiveJobPrefix, after, 0), func(r kv.Result) {
 		queue.reading = false
-		queue.askedAt = c.now // what came meanwhile goes out now
-		ok := c.takeChanges(after, r)
-		if r.Outcome == kv.Compacted && c.owner != nil && c.owner.listed {
-			c.owner.resync("changes of jobs were missed")
+		queue.requestedAt = c.now // what came meanwhile goes out now
+		ok := c.applyJobChanges(after, r)
+		if r.Outcome == kv.Compacted && c.owner != nil && c.owner.jobsListed {
+			c.owner.restartRecovery("changes of jobs were missed")
 		}
-		answerAll(batch, ok)
+		notifyAll(batch, ok)
 		c.sendRefresh()
 	})
 }
 
-func answerAll(questions []func(ok bool), ok bool) {
+func notifyAll(questions []func(ok bool), ok bool) {
 	for _, answer := range questions {
 		answer(ok)
 	}
--- a/controller/lookup_reads.go
+++ b/controller/lookup_reads.go
@@ -13,15 +13,15 @@
 
 // compareVersions asks whether jobs' records are as this node knows them.
 func (c *Core) compareVersions(batch *lookupBatch) {
-	c.lookups.sent += len(batch.compared)
-	c.noteReadSent(batch.compared...)
+	c.lookups.inFlight += len(batch.compared)
+	c.recordReadSent(batch.compared...)
 	c.store.Do(budget.Reads, kv.Transaction(kv.SortedPreconditions(batch.versions), nil), func(r kv.Result) {
 		var committed kv.TransactionResult
 		switch {
 		case r.Outcome == kv.OK:
-			c.takeComparison(batch, nil)
+			c.applyComparison(batch, nil)
 		case r.Outcome == kv.PreconditionFailed && r.Decode(&committed) && len(committed.FailedPreconditions) > 0:
-			c.takeComparison(batch, committed.FailedPreconditions)
+			c.applyComparison(batch, committed.FailedPreconditions)
 		default:
 			for _, l := range batch.compared {
 				c.finishLookup(l, lookupResult{})
@@ -30,10 +30,10 @@
 	})
 }
 
-// takeComparison answers about the jobs of a batch whose keys did not fail, and reads the
+// applyComparison answers about the jobs of a batch whose keys did not fail, and reads the
 // others. Nothing says that all keys that failed are listed: if any did, the rest is compared
 // again.
-func (c *Core) takeComparison(batch *lookupBatch, failedKeys []string) {
+func (c *Core) applyComparison(batch *lookupBatch, failedKeys []string) {
 	failed := map[string]bool{}
 	for _, key := range failedKeys {
 		failed[key] = true
@@ -48,18 +48,18 @@
 			}
 			c.readActive(l)
 		case len(failed) > 0:
-			c.lookups.sent--
+			c.lookups.inFlight--
 			again = append(again, l)
 		default:
 			c.finishLookup(l, activeResult(batch.versions[key], l.read))
 		}
 	}
-	c.lookups.waiting = append(again, c.lookups.waiting...)
+	c.lookups.pending = append(again, c.lookups.pending...)
 }
 
-// noteReadSent notes that a read is sent for lookups now, or as soon as the budget allows. Later
+// recordReadSent notes that a read is sent for lookups now, or as soon as the budget allows. Later
 // reads of the same lookup continue it, so what it finds is certain as of the first.
-func (c *Core) noteReadSent(list ...*lookup) {
+func (c *Core) recordReadSent(list ...*lookup) {
 	for _, l := range list {
 		l.read = freshness.Evidence{Basis: freshness.RecordRead, SentAt: c.now, ViaPeer: c.store.UsesPeerRoute()}
 	}
@@ -67,113 +67,113 @@
 
 // readActive looks a job up by its records, first by that of an active job.
 func (c *Core) readActive(l *lookup) {
-	c.noteReadSent(l)
+	c.recordReadSent(l)
 	c.store.Get(budget.Reads, record.ActiveJobKey(l.id), func(out kv.Outcome, e kv.Entry) {
 		switch out {
 		case kv.OK:
-			c.takeActive(l, e)
+			c.handleActiveRead(l, e)
 		case kv.NotFound:
-			c.readFinal(l)
+			c.readTerminalState(l)
 		default:
 			c.finishLookup(l, lookupResult{})
 		}
 	})
 }
 
-// takeActive answers from the record of an active job, unless its state depends on others.
-func (c *Core) takeActive(l *lookup, e kv.Entry) {
+// handleActiveRead answers from the record of an active job, unless its state depends on others.
+func (c *Core) handleActiveRead(l *lookup, e kv.Entry) {
 	awaits, err := dag.HasDependencies(e.Value)
 	if err != nil {
 		c.finishLookup(l, lookupResult{})
 		return
 	}
 	if job := c.graph.Blocked(l.id); awaits && (job == nil || !job.Ready()) {
-		c.deriveAgain(l) // this node's view is behind
+		c.retryDerivation(l) // this node's view is behind
 		return
 	}
 	c.graph.SetVersion(l.id, e.Version)
 	c.finishLookup(l, activeResult(e.Version, l.read))
 }
 
-// readFinal looks a job up that is not active.
-func (c *Core) readFinal(l *lookup) {
+// readTerminalState looks a job up that is not active.
+func (c *Core) readTerminalState(l *lookup) {
 	c.store.Get(budget.Reads, record.TerminalStateKey(l.id), func(out kv.Outcome, e kv.Entry) {
 		var rec record.TerminalState
 		switch {
 		case out == kv.NotFound:
 			c.finishLookup(l, lookupResult{outcome: lookupNotFound, evidence: l.read})
 		case out == kv.OK && wire.Decode(e.Value, &rec) == nil:
-			c.finishFinal(l, wire.JobPhase(rec.Status), rec.CancelledRoot(l.id))
+			c.finishTerminal(l, wire.JobPhase(rec.Status), rec.CancelledRoot(l.id))
 		default:
 			c.finishLookup(l, lookupResult{})
 		}
 	})
 }
 
-// finishFinal answers with a state that stays. That a job is cancelled is told only once the
+// finishTerminal answers with a state that stays. That a job is cancelled is told only once the
 // peers know: see announceCancellation. If it was cancelled with one before it, the root, that
 // is what they know.
-func (c *Core) finishFinal(l *lookup, status wire.JobPhase, root string) {
+func (c *Core) finishTerminal(l *lookup, status wire.JobPhase, root string) {
 	if status != wire.JobCancelled {
-		c.finals.remember(l.id, status)
-		c.finishLookup(l, finalResult(status))
+		c.terminalStates.remember(l.id, status)
+		c.finishLookup(l, terminalResult(status))
 		return
 	}
-	c.announceCancellation(root, l.askedAt+lookupWithin, func(ok bool) {
+	c.announceCancellation(root, l.requestedAt+lookupTimeout, func(ok bool) {
 		if !ok {
 			c.finishLookup(l, lookupResult{})
 			return
 		}
-		c.finals.remember(l.id, status)
-		c.finishLookup(l, finalResult(status))
+		c.terminalStates.remember(l.id, status)
+		c.finishLookup(l, terminalResult(status))
 	})
 }
 
 // finishLookup hands over the result of a lookup that was sent.
 func (c *Core) finishLookup(l *lookup, result lookupResult) {
-	c.lookups.sent--
-	switch final := c.finals.of(l.id); {
+	c.lookups.inFlight--
+	switch final := c.terminalStates.of(l.id); {
 	case final != "": // told meanwhile
-		result = finalResult(final)
-	case result.outcome != lookupFailed && !result.final() && c.cancellations.HasEnded(l.id):
-		c.lookupAgain(l) // cancelled since the read was sent
+		result = terminalResult(final)
+	case result.outcome != lookupFailed && !result.isTerminal() && c.cancellations.HasEnded(l.id):
+		c.retryLookup(l) // cancelled since the read was sent
 		return
 	}
 	l.done(result)
 }
 
-// lookupAgain makes a new read for a lookup, unless its answer is of no use any more.
-func (c *Core) lookupAgain(l *lookup) {
+// retryLookup makes a new read for a lookup, unless its answer is of no use any more.
+func (c *Core) retryLookup(l *lookup) {
 	if l.expired(c.now) {
 		l.done(lookupResult{})
 		return
 	}
-	c.lookups.waiting = append([]*lookup{l}, c.lookups.waiting...)
+	c.lookups.pending = append([]*lookup{l}, c.lookups.pending...)
 }
 
 // deriveStates answers about jobs that wait for others, whose state follows from how those
 // ended: one read serves them all.
 func (c *Core) deriveStates(list []*lookup) {
-	c.lookups.sent += len(list)
-	c.noteReadSent(list...)
+	c.lookups.inFlight += len(list)
+	c.recordReadSent(list...)
 	c.refresh(func(ok bool) {
 		for _, l := range list {
 			if !ok {
 				c.finishLookup(l, lookupResult{})
 				continue
 			}
-			c.settle([]string{l.id}, l.askedAt+lookupWithin, func(ok bool) { c.finishDerived(l, ok) })
+			c.resolveDependencies([]string{l.id}, l.requestedAt+lookupTimeout, func(ok bool) { c.finishDerived(l, ok) })
 		}
 	})
 }
 
-// deriveAgain is deriveStates for a lookup that was sent.
-func (c *Core) deriveAgain(l *lookup) {
+// retryDerivation is deriveStates for a lookup that was sent.
+func (c *Core) retryDerivation(l *lookup) {
 	if l.expired(c.now) {
 		c.finishLookup(l, lookupResult{})
 		return
 	}
-	c.lookups.sent--
+	c.lookups.inFlight--
 	c.deriveStates([]*lookup{l})
 }
 
@@ -185,7 +185,7 @@
 	case job == nil:
 		c.readActive(l) // over meanwhile
 	case job.Cancelled():
-		c.finishFinal(l, wire.JobCancelled, job.CancelledRoot)
+		c.finishTerminal(l, wire.JobCancelled, job.CancelledRoot)
 	default:
 		c.finishLookup(l, activeResult(job.Version, l.read))
 	}
--- a/controller/claims.go
+++ b/controller/machine_claims.go
@@ -9,10 +9,10 @@
 	"tamarindlead/internal/wire"
 )
 
-// guardOwnTeams adds the guards of machines' first claims: that this owner has its teams still.
+// addOwnTeamPreconditions adds the guards of machines' first claims: that this owner has its teams still.
 // No owner that lives loses a team, and each commit is guarded on this node's member record:
 // so when there are more teams than a commit takes guards, some suffice.
-func (o *owner) guardOwnTeams(guards map[string]uint64) {
+func (o *owner) addOwnTeamPreconditions(guards map[string]uint64) {
 	for i, name := range sortedKeys(o.teams) {
 		if i == o.c.cfg.MaxTransactionOps {
 			return
@@ -25,24 +25,24 @@
 func (o *owner) ownsAllTeams() bool { return len(o.teams) == len(o.c.cfg.Teams) }
 
 // isUnclaimed tells that the machine has no token yet, nor waits for verify.
-func (m *machine) isUnclaimed() bool { return m.token == 0 && !m.verifying }
+func (m *machine) isUnclaimed() bool { return m.fencingToken == 0 && !m.verifying }
 
 // hasUnclaimed tells whether the block has machines that must be claimed.
 func (b *block) hasUnclaimed() bool { return slices.ContainsFunc(b.machines, (*machine).isUnclaimed) }
 
-// claimed takes the revision of a commit as a machine's token.
-func (o *owner) claimed(m *machine, revision uint64) {
-	m.token, m.synced = revision, false
-	m.tokenShownAt = max(m.tokenShownAt, o.c.now)
-	if m.fence == fenceWanted {
-		o.setFence(m, fenceRaised)
+// handleClaimed takes the revision of a commit as a machine's token.
+func (o *owner) handleClaimed(m *machine, revision uint64) {
+	m.fencingToken, m.tokenConfirmed = revision, false
+	m.tokenConfirmedAt = max(m.tokenConfirmedAt, o.c.now)
+	if m.fencing == fencingNeeded {
+		o.setFencingState(m, fencingPending)
 	}
-	o.answerHeld(m)
+	o.answerDeferredHeartbeat(m)
 }
 
-// verify looks whether another owner had recorded an adopted machine before this one did.
+// verifyAdopted looks whether another owner had recorded an adopted machine before this one did.
 // Later records of others fail, since they are guarded on the one just written.
-func (o *owner) verify(m *machine, revision uint64) {
+func (o *owner) verifyAdopted(m *machine, revision uint64) {
 	m.verifying = true
 	o.c.store.ListAll(record.BlockPrefix, func(ok bool, entries []kv.Entry, _ uint64) {
 		if o.superseded() || o.machines[m.name] != m {
@@ -55,10 +55,10 @@
 		}
 		if block, found := o.otherBlockWith(m, entries); found {
 			o.obsoleteKeys = append(o.obsoleteKeys, record.BlockKey(m.block.name))
-			o.notOurs(m, block)
+			o.dropOwnedElsewhere(m, block)
 			return
 		}
-		o.claimed(m, revision)
+		o.handleClaimed(m, revision)
 	})
 }
 
--- a/controller/machine_requests.go
+++ b/controller/machine_requests.go
@@ -14,9 +14,9 @@
 
 // Least times between two requests of an owner.
 const (
-	machineRequestPause = 2 * micros.Second
-	// arrayRequestPause is the one for arrays, which need machines less urgently than gangs.
-	arrayRequestPause = 8 * micros.Second
+	machineRequestInterval = 2 * micros.Second
+	// arrayRequestInterval is the one for arrays, which need machines less urgently than gangs.
+	arrayRequestInterval = 8 * micros.Second
 )
 
 // requestMachines asks the leader for machines for some tasks of a job. With reclaim, owners
@@ -25,7 +25,7 @@
 	if o.c.cluster.Owners() < 2 || o.c.now < o.nextMachineRequest {
 		return
 	}
-	o.nextMachineRequest = o.c.now + machineRequestPause
+	o.nextMachineRequest = o.c.now + machineRequestInterval
 	request := &peer.Want{
 		Job: job.ID, Team: job.Team, Owner: string(o.c.node.ID()), Tasks: int32(tasks), Priority: int32(job.Priority),
 		Cpu: job.Need.CPU, Gpu: job.Need.GPU, Mem: job.Need.Mem,
@@ -38,7 +38,7 @@
 	}
 	leader, _ := o.c.node.Leader()
 	if p := o.c.peers[leader]; p != nil {
-		o.c.send(p, &peer.Message{Body: &peer.Message_Want{Want: request}})
+		o.c.sendPeerMessage(p, &peer.Message{Body: &peer.Message_Want{Want: request}})
 	}
 }
 
@@ -72,7 +72,7 @@
 
 // assignMachineRequest passes a request on to the owner that shall transfer machines.
 func (c *Core) assignMachineRequest(request *peer.Want) {
-	giver := c.chooseGiver(request)
+	giver := c.chooseTransferSource(request)
 	if giver == "" {
 		return
 	}
@@ -82,33 +82,33 @@
 		c.handleMachineRequest(request)
 		return
 	}
-	c.send(c.peers[giver], &peer.Message{Body: &peer.Message_Want{Want: request}})
+	c.sendPeerMessage(c.peers[giver], &peer.Message{Body: &peer.Message_Want{Want: request}})
 }
 
-// chooseGiver chooses the node that transfers machines, or "".
-func (c *Core) chooseGiver(request *peer.Want) string {
+// chooseTransferSource chooses the node that transfers machines, or "".
+func (c *Core) chooseTransferSource(request *peer.Want) string {
 	job := requestedJob(request)
 	chosen, mostOver := "", 0.0
 	for _, node := range c.cluster.Members() {
 		if c.cluster.MemberID(node) == record.OwnerID(request.Owner) {
 			continue
 		}
-		share := c.ownerShare(node)
+		share := c.ownerSummary(node)
 		if c.hasIdleMachineFor(share.Idle, job) {
 			return node
 		}
-		if over := c.mostOverGuarantee(share.Teams, request.Team); request.Reclaim && over > mostOver {
+		if over := c.maxGuaranteeExcess(share.Teams, request.Team); request.Reclaim && over > mostOver {
 			chosen, mostOver = node, over
 		}
 	}
 	return chosen
 }
 
-// ownerShare tells of a node's idle machines and teams, as far as is known.
-func (c *Core) ownerShare(node string) *peer.Beat {
+// ownerSummary tells of a node's idle machines and teams, as far as is known.
+func (c *Core) ownerSummary(node string) *peer.Beat {
 	share := &peer.Beat{}
 	if node == c.cfg.Node && c.owner != nil {
-		c.owner.describeShare(share)
+		c.owner.describeOwner(share)
 	} else if p := c.peers[node]; p != nil && p.fresh(c.now) {
 		share.Idle, share.Teams = p.idleMachines, p.teams
 	}
@@ -125,8 +125,8 @@
 	return false
 }
 
-// mostOverGuarantee tells by how much any team but the asking one is above its guarantee.
-func (c *Core) mostOverGuarantee(teams []*peer.TeamUse, asking string) float64 {
+// maxGuaranteeExcess tells by how much any team but the asking one is above its guarantee.
+func (c *Core) maxGuaranteeExcess(teams []*peer.TeamUse, asking string) float64 {
 	most := 0.0
 	for _, team := range teams {
 		settings, ok := c.cfg.Team(team.Team)
@@ -139,20 +139,20 @@
 	return most
 }
 
-// describeShare adds to a heartbeat what peers must know of this owner.
-func (o *owner) describeShare(heartbeat *peer.Beat) {
+// describeOwner adds to a heartbeat what peers must know of this owner.
+func (o *owner) describeOwner(heartbeat *peer.Beat) {
 	heartbeat.Jobs = o.jobCounts()
 	if o.ownsAllTeams() {
 		return // there is no owner to share machines with
 	}
-	for _, m := range o.list {
+	for _, m := range o.sortedMachines {
 		heartbeat.Machines = append(heartbeat.Machines, m.name)
 		if o.isIdle(m) {
-			heartbeat.Idle = append(heartbeat.Idle, &peer.IdleMachine{Type: m.kind, Zone: m.zone, Spot: m.spot})
+			heartbeat.Idle = append(heartbeat.Idle, &peer.IdleMachine{Type: m.machineType, Zone: m.zone, Spot: m.spot})
 		}
 	}
 	for _, name := range sortedKeys(o.teams) {
-		used := o.teamUse(o.teams[name]).Used
+		used := o.teamUsage(o.teams[name]).Used
 		heartbeat.Teams = append(heartbeat.Teams, &peer.TeamUse{Team: name, Cpu: used.CPU, Gpu: used.GPU})
 	}
 }
--- a/controller/cluster.go
+++ b/controller/membership.go
@@ -44,26 +44,26 @@
 }
 
 // ViewChanged shares the limits of the state service anew.
-func (h clusterHost) ViewChanged() { h.core.shareLimits() }
+func (h clusterHost) ViewChanged() { h.core.updateRateLimits() }
 
 // UnreachableByWorkers tells that the machines of this node's teams do not report to it, nor any other
 // machine, although some report to a peer.
 func (h clusterHost) UnreachableByWorkers() bool {
 	c := h.core
-	return c.owner != nil && c.owner.isSilent() && c.onlyPeersHeard()
+	return c.owner != nil && c.owner.allMachinesUnresponsive() && c.onlyPeersReachable()
 }
 
 // setOwner is the one place where this node begins or ends owning.
 func (c *Core) setOwner(o *owner) {
 	if c.owner != nil {
-		c.owner.refusePending()
+		c.owner.refusePendingHeartbeats()
 	}
 	c.owner = o
-	c.shareLimits()
+	c.updateRateLimits()
 }
 
-// shareLimits sets this node's part of the state service's limits by who is a member.
-func (c *Core) shareLimits() {
+// updateRateLimits sets this node's part of the state service's limits by who is a member.
+func (c *Core) updateRateLimits() {
 	role := budget.Role{Nodes: len(c.cluster.Members()), Owners: c.cluster.LiveOwners(), OwnsTeams: c.owner != nil}
 	if !c.cluster.IsMember(c.cfg.Node) {
 		role.Nodes++
@@ -74,21 +74,21 @@
 	c.budget.SetRole(role, c.now)
 }
 
-// onlyPeersHeard tells that no worker reaches this node although some reach a peer.
-func (c *Core) onlyPeersHeard() bool {
-	if len(c.recentReports) > 0 {
+// onlyPeersReachable tells that no worker reaches this node although some reach a peer.
+func (c *Core) onlyPeersReachable() bool {
+	if len(c.recentHeartbeats) > 0 {
 		return false
 	}
 	for _, s := range c.peers {
-		if s.fresh(c.now) && s.recentReports > 0 {
+		if s.fresh(c.now) && s.recentHeartbeats > 0 {
 			return true
 		}
 	}
 	return false
 }
 
-// reportTo finds the node to which a machine's worker should report, or "".
-func (c *Core) reportTo(machine string) string {
+// heartbeatTarget finds the node to which a machine's worker should report, or "".
+func (c *Core) heartbeatTarget(machine string) string {
 	to := c.claimant(machine)
 	if to == "" {
 		to = c.cluster.FirstOwner()
--- a/controller/eviction.go
+++ b/controller/preemption.go
@@ -14,58 +14,58 @@
 // This file looks for work to stop for gangs that find no room.
 
 const (
-	// endingSoon is the remaining time below which a task is not stopped but waited for: a
+	// minRemainingForPreemption is the remaining time below which a task is not stopped but waited for: a
 	// stop would not be faster.
-	endingSoon = 3 * micros.Second
-	// bootsSoon is the boot time left for which nothing is stopped.
-	bootsSoon = 12 * micros.Second
-	// roomRetry is the pause after no room was found.
-	roomRetry = 4 * micros.Second
+	minRemainingForPreemption = 3 * micros.Second
+	// maxBootTimeToWait is the boot time left for which nothing is stopped.
+	maxBootTimeToWait = 12 * micros.Second
+	// preemptionRetryDelay is the pause after no room was found.
+	preemptionRetryDelay = 4 * micros.Second
 )
 
-// makeRoom looks for work to stop for a gang that does not fit, and holds the machines.
-func (o *owner) makeRoom(j *job) bool {
-	if !j.Gang || o.c.now < j.evictAt || o.rentingSuffices(j) || o.comesSoon(j) {
+// preempt looks for work to stop for a gang that does not fit, and holds the machines.
+func (o *owner) preempt(j *job) bool {
+	if !j.Gang || o.c.now < j.nextPreemptionAt || o.scaleOutSuffices(j) || o.capacityComesSoon(j) {
 		return false
 	}
-	covered := o.guaranteed()
-	plan := o.planRoom(j, covered)
+	covered := o.jobsWithinGuarantee()
+	plan := o.planPreemption(j, covered)
 	if plan == nil {
-		j.evictAt = o.c.now + roomRetry
+		j.nextPreemptionAt = o.c.now + preemptionRetryDelay
 		o.requestMachines(j.Job, j.Tasks, covered[j])
 		return false
 	}
-	h := newHold(j, plan)
+	h := newReservation(j, plan)
 	if kv.EncodedSizeBound(record.Reservation{Machines: h.machines}) > o.c.cfg.MaxValueBytes {
-		j.evictAt = o.c.now + roomRetry
+		j.nextPreemptionAt = o.c.now + preemptionRetryDelay
 		return false // it could never be recorded
 	}
-	o.holds[j.ID] = h
-	o.logPlan(j, plan)
+	o.reservations[j.ID] = h
+	o.logPreemptionPlan(j, plan)
 	return true
 }
 
-// planRoom looks for work to stop: of the gang's own team, else of teams that use more than
+// planPreemption looks for work to stop: of the gang's own team, else of teams that use more than
 // their guarantees if the gang is covered by its team's.
-func (o *owner) planRoom(j *job, covered map[*job]bool) *sched.PreemptionPlan {
-	machines := o.evictView()
-	plan := o.evictPlan(j.Job, machines, sched.Preempt, covered)
+func (o *owner) planPreemption(j *job, covered map[*job]bool) *sched.PreemptionPlan {
+	machines := o.preemptionView()
+	plan := o.preemptionPlan(j.Job, machines, sched.Preempt, covered)
 	if plan == nil && covered[j] {
-		plan = o.evictPlan(j.Job, machines, sched.Reclaim, covered)
+		plan = o.preemptionPlan(j.Job, machines, sched.Reclaim, covered)
 	}
 	return plan
 }
 
-// newHold returns a hold for the places of a plan, not recorded yet.
-func newHold(j *job, plan *sched.PreemptionPlan) *hold {
-	h := &hold{job: j.ID, machines: map[string]int{}, need: j.Need, stop: plan.Victims}
+// newReservation returns a hold for the places of a plan, not recorded yet.
+func newReservation(j *job, plan *sched.PreemptionPlan) *reservation {
+	h := &reservation{job: j.ID, machines: map[string]int{}, need: j.Need, victims: plan.Victims}
 	for _, a := range plan.Placement {
 		h.machines[a.Machine.Name] = a.Count
 	}
 	return h
 }
 
-func (o *owner) logPlan(j *job, plan *sched.PreemptionPlan) {
+func (o *owner) logPreemptionPlan(j *job, plan *sched.PreemptionPlan) {
 	stops := 0
 	for _, b := range plan.Victims {
 		stops += len(b.Tasks)
@@ -75,50 +75,50 @@
 		"machines", len(plan.Placement), "stops", stops)
 }
 
-// evictPlan looks for victims on a ground and for the cheapest set of them.
-func (o *owner) evictPlan(j *sched.Job, machines []*sched.Machine, mode sched.PreemptionMode, covered map[*job]bool) *sched.PreemptionPlan {
+// preemptionPlan looks for victims on a ground and for the cheapest set of them.
+func (o *owner) preemptionPlan(j *sched.Job, machines []*sched.Machine, mode sched.PreemptionMode, covered map[*job]bool) *sched.PreemptionPlan {
 	victims := o.victims(j, mode, covered)
 	if len(victims) == 0 {
 		return nil
 	}
 	rules := sched.PreemptionRules{Mode: mode, ROIThreshold: o.c.cfg.Tuning.ROIThreshold, Teams: map[string]sched.TeamUsage{}}
 	for name, t := range o.teams {
-		rules.Teams[name] = o.teamUse(t)
+		rules.Teams[name] = o.teamUsage(t)
 	}
 	domains := sched.Domains(j, machines, victims, o.c.cfg.Tuning.MaxDomains)
 	return sched.PlanPreemption(j, domains, victims, rules)
 }
 
-// teamUse is what a team uses and will go on using: what is being stopped already must
+// teamUsage is what a team uses and will go on using: what is being stopped already must
 // not be counted as surplus once more.
-func (o *owner) teamUse(t *team) sched.TeamUsage {
+func (o *owner) teamUsage(t *team) sched.TeamUsage {
 	return sched.TeamUsage{Used: t.used.Sub(t.stopping), GuaranteedQuota: t.GuaranteedQuota}
 }
 
-// guaranteed finds the jobs that their teams' guarantees cover: each team's earliest
+// jobsWithinGuarantee finds the jobs that their teams' guarantees cover: each team's earliest
 // unfinished ones, as long as they fit together. By what a team uses at the moment, a gang
 // that was just stopped for another would be covered again and take the room back; two
 // teams would stop each other's gangs in turn (docs/incidents/eyjafold-third-reclaim.md).
-func (o *owner) guaranteed() map[*job]bool {
+func (o *owner) jobsWithinGuarantee() map[*job]bool {
 	list := slices.Clone(o.queue)
-	slices.SortStableFunc(list, func(a, b *job) int { return cmp.Compare(a.since, b.since) })
+	slices.SortStableFunc(list, func(a, b *job) int { return cmp.Compare(a.readyAt, b.readyAt) })
 	covered, sums := map[*job]bool{}, map[string]sched.Resources{}
 	for _, j := range list {
 		t := o.teams[j.Team]
 		if t == nil || j.state != jobActive || t.GuaranteedQuota.CPU == 0 && t.GuaranteedQuota.GPU == 0 {
 			continue
 		}
-		sum := sums[j.Team].Add(j.Need.Times(j.Tasks - j.doneN))
+		sum := sums[j.Team].Add(j.Need.Times(j.Tasks - j.completedCount))
 		sums[j.Team] = sum
 		covered[j] = sum.CPU <= t.GuaranteedQuota.CPU && (sum.GPU <= t.GuaranteedQuota.GPU || j.Need.GPU == 0)
 	}
 	return covered
 }
 
-// rentingSuffices tells that a machine from the cloud would serve in time (ours): then
+// scaleOutSuffices tells that a machine from the cloud would serve in time (ours): then
 // nothing needs to be stopped.
-func (o *owner) rentingSuffices(j *job) bool {
-	market, left := o.market(), o.startLimit(j)-(o.c.wallClock-j.since)
+func (o *owner) scaleOutSuffices(j *job) bool {
+	market, left := o.market(), o.startDeadline(j)-(o.c.wallClock-j.readyAt)
 	for _, t := range o.c.types.list {
 		if t.Boot > left || !j.Need.Fits(t.Size) {
 			continue
@@ -132,8 +132,8 @@
 	return false
 }
 
-// startLimit is how long a gang should wait at the most.
-func (o *owner) startLimit(j *job) micros.Micros {
+// startDeadline is how long a gang should wait at the most.
+func (o *owner) startDeadline(j *job) micros.Micros {
 	limit := o.c.cfg.Tuning.ReservationTimeout
 	for _, objective := range o.c.cfg.SLOs {
 		if objective.Kind == config.SLOWaitTime && objective.Class == j.Class {
@@ -143,12 +143,12 @@
 	return limit
 }
 
-// comesSoon tells that a machine which boots will serve: one for each gang that waits,
+// capacityComesSoon tells that a machine which boots will serve: one for each gang that waits,
 // in the order of the queue.
-func (o *owner) comesSoon(j *job) bool {
+func (o *owner) capacityComesSoon(j *job) bool {
 	slots := o.bootingSlots(j)
 	for _, q := range o.queue {
-		if q.Gang && q.gang == gangNone && q.Class == j.Class && o.holds[q.ID] == nil {
+		if q.Gang && q.gangState == gangNone && q.Class == j.Class && o.reservations[q.ID] == nil {
 			if slots -= q.Tasks; q == j {
 				return slots >= 0
 			}
@@ -161,36 +161,36 @@
 // booted soon.
 func (o *owner) bootingSlots(j *job) int {
 	slots := 0
-	for _, m := range o.list {
-		t := o.c.types.find(m.kind)
-		if m.state != machineBooting || t == nil || !j.Allows(m.kind, m.zone, m.spot) {
+	for _, m := range o.sortedMachines {
+		t := o.c.types.find(m.machineType)
+		if m.state != machineBooting || t == nil || !j.Allows(m.machineType, m.zone, m.spot) {
 			continue
 		}
-		if o.c.wallClock-m.rented+bootsSoon > t.Boot {
+		if o.c.wallClock-m.provisionedAt+maxBootTimeToWait > t.Boot {
 			slots += j.Need.Count(t.Size, j.Tasks)
 		}
 	}
 	return slots
 }
 
-// leavingSoon tells that an attempt's room will be free without a stop.
-func (o *owner) leavingSoon(a *attempt) bool {
+// endsSoon tells that an attempt's room will be free without a stop.
+func (o *owner) endsSoon(a *attempt) bool {
 	switch a.state {
-	case attemptStopping, attemptFinished, attemptLeaving:
+	case attemptStopping, attemptCompleted, attemptRemoving:
 		return true
 	}
-	return a.running != 0 && !a.job.Gang && a.job.Estimate-(o.c.now-a.running) < endingSoon &&
-		o.c.now-a.running < a.job.Estimate+endingSoon
+	return a.runningSince != 0 && !a.job.Gang && a.job.Estimate-(o.c.now-a.runningSince) < minRemainingForPreemption &&
+		o.c.now-a.runningSince < a.job.Estimate+minRemainingForPreemption
 }
 
-// evictView is the view in which room is sought: what leaves soon is gone already.
-func (o *owner) evictView() []*sched.Machine {
-	view := o.view()
+// preemptionView is the view in which room is sought: what leaves soon is gone already.
+func (o *owner) preemptionView() []*sched.Machine {
+	view := o.machineView()
 	for _, v := range view {
 		for _, a := range o.machines[v.Name].attempts {
 			// What is freed is in the view already: counted twice, it would promise room that
 			// another gang may just have taken, and the hold would wait for it for ever.
-			if !a.freed && o.leavingSoon(a) {
+			if !a.resourcesReleased && o.endsSoon(a) {
 				v.Free = v.Free.Add(a.job.Need)
 			}
 		}
@@ -203,7 +203,7 @@
 	var list []*sched.Victim
 	for _, id := range sortedKeys(o.jobs) {
 		candidate := o.jobs[id]
-		if candidate.Job == j || !mayStopFor(j, candidate, mode, covered) || o.holds[id] != nil {
+		if candidate.Job == j || !mayPreemptFor(j, candidate, mode, covered) || o.reservations[id] != nil {
 			continue
 		}
 		if victim := o.describeVictim(candidate); victim.ReadyTasks > 0 {
@@ -213,10 +213,10 @@
 	return list
 }
 
-// mayStopFor tells whether a job may be stopped for j. What another team's guarantee covers is
+// mayPreemptFor tells whether a job may be stopped for j. What another team's guarantee covers is
 // not reclaimed: the part that it runs beyond is its later work.
-func mayStopFor(j *sched.Job, candidate *job, mode sched.PreemptionMode, covered map[*job]bool) bool {
-	if candidate.state != jobActive || candidate.gang == gangStopping || candidate.gang == gangPlacing {
+func mayPreemptFor(j *sched.Job, candidate *job, mode sched.PreemptionMode, covered map[*job]bool) bool {
+	if candidate.state != jobActive || candidate.gangState == gangStopping || candidate.gangState == gangPlacing {
 		return false
 	}
 	sameTeam := candidate.Team == j.Team
@@ -235,38 +235,38 @@
 	if j.Gang {
 		victim.MinTasks = j.Tasks
 	}
-	for _, a := range j.sorted() {
-		if o.leavingSoon(a) || a.state == attemptProposed {
+	for _, a := range j.sortedAttempts() {
+		if o.endsSoon(a) || a.state == attemptAssumed {
 			continue
 		}
 		victim.ReadyTasks++
 		victim.TotalResources = victim.TotalResources.Add(j.Need)
-		victim.Since = max(victim.Since, a.since)
+		victim.Since = max(victim.Since, a.placedAt)
 		victim.Tasks = append(victim.Tasks, sched.VictimTask{
-			Index: a.index, Machine: a.machine.name, Resources: j.Need, Since: a.since, LostWork: o.lostWork(a),
+			Index: a.index, Machine: a.machine.name, Resources: j.Need, Since: a.placedAt, LostWork: o.preemptionCost(a),
 		})
 	}
 	return victim
 }
 
-// lostWork is what a stop of an attempt undoes: all of its progress, or the time for
+// preemptionCost is what a stop of an attempt undoes: all of its progress, or the time for
 // saving.
-func (o *owner) lostWork(a *attempt) float64 {
+func (o *owner) preemptionCost(a *attempt) float64 {
 	lost := a.job.CheckpointDuration
-	if a.job.CheckpointInterval == 0 && a.running != 0 {
-		lost = o.c.now - a.running
+	if a.job.CheckpointInterval == 0 && a.runningSince != 0 {
+		lost = o.c.now - a.runningSince
 	}
 	return a.job.Need.CPUs() * lost.Seconds()
 }
 
-// stopVictims begins the stops of a hold that is recorded.
-func (o *owner) stopVictims(h *hold) {
-	o.stopBundles(h.stop, "room for "+h.job)
-	h.stop = nil
+// preemptVictims begins the stops of a hold that is recorded.
+func (o *owner) preemptVictims(h *reservation) {
+	o.stopBundledAttempts(h.victims, "room for "+h.job)
+	h.victims = nil
 }
 
-// stopBundles begins the stops of a plan, as far as its tasks are still where they were.
-func (o *owner) stopBundles(bundles []sched.Bundle, why string) {
+// stopBundledAttempts begins the stops of a plan, as far as its tasks are still where they were.
+func (o *owner) stopBundledAttempts(bundles []sched.Bundle, why string) {
 	for _, b := range bundles {
 		v := o.jobs[b.Victim.Job]
 		if v == nil || v.state != jobActive {
--- a/controller/routes.go
+++ b/controller/routes.go
@@ -14,43 +14,43 @@
 	cancelSuffix = "/cancel" // after the path of a job
 )
 
-// PathReport is where workers report.
-const PathReport = wire.PathHeartbeat
+// PathHeartbeat is where workers report.
+const PathHeartbeat = wire.PathHeartbeat
 
-// request routes an inbound request to its handler.
-func (c *Core) request(r Request) {
+// routeRequest routes an inbound request to its handler.
+func (c *Core) routeRequest(r Request) {
 	if r.Peer {
-		c.peerRequest(r)
+		c.handlePeerRequest(r)
 		return
 	}
 	switch r.Path {
 	case pathUp:
-		c.handle(r, http.MethodGet, func() { c.answerUp(r.ID) })
-	case PathReport:
-		c.handle(r, http.MethodPost, func() { c.report(r) })
+		c.handleMethod(r, http.MethodGet, func() { c.handleHealthCheck(r.ID) })
+	case PathHeartbeat:
+		c.handleMethod(r, http.MethodPost, func() { c.handleHeartbeat(r) })
 	case pathJobs:
-		c.handle(r, http.MethodPost, func() { c.submit(r) })
+		c.handleMethod(r, http.MethodPost, func() { c.handleSubmission(r) })
 	default:
-		c.jobRequest(r)
+		c.routeJobRequest(r)
 	}
 }
 
-// jobRequest routes a request whose path names a job.
-func (c *Core) jobRequest(r Request) {
+// routeJobRequest routes a request whose path names a job.
+func (c *Core) routeJobRequest(r Request) {
 	rest, found := strings.CutPrefix(r.Path, pathJobs+"/")
 	job, cancel := strings.CutSuffix(rest, cancelSuffix)
 	switch {
 	case !found || strings.Contains(job, "/"):
 		c.respond(r.ID, wire.StatusNotFound, wire.ErrorResponse{Error: "no such path"})
 	case cancel:
-		c.handle(r, http.MethodPost, func() { c.cancel(c.requestOf(r), job) })
+		c.handleMethod(r, http.MethodPost, func() { c.cancel(c.newUserRequest(r), job) })
 	default:
-		c.handle(r, http.MethodGet, func() { c.query(c.requestOf(r), job) })
+		c.handleMethod(r, http.MethodGet, func() { c.handleQuery(c.newUserRequest(r), job) })
 	}
 }
 
-// handle calls a handler if the request has the method that it demands.
-func (c *Core) handle(r Request, method string, handler func()) {
+// handleMethod calls a handler if the request has the method that it demands.
+func (c *Core) handleMethod(r Request, method string, handler func()) {
 	if r.Method != method {
 		c.respond(r.ID, wire.StatusMethodNotAllowed, wire.ErrorResponse{Error: "method not allowed"})
 		return
@@ -58,9 +58,9 @@
 	handler()
 }
 
-// answerUp tells whether this node can serve anybody.
-func (c *Core) answerUp(request uint64) {
-	if c.isolated() {
+// handleHealthCheck tells whether this node can serve anybody.
+func (c *Core) handleHealthCheck(request uint64) {
+	if c.isIsolated() {
 		c.refuse(request, wire.StatusUnavailable, reasonIsolated)
 		return
 	}
