--- a/controller/blocked_jobs.go
+++ b/controller/blocked_jobs.go
@@ -175,7 +175,7 @@
 		if o.superseded() {
 			return
 		}
-		if r.Outcome != kv.OK || !r.Decode(&page) {
+		if err := r.DecodeOK(&page); err != nil {
 			o.partsSwept = false
 			return
 		}
--- a/controller/commits.go
+++ b/controller/commits.go
@@ -88,7 +88,7 @@
 	var res kv.TransactionResult
 	switch r.Outcome {
 	case kv.OK:
-		if !r.Decode(&res) {
+		if err := r.Decode(&res); err != nil {
 			o.restartRecovery("the answer to a commit cannot be read")
 			return
 		}
@@ -100,7 +100,7 @@
 			o.restartRecovery("a commit without answer was executed, or somebody else wrote")
 			return
 		}
-		r.Decode(&res)
+		_ = r.Decode(&res) // an invalid body names no failed keys: the writes are tried again
 		o.finishTransaction(t, false, 0)
 		o.handlePreconditionFailed(res.FailedPreconditions)
 	case kv.Unknown:
--- a/controller/dependencies.go
+++ b/controller/dependencies.go
@@ -67,7 +67,7 @@
 func (c *Core) readDependencyParts(job *dag.BlockedJob, done func(ok bool)) {
 	c.store.Do(budget.UserRequests, kv.List(record.DependencyPartsPrefix(job.ID), ""), func(r kv.Result) {
 		var page kv.Page
-		if r.Outcome != kv.OK || !r.Decode(&page) {
+		if err := r.DecodeOK(&page); err != nil {
 			done(false)
 			return
 		}
--- a/controller/job_view.go
+++ b/controller/job_view.go
@@ -131,7 +131,7 @@
 		c.graph.MarkUnsynced()
 	}
 	var changes kv.WatchResult
-	return r.Outcome == kv.OK && r.Decode(&changes) && c.graph.Apply(after, &changes, c.wallClock)
+	return r.DecodeOK(&changes) == nil && c.graph.Apply(after, &changes, c.wallClock)
 }
 
 // refreshQueue is the questions that need a view of the present state. One read serves all
--- a/controller/lookup_reads.go
+++ b/controller/lookup_reads.go
@@ -20,7 +20,7 @@
 		switch {
 		case r.Outcome == kv.OK:
 			c.applyComparison(batch, nil)
-		case r.Outcome == kv.PreconditionFailed && r.Decode(&committed) && len(committed.FailedPreconditions) > 0:
+		case r.Outcome == kv.PreconditionFailed && r.Decode(&committed) == nil && len(committed.FailedPreconditions) > 0:
 			c.applyComparison(batch, committed.FailedPreconditions)
 		default:
 			for _, l := range batch.compared {
--- a/controller/submission_commits.go
+++ b/controller/submission_commits.go
@@ -118,7 +118,7 @@
 // tried again.
 func (s *submissionQueue) handlePreconditionFailed(batch []*submission, reply kv.Result) {
 	var committed kv.TransactionResult
-	reply.Decode(&committed)
+	_ = reply.Decode(&committed) // an invalid body names no failed keys: all jobs are handled as known
 	failed := map[string]bool{}
 	for _, key := range committed.FailedPreconditions {
 		failed[key] = true
--- a/controller/terminal_state_reads.go
+++ b/controller/terminal_state_reads.go
@@ -116,7 +116,7 @@
 	list := kv.List(record.TerminalStatePrefix, keyBefore(record.TerminalStateKey(r.ids[0])))
 	r.c.store.Do(r.purpose, list, func(reply kv.Result) {
 		var page kv.Page
-		if reply.Outcome != kv.OK || !reply.Decode(&page) {
+		if err := reply.DecodeOK(&page); err != nil {
 			r.handleFailure(reply.Outcome)
 			return
 		}
--- a/internal/cluster/watch.go
+++ b/internal/cluster/watch.go
@@ -9,7 +9,7 @@
 // decode decodes the body of a successful call's result into a value. It reports whether the call
 // succeeded and its body was valid: callers treat both failures alike.
 func decode(result kv.Result, into any) bool {
-	return result.Outcome == kv.OK && result.Decode(into)
+	return result.DecodeOK(into) == nil
 }
 
 // readAndWatch reads the cluster's records and then watches them. After a failure the next tick
--- a/internal/kv/client.go
+++ b/internal/kv/client.go
@@ -81,7 +81,7 @@
 func (c *Client) Get(purpose budget.Purpose, key string, done func(Outcome, Entry)) {
 	c.Do(purpose, Get(key), func(result Result) {
 		var entry Entry
-		if result.Outcome == OK && !result.Decode(&entry) {
+		if result.Outcome == OK && result.Decode(&entry) != nil {
 			result.Outcome = Unknown
 		}
 		done(result.Outcome, entry)
--- a/internal/kv/list.go
+++ b/internal/kv/list.go
@@ -33,7 +33,7 @@
 
 func (l *listing) handlePage(result Result) {
 	var page Page
-	if result.Outcome != OK || !result.Decode(&page) {
+	if err := result.DecodeOK(&page); err != nil {
 		l.done(false, nil, 0)
 		return
 	}
--- a/internal/kv/result.go
+++ b/internal/kv/result.go
@@ -51,8 +51,28 @@
 	Body    []byte
 }
 
-// Decode decodes the body into v, and reports whether that succeeded.
-func (r Result) Decode(v any) bool { return wire.Decode(r.Body, v) == nil }
+// Decode decodes the body into v, whatever the outcome.
+func (r Result) Decode(v any) error {
+	if err := wire.Decode(r.Body, v); err != nil {
+		return fmt.Errorf("decode response (%v): %w", r.Outcome, err)
+	}
+	return nil
+}
+
+// DecodeOK decodes the body of a successful call into v. It returns an *OutcomeError if the
+// outcome is not OK.
+func (r Result) DecodeOK(v any) error {
+	if r.Outcome != OK {
+		return &OutcomeError{r.Outcome}
+	}
+	return r.Decode(v)
+}
+
+// OutcomeError reports a call whose outcome is not OK.
+type OutcomeError struct{ Outcome Outcome }
+
+// Error returns the outcome.
+func (e *OutcomeError) Error() string { return "call to the key-value store: " + e.Outcome.String() }
 
 // Response is what the network returned for a request.
 type Response struct {
--- a/internal/kv/result_test.go
+++ b/internal/kv/result_test.go
@@ -1,6 +1,7 @@
 package kv
 
 import (
+	"errors"
 	"testing"
 
 	"tamarindlead/internal/budget"
@@ -42,3 +43,45 @@
 		seen[o.String()] = o
 	}
 }
+
+func TestDecodeOK(t *testing.T) {
+	valid, invalid := body(LeaseGrant{Lease: 7}), []byte{0xff}
+	for _, c := range []struct {
+		name       string
+		result     Result
+		lease      uint64
+		ok         bool
+		outcomeErr bool
+	}{
+		{"ok", Result{OK, valid}, 7, true, false},
+		{"invalid body", Result{OK, invalid}, 0, false, false},
+		{"other outcome", Result{Throttled, valid}, 0, false, true},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			var grant LeaseGrant
+			err := c.result.DecodeOK(&grant)
+			if ok := err == nil; ok != c.ok || grant.Lease != c.lease {
+				t.Errorf("lease %d and error %v, want lease %d", grant.Lease, err, c.lease)
+			}
+			var outcomeErr *OutcomeError
+			if got := errors.As(err, &outcomeErr); got != c.outcomeErr {
+				t.Errorf("error %v is an OutcomeError: %t, want %t", err, got, c.outcomeErr)
+			}
+			if c.outcomeErr && outcomeErr.Outcome != c.result.Outcome {
+				t.Errorf("outcome %v, want %v", outcomeErr.Outcome, c.result.Outcome)
+			}
+		})
+	}
+}
+
+// TestDecode checks that the body is decoded whatever the outcome is.
+func TestDecode(t *testing.T) {
+	var result TransactionResult
+	r := Result{PreconditionFailed, body(TransactionResult{FailedPreconditions: []string{"k"}})}
+	if err := r.Decode(&result); err != nil || len(result.FailedPreconditions) != 1 {
+		t.Errorf("decoded as %+v: %v", result, err)
+	}
+	if err := (Result{PreconditionFailed, []byte{0xff}}).Decode(&result); err == nil {
+		t.Error("an invalid body was decoded")
+	}
+}
