--- a/controller/job_view.go
+++ b/controller/job_view.go
@@ -87,13 +87,13 @@
 		return
 	}
 	asked := c.now
-	c.store.ListAll(record.ActiveJobPrefix, func(ok bool, entries []kv.Entry, revision uint64) {
-		if !ok {
+	c.store.ListAll(record.ActiveJobPrefix, func(listing kv.Listing, err error) {
+		if err != nil {
 			view.stopFollowing(c.now)
 			return
 		}
 		if c.owner == nil { // else it lists, or has listed, itself
-			c.graph.Reset(entries, revision)
+			c.graph.Reset(listing.Entries, listing.Revision)
 			view.cancellationsKnownUntil = asked
 		}
 		c.followJobs()
--- a/controller/machine_claims.go
+++ b/controller/machine_claims.go
@@ -44,16 +44,16 @@
 // Later records of others fail, since they are guarded on the one just written.
 func (o *owner) verifyAdopted(m *machine, revision uint64) {
 	m.verifying = true
-	o.c.store.ListAll(record.BlockPrefix, func(ok bool, entries []kv.Entry, _ uint64) {
+	o.c.store.ListAll(record.BlockPrefix, func(listing kv.Listing, err error) {
 		if o.superseded() || o.machines[m.name] != m {
 			return
 		}
 		m.verifying = false
-		if !ok {
+		if err != nil {
 			o.markDirty(m)
 			return
 		}
-		if block, found := o.otherBlockWith(m, entries); found {
+		if block, found := o.otherBlockWith(m, listing.Entries); found {
 			o.obsoleteKeys = append(o.obsoleteKeys, record.BlockKey(m.block.name))
 			o.dropOwnedElsewhere(m, block)
 			return
--- a/controller/recovery.go
+++ b/controller/recovery.go
@@ -47,13 +47,13 @@
 // list reads the records with a prefix.
 func (l *recovery) list(prefix string, next func(entries []kv.Entry, revision uint64)) {
 	o := l.owner
-	o.c.store.ListAll(prefix, func(ok bool, entries []kv.Entry, revision uint64) {
+	o.c.store.ListAll(prefix, func(listing kv.Listing, err error) {
 		switch {
 		case o.superseded():
-		case !ok:
+		case err != nil:
 			o.readingRecords, o.retryAt = false, o.c.now+readRetryDelay
 		default:
-			next(entries, revision)
+			next(listing.Entries, listing.Revision)
 		}
 	})
 }
--- a/internal/kv/list.go
+++ b/internal/kv/list.go
@@ -1,26 +1,34 @@
 package kv
 
 import (
+	"fmt"
+
 	"tamarindlead/internal/budget"
 )
 
-// listing is a ListAll call in progress.
-type listing struct {
-	client   *Client
-	prefix   string
-	entries  []Entry
-	revision uint64 // of the first page
-	done     func(ok bool, entries []Entry, revision uint64)
+// Listing is the result of ListAll. Revision is that of the first page, so that a watch from
+// there misses no change.
+type Listing struct {
+	Entries  []Entry
+	Revision uint64
+}
+
+// listRequest is a ListAll call in progress.
+type listRequest struct {
+	client  *Client
+	prefix  string
+	listing Listing
+	done    func(Listing, error)
 }
 
-// ListAll reads all keys with a prefix, page by page. It passes the revision of the first page
-// to done, so that a watch from there misses no change.
-func (c *Client) ListAll(prefix string, done func(ok bool, entries []Entry, revision uint64)) {
-	l := &listing{client: c, prefix: prefix, done: done}
+// ListAll reads all keys with a prefix, page by page. A page that fails, other than by throttling,
+// fails the listing.
+func (c *Client) ListAll(prefix string, done func(Listing, error)) {
+	l := &listRequest{client: c, prefix: prefix, done: done}
 	l.readPage("")
 }
 
-func (l *listing) readPage(after string) {
+func (l *listRequest) readPage(after string) {
 	l.client.doWithTimeout(budget.Ownership, List(l.prefix, after), listTimeout, func(result Result) {
 		if result.Outcome == Throttled {
 			// Starting over would exhaust the budget again before the last page.
@@ -31,19 +39,19 @@
 	})
 }
 
-func (l *listing) handlePage(result Result) {
+func (l *listRequest) handlePage(result Result) {
 	var page Page
 	if err := result.DecodeOK(&page); err != nil {
-		l.done(false, nil, 0)
+		l.done(Listing{}, fmt.Errorf("list %s: %w", l.prefix, err))
 		return
 	}
-	if l.revision == 0 {
-		l.revision = page.Revision
+	if l.listing.Revision == 0 {
+		l.listing.Revision = page.Revision
 	}
-	l.entries = append(l.entries, page.Entries...)
+	l.listing.Entries = append(l.listing.Entries, page.Entries...)
 	if page.More && len(page.Entries) > 0 {
 		l.readPage(page.Entries[len(page.Entries)-1].Key)
 		return
 	}
-	l.done(true, l.entries, l.revision)
+	l.done(l.listing, nil)
 }
--- a/internal/kv/list_test.go
+++ b/internal/kv/list_test.go
@@ -1,6 +1,7 @@
 package kv
 
 import (
+	"errors"
 	"slices"
 	"testing"
 )
@@ -9,16 +10,14 @@
 // the revision of its first page.
 func TestListAll(t *testing.T) {
 	client, host := newClient(100)
-	var keys []string
-	revision, calls := uint64(0), 0
-	client.ListAll("p/", func(ok bool, entries []Entry, first uint64) {
-		calls++
-		for _, e := range entries {
-			keys = append(keys, e.Key)
-		}
-		if revision = first; !ok {
-			t.Error("the listing fails")
+	var listing Listing
+	calls := 0
+	client.ListAll("p/", func(l Listing, err error) {
+		if err != nil {
+			t.Error(err)
 		}
+		listing = l
+		calls++
 	})
 	page := func(key string, more bool, revision uint64) Response {
 		return Response{Status: 200, Body: body(Page{Entries: []Entry{{Key: key, Value: body(1)}}, More: more, Revision: revision})}
@@ -32,16 +31,22 @@
 	if c := host.respond(t, page("p/2", false, 20)); c.request.Target != List("p/", "p/1").Target {
 		t.Fatalf("the second page is %s", c.request.Target)
 	}
-	if !slices.Equal(keys, []string{"p/1", "p/2"}) || revision != 10 || calls != 1 {
-		t.Fatalf("keys %v, revision %d, %d calls", keys, revision, calls)
+	var keys []string
+	for _, e := range listing.Entries {
+		keys = append(keys, e.Key)
+	}
+	if !slices.Equal(keys, []string{"p/1", "p/2"}) || listing.Revision != 10 || calls != 1 {
+		t.Fatalf("keys %v, revision %d, %d calls", keys, listing.Revision, calls)
 	}
 }
 
 func TestListAllFails(t *testing.T) {
 	client, host := newClient(100)
-	failed := false
-	client.ListAll("p/", func(ok bool, _ []Entry, _ uint64) { failed = !ok })
-	if host.respond(t, Response{Sent: true}); !failed {
-		t.Fatal("a page without a response counts as the last page")
+	var err error
+	client.ListAll("p/", func(_ Listing, e error) { err = e })
+	host.respond(t, Response{Sent: true})
+	var outcomeErr *OutcomeError
+	if !errors.As(err, &outcomeErr) || outcomeErr.Outcome != Unknown {
+		t.Fatalf("error %v of a page without a response, want outcome %v", err, Unknown)
 	}
 }
