--- a/internal/httpwire/httpwire_test.go
+++ b/internal/httpwire/parse_test.go
@@ -9,7 +9,7 @@
 
 func TestParseRequest(t *testing.T) {
 	long := "GET /x HTTP/1.1\r\nA: " + strings.Repeat("b", MaxHead) + "\r\n\r\n"
-	cases := []struct {
+	tests := []struct {
 		name, in string
 		want     Request
 		err      error
@@ -19,15 +19,17 @@
 		{"body", "POST /a HTTP/1.1\r\ncontent-LENGTH: 3\r\n\r\nabcGET", Request{Method: "POST", Path: "/a", Body: []byte("abc")}, nil},
 		{"chunks", "POST /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n2;x=1\r\nab\r\n1\r\nc\r\n0\r\nT: v\r\n\r\n", Request{Method: "POST", Path: "/a", Body: []byte("abc")}, nil},
 		{"close", "GET / HTTP/1.1\r\nConnection: Keep-Alive, close\r\n\r\n", Request{Method: "GET", Path: "/", Close: true}, nil},
-		{"old", "GET / HTTP/1.0\r\n\r\n", Request{Method: "GET", Path: "/", Close: true}, nil},
+		{"version 1.0", "GET / HTTP/1.0\r\n\r\n", Request{Method: "GET", Path: "/", Close: true}, nil},
+		{"version 1.0 kept alive", "GET / HTTP/1.0\r\nConnection: keep-alive\r\n\r\n", Request{Method: "GET", Path: "/"}, nil},
 		{"split head", "GET / HTTP/1.1\r\nHos", Request{}, ErrIncomplete},
 		{"split body", "POST / HTTP/1.1\r\nContent-Length: 4\r\n\r\nab", Request{}, ErrIncomplete},
 		{"split chunk", "POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nab", Request{}, ErrIncomplete},
 		{"empty line", "\r\n\r\n", Request{}, ErrMalformed},
-		{"bare feed", "GET / HTTP/1.1\nHost: a\n\n", Request{}, ErrMalformed},
+		{"bare line feed", "GET / HTTP/1.1\nHost: a\n\n", Request{}, ErrMalformed},
 		{"two lengths", "POST / HTTP/1.1\r\nContent-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n", Request{}, ErrMalformed},
 		{"unequal lengths", "POST / HTTP/1.1\r\nContent-Length: 4\r\nContent-Length: 5\r\n\r\n", Request{}, ErrMalformed},
 		{"negative", "POST / HTTP/1.1\r\nContent-Length: -4\r\n\r\n", Request{}, ErrMalformed},
+		{"signed length", "POST / HTTP/1.1\r\nContent-Length: +4\r\n\r\nabcd", Request{}, ErrMalformed},
 		{"space in name", "GET / HTTP/1.1\r\nA b: c\r\n\r\n", Request{}, ErrMalformed},
 		{"no target", "GET HTTP/1.1\r\n\r\n", Request{}, ErrMalformed},
 		{"version", "GET / HTTP/2.0\r\n\r\n", Request{}, ErrMalformed},
@@ -35,25 +37,25 @@
 		{"large chunk", "POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n63\r\n", Request{}, ErrTooLarge},
 		{"long head", long, Request{}, ErrTooLarge},
 	}
-	for _, c := range cases {
-		t.Run(c.name, func(t *testing.T) {
-			got, _, err := ParseRequest([]byte(c.in), 64)
-			if !errors.Is(err, c.err) {
-				t.Fatalf("error %v, want %v", err, c.err)
+	for _, tt := range tests {
+		t.Run(tt.name, func(t *testing.T) {
+			got, _, err := ParseRequest([]byte(tt.in), 64)
+			if !errors.Is(err, tt.err) {
+				t.Fatalf("error %v, want %v", err, tt.err)
 			}
 			if err != nil {
 				return
 			}
-			if got.Method != c.want.Method || got.Path != c.want.Path || got.Query != c.want.Query ||
-				got.Close != c.want.Close || !bytes.Equal(got.Body, c.want.Body) {
-				t.Fatalf("got %+v, want %+v", got, c.want)
+			if got.Method != tt.want.Method || got.Path != tt.want.Path || got.Query != tt.want.Query ||
+				got.Close != tt.want.Close || !bytes.Equal(got.Body, tt.want.Body) {
+				t.Fatalf("got %+v, want %+v", got, tt.want)
 			}
 		})
 	}
 }
 
 func TestParseResponse(t *testing.T) {
-	cases := []struct {
+	tests := []struct {
 		name, in string
 		eof      bool
 		status   int
@@ -65,23 +67,27 @@
 		{"interim", "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 201 Created\r\nContent-Length: 0\r\n\r\n", false, 201, "", nil},
 		{"until the end", "HTTP/1.1 200 OK\r\n\r\nhi", true, 200, "hi", nil},
 		{"not yet ended", "HTTP/1.1 200 OK\r\n\r\nhi", false, 0, "", ErrIncomplete},
+		{"no content", "HTTP/1.1 204 No Content\r\nContent-Length: 5\r\n\r\n", false, 204, "", nil},
+		{"interim only", "HTTP/1.1 100 Continue\r\n\r\n", false, 0, "", ErrIncomplete},
+		{"large until the end", "HTTP/1.1 200 OK\r\n\r\n" + strings.Repeat("b", 65), true, 0, "", ErrTooLarge},
+		{"bad version", "HTTP/2.0 200 OK\r\n\r\n", false, 0, "", ErrMalformed},
 		{"bad status", "HTTP/1.1 2x0 OK\r\n\r\n", false, 0, "", ErrMalformed},
 	}
-	for _, c := range cases {
-		t.Run(c.name, func(t *testing.T) {
-			got, _, err := ParseResponse([]byte(c.in), 64, c.eof)
-			if !errors.Is(err, c.err) {
-				t.Fatalf("error %v, want %v", err, c.err)
+	for _, tt := range tests {
+		t.Run(tt.name, func(t *testing.T) {
+			got, _, err := ParseResponse([]byte(tt.in), 64, tt.eof)
+			if !errors.Is(err, tt.err) {
+				t.Fatalf("error %v, want %v", err, tt.err)
 			}
-			if err == nil && (got.Status != c.status || string(got.Body) != c.body) {
+			if err == nil && (got.Status != tt.status || string(got.Body) != tt.body) {
 				t.Fatalf("got %+v", got)
 			}
 		})
 	}
 }
 
-// FuzzParseRequest checks that no input stops the parser, that a parsed length is
-// within the input and that more bytes never change a finished message.
+// FuzzParseRequest checks that no input crashes the parsers, that the length of a parsed
+// message is within the input and that further bytes never change a complete request.
 func FuzzParseRequest(f *testing.F) {
 	f.Add([]byte("POST /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n0\r\n\r\n"))
 	f.Add([]byte("GET /up HTTP/1.1\r\n\r\n"))
@@ -93,10 +99,12 @@
 		if n <= 0 || n > len(in) {
 			t.Fatalf("length %d of %d", n, len(in))
 		}
-		again, m, err := ParseRequest(append(bytes.Clone(in), "GET / HTTP/1.1\r\n\r\n"...), 1<<10)
-		if err != nil || m != n || again.Path != req.Path || !bytes.Equal(again.Body, req.Body) {
+		again, againLength, err := ParseRequest(append(bytes.Clone(in), "GET / HTTP/1.1\r\n\r\n"...), 1<<10)
+		if err != nil || againLength != n || again.Path != req.Path || !bytes.Equal(again.Body, req.Body) {
 			t.Fatalf("more bytes changed the message: %v", err)
 		}
-		ParseResponse(in, 1<<10, true)
+		if _, n, err := ParseResponse(in, 1<<10, true); err == nil && (n <= 0 || n > len(in)) {
+			t.Fatalf("length %d of a response in %d bytes", n, len(in))
+		}
 	})
 }
--- a/internal/reactor/client.go
+++ b/internal/reactor/client.go
@@ -84,7 +84,9 @@
 // request was written.
 func (c *Client) exchange(conn net.Conn, call Call, deadline time.Time) (res Result, stale bool) {
 	conn.SetDeadline(deadline)
-	data := httpwire.AppendRequest(nil, call.Method, call.Target, call.Addr, c.contentType, call.Body)
+	data := httpwire.AppendRequest(nil, httpwire.OutgoingRequest{
+		Method: call.Method, Target: call.Target, Host: call.Addr, ContentType: c.contentType, Body: call.Body,
+	})
 	if n, err := conn.Write(data); err != nil {
 		conn.Close()
 		return Result{Sent: n > 0}, n == 0
--- a/internal/reactor/server.go
+++ b/internal/reactor/server.go
@@ -139,7 +139,7 @@
 // too many.
 func (s *server) OnOpen(c gnet.Conn) ([]byte, gnet.Action) {
 	if len(s.conns) >= s.opts.MaxConns && !s.evictIdle() {
-		return httpwire.AppendResponse(nil, statusUnavailable, "", nil, retryAfter, true), gnet.Close
+		return httpwire.AppendResponse(nil, httpwire.OutgoingResponse{Status: statusUnavailable, RetryAfter: retryAfter, Close: true}), gnet.Close
 	}
 	st := &connState{listener: c.LocalAddr().String(), since: time.Now()}
 	s.conns[c] = st
@@ -226,7 +226,7 @@
 	}
 	c.Discard(-1)
 	st.closing = true
-	c.Write(httpwire.AppendResponse(nil, status, "", nil, 0, true))
+	c.Write(httpwire.AppendResponse(nil, httpwire.OutgoingResponse{Status: status, Close: true}))
 	return gnet.Close
 }
 
@@ -264,7 +264,9 @@
 	if e.state.evictable && (status != statusOK || e.server.open.Load() > int64(e.server.opts.KeepConns)) {
 		e.Request.Close = true
 	}
-	data := httpwire.AppendResponse(nil, status, contentType, body, retryAfter, e.Request.Close)
+	data := httpwire.AppendResponse(nil, httpwire.OutgoingResponse{
+		Status: status, ContentType: contentType, Body: body, RetryAfter: retryAfter, Close: e.Request.Close,
+	})
 	if loop == nil {
 		e.conn.AsyncWrite(data, func(c gnet.Conn, err error) error { return e.replied(err) })
 		return
