--- a/internal/reactor/client.go
+++ b/internal/reactor/client.go
@@ -2,16 +2,22 @@
 
 import (
 	"errors"
+	"fmt"
 	"io"
 	"net"
 	"slices"
-	"sync"
 	"time"
 
 	"tamarindlead/internal/httpwire"
 	"tamarindlead/micros"
 )
 
+// initialReadBuffer holds most responses, so that the buffer rarely grows.
+const initialReadBuffer = 4 << 10
+
+// ErrNotSent is in the chain of an error of Client.Do if no byte of the request was sent.
+var ErrNotSent = errors.New("reactor: request not sent")
+
 // Call is one outbound request.
 type Call struct {
 	Addr    string
@@ -19,180 +25,120 @@
 	Target  string
 	Body    []byte
 	Timeout micros.Micros
-	MaxBody int
-}
-
-// Result of a call. Status 0 means no response; Sent then tells whether the request
-// may have reached the other side.
-type Result struct {
-	Status int
-	Body   []byte
-	Sent   bool
+	MaxBody int // largest body of the response
 }
 
-// Client makes calls over kept connections.
+// Client makes calls over reusable connections. It may be used by several goroutines.
 type Client struct {
 	contentType string
-	// maxIdlePerAddr is the number of idle connections kept for each address, and most that for all
-	// addresses: hundreds of machines must not use up the sockets.
-	maxIdlePerAddr int
-	maxIdle        int
-
-	mu    sync.Mutex
-	idle  map[string][]idleConn
-	count int      // of idle connections
-	order []string // addresses of idle connections, the longest idle first; some are in use again
-}
-
-// idleConn is a kept connection and when it was last used.
-type idleConn struct {
-	conn  net.Conn
-	since time.Time
+	idle        *idlePool
 }
 
-// idleTimeout is how long a connection is kept without use; servers may drop older ones.
-const idleTimeout = 20 * time.Second
-
-// NewClient returns a client that keeps a few idle connections for each address, and so
-// many in all.
-func NewClient(contentType string, keep, most int) *Client {
-	return &Client{contentType: contentType, maxIdlePerAddr: keep, maxIdle: most, idle: map[string][]idleConn{}}
+// NewClient returns a client that keeps at most maxIdlePerAddr idle connections for each
+// address, and maxIdle for all addresses together.
+func NewClient(contentType string, maxIdlePerAddr, maxIdle int) *Client {
+	return &Client{contentType: contentType, idle: newIdlePool(maxIdlePerAddr, maxIdle)}
 }
 
-// Do makes the call and returns by its deadline.
-func (c *Client) Do(call Call) Result {
+// Do makes the call and returns the response, or an error if there was none by the call's
+// deadline. Unless the error is ErrNotSent, the request may have taken effect.
+//
+// Do takes no context: calls are never cancelled, and a context would cost a timer and a
+// watcher for each, where the connection's deadline does.
+func (c *Client) Do(call Call) (httpwire.Response, error) {
 	deadline := time.Now().Add(call.Timeout.Duration())
 	for {
-		conn, kept := c.take(call.Addr)
-		if conn == nil {
-			var err error
-			if conn, err = net.DialTimeout("tcp4", call.Addr, time.Until(deadline)); err != nil {
-				return Result{}
-			}
+		conn, reused, err := c.connect(call.Addr, deadline)
+		if err != nil {
+			return httpwire.Response{}, err
 		}
-		res, stale := c.exchange(conn, call, deadline)
-		if stale && kept && time.Now().Before(deadline) {
-			// The other side had closed the kept connection before it read
-			// anything: a fresh one may be tried.
+		resp, err := c.exchange(conn, call, deadline)
+		if reused && errors.Is(err, ErrNotSent) && time.Now().Before(deadline) {
+			// The peer closed the idle connection in the meantime. Nothing was sent, so
+			// another connection can be tried.
 			continue
 		}
-		return res
+		return resp, err
 	}
 }
 
-// exchange sends the call on a connection and reads the response. It returns stale if the connection turned out to be closed before the
-// request was written.
-func (c *Client) exchange(conn net.Conn, call Call, deadline time.Time) (res Result, stale bool) {
-	conn.SetDeadline(deadline)
-	data := httpwire.AppendRequest(nil, httpwire.OutgoingRequest{
-		Method: call.Method, Target: call.Target, Host: call.Addr, ContentType: c.contentType, Body: call.Body,
-	})
-	if n, err := conn.Write(data); err != nil {
-		conn.Close()
-		return Result{Sent: n > 0}, n == 0
+// CloseExpired closes idle connections that have not been used for idleConnTimeout. It is to
+// be called regularly: otherwise those to addresses that are not called again stay open.
+func (c *Client) CloseExpired() { c.idle.closeExpired() }
+
+// connect returns an idle connection to addr, or else a new one.
+func (c *Client) connect(addr string, deadline time.Time) (conn net.Conn, reused bool, err error) {
+	if conn, ok := c.idle.take(addr); ok {
+		return conn, true, nil
 	}
-	buf := make([]byte, 0, 4096)
-	for {
-		if len(buf) == cap(buf) {
-			buf = append(buf, make([]byte, len(buf))...)[:len(buf)]
-		}
-		n, err := conn.Read(buf[len(buf):cap(buf)])
-		buf = buf[:len(buf)+n]
-		eof := errors.Is(err, io.EOF)
-		resp, used, perr := httpwire.ParseResponse(buf, call.MaxBody, eof)
-		if perr == nil {
-			if resp.Close || err != nil || used < len(buf) {
-				conn.Close()
-			} else {
-				c.put(call.Addr, conn)
-			}
-			return Result{resp.Status, resp.Body, true}, false
-		}
-		if err != nil || !errors.Is(perr, httpwire.ErrIncomplete) {
-			conn.Close()
-			return Result{Sent: true}, false
-		}
+	conn, err = net.DialTimeout("tcp4", addr, time.Until(deadline))
+	if err != nil {
+		return nil, false, fmt.Errorf("%w: %w", ErrNotSent, err)
 	}
+	return conn, false, nil
 }
 
-// take returns a kept connection to an address, or nil.
-func (c *Client) take(addr string) (net.Conn, bool) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	for list := c.idle[addr]; len(list) > 0; list = c.idle[addr] {
-		last := list[len(list)-1]
-		c.idle[addr] = list[:len(list)-1]
-		c.count--
-		if time.Since(last.since) < idleTimeout {
-			return last.conn, true
-		}
-		last.conn.Close()
+// exchange sends the call on a connection and reads the response. Afterwards the connection
+// is either idle or closed.
+func (c *Client) exchange(conn net.Conn, call Call, deadline time.Time) (httpwire.Response, error) {
+	if err := c.send(conn, call, deadline); err != nil {
+		discard(conn)
+		return httpwire.Response{}, err
 	}
-	delete(c.idle, addr)
-	return nil, false
+	resp, err := receive(conn, call.MaxBody)
+	if err != nil || resp.Close {
+		discard(conn)
+	} else {
+		c.idle.put(call.Addr, conn)
+	}
+	return resp, err
 }
 
-// put keeps a connection for the next call to its address.
-func (c *Client) put(addr string, conn net.Conn) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if len(c.idle[addr]) >= c.maxIdlePerAddr {
-		conn.Close()
-		return
+// send writes the request and sets the deadline of the whole exchange.
+func (c *Client) send(conn net.Conn, call Call, deadline time.Time) error {
+	if err := conn.SetDeadline(deadline); err != nil {
+		return fmt.Errorf("%w: %w", ErrNotSent, err)
 	}
-	for len(c.order) > 0 && c.count >= c.maxIdle {
-		oldest := c.order[0]
-		c.order = c.order[1:]
-		if list := c.idle[oldest]; len(list) > 0 {
-			list[0].conn.Close()
-			c.idle[oldest] = list[1:]
-			c.count--
-		}
+	n, err := conn.Write(httpwire.AppendRequest(nil, httpwire.OutgoingRequest{
+		Method:      call.Method,
+		Target:      call.Target,
+		Host:        call.Addr,
+		ContentType: c.contentType,
+		Body:        call.Body,
+	}))
+	switch {
+	case err == nil:
+		return nil
+	case n == 0:
+		return fmt.Errorf("%w: %w", ErrNotSent, err)
+	default:
+		return fmt.Errorf("send request: %w", err)
 	}
-	c.idle[addr] = append(c.idle[addr], idleConn{conn, time.Now()})
-	c.count++
-	c.order = append(c.order, addr)
-	if len(c.order) > 4*c.maxIdle {
-		c.sweep()
-	}
-}
-
-// Sweep closes connections that were idle for too long, also those to addresses
-// that are never called again.
-func (c *Client) Sweep() {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.sweep()
 }
 
-func (c *Client) sweep() {
-	c.count, c.order = 0, nil
-	type put struct {
-		addr  string
-		since time.Time
-	}
-	var left []put
-	for addr, list := range c.idle {
-		var kept []idleConn
-		for _, ic := range list {
-			if time.Since(ic.since) < idleTimeout {
-				kept = append(kept, ic)
-			} else {
-				ic.conn.Close()
-			}
-		}
-		if len(kept) == 0 {
-			delete(c.idle, addr)
-		} else {
-			c.idle[addr] = kept
+// receive reads the response. Its Close also covers what was seen on the connection: the end
+// of the stream, or bytes after the response.
+func receive(conn net.Conn, maxBody int) (httpwire.Response, error) {
+	buf := make([]byte, 0, initialReadBuffer)
+	for {
+		if len(buf) == cap(buf) {
+			buf = slices.Grow(buf, len(buf))
 		}
-		for _, ic := range kept {
-			left = append(left, put{addr, ic.since})
+		n, readErr := conn.Read(buf[len(buf):cap(buf)])
+		buf = buf[:len(buf)+n]
+		resp, length, err := httpwire.ParseResponse(buf, maxBody, errors.Is(readErr, io.EOF))
+		switch {
+		case err == nil:
+			resp.Close = resp.Close || readErr != nil || length < len(buf)
+			return resp, nil
+		case !errors.Is(err, httpwire.ErrIncomplete):
+			return httpwire.Response{}, fmt.Errorf("receive response: %w", err)
+		case readErr != nil:
+			return httpwire.Response{}, fmt.Errorf("receive response: %w", readErr)
 		}
 	}
-	slices.SortFunc(left, func(a, b put) int { return a.since.Compare(b.since) })
-	for _, p := range left {
-		c.order = append(c.order, p.addr)
-	}
-	c.count = len(left)
 }
+
+// discard closes a connection that is not used again. An error of Close is dropped, since
+// everything that was wanted from the connection has been read or has failed already.
+func discard(conn net.Conn) { _ = conn.Close() }
--- /dev/null
+++ b/internal/reactor/server_test.go
@@ -0,0 +1,186 @@
+package reactor
+
+import (
+	"bufio"
+	"context"
+	"errors"
+	"io"
+	"log/slog"
+	"net"
+	"net/http"
+	"testing"
+	"time"
+
+	"tamarindlead/internal/httpwire"
+	"tamarindlead/micros"
+)
+
+// freeAddr returns a loopback address on which nothing listens.
+func freeAddr(t *testing.T) string {
+	t.Helper()
+	listener, err := net.Listen("tcp4", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	addr := listener.Addr().String()
+	if err := listener.Close(); err != nil {
+		t.Fatal(err)
+	}
+	return addr
+}
+
+// startServer serves on a loopback address until the test ends, which must have connected to
+// it. Unless opts says otherwise, every request is answered at once, and no limit or timeout
+// is reached.
+func startServer(t *testing.T, opts Options) string {
+	t.Helper()
+	addr := freeAddr(t)
+	opts.Addrs = []string{addr}
+	opts.Log = slog.New(slog.DiscardHandler)
+	if opts.MaxConns == 0 {
+		opts.MaxConns, opts.MaxKeepAliveConns = 100, 100
+	}
+	if opts.Evictable == nil {
+		opts.Evictable = func(*httpwire.Request) bool { return false }
+	}
+	opts.MaxBody = func(string) int { return 1024 }
+	opts.IdleTimeout, opts.RequestTimeout = micros.Minute, micros.Minute
+	if opts.Handle == nil {
+		opts.Handle = func(e *Exchange, loop *Loop) { e.Reply(loop, okResponse) }
+	}
+	ctx, cancel := context.WithCancel(context.Background())
+	served := make(chan error, 1)
+	go func() { served <- Serve(ctx, opts) }()
+	t.Cleanup(func() {
+		cancel()
+		if err := <-served; err != nil {
+			t.Errorf("Serve: %v", err)
+		}
+	})
+	return addr
+}
+
+var okResponse = httpwire.OutgoingResponse{Status: http.StatusOK, ContentType: "text/plain", Body: []byte("ok")}
+
+// dial connects to an address, once something listens there.
+func dial(t *testing.T, addr string) net.Conn {
+	t.Helper()
+	for end := time.Now().Add(5 * time.Second); ; time.Sleep(5 * time.Millisecond) {
+		conn, err := net.Dial("tcp4", addr)
+		if err == nil {
+			t.Cleanup(func() { _ = conn.Close() })
+			if err := conn.SetDeadline(time.Now().Add(10 * time.Second)); err != nil {
+				t.Fatal(err)
+			}
+			return conn
+		}
+		if time.Now().After(end) {
+			t.Fatal(err)
+		}
+	}
+}
+
+// get makes a request and returns the status, and whether the connection is kept alive.
+func get(t *testing.T, conn net.Conn, path string) (status int, keptAlive bool) {
+	t.Helper()
+	if _, err := io.WriteString(conn, "GET "+path+" HTTP/1.1\r\nHost: x\r\n\r\n"); err != nil {
+		t.Fatalf("%s: %v", path, err)
+	}
+	resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
+	if err != nil {
+		t.Fatalf("%s: %v", path, err)
+	}
+	if _, err := io.Copy(io.Discard, resp.Body); err != nil {
+		t.Fatalf("%s: %v", path, err)
+	}
+	return resp.StatusCode, !resp.Close
+}
+
+func wantClosed(t *testing.T, conn net.Conn) {
+	t.Helper()
+	if _, err := conn.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
+		t.Fatalf("connection is not closed: %v", err)
+	}
+}
+
+// TestConnectionLimits guards against workers that occupy all connections: beyond
+// MaxKeepAliveConns theirs are closed with the response, and beyond MaxConns an idle one of
+// theirs is closed for a user.
+func TestConnectionLimits(t *testing.T) {
+	const maxKeepAlive, maxConns = 5, 8
+	addr := startServer(t, Options{
+		MaxConns: maxConns, MaxKeepAliveConns: maxKeepAlive,
+		Evictable: func(r *httpwire.Request) bool { return r.Path == "/report" },
+	})
+	for i := range maxKeepAlive {
+		if status, keptAlive := get(t, dial(t, addr), "/report"); status != 200 || !keptAlive {
+			t.Fatalf("heartbeat %d: status %d, kept alive %t", i, status, keptAlive)
+		}
+	}
+	for range 3 * maxConns { // each is closed with its response, so there is room for the next
+		conn := dial(t, addr)
+		if status, keptAlive := get(t, conn, "/report"); status != 200 || keptAlive {
+			t.Fatalf("heartbeat beyond the limit: status %d, kept alive %t", status, keptAlive)
+		}
+		wantClosed(t, conn)
+	}
+	// Users take the place of idle workers, up to the last one; then there is no room.
+	for i := range maxConns {
+		if status, keptAlive := get(t, dial(t, addr), "/jobs"); status != 200 || !keptAlive {
+			t.Fatalf("user %d: status %d, kept alive %t", i, status, keptAlive)
+		}
+	}
+	if status, _ := get(t, dial(t, addr), "/jobs"); status != 503 {
+		t.Fatalf("beyond all connections: status %d", status)
+	}
+}
+
+// TestReplyFromOtherGoroutine checks that a response may be written after Handle has returned
+// and that the connection then serves the next request, also one that has arrived before.
+func TestReplyFromOtherGoroutine(t *testing.T) {
+	addr := startServer(t, Options{
+		Handle: func(e *Exchange, _ *Loop) { go e.Reply(nil, okResponse) },
+	})
+	conn := dial(t, addr)
+	if _, err := io.WriteString(conn, "GET /1 HTTP/1.1\r\n\r\nGET /2 HTTP/1.1\r\nConnection: close\r\n\r\n"); err != nil {
+		t.Fatal(err)
+	}
+	got, err := io.ReadAll(conn)
+	if err != nil {
+		t.Fatal(err)
+	}
+	const want = "HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\nContent-Length: 2\r\n\r\nok" +
+		"HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\nConnection: close\r\nContent-Length: 2\r\n\r\nok"
+	if string(got) != want {
+		t.Errorf("received %q, want %q", got, want)
+	}
+}
+
+func TestInvalidRequests(t *testing.T) {
+	addr := startServer(t, Options{})
+	tests := []struct{ name, request, want string }{
+		{
+			"malformed", "GET / HTTP/2.0\r\n\r\n",
+			"HTTP/1.1 400 Bad Request\r\nConnection: close\r\nContent-Length: 0\r\n\r\n",
+		},
+		{
+			"too large", "POST / HTTP/1.1\r\nContent-Length: 1025\r\n\r\n",
+			"HTTP/1.1 413 Content Too Large\r\nConnection: close\r\nContent-Length: 0\r\n\r\n",
+		},
+	}
+	for _, tt := range tests {
+		t.Run(tt.name, func(t *testing.T) {
+			conn := dial(t, addr)
+			if _, err := io.WriteString(conn, tt.request); err != nil {
+				t.Fatal(err)
+			}
+			got, err := io.ReadAll(conn)
+			if err != nil {
+				t.Fatal(err)
+			}
+			if string(got) != tt.want {
+				t.Errorf("received %q, want %q", got, tt.want)
+			}
+		})
+	}
+}
