--- a/internal/reactor/connection.go
+++ b/internal/reactor/connection.go
@@ -1,6 +1,7 @@
 package reactor
 
 import (
+	"context"
 	"errors"
 	"net/http"
 	"slices"
@@ -56,6 +57,10 @@
 	s.conns[conn] = state
 	s.openConns.Store(int64(len(s.conns)))
 	conn.SetContext(state)
+	if s.loop.Load() == nil {
+		loop := conn.EventLoop()
+		s.loop.Store(&loop)
+	}
 	return nil, gnet.None
 }
 
@@ -69,8 +74,18 @@
 	return gnet.None
 }
 
-// OnTick implements gnet.EventHandler. It closes connections that exceed a timeout.
+// OnTick implements gnet.EventHandler. gnet calls it on a goroutine of its own, so it has the
+// loop check the timeouts.
 func (s *server) OnTick() (time.Duration, gnet.Action) {
+	if loop := s.loop.Load(); loop != nil {
+		// Execute fails only if the loop ends or can't be woken; the next tick tries again.
+		_ = (*loop).Execute(context.Background(), gnet.RunnableFunc(s.closeTimedOut))
+	}
+	return tickInterval, gnet.None
+}
+
+// closeTimedOut closes connections that exceed a timeout.
+func (s *server) closeTimedOut(context.Context) error {
 	now := time.Now()
 	for conn, state := range s.conns {
 		timeout := s.opts.IdleTimeout
@@ -81,7 +96,7 @@
 			closeConn(conn)
 		}
 	}
-	return tickInterval, gnet.None
+	return nil
 }
 
 // OnTraffic implements gnet.EventHandler. It parses a request and passes it to Handle.
--- a/internal/reactor/server.go
+++ b/internal/reactor/server.go
@@ -101,6 +101,8 @@
 	current gnet.Conn
 	// engine is set when the loop starts and read by the goroutine that stops it.
 	engine atomic.Pointer[gnet.Engine]
+	// loop is set with the first connection and read by gnet's goroutine for ticks.
+	loop atomic.Pointer[gnet.EventLoop]
 }
 
 // stop ends the event loop.
--- a/internal/reactor/server_test.go
+++ b/internal/reactor/server_test.go
@@ -44,7 +44,12 @@
 		opts.Evictable = func(*httpwire.Request) bool { return false }
 	}
 	opts.MaxBody = func(string) int { return 1024 }
-	opts.IdleTimeout, opts.RequestTimeout = micros.Minute, micros.Minute
+	if opts.IdleTimeout == 0 {
+		opts.IdleTimeout = micros.Minute
+	}
+	if opts.RequestTimeout == 0 {
+		opts.RequestTimeout = micros.Minute
+	}
 	if opts.Handle == nil {
 		opts.Handle = func(e *Exchange, loop *Loop) { e.Reply(loop, okResponse) }
 	}
@@ -156,6 +161,39 @@
 	}
 }
 
+// TestTimeouts checks that connections are closed when they are idle, or a request stays
+// incomplete, for too long. It takes as long as the interval of the checks.
+func TestTimeouts(t *testing.T) {
+	const short = 50 * micros.Millisecond
+	tests := []struct {
+		name       string
+		opts       Options
+		input      string
+		wantClosed bool
+	}{
+		{"idle", Options{IdleTimeout: short}, "", true},
+		{"partial request", Options{RequestTimeout: short}, "GET / HT", true},
+		{"partial request of an idle connection", Options{IdleTimeout: short}, "GET / HT", false},
+		{"idle without a partial request", Options{RequestTimeout: short}, "", false},
+	}
+	for _, tt := range tests {
+		t.Run(tt.name, func(t *testing.T) {
+			t.Parallel()
+			conn := dial(t, startServer(t, tt.opts))
+			if _, err := io.WriteString(conn, tt.input); err != nil {
+				t.Fatal(err)
+			}
+			if err := conn.SetDeadline(time.Now().Add(2 * tickInterval)); err != nil {
+				t.Fatal(err)
+			}
+			_, err := conn.Read(make([]byte, 1))
+			if closed := errors.Is(err, io.EOF); closed != tt.wantClosed {
+				t.Errorf("closed %t, want %t: %v", closed, tt.wantClosed, err)
+			}
+		})
+	}
+}
+
 func TestInvalidRequests(t *testing.T) {
 	addr := startServer(t, Options{})
 	tests := []struct{ name, request, want string }{
