--- a/internal/reactor/server.go
+++ b/internal/reactor/server.go
@@ -99,17 +99,18 @@
 	idle []idleEvictable
 	// current is the connection whose request is being handled.
 	current gnet.Conn
-	// engine is set when the loop starts and read by the goroutine that stops it.
+	// engine is set by OnBoot or by stop, whichever is first: another goroutine may stop the
+	// server before the loop has started.
 	engine atomic.Pointer[gnet.Engine]
 	// loop is set with the first connection and read by gnet's goroutine for ticks.
 	loop atomic.Pointer[gnet.EventLoop]
 }
 
-// stop ends the event loop.
+// stop ends the event loop, or keeps it from being started.
 func (s *server) stop() {
-	engine := s.engine.Load()
+	engine := s.engine.Swap(&gnet.Engine{})
 	if engine == nil {
-		return // not started yet
+		return // OnBoot sees the empty engine
 	}
 	// Without a deadline Stop fails only if the loop has stopped by itself.
 	_ = engine.Stop(context.Background())
@@ -117,7 +118,9 @@
 
 // OnBoot implements gnet.EventHandler.
 func (s *server) OnBoot(engine gnet.Engine) gnet.Action {
-	s.engine.Store(&engine)
+	if !s.engine.CompareAndSwap(nil, &engine) {
+		return gnet.Shutdown // stopped already
+	}
 	return gnet.None
 }
 
--- a/internal/reactor/server_test.go
+++ b/internal/reactor/server_test.go
@@ -11,6 +11,8 @@
 	"testing"
 	"time"
 
+	"github.com/panjf2000/gnet/v2"
+
 	"tamarindlead/internal/httpwire"
 	"tamarindlead/micros"
 )
@@ -29,9 +31,8 @@
 	return addr
 }
 
-// startServer serves on a loopback address until the test ends, which must have connected to
-// it. Unless opts says otherwise, every request is answered at once, and no limit or timeout
-// is reached.
+// startServer serves on a loopback address until the test ends. Unless opts says otherwise,
+// every request is answered at once, and no limit or timeout is reached.
 func startServer(t *testing.T, opts Options) string {
 	t.Helper()
 	addr := freeAddr(t)
@@ -194,6 +195,32 @@
 	}
 }
 
+// TestStopBeforeStart checks that a server whose context ends before the loop has started does
+// not start.
+func TestStopBeforeStart(t *testing.T) {
+	s := &server{}
+	s.stop()
+	if got := s.OnBoot(gnet.Engine{}); got != gnet.Shutdown {
+		t.Errorf("OnBoot returns %v after stop, want Shutdown", got)
+	}
+	ctx, cancel := context.WithCancel(context.Background())
+	cancel()
+	for range 100 { // whether the loop or the end of the context comes first varies
+		served := make(chan error, 1)
+		go func() {
+			served <- Serve(ctx, Options{Addrs: []string{"127.0.0.1:0"}, Log: slog.New(slog.DiscardHandler)})
+		}()
+		select {
+		case err := <-served:
+			if err != nil {
+				t.Fatal(err)
+			}
+		case <-time.After(5 * time.Second):
+			t.Fatal("Serve does not return after its context has ended")
+		}
+	}
+}
+
 func TestInvalidRequests(t *testing.T) {
 	addr := startServer(t, Options{})
 	tests := []struct{ name, request, want string }{
