--- a/cmd/tamarindlead/main.go
+++ b/cmd/tamarindlead/main.go
@@ -1,8 +1,10 @@
-// Command tamarindlead is a controller of the cluster scheduler.
+// Command tamarindlead is a controller of the cluster scheduler. It owns the command line,
+// the log and the reaction to signals; everything else is up to packages config and daemon.
 package main
 
 import (
 	"context"
+	"errors"
 	"fmt"
 	"log/slog"
 	"os"
@@ -16,23 +18,35 @@
 	"tamarindlead/daemon"
 )
 
+// logLevelVariable is the environment variable with the least level that is logged.
+const logLevelVariable = "LOG_LEVEL"
+
 func main() {
-	if err := command().Execute(); err != nil {
-		fmt.Fprintln(os.Stderr, "tamarindlead:", oneLine(err))
+	if err := newRootCommand().Execute(); err != nil {
+		fmt.Fprintln(os.Stderr, "tamarindlead:", singleLine(err))
 		os.Exit(1)
 	}
 }
 
-func oneLine(err error) string { return strings.Join(strings.Fields(err.Error()), " ") }
+// singleLine returns the text of an error, which may quote several lines of a settings file, as
+// a single line.
+func singleLine(err error) string { return strings.Join(strings.Fields(err.Error()), " ") }
+
+// settingsFlags are the flags that name the settings files.
+type settingsFlags struct {
+	configPath     string
+	propertiesPath string
+}
 
-func command() *cobra.Command {
-	var configPath, propertiesPath string
-	load := func() (*config.Settings, error) {
-		if configPath == "" {
-			return nil, fmt.Errorf("--config: missing")
-		}
-		return config.Load(configPath, propertiesPath)
+func (f *settingsFlags) load() (*config.Settings, error) {
+	if f.configPath == "" {
+		return nil, errors.New("--config: missing")
 	}
+	return config.Load(f.configPath, f.propertiesPath)
+}
+
+func newRootCommand() *cobra.Command {
+	var flags settingsFlags
 	root := &cobra.Command{
 		Use:           "tamarindlead --config FILE",
 		Short:         "A controller of the cluster scheduler tamarindlead",
@@ -40,46 +54,61 @@
 		SilenceUsage:  true,
 		SilenceErrors: true,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			cfg, err := load()
-			if err != nil {
-				return err
-			}
-			log, err := logger(os.Getenv("LOG_LEVEL"))
-			if err != nil {
-				return err
-			}
-			ctx, stop := signal.NotifyContext(cmd.Context(), os.Interrupt, syscall.SIGTERM)
-			defer stop()
-			return daemon.Run(ctx, cfg, log)
+			return run(cmd.Context(), &flags)
 		},
 	}
-	root.PersistentFlags().StringVar(&configPath, "config", "", "the platform's settings (TOML)")
-	root.PersistentFlags().StringVar(&propertiesPath, "properties", "", "the operators' settings (Java-style properties)")
-	root.AddCommand(&cobra.Command{
+	root.PersistentFlags().StringVar(&flags.configPath, "config", "", "the platform's settings (TOML)")
+	root.PersistentFlags().StringVar(&flags.propertiesPath, "properties", "", "the operators' settings (Java-style properties)")
+	root.AddCommand(newCheckCommand(&flags))
+	root.SetContext(context.Background())
+	return root
+}
+
+func newCheckCommand(flags *settingsFlags) *cobra.Command {
+	return &cobra.Command{
 		Use:   "check",
 		Short: "Check the settings and end",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			cfg, err := load()
+			cfg, err := flags.load()
 			if err != nil {
 				return err
 			}
-			fmt.Fprintf(cmd.OutOrStdout(), "%s: settings are valid (%d siblings, %d teams)\n",
+			// The exit status is the result, so a failure to print changes nothing.
+			_, _ = fmt.Fprintf(cmd.OutOrStdout(), "%s: settings are valid (%d siblings, %d teams)\n",
 				cfg.Node, len(cfg.Siblings), len(cfg.Teams))
 			return nil
 		},
-	})
-	root.SetContext(context.Background())
-	return root
+	}
 }
 
-func logger(level string) (*slog.Logger, error) {
-	levels := map[string]slog.Level{
-		"": slog.LevelInfo, "error": slog.LevelError, "info": slog.LevelInfo, "debug": slog.LevelDebug,
+// run runs the controller until the process is asked to end.
+func run(ctx context.Context, flags *settingsFlags) error {
+	cfg, err := flags.load()
+	if err != nil {
+		return err
+	}
+	log, err := newLogger(os.Getenv(logLevelVariable))
+	if err != nil {
+		return err
 	}
-	l, ok := levels[strings.ToLower(level)]
-	if !ok {
-		return nil, fmt.Errorf("LOG_LEVEL: must be error, info or debug")
+	ctx, stop := signal.NotifyContext(ctx, os.Interrupt, syscall.SIGTERM)
+	defer stop()
+	return daemon.Run(ctx, cfg, log)
+}
+
+// newLogger returns a logger to standard error that logs from the named level on.
+func newLogger(levelName string) (*slog.Logger, error) {
+	var level slog.Level
+	switch strings.ToLower(levelName) {
+	case "error":
+		level = slog.LevelError
+	case "", "info":
+		level = slog.LevelInfo
+	case "debug":
+		level = slog.LevelDebug
+	default:
+		return nil, errors.New(logLevelVariable + ": must be error, info or debug")
 	}
-	return slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: l})), nil
+	return slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: level})), nil
 }
--- a/cmd/tamarindlead/main_test.go
+++ b/cmd/tamarindlead/main_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"errors"
 	"fmt"
 	"io"
 	"net"
@@ -19,31 +20,47 @@
 	"tamarindlead/micros"
 )
 
-// TestMain lets the test binary be the program itself.
+// runMainVariable makes the test binary behave as the program.
+const runMainVariable = "TAMARINDLEAD_BE_PROGRAM"
+
+// TestMain lets the test binary be the program itself, so that tests can start it.
 func TestMain(m *testing.M) {
-	if os.Getenv("TAMARINDLEAD_BE_PROGRAM") != "" {
+	if os.Getenv(runMainVariable) != "" {
 		main()
 		os.Exit(0)
 	}
 	os.Exit(m.Run())
 }
 
-func program(args ...string) *exec.Cmd {
+// newProgram returns a command that runs the program.
+func newProgram(args ...string) *exec.Cmd {
 	cmd := exec.Command(os.Args[0], args...)
-	cmd.Env = append(os.Environ(), "TAMARINDLEAD_BE_PROGRAM=1", "LOG_LEVEL=error")
+	cmd.Env = append(os.Environ(), runMainVariable+"=1", "LOG_LEVEL=error")
 	return cmd
 }
 
-func freeAddr(t *testing.T) string {
-	ln, err := net.Listen("tcp4", "127.0.0.1:0")
+func listen(t *testing.T) net.Listener {
+	t.Helper()
+	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer ln.Close()
-	return ln.Addr().String()
+	return listener
+}
+
+// freeAddr returns a loopback address on which nothing listens.
+func freeAddr(t *testing.T) string {
+	t.Helper()
+	listener := listen(t)
+	if err := listener.Close(); err != nil {
+		t.Fatal(err)
+	}
+	return listener.Addr().String()
 }
 
-func settings(t *testing.T, listen, state, cloud string) string {
+// writeSettings writes a settings file with the given addresses and returns its path.
+func writeSettings(t *testing.T, listenAddr, kvAddr, cloudAddr string) string {
+	t.Helper()
 	text := fmt.Sprintf(`
 node = "n0"
 zone = "a"
@@ -76,7 +93,7 @@
 cores = 0.5
 ram_mb = 200.0
 sockets = 200
-`, listen, freeAddr(t), cloud, state)
+`, listenAddr, freeAddr(t), cloudAddr, kvAddr)
 	path := filepath.Join(t.TempDir(), "settings.toml")
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
@@ -84,113 +101,194 @@
 	return path
 }
 
-func serve(t *testing.T, handle http.HandlerFunc) string {
-	ln, err := net.Listen("tcp4", "127.0.0.1:0")
+// serveHTTP serves on a loopback address until the test ends.
+func serveHTTP(t *testing.T, handler http.HandlerFunc) (addr string) {
+	t.Helper()
+	listener := listen(t)
+	server := &http.Server{Handler: handler}
+	go func() { _ = server.Serve(listener) }() // returns when the server is closed
+	t.Cleanup(func() { _ = server.Close() })
+	return listener.Addr().String()
+}
+
+// services are the fakes that the program is run against.
+type services struct {
+	start time.Time
+
+	mu    sync.Mutex // guards the fakes
+	kv    *fake.KVStore
+	cloud *fake.Cloud
+}
+
+func newServices() *services {
+	s := &services{start: time.Now(), kv: fake.NewKVStore(), cloud: fake.NewCloud()}
+	s.cloud.Types = []wire.MachineType{{Name: "small", CPUs: 8, MemGB: 32, HourlyPrice: 1, BootS: 1, Zones: []string{"a"}}}
+	s.cloud.Capacity["small a false"] = 2
+	return s
+}
+
+func (s *services) now() micros.Micros { return micros.FromDuration(time.Since(s.start)) }
+
+// serveKV answers a request to the key-value store. A watch waits for a change, for at most
+// a second.
+func (s *services) serveKV(w http.ResponseWriter, r *http.Request) {
+	body, err := io.ReadAll(r.Body)
 	if err != nil {
-		t.Fatal(err)
+		return // the program has closed the connection
+	}
+	for since := time.Now(); ; time.Sleep(10 * time.Millisecond) {
+		s.mu.Lock()
+		s.kv.Advance(s.now())
+		answer, ok := s.kv.Handle("n0", r.Method, r.URL.RequestURI(), body, time.Since(since) > time.Second)
+		s.mu.Unlock()
+		if ok {
+			writeAnswer(w, answer.Status, answer.Body)
+			return
+		}
 	}
-	srv := &http.Server{Handler: handle}
-	go srv.Serve(ln)
-	t.Cleanup(func() { srv.Close() })
-	return ln.Addr().String()
 }
 
-// TestProgram starts the real program on loopback against the stand-ins: it accepts a
-// job, rents nothing it does not need, and keeps answering after bad input.
-func TestProgram(t *testing.T) {
-	var mu sync.Mutex
-	state, cloud := fake.NewKVStore(), fake.NewCloud()
-	start := time.Now()
-	now := func() micros.Micros { return micros.FromDuration(time.Since(start)) }
-	cloud.Types = []wire.MachineType{{Name: "small", CPUs: 8, MemGB: 32, HourlyPrice: 1, BootS: 1, Zones: []string{"a"}}}
-	cloud.Capacity["small a false"] = 2
-	stateAddr := serve(t, func(w http.ResponseWriter, r *http.Request) {
-		body, _ := io.ReadAll(r.Body)
-		for since := time.Now(); ; time.Sleep(10 * time.Millisecond) {
-			mu.Lock()
-			state.Advance(now())
-			ans, ok := state.Handle("n0", r.Method, r.URL.RequestURI(), body, time.Since(since) > time.Second)
-			mu.Unlock()
-			if ok {
-				w.WriteHeader(ans.Status)
-				w.Write(ans.Body)
-				return
-			}
-		}
-	})
-	cloudAddr := serve(t, func(w http.ResponseWriter, r *http.Request) {
-		body, _ := io.ReadAll(r.Body)
-		mu.Lock()
-		cloud.Now = now()
-		ans := cloud.Handle(r.Method, r.URL.RequestURI(), body)
-		mu.Unlock()
-		w.WriteHeader(ans.Status)
-		w.Write(ans.Body)
-	})
-	listen := freeAddr(t)
-	cmd := program("--config", settings(t, listen, stateAddr, cloudAddr))
+func (s *services) serveCloud(w http.ResponseWriter, r *http.Request) {
+	body, err := io.ReadAll(r.Body)
+	if err != nil {
+		return // the program has closed the connection
+	}
+	s.mu.Lock()
+	s.cloud.Now = s.now()
+	answer := s.cloud.Handle(r.Method, r.URL.RequestURI(), body)
+	s.mu.Unlock()
+	writeAnswer(w, answer.Status, answer.Body)
+}
+
+func writeAnswer(w http.ResponseWriter, status int, body []byte) {
+	w.WriteHeader(status)
+	_, _ = w.Write(body) // fails only if the program has closed the connection
+}
+
+func (s *services) hasMachines() bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return len(s.cloud.Machines) > 0
+}
+
+func (s *services) hasRecord(key string) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	_, ok := s.kv.Get(key)
+	return ok
+}
+
+// runningProgram is the program as its users reach it.
+type runningProgram struct{ addr string }
+
+// startProgram starts the program against the services and kills it when the test ends.
+func startProgram(t *testing.T, s *services) *runningProgram {
+	t.Helper()
+	kvAddr, cloudAddr := serveHTTP(t, s.serveKV), serveHTTP(t, s.serveCloud)
+	p := &runningProgram{addr: freeAddr(t)}
+	cmd := newProgram("--config", writeSettings(t, p.addr, kvAddr, cloudAddr))
 	cmd.Stderr = os.Stderr
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
-	defer func() { cmd.Process.Kill(); cmd.Wait() }()
-	call := func(method, path string, body []byte) (int, []byte) {
-		req, err := http.NewRequest(method, "http://"+listen+path, bytes.NewReader(body))
-		if err != nil {
-			t.Fatal(err)
+	t.Cleanup(func() {
+		if err := cmd.Process.Kill(); err != nil {
+			t.Errorf("the program has ended by itself: %v", err)
 		}
-		resp, err := http.DefaultClient.Do(req)
-		if err != nil {
-			return 0, nil
-		}
-		defer resp.Body.Close()
-		data, _ := io.ReadAll(resp.Body)
-		return resp.StatusCode, data
+		_ = cmd.Wait() // returns that the program was killed
+	})
+	return p
+}
+
+// call makes a request and returns status 0 if there is no response.
+func (p *runningProgram) call(t *testing.T, method, path string, body []byte) (status int) {
+	t.Helper()
+	req, err := http.NewRequest(method, "http://"+p.addr+path, bytes.NewReader(body))
+	if err != nil {
+		t.Fatal(err)
+	}
+	resp, err := http.DefaultClient.Do(req)
+	if err != nil {
+		return 0
 	}
-	waitFor(t, "the node to be up", func() bool { s, _ := call("GET", "/up", nil); return s == 200 })
+	defer func() { _ = resp.Body.Close() }()
+	// Only a body that was read leaves the connection to the next call.
+	if _, err := io.Copy(io.Discard, resp.Body); err != nil {
+		return 0
+	}
+	return resp.StatusCode
+}
 
-	conn, err := net.Dial("tcp4", listen)
+// exchange sends bytes on a connection of its own and returns all that is received.
+func (p *runningProgram) exchange(t *testing.T, request string) string {
+	t.Helper()
+	conn, err := net.Dial("tcp4", p.addr)
 	if err != nil {
 		t.Fatal(err)
 	}
-	io.WriteString(conn, "POST /api/jobs HTTP/1.1\r\nContent-Length: 999999\r\n\r\n")
-	answer, _ := io.ReadAll(conn)
-	if !strings.HasPrefix(string(answer), "HTTP/1.1 413 ") {
-		t.Fatalf("a body over the limit is answered %q", answer)
+	defer func() { _ = conn.Close() }()
+	if _, err := io.WriteString(conn, request); err != nil {
+		t.Fatal(err)
+	}
+	response, err := io.ReadAll(conn)
+	if err != nil {
+		t.Fatal(err)
 	}
+	return string(response)
+}
 
-	job := wire.Encode(map[string]any{
-		"ref": "req-000001", "queue": "q", "desk": "red", "shape": "array", "urgency": "normal", "legs": 2,
+// newJob returns the submission of a job of two tasks.
+func newJob(id string) []byte {
+	return wire.Encode(map[string]any{
+		"ref": id, "queue": "q", "desk": "red", "shape": "array", "urgency": "normal", "legs": 2,
 		"cpus": 1.0, "cards": 0.0, "memGb": 1.0, "bundle": "i", "sizeGb": 0.1, "samePlace": false, "apart": false,
 		"loaners": false, "expectS": 30.0, "snapshotS": 0.0, "stowS": 0.0,
 	})
-	waitFor(t, "the job to be accepted", func() bool { s, _ := call("POST", "/api/jobs", job); return s == 201 })
-	for _, c := range []struct {
-		method, path string
-		body         []byte
-		want         int
+}
+
+// TestProgram starts the real program on loopback against fakes: it accepts a job, requests
+// a machine for it, records its cancellation, and keeps answering after bad input.
+func TestProgram(t *testing.T) {
+	s := newServices()
+	p := startProgram(t, s)
+	waitFor(t, "the node to be ready", func() bool { return p.call(t, "GET", "/up", nil) == 200 })
+
+	response := p.exchange(t, "POST /api/jobs HTTP/1.1\r\nContent-Length: 999999\r\n\r\n")
+	if !strings.HasPrefix(response, "HTTP/1.1 413 ") {
+		t.Fatalf("the response to a body over the limit is %q", response)
+	}
+
+	job := newJob("req-000001")
+	waitFor(t, "the job to be accepted", func() bool { return p.call(t, "POST", "/api/jobs", job) == 201 })
+	tests := []struct {
+		name, method, path string
+		body               []byte
+		want               int
 	}{
-		{"POST", "/api/jobs", job, 200}, {"POST", "/api/jobs", []byte("{}"), 400}, {"GET", "/api/jobs/req-000001", nil, 200},
-		{"GET", "/api/jobs/req-000002", nil, 404}, {"DELETE", "/api/jobs", nil, 405}, {"GET", "/nowhere", nil, 404},
-	} {
-		// A node may refuse for a moment, as its users know.
-		got := 503
-		waitFor(t, c.method+" "+c.path, func() bool { got, _ = call(c.method, c.path, c.body); return got != 503 })
-		if got != c.want {
-			t.Errorf("%s %s is answered %d, want %d", c.method, c.path, got, c.want)
-		}
+		{"duplicate submission", "POST", "/api/jobs", job, 200},
+		{"invalid submission", "POST", "/api/jobs", []byte("{}"), 400},
+		{"known job", "GET", "/api/jobs/req-000001", nil, 200},
+		{"unknown job", "GET", "/api/jobs/req-000002", nil, 404},
+		{"wrong method", "DELETE", "/api/jobs", nil, 405},
+		{"unknown path", "GET", "/nowhere", nil, 404},
 	}
-	waitFor(t, "a machine to be rented", func() bool {
-		mu.Lock()
-		defer mu.Unlock()
-		return len(cloud.Machines) > 0
-	})
-	waitFor(t, "the cancellation", func() bool { s, _ := call("POST", "/api/jobs/req-000001/cancel", nil); return s == 200 })
-	mu.Lock()
-	_, kept := state.Get("f/req-000001")
-	mu.Unlock()
-	if !kept {
-		t.Error("the final state was not recorded")
+	for _, tt := range tests {
+		t.Run(tt.name, func(t *testing.T) {
+			// A node may refuse for a moment; clients are expected to retry.
+			got := 503
+			waitFor(t, tt.method+" "+tt.path, func() bool {
+				got = p.call(t, tt.method, tt.path, tt.body)
+				return got != 503
+			})
+			if got != tt.want {
+				t.Errorf("%s %s: status %d, want %d", tt.method, tt.path, got, tt.want)
+			}
+		})
+	}
+	waitFor(t, "a machine to be requested", s.hasMachines)
+	waitFor(t, "the cancellation", func() bool { return p.call(t, "POST", "/api/jobs/req-000001/cancel", nil) == 200 })
+	if !s.hasRecord("f/req-000001") {
+		t.Error("the terminal state was not recorded")
 	}
 }
 
@@ -201,18 +299,44 @@
 			return
 		}
 	}
-	t.Fatalf("waited in vain for %s", what)
+	t.Fatalf("timed out waiting for %s", what)
 }
 
-func TestBadSettings(t *testing.T) {
-	path := settings(t, "nowhere", "127.0.0.1:1", "127.0.0.1:2")
-	for _, args := range [][]string{{"--config", path}, {"check", "--config", path}} {
-		out, err := program(args...).CombinedOutput()
-		if err == nil || strings.Count(string(out), "\n") != 1 || !strings.Contains(string(out), "listen") {
-			t.Errorf("%v: %v, %q", args, err, out)
-		}
+// TestInvalidSettings checks that the program and its check refuse invalid settings with one
+// line that names the setting, and that the check accepts valid ones.
+func TestInvalidSettings(t *testing.T) {
+	invalid := writeSettings(t, "nowhere", "127.0.0.1:1", "127.0.0.1:2")
+	valid := writeSettings(t, "127.0.0.1:1", "127.0.0.1:1", "127.0.0.1:2")
+	tests := []struct {
+		name         string
+		args         []string
+		env          string
+		wantExitCode int
+		want         string // in the output
+	}{
+		{"run", []string{"--config", invalid}, "", 1, "listen"},
+		{"check", []string{"check", "--config", invalid}, "", 1, "listen"},
+		{"no settings", []string{"check"}, "", 1, "tamarindlead: --config: missing"},
+		{"log level", []string{"--config", valid}, "LOG_LEVEL=loud", 1, "tamarindlead: LOG_LEVEL: must be error, info or debug"},
+		{"valid", []string{"check", "--config", valid}, "", 0, "n0: settings are valid (0 siblings, 1 teams)"},
 	}
-	if out, err := program("check", "--config", settings(t, "127.0.0.1:1", "127.0.0.1:1", "127.0.0.1:2")).CombinedOutput(); err != nil {
-		t.Errorf("valid settings: %v, %q", err, out)
+	for _, tt := range tests {
+		t.Run(tt.name, func(t *testing.T) {
+			cmd := newProgram(tt.args...)
+			if tt.env != "" {
+				cmd.Env = append(cmd.Env, tt.env)
+			}
+			out, err := cmd.CombinedOutput()
+			var exitErr *exec.ExitError
+			if err != nil && !errors.As(err, &exitErr) {
+				t.Fatal(err)
+			}
+			if got := cmd.ProcessState.ExitCode(); got != tt.wantExitCode {
+				t.Errorf("exit code %d, want %d", got, tt.wantExitCode)
+			}
+			if strings.Count(string(out), "\n") != 1 || !strings.Contains(string(out), tt.want) {
+				t.Errorf("output %q, want one line with %q", out, tt.want)
+			}
+		})
 	}
 }
