--- a/controller/attempt.go
+++ b/controller/attempt.go
@@ -10,13 +10,13 @@
 type attemptState int
 
 const (
-	attemptProposed attemptState = iota // not recorded yet
-	attemptRecorded                     // recorded: may be started
-	attemptOrdered                      // a start was sent, or may have been
-	attemptLive                         // the machine has it
-	attemptStopping                     // must stop
-	attemptFinished                     // done, which is not recorded yet
-	attemptLeaving                      // off the machine, which is not recorded yet
+	attemptAssumed   attemptState = iota // not recorded yet
+	attemptRecorded                      // recorded: may be started
+	attemptStarting                      // a start was sent, or may have been
+	attemptLive                          // the machine has it
+	attemptStopping                      // must stop
+	attemptCompleted                     // done, which is not recorded yet
+	attemptRemoving                      // off the machine, which is not recorded yet
 	attemptClosed
 )
 
@@ -33,20 +33,20 @@
 	state   attemptState
 	// phase is the task's phase in the machine's latest report, and seen whether any report
 	// listed it.
-	phase wire.TaskPhase
-	seen  bool
-	// startSeq is the sequence number of the report that its start command answered.
-	startSeq uint64
-	// since is when it was placed, and running when it was first reported running, or 0.
-	since   micros.Micros
-	running micros.Micros
-	// grace is the time to save when it is stopped, and why the reason for the stop.
-	grace micros.Micros
-	why   string
-	// counted: it is among its job's tasks that run.
-	counted bool
-	// freed: it takes nothing of its machine any more.
-	freed bool
+	phase         wire.TaskPhase
+	heartbeatSeen bool
+	// startHeartbeatSeq is the sequence number of the report that its start command answered.
+	startHeartbeatSeq uint64
+	// placedAt is when it was placed, and running when it was first reported running, or 0.
+	placedAt     micros.Micros
+	runningSince micros.Micros
+	// gracePeriod is the time to save when it is stopped, and why the reason for the stop.
+	gracePeriod micros.Micros
+	reason      string
+	// countedRunning: it is among its job's tasks that run.
+	countedRunning bool
+	// resourcesReleased: it takes nothing of its machine any more.
+	resourcesReleased bool
 }
 
 // taskKey identifies a task.
@@ -58,30 +58,30 @@
 // key identifies the attempt's task on a machine.
 func (a *attempt) key() taskKey { return taskKey{a.job.ID, a.index} }
 
-// task is the name of the attempt's task on the wire.
-func (a *attempt) task() string { return wire.TaskName(a.job.ID, a.index) }
+// taskName is the name of the attempt's task on the wire.
+func (a *attempt) taskName() string { return wire.TaskName(a.job.ID, a.index) }
 
 // mayStart tells whether the attempt's job wants it started: a gang only once all of its
 // places are recorded.
 func (a *attempt) mayStart() bool {
-	return a.job.state == jobActive && (!a.job.Gang || a.job.gang == gangStarting)
+	return a.job.state == jobActive && (!a.job.Gang || a.job.gangState == gangStarting)
 }
 
-// setAttempt is the one place where an attempt changes its state.
-func (o *owner) setAttempt(a *attempt, s attemptState) {
+// setAttemptState is the one place where an attempt changes its state.
+func (o *owner) setAttemptState(a *attempt, s attemptState) {
 	if a.state == s || a.state == attemptClosed {
 		return
 	}
 	was := a.state
 	a.state = s
 	if o.c.debug {
-		o.c.log.Debug("attempt", "task", a.task(), "try", a.number,
-			"machine", a.machine.name, "token", a.machine.token, "from", was.String(), "to", s.String(), "why", a.why)
+		o.c.log.Debug("attempt", "task", a.taskName(), "try", a.number,
+			"machine", a.machine.name, "token", a.machine.fencingToken, "from", was.String(), "to", s.String(), "why", a.reason)
 	}
-	if was == attemptProposed {
-		o.countProposed(a.job, -1)
+	if was == attemptAssumed {
+		o.countAssumed(a.job, -1)
 	}
-	a.count(s == attemptLive && a.counted)
+	a.setCountedRunning(s == attemptLive && a.countedRunning)
 	if t := o.teams[a.job.Team]; t != nil {
 		switch attemptStopping {
 		case s:
@@ -91,64 +91,64 @@
 		}
 	}
 	switch s {
-	case attemptLeaving:
-		o.free(a)
+	case attemptRemoving:
+		o.releaseResources(a)
 		o.markDirty(a.machine)
-	case attemptFinished:
-		o.free(a)
-		a.job.setTask(a.index, taskDone)
+	case attemptCompleted:
+		o.releaseResources(a)
+		a.job.setTaskState(a.index, taskDone)
 		if !a.job.Gang { // a gang is done as a whole, which its final record tells
 			a.job.noteFinished(a)
-			o.shardFor(a.job, a.index/record.TasksPerChunk).markDirty(o.c.now)
+			o.segmentFor(a.job, a.index/record.TasksPerChunk).markDirty(o.c.now)
 		}
 	case attemptClosed:
-		o.free(a)
-		o.closed(a)
+		o.releaseResources(a)
+		o.handleAttemptClosed(a)
 	}
 }
 
-// count notes whether an attempt's task runs.
-func (a *attempt) count(runs bool) {
-	if a.counted == runs {
+// setCountedRunning notes whether an attempt's task runs.
+func (a *attempt) setCountedRunning(runs bool) {
+	if a.countedRunning == runs {
 		return
 	}
-	if a.counted = runs; runs {
-		a.job.runs++
+	if a.countedRunning = runs; runs {
+		a.job.runningTasks++
 	} else {
-		a.job.runs--
+		a.job.runningTasks--
 	}
 }
 
-// countProposed keeps count of attempts that are not recorded yet, and of jobs with such.
-func (o *owner) countProposed(j *job, by int) {
-	was := j.proposed > 0
-	j.proposed += by
-	o.proposed += by
-	if is := j.proposed > 0; is != was {
+// countAssumed keeps count of attempts that are not recorded yet, and of jobs with such.
+func (o *owner) countAssumed(j *job, by int) {
+	was := j.assumed > 0
+	j.assumed += by
+	o.assumed += by
+	if is := j.assumed > 0; is != was {
 		if is {
-			o.proposedJobs++
+			o.assumedJobs++
 		} else {
-			o.proposedJobs--
+			o.assumedJobs--
 		}
 	}
 }
 
-// free gives back what an attempt took of its machine and of its team's limit, once it
+// releaseResources gives back what an attempt took of its machine and of its team's limit, once it
 // is certain that the task is not there. Its task waits until that is recorded.
-func (o *owner) free(a *attempt) {
-	if a.freed {
+func (o *owner) releaseResources(a *attempt) {
+	if a.resourcesReleased {
 		return
 	}
-	a.freed = true
+	a.resourcesReleased = true
 	a.machine.used = a.machine.used.Sub(a.job.Need)
 	if t := o.teams[a.job.Team]; t != nil {
 		t.used = t.used.Sub(a.job.Need)
 	}
-	o.scheduleWanted = true
+	o.schedulingNeeded = true
 }
 
-// closed frees what an attempt took. Its task may be placed again from now on.
-func (o *owner) closed(a *attempt) {
+// handleAttemptClosed frees what an attempt took. Its task may be placed again from now on.
+func (o *owner) handleAttemptClosed(a *attempt) {
 	m, j := a.machine, a.job
 	delete(m.attempts, a.key())
 	if len(m.attempts) == 0 {
@@ -160,73 +160,73 @@
 	if j.attempts[a.index] == a {
 		delete(j.attempts, a.index)
 		if a.index < j.Tasks {
-			j.setTask(a.index, taskPending)
+			j.setTaskState(a.index, taskPending)
 		}
 	}
 	if len(j.attempts) == 0 {
 		j.idleSince = o.c.now
-		o.setGang(j, gangNone)
+		o.setGangState(j, gangNone)
 		if j.state == jobEnded {
 			delete(o.jobs, j.ID)
 		}
 	}
-	o.scheduleWanted = true
+	o.schedulingNeeded = true
 }
 
-// attach gives an attempt its place.
-func (o *owner) attach(j *job, index int, number uint64, m *machine, s attemptState) *attempt {
-	a := &attempt{job: j, index: index, number: number, machine: m, state: s, since: o.c.now}
+// addAttempt gives an attempt its place.
+func (o *owner) addAttempt(j *job, index int, number uint64, m *machine, s attemptState) *attempt {
+	a := &attempt{job: j, index: index, number: number, machine: m, state: s, placedAt: o.c.now}
 	m.attempts[a.key()] = a
 	m.used = m.used.Add(j.Need)
-	m.noteImage(j.Image)
+	m.addCachedImage(j.Image)
 	if t := o.teams[j.Team]; t != nil {
 		t.used = t.used.Add(j.Need)
 	}
 	j.attempts[index] = a
 	if index < j.Tasks {
-		j.setTask(index, taskPlaced)
+		j.setTaskState(index, taskPlaced)
 	}
-	if s == attemptProposed {
-		o.countProposed(j, 1)
+	if s == attemptAssumed {
+		o.countAssumed(j, 1)
 	}
 	return a
 }
 
-// stop ends an attempt, with grace for saving if its machine has it already.
-func (o *owner) stop(a *attempt, grace micros.Micros, why string) {
+// stopAttempt ends an attempt, with grace for saving if its machine has it already.
+func (o *owner) stopAttempt(a *attempt, grace micros.Micros, why string) {
 	switch a.state {
-	case attemptProposed:
+	case attemptAssumed:
 		// Its commit may be under way; if so it is recorded first and leaves then.
-		a.why = why
+		a.reason = why
 		if !a.machine.block.writing {
-			o.setAttempt(a, attemptClosed)
+			o.setAttemptState(a, attemptClosed)
 		} else {
-			o.setAttempt(a, attemptLeaving)
+			o.setAttemptState(a, attemptRemoving)
 		}
 	case attemptRecorded:
-		a.why = why
-		o.setAttempt(a, attemptLeaving)
-	case attemptOrdered, attemptLive:
-		a.why, a.grace = why, grace
-		o.setAttempt(a, attemptStopping)
+		a.reason = why
+		o.setAttemptState(a, attemptRemoving)
+	case attemptStarting, attemptLive:
+		a.reason, a.gracePeriod = why, grace
+		o.setAttemptState(a, attemptStopping)
 		o.queueDispatch(a.machine)
 	case attemptStopping:
-		a.grace = min(a.grace, grace)
+		a.gracePeriod = min(a.gracePeriod, grace)
 	}
 }
 
 // stopJob ends everything that a job has on machines.
 func (o *owner) stopJob(j *job, grace micros.Micros, why string) {
-	if j.gang != gangNone {
-		o.setGang(j, gangStopping)
+	if j.gangState != gangNone {
+		o.setGangState(j, gangStopping)
 	}
-	for _, a := range j.sorted() {
-		o.stop(a, grace, why)
+	for _, a := range j.sortedAttempts() {
+		o.stopAttempt(a, grace, why)
 	}
 }
 
-// sorted lists the job's attempts in the order of their tasks.
-func (j *job) sorted() []*attempt {
+// sortedAttempts lists the job's attempts in the order of their tasks.
+func (j *job) sortedAttempts() []*attempt {
 	list := make([]*attempt, 0, len(j.attempts))
 	for _, i := range sortedKeys(j.attempts) {
 		list = append(list, j.attempts[i])
--- a/controller/bench_test.go
+++ b/controller/bench_test.go
@@ -28,18 +28,18 @@
 func benchOwner() *owner {
 	o := testOwner()
 	for i := range 300 {
-		o.loadJob(record.ActiveJobKey(fmt.Sprintf("req-%06d", i)), wire.Encode(record.NewJob(&sched.Job{
+		o.recoverJob(record.ActiveJobKey(fmt.Sprintf("req-%06d", i)), wire.Encode(record.NewJob(&sched.Job{
 			ID: fmt.Sprintf("req-%06d", i), Class: "render", Team: "red", Priority: sched.Normal, Tasks: 150,
 			Need: sched.NewResources(2, 0, 2), Image: fmt.Sprint("img", i%20), Spot: true, Estimate: 30 * micros.Second,
 		}, 0)), uint64(i+1))
 	}
 	for i := range benchMachines {
 		m := o.newMachine(machineInfo{fmt.Sprintf("m-%06d", i), "mid", o.c.cfg.Zones[i%2], i%3 == 0, "worker"})
-		m.token, m.session, m.synced, m.tokenShownAt, m.heard, m.state = 1, 1, true, o.c.now, o.c.now, machineUp
+		m.fencingToken, m.agentEpoch, m.tokenConfirmed, m.tokenConfirmedAt, m.lastHeartbeat, m.state = 1, 1, true, o.c.now, o.c.now, machineReady
 		for n := range benchTasks {
 			at := i*benchTasks + n
 			j := o.queue[at/100]
-			o.attach(j, at%100, 7, m, attemptLive).seen = true
+			o.addAttempt(j, at%100, 7, m, attemptLive).heartbeatSeen = true
 		}
 	}
 	o.dispatchQueue = nil
@@ -58,7 +58,7 @@
 	c := New(cfg, 1, slog.New(slog.NewTextHandler(io.Discard, &slog.HandlerOptions{Level: slog.LevelError})), micros.Hour, micros.Hour)
 	c.types.list = []sched.MachineType{{Name: "mid", Size: sched.NewResources(28, 0, 112), Price: 1, SpotPrice: 0.3, Zones: cfg.Zones}}
 	store := &ownerStore{}
-	c.node = cluster.New(cfg, store, clusterHost{c}, rand.New(rand.NewPCG(1, randomStream)), c.log)
+	c.node = cluster.New(cfg, store, clusterHost{c}, rand.New(rand.NewPCG(1, randomSeedStream)), c.log)
 	c.cluster = c.node.View()
 	store.incarnation = c.node.Incarnation()
 	c.node.Tick(c.now)
@@ -93,25 +93,25 @@
 
 func (s *ownerStore) Watch(string, uint64, func(micros.Micros, kv.Result)) {}
 
-func benchReport(m *machine, seq uint64) []byte {
-	r := wire.Heartbeat{Machine: m.name, Endpoint: m.endpoint, Type: m.kind, Zone: m.zone, Spot: m.spot, AgentEpoch: 1, HeartbeatSeq: seq, FencingToken: 1}
-	for _, a := range m.sorted() {
+func benchHeartbeat(m *machine, seq uint64) []byte {
+	r := wire.Heartbeat{Machine: m.name, Endpoint: m.endpoint, Type: m.machineType, Zone: m.zone, Spot: m.spot, AgentEpoch: 1, HeartbeatSeq: seq, FencingToken: 1}
+	for _, a := range m.sortedAttempts() {
 		r.Tasks = append(r.Tasks, wire.TaskStatus{Task: wire.TaskName(a.job.ID, a.index), Attempt: a.number, Phase: wire.PhaseRunning})
 	}
 	return wire.Encode(r)
 }
 
-// BenchmarkReport handles one report, with all that follows every event.
-func BenchmarkReport(b *testing.B) {
+// BenchmarkHeartbeat handles one report, with all that follows every event.
+func BenchmarkHeartbeat(b *testing.B) {
 	o := benchOwner()
 	var bodies [][]byte
-	for _, m := range o.list {
-		bodies = append(bodies, benchReport(m, 1<<40))
+	for _, m := range o.sortedMachines {
+		bodies = append(bodies, benchHeartbeat(m, 1<<40))
 	}
-	o.scheduleWanted, o.flushing = false, true // a commit is under way
+	o.schedulingNeeded, o.committing = false, true // a commit is under way
 	for i := 0; b.Loop(); i++ {
-		m := o.list[i%benchMachines]
-		m.seq = 0
+		m := o.sortedMachines[i%benchMachines]
+		m.heartbeatSeq = 0
 		o.c.Handle(o.c.now, o.c.now, Request{ID: uint64(i), Method: "POST", Path: "/hello", Body: bodies[i%benchMachines]})
 	}
 	if o.c.owner != o {
@@ -124,14 +124,14 @@
 func BenchmarkPlace(b *testing.B) {
 	o := benchOwner()
 	for b.Loop() {
-		o.scheduleWanted, o.nextPass = true, 0
+		o.schedulingNeeded, o.nextSchedulingPass = true, 0
 		o.schedule()
 		b.StopTimer()
 		n := 0
 		for _, j := range o.queue {
-			for _, a := range j.sorted() {
-				if a.state == attemptProposed {
-					o.setAttempt(a, attemptClosed)
+			for _, a := range j.sortedAttempts() {
+				if a.state == attemptAssumed {
+					o.setAttemptState(a, attemptClosed)
 					n++
 				}
 			}
@@ -146,9 +146,9 @@
 // BenchmarkTick passes the time to an owner with nothing else to do.
 func BenchmarkTick(b *testing.B) {
 	o := benchOwner()
-	o.scheduleWanted, o.flushing = false, true
+	o.schedulingNeeded, o.committing = false, true
 	for b.Loop() {
-		o.c.nextSlow = 0
+		o.c.nextSlowTick = 0
 		o.c.Handle(o.c.now, o.c.now, Tick{})
 	}
 	if o.c.owner != o {
@@ -156,12 +156,12 @@
 	}
 }
 
-// BenchmarkTakeover builds machines and attempts from the records of an earlier owner.
-func BenchmarkTakeover(b *testing.B) {
+// BenchmarkFailover builds machines and attempts from the records of an earlier owner.
+func BenchmarkFailover(b *testing.B) {
 	o := benchOwner()
 	var entries []kv.Entry
 	for _, bl := range o.blocks {
-		t := &txn{guards: map[string]uint64{}}
+		t := &transaction{preconditions: map[string]uint64{}}
 		o.writeBlock(t, bl, 16)
 		for _, w := range t.writes {
 			entries = append(entries, kv.Entry{Key: w.Put, Value: wire.Encode(w.Value), Version: 5})
@@ -171,10 +171,10 @@
 		fresh := newOwner(o.c, o.c.node.OwnTeams())
 		fresh.jobs, fresh.queue = map[string]*job{}, nil
 		for _, j := range o.queue {
-			fresh.loadJob(record.ActiveJobKey(j.ID), wire.Encode(record.NewJob(j.Job, 0)), j.version)
+			fresh.recoverJob(record.ActiveJobKey(j.ID), wire.Encode(record.NewJob(j.Job, 0)), j.version)
 		}
-		fresh.loadBlocks(entries)
-		if len(fresh.list) != benchMachines {
+		fresh.recoverBlocks(entries)
+		if len(fresh.sortedMachines) != benchMachines {
 			b.Fatal("machines are missing")
 		}
 	}
@@ -184,7 +184,7 @@
 func BenchmarkLookup(b *testing.B) {
 	o := benchOwner()
 	c := o.c
-	o.scheduleWanted, o.flushing = false, true
+	o.schedulingNeeded, o.committing = false, true
 	var id uint64
 	for b.Loop() {
 		answered := 0
@@ -192,7 +192,7 @@
 			id++
 			c.Handle(c.now, c.now, Request{ID: id, Method: "GET", Path: pathJobs + "/" + o.queue[i].ID})
 		}
-		for _, e := range c.Handle(c.now+lookupGap, c.now, Tick{}) {
+		for _, e := range c.Handle(c.now+lookupBatchInterval, c.now, Tick{}) {
 			call, ok := e.(Call)
 			if !ok || call.Target != "/commit" {
 				continue
--- a/controller/block_split.go
+++ b/controller/block_split.go
@@ -7,9 +7,9 @@
 	"tamarindlead/micros"
 )
 
-// oversizedRetry is the pause before a block that fits no value is written again: tasks may
+// oversizedRetryDelay is the pause before a block that fits no value is written again: tasks may
 // have ended meanwhile.
-const oversizedRetry = 5 * micros.Second
+const oversizedRetryDelay = 5 * micros.Second
 
 // handleOversized deals with a block that fits no value. What is proposed is given up first,
 // and nothing more is placed there; what is too large without it is split. The limits may
@@ -20,22 +20,22 @@
 	switch {
 	case giveUp:
 		o.c.log.Warn("block too large", "block", b.name, "bytes", size, "machines", len(b.machines))
-		o.giveUpProposed(proposed)
+		o.abandonAssumed(proposed)
 	case len(b.machines) > 1:
-		o.split(b, size)
+		o.splitBlock(b, size)
 	default:
 		o.retireOversized(b, size)
 	}
 }
 
-// giveUpProposed ends attempts that no record has room for; gangs end as a whole.
-func (o *owner) giveUpProposed(proposed []*attempt) {
+// abandonAssumed ends attempts that no record has room for; gangs end as a whole.
+func (o *owner) abandonAssumed(proposed []*attempt) {
 	const why = "no room in the record"
 	for _, a := range proposed {
 		if a.job.Gang {
 			o.stopJob(a.job, 0, why)
 		} else {
-			o.stop(a, 0, why)
+			o.stopAttempt(a, 0, why)
 		}
 	}
 }
@@ -46,19 +46,19 @@
 // elsewhere.
 func (o *owner) retireOversized(b *block, size int) {
 	m := b.machines[0]
-	b.retryAt = o.c.now + oversizedRetry
+	b.retryAt = o.c.now + oversizedRetryDelay
 	o.c.log.Error("a machine's entry fits no value", "machine", m.name, "bytes", size, "most", o.c.cfg.MaxValueBytes, "tasks", len(m.attempts))
 	leaseEnded := o.c.now-b.dirtySince > o.c.cfg.WorkerLease+o.c.cfg.HeartbeatTimeout()
-	if m.token == 0 && m.state < machineReleasing && leaseEnded {
-		o.setMachine(m, machineReleasing, "its entry fits no value")
+	if m.fencingToken == 0 && m.state < machineTerminating && leaseEnded {
+		o.setMachineState(m, machineTerminating, "its entry fits no value")
 	}
 }
 
-// split moves machines of a block that has outgrown a value to new blocks, so that each
+// splitBlock moves machines of a block that has outgrown a value to new blocks, so that each
 // part takes about the same. The old record is written again only after the new ones hold
 // the machines that left it.
-func (o *owner) split(b *block, size int) {
-	parts := int(math.Ceil(float64(size) / (taskFill * float64(o.c.cfg.MaxValueBytes))))
+func (o *owner) splitBlock(b *block, size int) {
+	parts := int(math.Ceil(float64(size) / (maxFillForTasks * float64(o.c.cfg.MaxValueBytes))))
 	parts = min(max(2, parts), len(b.machines))
 	all := b.machines
 	share := b.estimatedBytes() / float64(parts)
@@ -69,7 +69,7 @@
 		full := filled+bytes/2 > share*float64(made)
 		lastChance := len(all)-i <= parts-made // each part gets a machine
 		if len(target.machines) > 0 && made < parts && (full || lastChance) {
-			target = o.newPart(b)
+			target = o.newSplitBlock(b)
 			made++
 		}
 		filled += bytes
@@ -82,8 +82,8 @@
 	o.c.log.Info("block split", "block", b.name, "bytes", size, "machines", len(all), "kept", len(b.machines), "parts", made)
 }
 
-// newPart makes a block for machines of one that is split.
-func (o *owner) newPart(b *block) *block {
+// newSplitBlock makes a block for machines of one that is split.
+func (o *owner) newSplitBlock(b *block) *block {
 	part := o.newBlock(record.FormatNumber(o.nextNumber()))
 	part.sources = append(part.sources, b)
 	part.bytesPerTask = b.bytesPerTask
--- a/controller/block_write.go
+++ b/controller/block_write.go
@@ -9,20 +9,20 @@
 	"tamarindlead/internal/record"
 )
 
-// maxGuardsPerOp bounds the guards of one block, in units of the operations that a commit may
+// maxPreconditionsPerOp bounds the guards of one block, in units of the operations that a commit may
 // have: a commit takes four guards for each, and what other records need is left to them.
-const maxGuardsPerOp = 3
+const maxPreconditionsPerOp = 3
 
 // blockWrite is one write of a block: the record, the guards under which it is written, and
 // the machines and attempts whose state changes once it has been.
 type blockWrite struct {
-	owner  *owner
-	block  *block
-	data   *record.BlockData
-	guards map[string]uint64
-	// kinds and jobs are indexes in the lists of the data.
-	kinds map[autoscaler.Offer]int
-	jobs  map[string]int
+	owner         *owner
+	block         *block
+	data          *record.BlockData
+	preconditions map[string]uint64
+	// offerIndexes and jobs are indexes in the lists of the data.
+	offerIndexes map[autoscaler.Offer]int
+	jobIndexes   map[string]int
 	// maxTransfers is how many machines may be transferred: each takes a write of its own.
 	maxTransfers int
 
@@ -30,28 +30,28 @@
 	tasks   int        // in these entries
 	sources []*block   // blocks that machines came from, see block.sources
 
-	claimed     []*machine
-	condemned   []*machine
-	deleted     []*machine
-	transferred []*machine
-	proposed    []*attempt
-	leaving     []*attempt
+	claimed         []*machine
+	decommissioning []*machine
+	terminated      []*machine
+	transferred     []*machine
+	assumed         []*attempt
+	removing        []*attempt
 }
 
 // writeBlock adds a block's record to a commit in which room writes are left. A block that
 // the commit has no room for waits for the next one.
-func (o *owner) writeBlock(t *txn, b *block, room int) {
+func (o *owner) writeBlock(t *transaction, b *block, room int) {
 	w := o.newBlockWrite(b, room)
 	for _, m := range b.machines {
 		w.addMachine(m)
 	}
 	value := w.data.Block(o.c.node.ID())
-	w.noteTaskSize(value.Size())
+	w.recordTaskSize(value.Size())
 	if value.Size() > o.c.cfg.MaxValueBytes && len(w.stored) > 0 {
-		o.handleOversized(b, value.Size(), w.proposed)
+		o.handleOversized(b, value.Size(), w.assumed)
 		return
 	}
-	if !t.takes(w.guards, value.Size(), o.c.cfg.MaxTransactionOps) {
+	if !t.hasRoomFor(w.preconditions, value.Size(), o.c.cfg.MaxTransactionOps) {
 		return
 	}
 	w.addTo(t, value)
@@ -61,55 +61,55 @@
 func (o *owner) newBlockWrite(b *block, room int) *blockWrite {
 	w := &blockWrite{
 		owner: o, block: b, maxTransfers: room - 1,
-		data:   &record.BlockData{LaunchTimeBase: int64(o.c.wallClock), AttemptBase: math.MaxUint64},
-		guards: map[string]uint64{record.BlockKey(b.name): b.version},
-		kinds:  map[autoscaler.Offer]int{}, jobs: map[string]int{},
+		data:          &record.BlockData{LaunchTimeBase: int64(o.c.wallClock), AttemptBase: math.MaxUint64},
+		preconditions: map[string]uint64{record.BlockKey(b.name): b.version},
+		offerIndexes:  map[autoscaler.Offer]int{}, jobIndexes: map[string]int{},
 	}
 	if b.hasUnclaimed() {
-		o.guardOwnTeams(w.guards)
+		o.addOwnTeamPreconditions(w.preconditions)
 	}
 	for _, m := range b.machines {
 		for _, a := range m.attempts {
 			w.data.AttemptBase = min(w.data.AttemptBase, a.number)
 		}
-		w.data.LaunchTimeBase = min(w.data.LaunchTimeBase, int64(m.rented))
+		w.data.LaunchTimeBase = min(w.data.LaunchTimeBase, int64(m.provisionedAt))
 	}
 	return w
 }
 
-// mayGuard tells whether the write has room for more guards. A block that needs more is
+// hasRoomForPreconditions tells whether the write has room for more guards. A block that needs more is
 // written in several steps.
-func (w *blockWrite) mayGuard(keys ...string) bool {
-	n := len(w.guards)
+func (w *blockWrite) hasRoomForPreconditions(keys ...string) bool {
+	n := len(w.preconditions)
 	for _, key := range keys {
-		if _, ok := w.guards[key]; !ok {
+		if _, ok := w.preconditions[key]; !ok {
 			n++
 		}
 	}
-	return n < maxGuardsPerOp*w.owner.c.cfg.MaxTransactionOps
+	return n < maxPreconditionsPerOp*w.owner.c.cfg.MaxTransactionOps
 }
 
 // addMachine adds a machine's entry, unless the machine is gone, goes to another owner or
 // must wait for the next write.
 func (w *blockWrite) addMachine(m *machine) {
-	if m.state == machineDeleted {
-		w.deleted = append(w.deleted, m)
+	if m.state == machineTerminated {
+		w.terminated = append(w.terminated, m)
 		return
 	}
 	if w.transfer(m) {
 		return
 	}
-	unknown := w.unknownToOthers(m)
-	if unknown && !w.mayGuard(record.BlockKey(adoptedPrefix+m.name)) {
+	unknown := w.isUnknownToOthers(m)
+	if unknown && !w.hasRoomForPreconditions(record.BlockKey(adoptedPrefix+m.name)) {
 		return // its first claim comes with the next write
 	}
 	w.stored = append(w.stored, m)
 	entry := w.newEntry(m)
-	if m.token == 0 || m.fence == fenceWanted {
+	if m.fencingToken == 0 || m.fencing == fencingNeeded {
 		w.claim(m, &entry, unknown)
 	}
-	if m.state == machineCondemned {
-		w.condemned = append(w.condemned, m)
+	if m.state == machineDecommissioning {
+		w.decommissioning = append(w.decommissioning, m)
 	}
 	tasks := w.addAttempts(m)
 	w.data.Pack(&entry, tasks)
@@ -124,26 +124,26 @@
 		return false
 	}
 	successor := w.owner.c.cluster.MemberPrecondition(m.transferTo.Node())
-	if !w.mayGuard(successor.Key) {
+	if !w.hasRoomForPreconditions(successor.Key) {
 		return false
 	}
-	w.guards[successor.Key] = successor.Version
+	w.preconditions[successor.Key] = successor.Version
 	w.transferred = append(w.transferred, m)
 	return true
 }
 
-// unknownToOthers tells that the write holds the first claim of a machine that another owner
+// isUnknownToOthers tells that the write holds the first claim of a machine that another owner
 // may adopt at the same time.
-func (w *blockWrite) unknownToOthers(m *machine) bool {
-	return m.token == 0 && !m.recorded && !w.owner.ownsAllTeams() && !w.block.isAdopted()
+func (w *blockWrite) isUnknownToOthers(m *machine) bool {
+	return m.fencingToken == 0 && !m.recorded && !w.owner.ownsAllTeams() && !w.block.isAdopted()
 }
 
 // newEntry returns a machine's entry without its tasks.
 func (w *blockWrite) newEntry(m *machine) record.BlockMachine {
 	return record.BlockMachine{
-		Name: m.name, FencingToken: m.token, Endpoint: m.endpoint, MachineType: w.kindIndex(m),
-		LaunchedAt:      int64(m.rented) - w.data.LaunchTimeBase,
-		Decommissioning: m.state == machineCondemned || m.state == machineReleasing,
+		Name: m.name, FencingToken: m.fencingToken, Endpoint: m.endpoint, MachineType: w.offerIndex(m),
+		LaunchedAt:      int64(m.provisionedAt) - w.data.LaunchTimeBase,
+		Decommissioning: m.state == machineDecommissioning || m.state == machineTerminating,
 	}
 }
 
@@ -153,7 +153,7 @@
 	entry.FencingToken = 0
 	w.claimed = append(w.claimed, m)
 	if unknown {
-		w.guards[record.BlockKey(adoptedPrefix+m.name)] = 0
+		w.preconditions[record.BlockKey(adoptedPrefix+m.name)] = 0
 	}
 }
 
@@ -161,12 +161,12 @@
 // first time is guarded on its job, which may be cancelled, and on its team.
 func (w *blockWrite) addAttempts(m *machine) []record.BlockTask {
 	var tasks []record.BlockTask
-	for _, a := range m.recordOrder() {
-		if a.state == attemptLeaving {
-			w.leaving = append(w.leaving, a)
+	for _, a := range m.attemptsInRecordOrder() {
+		if a.state == attemptRemoving {
+			w.removing = append(w.removing, a)
 			continue
 		}
-		if a.state == attemptProposed && !w.propose(a) {
+		if a.state == attemptAssumed && !w.addAssumed(a) {
 			continue
 		}
 		tasks = append(tasks, record.BlockTask{Job: w.jobIndex(a.job), Index: a.index, Attempt: a.number})
@@ -174,36 +174,36 @@
 	return tasks
 }
 
-// propose guards an attempt that is recorded for the first time, if there is room for that.
-func (w *blockWrite) propose(a *attempt) bool {
+// addAssumed guards an attempt that is recorded for the first time, if there is room for that.
+func (w *blockWrite) addAssumed(a *attempt) bool {
 	jobKey, teamKey := record.ActiveJobKey(a.job.ID), record.TeamKey(a.job.Team)
-	if !w.mayGuard(jobKey, teamKey) {
+	if !w.hasRoomForPreconditions(jobKey, teamKey) {
 		return false
 	}
-	w.guards[jobKey] = a.job.version
-	w.guards[teamKey] = w.owner.teams[a.job.Team].record.Version
-	w.proposed = append(w.proposed, a)
+	w.preconditions[jobKey] = a.job.version
+	w.preconditions[teamKey] = w.owner.teams[a.job.Team].record.Version
+	w.assumed = append(w.assumed, a)
 	return true
 }
 
-// kindIndex returns the index of a machine's kind in the record.
-func (w *blockWrite) kindIndex(m *machine) int {
+// offerIndex returns the index of a machine's kind in the record.
+func (w *blockWrite) offerIndex(m *machine) int {
 	offer := m.offer()
-	i, ok := w.kinds[offer]
+	i, ok := w.offerIndexes[offer]
 	if !ok {
 		i = len(w.data.MachineTypes)
-		w.kinds[offer] = i
-		w.data.MachineTypes = append(w.data.MachineTypes, record.BlockMachineType{Type: m.kind, Zone: m.zone, Spot: m.spot})
+		w.offerIndexes[offer] = i
+		w.data.MachineTypes = append(w.data.MachineTypes, record.BlockMachineType{Type: m.machineType, Zone: m.zone, Spot: m.spot})
 	}
 	return i
 }
 
 // jobIndex returns the index of a job in the record.
 func (w *blockWrite) jobIndex(j *job) int {
-	i, ok := w.jobs[j.ID]
+	i, ok := w.jobIndexes[j.ID]
 	if !ok {
 		i = len(w.data.Jobs)
-		w.jobs[j.ID] = i
+		w.jobIndexes[j.ID] = i
 		w.data.Jobs = append(w.data.Jobs, record.BlockJob{
 			ID: j.ID, Team: j.Team, Tasks: j.Tasks, CPU: j.Need.CPU, GPU: j.Need.GPU, Mem: j.Need.Mem,
 		})
@@ -211,10 +211,10 @@
 	return i
 }
 
-// noteTaskSize notes what a task takes in the block. With few tasks most of the record is the
+// recordTaskSize notes what a task takes in the block. With few tasks most of the record is the
 // entries: taken for the tasks', nothing more would be placed on machines that stand idle,
 // and so it would stay. So it is bounded.
-func (w *blockWrite) noteTaskSize(size int) {
+func (w *blockWrite) recordTaskSize(size int) {
 	if w.tasks == 0 {
 		return
 	}
@@ -223,9 +223,9 @@
 }
 
 // addTo puts the write into a commit.
-func (w *blockWrite) addTo(t *txn, value record.Block) {
+func (w *blockWrite) addTo(t *transaction, value record.Block) {
 	b := w.block
-	maps.Copy(t.guards, w.guards)
+	maps.Copy(t.preconditions, w.preconditions)
 	b.writing, b.dirty = true, false
 	w.sources, b.sources = b.sources, nil
 	key := record.BlockKey(b.name)
@@ -247,7 +247,7 @@
 func (w *blockWrite) finish(committed bool, revision uint64) {
 	w.block.writing = false
 	if !committed {
-		w.undo()
+		w.rollBack()
 		return
 	}
 	w.block.version, w.block.oversized = revision, false
@@ -260,11 +260,11 @@
 	}
 	w.advanceMachines(revision)
 	w.markChanged()
-	w.owner.dropEmpty(w.block)
+	w.owner.removeEmptyBlock(w.block)
 }
 
-// undo marks everything dirty again.
-func (w *blockWrite) undo() {
+// rollBack marks everything dirty again.
+func (w *blockWrite) rollBack() {
 	b := w.block
 	w.owner.markBlockDirty(b)
 	b.sources = append(b.sources, w.sources...)
@@ -276,56 +276,56 @@
 // advanceMachines changes the states of machines and attempts that waited for the record.
 func (w *blockWrite) advanceMachines(revision uint64) {
 	o := w.owner
-	for _, m := range w.condemned {
-		if m.state == machineCondemned {
-			o.setMachine(m, machineReleasing, "recorded")
+	for _, m := range w.decommissioning {
+		if m.state == machineDecommissioning {
+			o.setMachineState(m, machineTerminating, "recorded")
 		}
 	}
 	for _, m := range w.claimed {
-		if w.block.isAdopted() && m.token == 0 && !o.ownsAllTeams() {
-			o.verify(m, revision)
+		if w.block.isAdopted() && m.fencingToken == 0 && !o.ownsAllTeams() {
+			o.verifyAdopted(m, revision)
 			continue
 		}
-		o.claimed(m, revision)
+		o.handleClaimed(m, revision)
 	}
-	for _, a := range w.leaving {
-		o.setAttempt(a, attemptClosed)
+	for _, a := range w.removing {
+		o.setAttemptState(a, attemptClosed)
 	}
-	for _, a := range w.proposed {
-		o.recorded(a)
+	for _, a := range w.assumed {
+		o.handleAttemptRecorded(a)
 	}
-	for _, m := range w.deleted {
-		o.forget(m)
+	for _, m := range w.terminated {
+		o.removeMachine(m)
 	}
 	for _, m := range w.transferred {
-		o.transferred(m)
+		o.completeTransfer(m)
 	}
 }
 
 // markChanged marks what changed while the commit was under way.
 func (w *blockWrite) markChanged() {
 	for _, m := range w.block.machines {
-		m.dirty = m.dirty || m.mustBeWritten()
+		m.dirty = m.dirty || m.needsWrite()
 		if m.dirty {
 			w.owner.markBlockDirty(w.block)
 		}
 	}
 }
 
-// mustBeWritten tells whether a machine's state or an attempt on it waits for the record.
-func (m *machine) mustBeWritten() bool {
+// needsWrite tells whether a machine's state or an attempt on it waits for the record.
+func (m *machine) needsWrite() bool {
 	for _, a := range m.attempts {
-		if a.state == attemptProposed || a.state == attemptLeaving {
+		if a.state == attemptAssumed || a.state == attemptRemoving {
 			return true
 		}
 	}
 	switch m.state {
-	case machineCondemned, machineDeleted:
+	case machineDecommissioning, machineTerminated:
 		return true
 	case machineTransferring:
 		if len(m.attempts) == 0 {
 			return true
 		}
 	}
-	return m.isUnclaimed() || m.fence == fenceWanted
+	return m.isUnclaimed() || m.fencing == fencingNeeded
 }
--- a/controller/waiting.go
+++ b/controller/blocked_jobs.go
@@ -16,14 +16,14 @@
 // see them. A job leaves this state in one way, by jobReady, when the final records of all
 // that it awaits were read as done, or when a record shows that an earlier owner placed it.
 
-// addWaiting takes a job of an own team that awaits others.
-func (o *owner) addWaiting(j *job) {
-	o.setJob(j, jobWaiting)
-	o.waiting[j.ID] = j
+// addBlockedJob takes a job of an own team that awaits others.
+func (o *owner) addBlockedJob(j *job) {
+	o.setJobState(j, jobBlocked)
+	o.blockedJobs[j.ID] = j
 	switch waiting := o.c.graph.Blocked(j.ID); {
 	case waiting == nil: // its record is gone already; the watch will tell
 	case waiting.Cancelled():
-		o.queueCancelled(j.ID)
+		o.queueCascadedCancellation(j.ID)
 	case waiting.Ready():
 		o.jobReady(waiting)
 	}
@@ -31,21 +31,21 @@
 
 // jobReady lets a job be placed: all that it awaits is done. Its times count from then.
 func (o *owner) jobReady(waiting *dag.BlockedJob) {
-	j := o.waiting[waiting.ID]
+	j := o.blockedJobs[waiting.ID]
 	if j == nil {
 		return
 	}
-	delete(o.waiting, j.ID)
-	j.since = max(j.accepted, waiting.LatestDependencyDone)
-	o.setJob(j, jobActive)
+	delete(o.blockedJobs, j.ID)
+	j.readyAt = max(j.accepted, waiting.LatestDependencyDone)
+	o.setJobState(j, jobActive)
 	o.c.log.Info("job is ready", "job", j.ID, "class", j.Class, "waited_s", (o.c.wallClock - j.accepted).Seconds())
 	o.enqueue(j)
 }
 
-// placedJob finds a job that a record of an earlier owner names as placed. That owner had
+// unblockPlacedJob finds a job that a record of an earlier owner names as placed. That owner had
 // read that all that the job awaits is done, which never changes.
-func (o *owner) placedJob(id string) *job {
-	if o.waiting[id] != nil {
+func (o *owner) unblockPlacedJob(id string) *job {
+	if o.blockedJobs[id] != nil {
 		waiting := o.c.graph.Blocked(id)
 		if waiting == nil {
 			return nil
@@ -56,138 +56,138 @@
 	return o.jobs[id]
 }
 
-// queueCancelled notes that a waiting job is cancelled with one before it, which must be
+// queueCascadedCancellation notes that a waiting job is cancelled with one before it, which must be
 // recorded. Users are told by what the records before it say, recorded or not.
-func (o *owner) queueCancelled(id string) {
-	if j := o.waiting[id]; j != nil && !j.cancelQueued {
+func (o *owner) queueCascadedCancellation(id string) {
+	if j := o.blockedJobs[id]; j != nil && !j.cancelQueued {
 		j.cancelQueued = true
-		o.cancelled = append(o.cancelled, id)
+		o.cascadedCancellations = append(o.cascadedCancellations, id)
 	}
 }
 
-// advanceWaiting reads what the waiting jobs need to go on: how awaited jobs ended, and
+// advanceBlockedJobs reads what the waiting jobs need to go on: how awaited jobs ended, and
 // lists that are kept under several keys.
-func (o *owner) advanceWaiting() {
+func (o *owner) advanceBlockedJobs() {
 	resolution := &o.c.jobView.resolution
-	if resolution.reading || o.c.now < resolution.nextTry || o.c.store.Unavailable() {
+	if resolution.reading || o.c.now < resolution.retryAt || o.c.store.Unavailable() {
 		return
 	}
 	if o.c.graph.HasUnresolvedJobs() {
-		o.c.resolveEnds(nil)
+		o.c.resolveTerminalStates(nil)
 		return
 	}
 	if partial := o.c.graph.FirstIncomplete(); partial != nil {
-		resolution.nextTry = o.c.now + loadRetry
-		o.c.readParts(partial, func(ok bool) {
+		resolution.retryAt = o.c.now + readRetryDelay
+		o.c.readDependencyParts(partial, func(ok bool) {
 			if ok {
-				resolution.nextTry = 0
+				resolution.retryAt = 0
 			}
 		})
 	}
 }
 
-// flushCancelled records jobs that are cancelled with one before them, a few with each
+// flushCascadedCancellations records jobs that are cancelled with one before them, a few with each
 // commit: nobody waits for it.
-func (o *owner) flushCancelled(t *txn, full func() bool) {
-	for len(o.cancelled) > 0 && !full() {
-		id := o.cancelled[0]
-		o.cancelled = o.cancelled[1:]
-		j, waiting := o.waiting[id], o.c.graph.Blocked(id)
+func (o *owner) flushCascadedCancellations(t *transaction, full func() bool) {
+	for len(o.cascadedCancellations) > 0 && !full() {
+		id := o.cascadedCancellations[0]
+		o.cascadedCancellations = o.cascadedCancellations[1:]
+		j, waiting := o.blockedJobs[id], o.c.graph.Blocked(id)
 		if j == nil {
 			continue
 		}
 		j.cancelQueued = false
-		if waiting != nil && waiting.Cancelled() && !j.unsure {
-			o.recordCancelled(t, j, waiting.CancelledRoot)
+		if waiting != nil && waiting.Cancelled() && !j.recordStale {
+			o.recordCascadedCancellation(t, j, waiting.CancelledRoot)
 		}
 	}
 }
 
-// recordCancelled adds to a commit that a waiting job is cancelled with one before it.
-func (o *owner) recordCancelled(t *txn, j *job, root string) {
+// recordCascadedCancellation adds to a commit that a waiting job is cancelled with one before it.
+func (o *owner) recordCascadedCancellation(t *transaction, j *job, root string) {
 	j.writing = true
-	t.guards[record.ActiveJobKey(j.ID)] = j.version
+	t.preconditions[record.ActiveJobKey(j.ID)] = j.version
 	t.writes = append(t.writes, kv.Write{Delete: record.ActiveJobKey(j.ID)})
 	t.put(record.TerminalStateKey(j.ID), record.TerminalState{Status: record.StatusCancelled, FinishedAt: o.c.wallClock, CancelledDependency: root})
 	t.results = append(t.results, func(ok bool, _ uint64) {
 		j.writing = false
 		switch {
-		case o.waiting[j.ID] != j:
+		case o.blockedJobs[j.ID] != j:
 		case !ok:
-			o.queueCancelled(j.ID)
+			o.queueCascadedCancellation(j.ID)
 		default:
 			o.c.log.Info("job cancelled with one before it", "job", j.ID, "before", root)
-			o.forgetWaiting(j)
+			o.removeBlockedJob(j)
 		}
 	})
 }
 
-// forgetWaiting forgets a waiting job whose record is gone.
-func (o *owner) forgetWaiting(j *job) {
-	delete(o.waiting, j.ID)
+// removeBlockedJob forgets a waiting job whose record is gone.
+func (o *owner) removeBlockedJob(j *job) {
+	delete(o.blockedJobs, j.ID)
 	o.dropParts(j)
-	o.setJob(j, jobEnded)
+	o.setJobState(j, jobEnded)
 }
 
 // dropParts has the further keys of a job's list deleted: they serve while its record exists.
 func (o *owner) dropParts(j *job) {
-	for i := range j.parts {
+	for i := range j.dependencyParts {
 		o.obsoleteKeys = append(o.obsoleteKeys, record.DependencyPartKey(j.ID, i))
 	}
-	j.parts = 0
+	j.dependencyParts = 0
 }
 
 // recheckDelay lets the watch show how a job's record changed before it is written again.
 const recheckDelay = micros.Second
 
-// recheckWaiting handles a waiting job's record that is not as it was: it was cancelled.
-func (o *owner) recheckWaiting(j *job) {
-	j.unsure = true
+// recheckBlockedJob handles a waiting job's record that is not as it was: it was cancelled.
+func (o *owner) recheckBlockedJob(j *job) {
+	j.recordStale = true
 	o.c.refresh(func(ok bool) {
-		if o.superseded() || o.waiting[j.ID] != j {
+		if o.superseded() || o.blockedJobs[j.ID] != j {
 			return
 		}
-		j.unsure = false
+		j.recordStale = false
 		if ok && !o.c.graph.IsActive(j.ID) {
-			o.forgetWaiting(j)
+			o.removeBlockedJob(j)
 			return
 		}
 		o.c.after(recheckDelay, func() {
 			if waiting := o.c.graph.Blocked(j.ID); !o.superseded() && waiting != nil && waiting.Cancelled() {
-				o.queueCancelled(j.ID)
+				o.queueCascadedCancellation(j.ID)
 			}
 		})
 	})
 }
 
-// sweepAfter lets a takeover do first what is urgent.
-const sweepAfter = 20 * micros.Second
+// partsSweepDelay lets a takeover do first what is urgent.
+const partsSweepDelay = 20 * micros.Second
 
 // sweepParts finds keys of lists whose jobs were over before an owner could have them
 // deleted.
 func (o *owner) sweepParts() {
-	if o.swept || o.c.now-o.since < sweepAfter || !o.c.budget.MayRequest(budget.Cleanup, o.c.now) {
+	if o.partsSwept || o.c.now-o.activeSince < partsSweepDelay || !o.c.budget.MayRequest(budget.Cleanup, o.c.now) {
 		return
 	}
-	o.swept = true
-	o.c.store.Do(budget.Cleanup, kv.List(record.DependencyPartPrefix, o.sweptUntil), func(r kv.Result) {
+	o.partsSwept = true
+	o.c.store.Do(budget.Cleanup, kv.List(record.DependencyPartPrefix, o.partsSweepCursor), func(r kv.Result) {
 		var page kv.Page
 		if o.superseded() {
 			return
 		}
 		if r.Outcome != kv.OK || !r.Decode(&page) {
-			o.swept = false
+			o.partsSwept = false
 			return
 		}
 		o.c.refresh(func(ok bool) {
 			switch {
 			case o.superseded():
 			case !ok:
-				o.swept = false
+				o.partsSwept = false
 			default:
 				o.dropLeftoverParts(page.Entries)
 				if page.More && len(page.Entries) > 0 { // the next page comes with a later tick
-					o.sweptUntil, o.swept = page.Entries[len(page.Entries)-1].Key, false
+					o.partsSweepCursor, o.partsSwept = page.Entries[len(page.Entries)-1].Key, false
 				}
 			}
 		})
--- a/controller/announcements.go
+++ b/controller/cancellation_acks.go
@@ -10,7 +10,7 @@
 // This file connects internal/cancelack, which bounds how long a task may run on after a user
 // was told that its job is cancelled, with this node's records, peers and users.
 
-func newCancellations(c *Core) *cancellation.Tracker {
+func newCancellationTracker(c *Core) *cancellation.Tracker {
 	settings := cancellation.Settings{Lease: c.cfg.WorkerLease, CancelWithin: c.cfg.CancellationDeadline}
 	for _, peer := range c.cfg.Siblings {
 		settings.Peers = append(settings.Peers, peer.Node)
@@ -24,15 +24,17 @@
 func (h cancellationHost) JobEnded(job string) {
 	h.c.graph.ForgetVersion(job)
 	if h.c.owner != nil {
-		h.c.owner.jobRemoved(job, h.c.now)
+		h.c.owner.handleJobRemoved(job, h.c.now)
 	}
 }
 
-func (h cancellationHost) MayAcknowledge(job string) { h.c.finals.remember(job, wire.JobCancelled) }
+func (h cancellationHost) MayAcknowledge(job string) {
+	h.c.terminalStates.remember(job, wire.JobCancelled)
+}
 
 func (h cancellationHost) SendAnnouncement(to, job string, acknowledged func(now micros.Micros)) {
 	m := &peer.Message{Body: &peer.Message_JobEnded{JobEnded: &peer.JobEnded{Id: job}}}
-	h.c.callPeer(h.c.peers[to], m, heartbeatTimeout, maxPeerBody, func(answer *peer.Message, _ bool) {
+	h.c.callPeer(h.c.peers[to], m, peerHeartbeatTimeout, maxPeerBody, func(answer *peer.Message, _ bool) {
 		if answer != nil {
 			acknowledged(h.c.now)
 		}
@@ -42,15 +44,15 @@
 // announceCancellation calls done once it is certain whether users may be told that a job is
 // cancelled. An answer after the deadline is of no use to the caller.
 func (c *Core) announceCancellation(job string, deadline micros.Micros, done func(mayTell bool)) {
-	if c.finals.of(job) != "" {
+	if c.terminalStates.of(job) != "" {
 		done(true)
 		return
 	}
 	c.cancellations.Announce(job, deadline, c.now, done)
 }
 
-// readUntil is the time up to which this node's reads show all cancellations.
-func (c *Core) readUntil() micros.Micros {
+// cancellationsKnownUntil is the time up to which this node's reads show all cancellations.
+func (c *Core) cancellationsKnownUntil() micros.Micros {
 	until := c.jobView.cancellationsKnownUntil
 	if c.owner != nil && c.owner.state == ownerActive {
 		until = max(until, c.owner.cancellationsKnownUntil)
@@ -60,5 +62,5 @@
 
 // mayRenewLease tells whether a worker's lease may be renewed now.
 func (c *Core) mayRenewLease() bool {
-	return c.cancellations.MayRenewLease(c.readUntil(), c.now)
+	return c.cancellations.MayRenewLease(c.cancellationsKnownUntil(), c.now)
 }
--- a/controller/gangs_test.go
+++ b/controller/gangs_test.go
@@ -10,23 +10,23 @@
 	"tamarindlead/sched"
 )
 
-// TestKeepForSpots guards against spot machines that stand idle for a gang which may not use
+// TestSpotMachinesNotReservedForExcess guards against spot machines that stand idle for a gang which may not use
 // so many of them, while gangs that could use them wait.
-func TestKeepForSpots(t *testing.T) {
+func TestSpotMachinesNotReservedForExcess(t *testing.T) {
 	o := testOwner()
 	gang := &sched.Job{
 		ID: "req-000001", Class: "merge", Team: "red", Gang: true, Tasks: 4,
 		Need: sched.NewResources(20, 0, 80), Image: "img", Spot: true,
 	}
-	o.loadJob(record.ActiveJobKey(gang.ID), wire.Encode(record.NewJob(gang, 0)), 1)
+	o.recoverJob(record.ActiveJobKey(gang.ID), wire.Encode(record.NewJob(gang, 0)), 1)
 	for i := range 6 {
 		m := o.newMachine(machineInfo{fmt.Sprintf("m-%06d", i), "mid", "a", i < 5, "worker"})
-		m.token, m.heard, m.state = 1, o.c.now, machineUp
+		m.fencingToken, m.lastHeartbeat, m.state = 1, o.c.now, machineReady
 	}
 	j := o.jobs[gang.ID]
 	for ordinary, most := range map[int]int{4: 0, 3: 1, 0: 4} {
 		j.MinOnDemandTasks = ordinary
-		view := o.view()
+		view := o.machineView()
 		o.reserveForGang(j, view, false)
 		spots := 0
 		for _, v := range view {
@@ -40,7 +40,7 @@
 	}
 	// A gang that they do not suffice for, behind another such, keeps none.
 	j.MinOnDemandTasks = 3
-	view := o.view()
+	view := o.machineView()
 	if o.reserveForGang(j, view, true) {
 		t.Error("one ordinary machine is not enough for three tasks")
 	}
@@ -51,30 +51,30 @@
 	}
 }
 
-// TestFreedRoom guards against room that is counted twice: a hold for it would wait for ever,
+// TestFreedCapacityCountedOnce guards against room that is counted twice: a hold for it would wait for ever,
 // since another gang has taken what there is.
-func TestFreedRoom(t *testing.T) {
+func TestFreedCapacityCountedOnce(t *testing.T) {
 	o := testOwner()
 	for i := range 2 {
 		gang := &sched.Job{
 			ID: fmt.Sprintf("req-%06d", i), Class: "merge", Team: "red", Gang: true, Tasks: 1,
 			Need: sched.NewResources(20, 0, 80), Image: "img",
 		}
-		o.loadJob(record.ActiveJobKey(gang.ID), wire.Encode(record.NewJob(gang, 0)), 1)
+		o.recoverJob(record.ActiveJobKey(gang.ID), wire.Encode(record.NewJob(gang, 0)), 1)
 	}
 	m := o.newMachine(machineInfo{"m-000000", "mid", "a", false, "worker"})
-	m.token, m.heard, m.state = 1, o.c.now, machineUp
-	ended := o.attach(o.queue[0], 0, 7, m, attemptLive)
-	o.setAttempt(ended, attemptFinished)
-	o.attach(o.queue[1], 0, 8, m, attemptLive)
-	if free, is := o.evictView()[0].Free.CPUs(), m.size.Sub(m.used).CPUs(); free != is {
+	m.fencingToken, m.lastHeartbeat, m.state = 1, o.c.now, machineReady
+	ended := o.addAttempt(o.queue[0], 0, 7, m, attemptLive)
+	o.setAttemptState(ended, attemptCompleted)
+	o.addAttempt(o.queue[1], 0, 8, m, attemptLive)
+	if free, is := o.preemptionView()[0].Free.CPUs(), m.size.Sub(m.used).CPUs(); free != is {
 		t.Errorf("%g processors count as free, of which there are %g", free, is)
 	}
 }
 
-// TestGuaranteed guards against gangs that stop each other in turn: a guarantee covers a
+// TestGuaranteedQuota guards against gangs that stop each other in turn: a guarantee covers a
 // team's earliest unfinished jobs, whether they run at the moment or not.
-func TestGuaranteed(t *testing.T) {
+func TestGuaranteedQuota(t *testing.T) {
 	o := testOwner()
 	o.teams["red"].GuaranteedQuota = sched.NewResources(100, 0, 0)
 	for i, cpus := range []float64{60, 30, 20, 5} {
@@ -82,9 +82,9 @@
 			ID: fmt.Sprintf("req-%06d", 9-i), Class: "merge", Team: "red", Tasks: 1,
 			Need: sched.NewResources(cpus, 0, 1), Image: "img", Priority: sched.Priority(i),
 		}
-		o.loadJob(record.ActiveJobKey(spec.ID), wire.Encode(record.NewJob(spec, micros.Micros(i))), 1)
+		o.recoverJob(record.ActiveJobKey(spec.ID), wire.Encode(record.NewJob(spec, micros.Micros(i))), 1)
 	}
-	covered := o.guaranteed()
+	covered := o.jobsWithinGuarantee()
 	for i, want := range []bool{true, true, false, false} {
 		if j := o.jobs[fmt.Sprintf("req-%06d", 9-i)]; covered[j] != want {
 			t.Errorf("job %d: covered is %t", i, covered[j])
--- a/controller/store.go
+++ b/controller/kv_host.go
@@ -25,7 +25,7 @@
 
 func (h kvHost) ConnectedPeer() string {
 	for _, cfg := range h.c.cfg.Siblings {
-		if s := h.c.peers[cfg.Node]; s.fresh(h.c.now) && s.storeServes {
+		if s := h.c.peers[cfg.Node]; s.fresh(h.c.now) && s.kvReachable {
 			return s.Node
 		}
 	}
@@ -40,7 +40,7 @@
 	h.c.callPeer(s, msg, timeout, kv.MaxResponseBytes, func(m *peer.Message, sent bool) {
 		reply := m.GetStoreReply()
 		if reply == nil {
-			s.storeServes = false // until its next heartbeat
+			s.kvReachable = false // until its next heartbeat
 			done(kv.Response{Sent: sent})
 			return
 		}
@@ -48,11 +48,11 @@
 	})
 }
 
-// relay sends a peer's request to the state service.
-func (c *Core) relay(id uint64, call *peer.StoreCall) {
+// relayToKV sends a peer's request to the state service.
+func (c *Core) relayToKV(id uint64, call *peer.StoreCall) {
 	request := kv.Request{Method: call.Method, Target: call.Target, Body: call.Body}
 	c.store.Relay(request, func(r kv.Response) {
-		c.answerPeer(id, &peer.Message{Body: &peer.Message_StoreReply{StoreReply: &peer.StoreReply{
+		c.respondToPeer(id, &peer.Message{Body: &peer.Message_StoreReply{StoreReply: &peer.StoreReply{
 			Status: uint32(r.Status), Body: r.Body,
 		}}})
 	})
@@ -67,9 +67,9 @@
 	return min(kv.WatchWait, max(c.cancellations.MaxStaleness()/3, minWatchWait))
 }
 
-// isolated tells that this node reaches neither the state service nor any peer. In an outage
+// isIsolated tells that this node reaches neither the state service nor any peer. In an outage
 // of the state service peers can be reached.
-func (c *Core) isolated() bool {
+func (c *Core) isIsolated() bool {
 	if len(c.cfg.Siblings) == 0 || !c.store.Unavailable() {
 		return false
 	}
--- a/controller/limits_test.go
+++ b/controller/limits_test.go
@@ -27,7 +27,7 @@
 	rps    float64
 }
 
-func nextLimitsOf(t *testing.T, d *datadriven.TestData) nextLimits {
+func parseNextLimits(t *testing.T, d *datadriven.TestData) nextLimits {
 	return nextLimits{
 		on: !d.HasArg("later"), value: arg(t, d, "next-value", 0), ops: arg(t, d, "next-ops", 0),
 		writes: argNumber(t, d, "next-writes", 0), rps: argNumber(t, d, "next-rps", 0),
@@ -53,28 +53,28 @@
 	}
 }
 
-// limitVerb plays the commands of this file; false for any other.
-func limitVerb(t *testing.T, w *world, d *datadriven.TestData) bool {
+// runLimitCommand plays the commands of this file; false for any other.
+func runLimitCommand(t *testing.T, w *simulation, d *datadriven.TestData) bool {
 	switch d.Cmd {
 	case "state-limits":
 		// The state service has other limits from now on.
-		s := w.state
+		s := w.kvStore
 		s.MaxValueBytes, s.MaxOps = arg(t, d, "value", s.MaxValueBytes), arg(t, d, "ops", s.MaxOps)
 		s.WriteRate, s.RequestRate = argNumber(t, d, "writes", s.WriteRate), argNumber(t, d, "rps", s.RequestRate)
 	case "settings":
 		// Nodes that start from now on have the settings with the limits to come.
-		w.next.on = d.HasArg("next")
+		w.nextLimits.on = d.HasArg("next")
 	default:
 		return false
 	}
 	return true
 }
 
-// recordsAbove counts the records that are larger than a size.
-func (w *world) recordsAbove(prefix string, bytes, least int) string {
+// countRecordsAbove counts the records that are larger than a size.
+func (w *simulation) countRecordsAbove(prefix string, bytes, least int) string {
 	n := 0
-	for _, k := range w.state.Keys(prefix) {
-		if v, _ := w.state.Get(k); fake.JSONSize(v) > bytes {
+	for _, k := range w.kvStore.Keys(prefix) {
+		if v, _ := w.kvStore.Get(k); fake.JSONSize(v) > bytes {
 			n++
 		}
 	}
@@ -84,28 +84,28 @@
 	return fmt.Sprint(n)
 }
 
-// TestSlotsFitValue guards against starts that fill a block beyond a value: all of one pass
+// TestTaskSlotsFitValueLimit guards against starts that fill a block beyond a value: all of one pass
 // are of different jobs, on machines whose block is new, and the smallest values are meant.
-func TestSlotsFitValue(t *testing.T) {
+func TestTaskSlotsFitValueLimit(t *testing.T) {
 	o := testOwner()
 	o.c.cfg.MaxValueBytes, o.c.cfg.MaxTransactionOps = 2<<10, 500
 	for i := range 400 {
 		id := fmt.Sprintf("req-%06d", i*7919%1000000)
-		o.loadJob(record.ActiveJobKey(id), wire.Encode(record.NewJob(&sched.Job{
+		o.recoverJob(record.ActiveJobKey(id), wire.Encode(record.NewJob(&sched.Job{
 			ID: id, Class: "work", Team: "red", Priority: sched.Normal, Tasks: 1 + i%5, Image: "img",
 			Need: sched.NewResources(float64(1+i%3)/4, 0, float64(1+i%7)/8), Estimate: 30 * micros.Second,
 		}, 0)), uint64(i+1))
 	}
 	for i := range 30 {
 		m := o.newMachine(machineInfo{fmt.Sprintf("m-%06d", i), "mid", o.c.cfg.Zones[0], false, "worker"})
-		m.token, m.session, m.synced, m.tokenShownAt, m.heard, m.state = 1, 1, true, o.c.now, o.c.now, machineUp
+		m.fencingToken, m.agentEpoch, m.tokenConfirmed, m.tokenConfirmedAt, m.lastHeartbeat, m.state = 1, 1, true, o.c.now, o.c.now, machineReady
 	}
 	placed := 0
 	for range 20 {
-		o.scheduleWanted, o.nextPass = true, 0
+		o.schedulingNeeded, o.nextSchedulingPass = true, 0
 		o.schedule()
 		for _, b := range o.blocks {
-			tx := &txn{guards: map[string]uint64{}}
+			tx := &transaction{preconditions: map[string]uint64{}}
 			if !b.dirty {
 				continue
 			}
@@ -116,9 +116,9 @@
 			if n := tx.writes[0].Value.(record.Block).Size(); n > o.c.cfg.MaxValueBytes {
 				t.Fatalf("block %s has %d bytes", b.name, n)
 			}
-			o.settle(tx, true, 10)
+			o.finishTransaction(tx, true, 10)
 		}
-		o.c.now += passGap
+		o.c.now += minPassInterval
 	}
 	for _, m := range o.machines {
 		placed += len(m.attempts)
@@ -128,42 +128,42 @@
 	}
 }
 
-// TestOutgrownEntry guards against a commit that is refused for ever: one machine's entry,
+// TestOversizedBlockEntry guards against a commit that is refused for ever: one machine's entry,
 // written while values were larger, fits none.
-func TestOutgrownEntry(t *testing.T) {
+func TestOversizedBlockEntry(t *testing.T) {
 	o := benchOwner()
 	b := o.blocks[0]
 	m := b.machines[0]
 	b.machines = b.machines[:1]
-	m.token, o.c.cfg.MaxValueBytes = 0, 60
+	m.fencingToken, o.c.cfg.MaxValueBytes = 0, 60
 	o.markDirty(m)
 	tries := 0
-	for end := o.c.now + micros.Minute; o.c.now < end && m.state < machineReleasing; o.c.now += 100 * micros.Millisecond {
+	for end := o.c.now + micros.Minute; o.c.now < end && m.state < machineTerminating; o.c.now += 100 * micros.Millisecond {
 		if !o.isDue(b) {
 			continue
 		}
 		tries++
-		tx := &txn{guards: map[string]uint64{}}
+		tx := &transaction{preconditions: map[string]uint64{}}
 		if o.writeBlock(tx, b, 16); len(tx.writes) > 0 {
 			t.Fatal("it is written")
 		}
 	}
-	if m.state != machineReleasing || tries > 12 {
+	if m.state != machineTerminating || tries > 12 {
 		t.Fatalf("state %v after %d tries", m.state, tries)
 	}
 }
 
-// TestShardsMove guards against completions that are lost while chunks change their shard:
+// TestCompletionSegmentsMove guards against completions that are lost while chunks change their shard:
 // those of two records count together, and an old record goes only after the new one is
 // written.
-func TestShardsMove(t *testing.T) {
+func TestCompletionSegmentsMove(t *testing.T) {
 	o := testOwner()
 	o.c.cfg.MaxValueBytes = 1024
 	var entries []kv.Entry
 	rec := record.CompletionSegment{Chunks: map[string]string{}}
 	for i := range 12 {
 		id := jobName(i)
-		o.loadJob(record.ActiveJobKey(id), wire.Encode(record.NewJob(&sched.Job{
+		o.recoverJob(record.ActiveJobKey(id), wire.Encode(record.NewJob(&sched.Job{
 			ID: id, Class: "work", Team: "red", Tasks: 800, Need: sched.NewResources(1, 0, 1), Image: "img", Estimate: micros.Second,
 		}, 0)), uint64(i+1))
 		bits := make(record.Bitmap, 100)
@@ -174,79 +174,79 @@
 	other.Set(700)
 	entries = append(entries, kv.Entry{Key: record.CompletionSegmentKey("red", "1"), Value: wire.Encode(rec), Version: 20},
 		kv.Entry{Key: record.CompletionSegmentKey("red", "2"), Value: wire.Encode(record.CompletionSegment{Chunks: map[string]string{wire.TaskName(jobName(3), 0): other.Chunk(0)}}), Version: 19})
-	o.loadShards(entries)
-	if j := o.jobs[jobName(3)]; !j.done.Has(5) || !j.done.Has(700) || j.doneN != 2 {
-		t.Fatalf("%d completions are known", j.doneN)
+	o.recoverSegments(entries)
+	if j := o.jobs[jobName(3)]; !j.completed.Has(5) || !j.completed.Has(700) || j.completedCount != 2 {
+		t.Fatalf("%d completions are known", j.completedCount)
 	}
 	dropped := func() bool { return slices.Contains(o.obsoleteKeys, record.CompletionSegmentKey("red", "1")) }
 	for range 20 {
-		if o.dropShards(); dropped() && slices.ContainsFunc(o.shards, func(s *shard) bool { return s.version == 0 }) {
+		if o.dropEmptySegments(); dropped() && slices.ContainsFunc(o.completionSegments, func(s *completionSegment) bool { return s.version == 0 }) {
 			t.Fatal("the old record goes before the new ones are written")
 		}
-		tx := &txn{guards: map[string]uint64{}}
+		tx := &transaction{preconditions: map[string]uint64{}}
 		o.flushRecords(tx, func() int { return 1 - len(tx.writes) })
 		for _, w := range tx.writes {
 			if kv.EncodedSizeBound(w.Value) > 2*o.c.cfg.MaxValueBytes {
 				t.Fatalf("%s is too large", w.Put)
 			}
 		}
-		o.settle(tx, true, 30)
+		o.finishTransaction(tx, true, 30)
 	}
 	if !dropped() {
 		t.Fatal("the old record stays")
 	}
 }
 
-// TestSlotsOfIdle guards against machines that stand idle for ever: where a block's record
+// TestTaskSlotsOfIdleMachines guards against machines that stand idle for ever: where a block's record
 // holds few tasks, its size is that of the entries, not of tasks.
-func TestSlotsOfIdle(t *testing.T) {
+func TestTaskSlotsOfIdleMachines(t *testing.T) {
 	o := testOwner()
 	o.c.cfg.MaxValueBytes = 2 << 10
 	id := jobName(1)
-	o.loadJob(record.ActiveJobKey(id), wire.Encode(record.NewJob(&sched.Job{
+	o.recoverJob(record.ActiveJobKey(id), wire.Encode(record.NewJob(&sched.Job{
 		ID: id, Class: "work", Team: "red", Tasks: 40, Need: sched.NewResources(2, 0, 2), Image: "img", Estimate: micros.Second,
 	}, 0)), 1)
 	for i := range 6 {
 		m := o.newMachine(machineInfo{fmt.Sprintf("m-%06d", i*7919), "mid", "a", false, fmt.Sprintf("10.1.%d.%d:9000", i*37, i*91%256)})
-		m.token, m.state, m.heard = uint64(1000+i*4711), machineUp, o.c.now
+		m.fencingToken, m.state, m.lastHeartbeat = uint64(1000+i*4711), machineReady, o.c.now
 	}
 	if len(o.blocks) != 1 {
 		t.Fatalf("%d blocks", len(o.blocks))
 	}
-	o.attach(o.jobs[id], 0, 1<<20|1, o.list[0], attemptLive)
-	o.flushRecords(&txn{guards: map[string]uint64{}}, func() int { return 1 })
+	o.addAttempt(o.jobs[id], 0, 1<<20|1, o.sortedMachines[0], attemptLive)
+	o.flushRecords(&transaction{preconditions: map[string]uint64{}}, func() int { return 1 })
 	if !o.blocks[0].writing {
 		t.Fatal("the block was not written")
 	}
-	for _, m := range o.list {
+	for _, m := range o.sortedMachines {
 		if n := o.freeSlots(m, map[*block]float64{}); n < 5 {
 			t.Errorf("%s takes %d more tasks", m.name, n)
 		}
 	}
 }
 
-// TestFillsIdleMachines guards against machines that fill up only some tasks with each write:
+// TestIdleMachinesFilledInOneWrite guards against machines that fill up only some tasks with each write:
 // tasks that are not recorded yet share the description of their job, and take little else.
-func TestFillsIdleMachines(t *testing.T) {
+func TestIdleMachinesFilledInOneWrite(t *testing.T) {
 	o := testOwner()
 	o.c.cfg.MaxValueBytes, o.c.cfg.MaxTransactionOps = 4<<10, 12
 	for i := range 5 {
 		id := jobName(i)
-		o.loadJob(record.ActiveJobKey(id), wire.Encode(record.NewJob(&sched.Job{
+		o.recoverJob(record.ActiveJobKey(id), wire.Encode(record.NewJob(&sched.Job{
 			ID: id, Class: "work", Team: "red", Tasks: 100, Need: sched.NewResources(2, 0, 2), Image: "img", Estimate: micros.Second,
 		}, o.c.wallClock)), uint64(i+1))
 	}
 	const machines, tasksEach = 30, 14
 	for i := range machines {
 		m := o.newMachine(machineInfo{fmt.Sprintf("m-%06d", i*7919), "mid", "a", false, fmt.Sprintf("10.1.%d.%d:9000", i*37%256, i*91%256)})
-		m.token, m.session, m.synced, m.heard, m.state = uint64(1000+i*4711), 1, true, o.c.now, machineUp
+		m.fencingToken, m.agentEpoch, m.tokenConfirmed, m.lastHeartbeat, m.state = uint64(1000+i*4711), 1, true, o.c.now, machineReady
 	}
-	o.scheduleWanted = true
+	o.schedulingNeeded = true
 	o.schedule()
-	if o.proposed != machines*tasksEach {
-		t.Errorf("%d of %d tasks were placed", o.proposed, machines*tasksEach)
+	if o.assumed != machines*tasksEach {
+		t.Errorf("%d of %d tasks were placed", o.assumed, machines*tasksEach)
 	}
-	tx := &txn{guards: map[string]uint64{}}
+	tx := &transaction{preconditions: map[string]uint64{}}
 	o.flushRecords(tx, func() int { return o.c.cfg.MaxTransactionOps - len(tx.writes) })
 	for _, b := range o.blocks {
 		if b.oversized || !b.writing {
--- a/controller/lookups.go
+++ b/controller/lookups.go
@@ -19,12 +19,12 @@
 // Bounds of the stage that looks up jobs. What cannot be looked up in time is refused at
 // once and asked again; the rest is served in the order in which it came.
 const (
-	maxLookups   = 512
-	lookupWithin = 1500 * micros.Millisecond // users wait for 2 s
-	lookupGap    = 60 * micros.Millisecond   // lookups gather for so long
-	// comparedPerOp is how many versions one commit compares for each write that it could
+	maxPendingLookups   = 512
+	lookupTimeout       = 1500 * micros.Millisecond // users wait for 2 s
+	lookupBatchInterval = 60 * micros.Millisecond   // lookups gather for so long
+	// comparisonsPerOp is how many versions one commit compares for each write that it could
 	// take, which bounds the commit's size.
-	comparedPerOp = 4
+	comparisonsPerOp = 4
 )
 
 // lookupOutcome is how a lookup ended.
@@ -44,8 +44,8 @@
 	evidence freshness.Evidence
 }
 
-// final tells whether the result can never change.
-func (r lookupResult) final() bool { return r.evidence.Basis == freshness.TerminalState }
+// isTerminal tells whether the result can never change.
+func (r lookupResult) isTerminal() bool { return r.evidence.Basis == freshness.TerminalState }
 
 // activeResult is the result for a job that is not over, whose record has a version.
 func activeResult(version uint64, read freshness.Evidence) lookupResult {
@@ -53,70 +53,70 @@
 	return lookupResult{lookupFound, wire.JobQueued, read}
 }
 
-// finalResult is the result for a job that is over.
-func finalResult(status wire.JobPhase) lookupResult {
+// terminalResult is the result for a job that is over.
+func terminalResult(status wire.JobPhase) lookupResult {
 	return lookupResult{lookupFound, status, freshness.OfTerminalState()}
 }
 
 // lookup is a question for a job's state.
 type lookup struct {
-	id      string
-	askedAt micros.Micros
+	id          string
+	requestedAt micros.Micros
 	// read is the read that was sent for it first, once one was.
 	read freshness.Evidence
 	done func(lookupResult)
 }
 
 // expired tells that the answer is of no use any more.
-func (l *lookup) expired(now micros.Micros) bool { return now-l.askedAt > lookupWithin }
+func (l *lookup) expired(now micros.Micros) bool { return now-l.requestedAt > lookupTimeout }
 
 // lookupStage is the stage of questions for jobs' states.
 type lookupStage struct {
-	waiting []*lookup
-	sent    int // lookups for which reads or comparisons are under way
-	sendAt  micros.Micros
+	pending  []*lookup
+	inFlight int // lookups for which reads or comparisons are under way
+	sendAt   micros.Micros
 }
 
 // lookup finds a job's state from the records, which alone are never outdated.
 func (c *Core) lookup(id string, done func(lookupResult)) {
-	c.count.lookups++
-	if status := c.finals.of(id); status != "" {
-		done(finalResult(status))
+	c.counters.lookups++
+	if status := c.terminalStates.of(id); status != "" {
+		done(terminalResult(status))
 		return
 	}
 	stage := &c.lookups
-	if len(stage.waiting)+stage.sent >= maxLookups || c.store.Unavailable() {
+	if len(stage.pending)+stage.inFlight >= maxPendingLookups || c.store.Unavailable() {
 		done(lookupResult{})
 		return
 	}
-	if len(stage.waiting) == 0 {
-		stage.sendAt = max(stage.sendAt, c.now+lookupGap)
+	if len(stage.pending) == 0 {
+		stage.sendAt = max(stage.sendAt, c.now+lookupBatchInterval)
 	}
-	stage.waiting = append(stage.waiting, &lookup{id: id, askedAt: c.now, done: done})
+	stage.pending = append(stage.pending, &lookup{id: id, requestedAt: c.now, done: done})
 }
 
 // flushLookups makes the reads for what waits, as the budget allows.
 func (c *Core) flushLookups() {
 	stage := &c.lookups
-	c.failExpired()
-	if len(stage.waiting) == 0 || c.now < stage.sendAt {
+	c.failExpiredLookups()
+	if len(stage.pending) == 0 || c.now < stage.sendAt {
 		return
 	}
-	stage.sendAt = c.now + lookupGap
+	stage.sendAt = c.now + lookupBatchInterval
 	batch := c.takeLookupBatch()
 	if left := c.sendLookupBatch(batch); len(left) > 0 {
-		stage.waiting = append(left, stage.waiting...)
+		stage.pending = append(left, stage.pending...)
 		return
 	}
-	c.readSingly()
+	c.readIndividually()
 }
 
-// failExpired ends the lookups that waited for too long.
-func (c *Core) failExpired() {
+// failExpiredLookups ends the lookups that waited for too long.
+func (c *Core) failExpiredLookups() {
 	stage := &c.lookups
-	for len(stage.waiting) > 0 && stage.waiting[0].expired(c.now) {
-		first := stage.waiting[0]
-		stage.waiting = stage.waiting[1:]
+	for len(stage.pending) > 0 && stage.pending[0].expired(c.now) {
+		first := stage.pending[0]
+		stage.pending = stage.pending[1:]
 		first.done(lookupResult{})
 	}
 }
@@ -132,7 +132,7 @@
 func (c *Core) takeLookupBatch() *lookupBatch {
 	batch := &lookupBatch{versions: map[string]uint64{}}
 	var rest []*lookup
-	for _, l := range c.lookups.waiting {
+	for _, l := range c.lookups.pending {
 		version := c.knownVersion(l.id)
 		switch {
 		case c.graph.HasOpenDependencies(l.id):
@@ -144,13 +144,13 @@
 			rest = append(rest, l)
 		}
 	}
-	c.lookups.waiting = rest
+	c.lookups.pending = rest
 	return batch
 }
 
 // hasRoomToCompare tells whether a job's version can be compared with a batch.
 func (c *Core) hasRoomToCompare(batch *lookupBatch, id string, version uint64) bool {
-	return batch.versions[record.ActiveJobKey(id)] == version || len(batch.versions) < comparedPerOp*c.cfg.MaxTransactionOps
+	return batch.versions[record.ActiveJobKey(id)] == version || len(batch.versions) < comparisonsPerOp*c.cfg.MaxTransactionOps
 }
 
 // sendLookupBatch sends what the budget allows of a batch and hands back the rest, in the
@@ -164,7 +164,7 @@
 		{batch.compared, func() { c.compareVersions(batch) }},
 		{batch.derived, func() { c.deriveStates(batch.derived) }},
 	}
-	if batch.derivedCameFirst() { // neither kind may starve the other
+	if batch.derivedIsOldest() { // neither kind may starve the other
 		slices.Reverse(parts)
 	}
 	for _, p := range parts {
@@ -176,24 +176,24 @@
 			left = append(left, p.lookups...)
 		}
 	}
-	slices.SortStableFunc(left, func(a, b *lookup) int { return cmp.Compare(a.askedAt, b.askedAt) })
+	slices.SortStableFunc(left, func(a, b *lookup) int { return cmp.Compare(a.requestedAt, b.requestedAt) })
 	return left
 }
 
-func (b *lookupBatch) derivedCameFirst() bool {
-	return len(b.derived) > 0 && (len(b.compared) == 0 || b.derived[0].askedAt < b.compared[0].askedAt)
+func (b *lookupBatch) derivedIsOldest() bool {
+	return len(b.derived) > 0 && (len(b.compared) == 0 || b.derived[0].requestedAt < b.compared[0].requestedAt)
 }
 
-// readSingly reads the records of jobs that are not in the view, as the budget allows.
-func (c *Core) readSingly() {
+// readIndividually reads the records of jobs that are not in the view, as the budget allows.
+func (c *Core) readIndividually() {
 	stage := &c.lookups
-	for len(stage.waiting) > 0 && c.budget.MayRequest(budget.Reads, c.now) {
-		first := stage.waiting[0]
+	for len(stage.pending) > 0 && c.budget.MayRequest(budget.Reads, c.now) {
+		first := stage.pending[0]
 		if c.knownVersion(first.id) != 0 || c.graph.HasOpenDependencies(first.id) {
 			break // its turn comes with the next batch
 		}
-		stage.waiting = stage.waiting[1:]
-		stage.sent++
+		stage.pending = stage.pending[1:]
+		stage.inFlight++
 		c.readActive(first)
 	}
 }
--- a/controller/machine_health.go
+++ b/controller/machine_health.go
@@ -10,54 +10,54 @@
 
 // Bounds of what is taken for lost.
 const (
-	// silentReports is how many reports in a row may be missing without any meaning.
-	silentReports = 2
-	// unlistedReadings is how many readings of the cloud's list in a row must lack a machine.
-	unlistedReadings = 2
-	// isolatedPatience is how many times the usual silence a machine is given if no worker at
+	// maxMissedHeartbeats is how many reports in a row may be missing without any meaning.
+	maxMissedHeartbeats = 2
+	// maxMissedListings is how many readings of the cloud's list in a row must lack a machine.
+	maxMissedListings = 2
+	// isolatedTimeoutFactor is how many times the usual silence a machine is given if no worker at
 	// all is heard: the fault is likely on this side.
-	isolatedPatience = 3
-	// unreachablePatience is how many times the usual silence a machine may be unreachable
+	isolatedTimeoutFactor = 3
+	// unreachableTimeoutFactor is how many times the usual silence a machine may be unreachable
 	// while many are.
-	unreachablePatience = 4
-	// minUnreachable and unreachableDivisor give the number of machines that may be taken for
+	unreachableTimeoutFactor = 4
+	// minUnreachableMachines and unreachableDivisor give the number of machines that may be taken for
 	// unreachable at the same time: that part of all, but so many at the least.
-	minUnreachable     = 2
-	unreachableDivisor = 10
-	// unknownBoot is taken for the boot time of machines whose type is not known.
-	unknownBoot = micros.Minute
+	minUnreachableMachines = 2
+	unreachableDivisor     = 10
+	// defaultBootTime is taken for the boot time of machines whose type is not known.
+	defaultBootTime = micros.Minute
 )
 
-// A silent machine with a task of a cancelled job is given up once overdueCondemnShare of the
+// A silent machine with a task of a cancelled job is given up once overdueDecommissionFraction of the
 // time has passed that its tasks have to be gone, whatever else it runs and however lately this
-// node took over. Once overdueReleaseShare of it has, the cloud is asked to delete it even if
+// node took over. Once overdueTerminateFraction of it has, the cloud is asked to delete it even if
 // the decision cannot be recorded: the state service may be away for longer. Should that request
 // be executed late, under another owner, the machine is lost as any machine may be.
 const (
-	overdueCondemnShare = 0.5
-	overdueReleaseShare = 0.6
-	// inspectPatience is left to a machine that was taken over and asked for its report, when
+	overdueDecommissionFraction = 0.5
+	overdueTerminateFraction    = 0.6
+	// inspectTimeout is left to a machine that was taken over and asked for its report, when
 	// there is no time for more: each of many leaders in a row would wait anew.
-	inspectPatience = 3 * micros.Second
+	inspectTimeout = 3 * micros.Second
 )
 
-// condemnReason tells why a machine is to be deleted.
-type condemnReason string
+// decommissionReason tells why a machine is to be deleted.
+type decommissionReason string
 
 const (
-	notCondemned        condemnReason = ""
-	condemnedOverdue    condemnReason = "is silent with tasks of a cancelled job"
-	condemnedNeverUp    condemnReason = "never came up"
-	condemnedFailed     condemnReason = "has failed"
-	condemnedUnlisted   condemnReason = "is not listed any more"
-	condemnedSilent     condemnReason = "is silent"
-	condemnedUnreached  condemnReason = "reports, but hears nothing"
-	condemnedEmptyDrain condemnReason = "is empty"
+	decommissionNone         decommissionReason = ""
+	decommissionOverdue      decommissionReason = "is silent with tasks of a cancelled job"
+	decommissionBootTimeout  decommissionReason = "never came up"
+	decommissionFailed       decommissionReason = "has failed"
+	decommissionUnlisted     decommissionReason = "is not listed any more"
+	decommissionUnresponsive decommissionReason = "is silent"
+	decommissionUnreachable  decommissionReason = "reports, but hears nothing"
+	decommissionDrained      decommissionReason = "is empty"
 )
 
-// lost tells that the machine is gone by itself, rather than given up by this node.
-func (r condemnReason) lost() bool {
-	return r == condemnedFailed || r == condemnedUnlisted || r == condemnedSilent
+// isMachineLoss tells that the machine is gone by itself, rather than given up by this node.
+func (r decommissionReason) isMachineLoss() bool {
+	return r == decommissionFailed || r == decommissionUnlisted || r == decommissionUnresponsive
 }
 
 // fleetHealth is what all machines together tell about this node.
@@ -68,14 +68,14 @@
 
 func (o *owner) fleetHealth() fleetHealth {
 	unreachable := 0
-	for _, m := range o.list {
+	for _, m := range o.sortedMachines {
 		if o.isUnreachable(m) {
 			unreachable++
 		}
 	}
 	return fleetHealth{
-		isolated:        o.c.now-max(o.lastHeard, o.since) > silentReports*o.c.cfg.HeartbeatInterval,
-		manyUnreachable: unreachable > max(minUnreachable, len(o.list)/unreachableDivisor),
+		isolated:        o.c.now-max(o.lastHeartbeat, o.activeSince) > maxMissedHeartbeats*o.c.cfg.HeartbeatInterval,
+		manyUnreachable: unreachable > max(minUnreachableMachines, len(o.sortedMachines)/unreachableDivisor),
 	}
 }
 
@@ -83,144 +83,146 @@
 // our token for long. What runs there goes on until its lease ends; then it is idle and
 // paid for.
 func (o *owner) isUnreachable(m *machine) bool {
-	return m.token != 0 && m.state >= machineUp && m.state <= machineTransferring && !m.synced &&
-		o.c.now-m.tokenShownAt > o.c.cfg.HeartbeatTimeout()+silentReports*o.c.cfg.HeartbeatInterval
+	return m.fencingToken != 0 && m.state >= machineReady && m.state <= machineTransferring && !m.tokenConfirmed &&
+		o.c.now-m.tokenConfirmedAt > o.c.cfg.HeartbeatTimeout()+maxMissedHeartbeats*o.c.cfg.HeartbeatInterval
 }
 
-// overdue tells that so much of the time has passed in which a task on the machine, whose
+// cancellationOverdue tells that so much of the time has passed in which a task on the machine, whose
 // job was cancelled, has to be gone.
-func (o *owner) overdue(m *machine, share float64) bool {
+func (o *owner) cancellationOverdue(m *machine, share float64) bool {
 	limit := micros.Micros(share * float64(o.c.cfg.CancellationDeadline))
 	for _, a := range m.attempts {
-		if a.job.state == jobEnded && a.job.endedAt != 0 && !a.freed && o.c.now-a.job.endedAt > limit {
+		if a.job.state == jobEnded && a.job.endedAt != 0 && !a.resourcesReleased && o.c.now-a.job.endedAt > limit {
 			return true
 		}
 	}
 	return false
 }
 
-// unheardFor is how long a machine has not reported here.
-func (o *owner) unheardFor(m *machine) micros.Micros {
-	if m.session == 0 {
-		return o.c.now - o.since
+// sinceLastHeartbeat is how long a machine has not reported here.
+func (o *owner) sinceLastHeartbeat(m *machine) micros.Micros {
+	if m.agentEpoch == 0 {
+		return o.c.now - o.activeSince
 	}
-	return o.c.now - min(m.heard, o.c.now)
+	return o.c.now - min(m.lastHeartbeat, o.c.now)
 }
 
-// silentFor is how long a machine is silent without a known reason.
-func (o *owner) silentFor(m *machine) micros.Micros { return o.c.now - max(m.heard, m.spared) }
+// unresponsiveFor is how long a machine is silent without a known reason.
+func (o *owner) unresponsiveFor(m *machine) micros.Micros {
+	return o.c.now - max(m.lastHeartbeat, m.heartbeatGraceUntil)
+}
 
-// findSilent gives up machines that do not report, and returns empty ones that are to
+// checkMachineHealth gives up machines that do not report, and returns empty ones that are to
 // go. If no worker at all is heard, the fault is likely on this side. The decision is
 // recorded before the cloud is asked: a controller that was cut off, and so hears no
 // worker, cannot record it, while its requests to the cloud could be held back and
 // executed after another has taken over.
-func (o *owner) findSilent() {
+func (o *owner) checkMachineHealth() {
 	fleet := o.fleetHealth()
-	o.findPartitions()
-	for _, m := range o.list {
-		if o.mustGo(m) {
-			o.condemn(m, condemnedOverdue)
+	o.detectPartitions()
+	for _, m := range o.sortedMachines {
+		if o.mustDecommission(m) {
+			o.decommission(m, decommissionOverdue)
 		}
 		switch {
-		case m.state == machineCondemned:
-			o.releaseWanted = o.releaseWanted || o.overdue(m, overdueReleaseShare)
+		case m.state == machineDecommissioning:
+			o.terminationNeeded = o.terminationNeeded || o.cancellationOverdue(m, overdueTerminateFraction)
 		case hasBooted(m):
-			o.condemn(m, o.checkRunning(m, fleet))
+			o.decommission(m, o.checkRunning(m, fleet))
 		case m.state == machineBooting:
-			o.condemn(m, o.checkBooting(m))
+			o.decommission(m, o.checkBooting(m))
 		}
 	}
 }
 
-// condemn decides to delete a machine, if there is a reason.
-func (o *owner) condemn(m *machine, reason condemnReason) {
-	if reason == notCondemned {
+// decommission decides to delete a machine, if there is a reason.
+func (o *owner) decommission(m *machine, reason decommissionReason) {
+	if reason == decommissionNone {
 		return
 	}
-	if reason.lost() {
-		o.noteSpotLost(m)
+	if reason.isMachineLoss() {
+		o.recordSpotReclaimed(m)
 	}
-	o.setMachine(m, machineCondemned, string(reason))
+	o.setMachineState(m, machineDecommissioning, string(reason))
 }
 
 // hasBooted tells whether a machine takes part, so that it should report. What had work before
 // this node took over was up.
 func hasBooted(m *machine) bool {
-	return m.state >= machineUp && m.state <= machineTransferring ||
-		m.state == machineBooting && m.takenOver && len(m.attempts) > 0
+	return m.state >= machineReady && m.state <= machineTransferring ||
+		m.state == machineBooting && m.recovered && len(m.attempts) > 0
 }
 
-// mustGo tells that a machine is silent with a task that has to be gone before long.
-func (o *owner) mustGo(m *machine) bool {
-	if m.state >= machineCondemned || !o.overdue(m, overdueCondemnShare) {
+// mustDecommission tells that a machine is silent with a task that has to be gone before long.
+func (o *owner) mustDecommission(m *machine) bool {
+	if m.state >= machineDecommissioning || !o.cancellationOverdue(m, overdueDecommissionFraction) {
 		return false
 	}
-	patience := silentReports * o.c.cfg.HeartbeatInterval
-	if m.session == 0 && o.overdue(m, overdueReleaseShare) {
-		patience = inspectPatience
+	patience := maxMissedHeartbeats * o.c.cfg.HeartbeatInterval
+	if m.agentEpoch == 0 && o.cancellationOverdue(m, overdueTerminateFraction) {
+		patience = inspectTimeout
 	}
-	return o.unheardFor(m) > patience
+	return o.sinceLastHeartbeat(m) > patience
 }
 
 // checkBooting looks at a machine that has not reported yet. After a takeover it may have been
 // up all the while.
-func (o *owner) checkBooting(m *machine) condemnReason {
-	if o.keptInPartition(m) {
-		return notCondemned
+func (o *owner) checkBooting(m *machine) decommissionReason {
+	if o.retainedInPartition(m) {
+		return decommissionNone
 	}
-	boot := unknownBoot
-	if t := o.c.types.find(m.kind); t != nil {
+	boot := defaultBootTime
+	if t := o.c.types.find(m.machineType); t != nil {
 		boot = t.Boot
 	}
 	patience := micros.Micros(o.c.cfg.Tuning.BootTimeoutFactor*float64(boot)) + o.c.cfg.HeartbeatTimeout()
-	if m.failed || o.c.wallClock-m.rented > patience && o.silentFor(m) > o.c.cfg.HeartbeatTimeout() {
-		return condemnedNeverUp
+	if m.failed || o.c.wallClock-m.provisionedAt > patience && o.unresponsiveFor(m) > o.c.cfg.HeartbeatTimeout() {
+		return decommissionBootTimeout
 	}
-	return notCondemned
+	return decommissionNone
 }
 
 // checkRunning looks at a machine that should report.
-func (o *owner) checkRunning(m *machine, fleet fleetHealth) condemnReason {
-	silent, limit := o.silentFor(m), o.silenceLimit(m)
+func (o *owner) checkRunning(m *machine, fleet fleetHealth) decommissionReason {
+	silent, limit := o.unresponsiveFor(m), o.machineHeartbeatTimeout(m)
 	switch {
 	case m.failed:
-		return condemnedFailed
-	case m.unlisted >= unlistedReadings && silent > silentReports*o.c.cfg.HeartbeatInterval:
-		return condemnedUnlisted
-	case silent > limit && (o.keptInPartition(m) || o.keptForGangs(m)):
-		return notCondemned
-	case silent > limit && (!fleet.isolated || silent > isolatedPatience*limit):
-		return condemnedSilent
-	case o.isUnreachable(m) && o.givesUpUnreachable(m, fleet):
-		return condemnedUnreached
-	case m.state == machineDraining && len(m.attempts) == 0 && m.token != 0:
-		return condemnedEmptyDrain
-	}
-	return notCondemned
-}
-
-// silenceLimit is how long a machine may be silent: not for long once the cloud takes it.
-func (o *owner) silenceLimit(m *machine) micros.Micros {
-	if m.notice != 0 && o.c.now > m.notice {
+		return decommissionFailed
+	case m.missedListings >= maxMissedListings && silent > maxMissedHeartbeats*o.c.cfg.HeartbeatInterval:
+		return decommissionUnlisted
+	case silent > limit && (o.retainedInPartition(m) || o.retainedForGangs(m)):
+		return decommissionNone
+	case silent > limit && (!fleet.isolated || silent > isolatedTimeoutFactor*limit):
+		return decommissionUnresponsive
+	case o.isUnreachable(m) && o.unreachableTimedOut(m, fleet):
+		return decommissionUnreachable
+	case m.state == machineDraining && len(m.attempts) == 0 && m.fencingToken != 0:
+		return decommissionDrained
+	}
+	return decommissionNone
+}
+
+// machineHeartbeatTimeout is how long a machine may be silent: not for long once the cloud takes it.
+func (o *owner) machineHeartbeatTimeout(m *machine) micros.Micros {
+	if m.reclaimAt != 0 && o.c.now > m.reclaimAt {
 		return o.c.cfg.HeartbeatInterval * 3 / 2
 	}
 	return o.c.cfg.HeartbeatTimeout()
 }
 
-// givesUpUnreachable tells whether an unreachable machine is given up. With many of them the
+// unreachableTimedOut tells whether an unreachable machine is given up. With many of them the
 // fault is likely on this side: answers that come too late are dropped too.
-func (o *owner) givesUpUnreachable(m *machine, fleet fleetHealth) bool {
-	return !fleet.manyUnreachable || o.c.now-m.tokenShownAt > unreachablePatience*o.c.cfg.HeartbeatTimeout()
+func (o *owner) unreachableTimedOut(m *machine, fleet fleetHealth) bool {
+	return !fleet.manyUnreachable || o.c.now-m.tokenConfirmedAt > unreachableTimeoutFactor*o.c.cfg.HeartbeatTimeout()
 }
 
-// keptForGangs tells that a silent machine is kept since it works on, as others show: tasks
+// retainedForGangs tells that a silent machine is kept since it works on, as others show: tasks
 // whose gang lost one end within GangPeer, but those of its gangs on other machines were
 // reported running later than that. Its worker may come back until its lease ends; to give
 // it up would stop whole gangs. Not one with tasks of a job that is over, nor one that the
 // cloud takes.
-func (o *owner) keptForGangs(m *machine) bool {
-	if o.silentFor(m) > o.c.cfg.WorkerLease || m.failed || m.notice != 0 {
+func (o *owner) retainedForGangs(m *machine) bool {
+	if o.unresponsiveFor(m) > o.c.cfg.WorkerLease || m.failed || m.reclaimAt != 0 {
 		return false
 	}
 	gang := false
@@ -228,9 +230,9 @@
 		switch {
 		case a.job.state == jobEnded:
 			return false
-		case !a.job.Gang || a.freed:
+		case !a.job.Gang || a.resourcesReleased:
 			continue
-		case a.job.gang != gangStarting || !o.runsElsewhere(a):
+		case a.job.gangState != gangStarting || !o.gangPeerRunning(a):
 			return false
 		}
 		gang = true
@@ -238,12 +240,12 @@
 	return gang
 }
 
-// runsElsewhere tells that a task of the same gang was reported running after this one's
+// gangPeerRunning tells that a task of the same gang was reported running after this one's
 // machine fell silent, later than it would have noticed that this one is gone.
-func (o *owner) runsElsewhere(a *attempt) bool {
+func (o *owner) gangPeerRunning(a *attempt) bool {
 	for _, b := range a.job.attempts {
 		if b.machine != a.machine && b.state == attemptLive && b.phase == wire.PhaseRunning &&
-			b.machine.heard > a.machine.heard+o.c.cfg.GangFailureTimeout {
+			b.machine.lastHeartbeat > a.machine.lastHeartbeat+o.c.cfg.GangFailureTimeout {
 			return true
 		}
 	}
--- a/controller/machine_types.go
+++ b/controller/machine_types.go
@@ -13,22 +13,22 @@
 
 // Times of reading the machine types.
 const (
-	// machineTypesRetry is the pause after a read that did not succeed.
-	machineTypesRetry = 2 * micros.Second
-	// machineTypesRefresh is how often an owner reads them again: prices may change.
-	machineTypesRefresh = 30 * micros.Second
+	// machineTypesRetryDelay is the pause after a read that did not succeed.
+	machineTypesRetryDelay = 2 * micros.Second
+	// machineTypesRefreshInterval is how often an owner reads them again: prices may change.
+	machineTypesRefreshInterval = 30 * micros.Second
 )
 
 // machineTypeTable is what the node knows of machine types. The table is kept in the state
 // service too: a node that starts while the cloud does not answer must still be able to accept
 // jobs.
 type machineTypeTable struct {
-	list      []sched.MachineType
-	reading   bool // from the state service or the cloud
-	nextAt    micros.Micros
-	fromCloud bool
-	answer    wire.MachineTypes // of the cloud
-	recorded  bool              // in the state service, by this incarnation of the node
+	list          []sched.MachineType
+	reading       bool // from the state service or the cloud
+	nextReadAt    micros.Micros
+	fromCloud     bool
+	cloudResponse wire.MachineTypes // of the cloud
+	recorded      bool              // in the state service, by this incarnation of the node
 }
 
 // find returns the type of a name, or nil.
@@ -45,10 +45,10 @@
 // or else from the cloud; an owner reads the cloud's answer again and again, others once.
 func (c *Core) tickMachineTypes() {
 	t := &c.types
-	if t.reading || c.now < t.nextAt {
+	if t.reading || c.now < t.nextReadAt {
 		return
 	}
-	t.nextAt = c.now + machineTypesRetry
+	t.nextReadAt = c.now + machineTypesRetryDelay
 	switch {
 	case len(t.list) == 0:
 		c.readMachineTypes()
@@ -77,14 +77,14 @@
 func (c *Core) fetchMachineTypes() {
 	t := &c.types
 	t.reading = true
-	c.cloud(http.MethodGet, wire.PathMachineTypes, nil, func(status int, body []byte) {
+	c.callCloud(http.MethodGet, wire.PathMachineTypes, nil, func(status int, body []byte) {
 		t.reading = false
 		var answer wire.MachineTypes
 		if status != wire.StatusOK || wire.Decode(body, &answer) != nil || len(answer.Types()) == 0 {
 			return
 		}
-		t.list, t.answer, t.fromCloud = answer.Types(), answer, true
-		t.nextAt = c.now + machineTypesRefresh
+		t.list, t.cloudResponse, t.fromCloud = answer.Types(), answer, true
+		t.nextReadAt = c.now + machineTypesRefreshInterval
 		c.recordMachineTypes()
 	})
 }
@@ -92,11 +92,11 @@
 // recordMachineTypes keeps the types in the state service, once in an owner's incarnation.
 func (c *Core) recordMachineTypes() {
 	t := &c.types
-	if c.owner == nil || t.recorded || kv.EncodedSizeBound(t.answer) > c.cfg.MaxValueBytes {
+	if c.owner == nil || t.recorded || kv.EncodedSizeBound(t.cloudResponse) > c.cfg.MaxValueBytes {
 		return
 	}
-	write := []kv.Write{{Put: record.MachineTypesKey, Value: t.answer}}
-	c.store.Do(budget.TaskUpdates, kv.Transaction(c.owner.guards(nil), write), func(reply kv.Result) {
+	write := []kv.Write{{Put: record.MachineTypesKey, Value: t.cloudResponse}}
+	c.store.Do(budget.TaskUpdates, kv.Transaction(c.owner.preconditions(nil), write), func(reply kv.Result) {
 		t.recorded = t.recorded || reply.Outcome == kv.OK
 	})
 }
--- a/controller/owner.go
+++ b/controller/owner.go
@@ -18,8 +18,8 @@
 type ownerState int
 
 const (
-	ownerLoading ownerState = iota // the records are being read
-	ownerActive                    // jobs are placed, machines get commands
+	ownerRecovering ownerState = iota // the records are being read
+	ownerActive                       // jobs are placed, machines get commands
 )
 
 func (s ownerState) String() string { return [...]string{"loading", "active"}[s] }
@@ -27,71 +27,71 @@
 // owner is the part of a node that places jobs and gives commands. It works from the records:
 // after a takeover, or if they are not as they were known, a new owner reads all of them.
 type owner struct {
-	c       *Core
-	state   ownerState
-	since   micros.Micros // when it became active; before that, when it was made
-	busy    bool          // the records are being read
-	retryAt micros.Micros // a read or watch that failed is tried again then
-	teams   map[string]*team
+	c              *Core
+	state          ownerState
+	activeSince    micros.Micros // when it became active; before that, when it was made
+	readingRecords bool          // the records are being read
+	retryAt        micros.Micros // a read or watch that failed is tried again then
+	teams          map[string]*team
 
 	// Jobs.
-	jobs    map[string]*job
-	queue   []*job          // active jobs in the order in which they are placed
-	waiting map[string]*job // those that wait for others, which are not among the jobs
-	// cancelled are waiting jobs that are cancelled with one before them, to be recorded.
-	cancelled []string
-	// endings are jobs that records name, of which it is not known how they ended.
-	endings []*job
-	holds   map[string]*hold // by job
-	classes *autoscaler.Classes
+	jobs        map[string]*job
+	queue       []*job          // active jobs in the order in which they are placed
+	blockedJobs map[string]*job // those that wait for others, which are not among the jobs
+	// cascadedCancellations are waiting jobs that are cancelled with one before them, to be recorded.
+	cascadedCancellations []string
+	// unresolvedJobs are jobs that records name, of which it is not known how they ended.
+	unresolvedJobs []*job
+	reservations   map[string]*reservation // by job
+	classes        *autoscaler.Classes
 
 	// The watch of the jobs' records.
-	listed    bool // the jobs were listed; changes since are taken
-	watchRev  uint64
-	watchDown bool
+	jobsListed    bool // the jobs were listed; changes since are taken
+	watchRevision uint64
+	watchDown     bool
 	// cancellationsKnownUntil is when the last answered watch of the jobs began.
 	cancellationsKnownUntil micros.Micros
 
 	// Machines.
-	machines         map[string]*machine
-	list             []*machine // the same in the order of their names
-	listing          cloudList
-	rentals          map[string]*rental
-	refusedOffers    map[autoscaler.Offer]micros.Micros // not asked for until then
-	recentlyReturned map[string]micros.Micros           // machines that were returned, remembered until then
-	ownedElsewhere   map[string]micros.Micros           // machines that another owns, though no peer says so yet
-	unclaimed        map[string]micros.Micros           // listed machines that nobody claims, since when
-	partitioned      map[string]micros.Micros           // zones that are cut off, since when
-	releaseWanted    bool                               // machines are to be returned to the cloud
-	releasing        bool                               // a request for that is under way
-	releaseAt        micros.Micros
-	nextScale        micros.Micros
-	nextScaleDown    micros.Micros
+	machines           map[string]*machine
+	sortedMachines     []*machine // the same in the order of their names
+	cloudListing       cloudList
+	scaleOutRequests   map[string]*scaleOutRequest
+	refusedOffers      map[autoscaler.Offer]micros.Micros // not asked for until then
+	recentlyTerminated map[string]micros.Micros           // machines that were returned, remembered until then
+	ownedElsewhere     map[string]micros.Micros           // machines that another owns, though no peer says so yet
+	unclaimedSince     map[string]micros.Micros           // listed machines that nobody claims, since when
+	partitionedSince   map[string]micros.Micros           // zones that are cut off, since when
+	terminationNeeded  bool                               // machines are to be returned to the cloud
+	terminating        bool                               // a request for that is under way
+	nextTermination    micros.Micros
+	nextAutoscaling    micros.Micros
+	nextScaleIn        micros.Micros
 	// nextMachineRequest and nextArrayRequest are when machines may be asked of other owners
 	// again, the latter for arrays.
 	nextMachineRequest micros.Micros
 	nextArrayRequest   micros.Micros
 
 	// Commands to machines.
-	lastHeard     micros.Micros // the latest report
-	dispatchQueue []*machine
-	openCommands  int // direct commands and questions to machines under way
+	lastHeartbeat    micros.Micros // the latest report
+	dispatchQueue    []*machine
+	commandsInFlight int // direct commands and questions to machines under way
 
 	// Scheduling passes, and the attempts that they have proposed.
-	scheduleWanted bool
-	nextPass       micros.Micros
-	proposed       int // attempts that are not recorded yet
-	proposedJobs   int // jobs with such
+	schedulingNeeded   bool
+	nextSchedulingPass micros.Micros
+	assumed            int // attempts that are not recorded yet
+	assumedJobs        int // jobs with such
 
 	// Commits.
-	blocks            []*block
-	shards            []*shard
-	flushing          bool // a commit is under way
-	flushAt           micros.Micros
-	obsoleteKeys      []string      // keys that nobody reads any more
-	obsoleteDeletedAt micros.Micros // when some of them were deleted last, or there were none
-	swept             bool          // leftovers of long lists were looked for
-	sweptUntil        string        // the last key that was looked at
+	blocks             []*block
+	completionSegments []*completionSegment
+	committing         bool // a commit is under way
+	flushAt            micros.Micros
+	obsoleteKeys       []string      // keys that nobody reads any more
+	obsoleteDeletedAt  micros.Micros // when some of them were deleted last, or there were none
+	partsSwept         bool          // leftovers of long lists were looked for
+	partsSweepCursor   string        // the last key that was looked at
 }
 
 // team is a team that this node owns.
@@ -105,19 +105,19 @@
 // newOwner returns an owner of teams that has read no records yet.
 func newOwner(c *Core, teams map[string]cluster.Team) *owner {
 	o := &owner{
-		c: c, since: c.now, lastHeard: c.now,
-		teams:            map[string]*team{},
-		machines:         map[string]*machine{},
-		jobs:             map[string]*job{},
-		waiting:          map[string]*job{},
-		rentals:          map[string]*rental{},
-		holds:            map[string]*hold{},
-		recentlyReturned: map[string]micros.Micros{},
-		refusedOffers:    map[autoscaler.Offer]micros.Micros{},
-		partitioned:      map[string]micros.Micros{},
-		classes:          autoscaler.NewClasses(),
-		ownedElsewhere:   map[string]micros.Micros{},
-		unclaimed:        map[string]micros.Micros{},
+		c: c, activeSince: c.now, lastHeartbeat: c.now,
+		teams:              map[string]*team{},
+		machines:           map[string]*machine{},
+		jobs:               map[string]*job{},
+		blockedJobs:        map[string]*job{},
+		scaleOutRequests:   map[string]*scaleOutRequest{},
+		reservations:       map[string]*reservation{},
+		recentlyTerminated: map[string]micros.Micros{},
+		refusedOffers:      map[autoscaler.Offer]micros.Micros{},
+		partitionedSince:   map[string]micros.Micros{},
+		classes:            autoscaler.NewClasses(),
+		ownedElsewhere:     map[string]micros.Micros{},
+		unclaimedSince:     map[string]micros.Micros{},
 	}
 	for _, t := range c.cfg.Teams {
 		if v, ok := teams[t.Name]; ok {
@@ -153,13 +153,13 @@
 	leader, term := o.c.node.Leader()
 	o.c.log.Info("owner", "from", o.state.String(), "to", s.String(), "jobs", len(o.jobs), "machines", len(o.machines),
 		"teams", len(o.teams), "member_version", o.c.node.RecordVersion(), "leader", leader, "term", term,
-		"jobs_revision", o.watchRev, "read_ago_us", int64(o.c.now-o.cancellationsKnownUntil))
+		"jobs_revision", o.watchRevision, "read_ago_us", int64(o.c.now-o.cancellationsKnownUntil))
 	o.state = s
 }
 
-// refusePending answers the reports that wait, when this node stops owning.
-func (o *owner) refusePending() {
-	for _, m := range o.list {
+// refusePendingHeartbeats answers the reports that wait, when this node stops owning.
+func (o *owner) refusePendingHeartbeats() {
+	for _, m := range o.sortedMachines {
 		if m.pendingRequest != 0 {
 			o.c.refuse(m.pendingRequest, wire.StatusUnavailable, "ownership lost")
 			m.pendingRequest = 0
@@ -167,12 +167,12 @@
 	}
 }
 
-// resyncPause keeps an owner that reads all records again and again from using up the limits.
-const resyncPause = 200 * micros.Millisecond
+// recoveryRestartDelay keeps an owner that reads all records again and again from using up the limits.
+const recoveryRestartDelay = 200 * micros.Millisecond
 
-// resync starts over from the records, after something that should not happen if
+// restartRecovery starts over from the records, after something that should not happen if
 // they were as this node believes.
-func (o *owner) resync(why string) {
+func (o *owner) restartRecovery(why string) {
 	if o.superseded() {
 		return
 	}
@@ -182,97 +182,97 @@
 		records[name] = t.record
 	}
 	o.c.setOwner(newOwner(o.c, records))
-	o.c.owner.retryAt = o.c.now + resyncPause
-	o.c.owner.lastHeard = o.lastHeard
+	o.c.owner.retryAt = o.c.now + recoveryRestartDelay
+	o.c.owner.lastHeartbeat = o.lastHeartbeat
 }
 
 // advance does what can be done now; it is called after every event.
 func (o *owner) advance() {
 	switch o.state {
-	case ownerLoading:
-		if !o.busy && o.c.now >= o.retryAt {
-			o.load()
+	case ownerRecovering:
+		if !o.readingRecords && o.c.now >= o.retryAt {
+			o.startRecovery()
 		}
 	case ownerActive:
-		o.advanceWaiting()
+		o.advanceBlockedJobs()
 		o.schedule()
 		o.flush()
-		o.dispatchQueued()
-		o.release()
+		o.dispatchQueuedMachines()
+		o.terminateMachines()
 	}
 }
 
-// slowTick does the slower duties of an active owner.
+// slowTickInterval does the slower duties of an active owner.
 func (o *owner) slowTick() {
 	if o.state != ownerActive {
 		return
 	}
-	if o.c.numbers.low(o.c.node.RecordVersion()) {
+	if o.c.numbers.nearlyExhausted(o.c.node.RecordVersion()) {
 		o.c.node.Rejoin(o.c.now, "its numbers are used up") // ends this owner
 		return
 	}
 	if o.watchDown && o.c.now >= o.retryAt {
 		o.watchDown = false
-		o.watchJobs(o.watchRev)
+		o.watchJobs(o.watchRevision)
 	}
-	o.readEndings()
+	o.readUnresolvedJobs()
 	o.sweepParts()
-	o.findSilent()
-	o.inspectSome()
-	o.tickHolds()
-	o.tickList()
-	o.tickScale()
-	for _, list := range []map[string]micros.Micros{o.recentlyReturned, o.ownedElsewhere} {
+	o.checkMachineHealth()
+	o.inspectMachines()
+	o.tickReservations()
+	o.tickCloudList()
+	o.tickAutoscaling()
+	for _, list := range []map[string]micros.Micros{o.recentlyTerminated, o.ownedElsewhere} {
 		maps.DeleteFunc(list, func(_ string, until micros.Micros) bool { return o.c.now > until })
 	}
 }
 
-// allSilentAfter is the shortest silence of all machines after which something is wrong.
-const allSilentAfter = 6 * micros.Second
+// minAllUnresponsiveTimeout is the shortest silence of all machines after which something is wrong.
+const minAllUnresponsiveTimeout = 6 * micros.Second
 
-// isSilent tells that machines which should report to this owner do not, not one of them.
-func (o *owner) isSilent() bool {
+// allMachinesUnresponsive tells that machines which should report to this owner do not, not one of them.
+func (o *owner) allMachinesUnresponsive() bool {
 	if o.state != ownerActive {
 		return false
 	}
 	latest, expected := micros.Micros(0), 0
 	for _, m := range o.machines {
-		if !m.shouldReport() {
+		if !m.expectsHeartbeat() {
 			continue
 		}
-		heard := m.heard
+		heard := m.lastHeartbeat
 		if heard > o.c.now { // it was given time after a takeover
-			heard = o.since
+			heard = o.activeSince
 		}
 		latest = max(latest, heard)
 		expected++
 	}
-	return expected > 0 && o.c.now-latest > o.allSilentLimit(expected)
+	return expected > 0 && o.c.now-latest > o.allUnresponsiveTimeout(expected)
 }
 
-// allSilentLimit is how long all machines may be silent.
-func (o *owner) allSilentLimit(machines int) micros.Micros {
+// allUnresponsiveTimeout is how long all machines may be silent.
+func (o *owner) allUnresponsiveTimeout(machines int) micros.Micros {
 	if machines == 1 { // more likely it is the machine; it is given up before then
 		return o.c.cfg.HeartbeatTimeout() + o.c.cfg.HeartbeatInterval
 	}
-	return max(allSilentAfter, o.c.cfg.HeartbeatInterval*5/4)
+	return max(minAllUnresponsiveTimeout, o.c.cfg.HeartbeatInterval*5/4)
 }
 
-// shouldReport tells that a machine is up as far as is known. Nothing can be concluded from the
+// expectsHeartbeat tells that a machine is up as far as is known. Nothing can be concluded from the
 // silence of one that still boots, but after a takeover one with tasks was up.
-func (m *machine) shouldReport() bool {
+func (m *machine) expectsHeartbeat() bool {
 	switch {
-	case m.state >= machineCondemned:
+	case m.state >= machineDecommissioning:
 		return false
 	case m.state == machineBooting:
-		return m.takenOver && len(m.attempts) > 0
+		return m.recovered && len(m.attempts) > 0
 	}
 	return true
 }
 
-// guards builds a list of guards that always holds this node's own record: an owner
+// preconditions builds a list of guards that always holds this node's own record: an owner
 // that has lost it can change nothing.
-func (o *owner) guards(more map[string]uint64) []kv.Precondition {
+func (o *owner) preconditions(more map[string]uint64) []kv.Precondition {
 	own := o.c.node.OwnPrecondition()
 	all := map[string]uint64{own.Key: own.Version}
 	for k, v := range more {
--- a/controller/peercalls.go
+++ b/controller/peer_calls.go
@@ -17,9 +17,9 @@
 	maxPeerBody = 1 << 20
 )
 
-// send sends a message that needs no answer.
-func (c *Core) send(to *peerNode, message *peer.Message) {
-	c.callPeer(to, message, heartbeatTimeout, maxPeerBody, func(*peer.Message, bool) {})
+// sendPeerMessage sends a message that needs no answer.
+func (c *Core) sendPeerMessage(to *peerNode, message *peer.Message) {
+	c.callPeer(to, message, peerHeartbeatTimeout, maxPeerBody, func(*peer.Message, bool) {})
 }
 
 // callPeer sends a message to a peer. done gets the answer, or nil if no valid one came; sent
@@ -43,8 +43,8 @@
 	})
 }
 
-// peerRequest handles a request on the listener for peers.
-func (c *Core) peerRequest(r Request) {
+// handlePeerRequest handles a request on the listener for peers.
+func (c *Core) handlePeerRequest(r Request) {
 	var message peer.Message
 	if r.Method != http.MethodPost || r.Path != peerPath || proto.Unmarshal(r.Body, &message) != nil {
 		c.respond(r.ID, wire.StatusBadRequest, nil)
@@ -61,10 +61,10 @@
 func (c *Core) handlePeerMessage(request uint64, from *peerNode, message *peer.Message) {
 	switch body := message.Body.(type) {
 	case *peer.Message_Beat:
-		c.answerHeartbeat(request, from, body.Beat)
+		c.handlePeerHeartbeat(request, from, body.Beat)
 		return
 	case *peer.Message_StoreCall:
-		c.relay(request, body.StoreCall)
+		c.relayToKV(request, body.StoreCall)
 		return
 	case *peer.Message_JobEnded:
 		c.cancellations.MarkEnded(body.JobEnded.Id, c.now)
@@ -78,16 +78,16 @@
 		c.respond(request, wire.StatusBadRequest, nil)
 		return
 	}
-	c.answerPeer(request, &peer.Message{})
+	c.respondToPeer(request, &peer.Message{})
 }
 
-// answerPeer answers a peer's message with another.
-func (c *Core) answerPeer(request uint64, message *peer.Message) {
+// respondToPeer answers a peer's message with another.
+func (c *Core) respondToPeer(request uint64, message *peer.Message) {
 	message.From = c.cfg.Node
 	data, err := proto.Marshal(message)
 	if err != nil {
 		c.respond(request, wire.StatusUnavailable, nil)
 		return
 	}
-	c.out = append(c.out, Respond{ID: request, Status: wire.StatusOK, Body: data})
+	c.effects = append(c.effects, Respond{ID: request, Status: wire.StatusOK, Body: data})
 }
--- a/controller/placement_view.go
+++ b/controller/placement_view.go
@@ -6,9 +6,9 @@
 	"tamarindlead/sched"
 )
 
-// narrow leaves machines that share a block with those just used no more tasks than their
+// limitSlots leaves machines that share a block with those just used no more tasks than their
 // entries still have room for.
-func (o *owner) narrow(view []*sched.Machine, got []sched.Assignment) {
+func (o *owner) limitSlots(view []*sched.Machine, got []sched.Assignment) {
 	left := map[*block]float64{}
 	for _, as := range got {
 		b := o.machines[as.Machine.Name].block
@@ -24,41 +24,41 @@
 	}
 }
 
-// alikeWithin is how far prices may differ and still count as the same for placement:
+// priceClassRatio is how far prices may differ and still count as the same for placement:
 // where a task's image is then matters more.
-const alikeWithin = 1.5
+const priceClassRatio = 1.5
 
 // priceClass puts prices that are about the same into one class.
 func priceClass(price float64) float64 {
 	if price <= 0 {
 		return 0
 	}
-	return math.Round(math.Log(price) / math.Log(alikeWithin))
+	return math.Round(math.Log(price) / math.Log(priceClassRatio))
 }
 
-// view is what placement may use now.
-func (o *owner) view() []*sched.Machine {
+// machineView is what placement may use now.
+func (o *owner) machineView() []*sched.Machine {
 	var view []*sched.Machine
 	catalog := o.c.catalog()
 	left := map[*block]float64{}
-	for _, m := range o.list {
-		if m.state != machineUp || m.token == 0 || m.fence != fenceNone || o.c.now < m.pausedTo ||
-			o.c.now-m.heard > 2*o.c.cfg.HeartbeatInterval {
+	for _, m := range o.sortedMachines {
+		if m.state != machineReady || m.fencingToken == 0 || m.fencing != fencingNone || o.c.now < m.quarantinedUntil ||
+			o.c.now-m.lastHeartbeat > 2*o.c.cfg.HeartbeatInterval {
 			continue
 		}
 		view = append(view, &sched.Machine{
-			Name: m.name, Type: m.kind, Zone: m.zone, Spot: m.spot,
-			Free: o.machineSize(m).Sub(m.used).Sub(o.heldResources(m.name)), Slots: o.freeSlots(m, left),
-			Idle: len(m.attempts) == 0, Scarce: o.scarce(m), Price: priceClass(catalog.PricePerCPU(m.kind, m.spot)), Images: m.images,
+			Name: m.name, Type: m.machineType, Zone: m.zone, Spot: m.spot,
+			Free: o.machineSize(m).Sub(m.used).Sub(o.reservedResources(m.name)), Slots: o.freeSlots(m, left),
+			Idle: len(m.attempts) == 0, Scarce: o.isScarce(m), Price: priceClass(catalog.PricePerCPU(m.machineType, m.spot)), Images: m.cachedImages,
 		})
 	}
 	return view
 }
 
-// placeView is the view with what is kept for gangs, and with the slack of machines that
+// placementView is the view with what is kept for gangs, and with the slack of machines that
 // gangs use.
-func (o *owner) placeView() []*sched.Machine {
-	view := o.view()
+func (o *owner) placementView() []*sched.Machine {
+	view := o.machineView()
 	o.reserveForGangs(view)
 	return o.addSlack(view)
 }
--- a/controller/queries.go
+++ b/controller/queries.go
@@ -5,8 +5,8 @@
 	"tamarindlead/micros"
 )
 
-// query handles a user's question for the state of a job.
-func (c *Core) query(r userRequest, job string) {
+// handleQuery handles a user's question for the state of a job.
+func (c *Core) handleQuery(r userRequest, job string) {
 	if !wire.ValidJobID(job) {
 		c.reject(r.id, wire.StatusNotFound, reasonNoSuchJob)
 		return
@@ -14,21 +14,21 @@
 	c.lookup(job, func(result lookupResult) {
 		switch result.outcome {
 		case lookupNotFound:
-			c.answerNeverAccepted(r, job, noSuchJob(), result.evidence)
+			c.respondNeverAccepted(r, job, noSuchJob(), result.evidence)
 		case lookupFound:
-			c.answerQuery(r, job, result)
+			c.respondQuery(r, job, result)
 		default:
-			c.refuse(r.id, wire.StatusUnavailable, reasonStoreSilent)
+			c.refuse(r.id, wire.StatusUnavailable, reasonKVUnresponsive)
 		}
 	})
 }
 
-// statusForUsers is a job's state as users see it: one that is not over may be running, and
+// userFacingStatus is a job's state as users see it: one that is not over may be running, and
 // shows how many tasks are done and run.
-func (c *Core) statusForUsers(job string, status wire.JobPhase) wire.JobStatus {
+func (c *Core) userFacingStatus(job string, status wire.JobPhase) wire.JobStatus {
 	shown := wire.JobStatus{ID: job, Status: status}
 	if status == wire.JobQueued {
-		shown.Done, shown.Running = c.countsOf(job)
+		shown.Done, shown.Running = c.taskCounts(job)
 		if shown.Running > 0 {
 			shown.Status = wire.JobRunning
 		}
@@ -36,16 +36,16 @@
 	return shown
 }
 
-// countsOf tells how many tasks of a job are done and run, for display.
-func (c *Core) countsOf(job string) (done, running int) {
+// taskCounts tells how many tasks of a job are done and run, for display.
+func (c *Core) taskCounts(job string) (done, running int) {
 	if c.owner != nil && c.owner.jobs[job] != nil {
 		return c.owner.countsOf(job)
 	}
 	latest := micros.Micros(0)
 	for _, cfg := range c.cfg.Siblings { // an earlier owner may still say what it knew
 		s := c.peers[cfg.Node]
-		if count := s.jobCounts[job]; count != nil && s.lastHeard > latest {
-			latest, done, running = s.lastHeard, int(count.Done), int(count.Running)
+		if count := s.jobCounts[job]; count != nil && s.lastHeartbeat > latest {
+			latest, done, running = s.lastHeartbeat, int(count.Done), int(count.Running)
 		}
 	}
 	return done, running
--- a/controller/load_machines.go
+++ b/controller/recovery_machines.go
@@ -13,22 +13,22 @@
 	"tamarindlead/sched"
 )
 
-// loadBlocks rebuilds machines and attempts from the blocks after a takeover. Jobs and
+// recoverBlocks rebuilds machines and attempts from the blocks after a takeover. Jobs and
 // completions must have been loaded.
-func (o *owner) loadBlocks(entries []kv.Entry) {
+func (o *owner) recoverBlocks(entries []kv.Entry) {
 	// A machine that changed its block may be in both: the newer record holds.
 	newestFirst := slices.Clone(entries)
 	slices.SortStableFunc(newestFirst, func(a, b kv.Entry) int { return cmp.Compare(b.Version, a.Version) })
 	for _, e := range newestFirst {
-		if err := o.loadBlock(e); err != nil {
+		if err := o.recoverBlock(e); err != nil {
 			o.c.log.Error("record cannot be read", "key", e.Key, "error", err)
 		}
 	}
-	o.checkLoadedJobs()
+	o.checkRecoveredJobs()
 }
 
-// loadBlock takes over a block, if it is of an owner whose records this one owns.
-func (o *owner) loadBlock(e kv.Entry) error {
+// recoverBlock takes over a block, if it is of an owner whose records this one owns.
+func (o *owner) recoverBlock(e kv.Entry) error {
 	var rec record.Block
 	if err := wire.Decode(e.Value, &rec); err != nil {
 		return err
@@ -43,39 +43,39 @@
 	b := o.newBlock(strings.TrimPrefix(e.Key, record.BlockPrefix))
 	b.version = e.Version
 	for i := range data.Machines {
-		o.loadMachine(b, data, &data.Machines[i])
+		o.recoverMachine(b, data, &data.Machines[i])
 	}
 	o.markBlockDirty(b)
 	return nil
 }
 
-// loadMachine takes over a machine and the attempts on it.
-func (o *owner) loadMachine(b *block, data *record.BlockData, entry *record.BlockMachine) {
+// recoverMachine takes over a machine and the attempts on it.
+func (o *owner) recoverMachine(b *block, data *record.BlockData, entry *record.BlockMachine) {
 	if o.machines[entry.Name] != nil {
 		return // it is in a newer block
 	}
 	kind := data.MachineTypes[entry.MachineType]
-	m := o.newMachineIn(b, machineInfo{
-		name: entry.Name, kind: kind.Type, zone: kind.Zone, spot: kind.Spot, endpoint: entry.Endpoint,
+	m := o.newMachineInBlock(b, machineInfo{
+		name: entry.Name, machineType: kind.Type, zone: kind.Zone, spot: kind.Spot, endpoint: entry.Endpoint,
 	})
-	m.rented = micros.Micros(entry.LaunchedAt + data.LaunchTimeBase)
+	m.provisionedAt = micros.Micros(entry.LaunchedAt + data.LaunchTimeBase)
 	m.recorded = true
 	if entry.Decommissioning {
-		o.setMachine(m, machineReleasing, "condemned by an earlier owner")
+		o.setMachineState(m, machineTerminating, "condemned by an earlier owner")
 	}
 	tasks, err := data.Unpack(entry)
 	if err != nil {
 		o.c.log.Error("record cannot be read", "machine", entry.Name, "error", err)
 	}
 	for _, task := range tasks {
-		o.loadAttempt(m, &data.Jobs[task.Job], task)
+		o.recoverAttempt(m, &data.Jobs[task.Job], task)
 	}
 }
 
-// loadAttempt takes over an attempt, unless its task is completed or, as a damaged record
+// recoverAttempt takes over an attempt, unless its task is completed or, as a damaged record
 // could have it, does not exist or has an attempt elsewhere.
-func (o *owner) loadAttempt(m *machine, spec *record.BlockJob, task record.BlockTask) {
-	j := o.placedJob(spec.ID)
+func (o *owner) recoverAttempt(m *machine, spec *record.BlockJob, task record.BlockTask) {
+	j := o.unblockPlacedJob(spec.ID)
 	if j == nil {
 		j = o.addEndedJob(spec)
 	}
@@ -85,13 +85,13 @@
 	if j.state != jobEnded && j.task(task.Index) == taskDone {
 		return // the block was not written since
 	}
-	a := o.attach(j, task.Index, task.Attempt, m, attemptOrdered)
-	j.began = true
+	a := o.addAttempt(j, task.Index, task.Attempt, m, attemptStarting)
+	j.everPlaced = true
 	if j.Gang {
-		o.setGang(j, gangStarting)
+		o.setGangState(j, gangStarting)
 	}
 	if j.state == jobEnded {
-		o.stop(a, 0, "job is over")
+		o.stopAttempt(a, 0, "job is over")
 	}
 }
 
@@ -101,34 +101,34 @@
 		ID: spec.ID, Team: spec.Team, Tasks: spec.Tasks,
 		Need: sched.Resources{CPU: spec.CPU, GPU: spec.GPU, Mem: spec.Mem},
 	}, 0, 0)
-	o.setJob(j, jobEnded)
+	o.setJobState(j, jobEnded)
 	o.jobs[j.ID] = j
-	o.endings = append(o.endings, j)
+	o.unresolvedJobs = append(o.unresolvedJobs, j)
 	return j
 }
 
-// checkLoadedJobs drops ended jobs without attempts, and stops gangs of which not all tasks
+// checkRecoveredJobs drops ended jobs without attempts, and stops gangs of which not all tasks
 // are recorded.
-func (o *owner) checkLoadedJobs() {
+func (o *owner) checkRecoveredJobs() {
 	for _, id := range sortedKeys(o.jobs) {
 		j := o.jobs[id]
 		if j.state == jobEnded && len(j.attempts) == 0 {
 			delete(o.jobs, id)
 		}
-		if j.state == jobActive && j.Gang && len(j.attempts) > 0 && len(j.attempts)+j.doneN < j.Tasks {
+		if j.state == jobActive && j.Gang && len(j.attempts) > 0 && len(j.attempts)+j.completedCount < j.Tasks {
 			o.stopJob(j, 0, "gang was not recorded whole")
 		}
 	}
 }
 
-// endingsPerTick is how many endings of jobs are read with each slow tick.
-const endingsPerTick = 4
+// terminalStatesPerTick is how many endings of jobs are read with each slow tick.
+const terminalStatesPerTick = 4
 
-// readEndings finds out how jobs ended that records of machines still name after a takeover.
-func (o *owner) readEndings() {
-	for range min(endingsPerTick, len(o.endings)) {
-		j := o.endings[0]
-		o.endings = o.endings[1:]
+// readUnresolvedJobs finds out how jobs ended that records of machines still name after a takeover.
+func (o *owner) readUnresolvedJobs() {
+	for range min(terminalStatesPerTick, len(o.unresolvedJobs)) {
+		j := o.unresolvedJobs[0]
+		o.unresolvedJobs = o.unresolvedJobs[1:]
 		if o.jobs[j.ID] != j {
 			continue // its machines have reported
 		}
@@ -136,24 +136,24 @@
 			switch {
 			case o.superseded() || out == kv.NotFound:
 			case out != kv.OK:
-				o.endings = append(o.endings, j)
+				o.unresolvedJobs = append(o.unresolvedJobs, j)
 			default:
-				o.takeEnding(j, e.Value)
+				o.resolveJob(j, e.Value)
 			}
 		})
 	}
 }
 
-// takeEnding takes how a job ended. Of one that is done nothing runs any more, so its tasks
+// resolveJob takes how a job ended. Of one that is done nothing runs any more, so its tasks
 // are off their machines whether these report or not: a machine that is cut off need not be
 // deleted for them, as for tasks of a job that was cancelled, and a gang that runs there goes
 // on.
-func (o *owner) takeEnding(j *job, value []byte) {
+func (o *owner) resolveJob(j *job, value []byte) {
 	var final record.TerminalState
 	if wire.Decode(value, &final) == nil && final.Status == record.StatusDone {
-		for _, a := range j.sorted() {
-			if a.machine.session == 0 { // else its report tells
-				o.setAttempt(a, attemptClosed)
+		for _, a := range j.sortedAttempts() {
+			if a.machine.agentEpoch == 0 { // else its report tells
+				o.setAttemptState(a, attemptClosed)
 			}
 		}
 		return
--- a/controller/refusals.go
+++ b/controller/refusals.go
@@ -8,24 +8,24 @@
 // Why users' requests cannot be served now. They may be sent again.
 const (
 	reasonIsolated       refusalReason = "reaches neither the state service nor a peer"
-	reasonStoreSilent    refusalReason = "state service does not answer"
-	reasonStoreRefuses   refusalReason = "state service refuses"
+	reasonKVUnresponsive refusalReason = "state service does not answer"
+	reasonKVRefuses      refusalReason = "state service refuses"
 	reasonTypesUnknown   refusalReason = "machine types are not known yet"
 	reasonJobsUnknown    refusalReason = "the jobs are not known yet"
 	reasonUnacknowledged refusalReason = "a controller has not confirmed yet"
 
-	reasonManySubmissions   refusalReason = "too many submissions wait"
-	reasonManyCancellations refusalReason = "too many cancellations"
+	reasonTooManySubmissions   refusalReason = "too many submissions wait"
+	reasonTooManyCancellations refusalReason = "too many cancellations"
 )
 
 // Why a submission is never accepted.
 const (
-	reasonTooLong          refusalReason = "description too long"
-	reasonUnknownTeam      refusalReason = "unknown team"
-	reasonFitsNoType       refusalReason = "a task fits no allowed machine type"
-	reasonAboveTeamLimit   refusalReason = "more than the team's limit"
-	reasonAwaitsItself     refusalReason = "awaits itself"
-	reasonAwaitsUnaccepted refusalReason = "awaits a job that was never accepted"
+	reasonTooLong               refusalReason = "description too long"
+	reasonUnknownTeam           refusalReason = "unknown team"
+	reasonFitsNoType            refusalReason = "a task fits no allowed machine type"
+	reasonAboveQuotaLimit       refusalReason = "more than the team's limit"
+	reasonDependsOnItself       refusalReason = "awaits itself"
+	reasonDependencyNotAccepted refusalReason = "awaits a job that was never accepted"
 )
 
 // reasonNoSuchJob tells that a job was never accepted.
@@ -37,14 +37,16 @@
 	reason refusalReason
 }
 
-// neverRuns refuses a submission for good.
-func neverRuns(reason refusalReason) *refusal { return &refusal{wire.StatusUnprocessable, reason} }
+// permanentRefusal refuses a submission for good.
+func permanentRefusal(reason refusalReason) *refusal {
+	return &refusal{wire.StatusUnprocessable, reason}
+}
 
-// unavailable refuses a request for now.
-func unavailable(reason refusalReason) *refusal { return &refusal{wire.StatusUnavailable, reason} }
+// temporaryRefusal refuses a request for now.
+func temporaryRefusal(reason refusalReason) *refusal { return &refusal{wire.StatusUnavailable, reason} }
 
-// final tells that the same request would always be refused.
-func (r *refusal) final() bool { return r.status != wire.StatusUnavailable }
+// isPermanent tells that the same request would always be refused.
+func (r *refusal) isPermanent() bool { return r.status != wire.StatusUnavailable }
 
 // reject answers that a request will never be served.
 func (c *Core) reject(request uint64, status wire.Status, reason refusalReason) {
--- a/controller/status.go
+++ b/controller/status.go
@@ -7,30 +7,30 @@
 	"tamarindlead/sched"
 )
 
-// statusEvery is how often the counters go to the log.
-const statusEvery = 10 * micros.Second
+// statusInterval is how often the counters go to the log.
+const statusInterval = 10 * micros.Second
 
 const secondsPerHour = 3600
 
 // counters are what the node did since they were last logged.
 type counters struct {
-	events, reports, lookups, calls int
-	refused                         int // requests answered 429 or 503
-	dropped                         int // messages that could not be read
-	at                              micros.Micros
+	events, heartbeats, lookups, calls int
+	refused                            int // requests answered 429 or 503
+	dropped                            int // messages that could not be read
+	loggedAt                           micros.Micros
 }
 
 // tickStatus logs the counters, and at an owner what its machines do.
 func (c *Core) tickStatus() {
-	n := &c.count
-	if c.now-n.at < statusEvery {
+	n := &c.counters
+	if c.now-n.loggedAt < statusInterval {
 		return
 	}
 	usage := c.store.TakeUsage()
-	c.log.Info("status", "events", n.events, "reports", n.reports, "lookups", n.lookups, "calls", n.calls,
+	c.log.Info("status", "events", n.events, "reports", n.heartbeats, "lookups", n.lookups, "calls", n.calls,
 		"open_calls", len(c.calls), "store_requests", usage.Requests, "store_writes", usage.Writes, "refused", n.refused,
-		"dropped", n.dropped, "waiting", len(c.submissions.waiting), "violations", c.violations)
-	*n = counters{at: c.now}
+		"dropped", n.dropped, "waiting", len(c.submissions.pending), "violations", c.violations)
+	*n = counters{loggedAt: c.now}
 	if c.owner != nil && c.owner.state == ownerActive {
 		c.owner.logStatus()
 	}
@@ -41,7 +41,7 @@
 	fleets := o.fleets()
 	for _, kind := range sortedKeys(fleets) {
 		f := fleets[kind]
-		o.c.log.Info("fleet", "kind", kind, "up", f.up, "idle", f.idle, "booting", f.booting, "leaving", f.leaving,
+		o.c.log.Info("fleet", "kind", kind, "up", f.ready, "idle", f.idle, "booting", f.booting, "leaving", f.leaving,
 			"cpus", int(f.cpus), "used", int(f.usedCPUs))
 	}
 	o.logWork()
@@ -49,15 +49,15 @@
 
 // fleet counts the machines of one kind.
 type fleet struct {
-	up, idle, booting, leaving int
-	cpus, usedCPUs             float64 // of those that are up or leaving
+	ready, idle, booting, leaving int
+	cpus, usedCPUs                float64 // of those that are up or leaving
 }
 
 // fleets counts an owner's machines, by type and by whether they are spot machines.
 func (o *owner) fleets() map[string]*fleet {
 	fleets := map[string]*fleet{}
-	for _, m := range o.list {
-		kind := m.kind
+	for _, m := range o.sortedMachines {
+		kind := m.machineType
 		if m.spot {
 			kind += " spot"
 		}
@@ -74,8 +74,8 @@
 	case machineBooting:
 		f.booting++
 		return
-	case machineUp:
-		f.up++
+	case machineReady:
+		f.ready++
 		if len(m.attempts) == 0 {
 			f.idle++
 		}
@@ -90,7 +90,7 @@
 func (o *owner) logWork() {
 	jobs, gangs, tasks := 0, 0, 0
 	for _, j := range o.queue {
-		waiting := min(j.pending, o.withinTeam(j, sched.Resources{}))
+		waiting := min(j.pending, o.quotaHeadroom(j, sched.Resources{}))
 		if waiting <= 0 || j.state != jobActive {
 			continue
 		}
@@ -102,6 +102,6 @@
 	}
 	lossesPerHour := o.c.spotRisk.PerSecond(o.c.cfg.Tuning.SpotLossesPerHour) * secondsPerHour
 	o.c.log.Info("work", "jobs", len(o.queue), "waiting_jobs", jobs, "waiting_gangs", gangs, "waiting_tasks", tasks,
-		"awaiting_others", len(o.waiting), "proposed", o.proposed, "blocks", len(o.blocks), "shards", len(o.shards),
-		"holds", len(o.holds), "spot_losses_per_h", math.Round(lossesPerHour*10)/10)
+		"awaiting_others", len(o.blockedJobs), "proposed", o.assumed, "blocks", len(o.blocks), "shards", len(o.completionSegments),
+		"holds", len(o.reservations), "spot_losses_per_h", math.Round(lossesPerHour*10)/10)
 }
--- a/controller/due_records.go
+++ b/controller/write_priority.go
@@ -7,34 +7,34 @@
 
 // Weights of what the write of a record brings, in tasks that may start.
 const (
-	claimWeight   = 1000
-	fenceWeight   = 100
-	machineWeight = 20
-	gangWeight    = 8  // a gang waits for its last task
-	waitWeight    = 20 // for each second that a block has waited: none may starve
-	shardWeight   = 4  // for each second that a shard has waited
+	claimWeight       = 1000
+	fencingWeight     = 100
+	machineWeight     = 20
+	gangWeight        = 8  // a gang waits for its last task
+	blockWaitWeight   = 20 // for each second that a block has waited: none may starve
+	segmentWaitWeight = 4  // for each second that a shard has waited
 )
 
 // dueRecord is a block or a shard that must be written.
 type dueRecord struct {
 	block   *block
-	shard   *shard
+	segment *completionSegment
 	urgency int
 }
 
 // flushClaims writes the blocks with machines that must be claimed, the most urgent first.
-func (o *owner) flushClaims(t *txn, room func() int) {
+func (o *owner) flushClaims(t *transaction, room func() int) {
 	var due []dueRecord
 	for _, b := range o.blocks {
 		if o.isDue(b) && b.hasUnclaimed() {
 			due = append(due, dueRecord{block: b, urgency: o.blockUrgency(b)})
 		}
 	}
-	o.flushDue(t, due, room)
+	o.flushDueRecords(t, due, room)
 }
 
 // flushRecords writes blocks and shards, the most urgent first.
-func (o *owner) flushRecords(t *txn, room func() int) {
+func (o *owner) flushRecords(t *transaction, room func() int) {
 	for _, b := range slices.Clone(o.blocks) {
 		o.mergeTransferred(b)
 	}
@@ -44,23 +44,23 @@
 			due = append(due, dueRecord{block: b, urgency: o.blockUrgency(b)})
 		}
 	}
-	for _, s := range o.shards {
+	for _, s := range o.completionSegments {
 		if s.isDue() {
-			due = append(due, dueRecord{shard: s, urgency: o.shardUrgency(s)})
+			due = append(due, dueRecord{segment: s, urgency: o.segmentUrgency(s)})
 		}
 	}
-	o.flushDue(t, due, room)
+	o.flushDueRecords(t, due, room)
 }
 
-// flushDue writes records while the commit has room.
-func (o *owner) flushDue(t *txn, due []dueRecord, room func() int) {
+// flushDueRecords writes records while the commit has room.
+func (o *owner) flushDueRecords(t *transaction, due []dueRecord, room func() int) {
 	slices.SortStableFunc(due, func(a, b dueRecord) int { return cmp.Compare(b.urgency, a.urgency) })
 	for _, r := range due {
 		if room() < 1 {
 			return
 		}
-		if r.shard != nil {
-			o.writeShard(t, r.shard)
+		if r.segment != nil {
+			o.writeSegment(t, r.segment)
 		} else {
 			o.writeBlock(t, r.block, room())
 		}
@@ -74,7 +74,7 @@
 
 // blockUrgency orders blocks that must be written.
 func (o *owner) blockUrgency(b *block) int {
-	n := int(waitWeight * (o.c.now - b.dirtySince).Seconds())
+	n := int(blockWaitWeight * (o.c.now - b.dirtySince).Seconds())
 	for _, m := range b.machines {
 		n += m.urgency()
 		if m.dirty {
@@ -89,9 +89,9 @@
 	switch {
 	case m.isUnclaimed():
 		return claimWeight
-	case m.fence == fenceWanted:
-		return fenceWeight
-	case m.state == machineCondemned || m.state == machineDeleted:
+	case m.fencing == fencingNeeded:
+		return fencingWeight
+	case m.state == machineDecommissioning || m.state == machineTerminated:
 		return machineWeight
 	}
 	return 0
@@ -102,7 +102,7 @@
 	n := 0
 	for _, a := range m.attempts {
 		switch {
-		case a.state != attemptProposed && a.state != attemptLeaving:
+		case a.state != attemptAssumed && a.state != attemptRemoving:
 		case a.job.Gang:
 			n += gangWeight
 		default:
@@ -112,9 +112,9 @@
 	return n
 }
 
-// shardUrgency orders shards among blocks. A completion waits at no cost: its room is free,
+// segmentUrgency orders shards among blocks. A completion waits at no cost: its room is free,
 // and its machine goes on reporting it. Many teams have as many shards, all of which change
 // with every second; written first, they would take all writes from placements.
-func (o *owner) shardUrgency(s *shard) int {
-	return int(shardWeight * (o.c.now - s.dirtySince).Seconds())
+func (o *owner) segmentUrgency(s *completionSegment) int {
+	return int(segmentWaitWeight * (o.c.now - s.dirtySince).Seconds())
 }
--- a/daemon/node.go
+++ b/daemon/node.go
@@ -84,7 +84,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.handle(nil, controller.Tick{})
-	return n.core.TickEvery().Duration()
+	return n.core.TickInterval().Duration()
 }
 
 // handle passes an event to the core and carries out the effects. The caller holds the lock;
