--- a/internal/fake/cloud.go
+++ b/internal/fake/cloud.go
@@ -2,40 +2,45 @@
 
 import (
 	"fmt"
+	"maps"
 	"net/url"
-	"sort"
+	"slices"
 
 	"tamarindlead/internal/wire"
 	"tamarindlead/micros"
 )
 
-// Cloud rents machines.
+// maxScaleOut is the largest number of machines that one request may ask for.
+const maxScaleOut = 50
+
+// Cloud is a fake of the cloud's API: it creates, lists and terminates machines.
 type Cloud struct {
 	Now         micros.Micros
-	Unavailable bool
-	ListDelay   micros.Micros
+	Unavailable bool          // all requests get status 503
+	ListDelay   micros.Micros // age of the state that the list of machines shows
 	Types       []wire.MachineType
-	Capacity    map[string]int                          // "type zone spot" -> how many more
-	FailedBoots int                                     // so many of the next machines never come up
-	BootTime    func(usual micros.Micros) micros.Micros // how long a machine boots; nil: as usual
-	Endpoint    func(machine string) string             // the address of a machine's worker
+	Capacity    map[string]int                             // machines that may still be created, by OfferKey
+	FailedBoots int                                        // number of machines, from the next one on, that never boot
+	BootTime    func(standard micros.Micros) micros.Micros // boot time of a machine; nil: the standard time of its type
+	Endpoint    func(machine string) string                // returns the address of a machine's worker
 	Machines    map[string]*CloudMachine
-	grants      map[string][]string
-	next        int
+
+	grants       map[string][]string // names of the machines created, by request ID
+	nextSequence int
 }
 
-// CloudMachine is a machine as the cloud sees it.
+// CloudMachine is a machine as the cloud knows it. Its fields are part of the format of dumps.
 type CloudMachine struct {
 	Name     string
 	Endpoint string // address of its worker
 	Type     string
 	Zone     string
 	Spot     bool
-	Rented   micros.Micros
-	UpAt     micros.Micros // 0: never
-	Gone     bool
+	Rented   micros.Micros // time of its creation
+	UpAt     micros.Micros // time at which it has booted, 0: never
+	Gone     bool          // terminated
 	GoneAt   micros.Micros
-	Started  bool
+	Started  bool // its worker was started
 }
 
 // NewCloud returns a cloud without machines.
@@ -43,32 +48,32 @@
 	return &Cloud{Endpoint: Endpoint, Capacity: map[string]int{}, Machines: map[string]*CloudMachine{}, grants: map[string][]string{}}
 }
 
-// OfferKey is how Capacity names machines of a type in a zone.
-func OfferKey(kind, zone string, spot bool) string { return fmt.Sprintf("%s %s %t", kind, zone, spot) }
+// OfferKey returns the key of Capacity for machines of a type in a zone.
+func OfferKey(machineType, zone string, spot bool) string {
+	return fmt.Sprintf("%s %s %t", machineType, zone, spot)
+}
+
+// Endpoint returns the address of a machine's worker in simulations without a network.
+func Endpoint(name string) string { return "worker:" + name }
 
-// Add creates a machine outside of any rental.
-func (c *Cloud) Add(kind, zone string, spot bool, boot micros.Micros) *CloudMachine {
-	name := fmt.Sprintf("m-%06d", c.next)
-	m := &CloudMachine{Name: name, Endpoint: c.Endpoint(name), Type: kind, Zone: zone, Spot: spot, Rented: c.Now}
-	c.next++
-	m.UpAt = c.Now + boot
+// Add creates a machine without a scale-out request.
+func (c *Cloud) Add(machineType, zone string, spot bool, boot micros.Micros) *CloudMachine {
+	name := fmt.Sprintf("m-%06d", c.nextSequence)
+	c.nextSequence++
+	m := &CloudMachine{
+		Name: name, Endpoint: c.Endpoint(name), Type: machineType, Zone: zone, Spot: spot,
+		Rented: c.Now, UpAt: c.Now + boot,
+	}
 	if c.FailedBoots > 0 {
 		c.FailedBoots--
 		m.UpAt = 0
 	}
-	c.Machines[m.Name] = m
+	c.Machines[name] = m
 	return m
 }
 
-// Names returns the machines' names in order.
-func (c *Cloud) Names() []string {
-	var names []string
-	for n := range c.Machines {
-		names = append(names, n)
-	}
-	sort.Strings(names)
-	return names
-}
+// Names returns the names of all machines in ascending order.
+func (c *Cloud) Names() []string { return slices.Sorted(maps.Keys(c.Machines)) }
 
 // TypeOf returns the machine type of a name, or nil.
 func (c *Cloud) TypeOf(name string) *wire.MachineType {
@@ -83,88 +88,99 @@
 // Handle executes a request.
 func (c *Cloud) Handle(method, target string, body []byte) Response {
 	if c.Unavailable {
-		return newResponse(503, wire.ErrorResponse{Error: "trouble"})
+		return newErrorResponse(wire.StatusUnavailable, "trouble")
 	}
 	u, err := url.ParseRequestURI(target)
 	if err != nil {
-		return newResponse(400, wire.ErrorResponse{Error: "target"})
+		return newErrorResponse(wire.StatusBadRequest, "target")
 	}
-	switch {
-	case method == "GET" && u.Path == "/machine_types":
-		return newResponse(200, wire.MachineTypes{Entries: c.Types})
-	case method == "POST" && u.Path == "/rentals":
+	switch method + " " + u.Path {
+	case "GET " + wire.PathMachineTypes:
+		return newResponse(wire.StatusOK, wire.MachineTypes{Entries: c.Types})
+	case "POST " + wire.PathRentals:
 		return c.scaleOut(body)
-	case method == "POST" && u.Path == "/rentals/release":
-		var req wire.MachineNames
-		if wire.Decode(body, &req) != nil {
-			return newResponse(400, wire.ErrorResponse{Error: "release"})
-		}
-		for _, n := range req.Machines {
-			if m := c.Machines[n]; m != nil && !m.Gone {
-				c.reclaim(m)
-			}
-		}
-		return newResponse(200, map[string]any{})
-	case method == "GET" && u.Path == "/rentals":
+	case "POST " + wire.PathRelease:
+		return c.scaleIn(body)
+	case "GET " + wire.PathRentals:
 		return c.list(u.Query().Get("after"))
 	}
-	return newResponse(400, wire.ErrorResponse{Error: "unknown"})
+	return newErrorResponse(wire.StatusBadRequest, "unknown")
 }
 
-func (c *Cloud) reclaim(m *CloudMachine) {
+// Reclaim terminates a machine without a request, as the cloud does with spot machines.
+func (c *Cloud) Reclaim(name string) { c.terminate(c.Machines[name]) }
+
+func (c *Cloud) terminate(m *CloudMachine) {
 	m.Gone, m.GoneAt = true, c.Now
 	c.Capacity[OfferKey(m.Type, m.Zone, m.Spot)]++
 }
 
-// Reclaim makes a machine vanish, as the cloud does with spot machines.
-func (c *Cloud) Reclaim(name string) { c.reclaim(c.Machines[name]) }
-
+// scaleOut creates machines. A duplicate of an earlier request returns the machines of that one.
 func (c *Cloud) scaleOut(body []byte) Response {
-	var req wire.ScaleOutRequest
-	if wire.Decode(body, &req) != nil || req.Number < 1 || req.Number > 50 {
-		return newResponse(400, wire.ErrorResponse{Error: "rental"})
+	var request wire.ScaleOutRequest
+	if wire.Decode(body, &request) != nil || request.Number < 1 || request.Number > maxScaleOut {
+		return newErrorResponse(wire.StatusBadRequest, "rental")
 	}
-	if names, ok := c.grants[req.RequestID]; ok {
-		return newResponse(200, wire.MachineNames{Machines: names})
+	if names, ok := c.grants[request.RequestID]; ok {
+		return newResponse(wire.StatusOK, wire.MachineNames{Machines: names})
 	}
-	key := OfferKey(req.Type, req.Zone, req.Spot)
-	n := min(req.Number, c.Capacity[key])
-	t := c.TypeOf(req.Type)
-	if n == 0 || t == nil {
-		return newResponse(503, wire.ErrorResponse{Error: "no capacity"})
+	key := OfferKey(request.Type, request.Zone, request.Spot)
+	number := min(request.Number, c.Capacity[key])
+	machineType := c.TypeOf(request.Type)
+	if number == 0 || machineType == nil {
+		return newErrorResponse(wire.StatusUnavailable, "no capacity")
 	}
-	c.Capacity[key] -= n
+	c.Capacity[key] -= number
 	var names []string
-	for range n {
-		boot := micros.FromSeconds(t.BootS)
-		if c.BootTime != nil {
-			boot = c.BootTime(boot)
+	for range number {
+		names = append(names, c.Add(request.Type, request.Zone, request.Spot, c.bootTime(machineType)).Name)
+	}
+	c.grants[request.RequestID] = names
+	return newResponse(wire.StatusOK, wire.MachineNames{Machines: names})
+}
+
+func (c *Cloud) bootTime(machineType *wire.MachineType) micros.Micros {
+	boot := micros.FromSeconds(machineType.BootS)
+	if c.BootTime != nil {
+		boot = c.BootTime(boot)
+	}
+	return boot
+}
+
+// scaleIn terminates machines. Unknown and terminated ones are ignored, as the protocol has it.
+func (c *Cloud) scaleIn(body []byte) Response {
+	var request wire.MachineNames
+	if wire.Decode(body, &request) != nil {
+		return newErrorResponse(wire.StatusBadRequest, "release")
+	}
+	for _, name := range request.Machines {
+		if m := c.Machines[name]; m != nil && !m.Gone {
+			c.terminate(m)
 		}
-		names = append(names, c.Add(req.Type, req.Zone, req.Spot, boot).Name)
 	}
-	c.grants[req.RequestID] = names
-	return newResponse(200, wire.MachineNames{Machines: names})
+	return newResponse(wire.StatusOK, emptyMap{})
 }
 
 func (c *Cloud) list(after string) Response {
 	at := c.Now - c.ListDelay
 	list := wire.MachineList{Machines: []wire.ListedMachine{}}
-	for _, n := range c.Names() {
-		m := c.Machines[n]
-		if n <= after || m.Rented > at || m.Gone && m.GoneAt <= at {
+	for _, name := range c.Names() {
+		m := c.Machines[name]
+		if name <= after || m.Rented > at || m.Gone && m.GoneAt <= at {
 			continue
 		}
-		status := wire.ListBooting
-		if m.UpAt != 0 && m.UpAt <= at {
-			status = wire.ListRunning
-		}
 		list.Machines = append(list.Machines, wire.ListedMachine{
-			Name: n, Endpoint: m.Endpoint, Type: m.Type, Zone: m.Zone, Spot: m.Spot,
-			Status: status, AgeS: (at - m.Rented).Seconds(),
+			Name: name, Endpoint: m.Endpoint, Type: m.Type, Zone: m.Zone, Spot: m.Spot,
+			Status: m.statusAt(at), AgeS: (at - m.Rented).Seconds(),
 		})
 	}
-	return newResponse(200, list)
+	return newResponse(wire.StatusOK, list)
 }
 
-// Endpoint is the address of a machine's worker where there is no network.
-func Endpoint(name string) string { return "worker:" + name }
+// statusAt returns the status that the list of machines shows.
+func (m *CloudMachine) statusAt(at micros.Micros) string {
+	if m.UpAt != 0 && m.UpAt <= at {
+		return wire.ListRunning
+	}
+	return wire.ListBooting
+}
--- a/internal/fake/dump.go
+++ b/internal/fake/dump.go
@@ -6,7 +6,7 @@
 	"tamarindlead/micros"
 )
 
-// Record is a key of the state service as a dump keeps it.
+// Record is a key of the key-value store. Its fields are part of the format of dumps.
 type Record struct {
 	Key     string
 	Value   cbor.RawMessage
@@ -14,43 +14,45 @@
 	Lease   uint64
 }
 
-// Records lists all keys in order, and tells the revision.
+// Records returns all records in the order of their keys, and the current revision.
 func (s *KVStore) Records() (list []Record, revision uint64) {
-	for _, k := range s.Keys("") {
-		e := s.keys[k]
-		list = append(list, Record{k, e.value, e.version, e.lease})
+	for _, key := range s.Keys("") {
+		e := s.entries[key]
+		list = append(list, Record{key, e.value, e.version, e.lease})
 	}
 	return list, s.revision
 }
 
-// Load starts the state service from records. Their leases end after the given time unless
-// somebody extends them.
+// Load initializes the store with records. Their leases expire after ttl unless a client renews
+// them.
 func (s *KVStore) Load(list []Record, revision uint64, ttl micros.Micros) {
 	s.revision, s.compactedRevision = revision, revision
 	for _, r := range list {
-		s.keys[r.Key] = kvEntry{r.Value, r.Version, r.Lease}
+		s.entries[r.Key] = kvEntry{r.Value, r.Version, r.Lease}
 		if r.Lease != 0 {
 			s.leases[r.Lease] = &kvLease{ttl, s.Now + ttl}
-			s.nextID = max(s.nextID, r.Lease)
+			s.lastLeaseID = max(s.lastLeaseID, r.Lease)
 		}
 	}
 }
 
-// Grants tells which rentals were granted, and how many machines there were.
-func (c *Cloud) Grants() (grants map[string][]string, machines int) { return c.grants, c.next }
+// Grants returns the names of the machines that were created, by scale-out request, and the number
+// of machines created in total.
+func (c *Cloud) Grants() (grants map[string][]string, machines int) { return c.grants, c.nextSequence }
 
-// RestoreGrants starts the cloud from what Grants told.
+// RestoreGrants sets what Grants returned for an earlier cloud.
 func (c *Cloud) RestoreGrants(grants map[string][]string, machines int) {
 	if grants != nil {
 		c.grants = grants
 	}
-	c.next = machines
+	c.nextSequence = machines
 }
 
-// PhaseRemaining is how long a task's phase lasts still.
+// PhaseRemaining returns the time until the end of a task's phase.
 func (t *Task) PhaseRemaining(now micros.Micros) micros.Micros { return t.phaseEndsAt - now }
 
-// SetPhaseRemaining sets it.
-func (t *Task) SetPhaseRemaining(now, left micros.Micros) {
-	t.phaseEndsAt, t.gangWaitSince = now+left, now
+// SetPhaseRemaining sets the time until the end of a task's phase. The time for which the task
+// waits for its gang starts anew.
+func (t *Task) SetPhaseRemaining(now, remaining micros.Micros) {
+	t.phaseEndsAt, t.gangWaitSince = now+remaining, now
 }
--- a/internal/fake/kvstore.go
+++ b/internal/fake/kvstore.go
@@ -1,15 +1,9 @@
-// Package standin holds stand-ins of the state service, the cloud and the workers,
-// written to the protocol, for tests. They are plain state machines over a given
-// time; the tests decide what is lost, late or executed twice.
 package fake
 
 import (
-	"encoding/json"
-	"fmt"
 	"maps"
 	"net/url"
 	"slices"
-	"sort"
 	"strconv"
 	"strings"
 
@@ -19,20 +13,48 @@
 	"tamarindlead/micros"
 )
 
-// Response is an answer; Later tells that it comes only after further changes.
-type Response struct {
-	Status int
-	Body   []byte
-}
+// The paths of the key-value store.
+const (
+	pathWatch       = "/changes"
+	pathEntries     = "/kv"
+	pathTransaction = "/commit"
+	pathLeases      = "/leases"
+)
 
-func newResponse(status int, v any) Response { return Response{status, wire.Encode(v)} }
+// KVStore is a fake of the key-value store.
+type KVStore struct {
+	Now                   micros.Micros
+	Unavailable           bool                                           // all requests get status 503
+	RefusedCallers        map[string]bool                                // callers whose requests get status 503
+	Writes                int                                            // puts and deletes that were committed
+	CompactHistory        bool                                           // the next watch compacts the history: all open watches get status 410
+	MaxOps                int                                            // limit of puts and deletes in a transaction, 0: none
+	MaxValueBytes         int                                            // limit of a value's size as JSON, 0: none
+	OversizedTransactions int                                            // transactions that exceeded these limits
+	OnPut                 func(key string, value []byte, version uint64) // called for each put
+	OnCommit              func(revision uint64)                          // called after all changes of a transaction
+	// RequestRate and WriteRate limit requests and writes a second, with bursts of the amount of
+	// one second; 0: no limit.
+	RequestRate, WriteRate float64
+	Throttled              int // requests that exceeded these rates
 
+	requests, writes  tokenBucket
+	revision          uint64
+	compactedRevision uint64 // watches after an older revision get status 410
+	entries           map[string]kvEntry
+	events            []kvEvent
+	leases            map[uint64]*kvLease
+	lastLeaseID       uint64
+}
+
+// kvEntry is the current value of a key.
 type kvEntry struct {
 	value   cbor.RawMessage
 	version uint64
 	lease   uint64
 }
 
+// kvEvent is a change in the history.
 type kvEvent struct {
 	revision uint64
 	key      string
@@ -40,317 +62,195 @@
 	value    cbor.RawMessage
 }
 
-// KVStore is the state service.
-type KVStore struct {
-	Now                   micros.Micros
-	Unavailable           bool            // answers 503 to everybody
-	RefusedCallers        map[string]bool // answers 503 to these callers
-	Writes                int
-	CompactHistory        bool                                           // forgets all history: watches get 410 once
-	MaxOps                int                                            // puts and deletes in one commit, 0 for no limit
-	MaxValueBytes         int                                            // bytes of a value in JSON, 0 for no limit
-	OversizedTransactions int                                            // commits that were refused for their size
-	OnPut                 func(key string, value []byte, version uint64) // is shown what is written
-	// OnCommit is told when all changes of a transaction were made.
-	OnCommit func(revision uint64)
-	// Requests and changes a second, with bursts of one second's worth; 0 for no limit.
-	RequestRate, WriteRate float64
-	Throttled              int // requests that were refused for these
-	requests, writes       tokenBucket
-	revision               uint64
-	keys                   map[string]kvEntry
-	leases                 map[uint64]*kvLease
-	events                 []kvEvent
-	nextID                 uint64
-	compactedRevision      uint64
-}
-
-// tokenBucket holds what a rate leaves.
-type tokenBucket struct {
-	used float64 // of one second's worth
-	at   micros.Micros
-}
-
-// take takes n at a rate, or tells that there are not so many.
-func (b *tokenBucket) take(n int, rate float64, now micros.Micros) bool {
-	if rate <= 0 {
-		*b = tokenBucket{at: now}
-		return true
-	}
-	b.used = max(0, b.used-rate*(now-b.at).Seconds())
-	b.at = now
-	if b.used+float64(n) > rate {
-		return false
-	}
-	b.used += float64(n)
-	return true
-}
-
-func (s *KVStore) throttle() Response {
-	s.Throttled++
-	return newResponse(429, wire.ErrorResponse{Error: "too many"})
-}
-
-type kvLease struct{ ttl, ends micros.Micros }
-
-// NewKVStore returns an empty state service.
+// NewKVStore returns an empty key-value store without limits.
 func NewKVStore() *KVStore {
-	return &KVStore{keys: map[string]kvEntry{}, leases: map[uint64]*kvLease{}, RefusedCallers: map[string]bool{}}
+	return &KVStore{entries: map[string]kvEntry{}, leases: map[uint64]*kvLease{}, RefusedCallers: map[string]bool{}}
 }
 
-// Get returns a value, for checks.
+// Get returns the value of a key.
 func (s *KVStore) Get(key string) (cbor.RawMessage, bool) {
-	e, ok := s.keys[key]
+	e, ok := s.entries[key]
 	return e.value, ok
 }
 
-// Keys returns the keys with a prefix, in order.
+// Keys returns the keys with a prefix in ascending order.
 func (s *KVStore) Keys(prefix string) []string {
 	var keys []string
-	for k := range s.keys {
-		if strings.HasPrefix(k, prefix) {
-			keys = append(keys, k)
+	for key := range s.entries {
+		if strings.HasPrefix(key, prefix) {
+			keys = append(keys, key)
 		}
 	}
-	sort.Strings(keys)
+	slices.Sort(keys)
 	return keys
 }
 
-// Advance ends leases that ran out. During an outage they stand still.
+// Advance sets the time and expires leases. During an outage no lease expires.
 func (s *KVStore) Advance(now micros.Micros) {
 	if s.Unavailable {
 		for _, l := range s.leases {
-			l.ends = now + l.ttl
+			l.expiresAt = now + l.ttl
 		}
 	}
 	s.Now = now
 	for _, id := range slices.Sorted(maps.Keys(s.leases)) {
-		if now > s.leases[id].ends {
-			s.endLease(id)
-		}
-	}
-}
-
-func (s *KVStore) endLease(id uint64) {
-	delete(s.leases, id)
-	var keys []string
-	for k, e := range s.keys {
-		if e.lease == id {
-			keys = append(keys, k)
-		}
-	}
-	sort.Strings(keys)
-	for _, k := range keys {
-		s.revision++
-		s.apply(k, true, nil, 0)
-	}
-}
-
-func (s *KVStore) apply(key string, deleted bool, value cbor.RawMessage, lease uint64) {
-	if deleted {
-		if _, ok := s.keys[key]; !ok {
-			return
-		}
-		delete(s.keys, key)
-	} else {
-		s.keys[key] = kvEntry{value, s.revision, lease}
-		if s.OnPut != nil {
-			s.OnPut(key, value, s.revision)
+		if now > s.leases[id].expiresAt {
+			s.expireLease(id)
 		}
 	}
-	s.events = append(s.events, kvEvent{s.revision, key, deleted, value})
 }
 
-// Handle executes a request. ok is false for a watch that has nothing to tell yet;
-// it must be asked again until its wait is over, then with last set.
+// Handle executes a request. ok is false for a watch without events: the caller retries it until
+// its wait time is over, then with last set.
 func (s *KVStore) Handle(caller, method, target string, body []byte, last bool) (r Response, ok bool) {
 	u, err := url.ParseRequestURI(target)
 	if err != nil {
-		return newResponse(400, wire.ErrorResponse{Error: "target"}), true
+		return newErrorResponse(wire.StatusBadRequest, "target"), true
 	}
+	watch := u.Path == pathWatch
 	if s.Unavailable || s.RefusedCallers[caller] {
-		if u.Path == "/changes" && !last {
+		if watch && !last {
 			return Response{}, false
 		}
-		return newResponse(503, wire.ErrorResponse{Error: "trouble"}), true
+		return newErrorResponse(wire.StatusUnavailable, "trouble"), true
 	}
-	q := u.Query()
-	// A watch is asked for again and again while it waits: it counts as nothing.
-	if u.Path != "/changes" && !s.requests.take(1, s.RequestRate, s.Now) {
+	// A watch is retried many times while it waits, so it does not count against the rate.
+	if !watch && !s.requests.take(1, s.RequestRate, s.Now) {
 		return s.throttle(), true
 	}
-	switch {
-	case method == "GET" && u.Path == "/changes":
-		return s.watchEvents(q, last)
-	case method == "GET" && u.Path == "/kv":
-		return s.list(q), true
-	case method == "GET" && strings.HasPrefix(u.Path, "/kv/"):
-		key := strings.TrimPrefix(u.Path, "/kv/")
-		e, found := s.keys[key]
-		if !found {
-			return newResponse(404, map[string]any{"ledger": s.revision}), true
-		}
-		return newResponse(200, map[string]any{"k": key, "data": e.value, "stamp": e.version}), true
-	case method == "POST" && u.Path == "/commit":
-		return s.commit(body), true
-	case method == "POST" && u.Path == "/leases":
-		var req struct {
-			TTL int64 `cbor:"ttlMs"`
-		}
-		if wire.Decode(body, &req) != nil {
-			return newResponse(400, wire.ErrorResponse{Error: "ttl"}), true
-		}
-		s.nextID++
-		ttl := micros.FromMillis(float64(req.TTL))
-		s.leases[s.nextID] = &kvLease{ttl, s.Now + ttl}
-		return newResponse(200, map[string]any{"tenancy": s.nextID}), true
-	case strings.HasPrefix(u.Path, "/leases/"):
-		return s.lease(method, strings.TrimPrefix(u.Path, "/leases/")), true
+	if watch && method == "GET" {
+		return s.watchEvents(u.Query(), last)
 	}
-	return newResponse(400, wire.ErrorResponse{Error: "unknown"}), true
+	return s.execute(method, u, body), true
 }
 
-func (s *KVStore) lease(method, rest string) Response {
-	text, renew := strings.CutSuffix(rest, "/extend")
-	id, _ := strconv.ParseUint(text, 10, 64)
-	l := s.leases[id]
-	if l == nil {
-		return newResponse(404, map[string]any{})
+// execute executes a request that does not wait.
+func (s *KVStore) execute(method string, u *url.URL, body []byte) Response {
+	key, isKey := strings.CutPrefix(u.Path, pathEntries+"/")
+	leaseAction, isLease := strings.CutPrefix(u.Path, pathLeases+"/")
+	switch {
+	case method == "GET" && u.Path == pathEntries:
+		return s.list(u.Query())
+	case method == "GET" && isKey:
+		return s.read(key)
+	case method == "POST" && u.Path == pathTransaction:
+		return s.commit(body)
+	case method == "POST" && u.Path == pathLeases:
+		return s.grantLease(body)
+	case isLease:
+		return s.updateLease(method, leaseAction)
 	}
-	if renew && method == "POST" {
-		l.ends = s.Now + l.ttl
-	} else if method == "DELETE" {
-		s.endLease(id)
+	return newErrorResponse(wire.StatusBadRequest, "unknown")
+}
+
+// entryResponse is an entry in the responses to reads and lists.
+type entryResponse struct {
+	Key     string          `cbor:"k"`
+	Value   cbor.RawMessage `cbor:"data"`
+	Version uint64          `cbor:"stamp"`
+}
+
+// revisionResponse is the body of responses that only contain the current revision.
+type revisionResponse struct {
+	Revision uint64 `cbor:"ledger"`
+}
+
+func (s *KVStore) read(key string) Response {
+	e, found := s.entries[key]
+	if !found {
+		return newResponse(wire.StatusNotFound, revisionResponse{s.revision})
 	}
-	return newResponse(200, map[string]any{})
+	return newResponse(wire.StatusOK, entryResponse{key, e.value, e.version})
+}
+
+// listResponse is a page of entries.
+type listResponse struct {
+	Entries  []entryResponse `cbor:"entries"`
+	More     bool            `cbor:"more"`
+	Revision uint64          `cbor:"ledger"`
 }
 
-func (s *KVStore) list(q url.Values) Response {
-	limit, _ := strconv.Atoi(q.Get("limit"))
-	entries := []any{}
-	more := false
-	for _, k := range s.Keys(q.Get("prefix")) {
-		if k <= q.Get("after") {
+func (s *KVStore) list(query url.Values) Response {
+	limit, _ := strconv.Atoi(query.Get("limit")) // without a number there is no limit
+	page := listResponse{Entries: []entryResponse{}, Revision: s.revision}
+	for _, key := range s.Keys(query.Get("prefix")) {
+		if key <= query.Get("after") {
 			continue
 		}
-		if limit > 0 && len(entries) == limit {
-			more = true
+		if limit > 0 && len(page.Entries) == limit {
+			page.More = true
 			break
 		}
-		e := s.keys[k]
-		entries = append(entries, map[string]any{"k": k, "data": e.value, "stamp": e.version})
+		e := s.entries[key]
+		page.Entries = append(page.Entries, entryResponse{key, e.value, e.version})
 	}
-	return newResponse(200, map[string]any{"entries": entries, "more": more, "ledger": s.revision})
+	return newResponse(wire.StatusOK, page)
 }
 
-func (s *KVStore) watchEvents(q url.Values, last bool) (Response, bool) {
-	after, _ := strconv.ParseUint(q.Get("after"), 10, 64)
+// watchResponse contains the events after a revision.
+type watchResponse struct {
+	Revision uint64 `cbor:"ledger"`
+	Events   []any  `cbor:"events"`
+}
+
+// putEvent and deleteEvent are the events of a watch.
+type (
+	putEvent struct {
+		Key     string          `cbor:"put"`
+		Value   cbor.RawMessage `cbor:"data"`
+		Version uint64          `cbor:"stamp"`
+	}
+	deleteEvent struct {
+		Key     string `cbor:"delete"`
+		Version uint64 `cbor:"stamp"`
+	}
+)
+
+func (s *KVStore) watchEvents(query url.Values, last bool) (r Response, ok bool) {
+	after, _ := strconv.ParseUint(query.Get("after"), 10, 64) // without a number from the start
 	if s.CompactHistory {
-		s.revision++ // so that every open watch is behind
-		s.CompactHistory, s.events, s.compactedRevision = false, nil, s.revision
+		s.compactHistory()
 	}
 	if after < s.compactedRevision {
-		return newResponse(410, wire.ErrorResponse{Error: "too old"}), true
+		return newErrorResponse(wire.StatusCompacted, "too old"), true
 	}
-	events := []any{}
+	found := watchResponse{Revision: s.revision, Events: []any{}}
 	for _, e := range s.events {
-		if e.revision <= after || !strings.HasPrefix(e.key, q.Get("prefix")) {
+		if e.revision <= after || !strings.HasPrefix(e.key, query.Get("prefix")) {
 			continue
 		}
 		if e.deleted {
-			events = append(events, map[string]any{"delete": e.key, "stamp": e.revision})
+			found.Events = append(found.Events, deleteEvent{e.key, e.revision})
 		} else {
-			events = append(events, map[string]any{"put": e.key, "data": e.value, "stamp": e.revision})
+			found.Events = append(found.Events, putEvent{e.key, e.value, e.revision})
 		}
 	}
-	if len(events) == 0 && !last {
+	if len(found.Events) == 0 && !last {
 		return Response{}, false
 	}
-	return newResponse(200, map[string]any{"ledger": s.revision, "events": events}), true
+	return newResponse(wire.StatusOK, found), true
 }
 
-// JSONSize is the size of a message in the form in which the limits count it.
-func JSONSize(data []byte) int {
-	var v any
-	if wire.Decode(data, &v) != nil {
-		return 0
-	}
-	text, err := json.Marshal(jsonValue(v))
-	if err != nil {
-		return 0
-	}
-	return len(text)
+// compactHistory drops all events. The revision is incremented, so that every open watch is too old.
+func (s *KVStore) compactHistory() {
+	s.revision++
+	s.CompactHistory, s.events, s.compactedRevision = false, nil, s.revision
 }
 
-// jsonValue turns decoded CBOR into what can be written as JSON.
-func jsonValue(v any) any {
-	switch v := v.(type) {
-	case map[any]any:
-		m := map[string]any{}
-		for k, x := range v {
-			m[fmt.Sprint(k)] = jsonValue(x)
-		}
-		return m
-	case []any:
-		for i := range v {
-			v[i] = jsonValue(v[i])
-		}
+// put sets a key at the current revision.
+func (s *KVStore) put(key string, value cbor.RawMessage, lease uint64) {
+	s.entries[key] = kvEntry{value, s.revision, lease}
+	if s.OnPut != nil {
+		s.OnPut(key, value, s.revision)
 	}
-	return v
+	s.events = append(s.events, kvEvent{revision: s.revision, key: key, value: value})
 }
 
-func (s *KVStore) commit(body []byte) Response {
-	var req struct {
-		Guards []struct {
-			Key     string `cbor:"k"`
-			Version uint64 `cbor:"stamp"`
-		} `cbor:"guards"`
-		Writes []struct {
-			Put    string          `cbor:"put"`
-			Value  cbor.RawMessage `cbor:"data"`
-			Lease  uint64          `cbor:"tenancy"`
-			Delete string          `cbor:"delete"`
-		} `cbor:"writes"`
-	}
-	if wire.Decode(body, &req) != nil {
-		return newResponse(400, wire.ErrorResponse{Error: "commit"})
-	}
-	if s.MaxOps > 0 && (len(req.Writes) > s.MaxOps || len(req.Guards) > 4*s.MaxOps) || JSONSize(body) > 64<<10 {
-		s.OversizedTransactions++
-		return newResponse(400, wire.ErrorResponse{Error: "too large"})
-	}
-	for _, w := range req.Writes {
-		if s.MaxValueBytes > 0 && w.Put != "" && JSONSize(w.Value) > s.MaxValueBytes {
-			s.OversizedTransactions++
-			return newResponse(400, wire.ErrorResponse{Error: "value too large"})
-		}
-		if w.Lease != 0 && s.leases[w.Lease] == nil {
-			return newResponse(400, wire.ErrorResponse{Error: "no such lease"})
-		}
-	}
-	failed := []string{}
-	for _, g := range req.Guards {
-		if s.keys[g.Key].version != g.Version {
-			failed = append(failed, g.Key)
-		}
-	}
-	if len(failed) == 0 && !s.writes.take(len(req.Writes), s.WriteRate, s.Now) {
-		return s.throttle()
-	}
-	if len(failed) > 0 {
-		return newResponse(409, map[string]any{"failed": failed, "ledger": s.revision})
-	}
-	s.revision++
-	s.Writes += len(req.Writes)
-	for _, w := range req.Writes {
-		if w.Put != "" {
-			s.apply(w.Put, false, w.Value, w.Lease)
-		} else {
-			s.apply(w.Delete, true, nil, 0)
-		}
-	}
-	if s.OnCommit != nil {
-		s.OnCommit(s.revision)
+// deleteKey deletes a key at the current revision. A key that does not exist is ignored.
+func (s *KVStore) deleteKey(key string) {
+	if _, ok := s.entries[key]; !ok {
+		return
 	}
-	return newResponse(200, map[string]any{"ledger": s.revision})
+	delete(s.entries, key)
+	s.events = append(s.events, kvEvent{revision: s.revision, key: key, deleted: true})
 }
--- /dev/null
+++ b/internal/fake/worker_heartbeat.go
@@ -0,0 +1,92 @@
+package fake
+
+import (
+	"tamarindlead/internal/wire"
+	"tamarindlead/micros"
+)
+
+const (
+	// minHeartbeatInterval is the shortest time between two heartbeats.
+	minHeartbeatInterval = 500 * micros.Millisecond
+	// heartbeatRetryInterval is the time between a failed heartbeat and the next one.
+	heartbeatRetryInterval = micros.Second
+)
+
+// BuildHeartbeat builds the next heartbeat: past attempts first, then the tasks by name.
+func (w *Worker) BuildHeartbeat() wire.Heartbeat {
+	w.HeartbeatSeq++
+	heartbeat := wire.Heartbeat{
+		Machine: w.Machine.Name, Endpoint: w.Machine.Endpoint, Type: w.Machine.Type,
+		Zone: w.Machine.Zone, Spot: w.Machine.Spot,
+		AgentEpoch: w.AgentEpoch, HeartbeatSeq: w.HeartbeatSeq, FencingToken: w.FencingToken,
+		PreemptionNoticeS: w.Notice, Tasks: []wire.TaskStatus{},
+	}
+	for _, t := range w.PastAttempts {
+		heartbeat.Tasks = append(heartbeat.Tasks, t.status())
+	}
+	for _, name := range w.taskNames() {
+		heartbeat.Tasks = append(heartbeat.Tasks, w.Tasks[name].status())
+	}
+	return heartbeat
+}
+
+func (t *Task) status() wire.TaskStatus {
+	return wire.TaskStatus{Task: t.Name, Attempt: t.Attempt, Phase: t.Phase, Cause: t.Cause, Checkpointed: t.Checkpointed}
+}
+
+// HeartbeatDue reports whether a heartbeat must be sent now: at its time, or early after a change.
+func (w *Worker) HeartbeatDue(now micros.Micros) bool {
+	if w.Hung || w.InFlight {
+		return false
+	}
+	return now >= w.NextHeartbeat || w.Changed && now >= w.LastAt+minHeartbeatInterval
+}
+
+// HeartbeatSent records that a heartbeat was sent.
+func (w *Worker) HeartbeatSent(now, interval micros.Micros) {
+	w.InFlight, w.heartbeatSentAt, w.LastAt, w.NextHeartbeat, w.Changed = true, now, now, now+interval, false
+}
+
+// HandleHeartbeatResponse handles the response to a heartbeat that was sent in epoch; status 0
+// stands for none. nodeOf returns the index of a controller, and nodes is the number of controllers.
+func (w *Worker) HandleHeartbeatResponse(now micros.Micros, status int, body []byte, epoch uint64, nodeOf func(string) (int, bool), nodes int) {
+	w.InFlight = false
+	if !w.Hung {
+		w.resume(now)
+	}
+	switch status {
+	case wire.StatusOK:
+		w.applyHeartbeatResponse(now, body, epoch)
+		return
+	case wire.StatusMisdirected:
+		if node, ok := redirectTarget(body, nodeOf); ok && node != w.Node {
+			w.Node, w.NextHeartbeat = node, now
+			return
+		}
+	}
+	w.Node, w.NextHeartbeat = (w.Node+1)%nodes, now+heartbeatRetryInterval
+}
+
+// applyHeartbeatResponse renews the lease and executes the commands, unless the response has a
+// lower fencing token than an earlier one, or answers a heartbeat of an earlier epoch.
+func (w *Worker) applyHeartbeatResponse(now micros.Micros, body []byte, epoch uint64) {
+	var response wire.HeartbeatResponse
+	if wire.Decode(body, &response) != nil || response.FencingToken == 0 {
+		return
+	}
+	if response.FencingToken < w.FencingToken || epoch != w.AgentEpoch {
+		return
+	}
+	w.observeFencingToken(now, response.FencingToken)
+	w.LastAnsweredHeartbeat = w.heartbeatSentAt
+	w.Execute(now, response.Commands)
+}
+
+// redirectTarget returns the controller that a response directs the worker to.
+func redirectTarget(body []byte, nodeOf func(string) (int, bool)) (node int, ok bool) {
+	var redirect wire.Redirect
+	if wire.Decode(body, &redirect) != nil {
+		return 0, false
+	}
+	return nodeOf(redirect.HeartbeatNode)
+}
