--- a/internal/fake/worker.go
+++ b/internal/fake/worker.go
@@ -28,10 +28,9 @@
 	Lease                 micros.Micros // tasks are killed this long after LastAnsweredHeartbeat
 	LastAnsweredHeartbeat micros.Micros // time at which the last answered heartbeat was sent
 	NextHeartbeat         micros.Micros
-	LastAt                micros.Micros // time of the last heartbeat
-	Node                  int           // index of the controller that receives its heartbeats
-	InFlight              bool          // a heartbeat has not been answered yet
-	Changed               bool          // something must be reported before NextHeartbeat
+	Node                  int  // index of the controller that receives its heartbeats
+	InFlight              bool // a heartbeat has not been answered yet
+	Changed               bool // something must be reported before NextHeartbeat
 
 	Info    func(task string) (TaskInfo, bool)
 	OnStart func(w *Worker, task string, attempt uint64)
@@ -49,7 +48,7 @@
 	GangStopRequested func(task string, attempt uint64) (first micros.Micros, all bool)
 	Completed         func(task string) bool // reports whether a task's result is stored
 
-	heartbeatSentAt micros.Micros
+	heartbeatSentAt micros.Micros // time of the last heartbeat
 	hungSince       micros.Micros // 0: it does not hang
 	tokenChangedAt  micros.Micros // time at which a higher fencing token last set Changed
 }
--- a/internal/fake/worker_heartbeat.go
+++ b/internal/fake/worker_heartbeat.go
@@ -39,12 +39,12 @@
 	if w.Hung || w.InFlight {
 		return false
 	}
-	return now >= w.NextHeartbeat || w.Changed && now >= w.LastAt+minHeartbeatInterval
+	return now >= w.NextHeartbeat || w.Changed && now >= w.heartbeatSentAt+minHeartbeatInterval
 }
 
 // HeartbeatSent records that a heartbeat was sent.
 func (w *Worker) HeartbeatSent(now, interval micros.Micros) {
-	w.InFlight, w.heartbeatSentAt, w.LastAt, w.NextHeartbeat, w.Changed = true, now, now, now+interval, false
+	w.InFlight, w.heartbeatSentAt, w.NextHeartbeat, w.Changed = true, now, now+interval, false
 }
 
 // HandleHeartbeatResponse handles the response to a heartbeat that was sent in epoch; status 0
