--- a/internal/soaktest/checker.go
+++ b/internal/soaktest/checker.go
@@ -9,177 +9,148 @@
 	"tamarindlead/sched"
 )
 
-// Rule names what a violation broke.
-type Rule string
-
-// The rules of the protocol, and what else must hold.
 const (
-	RuleRanTwice     Rule = "ran_twice"
-	RuleQuota        Rule = "quota"
-	RuleWrongPlace   Rule = "wrong_place"
-	RuleRanCancelled Rule = "ran_cancelled"
-	RuleForgotten    Rule = "forgotten"
-	RuleInvented     Rule = "invented"
-	RuleNotDone      Rule = "not_done"
-	RuleWentBack     Rule = "went_back"
-	RuleNotLinear    Rule = "not_linearizable"
-	RuleOwnedTwice   Rule = "machine_owned_twice"
-	RuleAdopted      Rule = "adopted_though_recorded"
-	RuleFinalChanged Rule = "final_record_changed"
-	RuleLimits       Rule = "state_service_limits"
-	RuleProcessEnded Rule = "process_ended"
-	RuleInvariant    Rule = "invariant"
-	RuleRefusal      Rule = "refused_without_retry_after"
-	RuleGivenUp      Rule = "machine_given_up"
-	// RuleHarness is a fault of the soak itself: such a run shows nothing.
-	RuleHarness Rule = "harness"
+	// maxViolations limits the violations that are kept, since more of them add no information.
+	maxViolations = 50
+	// maxStepInterval is the longest time between two steps that does not count as a stall.
+	maxStepInterval = 200 * micros.Millisecond
+	// maxUnansweredTime is how long users may get no response about a job once faults have ended.
+	maxUnansweredTime = 75 * micros.Second
+	// roundingTolerance is how far a sum of CPUs may exceed a limit by rounding.
+	roundingTolerance = 1e-6
 )
 
-// Violation is a rule that was broken, and what was seen from outside.
-type Violation struct {
-	At      micros.Micros // since the start of the run
-	Rule    Rule
-	Details string
-}
-
-// String returns the violation in a line.
-func (v Violation) String() string {
-	return fmt.Sprintf("%7.3f %s: %s", v.At.Seconds(), v.Rule, v.Details)
-}
-
-// maxViolations bounds what is kept: more of them tell nothing new.
-const maxViolations = 50
-
-// checker holds what users and workers saw against the rules. Its methods are called with the
-// lock of the site.
+// checker checks what users and workers observe against the rules. Its methods must be called with
+// the harness's mutex held, except processEnded.
 type checker struct {
-	site              *harness
+	harness           *harness
 	jobs              map[string]*jobHistory
-	order             []string
-	running           map[string]string // task -> machine
+	jobIDs            []string          // in order of submission
+	running           map[string]string // machine, by task
 	violations        []Violation
-	droppedViolations int // violations that were not kept
+	droppedViolations int // violations beyond maxViolations
 	stats             Stats
 	blocks            blockOwners
-	terminalStates    map[string]string // final records, by job
-	stalled           micros.Micros     // time in which the soak itself was held up
-	faultsEndedAt     micros.Micros     // 0: not yet
+	terminalStates    map[string]string // statuses of terminal-state records, by job
+	stallTime         micros.Micros     // total time in which the test itself was stalled
+	faultsEndedAt     micros.Micros     // 0: they have not ended
 }
 
 // jobHistory is what is certain about a job.
 type jobHistory struct {
-	job               *sched.Job
-	info              fake.TaskInfo
-	body              []byte
-	acceptedAt        micros.Micros // when a user was first told so
-	terminalPhase     wire.JobPhase // that a user was told
-	terminalAt        micros.Micros
-	stalledAtTerminal micros.Micros // checker.stalled at that time
-	cancelRequested   bool
-	answeredAt        micros.Micros // when anybody was told anything about it
-	operations        []operation
-	pending           pendingOperations
-}
-
-// Stats count what a run did.
-type Stats struct {
-	Jobs, Accepted, Done, Cancelled, Answers, Refused, Unanswered int
-	Starts, StartsAfterCancel, Faults, Kills                      int
-	Open                                                          int // accepted, not cancelled and not over at the end
-	Undecided                                                     int // histories that the linearizability check gave up
-	GivenUp                                                       int // machines that controllers took for lost
-}
-
-func newChecker(s *harness) *checker {
+	job                 *sched.Job
+	taskInfo            fake.TaskInfo
+	body                []byte        // of its submission
+	acceptedAt          micros.Micros // time of the first response that shows its acceptance
+	terminalPhase       wire.JobPhase // of the first response that shows its end
+	terminalAt          micros.Micros
+	stallTimeAtTerminal micros.Micros // checker.stallTime at that time
+	cancelRequested     bool
+	lastResponseAt      micros.Micros // time of the last conclusive response to any user
+	operations          []operation   // with conclusive responses
+	pending             pendingOperations
+}
+
+func newChecker(h *harness) *checker {
 	return &checker{
-		site: s, jobs: map[string]*jobHistory{}, running: map[string]string{},
+		harness: h, jobs: map[string]*jobHistory{}, running: map[string]string{},
 		blocks: newBlockOwners(), terminalStates: map[string]string{},
 	}
 }
 
-// reportViolation notes a violation.
+// addJob registers a job that is about to be submitted.
+func (c *checker) addJob(history *jobHistory) {
+	id := history.job.ID
+	c.jobs[id] = history
+	c.jobIDs = append(c.jobIDs, id)
+	c.stats.Jobs++
+}
+
+// reportViolation records a violation.
 func (c *checker) reportViolation(rule Rule, format string, args ...any) {
 	if len(c.violations) >= maxViolations {
 		c.droppedViolations++
 		return
 	}
-	v := Violation{c.site.now() - micros.Hour, rule, fmt.Sprintf(format, args...)}
+	v := Violation{sinceStart(c.harness.now()), rule, fmt.Sprintf(format, args...)}
 	c.violations = append(c.violations, v)
-	c.site.progress("VIOLATION %s: %s", v.Rule, v.Details)
+	c.harness.progress("VIOLATION %s: %s", v.Rule, v.Details)
 }
 
-// harnessFailed notes that the soak could not do its work.
+// harnessFailed records a failure of the test itself.
 func (c *checker) harnessFailed(format string, args ...any) {
 	c.reportViolation(RuleHarness, format, args...)
 }
 
-// processEnded notes that a controller ended by itself.
+// processEnded records that a controller exited though the harness did not end it. It acquires the
+// harness's mutex.
 func (c *checker) processEnded(name string, err error) {
-	c.site.mu.Lock()
-	defer c.site.mu.Unlock()
-	c.reportViolation(RuleProcessEnded, "%s ended by itself: %v", name, err)
+	c.harness.mu.Lock()
+	defer c.harness.mu.Unlock()
+	c.reportViolation(RuleProcessEnded, "%s exited by itself: %v", name, err)
 }
 
-// maxStep is the longest time between two steps that does not count as a stall.
-const maxStep = 200 * micros.Millisecond
-
-// recordStall notes that the soak itself was held up, as on a busy machine: time limits are
-// extended by that.
+// recordStall records that the test itself was stalled between two steps, as on a busy machine: the
+// checked time limits are extended by that.
 func (c *checker) recordStall(before, now micros.Micros) {
-	if before > 0 && now-before > maxStep {
-		c.stalled += now - before
+	if before > 0 && now-before > maxStepInterval {
+		c.stallTime += now - before
 	}
 }
 
-// taskInfo tells what users uploaded about a task.
+// taskInfo returns what users uploaded about a task.
 func (c *checker) taskInfo(task string) (fake.TaskInfo, bool) {
 	id, _, ok := wire.SplitTaskName(task)
-	truth := c.jobs[id]
-	if !ok || truth == nil {
+	history := c.jobs[id]
+	if !ok || history == nil {
 		return fake.TaskInfo{}, false
 	}
-	return truth.info, true
+	return history.taskInfo, true
 }
 
 // taskStarted checks the start of a task.
 func (c *checker) taskStarted(w *fake.Worker, task string, attempt uint64) {
 	c.stats.Starts++
 	id, _, _ := wire.SplitTaskName(task)
-	truth := c.jobs[id]
+	history := c.jobs[id]
 	machine := w.Machine
 	if other, ok := c.running[task]; ok && other != machine.Name {
 		c.reportViolation(RuleRanTwice, "%s attempt %d starts on %s while on %s", task, attempt, machine.Name, other)
 	}
 	c.running[task] = machine.Name
-	if truth.terminalPhase == wire.JobCancelled {
+	if history.terminalPhase == wire.JobCancelled {
 		c.stats.StartsAfterCancel++
-		c.checkCancelled(task, truth, "starts")
+		c.checkCancelDeadline(task, history, "starts")
 	}
-	c.checkPlace(task, id, truth, machine)
+	c.checkPlacement(task, id, history, machine)
 }
 
-// checkPlace checks that a task may be where it starts, given the others of its job.
-func (c *checker) checkPlace(task, id string, truth *jobHistory, machine *fake.CloudMachine) {
-	if !truth.job.Allows(machine.Type, machine.Zone, machine.Spot) {
+// checkPlacement checks that the constraints of a job allow a task's machine, also with respect to
+// the other running tasks of the job.
+func (c *checker) checkPlacement(task, id string, history *jobHistory, machine *fake.CloudMachine) {
+	if !history.job.Allows(machine.Type, machine.Zone, machine.Spot) {
 		c.reportViolation(RuleWrongPlace, "%s starts on %s", task, machine.Name)
 	}
-	byZone := map[string]int{}
+	tasksByZone := map[string]int{}
 	for other, name := range c.running {
-		if o, _, _ := wire.SplitTaskName(other); o == id {
-			byZone[c.site.cloud.Machines[name].Zone]++
+		if otherID, _, _ := wire.SplitTaskName(other); otherID == id {
+			tasksByZone[c.harness.cloud.Machines[name].Zone]++
 		}
 	}
-	if truth.job.OneZone && len(byZone) > 1 || byZone[machine.Zone] > truth.job.ZoneCap() {
-		c.reportViolation(RuleWrongPlace, "%s starts in %s, tasks by zone: %v", task, machine.Zone, byZone)
+	if history.job.OneZone && len(tasksByZone) > 1 || tasksByZone[machine.Zone] > history.job.ZoneCap() {
+		c.reportViolation(RuleWrongPlace, "%s starts in %s, tasks by zone: %v", task, machine.Zone, tasksByZone)
 	}
 }
 
-// checkCancelled checks that a task of a cancelled job is not on a machine for too long.
-func (c *checker) checkCancelled(task string, truth *jobHistory, does string) {
-	limit := truth.terminalAt + cancelDeadline + c.stalled - truth.stalledAtTerminal
-	if now := c.site.now(); now > limit {
-		c.reportViolation(RuleRanCancelled, "%s %s %v after its user was told", task, does, now-truth.terminalAt)
+// checkCancelDeadline checks that a task of a cancelled job is not on a machine after the deadline.
+// It reports whether the deadline, without the extension by stalls, is over.
+func (c *checker) checkCancelDeadline(task string, history *jobHistory, event string) (overdue bool) {
+	now := c.harness.now()
+	deadline := history.terminalAt + cancelDeadline
+	if now > deadline+c.stallTime-history.stallTimeAtTerminal {
+		c.reportViolation(RuleRanCancelled, "%s %s %v after its user got the confirmation", task, event, now-history.terminalAt)
 	}
+	return now > deadline
 }
 
 func (c *checker) taskExited(w *fake.Worker, task string, _ wire.ExitCause) {
@@ -188,39 +159,76 @@
 	}
 }
 
-// machinesGone forgets what was on machines that were deleted.
-func (c *checker) machinesGone() {
+// dropTerminatedMachines removes the tasks of terminated machines from the running ones.
+func (c *checker) dropTerminatedMachines() {
 	for task, machine := range c.running {
-		if c.site.cloud.Machines[machine].Gone {
+		if c.harness.cloud.Machines[machine].Gone {
 			delete(c.running, task)
 		}
 	}
 }
 
-// tick checks what must hold at any time.
-func (c *checker) tick(micros.Micros) {
-	used := map[string]float64{}
+// checkContinuously checks the rules that must hold at any time.
+func (c *checker) checkContinuously() {
+	c.checkQuotas(c.checkRunningTasks())
+	if c.harness.kvStore.OversizedTransactions > 0 {
+		c.reportViolation(RuleKVLimits, "%d transactions exceeded the limits", c.harness.kvStore.OversizedTransactions)
+		c.harness.kvStore.OversizedTransactions = 0
+	}
+}
+
+// checkRunningTasks checks the deadlines of cancelled jobs. It returns the CPUs in use by team.
+func (c *checker) checkRunningTasks() (cpusByTeam map[string]float64) {
+	cpusByTeam = map[string]float64{}
 	for task, machine := range c.running {
 		id, _, _ := wire.SplitTaskName(task)
-		truth := c.jobs[id]
-		used[truth.job.Team] += truth.info.CPU
-		if truth.terminalPhase == wire.JobCancelled {
-			c.checkCancelled(task, truth, "is still on "+machine)
-			if c.site.now() > truth.terminalAt+cancelDeadline {
-				delete(c.running, task) // it is told once
-			}
+		history := c.jobs[id]
+		cpusByTeam[history.job.Team] += history.taskInfo.CPU
+		if history.terminalPhase != wire.JobCancelled {
+			continue
+		}
+		if c.checkCancelDeadline(task, history, "is still on "+machine) {
+			delete(c.running, task) // it is reported once
 		}
 	}
-	for _, t := range teams(c.site.options.Machines) {
-		if limit := t.QuotaLimit.CPUs(); limit > 0 && used[t.Name] > limit+roundingCPUs {
-			c.reportViolation(RuleQuota, "%s uses %g of %g CPUs", t.Name, used[t.Name], limit)
+	return cpusByTeam
+}
+
+// checkQuotas checks the teams' limits.
+func (c *checker) checkQuotas(cpusByTeam map[string]float64) {
+	for _, t := range teams(c.harness.options.Machines) {
+		limit, used := t.QuotaLimit.CPUs(), cpusByTeam[t.Name]
+		if limit > 0 && used > limit+roundingTolerance {
+			c.reportViolation(RuleQuota, "%s uses %g of %g CPUs", t.Name, used, limit)
 		}
 	}
-	if c.site.kvStore.OversizedTransactions > 0 {
-		c.reportViolation(RuleLimits, "%d commits were too large", c.site.kvStore.OversizedTransactions)
-		c.site.kvStore.OversizedTransactions = 0
+}
+
+// checkUnansweredJobs checks that users got a response about each unfinished job after the end of
+// the faults.
+func (c *checker) checkUnansweredJobs() {
+	for _, id := range c.jobIDs {
+		history := c.jobs[id]
+		if !history.unfinished() {
+			continue
+		}
+		unanswered := c.harness.now() - max(history.lastResponseAt, c.faultsEndedAt)
+		if unanswered > maxUnansweredTime+c.stallTime {
+			c.reportViolation(RuleForgotten, "no response about %s for %v", id, unanswered)
+		}
 	}
 }
 
-// roundingCPUs is what a sum of amounts may be off.
-const roundingCPUs = 1e-6
+// unfinished reports whether the job was accepted and no user knows that it has ended.
+func (j *jobHistory) unfinished() bool { return j.acceptedAt != 0 && j.terminalPhase == "" }
+
+// countUnfinishedJobs returns the number of unfinished jobs.
+func (c *checker) countUnfinishedJobs() int {
+	number := 0
+	for _, history := range c.jobs {
+		if history.unfinished() {
+			number++
+		}
+	}
+	return number
+}
--- a/internal/soaktest/controller.go
+++ b/internal/soaktest/controller.go
@@ -10,67 +10,91 @@
 	"syscall"
 )
 
+// errNoProcess reports that a controller has no process that a signal could be sent to.
+var errNoProcess = errors.New("the controller has no process")
+
 // controllerProcess is one controller: its settings, and its process while it runs.
 type controllerProcess struct {
-	name    string
-	binary  string
-	config  string // path of its settings
-	logPath string
-	// users and peers are the addresses at which it listens.
-	users, peers string
-	// onUnexpectedExit is told when the process ends though nobody ended it.
+	name           string
+	binary         string
+	settingsPath   string
+	propertiesPath string
+	logPath        string
+	// onUnexpectedExit is called when the process exits though kill was not called.
 	onUnexpectedExit func(name string, err error)
 
-	mu       sync.Mutex
-	command  *exec.Cmd
-	stopping bool // the process is being ended
+	mu       sync.Mutex // guards the fields below
+	command  *exec.Cmd  // nil before the first start
+	stopping bool       // kill was called
 	exited   chan struct{}
 }
 
-// start starts the process.
-func (c *controllerProcess) start() error {
+func newController(name, binary, dir string, onUnexpectedExit func(string, error)) *controllerProcess {
+	settingsPath := filepath.Join(dir, name+".toml")
+	return &controllerProcess{
+		name: name, binary: binary, onUnexpectedExit: onUnexpectedExit,
+		settingsPath: settingsPath, propertiesPath: settingsPath + ".properties", logPath: filepath.Join(dir, name+".log"),
+	}
+}
+
+// writeSettings writes the platform's settings and the operators' properties.
+func (c *controllerProcess) writeSettings(settings, properties string) error {
+	if err := os.WriteFile(c.settingsPath, []byte(settings), 0o644); err != nil {
+		return fmt.Errorf("settings of %s: %w", c.name, err)
+	}
+	if err := os.WriteFile(c.propertiesPath, []byte(properties), 0o644); err != nil {
+		return fmt.Errorf("properties of %s: %w", c.name, err)
+	}
+	return nil
+}
+
+// start starts the process. Its output is appended to the log.
+func (c *controllerProcess) start() (err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	log, err := os.OpenFile(c.logPath, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
-		return err
+		return fmt.Errorf("log of %s: %w", c.name, err)
 	}
-	defer log.Close() // the process has its own
-	command := exec.Command(c.binary, "--config", c.config, "--properties", propertiesPath(c.config))
+	defer func() { err = errors.Join(err, log.Close()) }() // the process has a descriptor of its own
+	command := exec.Command(c.binary, "--config", c.settingsPath, "--properties", c.propertiesPath)
 	command.Env = append(os.Environ(), "LOG_LEVEL=debug")
 	command.Stdout, command.Stderr = log, log
 	if err := command.Start(); err != nil {
-		return err
+		return fmt.Errorf("start of %s: %w", c.name, err)
 	}
-	gone := make(chan struct{})
-	c.command, c.stopping, c.exited = command, false, gone
-	go func() {
-		err := command.Wait()
-		c.mu.Lock()
-		expected := c.stopping
-		c.mu.Unlock()
-		close(gone)
-		if !expected {
-			c.onUnexpectedExit(c.name, err)
-		}
-	}()
+	exited := make(chan struct{})
+	c.command, c.stopping, c.exited = command, false, exited
+	go c.wait(command, exited)
 	return nil
 }
 
-// kill ends the process at once and waits until it is gone.
+// wait waits until the process has exited.
+func (c *controllerProcess) wait(command *exec.Cmd, exited chan<- struct{}) {
+	err := command.Wait()
+	c.mu.Lock()
+	expected := c.stopping
+	c.mu.Unlock()
+	close(exited)
+	if !expected {
+		c.onUnexpectedExit(c.name, err)
+	}
+}
+
+// kill kills the process and waits until it has exited.
 func (c *controllerProcess) kill() {
 	c.mu.Lock()
-	command, gone := c.command, c.exited
+	command, exited := c.command, c.exited
 	c.stopping = true
 	c.mu.Unlock()
 	if command == nil {
 		return
 	}
-	command.Process.Kill()
-	<-gone
+	_ = command.Process.Kill() // fails if the process has exited
+	<-exited
 }
 
-// suspend stops the process where it is, and thaw lets it go on.
+// suspend stops the process until resume is called.
 func (c *controllerProcess) suspend() error { return c.signal(syscall.SIGSTOP) }
 
 func (c *controllerProcess) resume() error { return c.signal(syscall.SIGCONT) }
@@ -79,25 +103,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.command == nil || c.stopping {
-		return errors.New("no process")
+		return errNoProcess
 	}
 	return c.command.Process.Signal(s)
 }
-
-// propertiesPath is the path of the operators' settings beside those of a controller.
-func propertiesPath(config string) string { return config + ".properties" }
-
-// writeSettings writes the files of a controller.
-func (c *controllerProcess) writeSettings(platform, properties string) error {
-	if err := os.WriteFile(c.config, []byte(platform), 0o644); err != nil {
-		return fmt.Errorf("settings of %s: %w", c.name, err)
-	}
-	return os.WriteFile(propertiesPath(c.config), []byte(properties), 0o644)
-}
-
-func newController(name, binary, dir, users, peers string, ended func(string, error)) *controllerProcess {
-	return &controllerProcess{
-		name: name, binary: binary, users: users, peers: peers, onUnexpectedExit: ended,
-		config: filepath.Join(dir, name+".toml"), logPath: filepath.Join(dir, name+".log"),
-	}
-}
--- a/internal/soaktest/linearizability.go
+++ b/internal/soaktest/linearizability.go
@@ -2,7 +2,6 @@
 
 import (
 	"math"
-	"slices"
 	"time"
 
 	"github.com/anishathalye/porcupine"
@@ -11,12 +10,13 @@
 	"tamarindlead/micros"
 )
 
-// This file judges what users were told about each job as a whole: there must be one order of
-// all requests, in keeping with when they were sent and answered, in which each answer is right.
+// linearizabilityTimeout limits the check of one history.
+const linearizabilityTimeout = 5 * time.Second
 
-// registerState is a job's state as users may see it.
+// registerState is a job's state as users can observe it.
 type registerState int
 
+// The states of a job.
 const (
 	stateUnknown registerState = iota // not accepted
 	stateActive                       // queued or running
@@ -24,11 +24,12 @@
 	stateCancelled
 )
 
-// outcome is what an operation's answer says. outcomeOpen: there is none.
+// outcome is the state that the response to an operation shows.
 type outcome int
 
+// The outcomes of an operation.
 const (
-	outcomeOpen outcome = iota
+	outcomeNone outcome = iota // there was no conclusive response
 	outcomeUnknown
 	outcomeActive
 	outcomeDone
@@ -47,28 +48,29 @@
 	return outcomeActive
 }
 
-// jobModel is a job as a register. Its tasks may complete at any time while it is active.
+// jobModel models a job as a register. While the job is active its tasks may complete at any time.
 var jobModel = porcupine.Model{
 	Init: func() any { return stateUnknown },
 	Step: func(state, input, output any) (bool, any) {
-		next, ok := stepJob(state.(registerState), input.(operationKind), output.(outcome))
-		return ok, next
+		next, possible := stepJob(state.(registerState), input.(operationKind), output.(outcome))
+		return possible, next
 	},
 }
 
-// stepJob tells which state follows from an operation, and whether its answer is possible.
-func stepJob(state registerState, kind operationKind, told outcome) (registerState, bool) {
+// stepJob returns the state after an operation, and reports whether its outcome is possible.
+func stepJob(state registerState, kind operationKind, observed outcome) (next registerState, possible bool) {
 	switch kind {
 	case opSubmit:
-		if state == stateUnknown && told != outcomeUnknown {
+		if state == stateUnknown && observed != outcomeUnknown {
 			state = stateActive
 		}
 	case opCancel:
-		if state == stateActive && told != outcomeDone {
+		if state == stateActive && observed != outcomeDone {
 			state = stateCancelled
 		}
+	case opQuery: // has no effect
 	}
-	switch told {
+	switch observed {
 	case outcomeUnknown:
 		return state, state == stateUnknown
 	case outcomeActive:
@@ -77,44 +79,46 @@
 		return stateDone, state == stateActive || state == stateDone
 	case outcomeCancelled:
 		return state, state == stateCancelled
+	case outcomeNone: // anything is possible
 	}
 	return state, true
 }
 
-// linearizabilityTimeout bounds the check of one history.
-const linearizabilityTimeout = 5 * time.Second
-
-// checkHistories checks the history of each job.
+// checkHistories checks that the operations of each job are linearizable: that they have an order,
+// consistent with the times of requests and responses, in which every response is correct.
 func (c *checker) checkHistories() {
-	for _, id := range c.order {
-		truth := c.jobs[id]
-		switch porcupine.CheckOperationsTimeout(jobModel, operations(truth), linearizabilityTimeout) {
+	for _, id := range c.jobIDs {
+		history := c.jobs[id]
+		switch porcupine.CheckOperationsTimeout(jobModel, history.linearizableOperations(), linearizabilityTimeout) {
 		case porcupine.Illegal:
-			c.reportViolation(RuleNotLinear, "no order of its %d answers explains all that users were told of %s", len(truth.operations), id)
+			c.reportViolation(RuleNotLinearizable, "no order of its operations explains the %d responses about %s", len(history.operations), id)
 		case porcupine.Unknown:
 			c.stats.Undecided++
+		case porcupine.Ok:
 		}
 	}
 }
 
-// operations are the requests for a job. All that got no answer which decides count as one
-// submission and one cancellation that may take effect at any time: more would have none.
-func operations(truth *jobHistory) []porcupine.Operation {
+// linearizableOperations returns the operations for the check. All operations without a conclusive
+// response count as one submission and one cancellation that may take effect at any time: more of
+// them would have no further effect.
+func (j *jobHistory) linearizableOperations() []porcupine.Operation {
 	var list []porcupine.Operation
-	for client := range truth.operations {
-		o := &truth.operations[client]
+	for i := range j.operations {
+		o := &j.operations[i]
 		list = append(list, porcupine.Operation{
-			ClientId: client, Input: o.kind, Output: outcomeOf(o), Call: int64(o.sentAt), Return: int64(o.respondedAt),
+			ClientId: len(list), Input: o.kind, Output: outcomeOf(o), Call: int64(o.sentAt), Return: int64(o.respondedAt),
 		})
 	}
-	pending := func(kind operationKind, since micros.Micros) {
-		if since != 0 {
-			list = append(list, porcupine.Operation{
-				ClientId: len(list), Input: kind, Output: outcomeOpen, Call: int64(since), Return: math.MaxInt64,
-			})
+	addPending := func(kind operationKind, since micros.Micros) {
+		if since == 0 {
+			return
 		}
+		list = append(list, porcupine.Operation{
+			ClientId: len(list), Input: kind, Output: outcomeNone, Call: int64(since), Return: math.MaxInt64,
+		})
 	}
-	pending(opSubmit, truth.pending.submit)
-	pending(opCancel, truth.pending.cancel)
-	return slices.Clip(list)
+	addPending(opSubmit, j.pending.submit)
+	addPending(opCancel, j.pending.cancel)
+	return list
 }
--- a/internal/soaktest/link.go
+++ b/internal/soaktest/link.go
@@ -2,40 +2,68 @@
 
 import (
 	"context"
+	"fmt"
 	"math/rand/v2"
 	"sync"
 	"time"
 )
 
-// partitionMode is how a link is cut.
+// partitionMode is the way in which a link is partitioned.
 type partitionMode int
 
-// The modes of a link. What a held link swallows is executed once it is open again, though
-// nobody waits for the answer any more.
+// The partition modes.
 const (
-	linkOpen partitionMode = iota
-	linkDrops
-	linkHolds
-	linkRefuses
-	linkResets
+	partitionNone   partitionMode = iota
+	partitionDrop                 // requests are dropped
+	partitionHold                 // requests are executed once the link is open, though their senders have given up
+	partitionRefuse               // connections are refused
+	partitionReset                // connections are reset
 )
 
+// String returns the name of the mode.
 func (m partitionMode) String() string {
-	return [...]string{"open", "drops", "holds", "refuses", "resets"}[m]
+	switch m {
+	case partitionNone:
+		return "none"
+	case partitionDrop:
+		return "drop"
+	case partitionHold:
+		return "hold"
+	case partitionRefuse:
+		return "refuse"
+	case partitionReset:
+		return "reset"
+	}
+	return fmt.Sprintf("partitionMode(%d)", int(m))
 }
 
-// failure tells how a request failed that got no answer.
+// failure is the way in which a request without a response failed.
 type failure int
 
 // The ways in which a request fails.
 const (
 	failureNone    failure = iota
-	failureTimeout         // no answer comes
-	failureRefused         // it never reached the other side
+	failureTimeout         // there is no response
+	failureRefused         // the request did not reach the other side
 	failureReset           // the connection is reset
 )
 
-// callResult is what a request gets: a status with a body, or a failure.
+// String returns the name of the failure.
+func (f failure) String() string {
+	switch f {
+	case failureNone:
+		return "none"
+	case failureTimeout:
+		return "timeout"
+	case failureRefused:
+		return "refused"
+	case failureReset:
+		return "reset"
+	}
+	return fmt.Sprintf("failure(%d)", int(f))
+}
+
+// callResult is the result of a request: a response, or a failure.
 type callResult struct {
 	status     int
 	body       []byte
@@ -43,15 +71,14 @@
 	failure    failure
 }
 
-// linkConditions are the troubles on a link.
+// linkConditions are the faults of a link.
 type linkConditions struct {
-	partition partitionMode
-	// delayShare is the share of answers that are held back, each for up to maxDelay.
-	delayShare        float64
-	maxDelay          time.Duration
-	responseLossShare float64 // share of the requests that are executed and whose answer is lost
-	lateShare         float64 // share of the requests that are executed late, without an answer
-	duplicateShare    float64 // share of the requests that are executed once more, late
+	partition               partitionMode
+	delayProbability        float64       // a response is delayed, by up to maxDelay
+	maxDelay                time.Duration // 0: no response is delayed
+	responseLossProbability float64       // a request is executed and its response lost
+	lateProbability         float64       // a request is executed late, without a response
+	duplicateProbability    float64       // a request is executed a second time, late
 }
 
 // Late requests are executed within these times.
@@ -60,101 +87,114 @@
 	maxLateDelay = 8 * time.Second
 )
 
-// link is the way that messages take between two parties in one direction.
+// link is a link from one party to another. Its conditions apply to requests in that direction, and
+// to their responses.
 type link struct {
 	name string
-
-	mu     sync.Mutex
-	rng    *rand.Rand
-	now    linkConditions
-	reopen chan struct{} // closed when the link is open again
-	// onPartitionChange is told when the mode of the cut changes; it may be nil.
+	// onPartitionChange is called when the partition mode changes; it may be nil.
 	onPartitionChange func(partitionMode)
+
+	mu         sync.Mutex // guards the fields below
+	rng        *rand.Rand
+	conditions linkConditions
+	reopened   chan struct{} // closed when a partition ends
 }
 
 func newLink(name string, seed, stream uint64) *link {
-	return &link{name: name, rng: rand.New(rand.NewPCG(seed, stream)), reopen: make(chan struct{})}
+	return &link{name: name, rng: newRandom(seed, stream), reopened: make(chan struct{})}
 }
 
-// set changes the conditions of the link.
-func (l *link) set(change func(*linkConditions)) {
-	l.mu.Lock()
-	before := l.now.partition
-	change(&l.now)
-	after := l.now.partition
-	if before != linkOpen && after == linkOpen {
-		close(l.reopen)
-		l.reopen = make(chan struct{})
-	}
-	l.mu.Unlock()
+// update changes the conditions of the link.
+func (l *link) update(change func(*linkConditions)) {
+	before, after := l.updateConditions(change)
 	if before != after && l.onPartitionChange != nil {
 		l.onPartitionChange(after)
 	}
 }
 
+func (l *link) updateConditions(change func(*linkConditions)) (before, after partitionMode) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	before = l.conditions.partition
+	change(&l.conditions)
+	after = l.conditions.partition
+	if before != partitionNone && after == partitionNone {
+		close(l.reopened)
+		l.reopened = make(chan struct{})
+	}
+	return before, after
+}
+
+// setPartition changes the partition mode of the link.
+func (l *link) setPartition(mode partitionMode) {
+	l.update(func(c *linkConditions) { c.partition = mode })
+}
+
 // transmission is what was drawn for one request.
 type transmission struct {
-	cut       partitionMode
-	reopened  <-chan struct{}
-	late      bool
-	lateAfter time.Duration
-	duplicate bool
-	lost      bool
-	delay     time.Duration
+	partition    partitionMode
+	reopened     <-chan struct{}
+	late         bool
+	lateDelay    time.Duration
+	duplicate    bool
+	responseLost bool
+	delay        time.Duration
 }
 
+// draw draws the transmission of a request. The order of the draws is part of what a seed determines.
 func (l *link) draw() transmission {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	p := transmission{cut: l.now.partition, reopened: l.reopen}
-	p.lateAfter = minLateDelay + time.Duration(l.rng.Int64N(int64(maxLateDelay-minLateDelay)))
-	p.late = l.rng.Float64() < l.now.lateShare
-	p.duplicate = l.rng.Float64() < l.now.duplicateShare
-	p.lost = l.rng.Float64() < l.now.responseLossShare
-	if l.now.maxDelay > 0 && l.rng.Float64() < l.now.delayShare {
-		p.delay = time.Duration(l.rng.Int64N(int64(l.now.maxDelay)))
+	t := transmission{partition: l.conditions.partition, reopened: l.reopened}
+	t.lateDelay = minLateDelay + time.Duration(l.rng.Int64N(int64(maxLateDelay-minLateDelay)))
+	t.late = l.rng.Float64() < l.conditions.lateProbability
+	t.duplicate = l.rng.Float64() < l.conditions.duplicateProbability
+	t.responseLost = l.rng.Float64() < l.conditions.responseLossProbability
+	if l.conditions.maxDelay > 0 && l.rng.Float64() < l.conditions.delayProbability {
+		t.delay = time.Duration(l.rng.Int64N(int64(l.conditions.maxDelay)))
 	}
-	return p
+	return t
 }
 
-// transmit brings a request over the link; send executes it at the other side. waits ends when the
-// sender gives up, run when the whole run ends.
-func (l *link) transmit(waits, run context.Context, send func() callResult) callResult {
-	p := l.draw()
+// transmit transmits a request over the link; send executes it on the other side. sender ends when
+// the sender gives up, and run when the whole run ends: requests that are executed late outlive
+// their sender.
+func (l *link) transmit(sender, run context.Context, send func() callResult) callResult {
+	t := l.draw()
 	switch {
-	case p.cut == linkRefuses:
+	case t.partition == partitionRefuse:
 		return callResult{failure: failureRefused}
-	case p.cut == linkResets:
+	case t.partition == partitionReset:
 		return callResult{failure: failureReset}
-	case p.cut == linkHolds:
-		go sendOnce(run, p.reopened, send)
-	case p.late:
-		go sendAfter(run, p.lateAfter, send)
-	case p.cut == linkOpen:
-		return l.deliver(waits, run, p, send)
+	case t.partition == partitionHold:
+		go sendOnceReopened(run, t.reopened, send)
+	case t.late:
+		go sendAfter(run, t.lateDelay, send)
+	case t.partition == partitionNone:
+		return deliver(sender, run, t, send)
 	}
-	<-waits.Done()
+	<-sender.Done()
 	return callResult{failure: failureTimeout}
 }
 
-// deliver executes a request now, and has its answer come as drawn.
-func (l *link) deliver(waits, run context.Context, p transmission, send func() callResult) callResult {
-	if p.duplicate {
-		go sendAfter(run, p.lateAfter, send)
+// deliver executes a request now, and delays or drops its response as drawn.
+func deliver(sender, run context.Context, t transmission, send func() callResult) callResult {
+	if t.duplicate {
+		go sendAfter(run, t.lateDelay, send)
 	}
-	a := send()
-	if p.lost {
-		<-waits.Done()
+	result := send()
+	if t.responseLost {
+		<-sender.Done()
 		return callResult{failure: failureTimeout}
 	}
-	if p.delay > 0 {
-		pause(waits, p.delay)
+	if t.delay > 0 {
+		sleep(sender, t.delay)
 	}
-	return a
+	return result
 }
 
-// sendOnce executes a request once a link is open again.
-func sendOnce(run context.Context, reopened <-chan struct{}, send func() callResult) {
+// sendOnceReopened executes a request when the partition of its link has ended.
+func sendOnceReopened(run context.Context, reopened <-chan struct{}, send func() callResult) {
 	select {
 	case <-reopened:
 		send()
@@ -162,15 +202,15 @@
 	}
 }
 
-// sendAfter executes a request late.
+// sendAfter executes a request after a delay.
 func sendAfter(run context.Context, delay time.Duration, send func() callResult) {
-	if pause(run, delay) {
+	if sleep(run, delay) {
 		send()
 	}
 }
 
-// pause waits, and tells whether that was not cut short.
-func pause(ctx context.Context, d time.Duration) bool {
+// sleep waits for d, and reports whether ctx did not end before.
+func sleep(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
--- a/internal/soaktest/link_test.go
+++ b/internal/soaktest/link_test.go
@@ -7,63 +7,67 @@
 	"time"
 )
 
-// TestLinkCarries sees what each condition does to a request: whether and how often it is
-// executed, and what its sender gets. Times are only bounded from below.
-func TestLinkCarries(t *testing.T) {
-	for _, c := range []struct {
-		name     string
-		set      func(*linkConditions)
-		executed int // in the end
-		failure  failure
+// TestLinkTransmit checks what each condition does to a request: how often it is executed, and what
+// its sender gets. Times are bounded from below only.
+func TestLinkTransmit(t *testing.T) {
+	for _, test := range []struct {
+		name         string
+		change       func(*linkConditions)
+		wantExecuted int32 // in the end
+		wantFailure  failure
 	}{
 		{"open", func(*linkConditions) {}, 1, failureNone},
-		{"drops", func(c *linkConditions) { c.partition = linkDrops }, 0, failureTimeout},
-		{"refuses", func(c *linkConditions) { c.partition = linkRefuses }, 0, failureRefused},
-		{"resets", func(c *linkConditions) { c.partition = linkResets }, 0, failureReset},
-		{"loses answers", func(c *linkConditions) { c.responseLossShare = 1 }, 1, failureTimeout},
-		{"executes late", func(c *linkConditions) { c.lateShare = 1 }, 1, failureTimeout},
-		{"executes twice", func(c *linkConditions) { c.duplicateShare = 1 }, 2, failureNone},
-		{"holds answers back", func(c *linkConditions) { c.delayShare, c.maxDelay = 1, 50*time.Millisecond }, 1, failureNone},
+		{"drop", func(c *linkConditions) { c.partition = partitionDrop }, 0, failureTimeout},
+		{"refuse", func(c *linkConditions) { c.partition = partitionRefuse }, 0, failureRefused},
+		{"reset", func(c *linkConditions) { c.partition = partitionReset }, 0, failureReset},
+		{"response lost", func(c *linkConditions) { c.responseLossProbability = 1 }, 1, failureTimeout},
+		{"late", func(c *linkConditions) { c.lateProbability = 1 }, 1, failureTimeout},
+		{"duplicate", func(c *linkConditions) { c.duplicateProbability = 1 }, 2, failureNone},
+		{"response delayed", func(c *linkConditions) { c.delayProbability, c.maxDelay = 1, 50*time.Millisecond }, 1, failureNone},
 	} {
-		t.Run(c.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			t.Parallel()
-			l := newLink(c.name, 1, 1)
-			l.set(c.set)
+			l := newLink(test.name, 1, 1)
+			l.update(test.change)
 			var executed atomic.Int32
-			waits, giveUp := context.WithTimeout(t.Context(), 100*time.Millisecond)
-			defer giveUp()
-			a := l.transmit(waits, t.Context(), func() callResult {
+			sender, cancel := context.WithTimeout(t.Context(), 100*time.Millisecond)
+			defer cancel()
+			result := l.transmit(sender, t.Context(), func() callResult {
 				executed.Add(1)
 				return callResult{status: 200}
 			})
-			if a.failure != c.failure {
-				t.Errorf("failure %d, want %d", a.failure, c.failure)
+			if result.failure != test.wantFailure {
+				t.Errorf("failure %v, want %v", result.failure, test.wantFailure)
 			}
-			for until := time.Now().Add(maxLateDelay + time.Second); int(executed.Load()) < c.executed && time.Now().Before(until); {
+			for deadline := time.Now().Add(maxLateDelay + time.Second); executed.Load() < test.wantExecuted && time.Now().Before(deadline); {
 				time.Sleep(10 * time.Millisecond)
 			}
-			if got := int(executed.Load()); got != c.executed {
-				t.Errorf("executed %d times, want %d", got, c.executed)
+			if got := executed.Load(); got != test.wantExecuted {
+				t.Errorf("executed %d times, want %d", got, test.wantExecuted)
 			}
 		})
 	}
 }
 
-// TestLinkHolds sees that a held request is executed once the link is open again, and not before.
-func TestLinkHolds(t *testing.T) {
-	l := newLink("holds", 1, 1)
-	l.set(func(c *linkConditions) { c.partition = linkHolds })
+// TestLinkHold checks that a held request is executed when the partition ends, and not before.
+func TestLinkHold(t *testing.T) {
+	l := newLink("hold", 1, 1)
+	l.setPartition(partitionHold)
 	executed := make(chan struct{})
-	waits, giveUp := context.WithCancel(t.Context())
-	giveUp()
-	if a := l.transmit(waits, t.Context(), func() callResult { close(executed); return callResult{} }); a.failure != failureTimeout {
-		t.Fatalf("failure %d", a.failure)
+	sender, cancel := context.WithCancel(t.Context())
+	cancel()
+	result := l.transmit(sender, t.Context(), func() callResult {
+		close(executed)
+		return callResult{}
+	})
+	if result.failure != failureTimeout {
+		t.Fatalf("failure %v, want %v", result.failure, failureTimeout)
 	}
 	select {
 	case <-executed:
-		t.Fatal("executed while the link is cut")
+		t.Fatal("executed during the partition")
 	case <-time.After(50 * time.Millisecond):
 	}
-	l.set(func(c *linkConditions) { c.partition = linkOpen })
+	l.setPartition(partitionNone)
 	<-executed
 }
--- a/internal/soaktest/options.go
+++ b/internal/soaktest/options.go
@@ -1,10 +1,11 @@
-// Package soak runs controllers as real processes over loopback against stand-ins of the state
-// service, the cloud, the workers and the users, lets faults happen at random moments, and checks
-// from outside that the rules of the protocol hold.
+// Package soaktest runs controllers as real processes over loopback against fakes of the key-value
+// store, the cloud, the workers and the users, injects faults at random times, and checks from
+// outside that the rules of the protocol hold.
 //
-// The checks see only what users and workers see, the history of the state service, and the
-// controllers' logs. A seed determines which faults and jobs are drawn; since processes are real,
-// a run with the same seed is similar, not the same.
+// It owns the deployment of a run: its settings, its network, the faults and the users' requests.
+// It must not know the inside of a controller: the checks use only what users and workers see, the
+// history of the key-value store, and the controllers' logs. A seed determines which faults and jobs
+// are drawn. Since processes are real, two runs with the same seed are similar, not the same.
 package soaktest
 
 import (
@@ -21,31 +22,34 @@
 	maxMachines    = 2000
 	minSockets     = 32
 	maxSockets     = 10000
+	maxJobRate     = 100
 	minDuration    = 5 * time.Second
 	maxDuration    = 12 * time.Hour
 )
 
-// Options of a run.
+// Options are the options of a run.
 type Options struct {
-	// Seed determines what is drawn.
+	// Seed determines the random draws.
 	Seed uint64
-	// Duration is for how long faults happen, after a warm-up of 13 s.
+	// Duration is how long faults are injected, after a warm-up of 13 s.
 	Duration time.Duration
-	// Settle is for how long at most the run then waits until all jobs are over.
-	Settle      time.Duration
+	// SettleTimeout limits how long the run then waits until all jobs have ended.
+	SettleTimeout time.Duration
+	// Controllers is the number of controllers.
 	Controllers int
-	Machines    int
-	// JobRate is how many jobs users submit a second.
+	// Machines is the largest number of machines; half of them exist from the start.
+	Machines int
+	// JobRate is the number of jobs that users submit per second.
 	JobRate float64
-	// Sockets is how many connections a controller may have, a quarter of them outbound.
+	// Sockets limits the connections of a controller, a quarter of them outbound.
 	Sockets int
-	// Calm leaves out all faults: then no machine may be given up either.
-	Calm bool
-	// Binary is the service's program.
+	// NoFaults leaves out all faults. Then no controller may consider a machine lost, either.
+	NoFaults bool
+	// Binary is the path of the controller's program.
 	Binary string
-	// Dir is the folder for settings and logs; it must exist.
+	// Dir is the directory for settings and logs; it must exist.
 	Dir string
-	// Progress is told what happens; it may be nil.
+	// Progress receives a line for each event; it may be nil.
 	Progress io.Writer
 }
 
@@ -55,22 +59,22 @@
 	Problem string
 }
 
-// Error names the option and the problem.
+// Error returns the option and the problem.
 func (e *OptionError) Error() string { return e.Option + ": " + e.Problem }
 
-// Validate checks the options.
+// Validate returns an OptionError if an option is missing or out of its range.
 func (o *Options) Validate() error {
 	switch {
 	case o.Duration < minDuration || o.Duration > maxDuration:
 		return &OptionError{"duration", fmt.Sprintf("must be from %v to %v", minDuration, maxDuration)}
-	case o.Settle < 0 || o.Settle > maxDuration:
+	case o.SettleTimeout < 0 || o.SettleTimeout > maxDuration:
 		return &OptionError{"settle", fmt.Sprintf("must be from 0s to %v", maxDuration)}
 	case o.Controllers < minControllers || o.Controllers > maxControllers:
 		return &OptionError{"controllers", fmt.Sprintf("must be from %d to %d", minControllers, maxControllers)}
 	case o.Machines < minMachines || o.Machines > maxMachines:
 		return &OptionError{"machines", fmt.Sprintf("must be from %d to %d", minMachines, maxMachines)}
-	case !(o.JobRate > 0 && o.JobRate <= 100):
-		return &OptionError{"job-rate", "must be above 0 and at most 100 a second"}
+	case !(o.JobRate > 0 && o.JobRate <= maxJobRate): // refuses NaN, too
+		return &OptionError{"job-rate", fmt.Sprintf("must be above 0 and at most %d a second", maxJobRate)}
 	case o.Sockets < minSockets || o.Sockets > maxSockets:
 		return &OptionError{"sockets", fmt.Sprintf("must be from %d to %d", minSockets, maxSockets)}
 	case o.Binary == "":
--- a/internal/soaktest/options_test.go
+++ b/internal/soaktest/options_test.go
@@ -2,45 +2,56 @@
 
 import (
 	"errors"
+	"math"
 	"testing"
 	"time"
 
 	"tamarindlead/config"
 )
 
-func goodOptions() Options {
+func validOptions() Options {
 	return Options{Seed: 1, Duration: time.Minute, Controllers: 3, Machines: 10, JobRate: 3, Sockets: 400, Binary: "b", Dir: "d"}
 }
 
-// TestValidate sees that each option is checked, and named if it is out of range.
+// TestValidate checks that valid options pass, and that the error names an option out of its range.
 func TestValidate(t *testing.T) {
-	good := goodOptions()
-	if err := good.Validate(); err != nil {
-		t.Fatal(err)
-	}
-	for option, change := range map[string]func(*Options){
-		"duration":    func(o *Options) { o.Duration = time.Second },
-		"settle":      func(o *Options) { o.Settle = -1 },
-		"controllers": func(o *Options) { o.Controllers = 10 },
-		"machines":    func(o *Options) { o.Machines = 2 },
-		"job-rate":    func(o *Options) { o.JobRate = 0 },
-		"sockets":     func(o *Options) { o.Sockets = 1 },
-		"binary":      func(o *Options) { o.Binary = "" },
-		"dir":         func(o *Options) { o.Dir = "" },
+	for _, test := range []struct {
+		name   string
+		change func(*Options)
+		option string // "": the options are valid
+	}{
+		{"valid", func(*Options) {}, ""},
+		{"duration too short", func(o *Options) { o.Duration = time.Second }, "duration"},
+		{"settle negative", func(o *Options) { o.SettleTimeout = -1 }, "settle"},
+		{"too many controllers", func(o *Options) { o.Controllers = 10 }, "controllers"},
+		{"too few machines", func(o *Options) { o.Machines = 2 }, "machines"},
+		{"no jobs", func(o *Options) { o.JobRate = 0 }, "job-rate"},
+		{"job rate not a number", func(o *Options) { o.JobRate = math.NaN() }, "job-rate"},
+		{"too few sockets", func(o *Options) { o.Sockets = 1 }, "sockets"},
+		{"no binary", func(o *Options) { o.Binary = "" }, "binary"},
+		{"no directory", func(o *Options) { o.Dir = "" }, "dir"},
 	} {
-		o := goodOptions()
-		change(&o)
-		var bad *OptionError
-		if err := o.Validate(); !errors.As(err, &bad) || bad.Option != option {
-			t.Errorf("%s: %v", option, err)
-		}
+		t.Run(test.name, func(t *testing.T) {
+			o := validOptions()
+			test.change(&o)
+			err := o.Validate()
+			var optionErr *OptionError
+			switch {
+			case test.option == "":
+				if err != nil {
+					t.Error(err)
+				}
+			case !errors.As(err, &optionErr) || optionErr.Option != test.option:
+				t.Errorf("error %v, want an OptionError of %s", err, test.option)
+			}
+		})
 	}
 }
 
-// TestPlatformSettings sees that controllers can read the settings that a run writes.
+// TestPlatformSettings checks that controllers can read the settings of a run.
 func TestPlatformSettings(t *testing.T) {
 	for _, seed := range []uint64{1, 2, 3} {
-		o := goodOptions()
+		o := validOptions()
 		o.Seed = seed
 		for i := range o.Controllers {
 			settings, err := config.Parse([]byte(platformSettings(addresses{"127.9.9"}, i, o)))
@@ -51,7 +62,7 @@
 				t.Errorf("%+v", settings)
 			}
 		}
-		if _, err := config.ParseTuning([]byte(operatorSettings(seed))); err != nil {
+		if _, err := config.ParseTuning([]byte(operatorProperties(seed))); err != nil {
 			t.Error(err)
 		}
 	}
--- /dev/null
+++ b/internal/soaktest/random.go
@@ -0,0 +1,17 @@
+package soaktest
+
+import "math/rand/v2"
+
+// The streams of random numbers of a run. Every party has its own stream, so that the draws of one do
+// not depend on the timing of another.
+const (
+	streamHarness uint64 = iota + 1
+	streamFaults
+	streamJobs
+	streamLinks // the first link's is the next one
+)
+
+func newRandom(seed, stream uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, stream)) }
+
+// forkRandom returns a source of random numbers for another goroutine.
+func forkRandom(rng *rand.Rand) *rand.Rand { return newRandom(rng.Uint64(), rng.Uint64()) }
--- a/internal/soaktest/records.go
+++ b/internal/soaktest/records.go
@@ -8,17 +8,17 @@
 	"tamarindlead/internal/wire"
 )
 
-// This file checks the history of the state service: each machine has one owner, and final
-// records never change.
+// adoptedPrefix is the prefix of the blocks by which owners adopt machines without a known owner.
+const adoptedPrefix = record.BlockPrefix + "x-"
 
-// blockOwners tells which machines the blocks hold, and whose the blocks are.
+// blockOwners are the machines and owners of all blocks.
 type blockOwners struct {
-	changed  bool
-	values   map[string][]byte
-	contents map[string]blockContent // by block
+	changed  bool                    // since the last transaction that was checked
+	values   map[string][]byte       // by key
+	contents map[string]blockContent // by key
 }
 
-// blockContent is what the check needs of a block.
+// blockContent is the part of a block that is checked.
 type blockContent struct {
 	owner    record.OwnerID
 	machines []string
@@ -28,33 +28,34 @@
 	return blockOwners{values: map[string][]byte{}, contents: map[string]blockContent{}}
 }
 
-// recordWritten takes a record that was written. Others of the same transaction may follow.
+// recordWritten checks a record that was put. Further puts of the same transaction may follow.
 func (c *checker) recordWritten(key string, value []byte, _ uint64) {
-	switch {
-	case strings.HasPrefix(key, record.BlockPrefix):
+	if strings.HasPrefix(key, record.BlockPrefix) {
 		c.blocks.changed = true
-	case strings.HasPrefix(key, record.TerminalStatePrefix):
-		c.terminalStateWritten(strings.TrimPrefix(key, record.TerminalStatePrefix), value)
+		return
+	}
+	if job, ok := strings.CutPrefix(key, record.TerminalStatePrefix); ok {
+		c.checkTerminalState(job, value)
 	}
 }
 
-// terminalStateWritten checks that the final record of a job was not there, or said the same.
-func (c *checker) terminalStateWritten(job string, value []byte) {
-	var final record.TerminalState
-	if err := wire.Decode(value, &final); err != nil {
-		c.reportViolation(RuleFinalChanged, "the final record of %s cannot be read: %v", job, err)
+// checkTerminalState checks that the terminal state of a job is new or unchanged.
+func (c *checker) checkTerminalState(job string, value []byte) {
+	var state record.TerminalState
+	if err := wire.Decode(value, &state); err != nil {
+		c.reportViolation(RuleTerminalStateChanged, "the terminal-state record of %s cannot be decoded: %v", job, err)
 		return
 	}
-	status := string(final.Status)
+	status := string(state.Status)
 	if before, ok := c.terminalStates[job]; ok && before != status {
-		c.reportViolation(RuleFinalChanged, "%s was %s by its record, is %s", job, before, status)
+		c.reportViolation(RuleTerminalStateChanged, "the terminal state of %s was %s, is %s", job, before, status)
 	}
 	c.terminalStates[job] = status
 }
 
-// committed checks the records after a transaction. An owner that moves a machine from one of its
-// blocks to another may leave it in both for a while: the newer holds.
-func (c *checker) committed(revision uint64) {
+// transactionCommitted checks that no machine is in blocks of two owners. An owner that moves a
+// machine from one of its blocks to another may leave it in both for a while: the newer one holds.
+func (c *checker) transactionCommitted(revision uint64) {
 	if !c.blocks.changed {
 		return
 	}
@@ -65,11 +66,7 @@
 		for _, machine := range content.machines {
 			other, found := blockOf[machine]
 			if found && c.blocks.contents[other].owner != content.owner {
-				rule := RuleOwnedTwice
-				if isAdopted(block) || isAdopted(other) {
-					rule = RuleAdopted
-				}
-				c.reportViolation(rule, "%s is in the blocks %s of %s and %s of %s at revision %d",
+				c.reportViolation(ownershipRule(block, other), "%s is in the blocks %s of %s and %s of %s at revision %d",
 					machine, other, c.blocks.contents[other].owner, block, content.owner, revision)
 			}
 			blockOf[machine] = block
@@ -77,36 +74,39 @@
 	}
 }
 
-// adoptedPrefix begins the names of blocks by which owners adopt machines that nobody seems to own.
-const adoptedPrefix = record.BlockPrefix + "x-"
-
-func isAdopted(block string) bool { return strings.HasPrefix(block, adoptedPrefix) }
+// ownershipRule returns the rule that a machine in blocks of two owners violates.
+func ownershipRule(block, other string) Rule {
+	if strings.HasPrefix(block, adoptedPrefix) || strings.HasPrefix(other, adoptedPrefix) {
+		return RuleAdoptedThoughRecorded
+	}
+	return RuleOwnedTwice
+}
 
-// readBlocks reads the blocks that have changed.
+// readBlocks decodes the blocks that have changed, and drops the deleted ones.
 func (c *checker) readBlocks() {
-	now := map[string][]byte{}
-	for _, key := range c.site.kvStore.Keys(record.BlockPrefix) {
-		value, _ := c.site.kvStore.Get(key)
-		now[key] = value
+	values := map[string][]byte{}
+	for _, key := range c.harness.kvStore.Keys(record.BlockPrefix) {
+		value, _ := c.harness.kvStore.Get(key)
+		values[key] = value
 		if bytes.Equal(value, c.blocks.values[key]) {
 			continue
 		}
-		content, err := contentOf(value)
+		content, err := decodeBlock(value)
 		if err != nil {
-			c.reportViolation(RuleOwnedTwice, "block %s cannot be read: %v", key, err)
+			c.reportViolation(RuleOwnedTwice, "block %s cannot be decoded: %v", key, err)
 		}
 		c.blocks.contents[key] = content
 	}
 	for key := range c.blocks.values {
-		if now[key] == nil {
+		if values[key] == nil {
 			delete(c.blocks.contents, key)
 		}
 	}
-	c.blocks.values = now
+	c.blocks.values = values
 }
 
-// contentOf reads a block.
-func contentOf(value []byte) (blockContent, error) {
+// decodeBlock decodes the part of a block that is checked.
+func decodeBlock(value []byte) (blockContent, error) {
 	var block record.Block
 	if err := wire.Decode(value, &block); err != nil {
 		return blockContent{}, err
--- a/internal/soaktest/responses.go
+++ b/internal/soaktest/responses.go
@@ -1,11 +1,13 @@
 package soaktest
 
 import (
+	"fmt"
+
 	"tamarindlead/internal/wire"
 	"tamarindlead/micros"
 )
 
-// operationKind is what a user asks for.
+// operationKind is the kind of a user's request.
 type operationKind int
 
 // The kinds of users' requests.
@@ -15,128 +17,154 @@
 	opCancel
 )
 
-func (k operationKind) String() string { return [...]string{"submit", "poll", "cancel"}[k] }
+// String returns the name of the kind.
+func (k operationKind) String() string {
+	switch k {
+	case opSubmit:
+		return "submit"
+	case opQuery:
+		return "query"
+	case opCancel:
+		return "cancel"
+	}
+	return fmt.Sprintf("operationKind(%d)", int(k))
+}
 
-// operation is a user's request with its answer.
+// operation is a user's request and its response.
 type operation struct {
 	kind        operationKind
 	job         string
-	node        int
+	controller  int
 	sentAt      micros.Micros
 	respondedAt micros.Micros
-	status      int           // 0: no answer
-	phase       wire.JobPhase // that the answer tells
+	status      wire.Status   // 0: no response
+	phase       wire.JobPhase // of the job, by the response
+}
+
+// String returns the request as it is named in violations.
+func (o *operation) String() string {
+	return fmt.Sprintf("%v of %s at %s", o.kind, o.job, controllerName(o.controller))
 }
 
-// accepted tells whether the answer says that the job was accepted.
+// accepted reports whether the response shows that the job was accepted.
 func (o *operation) accepted() bool {
 	return o.status == wire.StatusOK || o.status == wire.StatusAccepted
 }
 
-// conclusive tells whether the answer says anything about the job.
+// conclusive reports whether the response depends on the state of the job.
 func (o *operation) conclusive() bool {
 	return o.accepted() || o.status == wire.StatusNotFound || o.status == wire.StatusBadRequest || o.status == wire.StatusUnprocessable
 }
 
-// pendingOperations are when requests were first sent that got no answer which decides: they may
-// have taken effect at any time since. 0: there are none.
+// pendingOperations are the times at which the first requests without a conclusive response were
+// sent: they may have taken effect at any time since. 0: there are none.
 type pendingOperations struct{ submit, cancel micros.Micros }
 
 func isTerminal(phase wire.JobPhase) bool { return phase == wire.JobDone || phase == wire.JobCancelled }
 
-// handleResponse takes a user's request that is over.
-func (c *checker) handleResponse(o operation, a callResult) {
-	truth := c.jobs[o.job]
-	if truth == nil {
+// handleResponse checks the response to a user's request, or its absence.
+func (c *checker) handleResponse(o operation, response callResult) {
+	history := c.jobs[o.job]
+	if history == nil {
 		c.checkUnknownJob(o)
 		return
 	}
-	if (o.status == wire.StatusTooManyRequests || o.status == wire.StatusUnavailable) && a.retryAfter == "" {
-		c.reportViolation(RuleRefusal, "%v of %s at %s is answered %d without Retry-After", o.kind, o.job, controllerName(o.node), o.status)
+	if (o.status == wire.StatusTooManyRequests || o.status == wire.StatusUnavailable) && response.retryAfter == "" {
+		c.reportViolation(RuleMissingRetryAfter, "%v got status %d without Retry-After", &o, o.status)
 	}
 	if !o.conclusive() {
-		c.handleInconclusive(truth, o)
+		c.handleInconclusive(history, o)
 		return
 	}
-	c.stats.Answers++
-	truth.answeredAt = o.respondedAt
-	truth.operations = append(truth.operations, o)
+	c.stats.Responses++
+	history.lastResponseAt = o.respondedAt
+	history.operations = append(history.operations, o)
 	if !o.accepted() {
-		c.checkNotAccepted(truth, o)
+		c.checkNotAccepted(history, o)
 		return
 	}
-	c.checkPhase(truth, o)
+	c.checkPhase(history, o)
 }
 
-// handleInconclusive takes a request that got no answer, or a refusal for now.
-func (c *checker) handleInconclusive(truth *jobHistory, o operation) {
+// handleInconclusive records a request without a response, or with a refusal for now.
+func (c *checker) handleInconclusive(history *jobHistory, o operation) {
 	if o.status == 0 {
 		c.stats.Unanswered++
 	} else {
 		c.stats.Refused++
 	}
-	first := func(at *micros.Micros) {
-		if *at == 0 || o.sentAt < *at {
-			*at = o.sentAt
-		}
-	}
 	switch o.kind {
 	case opSubmit:
-		first(&truth.pending.submit)
+		history.pending.submit = earliest(history.pending.submit, o.sentAt)
 	case opCancel:
-		first(&truth.pending.cancel)
+		history.pending.cancel = earliest(history.pending.cancel, o.sentAt)
+	case opQuery: // has no effect
+	}
+}
+
+// earliest returns the earlier of two times, where 0 for the first one stands for none.
+func earliest(known, at micros.Micros) micros.Micros {
+	if known == 0 {
+		return at
 	}
+	return min(known, at)
 }
 
-// checkUnknownJob checks an answer about a job that nobody submitted.
+// checkUnknownJob checks the response about a job that nobody submitted.
 func (c *checker) checkUnknownJob(o operation) {
 	if o.accepted() {
-		c.reportViolation(RuleInvented, "%v of %s at %s is answered %d, which nobody submitted", o.kind, o.job, controllerName(o.node), o.status)
+		c.reportViolation(RuleInvented, "%v, which nobody submitted, got status %d", &o, o.status)
 	}
 }
 
-// checkNotAccepted checks an answer that the job was never accepted.
-func (c *checker) checkNotAccepted(truth *jobHistory, o operation) {
-	if truth.acceptedAt != 0 && truth.acceptedAt < o.sentAt {
-		c.reportViolation(RuleForgotten, "%v of %s at %s, sent at %v, is answered %d: it was accepted at %v",
-			o.kind, o.job, controllerName(o.node), o.sentAt-micros.Hour, o.status, truth.acceptedAt-micros.Hour)
+// checkNotAccepted checks a response which says that the job does not exist or is invalid.
+func (c *checker) checkNotAccepted(history *jobHistory, o operation) {
+	if history.acceptedAt != 0 && history.acceptedAt < o.sentAt {
+		c.reportViolation(RuleForgotten, "%v, sent at %v, got status %d: it was accepted at %v",
+			&o, sinceStart(o.sentAt), o.status, sinceStart(history.acceptedAt))
 	}
 	if o.kind == opSubmit {
-		c.reportViolation(RuleForgotten, "a valid submission of %s is answered %d", o.job, o.status)
+		c.reportViolation(RuleForgotten, "a valid submission of %s got status %d", o.job, o.status)
 	}
 }
 
-// checkPhase checks the state that an answer tells against what was told before it was asked.
-func (c *checker) checkPhase(truth *jobHistory, o operation) {
-	if truth.acceptedAt == 0 {
-		truth.acceptedAt = o.respondedAt
+// checkPhase checks the phase in a response against the responses that were received before the
+// request was sent.
+func (c *checker) checkPhase(history *jobHistory, o operation) {
+	if history.acceptedAt == 0 {
+		history.acceptedAt = o.respondedAt
 		c.stats.Accepted++
 	}
-	differs := truth.terminalPhase != "" && truth.terminalPhase != o.phase
-	if differs && (isTerminal(o.phase) || truth.terminalAt < o.sentAt) {
-		c.reportViolation(RuleWentBack, "%s was %s at %v, is %s by a %v at %s, sent at %v and answered at %v", o.job, truth.terminalPhase,
-			truth.terminalAt-micros.Hour, o.phase, o.kind, controllerName(o.node), o.sentAt-micros.Hour, o.respondedAt-micros.Hour)
+	differs := history.terminalPhase != "" && history.terminalPhase != o.phase
+	if differs && (isTerminal(o.phase) || history.terminalAt < o.sentAt) {
+		c.reportViolation(RuleWentBack, "%s was %s at %v, is %s by a %v at %s, sent at %v, response at %v",
+			o.job, history.terminalPhase, sinceStart(history.terminalAt),
+			o.phase, o.kind, controllerName(o.controller), sinceStart(o.sentAt), sinceStart(o.respondedAt))
 	}
-	if truth.terminalPhase != "" || !isTerminal(o.phase) {
-		return
+	if history.terminalPhase == "" && isTerminal(o.phase) {
+		c.handleTermination(history, o)
 	}
-	truth.terminalPhase, truth.terminalAt, truth.stalledAtTerminal = o.phase, o.respondedAt, c.stalled
+}
+
+// handleTermination records and checks the first response which shows that a job has ended.
+func (c *checker) handleTermination(history *jobHistory, o operation) {
+	history.terminalPhase, history.terminalAt, history.stallTimeAtTerminal = o.phase, o.respondedAt, c.stallTime
 	if o.phase == wire.JobDone {
 		c.stats.Done++
-		c.checkDone(truth)
+		c.checkDone(history)
 		return
 	}
 	c.stats.Cancelled++
-	if !truth.cancelRequested {
-		c.reportViolation(RuleWentBack, "%s is cancelled, which its user did not ask for", o.job)
+	if !history.cancelRequested {
+		c.reportViolation(RuleWentBack, "%s is cancelled without a request of its user", o.job)
 	}
 }
 
-// checkDone checks that all tasks of a job completed that is said to be done.
-func (c *checker) checkDone(truth *jobHistory) {
-	for i := range truth.job.Tasks {
-		if task := wire.TaskName(truth.job.ID, i); !c.site.fleet.Done[task] {
-			c.reportViolation(RuleNotDone, "%s is said to be done without %s", truth.job.ID, task)
+// checkDone checks that all tasks of a job that is reported as done have completed.
+func (c *checker) checkDone(history *jobHistory) {
+	for i := range history.job.Tasks {
+		if task := wire.TaskName(history.job.ID, i); !c.harness.fleet.Done[task] {
+			c.reportViolation(RuleNotDone, "%s is reported as done without %s", history.job.ID, task)
 			return
 		}
 	}
--- a/internal/soaktest/run_test.go
+++ b/internal/soaktest/run_test.go
@@ -10,46 +10,47 @@
 	"time"
 )
 
-// shortSeeds are the seeds of the short soak. Both are odd: the teams have one owner at a time.
+// shortSeeds are the seeds of the short runs with faults. All are odd: each team has one owner at a
+// time.
 var shortSeeds = []uint64{1, 5}
 
-// TestShortSoak plays short runs on real processes. What is checked are rules; how much was done
-// is only bounded so far that the run cannot have been empty.
+// TestShortSoak plays short runs on real processes. It checks the rules, and of the amount of work
+// only that a run was not empty.
 func TestShortSoak(t *testing.T) {
 	binary := buildService(t)
 	for _, seed := range shortSeeds {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			runShort(t, Options{
-				Seed: seed, Duration: 20 * time.Second, Settle: 15 * time.Second,
+			playShortRun(t, Options{
+				Seed: seed, Duration: 20 * time.Second, SettleTimeout: 15 * time.Second,
 				Controllers: 3, Machines: 12, JobRate: 4, Sockets: 1200, Binary: binary,
 			})
 		})
 	}
-	// More workers than their owner has connections for: none of them is taken for lost, and
-	// users are served.
+	// With more workers than connections none of the machines is considered lost, and users get
+	// responses.
 	t.Run("no connection free", func(t *testing.T) {
 		t.Parallel()
-		runShort(t, Options{
-			Seed: 1, Duration: 20 * time.Second, Settle: 15 * time.Second,
-			Controllers: 3, Machines: 160, JobRate: 4, Sockets: 64, Calm: true, Binary: binary,
+		playShortRun(t, Options{
+			Seed: 1, Duration: 20 * time.Second, SettleTimeout: 15 * time.Second,
+			Controllers: 3, Machines: 160, JobRate: 4, Sockets: 64, NoFaults: true, Binary: binary,
 		})
 	})
 }
 
-// buildService builds the service's program.
+// buildService builds the controller's program and returns its path.
 func buildService(t *testing.T) string {
 	t.Helper()
 	binary := filepath.Join(t.TempDir(), "tamarindlead")
-	build := exec.Command("go", "build", "-o", binary, "tamarindlead/cmd/tamarindlead")
+	build := exec.CommandContext(t.Context(), "go", "build", "-o", binary, "tamarindlead/cmd/tamarindlead")
 	if output, err := build.CombinedOutput(); err != nil {
 		t.Fatalf("%v\n%s", err, output)
 	}
 	return binary
 }
 
-// runShort plays a run in which no rule may break and something must happen.
-func runShort(t *testing.T, o Options) {
+// playShortRun plays a run that must not be empty and must not violate any rule.
+func playShortRun(t *testing.T, o Options) {
 	t.Helper()
 	o.Dir = t.TempDir()
 	var progress strings.Builder
@@ -62,25 +63,26 @@
 	for _, v := range result.Violations {
 		t.Error(v)
 	}
-	if f := result.Stats; f.Accepted == 0 || f.Answers == 0 || f.Starts == 0 {
-		t.Errorf("nothing happened: %+v", f)
+	if stats := result.Stats; stats.Accepted == 0 || stats.Responses == 0 || stats.Starts == 0 {
+		t.Errorf("empty run: %+v", stats)
 	}
 	if t.Failed() {
 		t.Log(progress.String())
-		logLastLines(t, o.Dir)
+		logLastLines(t, o)
 	}
 }
 
-// logLastLines shows the end of the controllers' logs, which are gone after the test.
-func logLastLines(t *testing.T, dir string) {
-	const lines = 40
-	for i := range 3 {
-		data, err := os.ReadFile(filepath.Join(dir, controllerName(i)+".log"))
+// logLastLines logs the end of each controller's log, since the logs are removed after the test.
+func logLastLines(t *testing.T, o Options) {
+	t.Helper()
+	const maxLines = 40
+	for i := range o.Controllers {
+		data, err := os.ReadFile(filepath.Join(o.Dir, controllerName(i)+".log"))
 		if err != nil {
 			t.Log(err)
 			continue
 		}
-		all := strings.Split(string(data), "\n")
-		t.Logf("%s:\n%s", controllerName(i), strings.Join(all[max(0, len(all)-lines):], "\n"))
+		lines := strings.Split(string(data), "\n")
+		t.Logf("%s:\n%s", controllerName(i), strings.Join(lines[max(0, len(lines)-maxLines):], "\n"))
 	}
 }
--- a/internal/soaktest/server.go
+++ b/internal/soaktest/server.go
@@ -1,53 +1,60 @@
 package soaktest
 
 import (
-	"bytes"
 	"context"
+	"errors"
+	"fmt"
 	"io"
+	"log"
 	"net"
 	"net/http"
 	"sync"
-	"time"
 
 	"tamarindlead/internal/wire"
 )
 
-// maxMessage bounds the size of any message, in bytes.
-const maxMessage = 16 << 20
+// maxMessageBytes limits the size of any message.
+const maxMessageBytes = 16 << 20
 
-// linkServer is an address at which a stand-in can be reached over a link. It speaks HTTP by the
-// standard library, which is not what the service uses.
+// discardLog discards what the standard library's servers log about closed connections.
+var discardLog = log.New(io.Discard, "", 0)
+
+// linkServer listens at an address at which a fake can be reached over a link. It uses the standard
+// library's HTTP server, which is independent of the controller's.
 type linkServer struct {
 	addr    string
 	link    *link
-	run     context.Context
+	ctx     context.Context // ends with the run
 	execute func(r inboundRequest) callResult
 
 	mu     sync.Mutex
-	server *http.Server
+	server *http.Server // nil while connections are refused
 }
 
-// inboundRequest is a request that reached a stand-in.
+// inboundRequest is a request that has reached a fake.
 type inboundRequest struct {
 	method, target string
 	body           []byte
 	abandoned      <-chan struct{} // closed when its sender has given up
 }
 
-// serve starts to listen.
-func serve(run context.Context, addr string, l *link, execute func(inboundRequest) callResult) (*linkServer, error) {
-	s := &linkServer{addr: addr, link: l, run: run, execute: execute}
+// serve starts a server. While its link refuses connections it does not listen; onListenError is
+// called if it cannot listen afterwards.
+func serve(ctx context.Context, addr string, l *link, execute func(inboundRequest) callResult, onListenError func(error)) error {
+	s := &linkServer{addr: addr, link: l, ctx: ctx, execute: execute}
 	l.onPartitionChange = func(mode partitionMode) {
-		if mode == linkRefuses {
+		if mode == partitionRefuse {
 			s.stop()
-		} else {
-			s.listen() // the address is this run's own, so this only fails if nothing is left
+			return
+		}
+		if err := s.listen(); err != nil {
+			onListenError(err)
 		}
 	}
-	return s, s.listen()
+	return s.listen()
 }
 
-// listen listens unless it does so already.
+// listen starts to accept connections unless it does so already.
 func (s *linkServer) listen() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -56,90 +63,72 @@
 	}
 	listener, err := net.Listen("tcp4", s.addr)
 	if err != nil {
-		return err
+		return fmt.Errorf("fake at %s: %w", s.addr, err)
 	}
-	s.server = &http.Server{Handler: http.HandlerFunc(s.handle), ErrorLog: discardLog}
-	go s.server.Serve(listener)
+	server := &http.Server{Handler: http.HandlerFunc(s.handle), ErrorLog: discardLog}
+	s.server = server
+	go func() {
+		_ = server.Serve(listener) // it always ends with an error, after stop with http.ErrServerClosed
+	}()
 	return nil
 }
 
-// stop ends all connections and refuses new ones.
+// stop closes all connections and refuses new ones.
 func (s *linkServer) stop() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.server != nil {
-		s.server.Close()
+		_ = s.server.Close() // a connection that is closed already does not matter
 		s.server = nil
 	}
 }
 
 func (s *linkServer) handle(w http.ResponseWriter, r *http.Request) {
-	body, err := io.ReadAll(io.LimitReader(r.Body, maxMessage))
+	body, err := io.ReadAll(io.LimitReader(r.Body, maxMessageBytes))
 	if err != nil {
 		panic(http.ErrAbortHandler)
 	}
-	in := inboundRequest{method: r.Method, target: r.URL.RequestURI(), body: body, abandoned: r.Context().Done()}
-	a := s.link.transmit(r.Context(), s.run, func() callResult { return s.execute(in) })
-	switch a.failure {
+	request := inboundRequest{method: r.Method, target: r.URL.RequestURI(), body: body, abandoned: r.Context().Done()}
+	result := s.link.transmit(r.Context(), s.ctx, func() callResult { return s.execute(request) })
+	switch result.failure {
 	case failureNone:
-		writeResponse(w, a)
+		writeResponse(w, result)
 	case failureReset:
 		resetConnection(w)
-	default:
-		panic(http.ErrAbortHandler) // the connection ends without an answer
+	case failureTimeout, failureRefused:
+		panic(http.ErrAbortHandler) // closes the connection without a response
 	}
 }
 
-func writeResponse(w http.ResponseWriter, a callResult) {
+func writeResponse(w http.ResponseWriter, result callResult) {
 	w.Header().Set("Content-Type", wire.ContentType)
-	if a.retryAfter != "" {
-		w.Header().Set("Retry-After", a.retryAfter)
+	if result.retryAfter != "" {
+		w.Header().Set("Retry-After", result.retryAfter)
 	}
-	w.WriteHeader(a.status)
-	w.Write(a.body)
+	w.WriteHeader(result.status)
+	_, _ = w.Write(result.body) // the client may have closed the connection
 }
 
-// resetConnection ends a connection with a reset.
+// resetConnection closes a connection with a reset.
 func resetConnection(w http.ResponseWriter) {
-	conn, _, err := w.(http.Hijacker).Hijack()
+	conn, err := hijack(w)
 	if err != nil {
 		panic(http.ErrAbortHandler)
 	}
+	defer func() { _ = conn.Close() }() // a connection that the client has reset before is closed, too
 	if tcp, ok := conn.(*net.TCPConn); ok {
-		tcp.SetLinger(0)
+		_ = tcp.SetLinger(0) // fails if the client has closed the connection
 	}
-	conn.Close()
 }
 
-// httpClient sends requests to the controllers.
-type httpClient struct{ client *http.Client }
-
-// idlePerHost is how many idle connections are kept to one controller.
-const idlePerHost = 64
-
-func newHTTPClient() *httpClient {
-	return &httpClient{&http.Client{Transport: &http.Transport{
-		MaxIdleConnsPerHost: idlePerHost, IdleConnTimeout: 10 * time.Second,
-	}}}
-}
+// errNotHijackable reports that a connection cannot be taken over from its server.
+var errNotHijackable = errors.New("the connection cannot be taken over")
 
-// send sends a request and returns what comes within a time.
-func (h *httpClient) send(run context.Context, method, addr, target string, body []byte, timeout time.Duration) callResult {
-	ctx, cancel := context.WithTimeout(run, timeout)
-	defer cancel()
-	request, err := http.NewRequestWithContext(ctx, method, "http://"+addr+target, bytes.NewReader(body))
-	if err != nil {
-		return callResult{failure: failureRefused}
-	}
-	request.Header.Set("Content-Type", wire.ContentType)
-	response, err := h.client.Do(request)
-	if err != nil {
-		return callResult{failure: failureTimeout}
-	}
-	defer response.Body.Close()
-	data, err := io.ReadAll(io.LimitReader(response.Body, maxMessage))
-	if err != nil {
-		return callResult{failure: failureTimeout}
+func hijack(w http.ResponseWriter) (net.Conn, error) {
+	hijacker, ok := w.(http.Hijacker)
+	if !ok {
+		return nil, errNotHijackable
 	}
-	return callResult{status: response.StatusCode, body: data, retryAfter: response.Header.Get("Retry-After")}
+	conn, _, err := hijacker.Hijack()
+	return conn, err
 }
--- a/internal/soaktest/users.go
+++ b/internal/soaktest/users.go
@@ -14,216 +14,216 @@
 
 // How users behave.
 const (
-	submitTimeout = 5 * time.Second
-	pollTimeout   = 2 * time.Second
-	retryPause    = time.Second
-	giveUpTimeout = time.Minute
-	pollInterval  = 3 * time.Second
-	// impatientUsers: one user in so many submits a job several times at once.
-	impatientUsers = 3
-	// duplicateRequestPeriod is over which time a user repeats requests around a cancellation, and
-	// duplicateRequestInterval how often.
+	submitTimeout    = 5 * time.Second
+	queryTimeout     = 2 * time.Second
+	retryInterval    = time.Second
+	submitGiveUpTime = time.Minute
+	queryInterval    = 3 * time.Second
+	// One user in duplicateSubmissionOneIn submits the job several times at once.
+	duplicateSubmissionOneIn = 3
+	// Around a cancellation a user sends duplicate requests for duplicateRequestPeriod, at
+	// intervals of duplicateRequestInterval on average.
 	duplicateRequestPeriod   = 500 * time.Millisecond
 	duplicateRequestInterval = 25 * time.Millisecond
+	// unknownJobOneIn is one request for a job that nobody submitted in so many submissions.
+	unknownJobOneIn = 10
 )
 
-// consistencyCheckDelays is when users look closely at what they were told.
+// consistencyCheckDelays are the delays after a response at which users query all controllers.
 var consistencyCheckDelays = []time.Duration{0, 2 * time.Millisecond, 10 * time.Millisecond, 40 * time.Millisecond, 120 * time.Millisecond, 300 * time.Millisecond}
 
-// sendOver sends a request over a link of the harness's own side, within a time.
-func (s *harness) sendOver(l *link, timeout time.Duration, send func() callResult) callResult {
-	waits, cancel := context.WithTimeout(s.run, timeout)
-	defer cancel()
-	return l.transmit(waits, s.run, send)
-}
-
-// sendRequest sends a user's request to a controller and has its answer checked.
-func (s *harness) sendRequest(kind operationKind, job string, body []byte, node int) operation {
-	method, target, timeout := "POST", wire.PathJobs, submitTimeout
-	switch kind {
-	case opQuery:
-		method, target, timeout = "GET", wire.PathJobs+"/"+job, pollTimeout
-	case opCancel:
-		target = wire.PathJobs + "/" + job + wire.PathCancelSuffix
-	}
-	o := operation{kind: kind, job: job, node: node, sentAt: s.now()}
-	a := s.sendOver(s.userLinks[node], timeout, func() callResult {
-		return s.client.send(s.run, method, s.addrs.users(node), target, body, timeout)
-	})
-	var told wire.JobState
-	o.status = a.status
-	if wire.Decode(a.body, &told) == nil && told.ID == job {
-		o.phase = told.Status
-	}
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.run.Err() != nil {
-		return operation{}
-	}
-	o.respondedAt = s.now()
-	s.checker.handleResponse(o, a)
-	return o
-}
+// maxCancelDelays are the longest delays of a cancellation, of which each draws one.
+var maxCancelDelays = []time.Duration{0, 20 * time.Millisecond, time.Second, 10 * time.Second}
 
 // user is the user of one job.
 type user struct {
-	site    *harness
+	harness *harness
 	rng     *rand.Rand
 	history *jobHistory
 }
 
-// submitJobs has users submit jobs at the rate of the options until load ends.
-func (s *harness) submitJobs(load context.Context) {
-	rng := rand.New(rand.NewPCG(s.options.Seed, streamJobs))
+// submitJobs starts users at the rate of the options until load ends.
+func (h *harness) submitJobs(load context.Context) {
+	rng := newRandom(h.options.Seed, streamJobs)
 	for n := 1; ; n++ {
-		gap := rng.ExpFloat64() / s.options.JobRate
-		if !pause(load, time.Duration(gap*float64(time.Second))) {
+		gap := rng.ExpFloat64() / h.options.JobRate
+		if !sleep(load, time.Duration(gap*float64(time.Second))) {
 			return
 		}
-		u := &user{s, rand.New(rand.NewPCG(rng.Uint64(), rng.Uint64())), s.newJob(rng, n)}
+		u := &user{harness: h, rng: forkRandom(rng)}
+		u.history = h.newJob(rng, n)
 		go u.run()
-		if n%10 == 0 {
-			go s.sendRequest(opQuery, fmt.Sprintf("req-9%05d", n), nil, rng.IntN(s.options.Controllers))
+		if n%unknownJobOneIn == 0 {
+			go h.sendRequest(opQuery, fmt.Sprintf("req-9%05d", n), nil, rng.IntN(h.options.Controllers))
 		}
 	}
 }
 
-// newJob draws a job: mostly small arrays, some gangs, a few tasks that run for long.
-func (s *harness) newJob(rng *rand.Rand, n int) *jobHistory {
-	team := teams(s.options.Machines)[rng.IntN(2)]
+// newJob draws a job and registers it: most are small arrays, some are gangs, and a few run for long.
+// The order of the draws is part of what a seed determines.
+func (h *harness) newJob(rng *rand.Rand, n int) *jobHistory {
+	team := teams(h.options.Machines)[rng.IntN(2)]
 	gang := rng.IntN(5) == 0
 	tasks := 1 + rng.IntN(3)
-	run := micros.FromSeconds(0.3 + 3*rng.ExpFloat64())
+	runTime := micros.FromSeconds(0.3 + 3*rng.ExpFloat64())
 	if rng.IntN(6) == 0 {
-		run = 25 * micros.Second
+		runTime = 25 * micros.Second
 	}
-	j := &sched.Job{
+	job := &sched.Job{
 		ID: fmt.Sprintf("req-%06d", n), Class: "work", Team: team.Name, Gang: gang, OneZone: gang && rng.IntN(2) == 0,
 		Priority: sched.Priority(rng.IntN(4)), Tasks: tasks, Need: sched.NewResources(float64(1+rng.IntN(3)), 0, 2),
-		Image: "image", ImageGB: 1, Estimate: run, Spread: !gang && tasks > 1 && rng.IntN(4) == 0,
+		Image: "image", ImageGB: 1, Estimate: runTime, Spread: !gang && tasks > 1 && rng.IntN(4) == 0,
 	}
-	truth := &jobHistory{job: j, body: wire.Encode(wire.FromJob(j)), info: fake.TaskInfo{
-		CPU: j.Need.CPUs(), Mem: 2, Run: run, Fetch: 200 * micros.Millisecond, Gang: gang, Tasks: tasks,
+	history := &jobHistory{job: job, body: wire.Encode(wire.FromJob(job)), taskInfo: fake.TaskInfo{
+		CPU: job.Need.CPUs(), Mem: 2, Run: runTime, Fetch: 200 * micros.Millisecond, Gang: gang, Tasks: tasks,
 	}}
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.checker.jobs[j.ID] = truth
-	s.checker.order = append(s.checker.order, j.ID)
-	s.checker.stats.Jobs++
-	return truth
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.checker.addJob(history)
+	return history
 }
 
-func (u *user) id() string { return u.history.job.ID }
-
-// node picks a controller.
-func (u *user) node() int { return u.rng.IntN(u.site.options.Controllers) }
-
-// run submits the job, asks for it until it is over, and perhaps cancels it.
+// run submits the job, queries it until it has ended, and perhaps cancels it.
 func (u *user) run() {
-	if u.rng.IntN(impatientUsers) == 0 {
+	if u.rng.IntN(duplicateSubmissionOneIn) == 0 {
 		for range 2 {
-			go u.site.sendRequest(opSubmit, u.id(), u.history.body, u.node())
+			go u.send(opSubmit, u.drawController(u.rng))
 		}
 	}
 	if !u.submit() {
 		return
 	}
-	go u.site.checkConsistency(u.history)
+	go u.checkConsistency()
 	if u.rng.IntN(2) == 0 {
-		go u.cancelLater(u.site.forkRandom(u.rng))
+		go u.cancelLater(forkRandom(u.rng))
 	}
-	for u.site.sleep(u.jitter(pollInterval)) {
-		if u.isTerminal() {
+	for u.harness.sleep(u.jitter(queryInterval)) {
+		if u.knowsEnd() {
 			return
 		}
-		u.site.sendRequest(opQuery, u.id(), nil, u.node())
+		u.send(opQuery, u.drawController(u.rng))
 		if u.rng.IntN(3) == 0 {
-			u.site.sendRequest(opSubmit, u.id(), u.history.body, u.node())
+			u.send(opSubmit, u.drawController(u.rng))
 		}
 	}
 }
 
-// forkRandom makes a source of random numbers for another goroutine.
-func (s *harness) forkRandom(rng *rand.Rand) *rand.Rand {
-	return rand.New(rand.NewPCG(rng.Uint64(), rng.Uint64()))
-}
+// drawController draws the controller of a request.
+func (u *user) drawController(rng *rand.Rand) int { return rng.IntN(u.harness.options.Controllers) }
 
+// jitter draws a time from half of d to one and a half of it.
 func (u *user) jitter(d time.Duration) time.Duration {
 	return d/2 + time.Duration(u.rng.Int64N(int64(d)))
 }
 
-// submit submits the job as users do, and tells whether it was accepted.
+// submit submits the job with retries, and reports whether it was accepted.
 func (u *user) submit() bool {
-	until := time.Now().Add(giveUpTimeout)
-	for time.Now().Before(until) {
-		if o := u.site.sendRequest(opSubmit, u.id(), u.history.body, u.node()); o.accepted() {
+	for deadline := time.Now().Add(submitGiveUpTime); time.Now().Before(deadline); {
+		if o := u.send(opSubmit, u.drawController(u.rng)); o.accepted() {
 			return true
 		}
-		if !u.site.sleep(retryPause) {
+		if !u.harness.sleep(retryInterval) {
 			return false
 		}
 	}
 	return false
 }
 
-// isTerminal tells whether the user knows how the job ended.
-func (u *user) isTerminal() bool {
-	u.site.mu.Lock()
-	defer u.site.mu.Unlock()
+// knowsEnd reports whether a response has shown that the job has ended.
+func (u *user) knowsEnd() bool {
+	u.harness.mu.Lock()
+	defer u.harness.mu.Unlock()
 	return u.history.terminalPhase != ""
 }
 
-// cancelLater cancels the job some time after it was accepted, while it repeats the submission
-// and asks at all nodes.
+// cancelLater cancels the job some time after its acceptance, and sends duplicate submissions and
+// queries to all controllers at the same time.
 func (u *user) cancelLater(rng *rand.Rand) {
-	delays := []time.Duration{0, 20 * time.Millisecond, time.Second, 10 * time.Second}
-	if !u.site.sleep(time.Duration(rng.Float64() * float64(delays[rng.IntN(len(delays))]))) {
+	if !u.harness.sleep(time.Duration(rng.Float64() * float64(maxCancelDelays[rng.IntN(len(maxCancelDelays))]))) {
 		return
 	}
-	u.site.mu.Lock()
+	u.harness.mu.Lock()
 	u.history.cancelRequested = true
-	u.site.mu.Unlock()
-	go u.sendDuplicates(u.site.forkRandom(rng))
-	if !u.site.sleep(time.Duration(rng.Int64N(int64(duplicateRequestPeriod / 2)))) {
+	u.harness.mu.Unlock()
+	go u.sendDuplicates(forkRandom(rng))
+	if !u.harness.sleep(time.Duration(rng.Int64N(int64(duplicateRequestPeriod / 2)))) {
 		return
 	}
 	for {
-		o := u.site.sendRequest(opCancel, u.id(), nil, rng.IntN(u.site.options.Controllers))
-		if o.accepted() {
-			u.site.checkConsistency(u.history)
+		if o := u.send(opCancel, u.drawController(rng)); o.accepted() {
+			u.checkConsistency()
 			return
 		}
-		if !u.site.sleep(retryPause) {
+		if !u.harness.sleep(retryInterval) {
 			return
 		}
 	}
 }
 
-// sendDuplicates repeats the submission, and asks for the job, at random nodes for a while.
+// sendDuplicates sends duplicate submissions and queries to random controllers for a while.
 func (u *user) sendDuplicates(rng *rand.Rand) {
-	for until := time.Now().Add(duplicateRequestPeriod); time.Now().Before(until); {
+	for deadline := time.Now().Add(duplicateRequestPeriod); time.Now().Before(deadline); {
 		kind := opSubmit
 		if rng.IntN(3) == 0 {
 			kind = opQuery
 		}
-		go u.site.sendRequest(kind, u.id(), u.history.body, rng.IntN(u.site.options.Controllers))
-		if !u.site.sleep(time.Duration(rng.Int64N(int64(2 * duplicateRequestInterval)))) {
+		// Queries have a body here, too, which controllers must ignore.
+		go u.harness.sendRequest(kind, u.history.job.ID, u.history.body, u.drawController(rng))
+		if !u.harness.sleep(time.Duration(rng.Int64N(int64(2 * duplicateRequestInterval)))) {
 			return
 		}
 	}
 }
 
-// checkConsistency asks all nodes, again and again, about what a user was just told, and repeats the
-// submission at each.
-func (s *harness) checkConsistency(truth *jobHistory) {
+// checkConsistency queries the job at all controllers several times after a response, and submits it
+// again at each.
+func (u *user) checkConsistency() {
 	since := time.Now()
-	for _, after := range consistencyCheckDelays {
-		if !s.sleep(time.Until(since.Add(after))) {
+	for _, delay := range consistencyCheckDelays {
+		if !u.harness.sleep(time.Until(since.Add(delay))) {
 			return
 		}
-		for node := range s.options.Controllers {
-			go s.sendRequest(opQuery, truth.job.ID, nil, node)
-			go s.sendRequest(opSubmit, truth.job.ID, truth.body, node)
+		for controller := range u.harness.options.Controllers {
+			go u.send(opQuery, controller)
+			go u.send(opSubmit, controller)
 		}
 	}
 }
+
+// send sends a request about the job. Only submissions have a body.
+func (u *user) send(kind operationKind, controller int) operation {
+	var body []byte
+	if kind == opSubmit {
+		body = u.history.body
+	}
+	return u.harness.sendRequest(kind, u.history.job.ID, body, controller)
+}
+
+// sendRequest sends a user's request to a controller and checks the response.
+func (h *harness) sendRequest(kind operationKind, job string, body []byte, controller int) operation {
+	method, target, timeout := "POST", wire.PathJobs, submitTimeout
+	switch kind {
+	case opSubmit:
+	case opQuery:
+		method, target, timeout = "GET", wire.PathJobs+"/"+job, queryTimeout
+	case opCancel:
+		target = wire.PathJobs + "/" + job + wire.PathCancelSuffix
+	}
+	o := operation{kind: kind, job: job, controller: controller, sentAt: h.now()}
+	result := h.sendOver(h.links.users[controller], timeout, func() callResult {
+		return h.client.send(h.ctx, method, h.addrs.users(controller), target, body, timeout)
+	})
+	o.status = result.status
+	var state wire.JobState
+	if wire.Decode(result.body, &state) == nil && state.ID == job {
+		o.phase = state.Status
+	}
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	if h.ctx.Err() != nil {
+		return operation{}
+	}
+	o.respondedAt = h.now()
+	h.checker.handleResponse(o, result)
+	return o
+}
--- a/internal/soaktest/workers.go
+++ b/internal/soaktest/workers.go
@@ -1,8 +1,9 @@
 package soaktest
 
 import (
-	"net/url"
+	"context"
 	"strconv"
+	"strings"
 	"time"
 
 	"tamarindlead/internal/fake"
@@ -10,60 +11,76 @@
 	"tamarindlead/micros"
 )
 
-// heartbeatTimeout is how long a worker waits for the answer to a report.
-const heartbeatTimeout = 4 * time.Second
-
-// workerServer is the address at which a machine's worker takes commands.
-type workerServer struct {
-	server *linkServer
-	link   *link
-}
+const (
+	// heartbeatTimeout is how long a worker waits for the response to a heartbeat.
+	heartbeatTimeout = 4 * time.Second
+	// minDuplicateHeartbeatDelay is the shortest delay of a copy of a heartbeat. The longest one
+	// exceeds it by twice the lease.
+	minDuplicateHeartbeatDelay = 2 * time.Second
+)
 
-// addWorker listens for the worker of a new machine and returns its address.
-func (s *harness) addWorker(machine string) string {
-	n, _ := strconv.Atoi(machine[len("m-"):])
-	addr := s.addrs.worker(n)
-	l := newLink("commands to "+machine, s.options.Seed, streamLinks+workerPort+uint64(n))
-	server, err := serve(s.run, addr, l, func(r inboundRequest) callResult { return s.executeCommands(machine, r) })
+// addWorker starts the server of a new machine's worker and returns its address.
+func (h *harness) addWorker(machine string) string {
+	n, err := strconv.Atoi(strings.TrimPrefix(machine, "m-"))
 	if err != nil {
-		s.checker.harnessFailed("worker %s cannot listen: %v", machine, err)
-		return addr
+		h.checker.harnessFailed("number of machine %s: %v", machine, err)
+	}
+	addr := h.addrs.worker(n)
+	l := newLink("commands to "+machine, h.options.Seed, streamLinks+workerPort+uint64(n))
+	execute := func(r inboundRequest) callResult { return h.executeCommands(machine, r) }
+	if err := h.serve(addr, l, execute); err != nil {
+		h.checker.harnessFailed("worker of %s: %v", machine, err)
 	}
-	s.workers[machine] = &workerServer{server, l}
 	return addr
 }
 
-// executeCommands executes a direct request to a worker. One that hangs does so when it goes on.
-func (s *harness) executeCommands(machine string, r inboundRequest) callResult {
+// executeCommands executes a direct request to a worker. A worker that hangs executes it afterwards.
+func (h *harness) executeCommands(machine string, r inboundRequest) callResult {
 	for {
-		s.mu.Lock()
-		w := s.fleet.Workers[machine]
-		silent := w == nil || w.Machine.Gone || w.Partitioned || w.InboundBlocked
-		if !silent && !w.Hung {
-			defer s.mu.Unlock()
-			return s.workerResponse(w, r)
-		}
-		s.mu.Unlock()
-		if silent {
+		result, state := h.tryCommands(machine, r)
+		switch state {
+		case workerResponsive:
+			return result
+		case workerUnreachable:
 			<-r.abandoned
 			return callResult{failure: failureTimeout}
+		case workerHung:
 		}
-		if !s.sleep(stepInterval) {
+		if !h.sleep(stepInterval) {
 			return callResult{failure: failureTimeout}
 		}
 	}
 }
 
-func (s *harness) workerResponse(w *fake.Worker, r inboundRequest) callResult {
-	if r.target == wire.PathInspect {
-		return callResult{status: wire.StatusOK, body: wire.Encode(w.BuildHeartbeat())}
+// workerState is the state of a worker as its clients can observe it.
+type workerState int
+
+// The states of a worker.
+const (
+	workerResponsive workerState = iota
+	workerUnreachable
+	workerHung
+)
+
+// tryCommands executes a direct request if the worker is responsive.
+func (h *harness) tryCommands(machine string, r inboundRequest) (callResult, workerState) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	w := h.fleet.Workers[machine]
+	switch {
+	case w == nil || w.Machine.Gone || w.Partitioned || w.InboundBlocked:
+		return callResult{}, workerUnreachable
+	case w.Hung:
+		return callResult{}, workerHung
+	case r.target == wire.PathInspect:
+		return callResult{status: wire.StatusOK, body: wire.Encode(w.BuildHeartbeat())}, workerResponsive
 	}
-	reply := w.ExecuteDirect(s.now(), r.body)
-	return callResult{status: reply.Status, body: reply.Body}
+	response := w.ExecuteDirect(h.now(), r.body)
+	return callResult{status: response.Status, body: response.Body}, workerResponsive
 }
 
-// stepWorker lets a worker's tasks make progress, and has it report if it is time.
-func (s *harness) stepWorker(w *fake.Worker, now micros.Micros) {
+// stepWorker advances a worker's tasks, and sends a heartbeat if one is due.
+func (h *harness) stepWorker(w *fake.Worker, now micros.Micros) {
 	if w.Machine.Gone {
 		return
 	}
@@ -72,50 +89,46 @@
 		return
 	}
 	w.HeartbeatSent(now, heartbeatInterval)
-	node, session, body := w.Node, w.AgentEpoch, wire.Encode(w.BuildHeartbeat())
-	go s.heartbeat(w, node, session, body)
-	if s.rng.Float64() < s.duplicateHeartbeatShare {
-		to := s.rng.IntN(s.options.Controllers)
-		delay := 2*time.Second + time.Duration(s.rng.Int64N(int64(2*workerLease.Duration())))
-		go sendAfter(s.run, delay, func() callResult { return s.sendHeartbeat(to, body) })
+	sent := sentHeartbeat{controller: w.Node, epoch: w.AgentEpoch, body: wire.Encode(w.BuildHeartbeat())}
+	go h.exchangeHeartbeat(w, sent)
+	if h.rng.Float64() < h.duplicateHeartbeatProbability {
+		to := h.rng.IntN(h.options.Controllers)
+		delay := minDuplicateHeartbeatDelay + time.Duration(h.rng.Int64N(int64(2*workerLease.Duration())))
+		go sendAfter(h.ctx, delay, func() callResult { return h.sendHeartbeat(to, sent.body) })
 	}
 }
 
-// sendHeartbeat brings a report to a controller.
-func (s *harness) sendHeartbeat(node int, body []byte) callResult {
-	return s.client.send(s.run, "POST", s.addrs.users(node), wire.PathHeartbeat, body, heartbeatTimeout)
+// sentHeartbeat is a heartbeat on its way to a controller.
+type sentHeartbeat struct {
+	controller int
+	epoch      uint64
+	body       []byte
 }
 
-// heartbeat sends a worker's report and hands it the answer.
-func (s *harness) heartbeat(w *fake.Worker, node int, session uint64, body []byte) {
-	a := s.sendOver(s.heartbeatLinks[node], heartbeatTimeout, func() callResult { return s.sendHeartbeat(node, body) })
-	s.mu.Lock()
-	defer s.mu.Unlock()
+// exchangeHeartbeat sends a worker's heartbeat and passes the response to the worker.
+func (h *harness) exchangeHeartbeat(w *fake.Worker, sent sentHeartbeat) {
+	result := h.sendOver(h.links.heartbeats[sent.controller], heartbeatTimeout, func() callResult {
+		return h.sendHeartbeat(sent.controller, sent.body)
+	})
+	h.mu.Lock()
+	defer h.mu.Unlock()
 	if w.Machine.Gone {
 		return
 	}
 	if w.Partitioned || w.Hung || w.InboundBlocked {
-		a = callResult{}
+		result = callResult{}
 	}
-	w.HandleHeartbeatResponse(s.now(), a.status, a.body, session, s.controllerIndex, s.options.Controllers)
+	w.HandleHeartbeatResponse(h.now(), result.status, result.body, sent.epoch, h.controllerIndex, h.options.Controllers)
 }
 
-// controllerIndex finds a controller by its name.
-func (s *harness) controllerIndex(name string) (int, bool) {
-	for i, c := range s.controllers {
-		if c.name == name {
-			return i, true
-		}
-	}
-	return 0, false
+// sendHeartbeat sends a heartbeat to a controller.
+func (h *harness) sendHeartbeat(controller int, body []byte) callResult {
+	return h.client.send(h.ctx, "POST", h.addrs.users(controller), wire.PathHeartbeat, body, heartbeatTimeout)
 }
 
-// watchWait is how long a request to the state service wants to wait for changes.
-func watchWait(target string) micros.Micros {
-	u, err := url.ParseRequestURI(target)
-	if err != nil {
-		return 0
-	}
-	ms, _ := strconv.ParseFloat(u.Query().Get("waitMs"), 64)
-	return micros.FromMillis(ms)
+// sendOver sends a request of a user or worker over a link.
+func (h *harness) sendOver(l *link, timeout time.Duration, send func() callResult) callResult {
+	sender, cancel := context.WithTimeout(h.ctx, timeout)
+	defer cancel()
+	return l.transmit(sender, h.ctx, send)
 }
