--- a/cmd/soaktest/main.go
+++ b/cmd/soaktest/main.go
@@ -1,5 +1,8 @@
-// Command faultsoak runs controllers as real processes over loopback, lets faults happen at
-// random, and checks from outside that the rules of the protocol hold. See docs/faultsoak.md.
+// Command soaktest runs controllers as real processes over loopback, injects faults at random times,
+// and checks from outside that the rules of the protocol hold. See docs/soaktest.md.
+//
+// It owns the command line, the directory of a run and the output. The run itself is played by
+// internal/soaktest.
 package main
 
 import (
@@ -29,73 +32,78 @@
 	exitFailed     = 3 // the run could not be played
 )
 
-// errViolations tells that rules were broken.
-var errViolations = errors.New("rules were broken")
+// errViolations reports that rules were violated.
+var errViolations = errors.New("rules were violated")
 
-// runError wraps an error that is not the caller's.
+// runError wraps an error that the caller's input did not cause.
 type runError struct{ error }
 
+// Unwrap returns the cause.
+func (e runError) Unwrap() error { return e.error }
+
 func main() {
+	os.Exit(runMain())
+}
+
+func runMain() int {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	log.SetOutput(io.Discard) // the standard library tells of refused connections there
-	os.Exit(exitStatus(command(os.Stdout).ExecuteContext(ctx)))
+	log.SetOutput(io.Discard) // the standard library logs refused connections there
+	return exitStatus(newCommand(os.Stdout).ExecuteContext(ctx))
 }
 
-// exitStatus prints an error and returns the status that stands for it.
+// exitStatus prints an error and returns its exit status.
 func exitStatus(err error) int {
-	var failed runError
-	switch {
-	case err == nil:
+	if err == nil {
 		return exitOK
-	case errors.Is(err, errViolations):
-		return exitViolations
-	case errors.As(err, &failed):
-		fmt.Fprintln(os.Stderr, "faultsoak:", err)
+	}
+	if errors.Is(err, errViolations) {
+		return exitViolations // they have been printed
+	}
+	fmt.Fprintln(os.Stderr, "soaktest:", err)
+	var failed runError
+	if errors.As(err, &failed) {
 		return exitFailed
 	}
-	fmt.Fprintln(os.Stderr, "faultsoak:", err)
 	return exitBadInput
 }
 
-const help = `Runs controllers as real processes over loopback with stand-ins of the state service, the
-cloud, workers and users. Processes are killed and frozen, links cut, messages delayed, lost,
-doubled and executed late, as the seed draws them. What users and workers see, and the history
-of the state service, are checked against the rules of the protocol.
+const help = `Runs controllers as real processes over loopback with fakes of the key-value store, the cloud,
+workers and users. Processes are killed and frozen, links partitioned, messages delayed, lost,
+duplicated and executed late, as drawn by the seed. What users and workers observe, and the
+history of the key-value store, are checked against the rules of the protocol.
 
 Exit status: 0 no violation, 1 violations, 2 bad input, 3 the run could not be played.`
 
-func command(out io.Writer) *cobra.Command {
+func newCommand(out io.Writer) *cobra.Command {
 	var o soaktest.Options
 	var quiet bool
 	root := &cobra.Command{
-		Use: "faultsoak", Short: "Checks the rules under random faults", Long: help,
+		Use: "soaktest", Short: "Checks the rules of the protocol under random faults", Long: help,
 		Args: cobra.NoArgs, SilenceUsage: true, SilenceErrors: true,
 		RunE: func(cmd *cobra.Command, _ []string) error { return run(cmd.Context(), o, quiet, out) },
 	}
 	flags := root.Flags()
 	flags.Uint64Var(&o.Seed, "seed", 1, "determines which faults and jobs are drawn")
-	flags.DurationVar(&o.Duration, "duration", time.Minute, "for how long faults happen")
-	flags.DurationVar(&o.Settle, "settle", time.Minute, "for how long at most to wait then until all jobs are over")
+	flags.DurationVar(&o.Duration, "duration", time.Minute, "how long faults are injected")
+	flags.DurationVar(&o.SettleTimeout, "settle", time.Minute, "how long at most to wait then until all jobs have ended")
 	flags.IntVar(&o.Controllers, "controllers", 3, "number of controllers")
-	flags.IntVar(&o.Machines, "machines", 40, "most machines at a time")
-	flags.Float64Var(&o.JobRate, "job-rate", 3, "jobs that users submit, a second")
-	flags.IntVar(&o.Sockets, "sockets", 1200, "connections that a controller may have")
-	flags.BoolVar(&o.Calm, "calm", false, "leave out all faults")
-	flags.StringVar(&o.Binary, "binary", "", "the service's program (default: it is built)")
-	flags.StringVar(&o.Dir, "dir", "", "folder for settings and logs (default: a new one, kept after violations)")
+	flags.IntVar(&o.Machines, "machines", 40, "largest number of machines")
+	flags.Float64Var(&o.JobRate, "job-rate", 3, "jobs that users submit per second")
+	flags.IntVar(&o.Sockets, "sockets", 1200, "limit of a controller's connections")
+	flags.BoolVar(&o.NoFaults, "calm", false, "leave out all faults")
+	flags.StringVar(&o.Binary, "binary", "", "path of the controller's program (default: it is built)")
+	flags.StringVar(&o.Dir, "dir", "", "directory for settings and logs (default: a new one, kept after violations)")
 	flags.BoolVar(&quiet, "quiet", false, "print only the result")
 	return root
 }
 
 // run plays one run and prints its result.
 func run(ctx context.Context, o soaktest.Options, quiet bool, out io.Writer) error {
-	checked := o
-	checked.Binary, checked.Dir = "x", "x" // they have defaults
-	if err := checked.Validate(); err != nil {
+	if err := validate(o); err != nil {
 		return err
 	}
-	ownDir := o.Dir == ""
+	temporaryDir := o.Dir == ""
 	if err := prepare(ctx, &o); err != nil {
 		return runError{err}
 	}
@@ -106,26 +114,28 @@
 	if err != nil {
 		return runError{err}
 	}
-	printResult(out, o, result)
+	err = printResult(out, o, result)
 	if len(result.Violations) > 0 {
-		fmt.Fprintf(out, "logs: %s\nagain: %s\n", o.Dir, repeatCommand(o))
-		return errViolations
+		return errors.Join(errViolations, err)
+	}
+	if err != nil {
+		return runError{err}
 	}
-	if ownDir {
-		os.RemoveAll(o.Dir)
+	if temporaryDir {
+		_ = os.RemoveAll(o.Dir) // the result of the run does not depend on it
 	}
 	return nil
 }
 
-// prepare makes the folder, and builds the service unless a program is given.
+// validate checks the options before anything is prepared.
+func validate(o soaktest.Options) error {
+	o.Binary, o.Dir = "default", "default" // prepare sets them if they are missing
+	return o.Validate()
+}
+
+// prepare makes the directory, and builds the controller's program unless one is given.
 func prepare(ctx context.Context, o *soaktest.Options) error {
-	if o.Dir == "" {
-		dir, err := os.MkdirTemp("", "faultsoak-")
-		if err != nil {
-			return err
-		}
-		o.Dir = dir
-	} else if err := os.MkdirAll(o.Dir, 0o755); err != nil {
+	if err := makeDir(o); err != nil {
 		return err
 	}
 	if o.Binary != "" {
@@ -134,27 +144,44 @@
 	o.Binary = filepath.Join(o.Dir, "tamarindlead")
 	build := exec.CommandContext(ctx, "go", "build", "-o", o.Binary, "tamarindlead/cmd/tamarindlead")
 	if output, err := build.CombinedOutput(); err != nil {
-		return fmt.Errorf("the service cannot be built: %w\n%s", err, strings.TrimSpace(string(output)))
+		return fmt.Errorf("build of the controller: %w\n%s", err, strings.TrimSpace(string(output)))
 	}
 	return nil
 }
 
-// repeatCommand is the command that repeats a run.
-func repeatCommand(o soaktest.Options) string {
-	return fmt.Sprintf("go run ./cmd/faultsoak --seed %d --duration %v --controllers %d --machines %d --job-rate %g --sockets %d --calm=%t",
-		o.Seed, o.Duration, o.Controllers, o.Machines, o.JobRate, o.Sockets, o.Calm)
+func makeDir(o *soaktest.Options) error {
+	if o.Dir != "" {
+		return os.MkdirAll(o.Dir, 0o755)
+	}
+	dir, err := os.MkdirTemp("", "soaktest-")
+	o.Dir = dir
+	return err
 }
 
-func printResult(out io.Writer, o soaktest.Options, r *soaktest.Result) {
-	for _, v := range r.Violations {
-		fmt.Fprintln(out, v)
+// printResult prints the violations and the counts of a run, and after violations how to repeat it.
+func printResult(out io.Writer, o soaktest.Options, result *soaktest.Result) error {
+	var text strings.Builder
+	for _, v := range result.Violations {
+		fmt.Fprintln(&text, v)
 	}
-	if r.DroppedViolations > 0 {
-		fmt.Fprintf(out, "and %d more\n", r.DroppedViolations)
+	if result.DroppedViolations > 0 {
+		fmt.Fprintf(&text, "and %d more\n", result.DroppedViolations)
 	}
-	f := r.Stats
-	fmt.Fprintf(out, "seed %d: %d violations; %d faults, %d kills; %d jobs, %d accepted, %d done, %d cancelled, %d open; "+
-		"%d answers, %d refused, %d without answer; %d starts, %d after a cancellation; %d machines given up; %d histories undecided\n",
-		o.Seed, len(r.Violations)+r.DroppedViolations, f.Faults, f.Kills, f.Jobs, f.Accepted, f.Done, f.Cancelled, f.Open,
-		f.Answers, f.Refused, f.Unanswered, f.Starts, f.StartsAfterCancel, f.GivenUp, f.Undecided)
+	s := result.Stats
+	fmt.Fprintf(&text, "seed %d: %d violations; %d faults, %d kills; ", o.Seed, len(result.Violations)+result.DroppedViolations, s.Faults, s.Kills)
+	fmt.Fprintf(&text, "%d jobs, %d accepted, %d done, %d cancelled, %d unfinished; ", s.Jobs, s.Accepted, s.Done, s.Cancelled, s.Unfinished)
+	fmt.Fprintf(&text, "%d responses, %d refused, %d unanswered; ", s.Responses, s.Refused, s.Unanswered)
+	fmt.Fprintf(&text, "%d starts, %d after a cancellation; ", s.Starts, s.StartsAfterCancel)
+	fmt.Fprintf(&text, "%d machines lost; %d histories undecided\n", s.MachinesLost, s.Undecided)
+	if len(result.Violations) > 0 {
+		fmt.Fprintf(&text, "logs: %s\nrepeat: %s\n", o.Dir, repeatCommand(o))
+	}
+	_, err := io.WriteString(out, text.String())
+	return err
+}
+
+// repeatCommand returns the command that repeats a run.
+func repeatCommand(o soaktest.Options) string {
+	return fmt.Sprintf("go run ./cmd/soaktest --seed %d --duration %v --controllers %d --machines %d --job-rate %g --sockets %d --calm=%t",
+		o.Seed, o.Duration, o.Controllers, o.Machines, o.JobRate, o.Sockets, o.NoFaults)
 }
