--- /dev/null
+++ b/internal/soaktest/run_test.go
@@ -0,0 +1,88 @@
+package soaktest
+
+import (
+	"fmt"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"strings"
+	"testing"
+	"time"
+)
+
+// shortSeeds are the seeds of the short runs with faults. All are odd: each team has one owner at a
+// time.
+var shortSeeds = []uint64{1, 5}
+
+// TestShortSoak plays short runs on real processes. It checks the rules, and of the amount of work
+// only that a run was not empty.
+func TestShortSoak(t *testing.T) {
+	binary := buildService(t)
+	for _, seed := range shortSeeds {
+		t.Run(fmt.Sprint(seed), func(t *testing.T) {
+			t.Parallel()
+			playShortRun(t, Options{
+				Seed: seed, Duration: 20 * time.Second, SettleTimeout: 15 * time.Second,
+				Controllers: 3, Machines: 12, JobRate: 4, Sockets: 1200, Binary: binary,
+			})
+		})
+	}
+	// With more workers than connections none of the machines is considered lost, and users get
+	// responses.
+	t.Run("no connection free", func(t *testing.T) {
+		t.Parallel()
+		playShortRun(t, Options{
+			Seed: 1, Duration: 20 * time.Second, SettleTimeout: 15 * time.Second,
+			Controllers: 3, Machines: 160, JobRate: 4, Sockets: 64, NoFaults: true, Binary: binary,
+		})
+	})
+}
+
+// buildService builds the controller's program and returns its path.
+func buildService(t *testing.T) string {
+	t.Helper()
+	binary := filepath.Join(t.TempDir(), "tamarindlead")
+	build := exec.CommandContext(t.Context(), "go", "build", "-o", binary, "tamarindlead/cmd/tamarindlead")
+	if output, err := build.CombinedOutput(); err != nil {
+		t.Fatalf("%v\n%s", err, output)
+	}
+	return binary
+}
+
+// playShortRun plays a run that must not be empty and must not violate any rule.
+func playShortRun(t *testing.T, o Options) {
+	t.Helper()
+	o.Dir = t.TempDir()
+	var progress strings.Builder
+	o.Progress = &progress
+	result, err := Run(t.Context(), o)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Logf("%+v", result.Stats)
+	for _, v := range result.Violations {
+		t.Error(v)
+	}
+	if stats := result.Stats; stats.Accepted == 0 || stats.Responses == 0 || stats.Starts == 0 {
+		t.Errorf("empty run: %+v", stats)
+	}
+	if t.Failed() {
+		t.Log(progress.String())
+		logLastLines(t, o)
+	}
+}
+
+// logLastLines logs the end of each controller's log, since the logs are removed after the test.
+func logLastLines(t *testing.T, o Options) {
+	t.Helper()
+	const maxLines = 40
+	for i := range o.Controllers {
+		data, err := os.ReadFile(filepath.Join(o.Dir, controllerName(i)+".log"))
+		if err != nil {
+			t.Log(err)
+			continue
+		}
+		lines := strings.Split(string(data), "\n")
+		t.Logf("%s:\n%s", controllerName(i), strings.Join(lines[max(0, len(lines)-maxLines):], "\n"))
+	}
+}
