--- a/controller/dump_test.go
+++ b/controller/dump_test.go
@@ -79,7 +79,7 @@
 	w.now, w.kvStore.Now, w.cloud.Now = d.Now, d.Now, d.Now
 	w.kvStore.Load(d.Records, d.Revision, dumpLease)
 	w.cloud.Types, w.cloud.Capacity = d.Types, d.Capacity
-	w.cloud.RestoreGrants(d.Grants, d.Rented)
+	w.cloud.RestoreScaleOutGrants(d.Grants, d.Rented)
 	for _, task := range d.Done {
 		w.done[task] = true
 	}
--- a/controller/dump_write_test.go
+++ b/controller/dump_write_test.go
@@ -58,11 +58,11 @@
 func (w *simulation) writeDump() *dump {
 	d := &dump{Settings: *w.cfg, Now: w.now, Types: w.cloud.Types, Capacity: w.cloud.Capacity, Done: sortedKeys(w.done)}
 	d.Records, d.Revision = w.kvStore.Records()
-	d.Grants, d.Rented = w.cloud.Grants()
+	d.Grants, d.Rented = w.cloud.ScaleOutGrants()
 	for _, r := range d.Records {
 		d.Readings = append(d.Readings, w.production.decodeRecord(r.Key, r.Value))
 	}
-	for _, name := range w.cloud.Names() {
+	for _, name := range w.cloud.MachineNames() {
 		m := dumpMachine{CloudMachine: *w.cloud.Machines[name]}
 		if k := w.workers[name]; k != nil {
 			m.Worker, m.Hung, m.Session, m.Seq, m.Token = true, k.Hung, k.AgentEpoch, k.HeartbeatSeq, k.FencingToken
--- a/controller/fault_pairs_faults_test.go
+++ b/controller/fault_pairs_faults_test.go
@@ -95,7 +95,7 @@
 		}
 		all = append(all, k)
 		for task := range k.Tasks {
-			if id, _, _ := wire.SplitTaskName(task); w.cancelRequested[id] && k.Live(task) {
+			if id, _, _ := wire.SplitTaskName(task); w.cancelRequested[id] && k.IsLive(task) {
 				likely = append(likely, k)
 				break
 			}
--- a/controller/fault_pairs_jobs_test.go
+++ b/controller/fault_pairs_jobs_test.go
@@ -156,7 +156,7 @@
 func (p *faultPairRun) tasksThatFit(k *fake.Worker, j *sched.Job) int {
 	w := p.w
 	m := k.Machine
-	if m.Gone || k.Hung || k.Partitioned || k.InboundBlocked || k.FailsTasks || k.Notice != nil || !j.Allows(m.Type, m.Zone, m.Spot) {
+	if m.Gone || k.Hung || k.Partitioned || k.InboundBlocked || k.FailsTasks || k.PreemptionNotice != nil || !j.Allows(m.Type, m.Zone, m.Spot) {
 		return 0
 	}
 	return freeTaskSlots(k, w.infos[j.ID])
--- a/controller/scenario_machines_test.go
+++ b/controller/scenario_machines_test.go
@@ -76,7 +76,7 @@
 		w.forgetDeletedMachines()
 	case d.HasArg("notice"):
 		left := argNumber(t, d, "notice", 20)
-		k.Notice, k.Changed = &left, true
+		k.PreemptionNotice, k.Changed = &left, true
 		w.after(micros.FromSeconds(left), func() { w.cloud.Reclaim(which); w.forgetDeletedMachines() })
 	default:
 		d.Fatalf(t, "what happens to the machine?")
--- a/controller/simulation_test.go
+++ b/controller/simulation_test.go
@@ -100,7 +100,7 @@
 	}
 	w.fleet = fake.NewFleet(fake.FleetTimeouts{Lease: cfg.WorkerLease, GangPeerTimeout: cfg.GangFailureTimeout, GangWaitTimeout: cfg.GangStartTimeout})
 	w.fleet.Info, w.fleet.OnStart, w.fleet.OnExit, w.fleet.OnDone = w.info, w.onStart, w.onExit, w.onDone
-	w.workers, w.done = w.fleet.Workers, w.fleet.Done
+	w.workers, w.done = w.fleet.Workers, w.fleet.CompletedTasks
 	w.kvStore.MaxOps, w.kvStore.MaxValueBytes = cfg.MaxTransactionOps, cfg.MaxValueBytes
 	w.cloud.ListDelay = cfg.CloudListLag
 	for i := range len(cfg.Siblings) + 1 {
--- a/controller/simulation_workers_test.go
+++ b/controller/simulation_workers_test.go
@@ -18,7 +18,7 @@
 func (w *simulation) workerNames() []string { return sortedKeys(w.workers) }
 
 func (w *simulation) bootMachines() {
-	for _, name := range w.cloud.Names() {
+	for _, name := range w.cloud.MachineNames() {
 		m := w.cloud.Machines[name]
 		if m.Started || m.Gone || m.UpAt == 0 || w.now < m.UpAt {
 			continue
@@ -113,7 +113,7 @@
 	}
 	k.HeartbeatSent(w.now, w.cfg.HeartbeatInterval)
 	session := k.AgentEpoch
-	node := w.nodes[k.Node]
+	node := w.nodes[k.Controller]
 	body := wire.Encode(k.BuildHeartbeat())
 	if w.rng.Float64() < w.duplicateHeartbeatShare {
 		copyTo := w.nodes[w.rng.IntN(len(w.nodes))]
@@ -121,7 +121,7 @@
 			w.sendRequest(copyTo, Request{Method: "POST", Path: "/hello", Body: body}, micros.Second, func(Respond) {})
 		})
 	}
-	if w.duplicateHeartbeat(k, body) || k.HeartbeatsBlocked || node.workersUnreachable || w.partitioned(w.nodeZone(k.Node), k.Machine.Zone) || w.rng.Float64() < w.lossRate {
+	if w.duplicateHeartbeat(k, body) || k.HeartbeatsBlocked || node.workersUnreachable || w.partitioned(w.nodeZone(k.Controller), k.Machine.Zone) || w.rng.Float64() < w.lossRate {
 		w.after(4*micros.Second, func() { k.HandleHeartbeatResponse(w.now, 0, nil, session, w.nodeOf, len(w.nodes)) })
 		return
 	}
--- a/controller/users_test.go
+++ b/controller/users_test.go
@@ -312,7 +312,7 @@
 	}
 	byZone := map[string]int{}
 	for _, k := range w.workers {
-		if k.Machine.Gone || k.Hung || k.Partitioned || k.InboundBlocked || k.FailsTasks || k.Notice != nil || !j.Allows(k.Machine.Type, k.Machine.Zone, k.Machine.Spot) {
+		if k.Machine.Gone || k.Hung || k.Partitioned || k.InboundBlocked || k.FailsTasks || k.PreemptionNotice != nil || !j.Allows(k.Machine.Type, k.Machine.Zone, k.Machine.Spot) {
 			continue
 		}
 		byZone[k.Machine.Zone] += freeTaskSlots(k, info)
--- a/internal/fake/cloud.go
+++ b/internal/fake/cloud.go
@@ -19,7 +19,7 @@
 	Unavailable bool          // all requests get status 503
 	ListDelay   micros.Micros // age of the state that the list of machines shows
 	Types       []wire.MachineType
-	Capacity    map[string]int                             // machines that may still be created, by OfferKey
+	Capacity    map[string]int                             // machines that may still be created, by CapacityKey
 	FailedBoots int                                        // number of machines, from the next one on, that never boot
 	BootTime    func(standard micros.Micros) micros.Micros // boot time of a machine; nil: the standard time of its type
 	Endpoint    func(machine string) string                // returns the address of a machine's worker
@@ -48,8 +48,8 @@
 	return &Cloud{Endpoint: Endpoint, Capacity: map[string]int{}, Machines: map[string]*CloudMachine{}, grants: map[string][]string{}}
 }
 
-// OfferKey returns the key of Capacity for machines of a type in a zone.
-func OfferKey(machineType, zone string, spot bool) string {
+// CapacityKey returns the key of Capacity for machines of a type in a zone.
+func CapacityKey(machineType, zone string, spot bool) string {
 	return fmt.Sprintf("%s %s %t", machineType, zone, spot)
 }
 
@@ -72,8 +72,8 @@
 	return m
 }
 
-// Names returns the names of all machines in ascending order.
-func (c *Cloud) Names() []string { return slices.Sorted(maps.Keys(c.Machines)) }
+// MachineNames returns the names of all machines in ascending order.
+func (c *Cloud) MachineNames() []string { return slices.Sorted(maps.Keys(c.Machines)) }
 
 // TypeOf returns the machine type of a name, or nil.
 func (c *Cloud) TypeOf(name string) *wire.MachineType {
@@ -112,7 +112,7 @@
 
 func (c *Cloud) terminate(m *CloudMachine) {
 	m.Gone, m.GoneAt = true, c.Now
-	c.Capacity[OfferKey(m.Type, m.Zone, m.Spot)]++
+	c.Capacity[CapacityKey(m.Type, m.Zone, m.Spot)]++
 }
 
 // scaleOut creates machines. A duplicate of an earlier request returns the machines of that one.
@@ -124,7 +124,7 @@
 	if names, ok := c.grants[request.RequestID]; ok {
 		return newResponse(wire.StatusOK, wire.MachineNames{Machines: names})
 	}
-	key := OfferKey(request.Type, request.Zone, request.Spot)
+	key := CapacityKey(request.Type, request.Zone, request.Spot)
 	number := min(request.Number, c.Capacity[key])
 	machineType := c.TypeOf(request.Type)
 	if number == 0 || machineType == nil {
@@ -164,7 +164,7 @@
 func (c *Cloud) list(after string) Response {
 	at := c.Now - c.ListDelay
 	list := wire.MachineList{Machines: []wire.ListedMachine{}}
-	for _, name := range c.Names() {
+	for _, name := range c.MachineNames() {
 		m := c.Machines[name]
 		if name <= after || m.Rented > at || m.Gone && m.GoneAt <= at {
 			continue
@@ -178,7 +178,7 @@
 }
 
 // statusAt returns the status that the list of machines shows.
-func (m *CloudMachine) statusAt(at micros.Micros) string {
+func (m *CloudMachine) statusAt(at micros.Micros) wire.ListStatus {
 	if m.UpAt != 0 && m.UpAt <= at {
 		return wire.ListRunning
 	}
--- a/internal/fake/dump.go
+++ b/internal/fake/dump.go
@@ -36,12 +36,12 @@
 	}
 }
 
-// Grants returns the names of the machines that were created, by scale-out request, and the number
+// ScaleOutGrants returns the names of the machines that were created, by scale-out request, and the number
 // of machines created in total.
-func (c *Cloud) Grants() (grants map[string][]string, machines int) { return c.grants, c.nextSequence }
+func (c *Cloud) ScaleOutGrants() (grants map[string][]string, machines int) { return c.grants, c.nextSequence }
 
-// RestoreGrants sets what Grants returned for an earlier cloud.
-func (c *Cloud) RestoreGrants(grants map[string][]string, machines int) {
+// RestoreScaleOutGrants sets what Grants returned for an earlier cloud.
+func (c *Cloud) RestoreScaleOutGrants(grants map[string][]string, machines int) {
 	if grants != nil {
 		c.grants = grants
 	}
--- a/internal/fake/fleet.go
+++ b/internal/fake/fleet.go
@@ -20,7 +20,7 @@
 type Fleet struct {
 	Timeouts FleetTimeouts
 	Workers  map[string]*Worker // by machine
-	Done     map[string]bool    // completed tasks
+	CompletedTasks     map[string]bool    // completed tasks
 	// Info returns what the user uploaded about a task.
 	Info func(task string) (TaskInfo, bool)
 	// OnStart is called when a worker starts a task, OnExit when a task exits, and OnDone when a
@@ -32,7 +32,7 @@
 
 // NewFleet returns a fleet without workers. Its functions must be set before a worker boots.
 func NewFleet(timeouts FleetTimeouts) *Fleet {
-	return &Fleet{Timeouts: timeouts, Workers: map[string]*Worker{}, Done: map[string]bool{}}
+	return &Fleet{Timeouts: timeouts, Workers: map[string]*Worker{}, CompletedTasks: map[string]bool{}}
 }
 
 // Boot adds the worker of a machine that has booted. Its first heartbeat goes to the controller
@@ -40,18 +40,18 @@
 func (f *Fleet) Boot(m *CloudMachine, t wire.MachineType, node int, now micros.Micros) *Worker {
 	w := &Worker{
 		Machine: m, CPU: t.CPUs, Mem: t.MemGB, AgentEpoch: 1, Tasks: map[string]*Task{},
-		Lease: f.Timeouts.Lease, LastAnsweredHeartbeat: now, Changed: true, Node: node, NextHeartbeat: now,
+		Lease: f.Timeouts.Lease, LastAnsweredHeartbeat: now, Changed: true, Controller: node, NextHeartbeat: now,
 		Info: f.Info, OnStart: f.OnStart, OnExit: f.taskExited,
 		GangReady: f.gangReady, GangComplete: f.gangComplete, GangStopRequested: f.gangStopRequested,
 		GangPeerTimeout: f.Timeouts.GangPeerTimeout, GangWaitTimeout: f.Timeouts.GangWaitTimeout,
-		Completed: func(task string) bool { return f.Done[task] },
+		Completed: func(task string) bool { return f.CompletedTasks[task] },
 	}
 	f.Workers[m.Name] = w
 	return w
 }
 
-// Names returns the names of all workers' machines in ascending order.
-func (f *Fleet) Names() []string { return slices.Sorted(maps.Keys(f.Workers)) }
+// WorkerNames returns the names of all workers' machines in ascending order.
+func (f *Fleet) WorkerNames() []string { return slices.Sorted(maps.Keys(f.Workers)) }
 
 // taskExited records the exit of a task. If one task of a gang completes, all its tasks do.
 func (f *Fleet) taskExited(w *Worker, task string, cause wire.ExitCause) {
@@ -59,7 +59,7 @@
 	if cause != wire.CauseDone {
 		return
 	}
-	f.Done[task] = true
+	f.CompletedTasks[task] = true
 	f.OnDone(task)
 	if info, _ := f.Info(task); info.Gang {
 		f.completeGang(task, w.Tasks[task].Attempt)
@@ -71,7 +71,7 @@
 func (f *Fleet) completeGang(task string, attempt uint64) {
 	job, _, _ := wire.SplitTaskName(task)
 	info, _ := f.Info(task)
-	for _, name := range f.Names() {
+	for _, name := range f.WorkerNames() {
 		w := f.Workers[name]
 		if w.Machine.Gone {
 			continue
--- a/internal/fake/worker.go
+++ b/internal/fake/worker.go
@@ -21,15 +21,15 @@
 	AgentEpoch        uint64
 	HeartbeatSeq      uint64
 	FencingToken      uint64
-	Notice            *float64 // seconds until the cloud preempts the machine; nil: no notice
+	PreemptionNotice            *float64 // seconds until the cloud preempts the machine; nil: no notice
 	Tasks             map[string]*Task
 	PastAttempts      []*Task // exited and refused attempts of tasks with another attempt here
 
 	Lease                 micros.Micros // tasks are killed this long after LastAnsweredHeartbeat
 	LastAnsweredHeartbeat micros.Micros // time at which the last answered heartbeat was sent
 	NextHeartbeat         micros.Micros
-	Node                  int  // index of the controller that receives its heartbeats
-	InFlight              bool // a heartbeat has not been answered yet
+	Controller                  int  // index of the controller that receives its heartbeats
+	HeartbeatInFlight              bool // a heartbeat has not been answered yet
 	Changed               bool // something must be reported before NextHeartbeat
 
 	Info    func(task string) (TaskInfo, bool)
@@ -56,8 +56,8 @@
 // taskNames returns the names of all tasks in ascending order.
 func (w *Worker) taskNames() []string { return slices.Sorted(maps.Keys(w.Tasks)) }
 
-// Live reports whether a task is on the machine and has not exited.
-func (w *Worker) Live(name string) bool {
+// IsLive reports whether a task is on the machine and has not exited.
+func (w *Worker) IsLive(name string) bool {
 	t := w.Tasks[name]
 	return t != nil && t.Phase != wire.PhaseExited
 }
--- a/internal/fake/worker_heartbeat.go
+++ b/internal/fake/worker_heartbeat.go
@@ -19,7 +19,7 @@
 		Machine: w.Machine.Name, Endpoint: w.Machine.Endpoint, Type: w.Machine.Type,
 		Zone: w.Machine.Zone, Spot: w.Machine.Spot,
 		AgentEpoch: w.AgentEpoch, HeartbeatSeq: w.HeartbeatSeq, FencingToken: w.FencingToken,
-		PreemptionNoticeS: w.Notice, Tasks: []wire.TaskStatus{},
+		PreemptionNoticeS: w.PreemptionNotice, Tasks: []wire.TaskStatus{},
 	}
 	for _, t := range w.PastAttempts {
 		heartbeat.Tasks = append(heartbeat.Tasks, t.status())
@@ -36,7 +36,7 @@
 
 // HeartbeatDue reports whether a heartbeat must be sent now: at its time, or early after a change.
 func (w *Worker) HeartbeatDue(now micros.Micros) bool {
-	if w.Hung || w.InFlight {
+	if w.Hung || w.HeartbeatInFlight {
 		return false
 	}
 	return now >= w.NextHeartbeat || w.Changed && now >= w.heartbeatSentAt+minHeartbeatInterval
@@ -44,13 +44,13 @@
 
 // HeartbeatSent records that a heartbeat was sent.
 func (w *Worker) HeartbeatSent(now, interval micros.Micros) {
-	w.InFlight, w.heartbeatSentAt, w.NextHeartbeat, w.Changed = true, now, now+interval, false
+	w.HeartbeatInFlight, w.heartbeatSentAt, w.NextHeartbeat, w.Changed = true, now, now+interval, false
 }
 
 // HandleHeartbeatResponse handles the response to a heartbeat that was sent in epoch; status 0
 // stands for none. nodeOf returns the index of a controller, and nodes is the number of controllers.
 func (w *Worker) HandleHeartbeatResponse(now micros.Micros, status int, body []byte, epoch uint64, nodeOf func(string) (int, bool), nodes int) {
-	w.InFlight = false
+	w.HeartbeatInFlight = false
 	if !w.Hung {
 		w.resume(now)
 	}
@@ -59,12 +59,12 @@
 		w.applyHeartbeatResponse(now, body, epoch)
 		return
 	case wire.StatusMisdirected:
-		if node, ok := redirectTarget(body, nodeOf); ok && node != w.Node {
-			w.Node, w.NextHeartbeat = node, now
+		if node, ok := redirectTarget(body, nodeOf); ok && node != w.Controller {
+			w.Controller, w.NextHeartbeat = node, now
 			return
 		}
 	}
-	w.Node, w.NextHeartbeat = (w.Node+1)%nodes, now+heartbeatRetryInterval
+	w.Controller, w.NextHeartbeat = (w.Controller+1)%nodes, now+heartbeatRetryInterval
 }
 
 // applyHeartbeatResponse renews the lease and executes the commands, unless the response has a
--- a/internal/soaktest/fakes.go
+++ b/internal/soaktest/fakes.go
@@ -121,7 +121,7 @@
 			h.cloud.Add(machineTypeName, zone, false, 0)
 			continue
 		}
-		h.cloud.Capacity[fake.OfferKey(machineTypeName, zone, false)]++
+		h.cloud.Capacity[fake.CapacityKey(machineTypeName, zone, false)]++
 	}
 }
 
@@ -148,7 +148,7 @@
 	h.kvStore.Advance(now)
 	h.cloud.Now = now
 	h.bootMachines(now)
-	for _, name := range h.fleet.Names() {
+	for _, name := range h.fleet.WorkerNames() {
 		h.stepWorker(h.fleet.Workers[name], now)
 	}
 	h.checker.checkContinuously()
@@ -156,7 +156,7 @@
 
 // bootMachines starts the workers of machines that have booted.
 func (h *harness) bootMachines(now micros.Micros) {
-	for _, name := range h.cloud.Names() {
+	for _, name := range h.cloud.MachineNames() {
 		m := h.cloud.Machines[name]
 		if m.Started || m.Gone || m.UpAt == 0 || now < m.UpAt {
 			continue
--- a/internal/soaktest/faults.go
+++ b/internal/soaktest/faults.go
@@ -199,7 +199,7 @@
 	h := f.harness
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	names := h.fleet.Names()
+	names := h.fleet.WorkerNames()
 	if len(names) == 0 {
 		return nil
 	}
@@ -215,7 +215,7 @@
 	h := f.harness
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	names := h.fleet.Names()
+	names := h.fleet.WorkerNames()
 	if len(names) == 0 || f.rng.IntN(2) == 0 {
 		return injection{}, false
 	}
--- a/internal/soaktest/responses.go
+++ b/internal/soaktest/responses.go
@@ -163,7 +163,7 @@
 // checkDone checks that all tasks of a job that is reported as done have completed.
 func (c *checker) checkDone(history *jobHistory) {
 	for i := range history.job.Tasks {
-		if task := wire.TaskName(history.job.ID, i); !c.harness.fleet.Done[task] {
+		if task := wire.TaskName(history.job.ID, i); !c.harness.fleet.CompletedTasks[task] {
 			c.reportViolation(RuleNotDone, "%s is reported as done without %s", history.job.ID, task)
 			return
 		}
--- a/internal/soaktest/workers.go
+++ b/internal/soaktest/workers.go
@@ -89,7 +89,7 @@
 		return
 	}
 	w.HeartbeatSent(now, heartbeatInterval)
-	sent := sentHeartbeat{controller: w.Node, epoch: w.AgentEpoch, body: wire.Encode(w.BuildHeartbeat())}
+	sent := sentHeartbeat{controller: w.Controller, epoch: w.AgentEpoch, body: wire.Encode(w.BuildHeartbeat())}
 	go h.exchangeHeartbeat(w, sent)
 	if h.rng.Float64() < h.duplicateHeartbeatProbability {
 		to := h.rng.IntN(h.options.Controllers)
