--- a/config/platform.go
+++ b/config/platform.go
@@ -75,10 +75,10 @@
 			CancelS   float64 `toml:"cancel_s"`
 		} `toml:"workers"`
 		State struct {
-			RPS      float64        `toml:"rps"`
-			WriteRPS float64        `toml:"write_rps"`
-			ValueKB  float64        `toml:"value_kb"`
-			TxnOps   int            `toml:"txn_ops"`
+			RPS      float64    `toml:"rps"`
+			WriteRPS float64    `toml:"write_rps"`
+			ValueKB  float64    `toml:"value_kb"`
+			TxnOps   int        `toml:"txn_ops"`
 			Next     nextLimits `toml:"next"`
 		} `toml:"state"`
 		Cloud struct {
--- a/internal/fake/dump.go
+++ b/internal/fake/dump.go
@@ -38,7 +38,9 @@
 
 // ScaleOutGrants returns the names of the machines that were created, by scale-out request, and the number
 // of machines created in total.
-func (c *Cloud) ScaleOutGrants() (grants map[string][]string, machines int) { return c.grants, c.nextSequence }
+func (c *Cloud) ScaleOutGrants() (grants map[string][]string, machines int) {
+	return c.grants, c.nextSequence
+}
 
 // RestoreScaleOutGrants sets what Grants returned for an earlier cloud.
 func (c *Cloud) RestoreScaleOutGrants(grants map[string][]string, machines int) {
--- a/internal/fake/fleet.go
+++ b/internal/fake/fleet.go
@@ -18,9 +18,9 @@
 // Fleet is the set of a deployment's workers. It keeps the completed tasks, and makes the tasks of
 // a gang start and complete together.
 type Fleet struct {
-	Timeouts FleetTimeouts
-	Workers  map[string]*Worker // by machine
-	CompletedTasks     map[string]bool    // completed tasks
+	Timeouts       FleetTimeouts
+	Workers        map[string]*Worker // by machine
+	CompletedTasks map[string]bool    // completed tasks
 	// Info returns what the user uploaded about a task.
 	Info func(task string) (TaskInfo, bool)
 	// OnStart is called when a worker starts a task, OnExit when a task exits, and OnDone when a
--- a/internal/fake/worker.go
+++ b/internal/fake/worker.go
@@ -21,15 +21,15 @@
 	AgentEpoch        uint64
 	HeartbeatSeq      uint64
 	FencingToken      uint64
-	PreemptionNotice            *float64 // seconds until the cloud preempts the machine; nil: no notice
+	PreemptionNotice  *float64 // seconds until the cloud preempts the machine; nil: no notice
 	Tasks             map[string]*Task
 	PastAttempts      []*Task // exited and refused attempts of tasks with another attempt here
 
 	Lease                 micros.Micros // tasks are killed this long after LastAnsweredHeartbeat
 	LastAnsweredHeartbeat micros.Micros // time at which the last answered heartbeat was sent
 	NextHeartbeat         micros.Micros
-	Controller                  int  // index of the controller that receives its heartbeats
-	HeartbeatInFlight              bool // a heartbeat has not been answered yet
+	Controller            int  // index of the controller that receives its heartbeats
+	HeartbeatInFlight     bool // a heartbeat has not been answered yet
 	Changed               bool // something must be reported before NextHeartbeat
 
 	Info    func(task string) (TaskInfo, bool)
