--- a/controller/job_view.go
+++ b/controller/job_view.go
@@ -87,13 +87,13 @@
 		return
 	}
 	asked := c.now
-	c.store.ListAll(record.ActiveJobPrefix, func(ok bool, entries []kv.Entry, revision uint64) {
-		if !ok {
+	c.store.ListAll(record.ActiveJobPrefix, func(listing kv.Listing, err error) {
+		if err != nil {
 			view.stopFollowing(c.now)
 			return
 		}
 		if c.owner == nil { // else it lists, or has listed, itself
-			c.graph.Reset(entries, revision)
+			c.graph.Reset(listing.Entries, listing.Revision)
 			view.cancellationsKnownUntil = asked
 		}
 		c.followJobs()
@@ -131,7 +131,7 @@
 		c.graph.MarkUnsynced()
 	}
 	var changes kv.WatchResult
-	return r.Outcome == kv.OK && r.Decode(&changes) && c.graph.Apply(after, &changes, c.wallClock)
+	return r.DecodeOK(&changes) == nil && c.graph.Apply(after, &changes, c.wallClock)
 }
 
 // refreshQueue is the questions that need a view of the present state. One read serves all
