--- a/controller/assumed_placements.go
+++ b/controller/assumed_placements.go
@@ -3,31 +3,33 @@
 import (
 	"math"
 
+	"tamarindlead/internal/inventory"
+
 	"tamarindlead/sched"
 )
 
 // assume gives tasks their places, which take effect once they are recorded.
-func (o *owner) assume(j *job, got []sched.Assignment) {
+func (o *owner) assume(j *inventory.Job, got []sched.Assignment) {
 	if len(got) == 0 {
 		return
 	}
 	number := o.nextNumber()
 	if j.Gang {
-		o.setGangState(j, gangPlacing)
+		o.SetGangState(j, inventory.GangPlacing)
 	}
 	for _, as := range got {
-		m := o.machines[as.Machine.Name]
+		m := o.Machines[as.Machine.Name]
 		for n := 0; n < as.Count; n++ {
-			for j.task(j.firstPending) != taskPending {
-				j.firstPending++
+			for j.TaskState(j.FirstPending) != inventory.TaskPending {
+				j.FirstPending++
 			}
-			o.addAttempt(j, j.firstPending, number, m, attemptAssumed)
+			o.AddAttempt(j, j.FirstPending, number, m, inventory.AttemptAssumed)
 		}
 		o.markDirty(m)
 		as.Machine.Free = as.Machine.Free.Sub(j.Need.Times(as.Count))
 		as.Machine.Slots -= as.Count
 		as.Machine.Idle = false
-		as.Machine.Images = m.cachedImages
+		as.Machine.Images = m.CachedImages
 	}
 }
 
@@ -67,31 +69,31 @@
 func (o *owner) nextNumber() uint64 { return o.c.numbers.next(o.c.node.RecordVersion()) }
 
 // handleAttemptRecorded handles a proposed attempt whose record was written.
-func (o *owner) handleAttemptRecorded(a *attempt) {
-	if a.state != attemptAssumed {
+func (o *owner) handleAttemptRecorded(a *inventory.Attempt) {
+	if a.State != inventory.AttemptAssumed {
 		return
 	}
-	o.setAttemptState(a, attemptRecorded)
-	j := a.job
-	j.everPlaced = j.everPlaced || !j.Gang
-	o.queueDispatch(a.machine)
-	if j.state != jobActive {
-		o.stopAttempt(a, 0, "job is over")
+	o.SetAttemptState(a, inventory.AttemptRecorded)
+	j := a.Job
+	j.EverPlaced = j.EverPlaced || !j.Gang
+	o.queueDispatch(a.Machine)
+	if j.State != inventory.JobActive {
+		o.StopAttempt(a, 0, "job is over")
 		return
 	}
-	if !j.Gang || j.gangState != gangPlacing {
+	if !j.Gang || j.GangState != inventory.GangPlacing {
 		return
 	}
-	for _, b := range j.attempts {
-		if b.state == attemptAssumed {
+	for _, b := range j.Attempts {
+		if b.State == inventory.AttemptAssumed {
 			return
 		}
 	}
-	o.setGangState(j, gangStarting)
-	j.everPlaced = true
+	o.SetGangState(j, inventory.GangStarting)
+	j.EverPlaced = true
 	o.c.log.Info("gang placed", "job", j.ID, "class", j.Class, "tasks", j.Tasks, "ordinary", j.MinOnDemandTasks,
-		"since_accepted_s", math.Round((o.c.wallClock - j.readyAt).Seconds()))
-	for _, b := range j.attempts {
-		o.queueDispatch(b.machine)
+		"since_accepted_s", math.Round((o.c.wallClock - j.ReadyAt).Seconds()))
+	for _, b := range j.Attempts {
+		o.queueDispatch(b.Machine)
 	}
 }
--- a/controller/authorization.go
+++ b/controller/authorization.go
@@ -1,5 +1,7 @@
 package controller
 
+import "tamarindlead/internal/inventory"
+
 // This file states what an owner's actions on machines rest on, and asserts it at the moment of
 // each action: if it does not hold, the action is left out, and the violation is logged and
 // counted. docs/design.md has the table of all actions with their guards.
@@ -10,34 +12,34 @@
 
 // mayCommand asserts that a machine may be commanded: it is claimed by a record of this owner,
 // whose token it has shown, and is not to be deleted.
-func (o *owner) mayCommand(m *machine, verb string) bool {
-	if o.isActiveOwner() && m.fencingToken != 0 && m.tokenConfirmed && m.state < machineDecommissioning {
+func (o *owner) mayCommand(m *inventory.Machine, verb string) bool {
+	if o.isActiveOwner() && m.FencingToken != 0 && m.TokenConfirmed && m.State < inventory.MachineDecommissioning {
 		return true
 	}
-	o.c.reportViolation("a command without a claim", "verb", verb, "machine", m.name, "token", m.fencingToken, "synced", m.tokenConfirmed,
-		"machine_state", m.state.String(), "owner_state", o.state.String(), "superseded", o.superseded())
+	o.c.reportViolation("a command without a claim", "verb", verb, "machine", m.Name, "token", m.FencingToken, "synced", m.TokenConfirmed,
+		"machine_state", m.State.String(), "owner_state", o.state.String(), "superseded", o.superseded())
 	return false
 }
 
 // maySendStart asserts that an attempt may be started: its place is recorded, and its job is not
 // known to be over.
-func (o *owner) maySendStart(a *attempt) bool {
-	if a.state == attemptRecorded && a.machine.recorded && !o.c.cancellations.HasEnded(a.job.ID) {
-		return o.mayCommand(a.machine, "start")
+func (o *owner) maySendStart(a *inventory.Attempt) bool {
+	if a.State == inventory.AttemptRecorded && a.Machine.Recorded && !o.c.cancellations.HasEnded(a.Job.ID) {
+		return o.mayCommand(a.Machine, "start")
 	}
-	o.c.reportViolation("a start without a recorded placement", "task", a.taskName(), "try", a.number, "machine", a.machine.name,
-		"state", a.state.String(), "recorded", a.machine.recorded, "ended", o.c.cancellations.HasEnded(a.job.ID))
+	o.c.reportViolation("a start without a recorded placement", "task", a.TaskName(), "try", a.Number, "machine", a.Machine.Name,
+		"state", a.State.String(), "recorded", a.Machine.Recorded, "ended", o.c.cancellations.HasEnded(a.Job.ID))
 	return false
 }
 
 // mayTerminate asserts that the cloud may be asked to delete a machine: that is recorded, or there
 // is no time left for that.
-func (o *owner) mayTerminate(m *machine) bool {
-	overdue := m.state == machineDecommissioning && o.cancellationOverdue(m, overdueTerminateFraction)
-	if o.isActiveOwner() && (m.state == machineTerminating || overdue) {
+func (o *owner) mayTerminate(m *inventory.Machine) bool {
+	overdue := m.State == inventory.MachineDecommissioning && o.cancellationOverdue(m, overdueTerminateFraction)
+	if o.isActiveOwner() && (m.State == inventory.MachineTerminating || overdue) {
 		return true
 	}
-	o.c.reportViolation("a release without a record", "machine", m.name, "machine_state", m.state.String(), "owner_state", o.state.String())
+	o.c.reportViolation("a release without a record", "machine", m.Name, "machine_state", m.State.String(), "owner_state", o.state.String())
 	return false
 }
 
--- a/controller/authorization_test.go
+++ b/controller/authorization_test.go
@@ -3,6 +3,8 @@
 import (
 	"testing"
 
+	"tamarindlead/internal/inventory"
+
 	"tamarindlead/internal/autoscaler"
 	"tamarindlead/internal/cluster"
 	"tamarindlead/sched"
@@ -10,16 +12,16 @@
 
 // activeOwner returns an active owner with a machine that it has claimed, and on it an attempt
 // whose place is recorded.
-func activeOwner() (*owner, *machine, *attempt) {
+func activeOwner() (*owner, *inventory.Machine, *inventory.Attempt) {
 	core := newRespondingCore()
 	o := newOwner(core, map[string]cluster.Team{})
 	core.setOwner(o)
 	o.setState(ownerActive)
-	m := o.newMachine(machineInfo{name: "m-000001", machineType: "small", zone: "a", endpoint: "worker:m-000001"})
-	m.state, m.fencingToken, m.tokenConfirmed, m.recorded = machineReady, 7, true, true
-	j := newJob(&sched.Job{ID: "req-000001", Team: "red", Tasks: 1, Need: sched.NewResources(1, 0, 1)}, 5, 0)
-	o.jobs[j.ID] = j
-	return o, m, o.addAttempt(j, 0, 1, m, attemptRecorded)
+	m := o.newMachine(inventory.MachineInfo{Name: "m-000001", Type: "small", Zone: "a", Endpoint: "worker:m-000001"})
+	m.State, m.FencingToken, m.TokenConfirmed, m.Recorded = inventory.MachineReady, 7, true, true
+	j := inventory.NewJob(&sched.Job{ID: "req-000001", Team: "red", Tasks: 1, Need: sched.NewResources(1, 0, 1)}, 5, 0)
+	o.Jobs[j.ID] = j
+	return o, m, o.AddAttempt(j, 0, 1, m, inventory.AttemptRecorded)
 }
 
 // TestStartsRequireRecords sees that a start is ordered only on a recorded placement under a token
@@ -27,22 +29,22 @@
 func TestStartsRequireRecords(t *testing.T) {
 	for _, c := range []struct {
 		name       string
-		change     func(o *owner, m *machine, a *attempt)
+		change     func(o *owner, m *inventory.Machine, a *inventory.Attempt)
 		commands   int
 		violations int
 	}{
-		{"recorded and claimed", func(*owner, *machine, *attempt) {}, 1, 0},
-		{"not claimed", func(_ *owner, m *machine, _ *attempt) { m.fencingToken = 0 }, 0, 1},
-		{"without an entry in a record", func(_ *owner, m *machine, _ *attempt) { m.recorded = false }, 0, 1},
-		{"to be deleted", func(_ *owner, m *machine, _ *attempt) { m.state = machineDecommissioning }, 0, 1},
-		{"its owner reads the records", func(o *owner, _ *machine, _ *attempt) { o.state = ownerRecovering }, 0, 1},
-		{"its owner was replaced", func(o *owner, _ *machine, _ *attempt) { o.c.owner = nil }, 0, 1},
-		{"a peer says that its job is cancelled", func(o *owner, _ *machine, a *attempt) {
-			o.c.cancellations.MarkEnded(a.job.ID, o.c.now)
-			a.job.state, a.state = jobActive, attemptRecorded // as if this had been missed
+		{"recorded and claimed", func(*owner, *inventory.Machine, *inventory.Attempt) {}, 1, 0},
+		{"not claimed", func(_ *owner, m *inventory.Machine, _ *inventory.Attempt) { m.FencingToken = 0 }, 0, 1},
+		{"without an entry in a record", func(_ *owner, m *inventory.Machine, _ *inventory.Attempt) { m.Recorded = false }, 0, 1},
+		{"to be deleted", func(_ *owner, m *inventory.Machine, _ *inventory.Attempt) { m.State = inventory.MachineDecommissioning }, 0, 1},
+		{"its owner reads the records", func(o *owner, _ *inventory.Machine, _ *inventory.Attempt) { o.state = ownerRecovering }, 0, 1},
+		{"its owner was replaced", func(o *owner, _ *inventory.Machine, _ *inventory.Attempt) { o.c.owner = nil }, 0, 1},
+		{"a peer says that its job is cancelled", func(o *owner, _ *inventory.Machine, a *inventory.Attempt) {
+			o.c.cancellations.MarkEnded(a.Job.ID, o.c.now)
+			a.Job.State, a.State = inventory.JobActive, inventory.AttemptRecorded // as if this had been missed
 		}, 0, 1},
-		{"not recorded yet", func(_ *owner, _ *machine, a *attempt) { a.state = attemptAssumed }, 0, 0},
-		{"the machine has not shown the token", func(_ *owner, m *machine, _ *attempt) { m.tokenConfirmed = false }, 0, 0},
+		{"not recorded yet", func(_ *owner, _ *inventory.Machine, a *inventory.Attempt) { a.State = inventory.AttemptAssumed }, 0, 0},
+		{"the machine has not shown the token", func(_ *owner, m *inventory.Machine, _ *inventory.Attempt) { m.TokenConfirmed = false }, 0, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			o, m, a := activeOwner()
@@ -57,9 +59,9 @@
 // TestTerminationsRequireRecords sees that the cloud is asked to delete a machine only if that is
 // recorded.
 func TestTerminationsRequireRecords(t *testing.T) {
-	for state, want := range map[machineState]bool{machineTerminating: true, machineDecommissioning: false, machineReady: false} {
+	for state, want := range map[inventory.MachineState]bool{inventory.MachineTerminating: true, inventory.MachineDecommissioning: false, inventory.MachineReady: false} {
 		o, m, _ := activeOwner()
-		m.state = state
+		m.State = state
 		if got := o.mayTerminate(m); got != want || o.c.Violations() != expectedViolations(!want) {
 			t.Errorf("%v: allowed %t with %d violations", state, got, o.c.Violations())
 		}
--- a/controller/autoscaling.go
+++ b/controller/autoscaling.go
@@ -2,6 +2,8 @@
 
 import (
 	"tamarindlead/internal/autoscaler"
+	"tamarindlead/internal/inventory"
+	"tamarindlead/internal/ordered"
 	"tamarindlead/micros"
 	"tamarindlead/sched"
 )
@@ -24,7 +26,7 @@
 
 // catalog is what the cloud rents, as far as this node knows.
 func (c *Core) catalog() autoscaler.Catalog {
-	return autoscaler.Catalog{Types: c.types.list, MaxTasks: maxEntryTasks}
+	return autoscaler.Catalog{Types: c.types.list, MaxTasks: inventory.MaxEntryTasks}
 }
 
 // market is what may be rented now.
@@ -33,19 +35,19 @@
 }
 
 // isScarce tells that some recent class of jobs fits no other type than the machine's.
-func (o *owner) isScarce(m *machine) bool { return o.classes.Scarce(o.c.now, m.machineType, m.spot) }
+func (o *owner) isScarce(m *inventory.Machine) bool { return o.classes.Scarce(o.c.now, m.Type, m.Spot) }
 
 // observeRunTime learns from a task that completed.
-func (o *owner) observeRunTime(a *attempt) {
-	if a.runningSince != 0 {
-		o.classes.RecordRunTime(a.job.Class, o.c.now-a.runningSince, a.job.Estimate)
+func (o *owner) observeRunTime(a *inventory.Attempt) {
+	if a.RunningSince != 0 {
+		o.classes.RecordRunTime(a.Job.Class, o.c.now-a.RunningSince, a.Job.Estimate)
 	}
 }
 
 // pruneClasses drops the statistics of classes that no job uses any more.
 func (o *owner) pruneClasses() {
 	inUse := map[string]bool{}
-	for _, j := range o.queue {
+	for _, j := range o.Queue {
 		inUse[j.Class] = true
 	}
 	o.classes.RemoveExpired(o.c.now, inUse, o.c.catalog())
@@ -53,7 +55,7 @@
 
 // tickAutoscaling asks for rentals and decides about more of them, and about machines to drain.
 func (o *owner) tickAutoscaling() {
-	for _, name := range sortedKeys(o.scaleOutRequests) {
+	for _, name := range ordered.Keys(o.scaleOutRequests) {
 		if r := o.scaleOutRequests[name]; r.state == scaleOutRequested {
 			o.sendScaleOutRequest(r)
 		}
@@ -62,7 +64,7 @@
 		return
 	}
 	o.nextAutoscaling = o.c.now + autoscalingInterval
-	o.schedulingNeeded = true // pauses of jobs end without an event
+	o.SchedulingNeeded = true // pauses of jobs end without an event
 	o.recordSpotUptime()
 	o.pruneClasses()
 	demands := o.demands()
@@ -82,7 +84,7 @@
 		MaxMachines: o.c.cfg.Tuning.MaxMachines,
 		MayScaleIn:  o.c.now >= o.nextScaleIn,
 	}
-	for _, name := range sortedKeys(o.scaleOutRequests) {
+	for _, name := range ordered.Keys(o.scaleOutRequests) {
 		if r := o.scaleOutRequests[name]; r.state < scaleOutGranted {
 			p.PendingScaleOuts = append(p.PendingScaleOuts, autoscaler.ScaleOut{Offer: r.offer, Number: r.machineCount})
 		}
@@ -91,7 +93,7 @@
 	for _, d := range demands {
 		gangs = gangs || d.Representative.Gang
 	}
-	for _, m := range o.sortedMachines {
+	for _, m := range o.SortedMachines {
 		p.Machines = append(p.Machines, o.describeMachine(m, gangs))
 	}
 	return p
@@ -99,20 +101,20 @@
 
 // describeMachine tells planning about a machine. How long its tasks still take matters for gangs
 // only.
-func (o *owner) describeMachine(m *machine, forGangs bool) *autoscaler.Machine {
-	d := &autoscaler.Machine{Name: m.name, Offer: m.offer()}
-	switch m.state {
-	case machineBooting:
+func (o *owner) describeMachine(m *inventory.Machine, forGangs bool) *autoscaler.Machine {
+	d := &autoscaler.Machine{Name: m.Name, Offer: m.Offer()}
+	switch m.State {
+	case inventory.MachineBooting:
 		d.State = autoscaler.MachineBooting
-	case machineReady:
+	case inventory.MachineReady:
 		d.State = autoscaler.MachineReady
 	default:
 		return d
 	}
-	d.Size, d.Used = o.machineSize(m), m.used
-	d.Age, d.IdleFor = o.c.wallClock-m.provisionedAt, o.c.now-m.idleSince
-	d.Claimed, d.Busy = m.fencingToken != 0, len(m.attempts) > 0
-	d.Reserved = o.isReserved(m.name)
+	d.Size, d.Used = o.machineSize(m), m.Used
+	d.Age, d.IdleFor = o.c.wallClock-m.ProvisionedAt, o.c.now-m.IdleSince
+	d.Claimed, d.Busy = m.FencingToken != 0, len(m.Attempts) > 0
+	d.Reserved = o.isReserved(m.Name)
 	d.OnlySlack = d.Busy && o.isScarce(m) && o.hasNoDependentTasks(m)
 	if forGangs {
 		d.BusyFor = o.remainingBusyTime(m)
@@ -121,10 +123,10 @@
 }
 
 // remainingBusyTime is how long the tasks on a machine still take whose room is not free yet.
-func (o *owner) remainingBusyTime(m *machine) micros.Micros {
+func (o *owner) remainingBusyTime(m *inventory.Machine) micros.Micros {
 	longest := micros.Micros(0)
-	for _, a := range m.attempts {
-		if !a.resourcesReleased {
+	for _, a := range m.Attempts {
+		if !a.ResourcesReleased {
 			longest = max(longest, o.remainingRunTime(a))
 		}
 	}
@@ -140,8 +142,8 @@
 		o.requestMachinesForArray(shortage)
 	}
 	for _, drain := range plan.Drains {
-		m := o.machines[drain.Machine]
-		o.setMachineState(m, machineDraining, drain.Reason.String())
+		m := o.Machines[drain.Machine]
+		o.SetMachineState(m, inventory.MachineDraining, drain.Reason.String())
 		if drain.Reason == autoscaler.DrainSurplus {
 			o.consolidate(m)
 		}
@@ -160,30 +162,30 @@
 
 // consolidate moves what can save away from a machine that is drained, if it would keep
 // the machine for much longer than saving takes.
-func (o *owner) consolidate(m *machine) {
+func (o *owner) consolidate(m *inventory.Machine) {
 	longest := micros.Micros(0)
-	for _, a := range m.attempts {
-		if a.job.Gang || a.job.CheckpointInterval == 0 {
+	for _, a := range m.Attempts {
+		if a.Job.Gang || a.Job.CheckpointInterval == 0 {
 			return
 		}
-		longest = max(longest, o.remainingRunTime(a)-a.job.CheckpointDuration)
+		longest = max(longest, o.remainingRunTime(a)-a.Job.CheckpointDuration)
 	}
 	if longest < minConsolidationSaving {
 		return
 	}
-	for _, a := range m.sortedAttempts() {
+	for _, a := range m.SortedAttempts() {
 		o.evict(a, "machine is drained")
 	}
 }
 
 // maxWait tells how long a job may wait by its class's objectives.
-func (o *owner) maxWait(j *job) micros.Micros {
+func (o *owner) maxWait(j *inventory.Job) micros.Micros {
 	return autoscaler.WaitTarget(o.c.cfg.SLOs, j.Class, j.Gang, o.estimatedRunTime(j), o.c.cfg.Tuning.QueueTarget)
 }
 
 // estimatedRunTime is the owner's estimate of a task's run time, corrected by what tasks of
 // its class really took.
-func (o *owner) estimatedRunTime(j *job) micros.Micros {
+func (o *owner) estimatedRunTime(j *inventory.Job) micros.Micros {
 	return o.classes.CorrectedEstimate(j.Class, j.Estimate)
 }
 
@@ -198,8 +200,8 @@
 	byKey := map[demandKey]*autoscaler.Demand{}
 	counted := map[string]sched.Resources{} // of each team's limit, by the jobs before
 	var list []*autoscaler.Demand
-	for _, j := range o.queue {
-		if j.state != jobActive {
+	for _, j := range o.Queue {
+		if j.State != inventory.JobActive {
 			continue
 		}
 		key := demandKey{j.Gang, j.Spot, j.Zone, o.classes.TypesKey(j.Class)}
@@ -216,29 +218,29 @@
 
 // addDemand adds what runs and what waits of a job. Each job may use all that its team's limit
 // leaves, but all of them together may use it once only.
-func (o *owner) addDemand(d *autoscaler.Demand, j *job, counted map[string]sched.Resources) {
+func (o *owner) addDemand(d *autoscaler.Demand, j *inventory.Job, counted map[string]sched.Resources) {
 	d.MaxWait = min(d.MaxWait, o.maxQueueingDelay(j))
-	for _, a := range j.attempts {
-		if !a.resourcesReleased {
-			offer := a.machine.offer()
+	for _, a := range j.Attempts {
+		if !a.ResourcesReleased {
+			offer := a.Machine.Offer()
 			d.UsedByOffer[offer] = d.UsedByOffer[offer].Add(j.Need)
 		}
 	}
 	if j.Gang {
 		j.MinOnDemandTasks = o.minOnDemandTasks(j)
 	}
-	tasks := min(j.pending, o.quotaHeadroom(j, sched.Resources{}))
-	if tasks > 0 && o.c.now+retrySoonWindow >= j.backoffUntil {
+	tasks := min(j.Pending, o.quotaHeadroom(j, sched.Resources{}))
+	if tasks > 0 && o.c.now+retrySoonWindow >= j.BackoffUntil {
 		o.addPendingWork(d, j, tasks)
 		once := min(tasks, o.quotaHeadroom(j, counted[j.Team]))
 		counted[j.Team] = counted[j.Team].Add(j.Need.Times(once))
 		d.QuotaHeadroom += float64(once) * autoscaler.TaskCPUs(j.Job)
-		d.QuotaLimited = d.QuotaLimited || once < j.pending
+		d.QuotaLimited = d.QuotaLimited || once < j.Pending
 	}
 }
 
 // addPendingWork adds so many tasks of a job that have no place.
-func (o *owner) addPendingWork(d *autoscaler.Demand, j *job, tasks int) {
+func (o *owner) addPendingWork(d *autoscaler.Demand, j *inventory.Job, tasks int) {
 	work := float64(tasks) * autoscaler.TaskCPUs(j.Job) * max(o.estimatedRunTime(j).Seconds(), 1)
 	d.PendingCPUSeconds += work
 	if j.Priority == sched.Low && !o.isUrgent(j) {
@@ -251,9 +253,9 @@
 }
 
 // machineSize is what a machine offers, once its type is known.
-func (o *owner) machineSize(m *machine) sched.Resources {
-	if t := o.c.types.find(m.machineType); t != nil {
-		m.size = t.Size
+func (o *owner) machineSize(m *inventory.Machine) sched.Resources {
+	if t := o.c.types.find(m.Type); t != nil {
+		m.Size = t.Size
 	}
-	return m.size
+	return m.Size
 }
--- a/controller/bench_test.go
+++ b/controller/bench_test.go
@@ -8,6 +8,8 @@
 	"strings"
 	"testing"
 
+	"tamarindlead/internal/inventory"
+
 	"tamarindlead/config"
 	"tamarindlead/internal/cluster"
 	"tamarindlead/internal/kv"
@@ -34,12 +36,12 @@
 		}, 0)), uint64(i+1))
 	}
 	for i := range benchMachines {
-		m := o.newMachine(machineInfo{fmt.Sprintf("m-%06d", i), "mid", o.c.cfg.Zones[i%2], i%3 == 0, "worker"})
-		m.fencingToken, m.agentEpoch, m.tokenConfirmed, m.tokenConfirmedAt, m.lastHeartbeat, m.state = 1, 1, true, o.c.now, o.c.now, machineReady
+		m := o.newMachine(inventory.MachineInfo{Name: fmt.Sprintf("m-%06d", i), Type: "mid", Zone: o.c.cfg.Zones[i%2], Spot: i%3 == 0, Endpoint: "worker"})
+		m.FencingToken, m.AgentEpoch, m.TokenConfirmed, m.TokenConfirmedAt, m.LastHeartbeat, m.State = 1, 1, true, o.c.now, o.c.now, inventory.MachineReady
 		for n := range benchTasks {
 			at := i*benchTasks + n
-			j := o.queue[at/100]
-			o.addAttempt(j, at%100, 7, m, attemptLive).heartbeatSeen = true
+			j := o.Queue[at/100]
+			o.AddAttempt(j, at%100, 7, m, inventory.AttemptLive).HeartbeatSeen = true
 		}
 	}
 	o.dispatchQueue = nil
@@ -93,10 +95,10 @@
 
 func (s *ownerStore) Watch(string, uint64, func(micros.Micros, kv.Result)) {}
 
-func benchHeartbeat(m *machine, seq uint64) []byte {
-	r := wire.Heartbeat{Machine: m.name, Endpoint: m.endpoint, Type: m.machineType, Zone: m.zone, Spot: m.spot, AgentEpoch: 1, HeartbeatSeq: seq, FencingToken: 1}
-	for _, a := range m.sortedAttempts() {
-		r.Tasks = append(r.Tasks, wire.TaskStatus{Task: wire.TaskName(a.job.ID, a.index), Attempt: a.number, Phase: wire.PhaseRunning})
+func benchHeartbeat(m *inventory.Machine, seq uint64) []byte {
+	r := wire.Heartbeat{Machine: m.Name, Endpoint: m.Endpoint, Type: m.Type, Zone: m.Zone, Spot: m.Spot, AgentEpoch: 1, HeartbeatSeq: seq, FencingToken: 1}
+	for _, a := range m.SortedAttempts() {
+		r.Tasks = append(r.Tasks, wire.TaskStatus{Task: wire.TaskName(a.Job.ID, a.Index), Attempt: a.Number, Phase: wire.PhaseRunning})
 	}
 	return wire.Encode(r)
 }
@@ -105,13 +107,13 @@
 func BenchmarkHeartbeat(b *testing.B) {
 	o := benchOwner()
 	var bodies [][]byte
-	for _, m := range o.sortedMachines {
+	for _, m := range o.SortedMachines {
 		bodies = append(bodies, benchHeartbeat(m, 1<<40))
 	}
-	o.schedulingNeeded, o.committing = false, true // a commit is under way
+	o.SchedulingNeeded, o.committing = false, true // a commit is under way
 	for i := 0; b.Loop(); i++ {
-		m := o.sortedMachines[i%benchMachines]
-		m.heartbeatSeq = 0
+		m := o.SortedMachines[i%benchMachines]
+		m.HeartbeatSeq = 0
 		o.c.Handle(o.c.now, o.c.now, Request{ID: uint64(i), Method: "POST", Path: "/hello", Body: bodies[i%benchMachines]})
 	}
 	if o.c.owner != o {
@@ -124,14 +126,14 @@
 func BenchmarkPlace(b *testing.B) {
 	o := benchOwner()
 	for b.Loop() {
-		o.schedulingNeeded, o.nextSchedulingPass = true, 0
+		o.SchedulingNeeded, o.nextSchedulingPass = true, 0
 		o.schedule()
 		b.StopTimer()
 		n := 0
-		for _, j := range o.queue {
-			for _, a := range j.sortedAttempts() {
-				if a.state == attemptAssumed {
-					o.setAttemptState(a, attemptClosed)
+		for _, j := range o.Queue {
+			for _, a := range j.SortedAttempts() {
+				if a.State == inventory.AttemptAssumed {
+					o.SetAttemptState(a, inventory.AttemptClosed)
 					n++
 				}
 			}
@@ -146,7 +148,7 @@
 // BenchmarkTick passes the time to an owner with nothing else to do.
 func BenchmarkTick(b *testing.B) {
 	o := benchOwner()
-	o.schedulingNeeded, o.committing = false, true
+	o.SchedulingNeeded, o.committing = false, true
 	for b.Loop() {
 		o.c.nextSlowTick = 0
 		o.c.Handle(o.c.now, o.c.now, Tick{})
@@ -169,12 +171,12 @@
 	}
 	for b.Loop() {
 		fresh := newOwner(o.c, o.c.node.OwnTeams())
-		fresh.jobs, fresh.queue = map[string]*job{}, nil
-		for _, j := range o.queue {
-			fresh.recoverJob(record.ActiveJobKey(j.ID), wire.Encode(record.NewJob(j.Job, 0)), j.version)
+		fresh.Jobs, fresh.Queue = map[string]*inventory.Job{}, nil
+		for _, j := range o.Queue {
+			fresh.recoverJob(record.ActiveJobKey(j.ID), wire.Encode(record.NewJob(j.Job, 0)), j.Version)
 		}
 		fresh.recoverBlocks(entries)
-		if len(fresh.sortedMachines) != benchMachines {
+		if len(fresh.SortedMachines) != benchMachines {
 			b.Fatal("machines are missing")
 		}
 	}
@@ -184,13 +186,13 @@
 func BenchmarkLookup(b *testing.B) {
 	o := benchOwner()
 	c := o.c
-	o.schedulingNeeded, o.committing = false, true
+	o.SchedulingNeeded, o.committing = false, true
 	var id uint64
 	for b.Loop() {
 		answered := 0
 		for i := range 50 {
 			id++
-			c.Handle(c.now, c.now, Request{ID: id, Method: "GET", Path: pathJobs + "/" + o.queue[i].ID})
+			c.Handle(c.now, c.now, Request{ID: id, Method: "GET", Path: pathJobs + "/" + o.Queue[i].ID})
 		}
 		for _, e := range c.Handle(c.now+lookupBatchInterval, c.now, Tick{}) {
 			call, ok := e.(Call)
--- a/controller/block_write.go
+++ b/controller/block_write.go
@@ -4,6 +4,8 @@
 	"maps"
 	"math"
 
+	"tamarindlead/internal/inventory"
+
 	"tamarindlead/internal/autoscaler"
 	"tamarindlead/internal/kv"
 	"tamarindlead/internal/record"
@@ -17,7 +19,7 @@
 // the machines and attempts whose state changes once it has been.
 type blockWrite struct {
 	owner         *owner
-	block         *block
+	block         *inventory.Block
 	data          *record.BlockData
 	preconditions map[string]uint64
 	// offerIndexes and jobs are indexes in the lists of the data.
@@ -26,23 +28,23 @@
 	// maxTransfers is how many machines may be transferred: each takes a write of its own.
 	maxTransfers int
 
-	stored  []*machine // entries in the record
-	tasks   int        // in these entries
-	sources []*block   // blocks that machines came from, see block.sources
+	stored  []*inventory.Machine // entries in the record
+	tasks   int                  // in these entries
+	sources []*inventory.Block   // blocks that machines came from, see block.sources
 
-	claimed         []*machine
-	decommissioning []*machine
-	terminated      []*machine
-	transferred     []*machine
-	assumed         []*attempt
-	removing        []*attempt
+	claimed         []*inventory.Machine
+	decommissioning []*inventory.Machine
+	terminated      []*inventory.Machine
+	transferred     []*inventory.Machine
+	assumed         []*inventory.Attempt
+	removing        []*inventory.Attempt
 }
 
 // writeBlock adds a block's record to a commit in which room writes are left. A block that
 // the commit has no room for waits for the next one.
-func (o *owner) writeBlock(t *transaction, b *block, room int) {
+func (o *owner) writeBlock(t *transaction, b *inventory.Block, room int) {
 	w := o.newBlockWrite(b, room)
-	for _, m := range b.machines {
+	for _, m := range b.Machines {
 		w.addMachine(m)
 	}
 	value := w.data.Block(o.c.node.ID())
@@ -58,21 +60,21 @@
 }
 
 // newBlockWrite begins the write of a block, without entries.
-func (o *owner) newBlockWrite(b *block, room int) *blockWrite {
+func (o *owner) newBlockWrite(b *inventory.Block, room int) *blockWrite {
 	w := &blockWrite{
 		owner: o, block: b, maxTransfers: room - 1,
 		data:          &record.BlockData{LaunchTimeBase: int64(o.c.wallClock), AttemptBase: math.MaxUint64},
-		preconditions: map[string]uint64{record.BlockKey(b.name): b.version},
+		preconditions: map[string]uint64{record.BlockKey(b.Name): b.Version},
 		offerIndexes:  map[autoscaler.Offer]int{}, jobIndexes: map[string]int{},
 	}
-	if b.hasUnclaimed() {
+	if b.HasUnclaimed() {
 		o.addOwnTeamPreconditions(w.preconditions)
 	}
-	for _, m := range b.machines {
-		for _, a := range m.attempts {
-			w.data.AttemptBase = min(w.data.AttemptBase, a.number)
+	for _, m := range b.Machines {
+		for _, a := range m.Attempts {
+			w.data.AttemptBase = min(w.data.AttemptBase, a.Number)
 		}
-		w.data.LaunchTimeBase = min(w.data.LaunchTimeBase, int64(m.provisionedAt))
+		w.data.LaunchTimeBase = min(w.data.LaunchTimeBase, int64(m.ProvisionedAt))
 	}
 	return w
 }
@@ -91,8 +93,8 @@
 
 // addMachine adds a machine's entry, unless the machine is gone, goes to another owner or
 // must wait for the next write.
-func (w *blockWrite) addMachine(m *machine) {
-	if m.state == machineTerminated {
+func (w *blockWrite) addMachine(m *inventory.Machine) {
+	if m.State == inventory.MachineTerminated {
 		w.terminated = append(w.terminated, m)
 		return
 	}
@@ -100,15 +102,15 @@
 		return
 	}
 	unknown := w.isUnknownToOthers(m)
-	if unknown && !w.hasRoomForPreconditions(record.BlockKey(adoptedPrefix+m.name)) {
+	if unknown && !w.hasRoomForPreconditions(record.BlockKey(inventory.AdoptedPrefix+m.Name)) {
 		return // its first claim comes with the next write
 	}
 	w.stored = append(w.stored, m)
 	entry := w.newEntry(m)
-	if m.fencingToken == 0 || m.fencing == fencingNeeded {
+	if m.FencingToken == 0 || m.Fencing == inventory.FencingNeeded {
 		w.claim(m, &entry, unknown)
 	}
-	if m.state == machineDecommissioning {
+	if m.State == inventory.MachineDecommissioning {
 		w.decommissioning = append(w.decommissioning, m)
 	}
 	tasks := w.addAttempts(m)
@@ -119,11 +121,11 @@
 
 // transfer leaves out an empty machine that goes to another owner, if that owner lives and
 // the commit has room for its record.
-func (w *blockWrite) transfer(m *machine) bool {
-	if m.state != machineTransferring || len(m.attempts) > 0 || len(w.transferred) >= w.maxTransfers || !w.owner.canTransfer(m) {
+func (w *blockWrite) transfer(m *inventory.Machine) bool {
+	if m.State != inventory.MachineTransferring || len(m.Attempts) > 0 || len(w.transferred) >= w.maxTransfers || !w.owner.canTransfer(m) {
 		return false
 	}
-	successor := w.owner.c.cluster.MemberPrecondition(m.transferTo.Node())
+	successor := w.owner.c.cluster.MemberPrecondition(m.TransferTo.Node())
 	if !w.hasRoomForPreconditions(successor.Key) {
 		return false
 	}
@@ -134,72 +136,72 @@
 
 // isUnknownToOthers tells that the write holds the first claim of a machine that another owner
 // may adopt at the same time.
-func (w *blockWrite) isUnknownToOthers(m *machine) bool {
-	return m.fencingToken == 0 && !m.recorded && !w.owner.ownsAllTeams() && !w.block.isAdopted()
+func (w *blockWrite) isUnknownToOthers(m *inventory.Machine) bool {
+	return m.FencingToken == 0 && !m.Recorded && !w.owner.ownsAllTeams() && !w.block.IsAdopted()
 }
 
 // newEntry returns a machine's entry without its tasks.
-func (w *blockWrite) newEntry(m *machine) record.BlockMachine {
+func (w *blockWrite) newEntry(m *inventory.Machine) record.BlockMachine {
 	return record.BlockMachine{
-		Name: m.name, FencingToken: m.fencingToken, Endpoint: m.endpoint, MachineType: w.offerIndex(m),
-		LaunchedAt:      int64(m.provisionedAt) - w.data.LaunchTimeBase,
-		Decommissioning: m.state == machineDecommissioning || m.state == machineTerminating,
+		Name: m.Name, FencingToken: m.FencingToken, Endpoint: m.Endpoint, MachineType: w.offerIndex(m),
+		LaunchedAt:      int64(m.ProvisionedAt) - w.data.LaunchTimeBase,
+		Decommissioning: m.State == inventory.MachineDecommissioning || m.State == inventory.MachineTerminating,
 	}
 }
 
 // claim makes the revision of the record the machine's token. The first claim of a machine is
 // guarded on no other owner having adopted it.
-func (w *blockWrite) claim(m *machine, entry *record.BlockMachine, unknown bool) {
+func (w *blockWrite) claim(m *inventory.Machine, entry *record.BlockMachine, unknown bool) {
 	entry.FencingToken = 0
 	w.claimed = append(w.claimed, m)
 	if unknown {
-		w.preconditions[record.BlockKey(adoptedPrefix+m.name)] = 0
+		w.preconditions[record.BlockKey(inventory.AdoptedPrefix+m.Name)] = 0
 	}
 }
 
 // addAttempts returns the attempts of a machine's entry. An attempt that is recorded for the
 // first time is guarded on its job, which may be cancelled, and on its team.
-func (w *blockWrite) addAttempts(m *machine) []record.BlockTask {
+func (w *blockWrite) addAttempts(m *inventory.Machine) []record.BlockTask {
 	var tasks []record.BlockTask
-	for _, a := range m.attemptsInRecordOrder() {
-		if a.state == attemptRemoving {
+	for _, a := range m.AttemptsInRecordOrder() {
+		if a.State == inventory.AttemptRemoving {
 			w.removing = append(w.removing, a)
 			continue
 		}
-		if a.state == attemptAssumed && !w.addAssumed(a) {
+		if a.State == inventory.AttemptAssumed && !w.addAssumed(a) {
 			continue
 		}
-		tasks = append(tasks, record.BlockTask{Job: w.jobIndex(a.job), Index: a.index, Attempt: a.number})
+		tasks = append(tasks, record.BlockTask{Job: w.jobIndex(a.Job), Index: a.Index, Attempt: a.Number})
 	}
 	return tasks
 }
 
 // addAssumed guards an attempt that is recorded for the first time, if there is room for that.
-func (w *blockWrite) addAssumed(a *attempt) bool {
-	jobKey, teamKey := record.ActiveJobKey(a.job.ID), record.TeamKey(a.job.Team)
+func (w *blockWrite) addAssumed(a *inventory.Attempt) bool {
+	jobKey, teamKey := record.ActiveJobKey(a.Job.ID), record.TeamKey(a.Job.Team)
 	if !w.hasRoomForPreconditions(jobKey, teamKey) {
 		return false
 	}
-	w.preconditions[jobKey] = a.job.version
-	w.preconditions[teamKey] = w.owner.teams[a.job.Team].record.Version
+	w.preconditions[jobKey] = a.Job.Version
+	w.preconditions[teamKey] = w.owner.Teams[a.Job.Team].Record.Version
 	w.assumed = append(w.assumed, a)
 	return true
 }
 
 // offerIndex returns the index of a machine's kind in the record.
-func (w *blockWrite) offerIndex(m *machine) int {
-	offer := m.offer()
+func (w *blockWrite) offerIndex(m *inventory.Machine) int {
+	offer := m.Offer()
 	i, ok := w.offerIndexes[offer]
 	if !ok {
 		i = len(w.data.MachineTypes)
 		w.offerIndexes[offer] = i
-		w.data.MachineTypes = append(w.data.MachineTypes, record.BlockMachineType{Type: m.machineType, Zone: m.zone, Spot: m.spot})
+		w.data.MachineTypes = append(w.data.MachineTypes, record.BlockMachineType{Type: m.Type, Zone: m.Zone, Spot: m.Spot})
 	}
 	return i
 }
 
 // jobIndex returns the index of a job in the record.
-func (w *blockWrite) jobIndex(j *job) int {
+func (w *blockWrite) jobIndex(j *inventory.Job) int {
 	i, ok := w.jobIndexes[j.ID]
 	if !ok {
 		i = len(w.data.Jobs)
@@ -218,24 +220,24 @@
 	if w.tasks == 0 {
 		return
 	}
-	taskBytes := float64(size - len(w.stored)*machineEntryBytes)
-	w.block.bytesPerTask = min(taskBytes/float64(w.tasks), newJobBytes)
+	taskBytes := float64(size - len(w.stored)*inventory.MachineEntryBytes)
+	w.block.BytesPerTask = min(taskBytes/float64(w.tasks), inventory.NewJobBytes)
 }
 
 // addTo puts the write into a commit.
 func (w *blockWrite) addTo(t *transaction, value record.Block) {
 	b := w.block
 	maps.Copy(t.preconditions, w.preconditions)
-	b.writing, b.dirty = true, false
-	w.sources, b.sources = b.sources, nil
-	key := record.BlockKey(b.name)
+	b.Writing, b.Dirty = true, false
+	w.sources, b.Sources = b.Sources, nil
+	key := record.BlockKey(b.Name)
 	if len(w.stored) == 0 {
 		t.writes = append(t.writes, kv.Write{Delete: key})
 	} else {
 		t.write(key, value, value.Size())
 	}
 	for _, m := range w.stored {
-		m.dirty = false
+		m.Dirty = false
 	}
 	for _, m := range w.transferred {
 		w.owner.writeTransfer(t, m)
@@ -245,18 +247,18 @@
 
 // finish takes the result of the commit.
 func (w *blockWrite) finish(committed bool, revision uint64) {
-	w.block.writing = false
+	w.block.Writing = false
 	if !committed {
 		w.rollBack()
 		return
 	}
-	w.block.version, w.block.oversized = revision, false
+	w.block.Version, w.block.Oversized = revision, false
 	for _, m := range w.stored {
-		m.recorded = true
+		m.Recorded = true
 	}
 	for _, source := range w.sources {
-		source.unwrittenTargets--
-		source.markDirty(w.owner.c.now) // if it is empty now, its record is deleted
+		source.UnwrittenTargets--
+		source.MarkDirty(w.owner.c.now) // if it is empty now, its record is deleted
 	}
 	w.advanceMachines(revision)
 	w.markChanged()
@@ -266,10 +268,10 @@
 // rollBack marks everything dirty again.
 func (w *blockWrite) rollBack() {
 	b := w.block
-	b.markDirty(w.owner.c.now)
-	b.sources = append(b.sources, w.sources...)
-	for _, m := range b.machines {
-		m.dirty = true
+	b.MarkDirty(w.owner.c.now)
+	b.Sources = append(b.Sources, w.sources...)
+	for _, m := range b.Machines {
+		m.Dirty = true
 	}
 }
 
@@ -277,19 +279,19 @@
 func (w *blockWrite) advanceMachines(revision uint64) {
 	o := w.owner
 	for _, m := range w.decommissioning {
-		if m.state == machineDecommissioning {
-			o.setMachineState(m, machineTerminating, "recorded")
+		if m.State == inventory.MachineDecommissioning {
+			o.SetMachineState(m, inventory.MachineTerminating, "recorded")
 		}
 	}
 	for _, m := range w.claimed {
-		if w.block.isAdopted() && m.fencingToken == 0 && !o.ownsAllTeams() {
+		if w.block.IsAdopted() && m.FencingToken == 0 && !o.ownsAllTeams() {
 			o.verifyAdopted(m, revision)
 			continue
 		}
 		o.handleClaimed(m, revision)
 	}
 	for _, a := range w.removing {
-		o.setAttemptState(a, attemptClosed)
+		o.SetAttemptState(a, inventory.AttemptClosed)
 	}
 	for _, a := range w.assumed {
 		o.handleAttemptRecorded(a)
@@ -304,10 +306,10 @@
 
 // markChanged marks what changed while the commit was under way.
 func (w *blockWrite) markChanged() {
-	for _, m := range w.block.machines {
-		m.dirty = m.dirty || m.needsWrite()
-		if m.dirty {
-			w.block.markDirty(w.owner.c.now)
+	for _, m := range w.block.Machines {
+		m.Dirty = m.Dirty || m.NeedsWrite()
+		if m.Dirty {
+			w.block.MarkDirty(w.owner.c.now)
 		}
 	}
 }
--- a/controller/blocked_jobs.go
+++ b/controller/blocked_jobs.go
@@ -4,6 +4,8 @@
 	"slices"
 	"strings"
 
+	"tamarindlead/internal/inventory"
+
 	"tamarindlead/internal/budget"
 	"tamarindlead/internal/dag"
 	"tamarindlead/internal/kv"
@@ -17,9 +19,9 @@
 // that it awaits were read as done, or when a record shows that an earlier owner placed it.
 
 // addBlockedJob takes a job of an own team that awaits others.
-func (o *owner) addBlockedJob(j *job) {
-	o.setJobState(j, jobBlocked)
-	o.blockedJobs[j.ID] = j
+func (o *owner) addBlockedJob(j *inventory.Job) {
+	o.SetJobState(j, inventory.JobBlocked)
+	o.BlockedJobs[j.ID] = j
 	switch waiting := o.c.graph.Blocked(j.ID); {
 	case waiting == nil: // its record is gone already; the watch will tell
 	case waiting.Cancelled():
@@ -31,21 +33,21 @@
 
 // jobReady lets a job be placed: all that it awaits is done. Its times count from then.
 func (o *owner) jobReady(waiting *dag.BlockedJob) {
-	j := o.blockedJobs[waiting.ID]
+	j := o.BlockedJobs[waiting.ID]
 	if j == nil {
 		return
 	}
-	delete(o.blockedJobs, j.ID)
-	j.readyAt = max(j.accepted, waiting.LatestDependencyDone)
-	o.setJobState(j, jobActive)
-	o.c.log.Info("job is ready", "job", j.ID, "class", j.Class, "waited_s", (o.c.wallClock - j.accepted).Seconds())
+	delete(o.BlockedJobs, j.ID)
+	j.ReadyAt = max(j.Accepted, waiting.LatestDependencyDone)
+	o.SetJobState(j, inventory.JobActive)
+	o.c.log.Info("job is ready", "job", j.ID, "class", j.Class, "waited_s", (o.c.wallClock - j.Accepted).Seconds())
 	o.enqueue(j)
 }
 
 // unblockPlacedJob finds a job that a record of an earlier owner names as placed. That owner had
 // read that all that the job awaits is done, which never changes.
-func (o *owner) unblockPlacedJob(id string) *job {
-	if o.blockedJobs[id] != nil {
+func (o *owner) unblockPlacedJob(id string) *inventory.Job {
+	if o.BlockedJobs[id] != nil {
 		waiting := o.c.graph.Blocked(id)
 		if waiting == nil {
 			return nil
@@ -53,14 +55,14 @@
 		o.c.graph.AssumeDone(waiting)
 		o.jobReady(waiting)
 	}
-	return o.jobs[id]
+	return o.Jobs[id]
 }
 
 // queueCascadedCancellation notes that a waiting job is cancelled with one before it, which must be
 // recorded. Users are told by what the records before it say, recorded or not.
 func (o *owner) queueCascadedCancellation(id string) {
-	if j := o.blockedJobs[id]; j != nil && !j.cancelQueued {
-		j.cancelQueued = true
+	if j := o.BlockedJobs[id]; j != nil && !j.CancelQueued {
+		j.CancelQueued = true
 		o.cascadedCancellations = append(o.cascadedCancellations, id)
 	}
 }
@@ -92,27 +94,27 @@
 	for len(o.cascadedCancellations) > 0 && !full() {
 		id := o.cascadedCancellations[0]
 		o.cascadedCancellations = o.cascadedCancellations[1:]
-		j, waiting := o.blockedJobs[id], o.c.graph.Blocked(id)
+		j, waiting := o.BlockedJobs[id], o.c.graph.Blocked(id)
 		if j == nil {
 			continue
 		}
-		j.cancelQueued = false
-		if waiting != nil && waiting.Cancelled() && !j.recordStale {
+		j.CancelQueued = false
+		if waiting != nil && waiting.Cancelled() && !j.RecordStale {
 			o.recordCascadedCancellation(t, j, waiting.CancelledRoot)
 		}
 	}
 }
 
 // recordCascadedCancellation adds to a commit that a waiting job is cancelled with one before it.
-func (o *owner) recordCascadedCancellation(t *transaction, j *job, root string) {
-	j.writing = true
-	t.preconditions[record.ActiveJobKey(j.ID)] = j.version
+func (o *owner) recordCascadedCancellation(t *transaction, j *inventory.Job, root string) {
+	j.Writing = true
+	t.preconditions[record.ActiveJobKey(j.ID)] = j.Version
 	t.writes = append(t.writes, kv.Write{Delete: record.ActiveJobKey(j.ID)})
 	t.put(record.TerminalStateKey(j.ID), record.TerminalState{Status: record.StatusCancelled, FinishedAt: o.c.wallClock, CancelledDependency: root})
 	t.results = append(t.results, func(ok bool, _ uint64) {
-		j.writing = false
+		j.Writing = false
 		switch {
-		case o.blockedJobs[j.ID] != j:
+		case o.BlockedJobs[j.ID] != j:
 		case !ok:
 			o.queueCascadedCancellation(j.ID)
 		default:
@@ -123,31 +125,31 @@
 }
 
 // removeBlockedJob forgets a waiting job whose record is gone.
-func (o *owner) removeBlockedJob(j *job) {
-	delete(o.blockedJobs, j.ID)
+func (o *owner) removeBlockedJob(j *inventory.Job) {
+	delete(o.BlockedJobs, j.ID)
 	o.dropParts(j)
-	o.setJobState(j, jobEnded)
+	o.SetJobState(j, inventory.JobEnded)
 }
 
 // dropParts has the further keys of a job's list deleted: they serve while its record exists.
-func (o *owner) dropParts(j *job) {
-	for i := range j.dependencyParts {
+func (o *owner) dropParts(j *inventory.Job) {
+	for i := range j.DependencyParts {
 		o.obsoleteKeys = append(o.obsoleteKeys, record.DependencyPartKey(j.ID, i))
 	}
-	j.dependencyParts = 0
+	j.DependencyParts = 0
 }
 
 // recheckDelay lets the watch show how a job's record changed before it is written again.
 const recheckDelay = micros.Second
 
 // recheckBlockedJob handles a waiting job's record that is not as it was: it was cancelled.
-func (o *owner) recheckBlockedJob(j *job) {
-	j.recordStale = true
+func (o *owner) recheckBlockedJob(j *inventory.Job) {
+	j.RecordStale = true
 	o.c.refresh(func(ok bool) {
-		if o.superseded() || o.blockedJobs[j.ID] != j {
+		if o.superseded() || o.BlockedJobs[j.ID] != j {
 			return
 		}
-		j.recordStale = false
+		j.RecordStale = false
 		if ok && !o.c.graph.IsActive(j.ID) {
 			o.removeBlockedJob(j)
 			return
--- a/controller/blocks_test.go
+++ b/controller/blocks_test.go
@@ -4,6 +4,8 @@
 	"slices"
 	"testing"
 
+	"tamarindlead/internal/inventory"
+
 	"tamarindlead/internal/record"
 	"tamarindlead/micros"
 )
@@ -16,15 +18,15 @@
 	o.c.cfg.MaxValueBytes = 400
 	stored := map[string][]string{} // block -> machines, as the store has them
 	for _, bl := range o.blocks {
-		for _, m := range bl.machines {
-			stored[bl.name] = append(stored[bl.name], m.name)
+		for _, m := range bl.Machines {
+			stored[bl.Name] = append(stored[bl.Name], m.Name)
 		}
 	}
-	names := slices.Clone(stored[b.name])
+	names := slices.Clone(stored[b.Name])
 	before := len(o.blocks)
-	o.markDirty(b.machines[0])
+	o.markDirty(b.Machines[0])
 	for range 200 {
-		for _, m := range b.machines { // changes go on meanwhile
+		for _, m := range b.Machines { // changes go on meanwhile
 			o.markDirty(m)
 		}
 		tx := &transaction{preconditions: map[string]uint64{}}
@@ -64,8 +66,8 @@
 		t.Fatal("no block was split")
 	}
 	for _, bl := range o.blocks {
-		if bl.unwrittenTargets != 0 {
-			t.Fatalf("block %s waits for ever", bl.name)
+		if bl.UnwrittenTargets != 0 {
+			t.Fatalf("block %s waits for ever", bl.Name)
 		}
 	}
 }
@@ -75,26 +77,26 @@
 func TestCompletionSegmentsYieldToPlacements(t *testing.T) {
 	o := benchOwner()
 	for _, b := range o.blocks {
-		b.dirty = false
+		b.Dirty = false
 	}
 	waits := o.blocks[:3]
 	for _, b := range waits {
-		j := o.queue[len(o.queue)-1]
-		o.addAttempt(j, j.firstPending, 9, b.machines[0], attemptAssumed)
-		j.firstPending++
-		o.markDirty(b.machines[0])
+		j := o.Queue[len(o.Queue)-1]
+		o.AddAttempt(j, j.FirstPending, 9, b.Machines[0], inventory.AttemptAssumed)
+		j.FirstPending++
+		o.markDirty(b.Machines[0])
 	}
 	for i := range 10 {
-		s := &completionSegment{team: "red", name: record.FormatNumber(uint64(i)), chunks: map[chunkKey]*job{}}
-		s.markDirty(o.c.now)
+		s := &inventory.CompletionSegment{Team: "red", Name: record.FormatNumber(uint64(i)), Chunks: map[inventory.ChunkKey]*inventory.Job{}}
+		s.MarkDirty(o.c.now)
 		o.completionSegments = append(o.completionSegments, s)
 	}
 	o.c.now += micros.Second
 	tx := &transaction{preconditions: map[string]uint64{}}
 	o.flushRecords(tx, func() int { return 5 - len(tx.writes) })
 	for _, b := range waits {
-		if !b.writing {
-			t.Errorf("block %s is not written with the first five records", b.name)
+		if !b.Writing {
+			t.Errorf("block %s is not written with the first five records", b.Name)
 		}
 	}
 	if len(tx.writes) != 5 {
@@ -108,7 +110,7 @@
 	for b.Loop() {
 		t := &transaction{preconditions: map[string]uint64{}}
 		bl := o.blocks[0]
-		bl.writing = false
+		bl.Writing = false
 		o.writeBlock(t, bl, 16)
 		if _, err := t.writes[0].Value.(record.Block).Decode(); err != nil {
 			b.Fatal(err)
@@ -122,12 +124,12 @@
 func TestMergeTransferred(t *testing.T) {
 	o := benchOwner()
 	for _, b := range o.blocks {
-		b.dirty = false
+		b.Dirty = false
 	}
-	from := o.newBlock(transferPrefix + "m-900000")
-	from.version = 7
-	m := o.addMachine(from, machineInfo{name: "m-900000", machineType: "mid", zone: o.c.cfg.Zones[0], endpoint: "worker"})
-	m.fencingToken, m.recorded, m.state = 7, true, machineReady
+	from := o.newBlock(inventory.TransferPrefix + "m-900000")
+	from.Version = 7
+	m := o.addMachine(from, inventory.MachineInfo{Name: "m-900000", Type: "mid", Zone: o.c.cfg.Zones[0], Endpoint: "worker"})
+	m.FencingToken, m.Recorded, m.State = 7, true, inventory.MachineReady
 	write := func() []string {
 		tx := &transaction{preconditions: map[string]uint64{}}
 		o.flushRecords(tx, func() int { return o.c.cfg.MaxTransactionOps - len(tx.writes) })
@@ -140,10 +142,10 @@
 		o.finishTransaction(tx, true, 10)
 		return deleted
 	}
-	if deleted := write(); len(deleted) > 0 || m.block == from || !slices.Contains(m.block.machines, m) {
-		t.Fatalf("with the first commit %v is deleted, the machine is in %s", deleted, m.block.name)
+	if deleted := write(); len(deleted) > 0 || m.Block == from || !slices.Contains(m.Block.Machines, m) {
+		t.Fatalf("with the first commit %v is deleted, the machine is in %s", deleted, m.Block.Name)
 	}
-	if deleted := write(); !slices.Equal(deleted, []string{record.BlockKey(from.name)}) {
+	if deleted := write(); !slices.Equal(deleted, []string{record.BlockKey(from.Name)}) {
 		t.Fatalf("with the second commit %v is deleted", deleted)
 	}
 	if slices.Contains(o.blocks, from) {
@@ -157,13 +159,13 @@
 	o := benchOwner()
 	o.c.cfg.MaxTransactionOps = 3
 	b := o.blocks[0]
-	var proposed []*attempt
+	var proposed []*inventory.Attempt
 	for range 20 {
-		j := o.queue[len(o.queue)-1]
-		o.queue = o.queue[:len(o.queue)-1]
-		proposed = append(proposed, o.addAttempt(j, j.firstPending, 9, b.machines[0], attemptAssumed))
+		j := o.Queue[len(o.Queue)-1]
+		o.Queue = o.Queue[:len(o.Queue)-1]
+		proposed = append(proposed, o.AddAttempt(j, j.FirstPending, 9, b.Machines[0], inventory.AttemptAssumed))
 	}
-	o.markDirty(b.machines[0])
+	o.markDirty(b.Machines[0])
 	waiting := len(proposed)
 	for commits := 0; waiting > 0; commits++ {
 		if commits == len(proposed) {
@@ -177,7 +179,7 @@
 		o.finishTransaction(tx, true, 10)
 		waiting = 0
 		for _, a := range proposed {
-			if a.state == attemptAssumed {
+			if a.State == inventory.AttemptAssumed {
 				waiting++
 			}
 		}
--- a/controller/cloud_list.go
+++ b/controller/cloud_list.go
@@ -6,6 +6,9 @@
 	"net/url"
 	"strconv"
 
+	"tamarindlead/internal/inventory"
+	"tamarindlead/internal/ordered"
+
 	"tamarindlead/internal/wire"
 	"tamarindlead/micros"
 )
@@ -70,7 +73,7 @@
 	o.applyCloudList(l.machines)
 }
 
-// isUnclaimed tells whether a listed machine belongs to nobody. The list may be twice its
+// IsUnclaimed tells whether a listed machine belongs to nobody. The list may be twice its
 // usual lag late, so it still shows machines that another owner has returned: a machine
 // must stay listed for longer than that.
 func (o *owner) isUnclaimed(name string) bool {
@@ -86,33 +89,33 @@
 
 // applyCloudList takes what the cloud lists, and adopts machines that nobody owns.
 func (o *owner) applyCloudList(found map[string]wire.ListedMachine) {
-	for _, name := range sortedKeys(found) {
+	for _, name := range ordered.Keys(found) {
 		o.applyListedMachine(found[name])
 	}
 	maps.DeleteFunc(o.unclaimedSince, func(name string, _ micros.Micros) bool {
 		_, listed := found[name]
 		return !listed
 	})
-	for name, m := range o.machines {
-		if _, listed := found[name]; !listed && m.cloudListed {
-			m.missedListings++
+	for name, m := range o.Machines {
+		if _, listed := found[name]; !listed && m.CloudListed {
+			m.MissedListings++
 		}
 	}
 }
 
 // applyListedMachine takes what the cloud lists of one machine.
 func (o *owner) applyListedMachine(entry wire.ListedMachine) {
-	m := o.machines[entry.Name]
+	m := o.Machines[entry.Name]
 	if m == nil {
 		if !o.isUnclaimed(entry.Name) {
 			return
 		}
-		m = o.adopt(machineInfo{
-			name: entry.Name, machineType: entry.Type, zone: entry.Zone, spot: entry.Spot, endpoint: entry.Endpoint,
+		m = o.adopt(inventory.MachineInfo{
+			Name: entry.Name, Type: entry.Type, Zone: entry.Zone, Spot: entry.Spot, Endpoint: entry.Endpoint,
 		})
-		m.provisionedAt = o.c.wallClock - micros.FromSeconds(entry.AgeS)
+		m.ProvisionedAt = o.c.wallClock - micros.FromSeconds(entry.AgeS)
 	}
-	m.cloudListed, m.missedListings = true, 0
-	m.failed = entry.Status == wire.ListFailed
-	m.endpoint = cmp.Or(m.endpoint, entry.Endpoint)
+	m.CloudListed, m.MissedListings = true, 0
+	m.Failed = entry.Status == wire.ListFailed
+	m.Endpoint = cmp.Or(m.Endpoint, entry.Endpoint)
 }
--- a/controller/commands.go
+++ b/controller/commands.go
@@ -1,6 +1,7 @@
 package controller
 
 import (
+	"tamarindlead/internal/inventory"
 	"tamarindlead/internal/wire"
 	"tamarindlead/micros"
 )
@@ -28,26 +29,26 @@
 
 // commands returns what a machine must do, given its latest report, and marks the starts
 // among it as ordered.
-func (o *owner) commands(m *machine) []wire.Command {
-	if !m.tokenConfirmed {
+func (o *owner) commands(m *inventory.Machine) []wire.Command {
+	if !m.TokenConfirmed {
 		return nil // it learns the token first
 	}
 	if !o.mayCommand(m, "any") {
 		return nil
 	}
 	reported, commands := o.commandsForReportedTasks(m)
-	for _, a := range m.sortedAttempts() {
-		if a.state == attemptStarting && a.job.state == jobEnded {
-			o.stopAttempt(a, 0, "job is over")
+	for _, a := range m.SortedAttempts() {
+		if a.State == inventory.AttemptStarting && a.Job.State == inventory.JobEnded {
+			o.StopAttempt(a, 0, "job is over")
 		}
 		switch {
-		case a.state == attemptStopping && !a.heartbeatSeen:
+		case a.State == inventory.AttemptStopping && !a.HeartbeatSeen:
 			// Its start may be on its way, so the stop must follow it.
-			commands = append(commands, stopCommand(a.taskName(), a.number, a.gracePeriod))
-		case a.state == attemptRecorded && !reported[a.key()] && a.mayStart() && o.maySendStart(a):
-			a.startHeartbeatSeq = m.heartbeatSeq
-			o.setAttemptState(a, attemptStarting)
-			commands = append(commands, wire.Command{Verb: wire.VerbStart, Task: a.taskName(), Attempt: a.number})
+			commands = append(commands, stopCommand(a.TaskName(), a.Number, a.GracePeriod))
+		case a.State == inventory.AttemptRecorded && !reported[a.Key()] && a.MayStart() && o.maySendStart(a):
+			a.StartHeartbeatSeq = m.HeartbeatSeq
+			o.SetAttemptState(a, inventory.AttemptStarting)
+			commands = append(commands, wire.Command{Verb: wire.VerbStart, Task: a.TaskName(), Attempt: a.Number})
 		}
 	}
 	return commands
@@ -55,19 +56,19 @@
 
 // commandsForReportedTasks returns the commands for tasks that the machine's latest report
 // lists, and which tasks those are, less the ones that the machine is told to forget.
-func (o *owner) commandsForReportedTasks(m *machine) (reported map[taskKey]bool, commands []wire.Command) {
-	reported = make(map[taskKey]bool, len(m.reportedTasks))
-	settled := m.fencing == fencingNone && !m.commandsInFlight
-	for _, task := range m.reportedTasks {
+func (o *owner) commandsForReportedTasks(m *inventory.Machine) (reported map[inventory.TaskKey]bool, commands []wire.Command) {
+	reported = make(map[inventory.TaskKey]bool, len(m.ReportedTasks))
+	settled := m.Fencing == inventory.FencingNone && !m.CommandsInFlight
+	for _, task := range m.ReportedTasks {
 		id, index, ok := wire.SplitTaskName(task.Task)
-		key := taskKey{id, index}
+		key := inventory.TaskKey{Job: id, Index: index}
 		reported[key] = ok
-		a := m.attempts[key]
+		a := m.Attempts[key]
 		exited := task.Phase == wire.PhaseExited
 		switch {
-		case a != nil && a.number == task.Attempt:
-			if a.state == attemptStopping && !exited {
-				commands = append(commands, stopCommand(task.Task, task.Attempt, a.gracePeriod))
+		case a != nil && a.Number == task.Attempt:
+			if a.State == inventory.AttemptStopping && !exited {
+				commands = append(commands, stopCommand(task.Task, task.Attempt, a.GracePeriod))
 			}
 		case !exited: // nothing that this owner knows of
 			commands = append(commands, stopCommand(task.Task, task.Attempt, 0))
@@ -88,10 +89,10 @@
 }
 
 // queueDispatch has the next dispatchQueuedMachines look for commands for a machine.
-func (o *owner) queueDispatch(m *machine) {
-	m.dispatchNeeded = true
-	if !m.inDispatchQueue {
-		m.inDispatchQueue = true
+func (o *owner) queueDispatch(m *inventory.Machine) {
+	m.DispatchNeeded = true
+	if !m.InDispatchQueue {
+		m.InDispatchQueue = true
 		o.dispatchQueue = append(o.dispatchQueue, m)
 	}
 }
@@ -112,20 +113,20 @@
 			o.dispatchQueue = append(queue[i:len(queue):len(queue)], o.dispatchQueue...)
 			return
 		}
-		m.inDispatchQueue = false
-		if m.dispatchNeeded && o.machines[m.name] == m {
+		m.InDispatchQueue = false
+		if m.DispatchNeeded && o.Machines[m.Name] == m {
 			o.dispatch(m)
 		}
 	}
 }
 
 // dispatch sends a machine its commands, if it can take them now.
-func (o *owner) dispatch(m *machine) {
-	takesWork := m.state >= machineReady && m.state <= machineTransferring
-	if m.commandsInFlight || !m.tokenConfirmed || m.fencing != fencingNone || m.endpoint == "" || !takesWork {
+func (o *owner) dispatch(m *inventory.Machine) {
+	takesWork := m.State >= inventory.MachineReady && m.State <= inventory.MachineTransferring
+	if m.CommandsInFlight || !m.TokenConfirmed || m.Fencing != inventory.FencingNone || m.Endpoint == "" || !takesWork {
 		return
 	}
-	m.dispatchNeeded = false
+	m.DispatchNeeded = false
 	if commands := o.commands(m); len(commands) > 0 {
 		o.sendCommands(m, commands)
 	}
@@ -133,40 +134,40 @@
 
 // sendCommands sends commands to a machine's worker. Without commands it only shows the
 // worker this owner's token.
-func (o *owner) sendCommands(m *machine, commands []wire.Command) {
-	m.commandsInFlight = true
+func (o *owner) sendCommands(m *inventory.Machine, commands []wire.Command) {
+	m.CommandsInFlight = true
 	o.commandsInFlight++
-	body := wire.Encode(wire.CommandsRequest{FencingToken: m.fencingToken, AgentEpoch: m.agentEpoch, Commands: commands})
+	body := wire.Encode(wire.CommandsRequest{FencingToken: m.FencingToken, AgentEpoch: m.AgentEpoch, Commands: commands})
 	o.c.call(Call{
-		Addr: m.endpoint, Method: "POST", Target: wire.PathCommands, Timeout: commandTimeout, MaxBody: wire.MaxBody, Body: body,
+		Addr: m.Endpoint, Method: "POST", Target: wire.PathCommands, Timeout: commandTimeout, MaxBody: wire.MaxBody, Body: body,
 	}, func(e CallDone) {
 		o.commandsInFlight--
-		if o.superseded() || o.machines[m.name] != m {
+		if o.superseded() || o.Machines[m.Name] != m {
 			return
 		}
-		m.commandsInFlight = false
+		m.CommandsInFlight = false
 		o.handleCommandResponse(m, len(commands) > 0, e)
 	})
 }
 
 // handleCommandResponse takes the report with which a worker answers commands. Commands without
 // an answer may still be executed: the machine is fenced until it has seen a higher token.
-func (o *owner) handleCommandResponse(m *machine, hadCommands bool, e CallDone) {
+func (o *owner) handleCommandResponse(m *inventory.Machine, hadCommands bool, e CallDone) {
 	var report *wire.Heartbeat
 	if e.Status == wire.StatusOK || e.Status == wire.StatusConflict {
 		report, _ = wire.DecodeHeartbeat(e.Body) // one that cannot be read counts as no answer
 	}
 	switch {
-	case report != nil && report.FencingToken > m.fencingToken:
+	case report != nil && report.FencingToken > m.FencingToken:
 		o.restartRecovery("a machine has seen a higher token")
 	case report != nil:
 		o.applyHeartbeat(m, report, false)
-		if m.dispatchNeeded || m.hasPendingStarts() {
+		if m.DispatchNeeded || m.HasPendingStarts() {
 			o.queueDispatch(m)
 		}
 	case e.Sent && hadCommands:
-		o.c.log.Info("command not answered", "machine", m.name)
-		o.setFencingState(m, fencingNeeded)
+		o.c.log.Info("command not answered", "machine", m.Name)
+		o.SetFencingState(m, inventory.FencingNeeded)
 	}
 }
 
@@ -177,16 +178,16 @@
 		return
 	}
 	asked := 0
-	for _, m := range o.sortedMachines {
+	for _, m := range o.SortedMachines {
 		// A machine with a task of a cancelled job is asked at once, since the leader may
 		// change again soon.
 		if o.c.now-o.activeSince < inspectionDelay && !o.cancellationOverdue(m, overdueDecommissionFraction) {
 			continue
 		}
-		if !m.recovered || m.agentEpoch != 0 || m.inspected || m.fencingToken == 0 || m.state >= machineDecommissioning {
+		if !m.Recovered || m.AgentEpoch != 0 || m.Inspected || m.FencingToken == 0 || m.State >= inventory.MachineDecommissioning {
 			continue
 		}
-		m.inspected = true
+		m.Inspected = true
 		o.inspectMachine(m)
 		if asked++; asked == inspectionBatchSize {
 			return
@@ -196,20 +197,20 @@
 
 // inspectMachine asks a machine that was taken over for its report, and then shows it this owner's
 // token, so that commands need not wait until its worker has found this node.
-func (o *owner) inspectMachine(m *machine) {
-	if m.endpoint == "" || m.agentEpoch != 0 || m.commandsInFlight {
+func (o *owner) inspectMachine(m *inventory.Machine) {
+	if m.Endpoint == "" || m.AgentEpoch != 0 || m.CommandsInFlight {
 		return
 	}
 	o.commandsInFlight++
 	o.c.call(Call{
-		Addr: m.endpoint, Method: "GET", Target: wire.PathInspect, Timeout: commandTimeout, MaxBody: wire.MaxBody,
+		Addr: m.Endpoint, Method: "GET", Target: wire.PathInspect, Timeout: commandTimeout, MaxBody: wire.MaxBody,
 	}, func(e CallDone) {
 		o.commandsInFlight--
 		report, err := wire.DecodeHeartbeat(e.Body)
-		if o.superseded() || o.machines[m.name] != m || e.Status != wire.StatusOK || err != nil || report.FencingToken > m.fencingToken {
+		if o.superseded() || o.Machines[m.Name] != m || e.Status != wire.StatusOK || err != nil || report.FencingToken > m.FencingToken {
 			return
 		}
-		if o.applyHeartbeat(m, report, false) && !m.tokenConfirmed {
+		if o.applyHeartbeat(m, report, false) && !m.TokenConfirmed {
 			o.sendCommands(m, []wire.Command{})
 		}
 	})
--- a/controller/commits.go
+++ b/controller/commits.go
@@ -4,6 +4,8 @@
 	"slices"
 	"strings"
 
+	"tamarindlead/internal/inventory"
+
 	"tamarindlead/internal/budget"
 	"tamarindlead/internal/kv"
 	"tamarindlead/internal/record"
@@ -66,8 +68,8 @@
 
 // hasPendingClaims tells whether machines wait to be claimed by this owner.
 func (o *owner) hasPendingClaims() bool {
-	for _, m := range o.sortedMachines {
-		if m.isUnclaimed() {
+	for _, m := range o.SortedMachines {
+		if m.IsUnclaimed() {
 			return true
 		}
 	}
@@ -94,7 +96,7 @@
 		}
 		o.finishTransaction(t, true, res.Revision)
 		o.flushAt = o.c.now + o.commitInterval()
-		o.schedulingNeeded = true
+		o.SchedulingNeeded = true
 	case kv.PreconditionFailed:
 		if again {
 			o.restartRecovery("a commit without answer was executed, or somebody else wrote")
@@ -167,9 +169,9 @@
 	case strings.HasPrefix(key, record.MemberPrefix):
 		return true // a machine was to go to an owner that is gone
 	}
-	if name, ok := strings.CutPrefix(key, record.BlockPrefix+adoptedPrefix); ok {
-		if m := o.machines[name]; m != nil && m.fencingToken == 0 {
-			o.dropOwnedElsewhere(m, adoptedPrefix+name)
+	if name, ok := strings.CutPrefix(key, record.BlockPrefix+inventory.AdoptedPrefix); ok {
+		if m := o.Machines[name]; m != nil && m.FencingToken == 0 {
+			o.dropOwnedElsewhere(m, inventory.AdoptedPrefix+name)
 			return true
 		}
 	}
@@ -178,20 +180,20 @@
 		o.restartRecovery("a record of ours was changed: " + key)
 		return false
 	}
-	if j := o.blockedJobs[id]; j != nil {
+	if j := o.BlockedJobs[id]; j != nil {
 		o.recheckBlockedJob(j)
-	} else if j := o.jobs[id]; j != nil {
+	} else if j := o.Jobs[id]; j != nil {
 		o.markJobStale(j)
 	}
 	return true
 }
 
 // markJobStale stops placing a job whose record has changed, and reads the record again.
-func (o *owner) markJobStale(j *job) {
-	j.recordStale = true
-	for _, a := range j.sortedAttempts() {
-		if a.state == attemptAssumed {
-			o.stopAttempt(a, 0, "job's record has changed")
+func (o *owner) markJobStale(j *inventory.Job) {
+	j.RecordStale = true
+	for _, a := range j.SortedAttempts() {
+		if a.State == inventory.AttemptAssumed {
+			o.StopAttempt(a, 0, "job's record has changed")
 		}
 	}
 	o.c.store.Get(budget.UserRequests, record.ActiveJobKey(j.ID), func(out kv.Outcome, e kv.Entry) {
@@ -200,10 +202,10 @@
 		case out == kv.NotFound:
 			o.handleJobRemoved(j.ID, o.cancellationsKnownUntil)
 		case out == kv.OK:
-			j.version, j.recordStale = e.Version, false
-			o.schedulingNeeded = true
+			j.Version, j.RecordStale = e.Version, false
+			o.SchedulingNeeded = true
 		default:
-			j.recordStale = false // the next commit will tell
+			j.RecordStale = false // the next commit will tell
 			o.flushAt = o.c.now + flushRetryDelay
 		}
 	})
@@ -215,28 +217,28 @@
 
 // dropOwnedElsewhere drops a machine that was taken for unexpected while it has a record already:
 // another owner's, or ours if it was given to us.
-func (o *owner) dropOwnedElsewhere(m *machine, block string) {
-	o.ownedElsewhere[m.name] = o.c.now + ownedElsewhereRetention
+func (o *owner) dropOwnedElsewhere(m *inventory.Machine, block string) {
+	o.ownedElsewhere[m.Name] = o.c.now + ownedElsewhereRetention
 	o.forgetMachine(m)
 	o.receiveTransfer(block)
 }
 
 // flushTerminalStates records jobs that are done.
 func (o *owner) flushTerminalStates(t *transaction, full func() bool) {
-	for _, j := range o.queue {
-		if j.state != jobFinishing || j.recordStale {
+	for _, j := range o.Queue {
+		if j.State != inventory.JobFinishing || j.RecordStale {
 			continue
 		}
 		if full() {
 			return
 		}
-		j.writing = true
-		t.preconditions[record.ActiveJobKey(j.ID)] = j.version
+		j.Writing = true
+		t.preconditions[record.ActiveJobKey(j.ID)] = j.Version
 		t.writes = append(t.writes, kv.Write{Delete: record.ActiveJobKey(j.ID)})
 		t.put(record.TerminalStateKey(j.ID), record.TerminalState{Status: record.StatusDone, FinishedAt: o.c.wallClock})
 		t.results = append(t.results, func(ok bool, _ uint64) {
-			j.writing = false
-			if ok && j.state != jobEnded {
+			j.Writing = false
+			if ok && j.State != inventory.JobEnded {
 				o.handleJobDoneRecorded(j)
 			}
 		})
@@ -244,20 +246,20 @@
 }
 
 // handleJobDoneRecorded ends a job whose final record is written.
-func (o *owner) handleJobDoneRecorded(j *job) {
+func (o *owner) handleJobDoneRecorded(j *inventory.Job) {
 	o.c.terminalStates.remember(j.ID, wire.JobDone)
 	o.c.log.Info("job done", "job", j.ID, "class", j.Class)
 	o.c.graph.MarkDone(j.ID, o.c.wallClock)
-	for _, a := range j.sortedAttempts() {
-		if a.state == attemptCompleted {
+	for _, a := range j.SortedAttempts() {
+		if a.State == inventory.AttemptCompleted {
 			o.handleCompletionRecorded(a)
 		}
 	}
 	o.endJob(j)
-	for _, a := range j.sortedAttempts() {
-		if a.state == attemptLive || a.state == attemptStarting {
-			a.reason = "job is done"
-			o.setAttemptState(a, attemptStopping) // its machine's next report ends it
+	for _, a := range j.SortedAttempts() {
+		if a.State == inventory.AttemptLive || a.State == inventory.AttemptStarting {
+			a.Reason = "job is done"
+			o.SetAttemptState(a, inventory.AttemptStopping) // its machine's next report ends it
 		}
 	}
 }
@@ -265,8 +267,8 @@
 // handleCompletionRecorded closes an attempt whose completion is recorded. The machine's
 // record still names it; that is corrected with its next change, and a reader knows
 // better from the completion.
-func (o *owner) handleCompletionRecorded(a *attempt) {
-	o.setAttemptState(a, attemptClosed)
+func (o *owner) handleCompletionRecorded(a *inventory.Attempt) {
+	o.SetAttemptState(a, inventory.AttemptClosed)
 }
 
 // obsoleteDeleteInterval is how long obsolete keys wait for a moment without other writes. After
--- a/controller/dump_write_test.go
+++ b/controller/dump_write_test.go
@@ -7,6 +7,8 @@
 	"os"
 	"testing"
 
+	"tamarindlead/internal/ordered"
+
 	"tamarindlead/internal/record"
 	"tamarindlead/internal/wire"
 )
@@ -56,7 +58,7 @@
 
 // writeDump takes a dump; the messages come from elsewhere.
 func (w *simulation) writeDump() *dump {
-	d := &dump{Settings: *w.cfg, Now: w.now, Types: w.cloud.Types, Capacity: w.cloud.Capacity, Done: sortedKeys(w.done)}
+	d := &dump{Settings: *w.cfg, Now: w.now, Types: w.cloud.Types, Capacity: w.cloud.Capacity, Done: ordered.Keys(w.done)}
 	d.Records, d.Revision = w.kvStore.Records()
 	d.Grants, d.Rented = w.cloud.ScaleOutGrants()
 	for _, r := range d.Records {
@@ -66,14 +68,14 @@
 		m := dumpMachine{CloudMachine: *w.cloud.Machines[name]}
 		if k := w.workers[name]; k != nil {
 			m.Worker, m.Hung, m.Session, m.Seq, m.Token = true, k.Hung, k.AgentEpoch, k.HeartbeatSeq, k.FencingToken
-			for _, n := range sortedKeys(k.Tasks) {
+			for _, n := range ordered.Keys(k.Tasks) {
 				t := k.Tasks[n]
 				m.Tasks = append(m.Tasks, dumpTask{t.Name, t.Attempt, t.Phase, t.Cause, t.Checkpointed, t.PhaseRemaining(w.now)})
 			}
 		}
 		d.Machines = append(d.Machines, m)
 	}
-	for _, id := range sortedKeys(w.submitted) {
+	for _, id := range ordered.Keys(w.submitted) {
 		d.Jobs = append(d.Jobs, dumpJob{*w.submitted[id], w.infos[id], w.accepted[id], w.cancelRequested[id], w.reportedTerminal[id], w.cancelled[id]})
 	}
 	return d
--- a/controller/fault_pairs_faults_test.go
+++ b/controller/fault_pairs_faults_test.go
@@ -67,7 +67,7 @@
 		if n.productionCore != nil {
 			continue
 		}
-		for id := range n.core.owner.jobs {
+		for id := range n.core.owner.Jobs {
 			if w.cancelRequested[id] {
 				likely = append(likely, n)
 				break
--- a/controller/fault_pairs_test.go
+++ b/controller/fault_pairs_test.go
@@ -8,6 +8,8 @@
 	"strings"
 	"testing"
 
+	"tamarindlead/internal/ordered"
+
 	"tamarindlead/config"
 	"tamarindlead/internal/wire"
 	"tamarindlead/micros"
@@ -218,7 +220,7 @@
 func (p *faultPairRun) unansweredJobs() []string {
 	w := p.w
 	open := map[string]bool{}
-	for _, id := range sortedKeys(w.accepted) {
+	for _, id := range ordered.Keys(w.accepted) {
 		for n := range w.nodes {
 			key := fmt.Sprintf("%s at %s", id, nodeName(n))
 			open[key] = true
@@ -231,7 +233,7 @@
 		}
 	}
 	w.run(3 * micros.Second)
-	return sortedKeys(open)
+	return ordered.Keys(open)
 }
 
 // openJobs lists the jobs whose users were told no final state, but for those that are refused.
--- a/controller/faults_workers_test.go
+++ b/controller/faults_workers_test.go
@@ -6,6 +6,8 @@
 	"strings"
 	"testing"
 
+	"tamarindlead/internal/ordered"
+
 	"github.com/cockroachdb/datadriven"
 
 	"tamarindlead/internal/fake"
@@ -245,7 +247,7 @@
 	slices.Sort(jobs)
 	jobs = jobs[:min(count, len(jobs))]
 	hung := map[string]bool{}
-	for _, task := range sortedKeys(w.running) {
+	for _, task := range ordered.Keys(w.running) {
 		id, _, _ := wire.SplitTaskName(task)
 		name := w.running[task]
 		if hang == 0 || !slices.Contains(jobs, id) || hung[name] || len(hung) == maxHungMachines {
--- a/controller/gang_reservations.go
+++ b/controller/gang_reservations.go
@@ -4,6 +4,9 @@
 	"cmp"
 	"slices"
 
+	"tamarindlead/internal/inventory"
+	"tamarindlead/internal/ordered"
+
 	"tamarindlead/internal/autoscaler"
 	"tamarindlead/micros"
 	"tamarindlead/sched"
@@ -17,7 +20,7 @@
 	ready := autoscaler.NewWarmPool(o.c.now, o.classes, o.c.cfg.SLOs, o.c.catalog())
 	short := false
 	for _, j := range o.schedulingOrder() {
-		if !j.Gang || j.state != jobActive || j.gangState != gangNone || o.reservations[j.ID] != nil || o.c.now < j.backoffUntil {
+		if !j.Gang || j.State != inventory.JobActive || j.GangState != inventory.GangNone || o.reservations[j.ID] != nil || o.c.now < j.BackoffUntil {
 			continue
 		}
 		// Of the gangs that the machines there are do not suffice for, only the first reserves
@@ -29,7 +32,7 @@
 		return
 	}
 	for _, v := range view {
-		if m := o.machines[v.Name]; !v.ReservedForGangs && v.Scarce && o.hasNoDependentTasks(m) && ready.Claim(m.offer(), o.machineSize(m).Sub(m.used)) {
+		if m := o.Machines[v.Name]; !v.ReservedForGangs && v.Scarce && o.hasNoDependentTasks(m) && ready.Claim(m.Offer(), o.machineSize(m).Sub(m.Used)) {
 			v.ReservedForGangs = true
 		}
 	}
@@ -44,7 +47,7 @@
 
 // reserveForGang reserves machines for a gang and tells whether they will do. With complete,
 // it reserves none unless they do.
-func (o *owner) reserveForGang(j *job, view []*sched.Machine, complete bool) bool {
+func (o *owner) reserveForGang(j *inventory.Job, view []*sched.Machine, complete bool) bool {
 	starves := o.isStarving(j)
 	candidates := candidatesOfBestZone(o.gangCandidates(j, view, starves))
 	chosen, tasks := chooseCandidates(j, candidates)
@@ -61,14 +64,14 @@
 }
 
 // gangCandidates lists the machines that a gang may have: by zone, if it must be in one.
-func (o *owner) gangCandidates(j *job, view []*sched.Machine, starves bool) map[string][]gangCandidate {
+func (o *owner) gangCandidates(j *inventory.Job, view []*sched.Machine, starves bool) map[string][]gangCandidate {
 	byZone := map[string][]gangCandidate{}
 	for _, v := range view {
-		m := o.machines[v.Name]
+		m := o.Machines[v.Name]
 		if v.Slack || v.ReservedForGangs || !v.Scarce && !starves || !j.Allows(v.Type, v.Zone, v.Spot) || o.isReserved(v.Name) {
 			continue // what a hold reserves is spoken for
 		}
-		fits := j.Need.Count(m.size, j.Tasks)
+		fits := j.Need.Count(m.Size, j.Tasks)
 		if fits == 0 {
 			continue
 		}
@@ -89,7 +92,7 @@
 // now, those with the shortest wait first.
 func candidatesOfBestZone(byZone map[string][]gangCandidate) []gangCandidate {
 	best, most := "", -1
-	for _, zone := range sortedKeys(byZone) {
+	for _, zone := range ordered.Keys(byZone) {
 		if room := availableTaskSlots(byZone[zone]); room > most {
 			best, most = zone, room
 		}
@@ -112,7 +115,7 @@
 
 // chooseCandidates takes candidates in their order until all tasks of a gang have a place,
 // and tells for how many that is the case.
-func chooseCandidates(j *job, candidates []gangCandidate) (chosen []*sched.Machine, tasks int) {
+func chooseCandidates(j *inventory.Job, candidates []gangCandidate) (chosen []*sched.Machine, tasks int) {
 	spotLeft := j.Tasks - j.MinOnDemandTasks
 	inZone := map[string]int{}
 	for _, c := range candidates {
--- a/controller/gangs.go
+++ b/controller/gangs.go
@@ -2,6 +2,7 @@
 
 import (
 	"tamarindlead/internal/autoscaler"
+	"tamarindlead/internal/inventory"
 	"tamarindlead/micros"
 	"tamarindlead/sched"
 )
@@ -14,28 +15,30 @@
 const gangStarvationAfter = 40 * micros.Second
 
 // waitsTooLong tells that a job has waited for longer than gangs let later ones pass.
-func (o *owner) waitsTooLong(j *job) bool { return o.c.wallClock-j.readyAt > gangStarvationAfter }
+func (o *owner) waitsTooLong(j *inventory.Job) bool {
+	return o.c.wallClock-j.ReadyAt > gangStarvationAfter
+}
 
 // recordSpotUptime counts the time that spot machines are up.
 func (o *owner) recordSpotUptime() {
-	for _, m := range o.sortedMachines {
-		if m.spot && (m.state == machineReady || m.state == machineDraining) {
+	for _, m := range o.SortedMachines {
+		if m.Spot && (m.State == inventory.MachineReady || m.State == inventory.MachineDraining) {
 			o.c.spotRisk.RecordUptime(autoscalingInterval)
 		}
 	}
 }
 
 // recordSpotReclaimed counts a spot machine that the cloud took.
-func (o *owner) recordSpotReclaimed(m *machine) {
-	if m.spot && !m.spotReclaimed {
-		m.spotReclaimed = true
+func (o *owner) recordSpotReclaimed(m *inventory.Machine) {
+	if m.Spot && !m.SpotReclaimed {
+		m.SpotReclaimed = true
 		o.c.spotRisk.RecordLoss()
 	}
 }
 
 // minOnDemandTasks tells how many tasks of a gang must not be on spot machines. A gang that waits
 // for long takes as many spot machines as make good progress.
-func (o *owner) minOnDemandTasks(j *job) int {
+func (o *owner) minOnDemandTasks(j *inventory.Job) int {
 	if !j.Spot {
 		return j.Tasks
 	}
@@ -54,12 +57,12 @@
 }
 
 // dependsOnMachineType tells that a class of jobs fits one machine type only.
-func (o *owner) dependsOnMachineType(j *job) bool { return o.classes.SingleType(j.Class) }
+func (o *owner) dependsOnMachineType(j *inventory.Job) bool { return o.classes.SingleType(j.Class) }
 
 // hasNoDependentTasks tells that no job which depends on the machine's type has tasks on it.
-func (o *owner) hasNoDependentTasks(m *machine) bool {
-	for _, a := range m.attempts {
-		if !a.resourcesReleased && o.dependsOnMachineType(a.job) {
+func (o *owner) hasNoDependentTasks(m *inventory.Machine) bool {
+	for _, a := range m.Attempts {
+		if !a.ResourcesReleased && o.dependsOnMachineType(a.Job) {
 			return false
 		}
 	}
@@ -79,7 +82,7 @@
 		if !ok || !v.Scarce || v.Slots <= 0 || v.Free.CPU <= 0 {
 			continue
 		}
-		left, ok := o.slackLeft(o.machines[v.Name], v, need)
+		left, ok := o.slackLeft(o.Machines[v.Name], v, need)
 		if !ok {
 			continue
 		}
@@ -90,14 +93,14 @@
 
 // slackLeft is what gangs that need so much for a task leave of a machine that they use, as
 // far as it is free, and whether there is any.
-func (o *owner) slackLeft(m *machine, v *sched.Machine, need sched.Resources) (sched.Resources, bool) {
-	left := m.slack(need)
+func (o *owner) slackLeft(m *inventory.Machine, v *sched.Machine, need sched.Resources) (sched.Resources, bool) {
+	left := m.Slack(need)
 	if left.CPU <= 0 || o.hasNoDependentTasks(m) || o.isReserved(v.Name) {
 		return sched.Resources{}, false
 	}
-	for _, a := range m.attempts {
-		if !a.resourcesReleased && !o.dependsOnMachineType(a.job) {
-			left = left.Sub(a.job.Need)
+	for _, a := range m.Attempts {
+		if !a.ResourcesReleased && !o.dependsOnMachineType(a.Job) {
+			left = left.Sub(a.Job.Need)
 		}
 	}
 	left = sched.Resources{CPU: min(left.CPU, v.Free.CPU), GPU: min(left.GPU, v.Free.GPU), Mem: min(left.Mem, v.Free.Mem)}
--- a/controller/gangs_test.go
+++ b/controller/gangs_test.go
@@ -4,6 +4,8 @@
 	"fmt"
 	"testing"
 
+	"tamarindlead/internal/inventory"
+
 	"tamarindlead/internal/record"
 	"tamarindlead/internal/wire"
 	"tamarindlead/micros"
@@ -20,10 +22,10 @@
 	}
 	o.recoverJob(record.ActiveJobKey(gang.ID), wire.Encode(record.NewJob(gang, 0)), 1)
 	for i := range 6 {
-		m := o.newMachine(machineInfo{fmt.Sprintf("m-%06d", i), "mid", "a", i < 5, "worker"})
-		m.fencingToken, m.lastHeartbeat, m.state = 1, o.c.now, machineReady
+		m := o.newMachine(inventory.MachineInfo{Name: fmt.Sprintf("m-%06d", i), Type: "mid", Zone: "a", Spot: i < 5, Endpoint: "worker"})
+		m.FencingToken, m.LastHeartbeat, m.State = 1, o.c.now, inventory.MachineReady
 	}
-	j := o.jobs[gang.ID]
+	j := o.Jobs[gang.ID]
 	for ordinary, most := range map[int]int{4: 0, 3: 1, 0: 4} {
 		j.MinOnDemandTasks = ordinary
 		view := o.machineView()
@@ -62,12 +64,12 @@
 		}
 		o.recoverJob(record.ActiveJobKey(gang.ID), wire.Encode(record.NewJob(gang, 0)), 1)
 	}
-	m := o.newMachine(machineInfo{"m-000000", "mid", "a", false, "worker"})
-	m.fencingToken, m.lastHeartbeat, m.state = 1, o.c.now, machineReady
-	ended := o.addAttempt(o.queue[0], 0, 7, m, attemptLive)
-	o.setAttemptState(ended, attemptCompleted)
-	o.addAttempt(o.queue[1], 0, 8, m, attemptLive)
-	if free, is := o.preemptionView()[0].Free.CPUs(), m.size.Sub(m.used).CPUs(); free != is {
+	m := o.newMachine(inventory.MachineInfo{Name: "m-000000", Type: "mid", Zone: "a", Spot: false, Endpoint: "worker"})
+	m.FencingToken, m.LastHeartbeat, m.State = 1, o.c.now, inventory.MachineReady
+	ended := o.AddAttempt(o.Queue[0], 0, 7, m, inventory.AttemptLive)
+	o.SetAttemptState(ended, inventory.AttemptCompleted)
+	o.AddAttempt(o.Queue[1], 0, 8, m, inventory.AttemptLive)
+	if free, is := o.preemptionView()[0].Free.CPUs(), m.Size.Sub(m.Used).CPUs(); free != is {
 		t.Errorf("%g processors count as free, of which there are %g", free, is)
 	}
 }
@@ -76,7 +78,7 @@
 // team's earliest unfinished jobs, whether they run at the moment or not.
 func TestGuaranteedQuota(t *testing.T) {
 	o := testOwner()
-	o.teams["red"].GuaranteedQuota = sched.NewResources(100, 0, 0)
+	o.Teams["red"].GuaranteedQuota = sched.NewResources(100, 0, 0)
 	for i, cpus := range []float64{60, 30, 20, 5} {
 		spec := &sched.Job{
 			ID: fmt.Sprintf("req-%06d", 9-i), Class: "merge", Team: "red", Tasks: 1,
@@ -86,7 +88,7 @@
 	}
 	covered := o.jobsWithinGuarantee()
 	for i, want := range []bool{true, true, false, false} {
-		if j := o.jobs[fmt.Sprintf("req-%06d", 9-i)]; covered[j] != want {
+		if j := o.Jobs[fmt.Sprintf("req-%06d", 9-i)]; covered[j] != want {
 			t.Errorf("job %d: covered is %t", i, covered[j])
 		}
 	}
--- a/controller/heartbeats.go
+++ b/controller/heartbeats.go
@@ -3,6 +3,8 @@
 import (
 	"cmp"
 
+	"tamarindlead/internal/inventory"
+
 	"tamarindlead/internal/wire"
 	"tamarindlead/micros"
 )
@@ -91,7 +93,7 @@
 		c.refuse(req, wire.StatusUnavailable, "taking over")
 		return
 	}
-	m := o.machines[report.Machine]
+	m := o.Machines[report.Machine]
 	if m == nil {
 		if to := c.claimant(report.Machine); to != "" || o.ownedElsewhere[report.Machine] != 0 {
 			c.respond(req, wire.StatusMisdirected, wire.Redirect{HeartbeatNode: to})
@@ -101,14 +103,14 @@
 			c.refuse(req, wire.StatusUnavailable, "machine was returned")
 			return
 		}
-		m = o.adopt(machineInfo{
-			name: report.Machine, machineType: report.Type, zone: report.Zone, spot: report.Spot, endpoint: report.Endpoint,
+		m = o.adopt(inventory.MachineInfo{
+			Name: report.Machine, Type: report.Type, Zone: report.Zone, Spot: report.Spot, Endpoint: report.Endpoint,
 		})
 	}
 	switch {
-	case m.state >= machineDecommissioning:
+	case m.State >= inventory.MachineDecommissioning:
 		c.refuse(req, wire.StatusUnavailable, "machine is being returned")
-	case m.fencingToken == 0:
+	case m.FencingToken == 0:
 		o.deferHeartbeat(m, req, report)
 	default:
 		o.respondToHeartbeat(m, req, report)
@@ -117,33 +119,33 @@
 
 // deferHeartbeat keeps a report until its machine is claimed by a record of this owner. A newer
 // report takes the place of an older one, but a late copy does not.
-func (o *owner) deferHeartbeat(m *machine, req uint64, report *wire.Heartbeat) {
-	if m.pendingRequest != 0 {
-		if isOlderHeartbeat(report.AgentEpoch, report.HeartbeatSeq, m.pendingHeartbeat.AgentEpoch, m.pendingHeartbeat.HeartbeatSeq) {
+func (o *owner) deferHeartbeat(m *inventory.Machine, req uint64, report *wire.Heartbeat) {
+	if m.PendingRequest != 0 {
+		if isOlderHeartbeat(report.AgentEpoch, report.HeartbeatSeq, m.PendingHeartbeat.AgentEpoch, m.PendingHeartbeat.HeartbeatSeq) {
 			o.c.refuse(req, wire.StatusUnavailable, "superseded")
 			return
 		}
-		o.c.refuse(m.pendingRequest, wire.StatusUnavailable, "superseded")
+		o.c.refuse(m.PendingRequest, wire.StatusUnavailable, "superseded")
 	}
-	m.pendingRequest, m.pendingHeartbeat = req, report
+	m.PendingRequest, m.PendingHeartbeat = req, report
 }
 
 // answerDeferredHeartbeat answers the report that waited for its machine to be claimed.
-func (o *owner) answerDeferredHeartbeat(m *machine) {
-	if m.pendingRequest == 0 {
+func (o *owner) answerDeferredHeartbeat(m *inventory.Machine) {
+	if m.PendingRequest == 0 {
 		return
 	}
-	req, report := m.pendingRequest, m.pendingHeartbeat
-	m.pendingRequest, m.pendingHeartbeat = 0, nil
+	req, report := m.PendingRequest, m.PendingHeartbeat
+	m.PendingRequest, m.PendingHeartbeat = 0, nil
 	o.respondToHeartbeat(m, req, report)
 }
 
 // respondToHeartbeat takes a report and answers it with the machine's commands.
-func (o *owner) respondToHeartbeat(m *machine, req uint64, report *wire.Heartbeat) {
-	if report.FencingToken > m.fencingToken {
+func (o *owner) respondToHeartbeat(m *inventory.Machine, req uint64, report *wire.Heartbeat) {
+	if report.FencingToken > m.FencingToken {
 		// Another node owns the machine by now. Its worker drops this node's answers and would
 		// stay here until its lease ends, so it is redirected at once.
-		o.c.respond(req, wire.StatusMisdirected, wire.Redirect{HeartbeatNode: o.c.claimant(m.name)})
+		o.c.respond(req, wire.StatusMisdirected, wire.Redirect{HeartbeatNode: o.c.claimant(m.Name)})
 		o.restartRecovery("a machine has seen a higher token")
 		return
 	}
@@ -152,7 +154,7 @@
 		o.c.refuse(req, wire.StatusUnavailable, "cannot know what users were told")
 		return
 	}
-	answer := wire.HeartbeatResponse{FencingToken: m.fencingToken}
+	answer := wire.HeartbeatResponse{FencingToken: m.FencingToken}
 	if o.applyHeartbeat(m, report, true) {
 		answer.Commands = o.commands(m)
 	}
@@ -164,27 +166,27 @@
 // A regular report is one that the worker sent by itself. Only such a report shows that starts
 // in the answer to the report before it were executed or dropped; the answer to a direct
 // command may have overtaken that answer.
-func (o *owner) applyHeartbeat(m *machine, report *wire.Heartbeat, regular bool) bool {
-	if !isOlderHeartbeat(m.agentEpoch, m.heartbeatSeq, report.AgentEpoch, report.HeartbeatSeq) {
+func (o *owner) applyHeartbeat(m *inventory.Machine, report *wire.Heartbeat, regular bool) bool {
+	if !isOlderHeartbeat(m.AgentEpoch, m.HeartbeatSeq, report.AgentEpoch, report.HeartbeatSeq) {
 		return false // a late copy tells nothing, not even that the machine is alive
 	}
 	o.updateContact(m, report, regular)
 	if report.PreemptionNoticeS != nil {
 		o.handleReclaimNotice(m, micros.FromSeconds(*report.PreemptionNoticeS))
 	} else {
-		m.reclaimAt = 0
+		m.ReclaimAt = 0
 	}
 	listed := o.reconcileTasks(m, report)
-	if m.dispatchNeeded {
+	if m.DispatchNeeded {
 		o.queueDispatch(m)
 	}
 	// Only a machine that has seen this owner's token, and for which no command is open, can
 	// show that a task is not there and will not appear.
-	if !regular || !m.tokenConfirmed || m.fencing != fencingNone || m.commandsInFlight {
+	if !regular || !m.TokenConfirmed || m.Fencing != inventory.FencingNone || m.CommandsInFlight {
 		return true
 	}
-	for _, a := range m.sortedAttempts() {
-		if !listed[a.key()] {
+	for _, a := range m.SortedAttempts() {
+		if !listed[a.Key()] {
 			o.reconcileMissing(a)
 		}
 	}
@@ -193,46 +195,46 @@
 
 // updateContact notes when and in which session the machine was heard, and which token it has
 // seen.
-func (o *owner) updateContact(m *machine, report *wire.Heartbeat, regular bool) {
+func (o *owner) updateContact(m *inventory.Machine, report *wire.Heartbeat, regular bool) {
 	if regular {
-		o.lastHeartbeat, m.heartbeatReceived = o.c.now, true
+		o.lastHeartbeat, m.HeartbeatReceived = o.c.now, true
 	}
-	if report.AgentEpoch > m.agentEpoch && m.agentEpoch != 0 {
-		o.setFencingState(m, fencingNone)
+	if report.AgentEpoch > m.AgentEpoch && m.AgentEpoch != 0 {
+		o.SetFencingState(m, inventory.FencingNone)
 	}
-	m.agentEpoch, m.heartbeatSeq, m.reportedTasks = report.AgentEpoch, report.HeartbeatSeq, report.Tasks
+	m.AgentEpoch, m.HeartbeatSeq, m.ReportedTasks = report.AgentEpoch, report.HeartbeatSeq, report.Tasks
 	// A machine that only answers commands is no use, since its lease is not renewed. Until it
 	// has reported here at all, an answer shows that it is up.
-	if regular || !m.heartbeatReceived {
-		m.lastHeartbeat = max(m.lastHeartbeat, o.c.now) // after a takeover it has longer
+	if regular || !m.HeartbeatReceived {
+		m.LastHeartbeat = max(m.LastHeartbeat, o.c.now) // after a takeover it has longer
 	}
-	m.endpoint = cmp.Or(report.Endpoint, m.endpoint)
-	if m.tokenConfirmed = report.FencingToken == m.fencingToken; m.tokenConfirmed {
-		m.tokenConfirmedAt = max(m.tokenConfirmedAt, o.c.now)
+	m.Endpoint = cmp.Or(report.Endpoint, m.Endpoint)
+	if m.TokenConfirmed = report.FencingToken == m.FencingToken; m.TokenConfirmed {
+		m.TokenConfirmedAt = max(m.TokenConfirmedAt, o.c.now)
 	}
-	if m.tokenConfirmed && m.fencing == fencingPending {
-		o.setFencingState(m, fencingNone)
+	if m.TokenConfirmed && m.Fencing == inventory.FencingPending {
+		o.SetFencingState(m, inventory.FencingNone)
 	}
-	if m.state == machineBooting {
-		o.setMachineState(m, machineReady, "reports")
+	if m.State == inventory.MachineBooting {
+		o.SetMachineState(m, inventory.MachineReady, "reports")
 	}
 }
 
 // reconcileTasks applies the reported tasks to the machine's attempts and returns which of these
 // were listed.
-func (o *owner) reconcileTasks(m *machine, report *wire.Heartbeat) map[taskKey]bool {
-	listed := make(map[taskKey]bool, len(report.Tasks))
+func (o *owner) reconcileTasks(m *inventory.Machine, report *wire.Heartbeat) map[inventory.TaskKey]bool {
+	listed := make(map[inventory.TaskKey]bool, len(report.Tasks))
 	for i := range report.Tasks {
 		task := &report.Tasks[i]
 		id, index, ok := wire.SplitTaskName(task.Task)
 		if !ok {
 			continue
 		}
-		a := m.attempts[taskKey{id, index}]
-		if a == nil || a.number != task.Attempt {
+		a := m.Attempts[inventory.TaskKey{Job: id, Index: index}]
+		if a == nil || a.Number != task.Attempt {
 			continue
 		}
-		listed[a.key()] = true
+		listed[a.Key()] = true
 		o.reconcileTask(a, task)
 	}
 	return listed
@@ -244,47 +246,47 @@
 }
 
 // reconcileTask applies what a report says of an attempt.
-func (o *owner) reconcileTask(a *attempt, t *wire.TaskStatus) {
-	a.heartbeatSeen, a.phase = true, t.Phase
-	switch a.state {
-	case attemptRecorded, attemptStarting:
-		o.setAttemptState(a, attemptLive)
-	case attemptCompleted, attemptRemoving:
+func (o *owner) reconcileTask(a *inventory.Attempt, t *wire.TaskStatus) {
+	a.HeartbeatSeen, a.Phase = true, t.Phase
+	switch a.State {
+	case inventory.AttemptRecorded, inventory.AttemptStarting:
+		o.SetAttemptState(a, inventory.AttemptLive)
+	case inventory.AttemptCompleted, inventory.AttemptRemoving:
 		return
 	}
 	switch {
-	case t.Phase == wire.PhaseExited && !a.machine.tokenConfirmed:
+	case t.Phase == wire.PhaseExited && !a.Machine.TokenConfirmed:
 		// It may be an old report, of an earlier start of the same attempt: nothing is
 		// concluded before a report shows this owner's token.
 	case t.Phase == wire.PhaseExited:
 		o.handleTaskExit(a, t)
-	case t.Phase == wire.PhaseRunning && a.runningSince == 0:
-		a.runningSince = o.c.now
+	case t.Phase == wire.PhaseRunning && a.RunningSince == 0:
+		a.RunningSince = o.c.now
 	}
-	a.setCountedRunning(a.state == attemptLive && t.Phase == wire.PhaseRunning)
+	a.SetCountedRunning(a.State == inventory.AttemptLive && t.Phase == wire.PhaseRunning)
 }
 
 // reconcileMissing handles an attempt that is certainly not on its machine.
-func (o *owner) reconcileMissing(a *attempt) {
-	switch a.state {
-	case attemptStarting:
-		if a.heartbeatSeen {
+func (o *owner) reconcileMissing(a *inventory.Attempt) {
+	switch a.State {
+	case inventory.AttemptStarting:
+		if a.HeartbeatSeen {
 			o.handleAttemptLost(a, "vanished")
-		} else if a.startHeartbeatSeq < a.machine.heartbeatSeq {
-			o.setAttemptState(a, attemptRecorded) // the start was lost
+		} else if a.StartHeartbeatSeq < a.Machine.HeartbeatSeq {
+			o.SetAttemptState(a, inventory.AttemptRecorded) // the start was lost
 		}
-	case attemptLive:
+	case inventory.AttemptLive:
 		o.handleAttemptLost(a, "vanished")
-	case attemptStopping:
-		o.setAttemptState(a, attemptRemoving)
+	case inventory.AttemptStopping:
+		o.SetAttemptState(a, inventory.AttemptRemoving)
 	}
 }
 
 // handleAttemptLost handles an attempt that ended without a result.
-func (o *owner) handleAttemptLost(a *attempt, why string) {
-	a.reason = why
-	o.setAttemptState(a, attemptRemoving)
-	if a.job.Gang && a.job.gangState != gangStopping {
-		o.stopJob(a.job, 0, "gang lost a task")
+func (o *owner) handleAttemptLost(a *inventory.Attempt, why string) {
+	a.Reason = why
+	o.SetAttemptState(a, inventory.AttemptRemoving)
+	if a.Job.Gang && a.Job.GangState != inventory.GangStopping {
+		o.StopJob(a.Job, 0, "gang lost a task")
 	}
 }
--- a/controller/inventory_adapter.go
+++ b/controller/inventory_adapter.go
@@ -1,6 +1,7 @@
 package controller
 
 import (
+	"tamarindlead/internal/inventory"
 	"tamarindlead/internal/wire"
 	"tamarindlead/micros"
 	"tamarindlead/sched"
@@ -11,21 +12,21 @@
 
 func (h inventoryHost) Now() micros.Micros { return h.o.c.now }
 
-func (h inventoryHost) EntryChanged(m *machine) { h.o.markDirty(m) }
+func (h inventoryHost) EntryChanged(m *inventory.Machine) { h.o.markDirty(m) }
 
-func (h inventoryHost) CompletionUnrecorded(j *job, chunk int) {
-	h.o.segmentFor(j, chunk).markDirty(h.o.c.now)
+func (h inventoryHost) CompletionUnrecorded(j *inventory.Job, chunk int) {
+	h.o.segmentFor(j, chunk).MarkDirty(h.o.c.now)
 }
 
-func (h inventoryHost) CommandsNeeded(m *machine) { h.o.queueDispatch(m) }
+func (h inventoryHost) CommandsNeeded(m *inventory.Machine) { h.o.queueDispatch(m) }
 
 // forgetMachine removes a machine whose record is gone, and refuses a heartbeat that waits for it.
-func (o *owner) forgetMachine(m *machine) {
-	if m.pendingRequest != 0 {
-		o.c.refuse(m.pendingRequest, wire.StatusUnavailable, "machine was returned")
-		m.pendingRequest = 0
+func (o *owner) forgetMachine(m *inventory.Machine) {
+	if m.PendingRequest != 0 {
+		o.c.refuse(m.PendingRequest, wire.StatusUnavailable, "machine was returned")
+		m.PendingRequest = 0
 	}
-	o.removeMachine(m)
+	o.RemoveMachine(m)
 }
 
 // sizeOf returns the size of a machine type, or nothing while the type is unknown.
@@ -37,6 +38,6 @@
 }
 
 // addMachine adds a machine, with an entry in a block.
-func (o *owner) addMachine(b *block, info machineInfo) *machine {
-	return o.newMachineInBlock(b, info, o.sizeOf(info.machineType))
+func (o *owner) addMachine(b *inventory.Block, info inventory.MachineInfo) *inventory.Machine {
+	return o.AddMachine(b, info, o.sizeOf(info.Type))
 }
--- a/controller/job_queue.go
+++ b/controller/job_queue.go
@@ -4,6 +4,8 @@
 	"slices"
 	"strings"
 
+	"tamarindlead/internal/inventory"
+
 	"tamarindlead/internal/budget"
 	"tamarindlead/internal/kv"
 	"tamarindlead/internal/peer"
@@ -15,7 +17,7 @@
 // recoverJob takes an accepted job from its record, unless it is known or of another owner's team.
 func (o *owner) recoverJob(key string, value []byte, version uint64) {
 	id := strings.TrimPrefix(key, record.ActiveJobPrefix)
-	if o.jobs[id] != nil || o.blockedJobs[id] != nil || o.c.cancellations.HasEnded(id) {
+	if o.Jobs[id] != nil || o.BlockedJobs[id] != nil || o.c.cancellations.HasEnded(id) {
 		return
 	}
 	var rec record.Job
@@ -28,12 +30,12 @@
 		o.c.log.Error("record cannot be read", "key", key, "error", err)
 		return
 	}
-	if o.teams[spec.Team] == nil {
+	if o.Teams[spec.Team] == nil {
 		return // another owner's
 	}
-	j := newJob(spec, version, rec.AcceptedAt)
+	j := inventory.NewJob(spec, version, rec.AcceptedAt)
 	if rec.Blocked != nil {
-		j.dependencyParts = rec.DependencyParts
+		j.DependencyParts = rec.DependencyParts
 		o.addBlockedJob(j)
 		return
 	}
@@ -41,13 +43,13 @@
 }
 
 // enqueue adds a job to those that are placed.
-func (o *owner) enqueue(j *job) {
-	j.idleSince = o.c.now
-	o.jobs[j.ID] = j
+func (o *owner) enqueue(j *inventory.Job) {
+	j.IdleSince = o.c.now
+	o.Jobs[j.ID] = j
 	o.inheritPriority(j)
-	o.queueJob(j)
+	o.QueueJob(j)
 	o.classes.RecordSubmission(o.c.now, j.Job, o.c.catalog())
-	o.schedulingNeeded = true
+	o.SchedulingNeeded = true
 }
 
 // watchJobs follows jobs that are accepted, and those that are over.
@@ -82,41 +84,41 @@
 // handleJobRemoved handles a job that is over: by our own commit, or cancelled, of which users were
 // told at since or later.
 func (o *owner) handleJobRemoved(id string, since micros.Micros) {
-	if j := o.blockedJobs[id]; j != nil && !j.writing {
+	if j := o.BlockedJobs[id]; j != nil && !j.Writing {
 		o.c.log.Info("job cancelled while it waits", "job", id)
 		o.removeBlockedJob(j)
 		return
 	}
-	j := o.jobs[id]
-	if j == nil || j.state == jobEnded || j.state == jobFinishing && j.writing {
+	j := o.Jobs[id]
+	if j == nil || j.State == inventory.JobEnded || j.State == inventory.JobFinishing && j.Writing {
 		return // the watch may tell of our own commit before its answer comes
 	}
-	o.c.log.Info("job cancelled", "job", id, "attempts", len(j.attempts))
+	o.c.log.Info("job cancelled", "job", id, "attempts", len(j.Attempts))
 	o.endJob(j)
-	j.endedAt = since
-	o.stopJob(j, 0, "cancelled")
+	j.EndedAt = since
+	o.StopJob(j, 0, "cancelled")
 }
 
 // endJob takes a job out of the queue; its record is gone.
-func (o *owner) endJob(j *job) {
-	o.setJobState(j, jobEnded)
-	o.queue = slices.DeleteFunc(o.queue, func(q *job) bool { return q == j })
+func (o *owner) endJob(j *inventory.Job) {
+	o.SetJobState(j, inventory.JobEnded)
+	o.Queue = slices.DeleteFunc(o.Queue, func(q *inventory.Job) bool { return q == j })
 	o.dropChunks(j)
 	o.dropParts(j)
-	if len(j.attempts) == 0 {
-		delete(o.jobs, j.ID)
+	if len(j.Attempts) == 0 {
+		delete(o.Jobs, j.ID)
 	}
-	for _, a := range j.sortedAttempts() {
-		if a.state != attemptCompleted {
+	for _, a := range j.SortedAttempts() {
+		if a.State != inventory.AttemptCompleted {
 			continue
 		}
-		if o.machines[a.machine.name] == a.machine {
-			o.setAttemptState(a, attemptRemoving)
+		if o.Machines[a.Machine.Name] == a.Machine {
+			o.SetAttemptState(a, inventory.AttemptRemoving)
 		} else {
-			o.setAttemptState(a, attemptClosed)
+			o.SetAttemptState(a, inventory.AttemptClosed)
 		}
 	}
-	o.schedulingNeeded = true
+	o.SchedulingNeeded = true
 }
 
 // maxJobCounts bounds the counts in a heartbeat: the jobs that are placed first are told of.
@@ -125,12 +127,12 @@
 // jobCounts tells peers what to show their users.
 func (o *owner) jobCounts() []*peer.JobCount {
 	var list []*peer.JobCount
-	for _, j := range o.queue {
+	for _, j := range o.Queue {
 		if len(list) == maxJobCounts {
 			break
 		}
-		if len(j.attempts) > 0 || j.completedCount > 0 {
-			list = append(list, &peer.JobCount{Id: j.ID, Done: uint32(j.completedCount), Running: uint32(j.runningTasks)})
+		if len(j.Attempts) > 0 || j.CompletedCount > 0 {
+			list = append(list, &peer.JobCount{Id: j.ID, Done: uint32(j.CompletedCount), Running: uint32(j.RunningTasks)})
 		}
 	}
 	return list
@@ -138,8 +140,8 @@
 
 // countsOf tells how many tasks of a job are done and run.
 func (o *owner) countsOf(id string) (done, running int) {
-	if j := o.jobs[id]; j != nil {
-		return j.completedCount, j.runningTasks
+	if j := o.Jobs[id]; j != nil {
+		return j.CompletedCount, j.RunningTasks
 	}
 	return 0, 0
 }
--- a/controller/job_view.go
+++ b/controller/job_view.go
@@ -3,6 +3,7 @@
 import (
 	"tamarindlead/internal/budget"
 	"tamarindlead/internal/dag"
+	"tamarindlead/internal/inventory"
 	"tamarindlead/internal/kv"
 	"tamarindlead/internal/record"
 	"tamarindlead/internal/wire"
@@ -61,7 +62,7 @@
 	if o == nil {
 		return
 	}
-	if j := o.jobs[id]; j != nil && j.state != jobEnded {
+	if j := o.Jobs[id]; j != nil && j.State != inventory.JobEnded {
 		o.inheritPriority(j)
 	}
 }
--- a/controller/job_view_test.go
+++ b/controller/job_view_test.go
@@ -43,8 +43,8 @@
 func TestBlockedJobsCostNothing(t *testing.T) {
 	for _, chains := range []int{10, 1000} {
 		o := newOwnerWithBlockedJobs(chains, 5)
-		if len(o.queue) != chains || len(o.jobs) != chains || len(o.blockedJobs) != 4*chains {
-			t.Fatalf("%d chains: queue %d, jobs %d, waiting %d", chains, len(o.queue), len(o.jobs), len(o.blockedJobs))
+		if len(o.Queue) != chains || len(o.Jobs) != chains || len(o.BlockedJobs) != 4*chains {
+			t.Fatalf("%d chains: queue %d, jobs %d, waiting %d", chains, len(o.Queue), len(o.Jobs), len(o.BlockedJobs))
 		}
 		g := o.c.graph
 		before, revision := g.Work().Jobs, g.Revision()
@@ -60,7 +60,7 @@
 			o.c.applyTerminalState(id, finals[id])
 		}
 		// One job is ready, and the four of the other chain are cancelled.
-		if looked := g.Work().Jobs - before; looked != 1+4 || o.jobs[jobName(1)] == nil || len(o.cascadedCancellations) != 4 {
+		if looked := g.Work().Jobs - before; looked != 1+4 || o.Jobs[jobName(1)] == nil || len(o.cascadedCancellations) != 4 {
 			t.Fatalf("%d chains: %d jobs were looked at, %d are cancelled", chains, looked, len(o.cascadedCancellations))
 		}
 	}
@@ -72,8 +72,8 @@
 	for _, chains := range []int{10, 1000} {
 		b.Run(fmt.Sprint(4*chains), func(b *testing.B) {
 			o := newOwnerWithBlockedJobs(chains, 5)
-			o.queue, o.committing = nil, true // only what waits
-			clear(o.jobs)
+			o.Queue, o.committing = nil, true // only what waits
+			clear(o.Jobs)
 			g, id := o.c.graph, jobName(5*chains)
 			for b.Loop() {
 				rev := g.Revision()
@@ -82,7 +82,7 @@
 				o.c.nextSlowTick = 0
 				o.c.Handle(o.c.now, o.c.now, Tick{})
 			}
-			if len(o.blockedJobs) != 4*chains || g.IsActive(id) {
+			if len(o.BlockedJobs) != 4*chains || g.IsActive(id) {
 				b.Fatal("jobs are missing")
 			}
 		})
--- a/controller/limits_test.go
+++ b/controller/limits_test.go
@@ -5,6 +5,8 @@
 	"slices"
 	"testing"
 
+	"tamarindlead/internal/inventory"
+
 	"github.com/cockroachdb/datadriven"
 
 	"tamarindlead/config"
@@ -97,31 +99,31 @@
 		}, 0)), uint64(i+1))
 	}
 	for i := range 30 {
-		m := o.newMachine(machineInfo{fmt.Sprintf("m-%06d", i), "mid", o.c.cfg.Zones[0], false, "worker"})
-		m.fencingToken, m.agentEpoch, m.tokenConfirmed, m.tokenConfirmedAt, m.lastHeartbeat, m.state = 1, 1, true, o.c.now, o.c.now, machineReady
+		m := o.newMachine(inventory.MachineInfo{Name: fmt.Sprintf("m-%06d", i), Type: "mid", Zone: o.c.cfg.Zones[0], Spot: false, Endpoint: "worker"})
+		m.FencingToken, m.AgentEpoch, m.TokenConfirmed, m.TokenConfirmedAt, m.LastHeartbeat, m.State = 1, 1, true, o.c.now, o.c.now, inventory.MachineReady
 	}
 	placed := 0
 	for range 20 {
-		o.schedulingNeeded, o.nextSchedulingPass = true, 0
+		o.SchedulingNeeded, o.nextSchedulingPass = true, 0
 		o.schedule()
 		for _, b := range o.blocks {
 			tx := &transaction{preconditions: map[string]uint64{}}
-			if !b.dirty {
+			if !b.Dirty {
 				continue
 			}
 			o.writeBlock(tx, b, 500)
-			if len(tx.writes) != 1 || b.oversized {
-				t.Fatalf("block %s is not written", b.name)
+			if len(tx.writes) != 1 || b.Oversized {
+				t.Fatalf("block %s is not written", b.Name)
 			}
 			if n := tx.writes[0].Value.(record.Block).Size(); n > o.c.cfg.MaxValueBytes {
-				t.Fatalf("block %s has %d bytes", b.name, n)
+				t.Fatalf("block %s has %d bytes", b.Name, n)
 			}
 			o.finishTransaction(tx, true, 10)
 		}
 		o.c.now += minPassInterval
 	}
-	for _, m := range o.machines {
-		placed += len(m.attempts)
+	for _, m := range o.Machines {
+		placed += len(m.Attempts)
 	}
 	if placed < 300 {
 		t.Fatalf("only %d tasks were placed", placed)
@@ -133,12 +135,12 @@
 func TestOversizedBlockEntry(t *testing.T) {
 	o := benchOwner()
 	b := o.blocks[0]
-	m := b.machines[0]
-	b.machines = b.machines[:1]
-	m.fencingToken, o.c.cfg.MaxValueBytes = 0, 60
+	m := b.Machines[0]
+	b.Machines = b.Machines[:1]
+	m.FencingToken, o.c.cfg.MaxValueBytes = 0, 60
 	o.markDirty(m)
 	tries := 0
-	for end := o.c.now + micros.Minute; o.c.now < end && m.state < machineTerminating; o.c.now += 100 * micros.Millisecond {
+	for end := o.c.now + micros.Minute; o.c.now < end && m.State < inventory.MachineTerminating; o.c.now += 100 * micros.Millisecond {
 		if !o.isDue(b) {
 			continue
 		}
@@ -148,8 +150,8 @@
 			t.Fatal("it is written")
 		}
 	}
-	if m.state != machineTerminating || tries > 12 {
-		t.Fatalf("state %v after %d tries", m.state, tries)
+	if m.State != inventory.MachineTerminating || tries > 12 {
+		t.Fatalf("state %v after %d tries", m.State, tries)
 	}
 }
 
@@ -175,12 +177,12 @@
 	entries = append(entries, kv.Entry{Key: record.CompletionSegmentKey("red", "1"), Value: wire.Encode(rec), Version: 20},
 		kv.Entry{Key: record.CompletionSegmentKey("red", "2"), Value: wire.Encode(record.CompletionSegment{Chunks: map[string]string{wire.TaskName(jobName(3), 0): other.Chunk(0)}}), Version: 19})
 	o.recoverSegments(entries)
-	if j := o.jobs[jobName(3)]; !j.completed.Has(5) || !j.completed.Has(700) || j.completedCount != 2 {
-		t.Fatalf("%d completions are known", j.completedCount)
+	if j := o.Jobs[jobName(3)]; !j.Completed.Has(5) || !j.Completed.Has(700) || j.CompletedCount != 2 {
+		t.Fatalf("%d completions are known", j.CompletedCount)
 	}
 	dropped := func() bool { return slices.Contains(o.obsoleteKeys, record.CompletionSegmentKey("red", "1")) }
 	for range 20 {
-		if o.dropEmptySegments(); dropped() && slices.ContainsFunc(o.completionSegments, func(s *completionSegment) bool { return s.version == 0 }) {
+		if o.dropEmptySegments(); dropped() && slices.ContainsFunc(o.completionSegments, func(s *inventory.CompletionSegment) bool { return s.Version == 0 }) {
 			t.Fatal("the old record goes before the new ones are written")
 		}
 		tx := &transaction{preconditions: map[string]uint64{}}
@@ -207,20 +209,20 @@
 		ID: id, Class: "work", Team: "red", Tasks: 40, Need: sched.NewResources(2, 0, 2), Image: "img", Estimate: micros.Second,
 	}, 0)), 1)
 	for i := range 6 {
-		m := o.newMachine(machineInfo{fmt.Sprintf("m-%06d", i*7919), "mid", "a", false, fmt.Sprintf("10.1.%d.%d:9000", i*37, i*91%256)})
-		m.fencingToken, m.state, m.lastHeartbeat = uint64(1000+i*4711), machineReady, o.c.now
+		m := o.newMachine(inventory.MachineInfo{Name: fmt.Sprintf("m-%06d", i*7919), Type: "mid", Zone: "a", Spot: false, Endpoint: fmt.Sprintf("10.1.%d.%d:9000", i*37, i*91%256)})
+		m.FencingToken, m.State, m.LastHeartbeat = uint64(1000+i*4711), inventory.MachineReady, o.c.now
 	}
 	if len(o.blocks) != 1 {
 		t.Fatalf("%d blocks", len(o.blocks))
 	}
-	o.addAttempt(o.jobs[id], 0, 1<<20|1, o.sortedMachines[0], attemptLive)
+	o.AddAttempt(o.Jobs[id], 0, 1<<20|1, o.SortedMachines[0], inventory.AttemptLive)
 	o.flushRecords(&transaction{preconditions: map[string]uint64{}}, func() int { return 1 })
-	if !o.blocks[0].writing {
+	if !o.blocks[0].Writing {
 		t.Fatal("the block was not written")
 	}
-	for _, m := range o.sortedMachines {
-		if n := o.freeSlots(m, map[*block]float64{}); n < 5 {
-			t.Errorf("%s takes %d more tasks", m.name, n)
+	for _, m := range o.SortedMachines {
+		if n := o.freeSlots(m, map[*inventory.Block]float64{}); n < 5 {
+			t.Errorf("%s takes %d more tasks", m.Name, n)
 		}
 	}
 }
@@ -238,19 +240,19 @@
 	}
 	const machines, tasksEach = 30, 14
 	for i := range machines {
-		m := o.newMachine(machineInfo{fmt.Sprintf("m-%06d", i*7919), "mid", "a", false, fmt.Sprintf("10.1.%d.%d:9000", i*37%256, i*91%256)})
-		m.fencingToken, m.agentEpoch, m.tokenConfirmed, m.lastHeartbeat, m.state = uint64(1000+i*4711), 1, true, o.c.now, machineReady
+		m := o.newMachine(inventory.MachineInfo{Name: fmt.Sprintf("m-%06d", i*7919), Type: "mid", Zone: "a", Spot: false, Endpoint: fmt.Sprintf("10.1.%d.%d:9000", i*37%256, i*91%256)})
+		m.FencingToken, m.AgentEpoch, m.TokenConfirmed, m.LastHeartbeat, m.State = uint64(1000+i*4711), 1, true, o.c.now, inventory.MachineReady
 	}
-	o.schedulingNeeded = true
+	o.SchedulingNeeded = true
 	o.schedule()
-	if o.assumed != machines*tasksEach {
-		t.Errorf("%d of %d tasks were placed", o.assumed, machines*tasksEach)
+	if o.Assumed != machines*tasksEach {
+		t.Errorf("%d of %d tasks were placed", o.Assumed, machines*tasksEach)
 	}
 	tx := &transaction{preconditions: map[string]uint64{}}
 	o.flushRecords(tx, func() int { return o.c.cfg.MaxTransactionOps - len(tx.writes) })
 	for _, b := range o.blocks {
-		if b.oversized || !b.writing {
-			t.Errorf("block %s of %d machines was not written", b.name, len(b.machines))
+		if b.Oversized || !b.Writing {
+			t.Errorf("block %s of %d machines was not written", b.Name, len(b.Machines))
 		}
 	}
 	for _, w := range tx.writes {
--- a/controller/lookups.go
+++ b/controller/lookups.go
@@ -4,6 +4,8 @@
 	"cmp"
 	"slices"
 
+	"tamarindlead/internal/inventory"
+
 	"tamarindlead/internal/budget"
 	"tamarindlead/internal/freshness"
 	"tamarindlead/internal/record"
@@ -201,8 +203,8 @@
 // knownVersion is the version of an active job's record as this node last saw it, or 0.
 func (c *Core) knownVersion(id string) uint64 {
 	if c.owner != nil {
-		if j := c.owner.jobs[id]; j != nil && j.state != jobEnded {
-			return j.version
+		if j := c.owner.Jobs[id]; j != nil && j.State != inventory.JobEnded {
+			return j.Version
 		}
 	}
 	return c.graph.Version(id)
--- a/controller/machine_health.go
+++ b/controller/machine_health.go
@@ -1,6 +1,7 @@
 package controller
 
 import (
+	"tamarindlead/internal/inventory"
 	"tamarindlead/internal/wire"
 	"tamarindlead/micros"
 )
@@ -68,31 +69,31 @@
 
 func (o *owner) fleetHealth() fleetHealth {
 	unreachable := 0
-	for _, m := range o.sortedMachines {
+	for _, m := range o.SortedMachines {
 		if o.isUnreachable(m) {
 			unreachable++
 		}
 	}
 	return fleetHealth{
 		isolated:        o.c.now-max(o.lastHeartbeat, o.activeSince) > maxMissedHeartbeats*o.c.cfg.HeartbeatInterval,
-		manyUnreachable: unreachable > max(minUnreachableMachines, len(o.sortedMachines)/unreachableDivisor),
+		manyUnreachable: unreachable > max(minUnreachableMachines, len(o.SortedMachines)/unreachableDivisor),
 	}
 }
 
 // isUnreachable tells that a machine's reports arrive while nothing reaches it: it has not shown
 // our token for long. What runs there goes on until its lease ends; then it is idle and
 // paid for.
-func (o *owner) isUnreachable(m *machine) bool {
-	return m.fencingToken != 0 && m.state >= machineReady && m.state <= machineTransferring && !m.tokenConfirmed &&
-		o.c.now-m.tokenConfirmedAt > o.c.cfg.HeartbeatTimeout()+maxMissedHeartbeats*o.c.cfg.HeartbeatInterval
+func (o *owner) isUnreachable(m *inventory.Machine) bool {
+	return m.FencingToken != 0 && m.State >= inventory.MachineReady && m.State <= inventory.MachineTransferring && !m.TokenConfirmed &&
+		o.c.now-m.TokenConfirmedAt > o.c.cfg.HeartbeatTimeout()+maxMissedHeartbeats*o.c.cfg.HeartbeatInterval
 }
 
 // cancellationOverdue tells that so much of the time has passed in which a task on the machine, whose
 // job was cancelled, has to be gone.
-func (o *owner) cancellationOverdue(m *machine, share float64) bool {
+func (o *owner) cancellationOverdue(m *inventory.Machine, share float64) bool {
 	limit := micros.Micros(share * float64(o.c.cfg.CancellationDeadline))
-	for _, a := range m.attempts {
-		if a.job.state == jobEnded && a.job.endedAt != 0 && !a.resourcesReleased && o.c.now-a.job.endedAt > limit {
+	for _, a := range m.Attempts {
+		if a.Job.State == inventory.JobEnded && a.Job.EndedAt != 0 && !a.ResourcesReleased && o.c.now-a.Job.EndedAt > limit {
 			return true
 		}
 	}
@@ -100,16 +101,16 @@
 }
 
 // sinceLastHeartbeat is how long a machine has not reported here.
-func (o *owner) sinceLastHeartbeat(m *machine) micros.Micros {
-	if m.agentEpoch == 0 {
+func (o *owner) sinceLastHeartbeat(m *inventory.Machine) micros.Micros {
+	if m.AgentEpoch == 0 {
 		return o.c.now - o.activeSince
 	}
-	return o.c.now - min(m.lastHeartbeat, o.c.now)
+	return o.c.now - min(m.LastHeartbeat, o.c.now)
 }
 
 // unresponsiveFor is how long a machine is silent without a known reason.
-func (o *owner) unresponsiveFor(m *machine) micros.Micros {
-	return o.c.now - max(m.lastHeartbeat, m.heartbeatGraceUntil)
+func (o *owner) unresponsiveFor(m *inventory.Machine) micros.Micros {
+	return o.c.now - max(m.LastHeartbeat, m.HeartbeatGraceUntil)
 }
 
 // checkMachineHealth gives up machines that do not report, and returns empty ones that are to
@@ -120,46 +121,46 @@
 func (o *owner) checkMachineHealth() {
 	fleet := o.fleetHealth()
 	o.detectPartitions()
-	for _, m := range o.sortedMachines {
+	for _, m := range o.SortedMachines {
 		if o.mustDecommission(m) {
 			o.decommission(m, decommissionOverdue)
 		}
 		switch {
-		case m.state == machineDecommissioning:
-			o.terminationNeeded = o.terminationNeeded || o.cancellationOverdue(m, overdueTerminateFraction)
+		case m.State == inventory.MachineDecommissioning:
+			o.TerminationNeeded = o.TerminationNeeded || o.cancellationOverdue(m, overdueTerminateFraction)
 		case hasBooted(m):
 			o.decommission(m, o.checkRunning(m, fleet))
-		case m.state == machineBooting:
+		case m.State == inventory.MachineBooting:
 			o.decommission(m, o.checkBooting(m))
 		}
 	}
 }
 
 // decommission decides to delete a machine, if there is a reason.
-func (o *owner) decommission(m *machine, reason decommissionReason) {
+func (o *owner) decommission(m *inventory.Machine, reason decommissionReason) {
 	if reason == decommissionNone {
 		return
 	}
 	if reason.isMachineLoss() {
 		o.recordSpotReclaimed(m)
 	}
-	o.setMachineState(m, machineDecommissioning, string(reason))
+	o.SetMachineState(m, inventory.MachineDecommissioning, string(reason))
 }
 
 // hasBooted tells whether a machine takes part, so that it should report. What had work before
 // this node took over was up.
-func hasBooted(m *machine) bool {
-	return m.state >= machineReady && m.state <= machineTransferring ||
-		m.state == machineBooting && m.recovered && len(m.attempts) > 0
+func hasBooted(m *inventory.Machine) bool {
+	return m.State >= inventory.MachineReady && m.State <= inventory.MachineTransferring ||
+		m.State == inventory.MachineBooting && m.Recovered && len(m.Attempts) > 0
 }
 
 // mustDecommission tells that a machine is silent with a task that has to be gone before long.
-func (o *owner) mustDecommission(m *machine) bool {
-	if m.state >= machineDecommissioning || !o.cancellationOverdue(m, overdueDecommissionFraction) {
+func (o *owner) mustDecommission(m *inventory.Machine) bool {
+	if m.State >= inventory.MachineDecommissioning || !o.cancellationOverdue(m, overdueDecommissionFraction) {
 		return false
 	}
 	patience := maxMissedHeartbeats * o.c.cfg.HeartbeatInterval
-	if m.agentEpoch == 0 && o.cancellationOverdue(m, overdueTerminateFraction) {
+	if m.AgentEpoch == 0 && o.cancellationOverdue(m, overdueTerminateFraction) {
 		patience = inspectTimeout
 	}
 	return o.sinceLastHeartbeat(m) > patience
@@ -167,28 +168,28 @@
 
 // checkBooting looks at a machine that has not reported yet. After a takeover it may have been
 // up all the while.
-func (o *owner) checkBooting(m *machine) decommissionReason {
+func (o *owner) checkBooting(m *inventory.Machine) decommissionReason {
 	if o.retainedInPartition(m) {
 		return decommissionNone
 	}
 	boot := defaultBootTime
-	if t := o.c.types.find(m.machineType); t != nil {
+	if t := o.c.types.find(m.Type); t != nil {
 		boot = t.Boot
 	}
 	patience := micros.Micros(o.c.cfg.Tuning.BootTimeoutFactor*float64(boot)) + o.c.cfg.HeartbeatTimeout()
-	if m.failed || o.c.wallClock-m.provisionedAt > patience && o.unresponsiveFor(m) > o.c.cfg.HeartbeatTimeout() {
+	if m.Failed || o.c.wallClock-m.ProvisionedAt > patience && o.unresponsiveFor(m) > o.c.cfg.HeartbeatTimeout() {
 		return decommissionBootTimeout
 	}
 	return decommissionNone
 }
 
 // checkRunning looks at a machine that should report.
-func (o *owner) checkRunning(m *machine, fleet fleetHealth) decommissionReason {
+func (o *owner) checkRunning(m *inventory.Machine, fleet fleetHealth) decommissionReason {
 	silent, limit := o.unresponsiveFor(m), o.machineHeartbeatTimeout(m)
 	switch {
-	case m.failed:
+	case m.Failed:
 		return decommissionFailed
-	case m.missedListings >= maxMissedListings && silent > maxMissedHeartbeats*o.c.cfg.HeartbeatInterval:
+	case m.MissedListings >= maxMissedListings && silent > maxMissedHeartbeats*o.c.cfg.HeartbeatInterval:
 		return decommissionUnlisted
 	case silent > limit && (o.retainedInPartition(m) || o.retainedForGangs(m)):
 		return decommissionNone
@@ -196,15 +197,15 @@
 		return decommissionUnresponsive
 	case o.isUnreachable(m) && o.unreachableTimedOut(m, fleet):
 		return decommissionUnreachable
-	case m.state == machineDraining && len(m.attempts) == 0 && m.fencingToken != 0:
+	case m.State == inventory.MachineDraining && len(m.Attempts) == 0 && m.FencingToken != 0:
 		return decommissionDrained
 	}
 	return decommissionNone
 }
 
 // machineHeartbeatTimeout is how long a machine may be silent: not for long once the cloud takes it.
-func (o *owner) machineHeartbeatTimeout(m *machine) micros.Micros {
-	if m.reclaimAt != 0 && o.c.now > m.reclaimAt {
+func (o *owner) machineHeartbeatTimeout(m *inventory.Machine) micros.Micros {
+	if m.ReclaimAt != 0 && o.c.now > m.ReclaimAt {
 		return o.c.cfg.HeartbeatInterval * 3 / 2
 	}
 	return o.c.cfg.HeartbeatTimeout()
@@ -212,8 +213,8 @@
 
 // unreachableTimedOut tells whether an unreachable machine is given up. With many of them the
 // fault is likely on this side: answers that come too late are dropped too.
-func (o *owner) unreachableTimedOut(m *machine, fleet fleetHealth) bool {
-	return !fleet.manyUnreachable || o.c.now-m.tokenConfirmedAt > unreachableTimeoutFactor*o.c.cfg.HeartbeatTimeout()
+func (o *owner) unreachableTimedOut(m *inventory.Machine, fleet fleetHealth) bool {
+	return !fleet.manyUnreachable || o.c.now-m.TokenConfirmedAt > unreachableTimeoutFactor*o.c.cfg.HeartbeatTimeout()
 }
 
 // retainedForGangs tells that a silent machine is kept since it works on, as others show: tasks
@@ -221,18 +222,18 @@
 // reported running later than that. Its worker may come back until its lease ends; to give
 // it up would stop whole gangs. Not one with tasks of a job that is over, nor one that the
 // cloud takes.
-func (o *owner) retainedForGangs(m *machine) bool {
-	if o.unresponsiveFor(m) > o.c.cfg.WorkerLease || m.failed || m.reclaimAt != 0 {
+func (o *owner) retainedForGangs(m *inventory.Machine) bool {
+	if o.unresponsiveFor(m) > o.c.cfg.WorkerLease || m.Failed || m.ReclaimAt != 0 {
 		return false
 	}
 	gang := false
-	for _, a := range m.attempts {
+	for _, a := range m.Attempts {
 		switch {
-		case a.job.state == jobEnded:
+		case a.Job.State == inventory.JobEnded:
 			return false
-		case !a.job.Gang || a.resourcesReleased:
+		case !a.Job.Gang || a.ResourcesReleased:
 			continue
-		case a.job.gangState != gangStarting || !o.gangPeerRunning(a):
+		case a.Job.GangState != inventory.GangStarting || !o.gangPeerRunning(a):
 			return false
 		}
 		gang = true
@@ -242,10 +243,10 @@
 
 // gangPeerRunning tells that a task of the same gang was reported running after this one's
 // machine fell silent, later than it would have noticed that this one is gone.
-func (o *owner) gangPeerRunning(a *attempt) bool {
-	for _, b := range a.job.attempts {
-		if b.machine != a.machine && b.state == attemptLive && b.phase == wire.PhaseRunning &&
-			b.machine.lastHeartbeat > a.machine.lastHeartbeat+o.c.cfg.GangFailureTimeout {
+func (o *owner) gangPeerRunning(a *inventory.Attempt) bool {
+	for _, b := range a.Job.Attempts {
+		if b.Machine != a.Machine && b.State == inventory.AttemptLive && b.Phase == wire.PhaseRunning &&
+			b.Machine.LastHeartbeat > a.Machine.LastHeartbeat+o.c.cfg.GangFailureTimeout {
 			return true
 		}
 	}
--- a/controller/machine_registry.go
+++ b/controller/machine_registry.go
@@ -1,21 +1,23 @@
 package controller
 
+import "tamarindlead/internal/inventory"
+
 // newMachine adds a machine, with an entry in a block of its type and zone.
-func (o *owner) newMachine(info machineInfo) *machine {
-	return o.addMachine(o.blockFor(info.machineType, info.zone), info)
+func (o *owner) newMachine(info inventory.MachineInfo) *inventory.Machine {
+	return o.addMachine(o.blockFor(info.Type, info.Zone), info)
 }
 
 // adopt takes a machine that was not expected: one that reports or that the cloud lists.
-func (o *owner) adopt(info machineInfo) *machine {
-	o.c.log.Info("machine adopted", "machine", info.name, "type", info.machineType, "zone", info.zone, "spot", info.spot)
-	var b *block
+func (o *owner) adopt(info inventory.MachineInfo) *inventory.Machine {
+	o.c.log.Info("machine adopted", "machine", info.Name, "type", info.Type, "zone", info.Zone, "spot", info.Spot)
+	var b *inventory.Block
 	if o.ownsAllTeams() {
-		b = o.blockFor(info.machineType, info.zone)
+		b = o.blockFor(info.Type, info.Zone)
 	} else {
 		// Another owner may have it without our knowing: see verify.
-		b = o.newBlock(adoptedPrefix + info.name)
+		b = o.newBlock(inventory.AdoptedPrefix + info.Name)
 	}
 	m := o.addMachine(b, info)
-	m.provisionedAt = o.c.wallClock
+	m.ProvisionedAt = o.c.wallClock
 	return m
 }
--- a/controller/machine_requests.go
+++ b/controller/machine_requests.go
@@ -1,6 +1,7 @@
 package controller
 
 import (
+	"tamarindlead/internal/ordered"
 	"tamarindlead/internal/peer"
 	"tamarindlead/internal/record"
 	"tamarindlead/micros"
@@ -145,14 +146,14 @@
 	if o.ownsAllTeams() {
 		return // there is no owner to share machines with
 	}
-	for _, m := range o.sortedMachines {
-		heartbeat.Machines = append(heartbeat.Machines, m.name)
+	for _, m := range o.SortedMachines {
+		heartbeat.Machines = append(heartbeat.Machines, m.Name)
 		if o.isIdle(m) {
-			heartbeat.Idle = append(heartbeat.Idle, &peer.IdleMachine{Type: m.machineType, Zone: m.zone, Spot: m.spot})
+			heartbeat.Idle = append(heartbeat.Idle, &peer.IdleMachine{Type: m.Type, Zone: m.Zone, Spot: m.Spot})
 		}
 	}
-	for _, name := range sortedKeys(o.teams) {
-		used := o.teamUsage(o.teams[name]).Used
+	for _, name := range ordered.Keys(o.Teams) {
+		used := o.teamUsage(o.Teams[name]).Used
 		heartbeat.Teams = append(heartbeat.Teams, &peer.TeamUse{Team: name, Cpu: used.CPU, Gpu: used.GPU})
 	}
 }
--- a/controller/machine_transfers.go
+++ b/controller/machine_transfers.go
@@ -2,6 +2,7 @@
 
 import (
 	"tamarindlead/internal/budget"
+	"tamarindlead/internal/inventory"
 	"tamarindlead/internal/kv"
 	"tamarindlead/internal/peer"
 	"tamarindlead/internal/record"
@@ -31,11 +32,11 @@
 // transferIdleMachines transfers idle machines for a job, and returns how many of its tasks they hold.
 func (o *owner) transferIdleMachines(job *sched.Job, newOwner record.OwnerID) int {
 	slots := 0
-	for _, m := range o.sortedMachines {
+	for _, m := range o.SortedMachines {
 		if slots >= job.Tasks {
 			break
 		}
-		if !o.isIdle(m) || !job.Allows(m.machineType, m.zone, m.spot) {
+		if !o.isIdle(m) || !job.Allows(m.Type, m.Zone, m.Spot) {
 			continue
 		}
 		if n := job.Need.Count(o.machineSize(m), job.Tasks); n > 0 {
@@ -55,70 +56,70 @@
 	o.c.log.Info("making room", "job", job.ID, "ground", plan.Mode.String(), "domain", plan.Domain,
 		"machines", len(plan.Placement), "owner", newOwner)
 	for _, a := range plan.Placement {
-		o.startTransfer(o.machines[a.Machine.Name], newOwner)
+		o.startTransfer(o.Machines[a.Machine.Name], newOwner)
 	}
 	why := "room for " + job.ID
 	o.stopBundledAttempts(plan.Victims, why)
 	for _, a := range plan.Placement {
-		o.evictLongTasks(o.machines[a.Machine.Name], why)
+		o.evictLongTasks(o.Machines[a.Machine.Name], why)
 	}
 }
 
 // evictLongTasks stops what is left on a machine that is transferred, which goes only when it is
 // empty: arrays' tasks that would keep it for long, as far as their teams' guarantees allow.
-func (o *owner) evictLongTasks(m *machine, why string) {
-	for _, a := range m.sortedAttempts() {
-		if a.job.Gang || a.state != attemptLive || o.remainingRunTime(a) < minRemainingForPreemption {
+func (o *owner) evictLongTasks(m *inventory.Machine, why string) {
+	for _, a := range m.SortedAttempts() {
+		if a.Job.Gang || a.State != inventory.AttemptLive || o.remainingRunTime(a) < minRemainingForPreemption {
 			continue
 		}
-		use := o.teamUsage(o.teams[a.job.Team])
-		if use.Used = use.Used.Sub(a.job.Need); use.MeetsGuarantee() {
+		use := o.teamUsage(o.Teams[a.Job.Team])
+		if use.Used = use.Used.Sub(a.Job.Need); use.MeetsGuarantee() {
 			o.evict(a, why)
 		}
 	}
 }
 
 // isIdle tells that a machine can be transferred at once.
-func (o *owner) isIdle(m *machine) bool {
-	return m.state == machineReady && len(m.attempts) == 0 && m.fencingToken != 0 && !o.isReserved(m.name) &&
-		o.c.now-m.idleSince > minIdleBeforeTransfer
+func (o *owner) isIdle(m *inventory.Machine) bool {
+	return m.State == inventory.MachineReady && len(m.Attempts) == 0 && m.FencingToken != 0 && !o.isReserved(m.Name) &&
+		o.c.now-m.IdleSince > minIdleBeforeTransfer
 }
 
-func (o *owner) startTransfer(m *machine, newOwner record.OwnerID) {
-	m.transferTo = newOwner
-	o.setMachineState(m, machineTransferring, "for "+string(newOwner))
+func (o *owner) startTransfer(m *inventory.Machine, newOwner record.OwnerID) {
+	m.TransferTo = newOwner
+	o.SetMachineState(m, inventory.MachineTransferring, "for "+string(newOwner))
 }
 
 // canTransfer tells whether the new owner of a machine is live. If not, the machine stays.
-func (o *owner) canTransfer(m *machine) bool {
-	if o.c.cluster.IsLive(m.transferTo) {
+func (o *owner) canTransfer(m *inventory.Machine) bool {
+	if o.c.cluster.IsLive(m.TransferTo) {
 		return true
 	}
-	o.setMachineState(m, machineReady, "its new owner is gone")
+	o.SetMachineState(m, inventory.MachineReady, "its new owner is gone")
 	return false
 }
 
 // transferBlockName names the block in which a machine is transferred.
-func transferBlockName(m *machine) string {
-	return transferPrefix + m.name + "-" + record.FormatNumber(m.fencingToken)
+func transferBlockName(m *inventory.Machine) string {
+	return inventory.TransferPrefix + m.Name + "-" + record.FormatNumber(m.FencingToken)
 }
 
 // writeTransfer writes the new owner of an empty machine, in a block of its own.
-func (o *owner) writeTransfer(t *transaction, m *machine) {
-	newOwner := o.c.cluster.MemberPrecondition(m.transferTo.Node())
+func (o *owner) writeTransfer(t *transaction, m *inventory.Machine) {
+	newOwner := o.c.cluster.MemberPrecondition(m.TransferTo.Node())
 	t.preconditions[newOwner.Key] = newOwner.Version
 	data := &record.BlockData{
-		MachineTypes: []record.BlockMachineType{{Type: m.machineType, Zone: m.zone, Spot: m.spot}},
-		Machines:     []record.BlockMachine{{Name: m.name, Endpoint: m.endpoint, LaunchedAt: int64(m.provisionedAt)}},
+		MachineTypes: []record.BlockMachineType{{Type: m.Type, Zone: m.Zone, Spot: m.Spot}},
+		Machines:     []record.BlockMachine{{Name: m.Name, Endpoint: m.Endpoint, LaunchedAt: int64(m.ProvisionedAt)}},
 	}
-	t.put(record.BlockKey(transferBlockName(m)), data.Block(m.transferTo))
+	t.put(record.BlockKey(transferBlockName(m)), data.Block(m.TransferTo))
 }
 
 // completeTransfer drops a machine whose new owner is recorded, and tells that owner.
-func (o *owner) completeTransfer(m *machine) {
-	o.ownedElsewhere[m.name] = o.c.now + ownedElsewhereRetention
+func (o *owner) completeTransfer(m *inventory.Machine) {
+	o.ownedElsewhere[m.Name] = o.c.now + ownedElsewhereRetention
 	o.forgetMachine(m)
-	if p := o.c.peers[m.transferTo.Node()]; p != nil {
+	if p := o.c.peers[m.TransferTo.Node()]; p != nil {
 		given := &peer.Given{Block: transferBlockName(m)}
 		o.c.sendPeerMessage(p, &peer.Message{Body: &peer.Message_Given{Given: given}})
 	}
@@ -147,7 +148,7 @@
 		return nil
 	}
 	data, err := block.Decode()
-	if err != nil || len(data.Machines) != 1 || data.Machines[0].FencingToken != 0 || o.machines[data.Machines[0].Name] != nil {
+	if err != nil || len(data.Machines) != 1 || data.Machines[0].FencingToken != 0 || o.Machines[data.Machines[0].Name] != nil {
 		return nil
 	}
 	return data
@@ -156,11 +157,11 @@
 // acceptTransfer takes a machine, whose token is the version of its new block.
 func (o *owner) acceptTransfer(blockName string, version uint64, data *record.BlockData) {
 	block := o.newBlock(blockName)
-	block.version = version
+	block.Version = version
 	o.recoverMachine(block, data, &data.Machines[0])
-	m := block.machines[0]
-	delete(o.ownedElsewhere, m.name)
-	m.fencingToken, m.dirty, m.recovered, block.dirty = version, false, true, false
-	m.tokenConfirmedAt = o.c.now
-	o.c.log.Info("machine received", "machine", m.name, "type", m.machineType, "zone", m.zone)
+	m := block.Machines[0]
+	delete(o.ownedElsewhere, m.Name)
+	m.FencingToken, m.Dirty, m.Recovered, block.Dirty = version, false, true, false
+	m.TokenConfirmedAt = o.c.now
+	o.c.log.Info("machine received", "machine", m.Name, "type", m.Type, "zone", m.Zone)
 }
--- a/controller/network_partitions.go
+++ b/controller/network_partitions.go
@@ -1,5 +1,10 @@
 package controller
 
+import (
+	"tamarindlead/internal/inventory"
+	"tamarindlead/internal/ordered"
+)
+
 // This file finds zones that are cut off from this node.
 
 // A zone is partitioned when of at least minZoneMachines machines at most maxResponsiveFraction are
@@ -25,7 +30,7 @@
 // gangs run are not given up at once, for what runs there goes on (see retainedInPartition).
 func (o *owner) detectPartitions() {
 	zones, heardInAll := o.zoneHealth()
-	for _, zone := range sortedKeys(zones) {
+	for _, zone := range ordered.Keys(zones) {
 		health := *zones[zone]
 		partitioned := health.partitioned(heardInAll)
 		if partitioned == (o.partitionedSince[zone] != 0) {
@@ -44,17 +49,17 @@
 // zoneHealth counts by zone, and in all, which machines are heard.
 func (o *owner) zoneHealth() (zones map[string]*zoneHealth, heardInAll int) {
 	zones = map[string]*zoneHealth{}
-	for _, m := range o.sortedMachines {
-		zone := zones[m.zone]
+	for _, m := range o.SortedMachines {
+		zone := zones[m.Zone]
 		if zone == nil {
 			zone = &zoneHealth{}
-			zones[m.zone] = zone
+			zones[m.Zone] = zone
 		}
 		switch {
 		case !hasBooted(m):
-		case o.c.now-m.lastHeartbeat > maxMissedHeartbeats*o.c.cfg.HeartbeatInterval:
+		case o.c.now-m.LastHeartbeat > maxMissedHeartbeats*o.c.cfg.HeartbeatInterval:
 			zone.unresponsive++
-		case m.agentEpoch != 0:
+		case m.AgentEpoch != 0:
 			zone.responsive++
 			heardInAll++
 		}
@@ -64,9 +69,9 @@
 
 // extendHeartbeatGrace gives the workers of a zone that is not cut off any more time to find this node.
 func (o *owner) extendHeartbeatGrace(zone string) {
-	for _, m := range o.sortedMachines {
-		if m.zone == zone {
-			m.heartbeatGraceUntil = o.c.now + o.c.cfg.FailoverGrace()
+	for _, m := range o.SortedMachines {
+		if m.Zone == zone {
+			m.HeartbeatGraceUntil = o.c.now + o.c.cfg.FailoverGrace()
 		}
 	}
 }
@@ -74,16 +79,16 @@
 // retainedInPartition tells that a silent machine in a partitioned zone is kept: a gang runs on it,
 // which would lose its work and find no other machine, or gangs will want it as soon as the
 // partition ends. Not one with tasks of a job that is over, which must be gone in time.
-func (o *owner) retainedInPartition(m *machine) bool {
-	if o.partitionedSince[m.zone] == 0 || o.unresponsiveFor(m) > o.c.cfg.Tuning.PartitionTimeout || m.failed || m.reclaimAt != 0 {
+func (o *owner) retainedInPartition(m *inventory.Machine) bool {
+	if o.partitionedSince[m.Zone] == 0 || o.unresponsiveFor(m) > o.c.cfg.Tuning.PartitionTimeout || m.Failed || m.ReclaimAt != 0 {
 		return false
 	}
-	gang := len(m.attempts) == 0 && o.isScarce(m) && m.state <= machineReady
-	for _, a := range m.attempts {
-		if a.job.state == jobEnded {
+	gang := len(m.Attempts) == 0 && o.isScarce(m) && m.State <= inventory.MachineReady
+	for _, a := range m.Attempts {
+		if a.Job.State == inventory.JobEnded {
 			return false
 		}
-		gang = gang || a.job.Gang
+		gang = gang || a.Job.Gang
 	}
 	return gang
 }
--- a/controller/owner.go
+++ b/controller/owner.go
@@ -4,6 +4,8 @@
 	"maps"
 	"slices"
 
+	"tamarindlead/internal/inventory"
+
 	"tamarindlead/internal/autoscaler"
 	"tamarindlead/internal/cluster"
 	"tamarindlead/internal/kv"
@@ -30,13 +32,13 @@
 	activeSince    micros.Micros // when it became active; before that, when it was made
 	readingRecords bool          // the records are being read
 	retryAt        micros.Micros // a read or watch that failed is tried again then
-	*Inventory
+	*inventory.Inventory
 
 	// Jobs.
 	// cascadedCancellations are waiting jobs that are cancelled with one before them, to be recorded.
 	cascadedCancellations []string
 	// unresolvedJobs are jobs that records name, of which it is not known how they ended.
-	unresolvedJobs []*job
+	unresolvedJobs []*inventory.Job
 	reservations   map[string]*reservation // by job
 	classes        *autoscaler.Classes
 
@@ -66,15 +68,15 @@
 
 	// Commands to machines.
 	lastHeartbeat    micros.Micros // the latest report
-	dispatchQueue    []*machine
+	dispatchQueue    []*inventory.Machine
 	commandsInFlight int // direct commands and questions to machines under way
 
 	// Scheduling passes, and the attempts that they have proposed.
 	nextSchedulingPass micros.Micros
 
 	// Commits.
-	blocks             []*block
-	completionSegments []*completionSegment
+	blocks             []*inventory.Block
+	completionSegments []*inventory.CompletionSegment
 	committing         bool // a commit is under way
 	flushAt            micros.Micros
 	obsoleteKeys       []string      // keys that nobody reads any more
@@ -96,10 +98,10 @@
 		ownedElsewhere:     map[string]micros.Micros{},
 		unclaimedSince:     map[string]micros.Micros{},
 	}
-	o.Inventory = NewInventory(inventoryHost{o}, c.log)
+	o.Inventory = inventory.NewInventory(inventoryHost{o}, c.log)
 	for _, t := range c.cfg.Teams {
 		if v, ok := teams[t.Name]; ok {
-			o.teams[t.Name] = &team{record: v, Team: t}
+			o.Teams[t.Name] = &inventory.Team{Record: v, Team: t}
 		}
 	}
 	return o
@@ -108,14 +110,14 @@
 // setTeams takes the records of this node's teams. Should they be others than before,
 // all is read again.
 func (o *owner) setTeams(teams map[string]cluster.Team) {
-	same := len(teams) == len(o.teams)
+	same := len(teams) == len(o.Teams)
 	for name, v := range teams {
-		t := o.teams[name]
-		if t == nil || len(t.record.Predecessors) != len(v.Predecessors) {
+		t := o.Teams[name]
+		if t == nil || len(t.Record.Predecessors) != len(v.Predecessors) {
 			same = false
 			continue
 		}
-		t.record = v
+		t.Record = v
 	}
 	if !same {
 		o.c.log.Info("teams have changed", "teams", len(teams))
@@ -129,18 +131,18 @@
 // setState is the one place where the state changes.
 func (o *owner) setState(s ownerState) {
 	leader, term := o.c.node.Leader()
-	o.c.log.Info("owner", "from", o.state.String(), "to", s.String(), "jobs", len(o.jobs), "machines", len(o.machines),
-		"teams", len(o.teams), "member_version", o.c.node.RecordVersion(), "leader", leader, "term", term,
+	o.c.log.Info("owner", "from", o.state.String(), "to", s.String(), "jobs", len(o.Jobs), "machines", len(o.Machines),
+		"teams", len(o.Teams), "member_version", o.c.node.RecordVersion(), "leader", leader, "term", term,
 		"jobs_revision", o.watchRevision, "read_ago_us", int64(o.c.now-o.cancellationsKnownUntil))
 	o.state = s
 }
 
 // refusePendingHeartbeats answers the reports that wait, when this node stops owning.
 func (o *owner) refusePendingHeartbeats() {
-	for _, m := range o.sortedMachines {
-		if m.pendingRequest != 0 {
-			o.c.refuse(m.pendingRequest, wire.StatusUnavailable, "ownership lost")
-			m.pendingRequest = 0
+	for _, m := range o.SortedMachines {
+		if m.PendingRequest != 0 {
+			o.c.refuse(m.PendingRequest, wire.StatusUnavailable, "ownership lost")
+			m.PendingRequest = 0
 		}
 	}
 }
@@ -156,8 +158,8 @@
 	}
 	o.c.log.Warn("reading all records again", "why", why, "member_version", o.c.node.RecordVersion())
 	records := map[string]cluster.Team{}
-	for name, t := range o.teams {
-		records[name] = t.record
+	for name, t := range o.Teams {
+		records[name] = t.Record
 	}
 	o.c.setOwner(newOwner(o.c, records))
 	o.c.owner.retryAt = o.c.now + recoveryRestartDelay
@@ -214,11 +216,11 @@
 		return false
 	}
 	latest, expected := micros.Micros(0), 0
-	for _, m := range o.machines {
-		if !m.expectsHeartbeat() {
+	for _, m := range o.Machines {
+		if !m.ExpectsHeartbeat() {
 			continue
 		}
-		heard := m.lastHeartbeat
+		heard := m.LastHeartbeat
 		if heard > o.c.now { // it was given time after a takeover
 			heard = o.activeSince
 		}
@@ -253,8 +255,8 @@
 	if earlier == o.c.node.ID() || o.ownsAllTeams() {
 		return true
 	}
-	for _, t := range o.teams {
-		if slices.Contains(t.record.Predecessors, earlier) {
+	for _, t := range o.Teams {
+		if slices.Contains(t.Record.Predecessors, earlier) {
 			return true
 		}
 	}
--- a/controller/pipelines_test.go
+++ b/controller/pipelines_test.go
@@ -4,6 +4,8 @@
 	"math/rand/v2"
 	"slices"
 
+	"tamarindlead/internal/ordered"
+
 	"tamarindlead/internal/record"
 	"tamarindlead/internal/wire"
 	"tamarindlead/micros"
@@ -51,7 +53,7 @@
 			seen[a] = true
 		}
 	}
-	p.ancestors[id] = sortedKeys(seen)
+	p.ancestors[id] = ordered.Keys(seen)
 	w.bodies[id] = withField(w.bodies[id], "awaits", awaits)
 }
 
@@ -190,7 +192,7 @@
 	}
 }
 
-// taskDone does what is to happen at the moment at which a job's last task completes.
+// TaskDone does what is to happen at the moment at which a job's last task completes.
 func (w *simulation) taskDone(id string) {
 	p := &w.pipelines
 	if _, ok := p.endedAt[id]; ok || !w.allTasksDone(id) {
@@ -251,7 +253,7 @@
 // to wait for one that runs.
 func (w *simulation) checkPipelinesCompleted() {
 	goesOn := func(id string) bool { return w.reportedTerminal[id] == wire.JobDone || w.onMachines(id) > 0 }
-	for _, id := range sortedKeys(w.pipelines.dependencies) {
+	for _, id := range ordered.Keys(w.pipelines.dependencies) {
 		if !w.accepted[id] || w.cancelRequested[id] || w.infos[id].Fails || w.hasFailedDependency(id) || goesOn(id) {
 			continue
 		}
--- a/controller/placement_view.go
+++ b/controller/placement_view.go
@@ -3,22 +3,24 @@
 import (
 	"math"
 
+	"tamarindlead/internal/inventory"
+
 	"tamarindlead/sched"
 )
 
 // limitSlots leaves machines that share a block with those just used no more tasks than their
 // entries still have room for.
 func (o *owner) limitSlots(view []*sched.Machine, got []sched.Assignment) {
-	left := map[*block]float64{}
+	left := map[*inventory.Block]float64{}
 	for _, as := range got {
-		b := o.machines[as.Machine.Name].block
+		b := o.Machines[as.Machine.Name].Block
 		if _, ok := left[b]; !ok {
 			left[b] = o.freeBytes(b)
 		}
 	}
 	for _, v := range view {
-		m := o.machines[v.Name]
-		if _, ok := left[m.block]; ok {
+		m := o.Machines[v.Name]
+		if _, ok := left[m.Block]; ok {
 			v.Slots = min(v.Slots, o.freeSlots(m, left))
 		}
 	}
@@ -40,16 +42,16 @@
 func (o *owner) machineView() []*sched.Machine {
 	var view []*sched.Machine
 	catalog := o.c.catalog()
-	left := map[*block]float64{}
-	for _, m := range o.sortedMachines {
-		if m.state != machineReady || m.fencingToken == 0 || m.fencing != fencingNone || o.c.now < m.quarantinedUntil ||
-			o.c.now-m.lastHeartbeat > 2*o.c.cfg.HeartbeatInterval {
+	left := map[*inventory.Block]float64{}
+	for _, m := range o.SortedMachines {
+		if m.State != inventory.MachineReady || m.FencingToken == 0 || m.Fencing != inventory.FencingNone || o.c.now < m.QuarantinedUntil ||
+			o.c.now-m.LastHeartbeat > 2*o.c.cfg.HeartbeatInterval {
 			continue
 		}
 		view = append(view, &sched.Machine{
-			Name: m.name, Type: m.machineType, Zone: m.zone, Spot: m.spot,
-			Free: o.machineSize(m).Sub(m.used).Sub(o.reservedResources(m.name)), Slots: o.freeSlots(m, left),
-			Idle: len(m.attempts) == 0, Scarce: o.isScarce(m), Price: priceClass(catalog.PricePerCPU(m.machineType, m.spot)), Images: m.cachedImages,
+			Name: m.Name, Type: m.Type, Zone: m.Zone, Spot: m.Spot,
+			Free: o.machineSize(m).Sub(m.Used).Sub(o.reservedResources(m.Name)), Slots: o.freeSlots(m, left),
+			Idle: len(m.Attempts) == 0, Scarce: o.isScarce(m), Price: priceClass(catalog.PricePerCPU(m.Type, m.Spot)), Images: m.CachedImages,
 		})
 	}
 	return view
--- a/controller/preemption.go
+++ b/controller/preemption.go
@@ -4,6 +4,9 @@
 	"cmp"
 	"slices"
 
+	"tamarindlead/internal/inventory"
+	"tamarindlead/internal/ordered"
+
 	"tamarindlead/config"
 	"tamarindlead/internal/kv"
 	"tamarindlead/internal/record"
@@ -24,20 +27,20 @@
 )
 
 // preempt looks for work to stop for a gang that does not fit, and holds the machines.
-func (o *owner) preempt(j *job) bool {
-	if !j.Gang || o.c.now < j.nextPreemptionAt || o.scaleOutSuffices(j) || o.capacityComesSoon(j) {
+func (o *owner) preempt(j *inventory.Job) bool {
+	if !j.Gang || o.c.now < j.NextPreemptionAt || o.scaleOutSuffices(j) || o.capacityComesSoon(j) {
 		return false
 	}
 	covered := o.jobsWithinGuarantee()
 	plan := o.planPreemption(j, covered)
 	if plan == nil {
-		j.nextPreemptionAt = o.c.now + preemptionRetryDelay
+		j.NextPreemptionAt = o.c.now + preemptionRetryDelay
 		o.requestMachines(j.Job, j.Tasks, covered[j])
 		return false
 	}
 	h := newReservation(j, plan)
 	if kv.EncodedSizeBound(record.Reservation{Machines: h.machines}) > o.c.cfg.MaxValueBytes {
-		j.nextPreemptionAt = o.c.now + preemptionRetryDelay
+		j.NextPreemptionAt = o.c.now + preemptionRetryDelay
 		return false // it could never be recorded
 	}
 	o.reservations[j.ID] = h
@@ -47,7 +50,7 @@
 
 // planPreemption looks for work to stop: of the gang's own team, else of teams that use more than
 // their guarantees if the gang is covered by its team's.
-func (o *owner) planPreemption(j *job, covered map[*job]bool) *sched.PreemptionPlan {
+func (o *owner) planPreemption(j *inventory.Job, covered map[*inventory.Job]bool) *sched.PreemptionPlan {
 	machines := o.preemptionView()
 	plan := o.preemptionPlan(j.Job, machines, sched.Preempt, covered)
 	if plan == nil && covered[j] {
@@ -57,7 +60,7 @@
 }
 
 // newReservation returns a hold for the places of a plan, not recorded yet.
-func newReservation(j *job, plan *sched.PreemptionPlan) *reservation {
+func newReservation(j *inventory.Job, plan *sched.PreemptionPlan) *reservation {
 	h := &reservation{job: j.ID, machines: map[string]int{}, need: j.Need, victims: plan.Victims}
 	for _, a := range plan.Placement {
 		h.machines[a.Machine.Name] = a.Count
@@ -65,7 +68,7 @@
 	return h
 }
 
-func (o *owner) logPreemptionPlan(j *job, plan *sched.PreemptionPlan) {
+func (o *owner) logPreemptionPlan(j *inventory.Job, plan *sched.PreemptionPlan) {
 	stops := 0
 	for _, b := range plan.Victims {
 		stops += len(b.Tasks)
@@ -76,13 +79,13 @@
 }
 
 // preemptionPlan looks for victims on a ground and for the cheapest set of them.
-func (o *owner) preemptionPlan(j *sched.Job, machines []*sched.Machine, mode sched.PreemptionMode, covered map[*job]bool) *sched.PreemptionPlan {
+func (o *owner) preemptionPlan(j *sched.Job, machines []*sched.Machine, mode sched.PreemptionMode, covered map[*inventory.Job]bool) *sched.PreemptionPlan {
 	victims := o.victims(j, mode, covered)
 	if len(victims) == 0 {
 		return nil
 	}
 	rules := sched.PreemptionRules{Mode: mode, ROIThreshold: o.c.cfg.Tuning.ROIThreshold, Teams: map[string]sched.TeamUsage{}}
-	for name, t := range o.teams {
+	for name, t := range o.Teams {
 		rules.Teams[name] = o.teamUsage(t)
 	}
 	domains := sched.Domains(j, machines, victims, o.c.cfg.Tuning.MaxDomains)
@@ -91,24 +94,24 @@
 
 // teamUsage is what a team uses and will go on using: what is being stopped already must
 // not be counted as surplus once more.
-func (o *owner) teamUsage(t *team) sched.TeamUsage {
-	return sched.TeamUsage{Used: t.used.Sub(t.stopping), GuaranteedQuota: t.GuaranteedQuota}
+func (o *owner) teamUsage(t *inventory.Team) sched.TeamUsage {
+	return sched.TeamUsage{Used: t.Used.Sub(t.Stopping), GuaranteedQuota: t.GuaranteedQuota}
 }
 
 // jobsWithinGuarantee finds the jobs that their teams' guarantees cover: each team's earliest
 // unfinished ones, as long as they fit together. By what a team uses at the moment, a gang
 // that was just stopped for another would be covered again and take the room back; two
 // teams would stop each other's gangs in turn (docs/incidents/eyjafold-third-reclaim.md).
-func (o *owner) jobsWithinGuarantee() map[*job]bool {
-	list := slices.Clone(o.queue)
-	slices.SortStableFunc(list, func(a, b *job) int { return cmp.Compare(a.readyAt, b.readyAt) })
-	covered, sums := map[*job]bool{}, map[string]sched.Resources{}
+func (o *owner) jobsWithinGuarantee() map[*inventory.Job]bool {
+	list := slices.Clone(o.Queue)
+	slices.SortStableFunc(list, func(a, b *inventory.Job) int { return cmp.Compare(a.ReadyAt, b.ReadyAt) })
+	covered, sums := map[*inventory.Job]bool{}, map[string]sched.Resources{}
 	for _, j := range list {
-		t := o.teams[j.Team]
-		if t == nil || j.state != jobActive || t.GuaranteedQuota.CPU == 0 && t.GuaranteedQuota.GPU == 0 {
+		t := o.Teams[j.Team]
+		if t == nil || j.State != inventory.JobActive || t.GuaranteedQuota.CPU == 0 && t.GuaranteedQuota.GPU == 0 {
 			continue
 		}
-		sum := sums[j.Team].Add(j.Need.Times(j.Tasks - j.completedCount))
+		sum := sums[j.Team].Add(j.Need.Times(j.Tasks - j.CompletedCount))
 		sums[j.Team] = sum
 		covered[j] = sum.CPU <= t.GuaranteedQuota.CPU && (sum.GPU <= t.GuaranteedQuota.GPU || j.Need.GPU == 0)
 	}
@@ -117,8 +120,8 @@
 
 // scaleOutSuffices tells that a machine from the cloud would serve in time (ours): then
 // nothing needs to be stopped.
-func (o *owner) scaleOutSuffices(j *job) bool {
-	market, left := o.market(), o.startDeadline(j)-(o.c.wallClock-j.readyAt)
+func (o *owner) scaleOutSuffices(j *inventory.Job) bool {
+	market, left := o.market(), o.startDeadline(j)-(o.c.wallClock-j.ReadyAt)
 	for _, t := range o.c.types.list {
 		if t.Boot > left || !j.Need.Fits(t.Size) {
 			continue
@@ -133,7 +136,7 @@
 }
 
 // startDeadline is how long a gang should wait at the most.
-func (o *owner) startDeadline(j *job) micros.Micros {
+func (o *owner) startDeadline(j *inventory.Job) micros.Micros {
 	limit := o.c.cfg.Tuning.ReservationTimeout
 	for _, objective := range o.c.cfg.SLOs {
 		if objective.Kind == config.SLOWaitTime && objective.Class == j.Class {
@@ -145,10 +148,10 @@
 
 // capacityComesSoon tells that a machine which boots will serve: one for each gang that waits,
 // in the order of the queue.
-func (o *owner) capacityComesSoon(j *job) bool {
+func (o *owner) capacityComesSoon(j *inventory.Job) bool {
 	slots := o.bootingSlots(j)
-	for _, q := range o.queue {
-		if q.Gang && q.gangState == gangNone && q.Class == j.Class && o.reservations[q.ID] == nil {
+	for _, q := range o.Queue {
+		if q.Gang && q.GangState == inventory.GangNone && q.Class == j.Class && o.reservations[q.ID] == nil {
 			if slots -= q.Tasks; q == j {
 				return slots >= 0
 			}
@@ -159,14 +162,14 @@
 
 // bootingSlots counts the tasks of a gang that there is room for on machines that will have
 // booted soon.
-func (o *owner) bootingSlots(j *job) int {
+func (o *owner) bootingSlots(j *inventory.Job) int {
 	slots := 0
-	for _, m := range o.sortedMachines {
-		t := o.c.types.find(m.machineType)
-		if m.state != machineBooting || t == nil || !j.Allows(m.machineType, m.zone, m.spot) {
+	for _, m := range o.SortedMachines {
+		t := o.c.types.find(m.Type)
+		if m.State != inventory.MachineBooting || t == nil || !j.Allows(m.Type, m.Zone, m.Spot) {
 			continue
 		}
-		if o.c.wallClock-m.provisionedAt+maxBootTimeToWait > t.Boot {
+		if o.c.wallClock-m.ProvisionedAt+maxBootTimeToWait > t.Boot {
 			slots += j.Need.Count(t.Size, j.Tasks)
 		}
 	}
@@ -174,24 +177,24 @@
 }
 
 // endsSoon tells that an attempt's room will be free without a stop.
-func (o *owner) endsSoon(a *attempt) bool {
-	switch a.state {
-	case attemptStopping, attemptCompleted, attemptRemoving:
+func (o *owner) endsSoon(a *inventory.Attempt) bool {
+	switch a.State {
+	case inventory.AttemptStopping, inventory.AttemptCompleted, inventory.AttemptRemoving:
 		return true
 	}
-	return a.runningSince != 0 && !a.job.Gang && a.job.Estimate-(o.c.now-a.runningSince) < minRemainingForPreemption &&
-		o.c.now-a.runningSince < a.job.Estimate+minRemainingForPreemption
+	return a.RunningSince != 0 && !a.Job.Gang && a.Job.Estimate-(o.c.now-a.RunningSince) < minRemainingForPreemption &&
+		o.c.now-a.RunningSince < a.Job.Estimate+minRemainingForPreemption
 }
 
 // preemptionView is the view in which room is sought: what leaves soon is gone already.
 func (o *owner) preemptionView() []*sched.Machine {
 	view := o.machineView()
 	for _, v := range view {
-		for _, a := range o.machines[v.Name].attempts {
+		for _, a := range o.Machines[v.Name].Attempts {
 			// What is freed is in the view already: counted twice, it would promise room that
 			// another gang may just have taken, and the hold would wait for it for ever.
-			if !a.resourcesReleased && o.endsSoon(a) {
-				v.Free = v.Free.Add(a.job.Need)
+			if !a.ResourcesReleased && o.endsSoon(a) {
+				v.Free = v.Free.Add(a.Job.Need)
 			}
 		}
 	}
@@ -199,10 +202,10 @@
 }
 
 // victims lists jobs that may be stopped for j.
-func (o *owner) victims(j *sched.Job, mode sched.PreemptionMode, covered map[*job]bool) []*sched.Victim {
+func (o *owner) victims(j *sched.Job, mode sched.PreemptionMode, covered map[*inventory.Job]bool) []*sched.Victim {
 	var list []*sched.Victim
-	for _, id := range sortedKeys(o.jobs) {
-		candidate := o.jobs[id]
+	for _, id := range ordered.Keys(o.Jobs) {
+		candidate := o.Jobs[id]
 		if candidate.Job == j || !mayPreemptFor(j, candidate, mode, covered) || o.reservations[id] != nil {
 			continue
 		}
@@ -215,8 +218,8 @@
 
 // mayPreemptFor tells whether a job may be stopped for j. What another team's guarantee covers is
 // not reclaimed: the part that it runs beyond is its later work.
-func mayPreemptFor(j *sched.Job, candidate *job, mode sched.PreemptionMode, covered map[*job]bool) bool {
-	if candidate.state != jobActive || candidate.gangState == gangStopping || candidate.gangState == gangPlacing {
+func mayPreemptFor(j *sched.Job, candidate *inventory.Job, mode sched.PreemptionMode, covered map[*inventory.Job]bool) bool {
+	if candidate.State != inventory.JobActive || candidate.GangState == inventory.GangStopping || candidate.GangState == inventory.GangPlacing {
 		return false
 	}
 	sameTeam := candidate.Team == j.Team
@@ -230,20 +233,20 @@
 }
 
 // describeVictim lists the tasks of a job that may be stopped.
-func (o *owner) describeVictim(j *job) *sched.Victim {
+func (o *owner) describeVictim(j *inventory.Job) *sched.Victim {
 	victim := &sched.Victim{Job: j.ID, Team: j.Team, Priority: j.Priority}
 	if j.Gang {
 		victim.MinTasks = j.Tasks
 	}
-	for _, a := range j.sortedAttempts() {
-		if o.endsSoon(a) || a.state == attemptAssumed {
+	for _, a := range j.SortedAttempts() {
+		if o.endsSoon(a) || a.State == inventory.AttemptAssumed {
 			continue
 		}
 		victim.ReadyTasks++
 		victim.TotalResources = victim.TotalResources.Add(j.Need)
-		victim.Since = max(victim.Since, a.placedAt)
+		victim.Since = max(victim.Since, a.PlacedAt)
 		victim.Tasks = append(victim.Tasks, sched.VictimTask{
-			Index: a.index, Machine: a.machine.name, Resources: j.Need, Since: a.placedAt, LostWork: o.preemptionCost(a),
+			Index: a.Index, Machine: a.Machine.Name, Resources: j.Need, Since: a.PlacedAt, LostWork: o.preemptionCost(a),
 		})
 	}
 	return victim
@@ -251,12 +254,12 @@
 
 // preemptionCost is what a stop of an attempt undoes: all of its progress, or the time for
 // saving.
-func (o *owner) preemptionCost(a *attempt) float64 {
-	lost := a.job.CheckpointDuration
-	if a.job.CheckpointInterval == 0 && a.runningSince != 0 {
-		lost = o.c.now - a.runningSince
+func (o *owner) preemptionCost(a *inventory.Attempt) float64 {
+	lost := a.Job.CheckpointDuration
+	if a.Job.CheckpointInterval == 0 && a.RunningSince != 0 {
+		lost = o.c.now - a.RunningSince
 	}
-	return a.job.Need.CPUs() * lost.Seconds()
+	return a.Job.Need.CPUs() * lost.Seconds()
 }
 
 // preemptVictims begins the stops of a hold that is recorded.
@@ -268,12 +271,12 @@
 // stopBundledAttempts begins the stops of a plan, as far as its tasks are still where they were.
 func (o *owner) stopBundledAttempts(bundles []sched.Bundle, why string) {
 	for _, b := range bundles {
-		v := o.jobs[b.Victim.Job]
-		if v == nil || v.state != jobActive {
+		v := o.Jobs[b.Victim.Job]
+		if v == nil || v.State != inventory.JobActive {
 			continue
 		}
 		for _, t := range b.Tasks {
-			if a := v.attempts[t.Index]; a != nil && a.machine.name == t.Machine {
+			if a := v.Attempts[t.Index]; a != nil && a.Machine.Name == t.Machine {
 				o.evict(a, why)
 			}
 		}
--- a/controller/preemption_test.go
+++ b/controller/preemption_test.go
@@ -3,6 +3,8 @@
 import (
 	"testing"
 
+	"tamarindlead/internal/inventory"
+
 	"tamarindlead/internal/record"
 	"tamarindlead/internal/wire"
 	"tamarindlead/micros"
@@ -11,7 +13,7 @@
 
 // newPreemptionOwner is an owner with one machine, on which a low array of two tasks runs, and a
 // gang that fits only in its place. The first task has run for 20 s of 30 s.
-func newPreemptionOwner(checkpoint micros.Micros) (o *owner, gang, array *job) {
+func newPreemptionOwner(checkpoint micros.Micros) (o *owner, gang, array *inventory.Job) {
 	o = testOwner()
 	o.c.types.list[0].Zones = nil // nothing can be rented
 	array = addTestJob(o, 1, &sched.Job{
@@ -20,18 +22,18 @@
 	gang = addTestJob(o, 2, &sched.Job{
 		Tasks: 1, Gang: true, Priority: sched.High, Need: sched.NewResources(28, 0, 28), Estimate: 30 * micros.Second,
 	})
-	m := o.newMachine(machineInfo{name: "m-000001", machineType: "mid", zone: "a", endpoint: "worker"})
-	m.fencingToken, m.agentEpoch, m.tokenConfirmed, m.lastHeartbeat, m.state = 7, 1, true, o.c.now, machineReady
+	m := o.newMachine(inventory.MachineInfo{Name: "m-000001", Type: "mid", Zone: "a", Endpoint: "worker"})
+	m.FencingToken, m.AgentEpoch, m.TokenConfirmed, m.LastHeartbeat, m.State = 7, 1, true, o.c.now, inventory.MachineReady
 	for i := range array.Tasks {
-		o.addAttempt(array, i, 9, m, attemptLive).runningSince = o.c.now - 20*micros.Second
+		o.AddAttempt(array, i, 9, m, inventory.AttemptLive).RunningSince = o.c.now - 20*micros.Second
 	}
 	return o, gang, array
 }
 
-func addTestJob(o *owner, n int, spec *sched.Job) *job {
+func addTestJob(o *owner, n int, spec *sched.Job) *inventory.Job {
 	spec.ID, spec.Class, spec.Team, spec.Image = jobName(n), "work", "red", "img"
 	o.recoverJob(record.ActiveJobKey(spec.ID), wire.Encode(record.NewJob(spec, o.c.wallClock)), uint64(n))
-	return o.jobs[spec.ID]
+	return o.Jobs[spec.ID]
 }
 
 // TestFailedPreemptionBacksOff guards against a gang that evicts again on every retry although
@@ -47,7 +49,7 @@
 		h.victims = nil // what was to be stopped goes on, so that the next hold finds the same
 		o.setReservationState(h, reservationReady, "test")
 		o.c.now = h.expiresAt + 1
-		o.machines["m-000001"].lastHeartbeat = o.c.now
+		o.Machines["m-000001"].LastHeartbeat = o.c.now
 		o.tickReservations()
 		if h.state != reservationReleased {
 			t.Fatalf("hold %d is not over after its wait", n)
@@ -55,12 +57,12 @@
 		delete(o.reservations, gang.ID)
 		pause := wait << n
 		o.c.now += pause - 1
-		o.machines["m-000001"].lastHeartbeat = o.c.now
+		o.Machines["m-000001"].LastHeartbeat = o.c.now
 		if o.preempt(gang) {
 			t.Fatalf("after %d holds in vain work is stopped again before %v", n+1, pause)
 		}
 		o.c.now++
-		o.machines["m-000001"].lastHeartbeat = o.c.now
+		o.Machines["m-000001"].LastHeartbeat = o.c.now
 	}
 }
 
@@ -75,9 +77,9 @@
 	if list := o.victims(gang.Job, sched.Preempt, nil); len(list) != 0 {
 		t.Errorf("%d tasks are to be stopped 2 s before their end", len(list[0].Tasks))
 	}
-	for _, a := range array.sortedAttempts() {
+	for _, a := range array.SortedAttempts() {
 		if !o.endsSoon(a) {
-			t.Errorf("task %d does not count as leaving", a.index)
+			t.Errorf("task %d does not count as leaving", a.Index)
 		}
 	}
 }
--- a/controller/priority_inheritance_test.go
+++ b/controller/priority_inheritance_test.go
@@ -5,6 +5,9 @@
 	"slices"
 	"testing"
 
+	"tamarindlead/internal/inventory"
+	"tamarindlead/internal/ordered"
+
 	"tamarindlead/internal/dag"
 	"tamarindlead/internal/kv"
 	"tamarindlead/internal/record"
@@ -62,14 +65,14 @@
 // check holds what the owner makes of a job against what is expected.
 func (w *inheritanceTest) check(id string, priority sched.Priority, mustEnd float64) {
 	w.Helper()
-	j := w.owner.jobs[id]
+	j := w.owner.Jobs[id]
 	if j == nil {
 		w.Fatalf("%s is not placed", id)
 	}
-	if j.Priority != priority || j.effectiveDeadline != micros.FromSeconds(mustEnd) {
-		w.Fatalf("%s has priority %d and must end at %v, want %d and %v", id, j.Priority, j.effectiveDeadline, priority, mustEnd)
+	if j.Priority != priority || j.EffectiveDeadline != micros.FromSeconds(mustEnd) {
+		w.Fatalf("%s has priority %d and must end at %v, want %d and %v", id, j.Priority, j.EffectiveDeadline, priority, mustEnd)
 	}
-	if !slices.IsSortedFunc(w.owner.queue, compareQueueOrder) {
+	if !slices.IsSortedFunc(w.owner.Queue, inventory.CompareQueueOrder) {
 		w.Fatalf("the queue is out of order")
 	}
 }
@@ -92,8 +95,8 @@
 	w.submit(last, 7*micros.Second, jobName(2))
 	w.check(jobName(1), 2, 107-5-20)
 	w.check(jobName(9), 1, 0)
-	if w.owner.queue[0].ID != jobName(1) {
-		t.Fatalf("%s is first", w.owner.queue[0].ID)
+	if w.owner.Queue[0].ID != jobName(1) {
+		t.Fatalf("%s is first", w.owner.Queue[0].ID)
 	}
 	w.finish(jobName(1), wire.JobDone)
 	w.check(jobName(2), 2, 107-5)
@@ -141,7 +144,7 @@
 		cancelled := map[string]bool{} // with one before them, which is not recorded yet
 		g := w.core.graph
 		for i := range 150 {
-			ids := sortedKeys(w.jobs)
+			ids := ordered.Keys(w.jobs)
 			switch n := r.IntN(10); {
 			case n < 6 || len(ids) == 0:
 				var awaits []string
@@ -185,7 +188,7 @@
 // checkAll computes anew what each active job inherits.
 func (w *inheritanceTest) checkAll(seed uint64, cancelled map[string]bool) {
 	w.Helper()
-	ids := sortedKeys(w.jobs)
+	ids := ordered.Keys(w.jobs)
 	want := map[string]dag.Inheritance{}
 	for i := len(ids) - 1; i >= 0; i-- { // those submitted last first
 		j := w.jobs[ids[i]]
@@ -210,11 +213,11 @@
 		if !cancelled[id] && got != want[id] {
 			w.Fatalf("seed %d: %s inherits %v, want %v", seed, id, got, want[id])
 		}
-		if j := w.owner.jobs[id]; j != nil && j.Priority != max(w.jobs[id].Priority, want[id].Priority) {
+		if j := w.owner.Jobs[id]; j != nil && j.Priority != max(w.jobs[id].Priority, want[id].Priority) {
 			w.Fatalf("seed %d: %s has priority %d at its owner", seed, id, j.Priority)
 		}
 	}
-	if !slices.IsSortedFunc(w.owner.queue, compareQueueOrder) {
+	if !slices.IsSortedFunc(w.owner.Queue, inventory.CompareQueueOrder) {
 		w.Fatalf("seed %d: the queue is out of order", seed)
 	}
 }
@@ -228,7 +231,7 @@
 		w.submit(stage(1, 0, 10, 0), w.core.wallClock)
 		w.submit(stage(2, 0, 25, due), w.core.wallClock, jobName(1))
 		g := w.owner.demands()[0]
-		want := w.owner.maxWait(w.owner.jobs[g.Representative.ID])
+		want := w.owner.maxWait(w.owner.Jobs[g.Representative.ID])
 		if due == 50 {
 			want = 15 * micros.Second // 50 s less both estimates
 		}
--- a/controller/queries.go
+++ b/controller/queries.go
@@ -38,7 +38,7 @@
 
 // taskCounts tells how many tasks of a job are done and run, for display.
 func (c *Core) taskCounts(job string) (done, running int) {
-	if c.owner != nil && c.owner.jobs[job] != nil {
+	if c.owner != nil && c.owner.Jobs[job] != nil {
 		return c.owner.countsOf(job)
 	}
 	latest := micros.Micros(0)
--- a/controller/recovery.go
+++ b/controller/recovery.go
@@ -29,7 +29,7 @@
 
 // reset forgets what was read or decided before.
 func (o *owner) reset() {
-	o.Inventory.reset()
+	o.Inventory.Reset()
 	o.jobsListed, o.cascadedCancellations = false, nil
 	o.blocks, o.completionSegments, o.dispatchQueue, o.unresolvedJobs = nil, nil, nil, nil
 	clear(o.scaleOutRequests)
@@ -91,12 +91,12 @@
 
 // activate begins the work of an owner that has read its records.
 func (o *owner) activate() {
-	for _, m := range o.sortedMachines {
-		m.lastHeartbeat, m.recovered = o.c.now+o.c.cfg.FailoverGrace(), true
-		m.tokenConfirmedAt = m.lastHeartbeat
+	for _, m := range o.SortedMachines {
+		m.LastHeartbeat, m.Recovered = o.c.now+o.c.cfg.FailoverGrace(), true
+		m.TokenConfirmedAt = m.LastHeartbeat
 	}
 	o.activeSince = o.c.now
-	o.schedulingNeeded = true
+	o.SchedulingNeeded = true
 	o.setState(ownerActive)
 	o.watchJobs(o.watchRevision)
 	o.c.types.nextReadAt = o.c.now
--- a/controller/recovery_machines.go
+++ b/controller/recovery_machines.go
@@ -5,6 +5,9 @@
 	"slices"
 	"strings"
 
+	"tamarindlead/internal/inventory"
+	"tamarindlead/internal/ordered"
+
 	"tamarindlead/internal/budget"
 	"tamarindlead/internal/kv"
 	"tamarindlead/internal/record"
@@ -41,27 +44,27 @@
 		return err
 	}
 	b := o.newBlock(strings.TrimPrefix(e.Key, record.BlockPrefix))
-	b.version = e.Version
+	b.Version = e.Version
 	for i := range data.Machines {
 		o.recoverMachine(b, data, &data.Machines[i])
 	}
-	b.markDirty(o.c.now)
+	b.MarkDirty(o.c.now)
 	return nil
 }
 
 // recoverMachine takes over a machine and the attempts on it.
-func (o *owner) recoverMachine(b *block, data *record.BlockData, entry *record.BlockMachine) {
-	if o.machines[entry.Name] != nil {
+func (o *owner) recoverMachine(b *inventory.Block, data *record.BlockData, entry *record.BlockMachine) {
+	if o.Machines[entry.Name] != nil {
 		return // it is in a newer block
 	}
 	kind := data.MachineTypes[entry.MachineType]
-	m := o.addMachine(b, machineInfo{
-		name: entry.Name, machineType: kind.Type, zone: kind.Zone, spot: kind.Spot, endpoint: entry.Endpoint,
+	m := o.addMachine(b, inventory.MachineInfo{
+		Name: entry.Name, Type: kind.Type, Zone: kind.Zone, Spot: kind.Spot, Endpoint: entry.Endpoint,
 	})
-	m.provisionedAt = micros.Micros(entry.LaunchedAt + data.LaunchTimeBase)
-	m.recorded = true
+	m.ProvisionedAt = micros.Micros(entry.LaunchedAt + data.LaunchTimeBase)
+	m.Recorded = true
 	if entry.Decommissioning {
-		o.setMachineState(m, machineTerminating, "condemned by an earlier owner")
+		o.SetMachineState(m, inventory.MachineTerminating, "condemned by an earlier owner")
 	}
 	tasks, err := data.Unpack(entry)
 	if err != nil {
@@ -74,35 +77,35 @@
 
 // recoverAttempt takes over an attempt, unless its task is completed or, as a damaged record
 // could have it, does not exist or has an attempt elsewhere.
-func (o *owner) recoverAttempt(m *machine, spec *record.BlockJob, task record.BlockTask) {
+func (o *owner) recoverAttempt(m *inventory.Machine, spec *record.BlockJob, task record.BlockTask) {
 	j := o.unblockPlacedJob(spec.ID)
 	if j == nil {
 		j = o.addEndedJob(spec)
 	}
-	if task.Index >= j.Tasks || j.attempts[task.Index] != nil {
+	if task.Index >= j.Tasks || j.Attempts[task.Index] != nil {
 		return
 	}
-	if j.state != jobEnded && j.task(task.Index) == taskDone {
+	if j.State != inventory.JobEnded && j.TaskState(task.Index) == inventory.TaskDone {
 		return // the block was not written since
 	}
-	a := o.addAttempt(j, task.Index, task.Attempt, m, attemptStarting)
-	j.everPlaced = true
+	a := o.AddAttempt(j, task.Index, task.Attempt, m, inventory.AttemptStarting)
+	j.EverPlaced = true
 	if j.Gang {
-		o.setGangState(j, gangStarting)
+		o.SetGangState(j, inventory.GangStarting)
 	}
-	if j.state == jobEnded {
-		o.stopAttempt(a, 0, "job is over")
+	if j.State == inventory.JobEnded {
+		o.StopAttempt(a, 0, "job is over")
 	}
 }
 
 // addEndedJob adds a job that has ended, while attempts of it are on machines still.
-func (o *owner) addEndedJob(spec *record.BlockJob) *job {
-	j := newJob(&sched.Job{
+func (o *owner) addEndedJob(spec *record.BlockJob) *inventory.Job {
+	j := inventory.NewJob(&sched.Job{
 		ID: spec.ID, Team: spec.Team, Tasks: spec.Tasks,
 		Need: sched.Resources{CPU: spec.CPU, GPU: spec.GPU, Mem: spec.Mem},
 	}, 0, 0)
-	o.setJobState(j, jobEnded)
-	o.jobs[j.ID] = j
+	o.SetJobState(j, inventory.JobEnded)
+	o.Jobs[j.ID] = j
 	o.unresolvedJobs = append(o.unresolvedJobs, j)
 	return j
 }
@@ -110,13 +113,13 @@
 // checkRecoveredJobs drops ended jobs without attempts, and stops gangs of which not all tasks
 // are recorded.
 func (o *owner) checkRecoveredJobs() {
-	for _, id := range sortedKeys(o.jobs) {
-		j := o.jobs[id]
-		if j.state == jobEnded && len(j.attempts) == 0 {
-			delete(o.jobs, id)
+	for _, id := range ordered.Keys(o.Jobs) {
+		j := o.Jobs[id]
+		if j.State == inventory.JobEnded && len(j.Attempts) == 0 {
+			delete(o.Jobs, id)
 		}
-		if j.state == jobActive && j.Gang && len(j.attempts) > 0 && len(j.attempts)+j.completedCount < j.Tasks {
-			o.stopJob(j, 0, "gang was not recorded whole")
+		if j.State == inventory.JobActive && j.Gang && len(j.Attempts) > 0 && len(j.Attempts)+j.CompletedCount < j.Tasks {
+			o.StopJob(j, 0, "gang was not recorded whole")
 		}
 	}
 }
@@ -129,7 +132,7 @@
 	for range min(terminalStatesPerTick, len(o.unresolvedJobs)) {
 		j := o.unresolvedJobs[0]
 		o.unresolvedJobs = o.unresolvedJobs[1:]
-		if o.jobs[j.ID] != j {
+		if o.Jobs[j.ID] != j {
 			continue // its machines have reported
 		}
 		o.c.store.Get(budget.Reads, record.TerminalStateKey(j.ID), func(out kv.Outcome, e kv.Entry) {
@@ -148,12 +151,12 @@
 // are off their machines whether these report or not: a machine that is cut off need not be
 // deleted for them, as for tasks of a job that was cancelled, and a gang that runs there goes
 // on.
-func (o *owner) resolveJob(j *job, value []byte) {
+func (o *owner) resolveJob(j *inventory.Job, value []byte) {
 	var final record.TerminalState
 	if wire.Decode(value, &final) == nil && final.Status == record.StatusDone {
-		for _, a := range j.sortedAttempts() {
-			if a.machine.agentEpoch == 0 { // else its report tells
-				o.setAttemptState(a, attemptClosed)
+		for _, a := range j.SortedAttempts() {
+			if a.Machine.AgentEpoch == 0 { // else its report tells
+				o.SetAttemptState(a, inventory.AttemptClosed)
 			}
 		}
 		return
@@ -162,5 +165,5 @@
 	if final.FinishedAt == 0 { // an older version did not record it: as early as need be assumed
 		sinceEnd = o.c.cfg.CancellationDeadline
 	}
-	j.endedAt = max(1, o.c.now-sinceEnd)
+	j.EndedAt = max(1, o.c.now-sinceEnd)
 }
--- a/controller/recovery_machines_test.go
+++ b/controller/recovery_machines_test.go
@@ -3,6 +3,8 @@
 import (
 	"testing"
 
+	"tamarindlead/internal/inventory"
+
 	"tamarindlead/internal/cluster"
 	"tamarindlead/internal/kv"
 	"tamarindlead/internal/record"
@@ -33,17 +35,17 @@
 	o := newOwner(core, map[string]cluster.Team{})
 	core.setOwner(o)
 	job := &sched.Job{ID: "req-000001", Team: "red", Tasks: 1, Need: sched.NewResources(1, 0, 1)}
-	j := newJob(job, 5, 0)
-	o.jobs[j.ID] = j
+	j := inventory.NewJob(job, 5, 0)
+	o.Jobs[j.ID] = j
 	owner := core.node.ID()
 	o.recoverBlocks([]kv.Entry{
 		blockEntry(owner, "recorded", 10, "m-000001", job),
-		blockEntry(owner, adoptedPrefix+"m-000001", 20, "m-000001", nil),
+		blockEntry(owner, inventory.AdoptedPrefix+"m-000001", 20, "m-000001", nil),
 	})
-	if o.machines["m-000001"] == nil {
+	if o.Machines["m-000001"] == nil {
 		t.Fatal("the machine is not loaded")
 	}
-	if a := j.attempts[0]; a == nil || a.machine.name != "m-000001" {
+	if a := j.Attempts[0]; a == nil || a.Machine.Name != "m-000001" {
 		t.Error("the recorded attempt of the task is forgotten")
 	}
 }
--- a/controller/recovery_segments.go
+++ b/controller/recovery_segments.go
@@ -4,6 +4,9 @@
 	"slices"
 	"strings"
 
+	"tamarindlead/internal/inventory"
+	"tamarindlead/internal/ordered"
+
 	"tamarindlead/internal/kv"
 	"tamarindlead/internal/record"
 	"tamarindlead/internal/wire"
@@ -31,10 +34,10 @@
 		o.c.log.Error("record cannot be read", "key", e.Key, "error", err)
 		return
 	}
-	s := newCompletionSegment(team, name)
-	s.version = e.Version
+	s := inventory.NewCompletionSegment(team, name)
+	s.Version = e.Version
 	o.completionSegments = append(o.completionSegments, s)
-	for _, chunkName := range sortedKeys(rec.Chunks) {
+	for _, chunkName := range ordered.Keys(rec.Chunks) {
 		o.recoverChunk(s, chunkName, rec.Chunks[chunkName])
 	}
 }
@@ -42,35 +45,35 @@
 // recoverChunk takes over a chunk, unless its job has ended. It is in two shards if it was to
 // move from one to the other: the shard that is read last gets it, and the other stays until
 // that one has been written with what both say.
-func (o *owner) recoverChunk(s *completionSegment, name, bits string) {
+func (o *owner) recoverChunk(s *inventory.CompletionSegment, name, bits string) {
 	id, chunk, ok := record.SplitChunkName(name)
 	j := o.unblockPlacedJob(id)
 	if !ok || j == nil || chunk*record.TasksPerChunk >= j.Tasks {
 		return
 	}
-	if other := j.segments[chunk]; other != nil {
+	if other := j.Segments[chunk]; other != nil {
 		o.moveChunk(other, s, j, chunk)
 	} else {
-		s.addChunk(j, chunk)
+		s.AddChunk(j, chunk)
 	}
 	o.recoverCompletions(j, chunk, bits)
 }
 
 // recoverCompletions takes over the completed tasks of a chunk.
-func (o *owner) recoverCompletions(j *job, chunk int, bits string) {
-	j.allocateTaskStates()
-	if err := j.completed.MergeChunk(chunk, bits); err != nil {
+func (o *owner) recoverCompletions(j *inventory.Job, chunk int, bits string) {
+	j.AllocateTaskStates()
+	if err := j.Completed.MergeChunk(chunk, bits); err != nil {
 		o.c.log.Error("record cannot be read", "job", j.ID, "chunk", chunk, "error", err)
 		return
 	}
 	for i := chunk * record.TasksPerChunk; i < min((chunk+1)*record.TasksPerChunk, j.Tasks); i++ {
-		if j.completed.Has(i) {
-			j.setTaskState(i, taskDone)
+		if j.Completed.Has(i) {
+			j.SetTaskState(i, inventory.TaskDone)
 		}
 	}
-	j.everPlaced = true
-	if j.completedCount == j.Tasks {
-		o.setJobState(j, jobFinishing)
+	j.EverPlaced = true
+	if j.CompletedCount == j.Tasks {
+		o.SetJobState(j, inventory.JobFinishing)
 	}
 }
 
@@ -78,20 +81,20 @@
 // never be written again. They are deleted once the other shards are written.
 func (o *owner) emptyLargeSegments() {
 	for _, s := range slices.Clone(o.completionSegments) {
-		if s.bytes <= o.maxSegmentBytes() {
+		if s.Bytes <= o.maxSegmentBytes() {
 			continue
 		}
-		o.c.log.Info("shard too large", "shard", s.key(), "bytes", s.bytes, "chunks", len(s.chunks))
-		for _, k := range s.sortedChunks() {
-			j := s.chunks[k]
-			o.moveChunk(s, o.segmentWithRoom(j, k.chunk, s), j, k.chunk)
+		o.c.log.Info("shard too large", "shard", s.Key(), "bytes", s.Bytes, "chunks", len(s.Chunks))
+		for _, k := range s.SortedChunks() {
+			j := s.Chunks[k]
+			o.moveChunk(s, o.segmentWithRoom(j, k.Chunk, s), j, k.Chunk)
 		}
 	}
 }
 
 // splitSegmentKey splits the key of a shard of this owner's teams.
 func (o *owner) splitSegmentKey(key string) (team, name string, ok bool) {
-	for team := range o.teams {
+	for team := range o.Teams {
 		if name, ok := strings.CutPrefix(key, record.CompletionSegmentKey(team, "")); ok {
 			return team, name, true
 		}
--- a/controller/reservations.go
+++ b/controller/reservations.go
@@ -3,6 +3,9 @@
 import (
 	"strings"
 
+	"tamarindlead/internal/inventory"
+	"tamarindlead/internal/ordered"
+
 	"tamarindlead/internal/kv"
 	"tamarindlead/internal/record"
 	"tamarindlead/internal/wire"
@@ -54,7 +57,7 @@
 	case reservationReady:
 		h.expiresAt = o.c.now + o.c.cfg.Tuning.ReservationTimeout
 	case reservationReleased:
-		o.schedulingNeeded = true
+		o.SchedulingNeeded = true
 	}
 }
 
@@ -62,7 +65,7 @@
 func (o *owner) reservedResources(name string) sched.Resources {
 	var sum sched.Resources
 	for id, h := range o.reservations {
-		if j := o.jobs[id]; h.state != reservationReleased && j != nil && j.gangState == gangNone {
+		if j := o.Jobs[id]; h.state != reservationReleased && j != nil && j.GangState == inventory.GangNone {
 			sum = sum.Add(h.need.Times(h.machines[name]))
 		}
 	}
@@ -86,26 +89,26 @@
 
 // tickReservations moves holds on.
 func (o *owner) tickReservations() {
-	for _, id := range sortedKeys(o.reservations) {
-		h, j := o.reservations[id], o.jobs[id]
+	for _, id := range ordered.Keys(o.reservations) {
+		h, j := o.reservations[id], o.Jobs[id]
 		switch {
 		case h.state == reservationReleased:
-		case j == nil || j.state != jobActive:
+		case j == nil || j.State != inventory.JobActive:
 			o.setReservationState(h, reservationReleased, "the gang is over")
 		case o.reservationBroken(h):
 			o.setReservationState(h, reservationReleased, "a machine is gone")
-		case j.gangState == gangStarting && o.allLive(j):
-			j.failedPreemptions = 0
+		case j.GangState == inventory.GangStarting && o.allLive(j):
+			j.FailedPreemptions = 0
 			o.setReservationState(h, reservationReleased, "the gang has started")
 		case h.state == reservationStopping && o.reservedRoomFree(h):
 			o.setReservationState(h, reservationReady, "all stops have ended")
-			o.schedulingNeeded = true
+			o.SchedulingNeeded = true
 		case h.state == reservationStopping && o.c.now > h.expiresAt:
 			o.setReservationState(h, reservationReleased, "its room does not come free")
-		case h.state == reservationReady && j.gangState == gangNone && o.c.now > h.expiresAt:
+		case h.state == reservationReady && j.GangState == inventory.GangNone && o.c.now > h.expiresAt:
 			// Each eviction in vain doubles the pause before the next (ours).
-			j.nextPreemptionAt = o.c.now + o.c.cfg.Tuning.ReservationTimeout<<min(j.failedPreemptions, 4)
-			j.failedPreemptions++
+			j.NextPreemptionAt = o.c.now + o.c.cfg.Tuning.ReservationTimeout<<min(j.FailedPreemptions, 4)
+			j.FailedPreemptions++
 			o.setReservationState(h, reservationReleased, "the gang has not started")
 		}
 	}
@@ -114,7 +117,7 @@
 // reservationBroken tells that a machine of a hold can't be used any more.
 func (o *owner) reservationBroken(h *reservation) bool {
 	for name := range h.machines {
-		if m := o.machines[name]; m == nil || m.state != machineReady {
+		if m := o.Machines[name]; m == nil || m.State != inventory.MachineReady {
 			return true
 		}
 	}
@@ -124,8 +127,8 @@
 // reservedRoomFree tells whether the held room is free of what had to go.
 func (o *owner) reservedRoomFree(h *reservation) bool {
 	for name, n := range h.machines {
-		m := o.machines[name]
-		if !h.need.Times(n).Fits(m.size.Sub(m.used)) {
+		m := o.Machines[name]
+		if !h.need.Times(n).Fits(m.Size.Sub(m.Used)) {
 			return false
 		}
 	}
@@ -133,20 +136,20 @@
 }
 
 // allLive tells that all tasks of a job that have a place run.
-func (o *owner) allLive(j *job) bool {
-	for _, a := range j.attempts {
-		if a.state != attemptLive || a.phase != wire.PhaseRunning {
+func (o *owner) allLive(j *inventory.Job) bool {
+	for _, a := range j.Attempts {
+		if a.State != inventory.AttemptLive || a.Phase != wire.PhaseRunning {
 			return false
 		}
 	}
-	return len(j.attempts) > 0
+	return len(j.Attempts) > 0
 }
 
 // flushReservations writes the records of holds, and removes those that are over.
 func (o *owner) flushReservations(t *transaction, full func() bool) {
-	for _, id := range sortedKeys(o.reservations) {
+	for _, id := range ordered.Keys(o.reservations) {
 		h := o.reservations[id]
-		if h.state == holdPlanned && o.jobs[id] == nil {
+		if h.state == holdPlanned && o.Jobs[id] == nil {
 			o.setReservationState(h, reservationReleased, "the gang is over")
 		}
 		if h.writing || h.state != holdPlanned && h.state != reservationReleased {
@@ -160,7 +163,7 @@
 		if over {
 			t.writes = append(t.writes, kv.Write{Delete: record.ReservationKey(id)})
 		} else {
-			t.preconditions[record.ActiveJobKey(id)] = o.jobs[id].version
+			t.preconditions[record.ActiveJobKey(id)] = o.Jobs[id].Version
 			t.put(record.ReservationKey(id), record.Reservation{Machines: h.machines})
 		}
 		t.results = append(t.results, func(ok bool, _ uint64) {
@@ -169,7 +172,7 @@
 			case !ok:
 			case over:
 				delete(o.reservations, id)
-				o.schedulingNeeded = true
+				o.SchedulingNeeded = true
 			case h.state == holdPlanned:
 				o.setReservationState(h, reservationStopping, "recorded")
 				o.preemptVictims(h)
--- a/controller/scale_out.go
+++ b/controller/scale_out.go
@@ -3,6 +3,9 @@
 import (
 	"strings"
 
+	"tamarindlead/internal/inventory"
+	"tamarindlead/internal/ordered"
+
 	"tamarindlead/internal/autoscaler"
 	"tamarindlead/internal/kv"
 	"tamarindlead/internal/record"
@@ -78,7 +81,7 @@
 // flushScaleOutRequests records the names of rentals before they are asked for, and removes
 // those that are over.
 func (o *owner) flushScaleOutRequests(t *transaction, full func() bool) {
-	for _, name := range sortedKeys(o.scaleOutRequests) {
+	for _, name := range ordered.Keys(o.scaleOutRequests) {
 		r := o.scaleOutRequests[name]
 		if r.state == scaleOutGranted && o.allMachinesClaimed(r) {
 			o.setScaleOutState(r, scaleOutDone)
@@ -122,7 +125,7 @@
 // allMachinesClaimed tells that all machines of a rental are recorded.
 func (o *owner) allMachinesClaimed(r *scaleOutRequest) bool {
 	for _, name := range r.machines {
-		if m := o.machines[name]; m != nil && m.fencingToken == 0 {
+		if m := o.Machines[name]; m != nil && m.FencingToken == 0 {
 			return false
 		}
 	}
@@ -165,9 +168,9 @@
 func (o *owner) handleScaleOutGranted(r *scaleOutRequest, names []string) {
 	r.machines = names
 	for _, name := range names {
-		if o.machines[name] == nil {
-			m := o.newMachine(machineInfo{name: name, machineType: r.offer.Type, zone: r.offer.Zone, spot: r.offer.Spot})
-			m.provisionedAt = o.c.wallClock
+		if o.Machines[name] == nil {
+			m := o.newMachine(inventory.MachineInfo{Name: name, Type: r.offer.Type, Zone: r.offer.Zone, Spot: r.offer.Spot})
+			m.ProvisionedAt = o.c.wallClock
 		}
 	}
 	if len(names) < r.machineCount {
@@ -189,12 +192,12 @@
 
 // terminateMachines asks the cloud to delete machines that are to go.
 func (o *owner) terminateMachines() {
-	if !o.terminationNeeded || o.terminating || o.c.now < o.nextTermination {
+	if !o.TerminationNeeded || o.terminating || o.c.now < o.nextTermination {
 		return
 	}
 	names := o.terminableMachines()
 	if len(names) == 0 {
-		o.terminationNeeded = false
+		o.TerminationNeeded = false
 		return
 	}
 	if !o.c.cloudRate.AllowN(o.c.now.Time(), 1) {
@@ -217,9 +220,9 @@
 // recorded, and those for which there is no time for that.
 func (o *owner) terminableMachines() []string {
 	var names []string
-	for _, name := range sortedKeys(o.machines) {
-		m := o.machines[name]
-		due := m.state == machineTerminating || m.state == machineDecommissioning && o.cancellationOverdue(m, overdueTerminateFraction)
+	for _, name := range ordered.Keys(o.Machines) {
+		m := o.Machines[name]
+		due := m.State == inventory.MachineTerminating || m.State == inventory.MachineDecommissioning && o.cancellationOverdue(m, overdueTerminateFraction)
 		if due && len(names) < maxTerminationsPerCall && o.mayTerminate(m) {
 			names = append(names, name)
 		}
@@ -230,11 +233,11 @@
 // handleMachinesTerminated notes that the cloud has deleted machines.
 func (o *owner) handleMachinesTerminated(names []string) {
 	for _, name := range names {
-		m := o.machines[name]
-		if m == nil || m.state != machineTerminating && m.state != machineDecommissioning {
+		m := o.Machines[name]
+		if m == nil || m.State != inventory.MachineTerminating && m.State != inventory.MachineDecommissioning {
 			continue
 		}
 		o.recentlyTerminated[name] = o.c.now + terminatedRetention
-		o.setMachineState(m, machineTerminated, "deleted by the cloud")
+		o.SetMachineState(m, inventory.MachineTerminated, "deleted by the cloud")
 	}
 }
--- a/controller/scenario_jobs_test.go
+++ b/controller/scenario_jobs_test.go
@@ -4,6 +4,8 @@
 	"fmt"
 	"testing"
 
+	"tamarindlead/internal/ordered"
+
 	"github.com/cockroachdb/datadriven"
 
 	"tamarindlead/internal/fake"
@@ -114,7 +116,7 @@
 // unfinished lists accepted or submitted jobs whose users were told no final state.
 func unfinished(w *simulation) []string {
 	var left []string
-	for _, id := range sortedKeys(w.submitted) {
+	for _, id := range ordered.Keys(w.submitted) {
 		if w.reportedTerminal[id] == "" {
 			left = append(left, id)
 		}
--- a/controller/scenario_pipelines_test.go
+++ b/controller/scenario_pipelines_test.go
@@ -6,6 +6,8 @@
 	"strings"
 	"testing"
 
+	"tamarindlead/internal/ordered"
+
 	"github.com/cockroachdb/datadriven"
 
 	"tamarindlead/internal/wire"
@@ -201,7 +203,7 @@
 			n[s]++
 		}
 		var lines []string
-		for _, s := range sortedKeys(n) {
+		for _, s := range ordered.Keys(n) {
 			lines = append(lines, fmt.Sprintf("%d %s", n[s], s))
 		}
 		return strings.Join(lines, ", "), true
--- a/controller/simulation_test.go
+++ b/controller/simulation_test.go
@@ -10,6 +10,8 @@
 	"slices"
 	"strconv"
 
+	"tamarindlead/internal/ordered"
+
 	"tamarindlead/config"
 	"tamarindlead/internal/fake"
 	"tamarindlead/internal/wire"
@@ -152,7 +154,7 @@
 
 func (w *simulation) crash(n *simNode, down micros.Micros) {
 	n.up, n.incarnation, n.downUntil = false, n.incarnation+1, w.now+down
-	for _, id := range sortedKeys(n.pending) {
+	for _, id := range ordered.Keys(n.pending) {
 		n.pending[id](Respond{})
 	}
 	n.pending = nil
--- a/controller/simulation_workers_test.go
+++ b/controller/simulation_workers_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"tamarindlead/internal/fake"
+	"tamarindlead/internal/ordered"
 	"tamarindlead/internal/wire"
 	"tamarindlead/micros"
 )
@@ -15,7 +16,7 @@
 	}
 }
 
-func (w *simulation) workerNames() []string { return sortedKeys(w.workers) }
+func (w *simulation) workerNames() []string { return ordered.Keys(w.workers) }
 
 func (w *simulation) bootMachines() {
 	for _, name := range w.cloud.MachineNames() {
--- a/controller/status.go
+++ b/controller/status.go
@@ -3,6 +3,9 @@
 import (
 	"math"
 
+	"tamarindlead/internal/inventory"
+	"tamarindlead/internal/ordered"
+
 	"tamarindlead/micros"
 	"tamarindlead/sched"
 )
@@ -39,7 +42,7 @@
 // logStatus logs what an owner's machines do, and what waits for them.
 func (o *owner) logStatus() {
 	fleets := o.fleets()
-	for _, kind := range sortedKeys(fleets) {
+	for _, kind := range ordered.Keys(fleets) {
 		f := fleets[kind]
 		o.c.log.Info("fleet", "kind", kind, "up", f.ready, "idle", f.idle, "booting", f.booting, "leaving", f.leaving,
 			"cpus", int(f.cpus), "used", int(f.usedCPUs))
@@ -56,9 +59,9 @@
 // fleets counts an owner's machines, by type and by whether they are spot machines.
 func (o *owner) fleets() map[string]*fleet {
 	fleets := map[string]*fleet{}
-	for _, m := range o.sortedMachines {
-		kind := m.machineType
-		if m.spot {
+	for _, m := range o.SortedMachines {
+		kind := m.Type
+		if m.Spot {
 			kind += " spot"
 		}
 		if fleets[kind] == nil {
@@ -69,29 +72,29 @@
 	return fleets
 }
 
-func (f *fleet) count(m *machine) {
-	switch m.state {
-	case machineBooting:
+func (f *fleet) count(m *inventory.Machine) {
+	switch m.State {
+	case inventory.MachineBooting:
 		f.booting++
 		return
-	case machineReady:
+	case inventory.MachineReady:
 		f.ready++
-		if len(m.attempts) == 0 {
+		if len(m.Attempts) == 0 {
 			f.idle++
 		}
 	default:
 		f.leaving++
 	}
-	f.cpus += m.size.CPUs()
-	f.usedCPUs += m.used.CPUs()
+	f.cpus += m.Size.CPUs()
+	f.usedCPUs += m.Used.CPUs()
 }
 
 // logWork logs what waits for machines.
 func (o *owner) logWork() {
 	jobs, gangs, tasks := 0, 0, 0
-	for _, j := range o.queue {
-		waiting := min(j.pending, o.quotaHeadroom(j, sched.Resources{}))
-		if waiting <= 0 || j.state != jobActive {
+	for _, j := range o.Queue {
+		waiting := min(j.Pending, o.quotaHeadroom(j, sched.Resources{}))
+		if waiting <= 0 || j.State != inventory.JobActive {
 			continue
 		}
 		jobs++
@@ -101,7 +104,7 @@
 		}
 	}
 	lossesPerHour := o.c.spotRisk.PerSecond(o.c.cfg.Tuning.SpotLossesPerHour) * secondsPerHour
-	o.c.log.Info("work", "jobs", len(o.queue), "waiting_jobs", jobs, "waiting_gangs", gangs, "waiting_tasks", tasks,
-		"awaiting_others", len(o.blockedJobs), "proposed", o.assumed, "blocks", len(o.blocks), "shards", len(o.completionSegments),
+	o.c.log.Info("work", "jobs", len(o.Queue), "waiting_jobs", jobs, "waiting_gangs", gangs, "waiting_tasks", tasks,
+		"awaiting_others", len(o.BlockedJobs), "proposed", o.Assumed, "blocks", len(o.blocks), "shards", len(o.completionSegments),
 		"holds", len(o.reservations), "spot_losses_per_h", math.Round(lossesPerHour*10)/10)
 }
--- a/controller/task_exits.go
+++ b/controller/task_exits.go
@@ -1,6 +1,7 @@
 package controller
 
 import (
+	"tamarindlead/internal/inventory"
 	"tamarindlead/internal/wire"
 	"tamarindlead/micros"
 )
@@ -20,7 +21,7 @@
 )
 
 // handleTaskExit handles a task that the machine reports as ended.
-func (o *owner) handleTaskExit(a *attempt, task *wire.TaskStatus) {
+func (o *owner) handleTaskExit(a *inventory.Attempt, task *wire.TaskStatus) {
 	if task.Cause == wire.CauseDone {
 		o.handleTaskCompleted(a)
 		return
@@ -31,30 +32,30 @@
 	case wire.CauseUnknownTask:
 		o.handleTaskFailed(a, false)
 	case wire.CauseInsufficientResources, wire.CauseBusy:
-		a.machine.quarantinedUntil = o.c.now + startRefusalQuarantine
+		a.Machine.QuarantinedUntil = o.c.now + startRefusalQuarantine
 	}
-	o.c.log.Info("task ended", "task", task.Task, "machine", a.machine.name, "cause", task.Cause,
-		"saved", task.Checkpointed, "why", a.reason)
+	o.c.log.Info("task ended", "task", task.Task, "machine", a.Machine.Name, "cause", task.Cause,
+		"saved", task.Checkpointed, "why", a.Reason)
 	o.handleAttemptLost(a, string(task.Cause))
 }
 
 // handleTaskCompleted handles a task that ended with its result.
-func (o *owner) handleTaskCompleted(a *attempt) {
-	j := a.job
-	a.machine.consecutiveErrors = 0
-	if j.state != jobActive {
-		o.setAttemptState(a, attemptRemoving)
+func (o *owner) handleTaskCompleted(a *inventory.Attempt) {
+	j := a.Job
+	a.Machine.ConsecutiveErrors = 0
+	if j.State != inventory.JobActive {
+		o.SetAttemptState(a, inventory.AttemptRemoving)
 		return
 	}
-	j.failures = 0
-	clear(j.failedOn)
+	j.Failures = 0
+	clear(j.FailedOn)
 	o.observeRunTime(a)
-	o.setAttemptState(a, attemptCompleted)
+	o.SetAttemptState(a, inventory.AttemptCompleted)
 	if j.Gang {
 		o.completeGang(a)
 	}
-	if j.completedCount == j.Tasks {
-		o.setJobState(j, jobFinishing)
+	if j.CompletedCount == j.Tasks {
+		o.SetJobState(j, inventory.JobFinishing)
 	}
 }
 
@@ -62,71 +63,71 @@
 // those whose machines are gone, for which another attempt of the gang would wait for ever.
 // Those that ran are off their machines. When a completed gang was started again, each task
 // ends by itself, and keeps its resources until its machine reports that.
-func (o *owner) completeGang(first *attempt) {
-	j := first.job
-	for _, a := range j.sortedAttempts() {
-		if a.number == first.number && (first.runningSince != 0 || a.runningSince != 0) {
-			o.setAttemptState(a, attemptCompleted)
+func (o *owner) completeGang(first *inventory.Attempt) {
+	j := first.Job
+	for _, a := range j.SortedAttempts() {
+		if a.Number == first.Number && (first.RunningSince != 0 || a.RunningSince != 0) {
+			o.SetAttemptState(a, inventory.AttemptCompleted)
 		}
 	}
 	for task := range j.Tasks {
-		j.setTaskState(task, taskDone)
+		j.SetTaskState(task, inventory.TaskDone)
 	}
 }
 
 // handleTaskFailed counts a failure, and tells a faulty machine from a job that fails everywhere.
-func (o *owner) handleTaskFailed(a *attempt, machineToo bool) {
-	j, m := a.job, a.machine
-	j.failures++
-	j.failedOn[m.name] = true
-	if machineToo && len(j.failedOn) <= maxFaultyMachines {
-		m.consecutiveErrors++
-	}
-	if m.consecutiveErrors >= o.c.cfg.Tuning.QuarantineThreshold && m.state == machineReady {
-		o.setMachineState(m, machineDraining, "fails task after task")
-		for _, b := range m.sortedAttempts() {
+func (o *owner) handleTaskFailed(a *inventory.Attempt, machineToo bool) {
+	j, m := a.Job, a.Machine
+	j.Failures++
+	j.FailedOn[m.Name] = true
+	if machineToo && len(j.FailedOn) <= maxFaultyMachines {
+		m.ConsecutiveErrors++
+	}
+	if m.ConsecutiveErrors >= o.c.cfg.Tuning.QuarantineThreshold && m.State == inventory.MachineReady {
+		o.SetMachineState(m, inventory.MachineDraining, "fails task after task")
+		for _, b := range m.SortedAttempts() {
 			if b != a {
 				o.evict(b, "machine is faulty")
 			}
 		}
 	}
-	if len(j.failedOn) > maxFaultyMachines || j.Gang {
-		pause := initialErrorBackoff << min(j.failures, maxBackoffDoublings)
-		j.backoffUntil = max(j.backoffUntil, o.c.now+min(pause, maxErrorBackoff))
+	if len(j.FailedOn) > maxFaultyMachines || j.Gang {
+		pause := initialErrorBackoff << min(j.Failures, maxBackoffDoublings)
+		j.BackoffUntil = max(j.BackoffUntil, o.c.now+min(pause, maxErrorBackoff))
 	}
 }
 
 // evict stops an attempt with time to save its progress; of a gang, all attempts.
-func (o *owner) evict(a *attempt, why string) {
+func (o *owner) evict(a *inventory.Attempt, why string) {
 	grace := micros.Micros(0)
-	if a.job.CheckpointInterval > 0 {
-		grace = a.job.CheckpointDuration + micros.Second
+	if a.Job.CheckpointInterval > 0 {
+		grace = a.Job.CheckpointDuration + micros.Second
 	}
-	if a.job.Gang {
-		o.stopJob(a.job, grace, why)
+	if a.Job.Gang {
+		o.StopJob(a.Job, grace, why)
 		return
 	}
-	o.stopAttempt(a, grace, why)
+	o.StopAttempt(a, grace, why)
 }
 
 // handleReclaimNotice handles the cloud's notice that it reclaims a spot machine.
-func (o *owner) handleReclaimNotice(m *machine, left micros.Micros) {
-	first := m.reclaimAt == 0
-	m.reclaimAt = o.c.now + left
-	if m.state == machineReady || m.state == machineTransferring {
-		o.setMachineState(m, machineDraining, "taken back by the cloud")
+func (o *owner) handleReclaimNotice(m *inventory.Machine, left micros.Micros) {
+	first := m.ReclaimAt == 0
+	m.ReclaimAt = o.c.now + left
+	if m.State == inventory.MachineReady || m.State == inventory.MachineTransferring {
+		o.SetMachineState(m, inventory.MachineDraining, "taken back by the cloud")
 	}
 	if !first {
 		return
 	}
 	o.recordSpotReclaimed(m)
-	for _, a := range m.sortedAttempts() {
+	for _, a := range m.SortedAttempts() {
 		// A task that would not complete in time is stopped now: it saves if it can, and
 		// starts elsewhere the sooner. One that cannot save and has run for long may still
 		// complete, so it goes on.
 		ran := micros.Micros(0)
-		if a.runningSince != 0 && a.job.CheckpointInterval == 0 {
-			ran = o.c.now - a.runningSince
+		if a.RunningSince != 0 && a.Job.CheckpointInterval == 0 {
+			ran = o.c.now - a.RunningSince
 		}
 		if o.remainingRunTime(a) > left-micros.Second && ran < left {
 			o.evict(a, "machine is taken back")
@@ -135,11 +136,11 @@
 }
 
 // remainingRunTime estimates how long an attempt still takes.
-func (o *owner) remainingRunTime(a *attempt) micros.Micros {
-	total := o.estimatedRunTime(a.job)
-	if a.runningSince == 0 {
+func (o *owner) remainingRunTime(a *inventory.Attempt) micros.Micros {
+	total := o.estimatedRunTime(a.Job)
+	if a.RunningSince == 0 {
 		return total
 	}
-	ran := o.c.now - a.runningSince
+	ran := o.c.now - a.RunningSince
 	return max(total-ran, ran/4, micros.Second)
 }
--- a/controller/terminal_state_reads.go
+++ b/controller/terminal_state_reads.go
@@ -4,6 +4,8 @@
 	"slices"
 	"strings"
 
+	"tamarindlead/internal/ordered"
+
 	"tamarindlead/internal/budget"
 	"tamarindlead/internal/kv"
 	"tamarindlead/internal/record"
@@ -60,7 +62,7 @@
 func (c *Core) handleTerminalStatesRead(found map[string]record.TerminalState, ok bool) {
 	resolution := &c.jobView.resolution
 	resolution.reading, resolution.retryAt = false, c.now+fastTickInterval
-	for _, id := range sortedKeys(found) {
+	for _, id := range ordered.Keys(found) {
 		c.applyTerminalState(id, found[id])
 	}
 	if !ok || len(found) == 0 {
--- a/controller/users_completion_test.go
+++ b/controller/users_completion_test.go
@@ -3,6 +3,8 @@
 import (
 	"slices"
 
+	"tamarindlead/internal/ordered"
+
 	"tamarindlead/internal/wire"
 	"tamarindlead/sched"
 )
@@ -46,7 +48,7 @@
 		}
 	}
 	w.checkPipelinesCompleted()
-	for _, name := range sortedKeys(groups) {
+	for _, name := range ordered.Keys(groups) {
 		if g := groups[name]; 2*g.completed < g.all {
 			w.reportViolation("unserved: %d of %d of %s", g.completed, g.all, name)
 		}
@@ -56,7 +58,7 @@
 // expectedJobs lists the jobs that should be served.
 func (w *simulation) expectedJobs() []string {
 	var ids []string
-	for _, id := range sortedKeys(w.submitted) {
+	for _, id := range ordered.Keys(w.submitted) {
 		if w.cancelRequested[id] || w.infos[id].Fails || w.neverFits(w.submitted[id]) != "" || w.hasFailedDependency(id) || w.isBlocked(id) {
 			continue
 		}
--- a/controller/users_requests_test.go
+++ b/controller/users_requests_test.go
@@ -4,6 +4,8 @@
 	"slices"
 	"testing"
 
+	"tamarindlead/internal/ordered"
+
 	"github.com/cockroachdb/datadriven"
 
 	"tamarindlead/internal/wire"
@@ -22,7 +24,7 @@
 	to, sent := users.rng.IntN(len(w.nodes)), w.now
 	pick := func(is func(id string) bool) string {
 		var ids []string
-		for _, id := range sortedKeys(w.accepted) {
+		for _, id := range ordered.Keys(w.accepted) {
 			if is(id) {
 				ids = append(ids, id)
 			}
--- a/controller/users_test.go
+++ b/controller/users_test.go
@@ -6,6 +6,8 @@
 	"slices"
 	"strings"
 
+	"tamarindlead/internal/ordered"
+
 	"tamarindlead/config"
 	"tamarindlead/internal/fake"
 	"tamarindlead/internal/wire"
@@ -217,7 +219,7 @@
 	}
 }
 
-// jobEnded is called when a task completes: some users cancel, ask and submit again at the
+// JobEnded is called when a task completes: some users cancel, ask and submit again at the
 // very moment at which the last one does.
 func (w *simulation) jobEnded(id string) {
 	users := &w.users
@@ -268,7 +270,7 @@
 		return
 	}
 	users.nextSchedulingCheck = w.now + micros.Second
-	for _, id := range sortedKeys(w.accepted) {
+	for _, id := range ordered.Keys(w.accepted) {
 		if !w.isSchedulable(id) {
 			delete(users.schedulableSince, id)
 			continue
--- a/controller/write_priority.go
+++ b/controller/write_priority.go
@@ -3,6 +3,8 @@
 import (
 	"cmp"
 	"slices"
+
+	"tamarindlead/internal/inventory"
 )
 
 // Weights of what the write of a record brings, in tasks that may start.
@@ -17,8 +19,8 @@
 
 // dueRecord is a block or a shard that must be written.
 type dueRecord struct {
-	block   *block
-	segment *completionSegment
+	block   *inventory.Block
+	segment *inventory.CompletionSegment
 	urgency int
 }
 
@@ -26,7 +28,7 @@
 func (o *owner) flushClaims(t *transaction, room func() int) {
 	var due []dueRecord
 	for _, b := range o.blocks {
-		if o.isDue(b) && b.hasUnclaimed() {
+		if o.isDue(b) && b.HasUnclaimed() {
 			due = append(due, dueRecord{block: b, urgency: o.blockUrgency(b)})
 		}
 	}
@@ -45,7 +47,7 @@
 		}
 	}
 	for _, s := range o.completionSegments {
-		if s.isDue() {
+		if s.IsDue() {
 			due = append(due, dueRecord{segment: s, urgency: o.segmentUrgency(s)})
 		}
 	}
@@ -67,18 +69,18 @@
 	}
 }
 
-// isDue tells whether the block must and may be written.
-func (o *owner) isDue(b *block) bool {
-	return b.dirty && !b.writing && b.unwrittenTargets == 0 && o.c.now >= b.retryAt
+// IsDue tells whether the block must and may be written.
+func (o *owner) isDue(b *inventory.Block) bool {
+	return b.Dirty && !b.Writing && b.UnwrittenTargets == 0 && o.c.now >= b.RetryAt
 }
 
 // blockUrgency orders blocks that must be written.
-func (o *owner) blockUrgency(b *block) int {
-	n := int(blockWaitWeight * (o.c.now - b.dirtySince).Seconds())
-	for _, m := range b.machines {
-		n += m.urgency()
-		if m.dirty {
-			n += m.attemptsUrgency()
+func (o *owner) blockUrgency(b *inventory.Block) int {
+	n := int(blockWaitWeight * (o.c.now - b.DirtySince).Seconds())
+	for _, m := range b.Machines {
+		n += machineUrgency(m)
+		if m.Dirty {
+			n += attemptsUrgency(m)
 		}
 	}
 	return n
@@ -87,6 +89,34 @@
 // segmentUrgency orders shards among blocks. A completion waits at no cost: its room is free,
 // and its machine goes on reporting it. Many teams have as many shards, all of which change
 // with every second; written first, they would take all writes from placements.
-func (o *owner) segmentUrgency(s *completionSegment) int {
-	return int(segmentWaitWeight * (o.c.now - s.dirtySince).Seconds())
+func (o *owner) segmentUrgency(s *inventory.CompletionSegment) int {
+	return int(segmentWaitWeight * (o.c.now - s.DirtySince).Seconds())
+}
+
+// machineUrgency is what the machine's own state adds to the urgency of its block.
+func machineUrgency(m *inventory.Machine) int {
+	switch {
+	case m.IsUnclaimed():
+		return claimWeight
+	case m.Fencing == inventory.FencingNeeded:
+		return fencingWeight
+	case m.State == inventory.MachineDecommissioning || m.State == inventory.MachineTerminated:
+		return machineWeight
+	}
+	return 0
+}
+
+// attemptsUrgency is what the attempts on a machine add to the urgency of its block.
+func attemptsUrgency(m *inventory.Machine) int {
+	n := 0
+	for _, a := range m.Attempts {
+		switch {
+		case a.State != inventory.AttemptAssumed && a.State != inventory.AttemptRemoving:
+		case a.Job.Gang:
+			n += gangWeight
+		default:
+			n++
+		}
+	}
+	return n
 }
--- a/internal/autoscaler/classes.go
+++ b/internal/autoscaler/classes.go
@@ -1,11 +1,10 @@
 package autoscaler
 
 import (
-	"cmp"
 	"maps"
-	"slices"
 	"strings"
 
+	"tamarindlead/internal/ordered"
 	"tamarindlead/micros"
 	"tamarindlead/sched"
 )
@@ -163,7 +162,7 @@
 // this type only; of several classes the one that needs the most processors counts.
 func (c *Classes) LargestSingleTypeNeeds(now micros.Micros) map[string]sched.Resources {
 	needs := map[string]sched.Resources{}
-	for _, name := range sortedKeys(c.byName) {
+	for _, name := range ordered.Keys(c.byName) {
 		stats := c.byName[name]
 		if !stats.singleType() || !stats.recent(now) {
 			continue
@@ -191,8 +190,3 @@
 	stats := c.byName[name]
 	return stats != nil && len(stats.gangSizes) > 0
 }
-
-// sortedKeys returns the keys of a map in ascending order.
-func sortedKeys[K cmp.Ordered, V any](m map[K]V) []K {
-	return slices.Sorted(maps.Keys(m))
-}
--- a/internal/autoscaler/scale_out_gang.go
+++ b/internal/autoscaler/scale_out_gang.go
@@ -1,6 +1,9 @@
 package autoscaler
 
-import "tamarindlead/sched"
+import (
+	"tamarindlead/internal/ordered"
+	"tamarindlead/sched"
+)
 
 // scaleOutGangs requests machines for gangs that the present ones will not run in time, and
 // for the warm pool of gangs that are expected.
@@ -78,7 +81,7 @@
 func (g *gangScaleOut) useExistingCapacity() {
 	switch {
 	case !g.job.OneZone:
-		for _, zone := range sortedKeys(g.capacity) {
+		for _, zone := range ordered.Keys(g.capacity) {
 			g.placedByZone[zone] += g.take(zone, g.zoneMax(zone))
 		}
 	case g.zone != "":
--- a/internal/autoscaler/warm_pool.go
+++ b/internal/autoscaler/warm_pool.go
@@ -4,6 +4,7 @@
 	"slices"
 
 	"tamarindlead/config"
+	"tamarindlead/internal/ordered"
 	"tamarindlead/micros"
 	"tamarindlead/sched"
 )
@@ -38,7 +39,7 @@
 // Claim counts a machine with that many free resources towards the warm pool and returns
 // true, if the pool needs it.
 func (w *WarmPool) Claim(offer Offer, free sched.Resources) bool {
-	for _, name := range sortedKeys(w.tasks) {
+	for _, name := range ordered.Keys(w.tasks) {
 		missing, job := w.tasks[name], w.classes.byName[name].latest
 		if missing <= 0 || !job.Allows(offer.Type, offer.Zone, offer.Spot) {
 			continue
--- a/internal/dag/changes.go
+++ b/internal/dag/changes.go
@@ -2,6 +2,7 @@
 
 import (
 	"tamarindlead/internal/kv"
+	"tamarindlead/internal/ordered"
 	"tamarindlead/micros"
 )
 
@@ -30,9 +31,9 @@
 // restore applies to a job what was known of it before a listing.
 func (g *Graph) restore(job, before *BlockedJob) {
 	if before.dependenciesKnown && !job.dependenciesKnown {
-		g.setPendingDependencies(job, sortedKeys(before.pendingDependencies))
+		g.setPendingDependencies(job, ordered.Keys(before.pendingDependencies))
 	}
-	for _, id := range sortedKeys(job.pendingDependencies) {
+	for _, id := range ordered.Keys(job.pendingDependencies) {
 		if before.dependenciesKnown && !before.pendingDependencies[id] {
 			g.unlink(job, id)
 		}
--- a/internal/dag/resolution.go
+++ b/internal/dag/resolution.go
@@ -3,12 +3,13 @@
 import (
 	"slices"
 
+	"tamarindlead/internal/ordered"
 	"tamarindlead/micros"
 )
 
 // MarkDone applies to a job's dependents that the job was done at a wall clock time.
 func (g *Graph) MarkDone(id string, at micros.Micros) {
-	for _, dependentID := range sortedKeys(g.dependents[id]) {
+	for _, dependentID := range ordered.Keys(g.dependents[id]) {
 		job := g.dependents[id][dependentID]
 		if job == nil {
 			continue // removed by the observer during this loop
@@ -25,7 +26,7 @@
 // that a user cancelled: the job itself or one upstream of it.
 func (g *Graph) MarkCancelled(id, root string) {
 	delete(g.unresolvedJobs, id)
-	for _, dependentID := range sortedKeys(g.dependents[id]) {
+	for _, dependentID := range ordered.Keys(g.dependents[id]) {
 		if job := g.dependents[id][dependentID]; job != nil && !job.Cancelled() {
 			g.cancel(job, root)
 		}
@@ -42,7 +43,7 @@
 		g.work.Jobs++
 		g.stopPropagating(next)
 		g.observer.JobCancelled(next.ID)
-		for _, dependentID := range sortedKeys(g.dependents[next.ID]) {
+		for _, dependentID := range ordered.Keys(g.dependents[next.ID]) {
 			if dependent := g.dependents[next.ID][dependentID]; !dependent.Cancelled() {
 				dependent.CancelledRoot = root
 				queue = append(queue, dependent)
@@ -54,7 +55,7 @@
 // AssumeDone marks all dependencies of a blocked job as done, because an owner that had read
 // their terminal states has placed the job.
 func (g *Graph) AssumeDone(job *BlockedJob) {
-	for _, id := range sortedKeys(job.pendingDependencies) {
+	for _, id := range ordered.Keys(job.pendingDependencies) {
 		g.unlink(job, id)
 	}
 	job.dependenciesKnown = true
@@ -65,14 +66,14 @@
 func (g *Graph) HasUnresolvedJobs() bool { return len(g.unresolvedJobs) > 0 }
 
 // UnresolvedJobs returns the dependencies that have ended in an unknown terminal state, sorted.
-func (g *Graph) UnresolvedJobs() []string { return sortedKeys(g.unresolvedJobs) }
+func (g *Graph) UnresolvedJobs() []string { return ordered.Keys(g.unresolvedJobs) }
 
 // FirstIncomplete returns the first blocked job whose list of dependencies is not known, or nil.
 func (g *Graph) FirstIncomplete() *BlockedJob {
 	if len(g.incomplete) == 0 {
 		return nil
 	}
-	return g.blocked[sortedKeys(g.incomplete)[0]]
+	return g.blocked[ordered.Keys(g.incomplete)[0]]
 }
 
 // FindUnresolved returns what must be read before the state of some jobs is known: it searches
