--- a/internal/dag/simulation_test.go
+++ b/internal/dag/simulation_test.go
@@ -7,6 +7,7 @@
 	"testing"
 
 	"tamarindlead/internal/kv"
+	"tamarindlead/internal/ordered"
 	"tamarindlead/internal/record"
 	"tamarindlead/internal/wire"
 	"tamarindlead/micros"
@@ -81,7 +82,7 @@
 // list returns the records of the active jobs.
 func (r *records) list() []kv.Entry {
 	var entries []kv.Entry
-	for _, id := range sortedKeys(r.active) {
+	for _, id := range ordered.Keys(r.active) {
 		key := record.ActiveJobKey(id)
 		i := slices.IndexFunc(r.history, func(change kv.Change) bool { return change.Put == key })
 		entries = append(entries, kv.Entry{Key: key, Value: r.history[i].Value, Version: r.active[id]})
@@ -183,7 +184,7 @@
 
 // pick returns a random accepted job.
 func (s *simulation) pick() string {
-	ids := sortedKeys(s.records.dependencies)
+	ids := ordered.Keys(s.records.dependencies)
 	return ids[s.rng.IntN(len(ids))]
 }
 
@@ -238,7 +239,7 @@
 
 // resolve applies the terminal states that the graph lacks.
 func (s *simulation) resolve() {
-	for _, id := range sortedKeys(s.graph.unresolvedJobs) {
+	for _, id := range ordered.Keys(s.graph.unresolvedJobs) {
 		state, ended := s.records.terminalStates[id]
 		if !ended {
 			s.t.Fatalf("step %d: %s is unresolved but has not ended", s.step, id)
--- /dev/null
+++ b/internal/inventory/job.go
@@ -0,0 +1,222 @@
+package inventory
+
+import (
+	"fmt"
+
+	"tamarindlead/internal/record"
+	"tamarindlead/micros"
+	"tamarindlead/sched"
+)
+
+// JobState is the state of a job at its owner.
+type JobState int
+
+// The states of a job.
+const (
+	JobActive    JobState = iota // its tasks are pending or placed
+	JobFinishing                 // all tasks have completed, which is not recorded yet
+	JobEnded                     // done or cancelled: attempts that are left must be stopped
+	JobBlocked                   // some of its dependencies are not done
+)
+
+func (s JobState) String() string {
+	switch s {
+	case JobActive:
+		return "active"
+	case JobFinishing:
+		return "finishing"
+	case JobEnded:
+		return "ended"
+	case JobBlocked:
+		return "blocked"
+	}
+	return fmt.Sprintf("JobState(%d)", int(s))
+}
+
+// TaskState is the state of a task.
+type TaskState uint8
+
+// The states of a task.
+const (
+	TaskPending TaskState = iota // has no place
+	TaskPlaced                   // has an attempt
+	TaskDone                     // has completed; this is final
+)
+
+// GangState is the state of a gang's current attempt.
+type GangState int
+
+// The states of a gang's attempt.
+const (
+	GangNone     GangState = iota // there is no attempt
+	GangPlacing                   // the places of its tasks are being recorded
+	GangStarting                  // all places are recorded, so that tasks may be started
+	GangStopping                  // the attempt is over: its tasks must be stopped
+)
+
+func (s GangState) String() string {
+	switch s {
+	case GangNone:
+		return "none"
+	case GangPlacing:
+		return "placing"
+	case GangStarting:
+		return "starting"
+	case GangStopping:
+		return "stopping"
+	}
+	return fmt.Sprintf("GangState(%d)", int(s))
+}
+
+// Job is a job at its owner. Its parts say which concern changes which fields.
+type Job struct {
+	*sched.Job
+	State JobState
+	JobRecord
+	JobTimes
+	Progress
+	Placement
+	Backoff
+}
+
+// JobRecord is how a job's record stands.
+type JobRecord struct {
+	// Version is the version of the record.
+	Version uint64
+	// DependencyParts is the number of further records that hold the job's dependency list.
+	DependencyParts int
+	// Writing is set while the job's terminal state is being written.
+	Writing bool
+	// CancelQueued is set while the job waits to be recorded as cancelled with a dependency.
+	CancelQueued bool
+	// RecordStale is set if the record has changed: nothing is placed until it was read again.
+	RecordStale bool
+	// EndedAt is a time before which no user got an acknowledgement of the job's
+	// cancellation; 0 if it was not cancelled.
+	EndedAt micros.Micros
+}
+
+// JobTimes is what a job's order in the queue and its service-level objectives depend on.
+type JobTimes struct {
+	Accepted micros.Micros
+	// ReadyAt is when the job was accepted, or became ready if it was blocked by
+	// dependencies: its service-level objectives count from here.
+	ReadyAt micros.Micros
+	// SubmittedPriority is the priority as submitted; the job's priority may be inherited.
+	SubmittedPriority sched.Priority
+	// EffectiveDeadline is the latest end with which this job and all downstream jobs meet
+	// their deadlines; 0 for none.
+	EffectiveDeadline micros.Micros
+}
+
+// Progress is which tasks of a job are pending and which have completed.
+type Progress struct {
+	// TaskStates are the states of the tasks; nil while all are pending.
+	TaskStates   []TaskState
+	Pending      int
+	FirstPending int // no task before it is pending
+	// Completed is the set of completed tasks, CompletedCount their number.
+	Completed      record.Bitmap
+	CompletedCount int
+	// Segments are the records that hold the completions, by chunk, and UnrecordedCompletions
+	// the attempts whose completion is not recorded yet.
+	Segments              map[int]*CompletionSegment
+	UnrecordedCompletions map[int][]*Attempt
+}
+
+// Placement is what a job has on machines.
+type Placement struct {
+	// Attempts are the placements of the job's tasks, by task.
+	Attempts     map[int]*Attempt
+	Assumed      int // attempts that are not recorded yet
+	RunningTasks int // tasks that run, as shown to users
+	GangState    GangState
+	// EverPlaced is set once some task was placed; IdleSince is since when none has been.
+	EverPlaced bool
+	IdleSince  micros.Micros
+}
+
+// Backoff delays work for a job after failures.
+type Backoff struct {
+	// BackoffUntil is the time before which no task is placed.
+	BackoffUntil micros.Micros
+	Failures     int // in a row, without any success
+	FailedOn     map[string]bool
+	// NextPreemptionAt is when tasks may be preempted for the job again; FailedPreemptions
+	// counts the preemptions in a row after which it did not start.
+	NextPreemptionAt  micros.Micros
+	FailedPreemptions int
+}
+
+// NewJob returns an active job without attempts, from its record of a version.
+func NewJob(j *sched.Job, version uint64, accepted micros.Micros) *Job {
+	return &Job{
+		Job:       j,
+		JobRecord: JobRecord{Version: version},
+		JobTimes:  JobTimes{Accepted: accepted, ReadyAt: accepted, SubmittedPriority: j.Priority},
+		Progress: Progress{
+			Pending:               j.Tasks,
+			Segments:              map[int]*CompletionSegment{},
+			UnrecordedCompletions: map[int][]*Attempt{},
+		},
+		Placement: Placement{Attempts: map[int]*Attempt{}},
+		Backoff:   Backoff{FailedOn: map[string]bool{}},
+	}
+}
+
+// TaskState returns a task's state.
+func (j *Job) TaskState(i int) TaskState {
+	if j.TaskStates == nil {
+		return TaskPending
+	}
+	return j.TaskStates[i]
+}
+
+// AllocateTaskStates makes room for the states of single tasks, which a job that only waits does
+// without: a queue of large jobs must fit into little memory.
+func (j *Job) AllocateTaskStates() {
+	if j.TaskStates == nil {
+		j.TaskStates, j.Completed = make([]TaskState, j.Tasks), make(record.Bitmap, (j.Tasks+7)/8)
+	}
+}
+
+func (j *Job) SetTaskState(i int, s TaskState) {
+	j.AllocateTaskStates()
+	was := j.TaskStates[i]
+	if was == s || was == TaskDone {
+		return // done is final
+	}
+	j.TaskStates[i] = s
+	switch {
+	case was == TaskPending:
+		j.Pending--
+	case s == TaskPending:
+		j.Pending++
+		j.FirstPending = min(j.FirstPending, i)
+	}
+	if s == TaskDone {
+		j.Completed.Set(i)
+		j.CompletedCount++
+	}
+}
+
+// ChunkBytes bounds what a chunk takes in its shard.
+func (j *Job) ChunkBytes(chunk int) int { return record.ChunkSize(j.ID, j.Tasks, chunk) }
+
+// AddUnrecordedCompletion remembers that an attempt's completion must be recorded.
+func (j *Job) AddUnrecordedCompletion(a *Attempt) {
+	chunk := a.Index / record.TasksPerChunk
+	j.UnrecordedCompletions[chunk] = append(j.UnrecordedCompletions[chunk], a)
+}
+
+// TasksByZone counts a job's tasks by zone, if its place depends on that.
+func (j *Job) TasksByZone() map[string]int {
+	in := map[string]int{}
+	if !j.OneZone && !j.Spread {
+		return in
+	}
+	for _, a := range j.Attempts {
+		in[a.Machine.Zone]++
+	}
+	return in
+}
--- /dev/null
+++ b/internal/inventory/machine.go
@@ -0,0 +1,264 @@
+package inventory
+
+import (
+	"cmp"
+	"fmt"
+	"maps"
+	"slices"
+
+	"tamarindlead/internal/autoscaler"
+	"tamarindlead/internal/record"
+	"tamarindlead/internal/wire"
+	"tamarindlead/micros"
+	"tamarindlead/sched"
+)
+
+// MachineState is the state of a machine at its owner.
+type MachineState int
+
+// The states of a machine, in the order in which it passes them.
+const (
+	MachineBooting         MachineState = iota // has not sent a heartbeat yet
+	MachineReady                               // sends heartbeats and takes tasks
+	MachineDraining                            // takes no new tasks and is terminated once empty
+	MachineTransferring                        // is handed to another owner once empty
+	MachineDecommissioning                     // its termination is decided and must be recorded first
+	MachineTerminating                         // the decision is recorded; the cloud is asked to terminate it
+	MachineTerminated                          // the cloud has terminated it; its record must be deleted
+)
+
+func (s MachineState) String() string {
+	switch s {
+	case MachineBooting:
+		return "booting"
+	case MachineReady:
+		return "ready"
+	case MachineDraining:
+		return "draining"
+	case MachineTransferring:
+		return "transferring"
+	case MachineDecommissioning:
+		return "decommissioning"
+	case MachineTerminating:
+		return "terminating"
+	case MachineTerminated:
+		return "terminated"
+	}
+	return fmt.Sprintf("MachineState(%d)", int(s))
+}
+
+// FencingState tells whether a machine must be fenced. A command that was sent directly and not
+// answered may still be executed until the machine has seen a higher fencing token or has begun a
+// new agent epoch.
+type FencingState int
+
+// The fencing states of a machine.
+const (
+	FencingNone    FencingState = iota // no command can be executed late
+	FencingNeeded                      // a higher fencing token must be recorded
+	FencingPending                     // the token is recorded, but the machine has not confirmed it
+)
+
+func (s FencingState) String() string {
+	switch s {
+	case FencingNone:
+		return "none"
+	case FencingNeeded:
+		return "needed"
+	case FencingPending:
+		return "pending"
+	}
+	return fmt.Sprintf("FencingState(%d)", int(s))
+}
+
+// MachineInfo describes a machine. It never changes, except for the endpoint, which is empty until
+// the machine has sent a heartbeat.
+type MachineInfo struct {
+	Name     string
+	Type     string // name of the machine type
+	Zone     string
+	Spot     bool
+	Endpoint string
+}
+
+// Machine is a machine at its owner. Its parts say which concern changes which fields.
+type Machine struct {
+	MachineInfo
+	Size          sched.Resources
+	State         MachineState
+	ProvisionedAt micros.Micros
+	Entry
+	Contact
+	CloudListing
+	Dispatch
+	Workload
+	// TransferTo is the new owner while the machine is being transferred.
+	TransferTo record.OwnerID
+}
+
+// Entry is what the records say of a machine and its ownership.
+type Entry struct {
+	// Block is the record that holds the machine's entry, Dirty whether the entry must be written.
+	Block *Block
+	Dirty bool
+	// Recorded is set once the record of some owner has the entry.
+	Recorded bool
+	// FencingToken authorizes commands to the machine; 0 until the machine is claimed.
+	FencingToken uint64
+	Fencing      FencingState
+	// Verifying is set while an adopted machine may turn out to be another owner's.
+	Verifying bool
+	// Recovered is set if the machine was another owner's: it is up, or has been booting since
+	// an unknown time.
+	Recovered bool
+}
+
+// Contact is what is known from a machine's heartbeats.
+type Contact struct {
+	// LastHeartbeat is the time of the last heartbeat, or when this owner began to wait for one.
+	LastHeartbeat micros.Micros
+	// HeartbeatGraceUntil is the time from which missing heartbeats count, after a network
+	// partition of the machine's zone.
+	HeartbeatGraceUntil micros.Micros
+	// TokenConfirmed is set if the last heartbeat carried this owner's fencing token, and
+	// TokenConfirmedAt is when one last did, or when this owner began to wait for that.
+	TokenConfirmed   bool
+	TokenConfirmedAt micros.Micros
+	// HeartbeatReceived is set once the machine has sent a heartbeat to this owner by itself,
+	// rather than only answered commands.
+	HeartbeatReceived bool
+	// AgentEpoch and HeartbeatSeq order the heartbeats; ReportedTasks are those of the last.
+	AgentEpoch, HeartbeatSeq uint64
+	ReportedTasks            []wire.TaskStatus
+	// ReclaimAt is when the cloud reclaims the spot machine; 0 if that is not announced.
+	ReclaimAt micros.Micros
+	// PendingRequest and PendingHeartbeat are a heartbeat that waits until the machine is claimed.
+	PendingRequest   uint64
+	PendingHeartbeat *wire.Heartbeat
+}
+
+// CloudListing is what the cloud's list says of a machine.
+type CloudListing struct {
+	// CloudListed is set once the list has named the machine; MissedListings counts the
+	// consecutive readings without it since then.
+	CloudListed    bool
+	MissedListings int
+	// Failed is set if the list shows that the machine stopped by itself.
+	Failed bool
+	// SpotReclaimed is set once the loss of the spot machine to the cloud was counted.
+	SpotReclaimed bool
+}
+
+// Dispatch is the state of direct commands to a machine.
+type Dispatch struct {
+	// CommandsInFlight is set while a request with commands is under way.
+	CommandsInFlight bool
+	// DispatchNeeded is set if the machine may need commands, InDispatchQueue while it is in
+	// the dispatch queue.
+	DispatchNeeded  bool
+	InDispatchQueue bool
+	// Inspected is set once the machine was asked for a heartbeat after a failover.
+	Inspected bool
+}
+
+// Workload is what runs on a machine, and whether it can run more.
+type Workload struct {
+	Attempts map[TaskKey]*Attempt
+	Used     sched.Resources
+	// CachedImages are the images that the machine presumably caches, the most recent last.
+	CachedImages []string
+	IdleSince    micros.Micros
+	// ConsecutiveErrors counts task failures in a row; nothing is placed before QuarantinedUntil.
+	ConsecutiveErrors int
+	QuarantinedUntil  micros.Micros
+}
+
+// MaxCachedImages is how many images a machine is believed to keep.
+const MaxCachedImages = 8
+
+// AddCachedImage notes that the machine was told to fetch an image.
+func (m *Machine) AddCachedImage(image string) {
+	if image == "" {
+		return
+	}
+	if i := slices.Index(m.CachedImages, image); i >= 0 {
+		m.CachedImages = slices.Delete(m.CachedImages, i, i+1)
+	}
+	m.CachedImages = append(m.CachedImages, image)
+	if len(m.CachedImages) > MaxCachedImages {
+		m.CachedImages = m.CachedImages[1:]
+	}
+}
+
+// SortedAttempts lists the machine's attempts by job and task.
+func (m *Machine) SortedAttempts() []*Attempt {
+	list := slices.Collect(maps.Values(m.Attempts))
+	slices.SortFunc(list, func(a, b *Attempt) int {
+		return cmp.Or(cmp.Compare(a.Job.ID, b.Job.ID), cmp.Compare(a.Index, b.Index))
+	})
+	return list
+}
+
+// AttemptsInRecordOrder lists a machine's attempts in the order in which its entry holds them.
+func (m *Machine) AttemptsInRecordOrder() []*Attempt {
+	list := slices.Collect(maps.Values(m.Attempts))
+	slices.SortFunc(list, func(a, b *Attempt) int {
+		return cmp.Or(cmp.Compare(a.Job.ID, b.Job.ID), cmp.Compare(a.Number, b.Number), cmp.Compare(a.Index, b.Index))
+	})
+	return list
+}
+
+// IsUnclaimed tells that the machine has no token yet, nor waits for verify.
+func (m *Machine) IsUnclaimed() bool { return m.FencingToken == 0 && !m.Verifying }
+
+// NeedsWrite tells whether a machine's state or an attempt on it waits for the record.
+func (m *Machine) NeedsWrite() bool {
+	for _, a := range m.Attempts {
+		if a.State == AttemptAssumed || a.State == AttemptRemoving {
+			return true
+		}
+	}
+	switch m.State {
+	case MachineDecommissioning, MachineTerminated:
+		return true
+	case MachineTransferring:
+		if len(m.Attempts) == 0 {
+			return true
+		}
+	}
+	return m.IsUnclaimed() || m.Fencing == FencingNeeded
+}
+
+// Offer is what the cloud rented a machine as.
+func (m *Machine) Offer() autoscaler.Offer {
+	return autoscaler.Offer{Type: m.Type, Zone: m.Zone, Spot: m.Spot}
+}
+
+// HasPendingStarts tells whether attempts on the machine wait for their start command.
+func (m *Machine) HasPendingStarts() bool {
+	for _, a := range m.Attempts {
+		if a.State == AttemptRecorded && (!a.Job.Gang || a.Job.GangState == GangStarting) {
+			return true
+		}
+	}
+	return false
+}
+
+// ExpectsHeartbeat tells that a machine is up as far as is known. Nothing can be concluded from the
+// silence of one that still boots, but after a takeover one with tasks was up.
+func (m *Machine) ExpectsHeartbeat() bool {
+	switch {
+	case m.State >= MachineDecommissioning:
+		return false
+	case m.State == MachineBooting:
+		return m.Recovered && len(m.Attempts) > 0
+	}
+	return true
+}
+
+// Slack is what is left of a machine once it is full of tasks of that size.
+func (m *Machine) Slack(need sched.Resources) sched.Resources {
+	return m.Size.Sub(need.Times(need.Count(m.Size, MaxEntryTasks)))
+}
+
+func CompareMachineName(m *Machine, name string) int { return cmp.Compare(m.Name, name) }
--- a/internal/soaktest/logs.go
+++ b/internal/soaktest/logs.go
@@ -12,11 +12,14 @@
 // invariantViolatedMessage is in a controller's log line about a violation of its own invariants.
 const invariantViolatedMessage = `msg="invariant violated"`
 
+// machineStateMessage is in a controller's log line about a machine's change of state.
+const machineStateMessage = `msg="machine state changed"`
+
 // crashPrefixes begin the output of a process that crashes.
 var crashPrefixes = []string{"panic:", "fatal error:"}
 
 // machineLostReasons are the reasons for which a controller considers a machine lost.
-var machineLostReasons = []string{`why="is silent"`, `why="reports, but hears nothing"`, `why="is not listed any more"`}
+var machineLostReasons = []string{`reason="is silent"`, `reason="reports, but hears nothing"`, `reason="is not listed any more"`}
 
 // checkLogs checks the logs of all controllers.
 func (c *checker) checkLogs() {
@@ -64,6 +67,6 @@
 
 // isMachineLost reports whether a line of a log shows that a machine is considered lost.
 func isMachineLost(line string) bool {
-	return strings.Contains(line, "msg=machine ") && strings.Contains(line, "to=condemned") &&
+	return strings.Contains(line, machineStateMessage) && strings.Contains(line, "to=decommissioning") &&
 		slices.ContainsFunc(machineLostReasons, func(reason string) bool { return strings.Contains(line, reason) })
 }
--- a/internal/soaktest/logs_test.go
+++ b/internal/soaktest/logs_test.go
@@ -8,7 +8,7 @@
 
 // TestCheckLogs checks which rules the lines of a controller's log violate.
 func TestCheckLogs(t *testing.T) {
-	const lost = `level=INFO msg=machine node=controller-0 machine=m-000001 to=condemned why="is silent"`
+	const lost = `level=INFO msg="machine state changed" node=controller-0 machine=m-000001 to=decommissioning reason="is silent"`
 	for _, test := range []struct {
 		name     string
 		line     string
