--- a/controller/effects_test.go
+++ b/controller/effects_test.go
@@ -98,24 +98,31 @@
 	}
 	r.events++
 	r.effects += len(effects)
-	fmt.Fprintf(r.sum, "%d %d ", node, now)
+	r.writef("%d %d ", node, now)
 	switch e := ev.(type) {
 	case Request:
-		fmt.Fprintf(r.sum, "request %d %t %q %q %x", e.ID, e.Peer, e.Method, e.Path, canonical(e.Body))
+		r.writef("request %d %t %q %q %x", e.ID, e.Peer, e.Method, e.Path, canonical(e.Body))
 	case CallDone:
-		fmt.Fprintf(r.sum, "done %d %d %t %x", e.ID, e.Status, e.Sent, canonical(e.Body))
+		r.writef("done %d %d %t %x", e.ID, e.Status, e.Sent, canonical(e.Body))
 	case Tick:
-		fmt.Fprint(r.sum, "tick")
+		r.writef("tick")
 	}
 	for _, effect := range effects {
 		switch e := effect.(type) {
 		case Call:
-			fmt.Fprintf(r.sum, " call %d %q %q %q %d %d %x", e.ID, e.Addr, e.Method, e.Target, e.Timeout, e.MaxBody, canonical(e.Body))
+			r.writef(" call %d %q %q %q %d %d %x", e.ID, e.Addr, e.Method, e.Target, e.Timeout, e.MaxBody, canonical(e.Body))
 		case Respond:
-			fmt.Fprintf(r.sum, " respond %d %d %d %x", e.ID, e.Status, e.RetryAfter, canonical(e.Body))
+			r.writef(" respond %d %d %d %x", e.ID, e.Status, e.RetryAfter, canonical(e.Body))
 		}
 	}
-	fmt.Fprintln(r.sum)
+	r.writef("\n")
+}
+
+// writef adds formatted text to the digest.
+func (r *effectDigest) writef(format string, args ...any) {
+	if _, err := fmt.Fprintf(r.sum, format, args...); err != nil {
+		panic(err) // a hash takes everything
+	}
 }
 
 // canonical orders the keys of maps in a CBOR body, since their order on the wire means nothing,
--- a/controller/fault_pairs_pipelines_test.go
+++ b/controller/fault_pairs_pipelines_test.go
@@ -87,7 +87,7 @@
 		id := jobName(910 + i)
 		j := &sched.Job{ID: id, Class: "stage", Team: "red", Tasks: 1, Need: sched.NewResources(1, 0, 1), Image: "img", ImageGB: 1}
 		p.invalidJobs[id] = []int{422, 400}[i]
-		w.submitted[id], w.bodies[id] = j, withField(wire.Encode(wire.FromJob(j)), "awaits", awaits)
+		w.submitted[id], w.bodies[id] = j, withAwaits(wire.Encode(wire.FromJob(j)), awaits)
 		w.after(faultPairsLeadTime+micros.FromSeconds(30*r.Float64()), func() { w.submittedAt[id] = w.now; p.submit(id, false) })
 	}
 }
--- a/controller/fault_pairs_users_test.go
+++ b/controller/fault_pairs_users_test.go
@@ -132,7 +132,7 @@
 	if w.reportedTerminal[id] != "" {
 		return
 	}
-	p.request(p.rng.IntN(len(w.nodes)), "GET", id, "", func(r Respond) {
+	p.request(p.rng.IntN(len(w.nodes)), "GET", id, "", func(Respond) {
 		if w.reportedTerminal[id] == "" {
 			w.after(4*micros.Second, func() { p.poll(id) })
 		}
--- a/controller/faults_workers_test.go
+++ b/controller/faults_workers_test.go
@@ -116,7 +116,7 @@
 
 // delayCommand holds up a direct command, or its answer. It returns how to answer, or nil if the
 // command comes later.
-func (w *simulation) delayCommand(n *simNode, c Call, answer func(fake.Response)) func(fake.Response) {
+func (w *simulation) delayCommand(c Call, answer func(fake.Response)) func(fake.Response) {
 	if w.commandDelayRate == 0 || w.rng.Float64() >= w.commandDelayRate {
 		return answer
 	}
--- a/controller/incompatible_test.go
+++ b/controller/incompatible_test.go
@@ -3,6 +3,7 @@
 import (
 	"encoding/base64"
 	"fmt"
+	"strconv"
 	"strings"
 	"testing"
 
@@ -86,8 +87,7 @@
 			delete(h, field)
 			return h, found
 		case []any:
-			i := 0
-			fmt.Sscan(field, &i)
+			i := fieldIndex(field)
 			return append(h[:i:i], h[i+1:]...), true
 		}
 		return nil, false
@@ -105,8 +105,7 @@
 			h[field] = other(v)
 			return h, found
 		case []any:
-			i := 0
-			fmt.Sscan(field, &i)
+			i := fieldIndex(field)
 			h[i] = other(h[i])
 			return h, true
 		}
@@ -282,7 +281,7 @@
 		return append(protowire.AppendTag(nil, n+100, typ), value...)
 	},
 	"dropped": func(protowire.Number, protowire.Type, []byte) []byte { return nil },
-	"of another type": func(n protowire.Number, typ protowire.Type, _ []byte) []byte {
+	"of another type": func(n protowire.Number, _ protowire.Type, _ []byte) []byte {
 		return protowire.AppendFixed64(protowire.AppendTag(nil, n, protowire.Fixed64Type), 3)
 	},
 }
@@ -306,3 +305,12 @@
 	}
 	return out, changed
 }
+
+// fieldIndex returns the index of a field of a struct that is encoded as a list.
+func fieldIndex(field string) int {
+	i, err := strconv.Atoi(field)
+	if err != nil {
+		panic(err) // the names are those of this file
+	}
+	return i
+}
--- a/controller/pipelines_test.go
+++ b/controller/pipelines_test.go
@@ -38,10 +38,10 @@
 	}
 	switch awaits[0] {
 	case "null":
-		w.bodies[id] = withField(w.bodies[id], "awaits", nil)
+		w.bodies[id] = withAwaits(w.bodies[id], nil)
 		return
 	case "none":
-		w.bodies[id] = withField(w.bodies[id], "awaits", []string{})
+		w.bodies[id] = withAwaits(w.bodies[id], []string{})
 		return
 	}
 	p := &w.pipelines
@@ -54,16 +54,16 @@
 		}
 	}
 	p.ancestors[id] = ordered.Keys(seen)
-	w.bodies[id] = withField(w.bodies[id], "awaits", awaits)
+	w.bodies[id] = withAwaits(w.bodies[id], awaits)
 }
 
-// withField adds a field to a submission.
-func withField(body []byte, name string, value any) []byte {
+// withAwaits adds the dependencies to a submission, as the protocol names them.
+func withAwaits(body []byte, value any) []byte {
 	fields := map[string]any{}
 	if err := wire.Decode(body, &fields); err != nil {
 		panic(err) // the body is one of these tests
 	}
-	fields[name] = value
+	fields["awaits"] = value
 	return wire.Encode(fields)
 }
 
--- a/controller/priority_inheritance_test.go
+++ b/controller/priority_inheritance_test.go
@@ -78,8 +78,10 @@
 }
 
 func stage(id int, priority sched.Priority, estimate, deadline float64) sched.Job {
-	return sched.Job{ID: jobName(id), Priority: priority,
-		Estimate: micros.FromSeconds(estimate), Deadline: micros.FromSeconds(deadline)}
+	return sched.Job{
+		ID: jobName(id), Priority: priority,
+		Estimate: micros.FromSeconds(estimate), Deadline: micros.FromSeconds(deadline),
+	}
 }
 
 // TestInheritChain guards against a first stage that does not inherit from the last, of
--- a/controller/production_names_test.go
+++ b/controller/production_names_test.go
@@ -101,6 +101,7 @@
 		}
 	case reflect.Struct:
 		return productionStruct(t)
+	default: // holds no struct
 	}
 	return t
 }
@@ -177,6 +178,8 @@
 		}
 	case reflect.Struct:
 		copyRenamedFields(to, from, renaming)
+	default:
+		panic("types differ that hold no struct") // see productionType
 	}
 }
 
--- a/controller/production_test.go
+++ b/controller/production_test.go
@@ -33,7 +33,10 @@
 func TestMain(m *testing.M) {
 	code := m.Run()
 	if programDir != "" {
-		os.RemoveAll(programDir)
+		if err := os.RemoveAll(programDir); err != nil {
+			fmt.Fprintln(os.Stderr, err)
+			code = max(code, 1)
+		}
 	}
 	os.Exit(code)
 }
@@ -134,7 +137,7 @@
 func unpackTree(dir string, archive []byte) error {
 	for r := tar.NewReader(bytes.NewReader(archive)); ; {
 		h, err := r.Next()
-		if err == io.EOF {
+		if errors.Is(err, io.EOF) {
 			return nil
 		}
 		if err != nil {
@@ -212,8 +215,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() {
-		stdin.Close()
-		if err := cmd.Wait(); err != nil {
+		if err := errors.Join(stdin.Close(), cmd.Wait()); err != nil {
 			t.Errorf("the production version: %v", err)
 		}
 	})
--- a/controller/recovery.go
+++ b/controller/recovery.go
@@ -29,7 +29,7 @@
 
 // reset forgets what was read or decided before.
 func (o *owner) reset() {
-	o.Inventory.Reset()
+	o.Reset()
 	o.jobsListed, o.cascadedCancellations = false, nil
 	o.blocks, o.completionSegments, o.dispatchQueue, o.unresolvedJobs = nil, nil, nil, nil
 	clear(o.scaleOutRequests)
--- a/controller/scenario_pipelines_test.go
+++ b/controller/scenario_pipelines_test.go
@@ -98,7 +98,7 @@
 	for i, b := range invalidDependencies {
 		id := jobName(first + i)
 		w.users.mustRefuse[id] = "awaits: " + b.name
-		body := withField(wire.Encode(w.validJobFields(id)), "awaits", b.value(id, known))
+		body := withAwaits(wire.Encode(w.validJobFields(id)), b.value(id, known))
 		r := w.requestAndWait(to, "POST", "/api/jobs", id, body)
 		if b.want == 400 && r.Status != 400 {
 			w.reportViolation("accepted_bad: awaits of the form %s is answered %d", b.name, r.Status)
--- a/controller/simulation_network_test.go
+++ b/controller/simulation_network_test.go
@@ -192,7 +192,7 @@
 			w.after(simulationStep, func() { w.execute(n, c, answer) })
 			return
 		}
-		if answer = w.delayCommand(n, c, answer); answer == nil {
+		if answer = w.delayCommand(c, answer); answer == nil {
 			return
 		}
 		if c.Target == "/inspect" {
--- a/controller/simulation_workers_test.go
+++ b/controller/simulation_workers_test.go
@@ -50,7 +50,7 @@
 	return i, ok
 }
 
-func (w *simulation) onStart(k *fake.Worker, task string, attempt uint64) {
+func (w *simulation) onStart(k *fake.Worker, task string, _ uint64) {
 	w.starts++
 	id, _, _ := wire.SplitTaskName(task)
 	w.jobStarted(id)
--- a/controller/users_requests_test.go
+++ b/controller/users_requests_test.go
@@ -77,15 +77,19 @@
 		Need: sched.NewResources(1, 0, 1), Image: "img", ImageGB: 1, Estimate: 10 * micros.Second,
 	}
 	fields := map[string]any{}
-	wire.Decode(wire.Encode(wire.FromJob(j)), &fields)
+	if err := wire.Decode(wire.Encode(wire.FromJob(j)), &fields); err != nil {
+		panic(err) // it was encoded just now
+	}
 	return fields
 }
 
 func (w *simulation) malformedJob(n int) invalidJob {
 	id := jobName(980000 + n)
 	fields := w.validJobFields(id)
-	needed := []string{"ref", "queue", "desk", "shape", "urgency", "legs", "cpus", "cards", "memGb", "bundle", "sizeGb",
-		"samePlace", "apart", "loaners", "expectS", "snapshotS", "stowS"}
+	needed := []string{
+		"ref", "queue", "desk", "shape", "urgency", "legs", "cpus", "cards", "memGb", "bundle", "sizeGb",
+		"samePlace", "apart", "loaners", "expectS", "snapshotS", "stowS",
+	}
 	switch i := n % (len(needed) + len(invalidValues) + 4); {
 	case i < len(needed):
 		delete(fields, needed[i])
--- a/controller/users_test.go
+++ b/controller/users_test.go
@@ -53,9 +53,11 @@
 )
 
 // consistencyCheckDelays is when users look closely at what they were told.
-var consistencyCheckDelays = []micros.Micros{0, 2 * micros.Millisecond, 5 * micros.Millisecond, 10 * micros.Millisecond,
+var consistencyCheckDelays = []micros.Micros{
+	0, 2 * micros.Millisecond, 5 * micros.Millisecond, 10 * micros.Millisecond,
 
-	30 * micros.Millisecond, 100 * micros.Millisecond, 300 * micros.Millisecond}
+	30 * micros.Millisecond, 100 * micros.Millisecond, 300 * micros.Millisecond,
+}
 
 // checkRefusal sees that a user who is refused is told when to come again, and at once if
 // there is too much.
@@ -249,10 +251,35 @@
 	field string
 	value any
 }{
-	{"legs", 0}, {"legs", -1}, {"legs", 100001}, {"legs", 1.5}, {"legs", "2"}, {"cpus", -1.0}, {"cpus", "1"}, {"cpus", nil},
-	{"cpus", math.NaN()}, {"cards", -1.0}, {"memGb", math.Inf(1)}, {"shape", "heap"}, {"shape", 1}, {"urgency", "soon"}, {"queue", 7},
-	{"desk", []string{"red"}}, {"samePlace", "yes"}, {"apart", 1}, {"loaners", nil}, {"builds", "small"}, {"builds", []int{1}},
-	{"hall", 3}, {"expectS", "long"}, {"expectS", -5.0}, {"snapshotS", -1.0}, {"stowS", nil}, {"dueS", "soon"}, {"sizeGb", -2.0}, {"bundle", false},
+	{"legs", 0},
+	{"legs", -1},
+	{"legs", 100001},
+	{"legs", 1.5},
+	{"legs", "2"},
+	{"cpus", -1.0},
+	{"cpus", "1"},
+	{"cpus", nil},
+	{"cpus", math.NaN()},
+	{"cards", -1.0},
+	{"memGb", math.Inf(1)},
+	{"shape", "heap"},
+	{"shape", 1},
+	{"urgency", "soon"},
+	{"queue", 7},
+	{"desk", []string{"red"}},
+	{"samePlace", "yes"},
+	{"apart", 1},
+	{"loaners", nil},
+	{"builds", "small"},
+	{"builds", []int{1}},
+	{"hall", 3},
+	{"expectS", "long"},
+	{"expectS", -5.0},
+	{"snapshotS", -1.0},
+	{"stowS", nil},
+	{"dueS", "soon"},
+	{"sizeGb", -2.0},
+	{"bundle", false},
 }
 
 // jobStarted counts starts after a user was told of the cancellation.
