--- a/internal/dag/graph.go
+++ b/internal/dag/graph.go
@@ -18,8 +18,6 @@
 
 import (
 	"log/slog"
-	"maps"
-	"slices"
 	"strings"
 
 	"tamarindlead/internal/record"
@@ -136,5 +134,3 @@
 func (g *Graph) ForgetVersion(id string) { delete(g.versions, id) }
 
 func jobOf(key string) string { return strings.TrimPrefix(key, record.ActiveJobPrefix) }
-
-func sortedKeys[V any](m map[string]V) []string { return slices.Sorted(maps.Keys(m)) }
