--- a/controller/heartbeats.go
+++ b/controller/heartbeats.go
@@ -253,6 +253,7 @@
 		o.SetAttemptState(a, inventory.AttemptLive)
 	case inventory.AttemptCompleted, inventory.AttemptRemoving:
 		return
+	default: // nothing follows in the other states
 	}
 	switch {
 	case t.Phase == wire.PhaseExited && !a.Machine.TokenConfirmed:
@@ -279,6 +280,7 @@
 		o.handleAttemptLost(a, "vanished")
 	case inventory.AttemptStopping:
 		o.SetAttemptState(a, inventory.AttemptRemoving)
+	default: // nothing follows in the other states
 	}
 }
 
--- a/controller/preemption.go
+++ b/controller/preemption.go
@@ -181,6 +181,7 @@
 	switch a.State {
 	case inventory.AttemptStopping, inventory.AttemptCompleted, inventory.AttemptRemoving:
 		return true
+	default: // nothing follows in the other states
 	}
 	return a.RunningSince != 0 && !a.Job.Gang && a.Job.Estimate-(o.c.now-a.RunningSince) < minRemainingForPreemption &&
 		o.c.now-a.RunningSince < a.Job.Estimate+minRemainingForPreemption
--- a/controller/reservations.go
+++ b/controller/reservations.go
@@ -58,6 +58,7 @@
 		h.expiresAt = o.c.now + o.c.cfg.Tuning.ReservationTimeout
 	case reservationReleased:
 		o.SchedulingNeeded = true
+	default: // nothing follows in the other states
 	}
 }
 
--- a/controller/submissions.go
+++ b/controller/submissions.go
@@ -176,6 +176,7 @@
 		return
 	case dependenciesCancelled:
 		sub.status, sub.cancelledRoot = wire.JobCancelled, result.cancelledRoot
+	default: // nothing follows in the other states
 	}
 	s.pending = append(s.pending, sub)
 }
--- a/controller/task_exits.go
+++ b/controller/task_exits.go
@@ -33,6 +33,7 @@
 		o.handleTaskFailed(a, false)
 	case wire.CauseInsufficientResources, wire.CauseBusy:
 		a.Machine.QuarantinedUntil = o.c.now + startRefusalQuarantine
+	default: // nothing follows in the other states
 	}
 	o.c.log.Info("task ended", "task", task.Task, "machine", a.Machine.Name, "cause", task.Cause,
 		"saved", task.Checkpointed, "why", a.Reason)
--- a/controller/terminal_state_reads_test.go
+++ b/controller/terminal_state_reads_test.go
@@ -69,7 +69,7 @@
 func TestKeyBefore(t *testing.T) {
 	for _, id := range []string{"req-000000", "req-000010", "req-000019", "req-0000190"} {
 		from := keyBefore(record.TerminalStateKey(id))
-		if !(from < record.TerminalStateKey(id)) || strings.Compare(from, record.TerminalStateKey(id)[:len(record.TerminalStateKey(id))-1]) < 0 {
+		if from >= record.TerminalStateKey(id) || strings.Compare(from, record.TerminalStateKey(id)[:len(record.TerminalStateKey(id))-1]) < 0 {
 			t.Errorf("%s from %s", id, from)
 		}
 	}
--- a/internal/inventory/inventory.go
+++ b/internal/inventory/inventory.go
@@ -124,6 +124,7 @@
 		inv.TerminationNeeded = true
 	case MachineTransferring, MachineDecommissioning, MachineTerminated:
 		inv.host.EntryChanged(m)
+	default: // nothing follows in the other states
 	}
 }
 
@@ -176,6 +177,7 @@
 			t.Stopping = t.Stopping.Add(a.Job.Need)
 		case was:
 			t.Stopping = t.Stopping.Sub(a.Job.Need)
+		default: // nothing follows in the other states
 		}
 	}
 	switch s {
@@ -192,6 +194,7 @@
 	case AttemptClosed:
 		inv.releaseResources(a)
 		inv.handleAttemptClosed(a)
+	default: // nothing follows in the other states
 	}
 }
 
@@ -288,6 +291,7 @@
 		inv.host.CommandsNeeded(a.Machine)
 	case AttemptStopping:
 		a.GracePeriod = min(a.GracePeriod, gracePeriod)
+	default: // nothing follows in the other states
 	}
 }
 
--- a/internal/inventory/job.go
+++ b/internal/inventory/job.go
@@ -180,6 +180,7 @@
 	}
 }
 
+// SetTaskState changes the state of a task, unless it is done, which is final.
 func (j *Job) SetTaskState(i int, s TaskState) {
 	j.AllocateTaskStates()
 	was := j.TaskStates[i]
--- a/internal/inventory/machine.go
+++ b/internal/inventory/machine.go
@@ -225,6 +225,7 @@
 		if len(m.Attempts) == 0 {
 			return true
 		}
+	default: // nothing follows in the other states
 	}
 	return m.IsUnclaimed() || m.Fencing == FencingNeeded
 }
@@ -261,4 +262,5 @@
 	return m.Size.Sub(need.Times(need.Count(m.Size, MaxEntryTasks)))
 }
 
+// CompareMachineName orders machines by their names.
 func CompareMachineName(m *Machine, name string) int { return cmp.Compare(m.Name, name) }
