--- a/controller/blocked_jobs.go
+++ b/controller/blocked_jobs.go
@@ -65,26 +65,8 @@
 	}
 }
 
-// advanceBlockedJobs reads what the waiting jobs need to go on: how awaited jobs ended, and
-// lists that are kept under several keys.
-func (o *owner) advanceBlockedJobs() {
-	resolution := &o.c.jobView.resolution
-	if resolution.reading || o.c.now < resolution.retryAt || o.c.store.Unavailable() {
-		return
-	}
-	if o.c.graph.HasUnresolvedJobs() {
-		o.c.resolveTerminalStates(nil)
-		return
-	}
-	if partial := o.c.graph.FirstIncomplete(); partial != nil {
-		resolution.retryAt = o.c.now + readRetryDelay
-		o.c.readDependencyParts(partial, func(ok bool) {
-			if ok {
-				resolution.retryAt = 0
-			}
-		})
-	}
-}
+// advanceBlockedJobs reads what blocked jobs need to proceed.
+func (o *owner) advanceBlockedJobs() { o.c.jobView.ResolveBlockedJobs() }
 
 // flushCascadedCancellations records jobs that are cancelled with one before them, a few with each
 // commit: nobody waits for it.
--- a/controller/job_view_test.go
+++ b/controller/blocked_jobs_test.go
@@ -11,23 +11,23 @@
 	"tamarindlead/sched"
 )
 
-func newBlockedJob(id string, awaits ...string) *sched.Job {
+func newBlockedJob(id string, dependencies ...string) *sched.Job {
 	return &sched.Job{
 		ID: id, Class: "work", Team: "red", Priority: sched.Normal, Tasks: 3, Need: sched.NewResources(2, 0, 2),
-		Image: "img", ImageGB: 1, Estimate: 10 * micros.Second, Dependencies: awaits,
+		Image: "img", ImageGB: 1, Estimate: 10 * micros.Second, Dependencies: dependencies,
 	}
 }
 
-// newOwnerWithBlockedJobs is an owner with so many chains of jobs, all but the first of each waiting.
+// newOwnerWithBlockedJobs returns an owner of chains of jobs, in which all but the first are blocked.
 func newOwnerWithBlockedJobs(chains, length int) *owner {
 	o := testOwner()
 	var entries []kv.Entry
 	for i := range chains * length {
-		var awaits []string
+		var dependencies []string
 		if i%length > 0 {
-			awaits = []string{jobName(i - 1)}
+			dependencies = []string{jobName(i - 1)}
 		}
-		writes, _ := record.JobWrites(newBlockedJob(jobName(i), awaits...), 1, 8<<10)
+		writes, _ := record.JobWrites(newBlockedJob(jobName(i), dependencies...), 1, 8<<10)
 		entries = append(entries, kv.Entry{Key: writes[0].Put, Value: wire.Encode(writes[0].Value), Version: uint64(i + 1)})
 	}
 	o.c.graph.Reset(entries, uint64(len(entries)))
@@ -38,13 +38,14 @@
 	return o
 }
 
-// TestBlockedJobsCostNothing guards that an event looks only at the jobs that depend on it,
-// however many wait, and that those are in none of the owner's lists.
+// TestBlockedJobsCostNothing checks that the cost of an event depends only on the jobs that it
+// affects, not on the number of blocked jobs, and that blocked jobs are in none of the owner's
+// lists of jobs to place.
 func TestBlockedJobsCostNothing(t *testing.T) {
 	for _, chains := range []int{10, 1000} {
 		o := newOwnerWithBlockedJobs(chains, 5)
 		if len(o.queue) != chains || len(o.jobs) != chains || len(o.blockedJobs) != 4*chains {
-			t.Fatalf("%d chains: queue %d, jobs %d, waiting %d", chains, len(o.queue), len(o.jobs), len(o.blockedJobs))
+			t.Fatalf("%d chains: queue %d, jobs %d, blocked %d", chains, len(o.queue), len(o.jobs), len(o.blockedJobs))
 		}
 		g := o.c.graph
 		before, revision := g.Work().Jobs, g.Revision()
@@ -52,27 +53,26 @@
 			{Delete: record.ActiveJobKey(jobName(0)), Version: revision + 1},
 			{Delete: record.ActiveJobKey(jobName(5)), Version: revision + 2},
 		}}, o.c.wallClock)
-		finals := map[string]record.TerminalState{
+		terminalStates := map[string]record.TerminalState{
 			jobName(0): {Status: record.StatusDone, FinishedAt: 3},
 			jobName(5): {Status: record.StatusCancelled},
 		}
 		for _, id := range g.UnresolvedJobs() {
-			o.c.applyTerminalState(id, finals[id])
+			o.c.jobView.ApplyTerminalState(id, terminalStates[id])
 		}
 		// One job is ready, and the four of the other chain are cancelled.
-		if looked := g.Work().Jobs - before; looked != 1+4 || o.jobs[jobName(1)] == nil || len(o.cascadedCancellations) != 4 {
-			t.Fatalf("%d chains: %d jobs were looked at, %d are cancelled", chains, looked, len(o.cascadedCancellations))
+		if visited := g.Work().Jobs - before; visited != 1+4 || o.jobs[jobName(1)] == nil || len(o.cascadedCancellations) != 4 {
+			t.Fatalf("%d chains: %d jobs were visited, %d are cancelled", chains, visited, len(o.cascadedCancellations))
 		}
 	}
 }
 
-// BenchmarkBlockedJobs passes the time, a done job and a report of the present state to an owner
-// of many jobs that wait.
+// BenchmarkBlockedJobs measures a tick and the changes of one job at an owner of many blocked jobs.
 func BenchmarkBlockedJobs(b *testing.B) {
 	for _, chains := range []int{10, 1000} {
 		b.Run(fmt.Sprint(4*chains), func(b *testing.B) {
 			o := newOwnerWithBlockedJobs(chains, 5)
-			o.queue, o.committing = nil, true // only what waits
+			o.queue, o.committing = nil, true // only the blocked jobs remain
 			clear(o.jobs)
 			g, id := o.c.graph, jobName(5*chains)
 			for b.Loop() {
--- a/controller/cancellation_acks.go
+++ b/controller/cancellation_acks.go
@@ -53,7 +53,7 @@
 
 // cancellationsKnownUntil is the time up to which this node's reads show all cancellations.
 func (c *Core) cancellationsKnownUntil() micros.Micros {
-	until := c.jobView.cancellationsKnownUntil
+	until := c.jobView.CancellationsKnownUntil()
 	if c.owner != nil && c.owner.state == ownerActive {
 		until = max(until, c.owner.cancellationsKnownUntil)
 	}
--- a/controller/core.go
+++ b/controller/core.go
@@ -13,6 +13,7 @@
 	"tamarindlead/internal/cancellation"
 	"tamarindlead/internal/cluster"
 	"tamarindlead/internal/dag"
+	"tamarindlead/internal/jobview"
 	"tamarindlead/internal/kv"
 	"tamarindlead/internal/record"
 	"tamarindlead/internal/wire"
@@ -54,7 +55,7 @@
 	terminalStates terminalStates
 	lookups        lookupStage
 	graph          *dag.Graph // the active jobs
-	jobView        jobView
+	jobView        *jobview.View
 	// cancellations keeps which cancellations users may be told of, and bounds leases.
 	cancellations *cancellation.Tracker
 
@@ -93,8 +94,9 @@
 		Requests: cfg.KVRequestRate, Writes: cfg.KVWriteRate, MinWriteBurst: cancellationWrites + 1,
 	}, len(cfg.Siblings)+1)
 	c.store = kv.New(kvHost{c}, c.budget, record.LeaderKey, log)
-	c.submissions, c.terminalStates = newSubmissionQueue(c), newTerminalStates()
-	c.graph = dag.New(jobObserver{c}, log)
+	c.submissions = newSubmissionQueue(c)
+	c.jobView = newJobView(c)
+	c.graph, c.terminalStates = c.jobView.Graph(), terminalStates{c.jobView.TerminalStates()}
 	return c
 }
 
@@ -138,7 +140,7 @@
 	c.tickPeers()
 	c.tickMachineTypes()
 	c.node.Tick(c.now)
-	c.tickJobView()
+	c.jobView.Tick()
 	c.tickStatus()
 	c.cancellations.PruneEnded(c.now)
 	if c.owner != nil {
--- a/controller/job_view.go
+++ b/controller/job_view.go
@@ -1,61 +1,73 @@
 package controller
 
 import (
-	"tamarindlead/internal/budget"
 	"tamarindlead/internal/dag"
-	"tamarindlead/internal/kv"
-	"tamarindlead/internal/record"
-	"tamarindlead/internal/wire"
+	"tamarindlead/internal/jobview"
 	"tamarindlead/micros"
 )
 
-// This file keeps the view of the active jobs (package jobgraph) up to date at every node. It
-// is fed by a listing and by changes, whoever asked for them: the watch that a node without
-// teams follows here, that of an owner, or a read made for an answer.
+// This file connects package jobview, the view of the active jobs, with this node and its owner.
 
-// followRetryDelay is the least time between two answers of the watch that the view follows at a
-// node that owns nothing: it need not be up to date, since what it says is always confirmed.
-const followRetryDelay = micros.Second
+func newJobView(c *Core) *jobview.View {
+	settings := jobview.Settings{
+		RequestTimeout: submissionTimeout,
+		TickInterval:   fastTickInterval,
+		ReadRetryDelay: readRetryDelay,
+	}
+	return jobview.New(jobViewHost{c}, jobObserver{c}, settings, c.store, c.budget, c.log)
+}
 
-// jobView is how this node reads the active jobs and how they ended.
-type jobView struct {
-	following bool
-	retryAt   micros.Micros
-	// cancellationsKnownUntil is when what was read last by the watch was asked for.
-	cancellationsKnownUntil micros.Micros
+// jobViewHost gives the view this node's time and timers.
+type jobViewHost struct{ c *Core }
 
-	refreshQueue refreshQueue
-	resolution   terminalStateResolution
-}
+// Now implements jobview.Host.
+func (h jobViewHost) Now() micros.Micros { return h.c.now }
+
+// WallClock implements jobview.Host.
+func (h jobViewHost) WallClock() micros.Micros { return h.c.wallClock }
+
+// After implements jobview.Host.
+func (h jobViewHost) After(d micros.Micros, do func()) { h.c.after(d, do) }
 
-// jobObserver passes on to the owner what the graph of jobs tells.
+// WatchWait implements jobview.Host.
+func (h jobViewHost) WatchWait() micros.Micros { return h.c.watchWait() }
+
+// OwnsTeams implements jobview.Host.
+func (h jobViewHost) OwnsTeams() bool { return h.c.owner != nil }
+
+// jobObserver forwards changes of the active jobs to the owner, if this node has one.
 type jobObserver struct{ c *Core }
 
+// JobPut implements jobview.Observer.
 func (w jobObserver) JobPut(key string, value []byte, version uint64) {
 	if o := w.c.owner; o != nil && o.jobsListed {
 		o.recoverJob(key, value, version)
 	}
 }
 
+// JobDeleted implements jobview.Observer.
 func (w jobObserver) JobDeleted(id string) {
 	if o := w.c.owner; o != nil && o.jobsListed {
-		// Users may have been told as early as what was known before ends.
+		// Users may have been told as early as the last answered watch began.
 		o.handleJobRemoved(id, o.cancellationsKnownUntil)
 	}
 }
 
+// JobReady implements jobview.Observer.
 func (w jobObserver) JobReady(job *dag.BlockedJob) {
 	if o := w.c.owner; o != nil {
 		o.jobReady(job)
 	}
 }
 
+// JobCancelled implements jobview.Observer.
 func (w jobObserver) JobCancelled(id string) {
 	if o := w.c.owner; o != nil {
 		o.queueCascadedCancellation(id)
 	}
 }
 
+// InheritanceChanged implements jobview.Observer.
 func (w jobObserver) InheritanceChanged(id string) {
 	o := w.c.owner
 	if o == nil {
@@ -66,6 +78,7 @@
 	}
 }
 
+// EstimateOf implements jobview.Observer.
 func (w jobObserver) EstimateOf(job *dag.BlockedJob) micros.Micros {
 	if o := w.c.owner; o != nil {
 		return o.classes.CorrectedEstimate(job.Class, job.Estimate)
@@ -73,116 +86,9 @@
 	return job.Estimate
 }
 
-func (w jobObserver) IsDone(id string) bool { return w.c.terminalStates.of(id) == wire.JobDone }
-
-// tickJobView follows the jobs at a node that does not own; an owner does so itself.
-func (c *Core) tickJobView() {
-	view := &c.jobView
-	if view.following || c.now < view.retryAt || c.owner != nil {
-		return
-	}
-	view.following = true
-	if c.graph.IsSynced() {
-		c.followJobs()
-		return
-	}
-	asked := c.now
-	c.store.ListAll(record.ActiveJobPrefix, func(ok bool, entries []kv.Entry, revision uint64) {
-		if !ok {
-			view.stopFollowing(c.now)
-			return
-		}
-		if c.owner == nil { // else it lists, or has listed, itself
-			c.graph.Reset(entries, revision)
-			view.cancellationsKnownUntil = asked
-		}
-		c.followJobs()
-	})
-}
-
-// followJobs watches the jobs from the graph's revision on.
-func (c *Core) followJobs() {
-	view := &c.jobView
-	c.after(followRetryDelay, func() {
-		if c.owner != nil { // it follows the jobs itself
-			view.following = false
-			return
-		}
-		asked, after := c.now, c.graph.Revision()
-		c.store.Watch(budget.Reads, record.ActiveJobPrefix, after, c.watchWait(), func(r kv.Result) {
-			if !c.applyJobChanges(after, r) {
-				view.stopFollowing(c.now)
-				return
-			}
-			view.cancellationsKnownUntil = asked
-			c.followJobs()
-		})
-	})
-}
-
-// stopFollowing lets the next try begin after a pause.
-func (v *jobView) stopFollowing(now micros.Micros) {
-	v.following, v.retryAt = false, now+followRetryDelay
-}
-
-// applyJobChanges applies the answer of a watch; false: it does not continue what is known.
-func (c *Core) applyJobChanges(after uint64, r kv.Result) bool {
-	if r.Outcome == kv.Compacted {
-		c.graph.MarkUnsynced()
-	}
-	var changes kv.WatchResult
-	return r.Outcome == kv.OK && r.Decode(&changes) && c.graph.Apply(after, &changes, c.wallClock)
-}
-
-// refreshQueue is the questions that need a view of the present state. One read serves all
-// that ask before it is sent.
-type refreshQueue struct {
-	callbacks   []func(ok bool)
-	requestedAt micros.Micros // the first of them
-	reading     bool
-}
-
-// refresh hands over once this node's view is at least as new as the question; false: the
-// present state cannot be known now.
-func (c *Core) refresh(done func(ok bool)) {
-	queue := &c.jobView.refreshQueue
-	if len(queue.callbacks) == 0 {
-		queue.requestedAt = c.now
-	}
-	queue.callbacks = append(queue.callbacks, done)
-	c.sendRefresh()
-}
-
-func (c *Core) sendRefresh() {
-	queue := &c.jobView.refreshQueue
-	if queue.reading || len(queue.callbacks) == 0 {
-		return
-	}
-	if !c.budget.MayRequest(budget.UserRequests, c.now) && c.now-queue.requestedAt < submissionTimeout {
-		c.after(fastTickInterval, c.sendRefresh)
-		return
-	}
-	batch, after := queue.callbacks, c.graph.Revision()
-	queue.callbacks = nil
-	if !c.graph.IsSynced() {
-		notifyAll(batch, false)
-		return
-	}
-	queue.reading = true
-	c.store.Do(budget.UserRequests, kv.Watch(record.ActiveJobPrefix, after, 0), func(r kv.Result) {
-		queue.reading = false
-		queue.requestedAt = c.now // what came meanwhile goes out now
-		ok := c.applyJobChanges(after, r)
-		if r.Outcome == kv.Compacted && c.owner != nil && c.owner.jobsListed {
-			c.owner.restartRecovery("changes of jobs were missed")
-		}
-		notifyAll(batch, ok)
-		c.sendRefresh()
-	})
-}
-
-func notifyAll(questions []func(ok bool), ok bool) {
-	for _, answer := range questions {
-		answer(ok)
+// ChangesMissed implements jobview.Observer.
+func (w jobObserver) ChangesMissed() {
+	if o := w.c.owner; o != nil && o.jobsListed {
+		o.restartRecovery("changes of jobs were missed")
 	}
 }
--- a/controller/priority_inheritance_test.go
+++ b/controller/priority_inheritance_test.go
@@ -56,7 +56,7 @@
 func (w *inheritanceTest) finish(id string, status wire.JobPhase) {
 	delete(w.jobs, id)
 	w.apply(kv.Change{Delete: record.ActiveJobKey(id)})
-	w.core.applyTerminalState(id, record.TerminalState{Status: record.Status(status), FinishedAt: 1})
+	w.core.jobView.ApplyTerminalState(id, record.TerminalState{Status: record.Status(status), FinishedAt: 1})
 }
 
 // check holds what the owner makes of a job against what is expected.
--- /dev/null
+++ b/internal/jobview/dependency_check.go
@@ -0,0 +1,121 @@
+package jobview
+
+import (
+	"fmt"
+
+	"tamarindlead/internal/budget"
+	"tamarindlead/internal/record"
+	"tamarindlead/internal/wire"
+	"tamarindlead/micros"
+)
+
+// DependencyStatus is the state of the dependencies of a submission as a whole.
+type DependencyStatus int
+
+// The states of a submission's dependencies.
+const (
+	DependenciesUnknown       DependencyStatus = iota // cannot be found out now
+	DependenciesNeverAccepted                         // some dependency was never accepted
+	DependenciesOpen                                  // all were accepted, none is known to be cancelled
+	DependenciesCancelled                             // some upstream job is cancelled
+)
+
+// String returns the status in words.
+func (s DependencyStatus) String() string {
+	switch s {
+	case DependenciesUnknown:
+		return "unknown"
+	case DependenciesNeverAccepted:
+		return "never accepted"
+	case DependenciesOpen:
+		return "open"
+	case DependenciesCancelled:
+		return "cancelled"
+	}
+	return fmt.Sprintf("DependencyStatus(%d)", int(s))
+}
+
+// DependencyResult is the result of a check of dependencies.
+type DependencyResult struct {
+	Status DependencyStatus
+	// CancelledRoot is the upstream job that its user cancelled, if Status is
+	// DependenciesCancelled.
+	CancelledRoot string
+}
+
+// dependencyCheck finds out the state of a submission's dependencies by reads made for it.
+type dependencyCheck struct {
+	view     *View
+	ids      []string
+	deadline micros.Micros
+	resets   int // of the graph when it was refreshed
+	done     func(DependencyResult)
+}
+
+// CheckDependencies finds out the state of the dependencies of a submission, by reads that are
+// sent from now on.
+func (v *View) CheckDependencies(ids []string, deadline micros.Micros, done func(DependencyResult)) {
+	check := &dependencyCheck{view: v, ids: ids, deadline: deadline, done: done}
+	v.Refresh(check.handleRefreshed)
+}
+
+// fail ends the check without a finding.
+func (d *dependencyCheck) fail() { d.done(DependencyResult{Status: DependenciesUnknown}) }
+
+// handleRefreshed reads the terminal states of the dependencies that are not active.
+func (d *dependencyCheck) handleRefreshed(ok bool) {
+	if !ok {
+		d.fail()
+		return
+	}
+	d.resets = d.view.graph.Resets()
+	var inactive []string
+	for _, id := range d.ids {
+		if !d.view.graph.IsActive(id) && d.view.terminalStates.Of(id) != wire.JobDone {
+			inactive = append(inactive, id)
+		}
+	}
+	d.view.readTerminalStates(budget.UserRequests, inactive, d.deadline, func(found map[string]record.TerminalState, ok bool) {
+		if !ok {
+			d.fail()
+			return
+		}
+		d.handleTerminalStatesRead(inactive, found)
+	})
+}
+
+// handleTerminalStatesRead ends the check if a terminal state decides it, and else resolves the
+// upstream jobs of the active dependencies.
+func (d *dependencyCheck) handleTerminalStatesRead(inactive []string, found map[string]record.TerminalState) {
+	root := ""
+	for _, id := range inactive {
+		rec, accepted := found[id]
+		if !accepted {
+			d.done(DependencyResult{Status: DependenciesNeverAccepted})
+			return
+		}
+		if rec.Status == record.StatusCancelled && root == "" {
+			root = rec.CancelledRoot(id)
+		}
+	}
+	if root != "" {
+		d.done(DependencyResult{Status: DependenciesCancelled, CancelledRoot: root})
+		return
+	}
+	d.view.resolveDependenciesSince(d.resets, d.ids, d.deadline, d.handleResolved)
+}
+
+// handleResolved ends the check by what the graph shows.
+func (d *dependencyCheck) handleResolved(ok bool) {
+	if !ok {
+		d.fail()
+		return
+	}
+	for _, id := range d.ids {
+		if job := d.view.graph.Blocked(id); job != nil && job.Cancelled() {
+			d.done(DependencyResult{Status: DependenciesCancelled, CancelledRoot: job.CancelledRoot})
+			return
+		}
+	}
+	d.done(DependencyResult{Status: DependenciesOpen})
+}
--- /dev/null
+++ b/internal/jobview/follow.go
@@ -0,0 +1,72 @@
+package jobview
+
+import (
+	"tamarindlead/internal/budget"
+	"tamarindlead/internal/kv"
+	"tamarindlead/internal/record"
+	"tamarindlead/micros"
+)
+
+// followDelay is the least time between two watches, and the pause after one that failed. A node
+// that owns no teams need not be up to date: what its view shows is always confirmed by a read.
+const followDelay = micros.Second
+
+// follower is the state of the watch of the active jobs at a node that owns no teams.
+type follower struct {
+	running bool
+	retryAt micros.Micros
+}
+
+// stop ends the watch until a pause is over.
+func (f *follower) stop(now micros.Micros) {
+	f.running = false
+	f.retryAt = now + followDelay
+}
+
+// Tick starts the watch of the active jobs if none is running at a node that owns no teams.
+func (v *View) Tick() {
+	if v.follower.running || v.host.Now() < v.follower.retryAt || v.host.OwnsTeams() {
+		return
+	}
+	v.follower.running = true
+	if v.graph.IsSynced() {
+		v.watch()
+		return
+	}
+	v.list()
+}
+
+// list resets the graph to a listing and watches the changes from there.
+func (v *View) list() {
+	requestedAt := v.host.Now()
+	v.store.ListAll(record.ActiveJobPrefix, func(ok bool, entries []kv.Entry, revision uint64) {
+		if !ok {
+			v.follower.stop(v.host.Now())
+			return
+		}
+		if !v.host.OwnsTeams() { // a new owner feeds the graph with its own listing
+			v.graph.Reset(entries, revision)
+			v.cancellationsKnownUntil = requestedAt
+		}
+		v.watch()
+	})
+}
+
+// watch sends the next watch, from the graph's revision on, after a pause.
+func (v *View) watch() {
+	v.host.After(followDelay, func() {
+		if v.host.OwnsTeams() {
+			v.follower.running = false
+			return
+		}
+		requestedAt, after := v.host.Now(), v.graph.Revision()
+		v.store.Watch(budget.Reads, record.ActiveJobPrefix, after, v.host.WatchWait(), func(result kv.Result) {
+			if !v.ApplyWatchResult(after, result) {
+				v.follower.stop(v.host.Now())
+				return
+			}
+			v.cancellationsKnownUntil = requestedAt
+			v.watch()
+		})
+	})
+}
