--- /dev/null
+++ b/internal/jobview/dependency_check_test.go
@@ -0,0 +1,128 @@
+package jobview
+
+import (
+	"slices"
+	"testing"
+
+	"tamarindlead/internal/kv"
+	"tamarindlead/internal/record"
+	"tamarindlead/internal/wire"
+	"tamarindlead/micros"
+)
+
+// TestCheckDependencies checks what a submission learns of its dependencies, changes after the
+// last listing included.
+func TestCheckDependencies(t *testing.T) {
+	done := record.TerminalState{Status: record.StatusDone, FinishedAt: 1}
+	cancelled := record.TerminalState{Status: record.StatusCancelled}
+	tests := []struct {
+		name    string
+		listed  []kv.Write // before the listing
+		written []kv.Write // after the listing
+		setUp   func(v *View, node *testNode)
+		ids     []string
+		want    DependencyResult
+	}{
+		{
+			name: "active", listed: acceptance(jobA, 8<<10), written: acceptance(jobB, 8<<10),
+			ids: []string{jobA, jobB}, want: DependencyResult{Status: DependenciesOpen},
+		},
+		{
+			name: "done", listed: ending(jobA, done), written: ending(jobB, done),
+			ids: []string{jobA, jobB}, want: DependencyResult{Status: DependenciesOpen},
+		},
+		{
+			name: "remembered as done",
+			setUp: func(v *View, _ *testNode) {
+				v.TerminalStates().Remember(jobA, wire.JobDone)
+			},
+			ids: []string{jobA}, want: DependencyResult{Status: DependenciesOpen},
+		},
+		{
+			name: "never accepted", listed: slices.Concat(acceptance(jobA, 8<<10), ending(jobB, cancelled)),
+			ids: []string{jobA, jobB, jobC}, want: DependencyResult{Status: DependenciesNeverAccepted},
+		},
+		{
+			name: "cancelled by its user", listed: acceptance(jobA, 8<<10), written: ending(jobA, cancelled),
+			ids: []string{jobA}, want: DependencyResult{Status: DependenciesCancelled, CancelledRoot: jobA},
+		},
+		{
+			name:   "cancelled with an upstream job",
+			listed: ending(jobB, record.TerminalState{Status: record.StatusCancelled, CancelledDependency: jobA}),
+			ids:    []string{jobB}, want: DependencyResult{Status: DependenciesCancelled, CancelledRoot: jobA},
+		},
+		{
+			name:    "upstream job cancelled, downstream job still active",
+			listed:  slices.Concat(acceptance(jobA, 8<<10), acceptance(jobB, 8<<10, jobA), acceptance(jobC, 8<<10, jobB)),
+			written: ending(jobA, cancelled),
+			ids:     []string{jobC}, want: DependencyResult{Status: DependenciesCancelled, CancelledRoot: jobA},
+		},
+		{
+			name:    "upstream job cancelled, dependencies in parts",
+			listed:  slices.Concat(acceptance(jobA, 8<<10), acceptance(jobB, 1, jobA), acceptance(jobC, 1, jobB)),
+			written: ending(jobA, cancelled),
+			ids:     []string{jobC}, want: DependencyResult{Status: DependenciesCancelled, CancelledRoot: jobA},
+		},
+		{
+			name:   "part missing",
+			listed: slices.Concat(acceptance(jobA, 8<<10), acceptance(jobB, 1, jobA)[:1]),
+			ids:    []string{jobB}, want: DependencyResult{Status: DependenciesUnknown},
+		},
+		{
+			name:   "undecodable terminal state",
+			listed: []kv.Write{{Put: record.TerminalStateKey(jobA), Value: "not a record"}},
+			ids:    []string{jobA}, want: DependencyResult{Status: DependenciesUnknown},
+		},
+		{
+			name: "store unavailable", listed: acceptance(jobA, 8<<10),
+			setUp: func(_ *View, node *testNode) { node.kvStore.Unavailable = true },
+			ids:   []string{jobA}, want: DependencyResult{Status: DependenciesUnknown},
+		},
+	}
+	for _, test := range tests {
+		t.Run(test.name, func(t *testing.T) {
+			v, node := newSyncedView(t, test.listed...)
+			if len(test.written) > 0 {
+				node.commit(test.written...)
+			}
+			if test.setUp != nil {
+				test.setUp(v, node)
+			}
+			var results []DependencyResult
+			v.CheckDependencies(test.ids, node.now+micros.Second, func(r DependencyResult) { results = append(results, r) })
+			node.respondAll()
+			if !slices.Equal(results, []DependencyResult{test.want}) {
+				t.Fatalf("results %v, want %v", results, test.want)
+			}
+		})
+	}
+}
+
+// TestResolveDependenciesRejectsReset checks that a question does not continue on a graph that a
+// listing has replaced meanwhile.
+func TestResolveDependenciesRejectsReset(t *testing.T) {
+	v, node := newSyncedView(t, slices.Concat(acceptance(jobA, 8<<10), acceptance(jobB, 1, jobA))...)
+	var results []bool
+	v.ResolveDependencies([]string{jobB}, node.now+micros.Second, func(ok bool) { results = append(results, ok) })
+	v.Graph().Reset(nil, v.Graph().Revision())
+	node.respondAll()
+	if !slices.Equal(results, []bool{false}) {
+		t.Fatalf("results %v", results)
+	}
+}
+
+// TestDependencyStatusString checks that every status has a text.
+func TestDependencyStatusString(t *testing.T) {
+	texts := map[DependencyStatus]string{
+		DependenciesUnknown:       "unknown",
+		DependenciesNeverAccepted: "never accepted",
+		DependenciesOpen:          "open",
+		DependenciesCancelled:     "cancelled",
+		DependenciesCancelled + 1: "DependencyStatus(4)",
+	}
+	for status, want := range texts {
+		if got := status.String(); got != want {
+			t.Errorf("%d: %q, want %q", int(status), got, want)
+		}
+	}
+}
--- /dev/null
+++ b/internal/jobview/view_test.go
@@ -0,0 +1,202 @@
+package jobview
+
+import (
+	"slices"
+	"testing"
+
+	"tamarindlead/internal/budget"
+	"tamarindlead/internal/kv"
+	"tamarindlead/internal/record"
+	"tamarindlead/micros"
+)
+
+// TestFollow checks that a node without teams lists the active jobs, applies their changes, and
+// leaves both to the owner once it has one.
+func TestFollow(t *testing.T) {
+	v, node := newSyncedView(t, acceptance(jobA, 8<<10)...)
+	if !v.Graph().IsActive(jobA) || v.CancellationsKnownUntil() != node.now {
+		t.Fatalf("listed: %v, known until %v", v.Graph().IsActive(jobA), v.CancellationsKnownUntil())
+	}
+	node.commit(acceptance(jobB, 8<<10)...)
+	node.advance(followDelay)
+	sentAt := node.now
+	node.advance(micros.Second)
+	node.respondAll()
+	if !v.Graph().IsActive(jobB) || v.CancellationsKnownUntil() != sentAt {
+		t.Fatalf("watched: %v, known until %v, want %v", v.Graph().IsActive(jobB), v.CancellationsKnownUntil(), sentAt)
+	}
+	node.ownsTeams = true
+	requests := node.requests
+	for range 3 {
+		node.advance(followDelay)
+		v.Tick()
+	}
+	if node.requests != requests || len(node.timers) > 0 {
+		t.Fatalf("%d requests at an owner, %d timers", node.requests-requests, len(node.timers))
+	}
+	node.ownsTeams = false
+	v.Tick()
+	node.advance(followDelay)
+	if node.requests != requests+1 {
+		t.Fatal("the watch is not resumed")
+	}
+}
+
+// TestFollowAfterFailure checks that a watch whose changes were compacted is replaced by a listing
+// after a pause.
+func TestFollowAfterFailure(t *testing.T) {
+	v, node := newSyncedView(t)
+	node.kvStore.CompactHistory = true
+	node.commit(acceptance(jobA, 8<<10)...)
+	node.advance(followDelay)
+	node.respondAll()
+	if v.Graph().IsSynced() {
+		t.Fatal("synced although changes were missed")
+	}
+	v.Tick()
+	if len(node.unanswered) > 0 {
+		t.Fatal("listed without a pause")
+	}
+	node.advance(followDelay)
+	v.Tick()
+	node.respondAll()
+	if !v.Graph().IsSynced() || !v.Graph().IsActive(jobA) || node.changesMissed > 0 {
+		t.Fatalf("synced: %v, active: %v, missed changes %d", v.Graph().IsSynced(), v.Graph().IsActive(jobA), node.changesMissed)
+	}
+}
+
+// TestRefreshSharesReads checks that one read serves the questions that were queued before it was
+// sent, and that later ones get a newer read.
+func TestRefreshSharesReads(t *testing.T) {
+	v, node := newSyncedView(t)
+	var order []string
+	ask := func(name, job string) {
+		v.Refresh(func(ok bool) {
+			if !ok || !v.Graph().IsActive(job) {
+				t.Errorf("%s: ok %v, job %s active %v", name, ok, job, v.Graph().IsActive(job))
+			}
+			order = append(order, name)
+		})
+	}
+	node.commit(acceptance(jobA, 8<<10)...)
+	ask("first", jobA)
+	node.commit(acceptance(jobB, 8<<10)...)
+	ask("second", jobB)
+	ask("third", jobB)
+	if node.requests != 1 {
+		t.Fatalf("%d requests before the first answer", node.requests)
+	}
+	node.respondAll()
+	if want := []string{"first", "second", "third"}; !slices.Equal(order, want) || node.requests != 2 {
+		t.Fatalf("answered %v in %d requests", order, node.requests)
+	}
+}
+
+// TestRefreshFails checks that questions are answered also if the present state cannot be read.
+func TestRefreshFails(t *testing.T) {
+	tests := []struct {
+		name       string
+		prepare    func(v *View, node *testNode)
+		wantMissed int
+	}{
+		{"not synced", func(v *View, _ *testNode) { v.Graph().MarkUnsynced() }, 0},
+		{"compacted", func(_ *View, node *testNode) { node.kvStore.CompactHistory = true }, 1},
+		{"unavailable", func(_ *View, node *testNode) { node.kvStore.Unavailable = true }, 0},
+	}
+	for _, test := range tests {
+		t.Run(test.name, func(t *testing.T) {
+			v, node := newSyncedView(t)
+			node.commit(acceptance(jobA, 8<<10)...)
+			test.prepare(v, node)
+			var results []bool
+			v.Refresh(func(ok bool) { results = append(results, ok) })
+			node.respondAll()
+			if !slices.Equal(results, []bool{false}) || node.changesMissed != test.wantMissed {
+				t.Fatalf("results %v, missed changes %d", results, node.changesMissed)
+			}
+		})
+	}
+}
+
+// TestRefreshWaitsForBudget checks that a question waits for the budget, and fails once a user's
+// request has been given up.
+func TestRefreshWaitsForBudget(t *testing.T) {
+	tests := []struct {
+		name     string
+		rate     float64
+		wantOK   bool
+		wantWait micros.Micros
+	}{
+		{"regained in time", 2, true, 500 * micros.Millisecond},
+		{"regained too late", 0.5, false, micros.Second},
+	}
+	for _, test := range tests {
+		t.Run(test.name, func(t *testing.T) {
+			v, node := newLimitedView(t, budget.Limits{Requests: test.rate, Writes: 1})
+			v.Graph().Reset(nil, 0)
+			for v.budget.Take(budget.UserRequests, 0, node.now) {
+			}
+			start, endedAt, ended := node.now, micros.Micros(0), 0
+			v.Refresh(func(ok bool) {
+				ended++
+				endedAt = node.now
+				if ok != test.wantOK {
+					t.Errorf("ok %v", ok)
+				}
+			})
+			for node.now < start+3*micros.Second {
+				node.advance(testSettings.TickInterval)
+				node.respondAll()
+			}
+			if ended != 1 || endedAt != start+test.wantWait {
+				t.Fatalf("%d answers, after %v", ended, endedAt-start)
+			}
+		})
+	}
+}
+
+// TestResolveBlockedJobs checks that an owner's reads show which blocked jobs are ready and which
+// are cancelled, by at most one read at a time and with a pause after a read without a finding.
+func TestResolveBlockedJobs(t *testing.T) {
+	v, node := newSyncedView(t, slices.Concat(
+		acceptance(jobA, 8<<10), acceptance(jobB, 8<<10), acceptance(jobC, 8<<10),
+		acceptance(jobAfterA, 8<<10, jobA), acceptance(jobAfterB, 8<<10, jobB), acceptance(jobAfterC, 1, jobC),
+	)...)
+	step := func() {
+		t.Helper()
+		v.ResolveBlockedJobs()
+		v.ResolveBlockedJobs()
+		if len(node.unanswered) > 1 {
+			t.Fatalf("%d reads in flight", len(node.unanswered))
+		}
+		node.respondAll()
+	}
+	step() // the parts of jobAfterC
+	if v.Graph().FirstIncomplete() != nil || node.requests != 1 {
+		t.Fatalf("%d requests, incomplete: %v", node.requests, v.Graph().FirstIncomplete())
+	}
+	node.commit(slices.Concat(
+		ending(jobA, record.TerminalState{Status: record.StatusDone, FinishedAt: 1}),
+		ending(jobB, record.TerminalState{Status: record.StatusCancelled}),
+		[]kv.Write{{Delete: record.ActiveJobKey(jobC)}},
+	)...)
+	v.Refresh(func(bool) {})
+	node.respondAll()
+	step()
+	if !slices.Equal(node.ready, []string{jobAfterA}) || !slices.Equal(node.cancelled, []string{jobAfterB}) {
+		t.Fatalf("ready %v, cancelled %v", node.ready, node.cancelled)
+	}
+	node.advance(testSettings.TickInterval)
+	step() // finds nothing of jobC
+	requests := node.requests
+	node.advance(testSettings.TickInterval)
+	step()
+	if node.requests != requests {
+		t.Fatal("read again without a pause")
+	}
+	node.advance(testSettings.ReadRetryDelay)
+	step()
+	if node.requests != requests+1 {
+		t.Fatal("not read again")
+	}
+}
