--- a/internal/jobview/dependency_parts.go
+++ b/internal/jobview/dependency_parts.go
@@ -13,7 +13,7 @@
 func (v *View) readDependencyParts(job *dag.BlockedJob, done func(ok bool)) {
 	v.store.Do(budget.UserRequests, kv.List(record.DependencyPartsPrefix(job.ID), ""), func(result kv.Result) {
 		var page kv.Page
-		if result.Outcome != kv.OK || !result.Decode(&page) {
+		if err := result.DecodeOK(&page); err != nil { // the caller repeats the read or its user does
 			done(false)
 			return
 		}
--- a/internal/jobview/follow.go
+++ b/internal/jobview/follow.go
@@ -39,13 +39,13 @@
 // list resets the graph to a listing and watches the changes from there.
 func (v *View) list() {
 	requestedAt := v.host.Now()
-	v.store.ListAll(record.ActiveJobPrefix, func(ok bool, entries []kv.Entry, revision uint64) {
-		if !ok {
+	v.store.ListAll(record.ActiveJobPrefix, func(listing kv.Listing, err error) {
+		if err != nil { // a later Tick lists again
 			v.follower.stop(v.host.Now())
 			return
 		}
 		if !v.host.OwnsTeams() { // a new owner feeds the graph with its own listing
-			v.graph.Reset(entries, revision)
+			v.graph.Reset(listing.Entries, listing.Revision)
 			v.cancellationsKnownUntil = requestedAt
 		}
 		v.watch()
--- a/internal/jobview/terminal_state_reads.go
+++ b/internal/jobview/terminal_state_reads.go
@@ -69,7 +69,7 @@
 	list := kv.List(record.TerminalStatePrefix, keyBefore(record.TerminalStateKey(r.remaining[0])))
 	r.view.store.Do(r.purpose, list, func(result kv.Result) {
 		var page kv.Page
-		if result.Outcome != kv.OK || !result.Decode(&page) {
+		if err := result.DecodeOK(&page); err != nil { // a retry or the end of the read handles it
 			r.handleFailure(result.Outcome)
 			return
 		}
--- a/internal/jobview/view.go
+++ b/internal/jobview/view.go
@@ -125,5 +125,5 @@
 		v.graph.MarkUnsynced()
 	}
 	var changes kv.WatchResult
-	return result.Outcome == kv.OK && result.Decode(&changes) && v.graph.Apply(after, &changes, v.host.WallClock())
+	return result.DecodeOK(&changes) == nil && v.graph.Apply(after, &changes, v.host.WallClock())
 }
--- /dev/null
+++ b/internal/soaktest/fault_injector.go
@@ -0,0 +1,166 @@
+package soaktest
+
+import (
+	"context"
+	"math/rand/v2"
+	"time"
+)
+
+const (
+	// faultCheckInterval is the time between two checks whether faults begin or end.
+	faultCheckInterval = 20 * time.Millisecond
+	// maxControllerDraws limits the draws for a controller that a fault can apply to.
+	maxControllerDraws = 10
+)
+
+// meanFaultIntervals are the mean times between two faults, of which a run draws one: with few faults
+// requests are answered quickly and race with each other, with many the faults overlap.
+var meanFaultIntervals = []time.Duration{1500 * time.Millisecond, 4 * time.Second, 10 * time.Second}
+
+// faultInjector injects faults. Only the goroutine of runFaults uses it.
+type faultInjector struct {
+	harness     *harness
+	rng         *rand.Rand
+	unavailable map[int]bool // controllers that are killed or frozen
+	active      []activeFault
+}
+
+// activeFault is a fault that lasts.
+type activeFault struct {
+	name   string
+	endsAt time.Time
+	undo   func()
+}
+
+// runFaults injects faults until load ends, and then undoes all that last.
+func (h *harness) runFaults(load context.Context) {
+	f := &faultInjector{harness: h, rng: newRandom(h.options.Seed, streamFaults), unavailable: map[int]bool{}}
+	f.startBackgroundFaults()
+	meanInterval := meanFaultIntervals[f.rng.IntN(len(meanFaultIntervals))]
+	next := time.Now().Add(f.drawDuration(1, 3))
+	for sleep(load, faultCheckInterval) {
+		now := time.Now()
+		f.endExpired(now)
+		if now.After(next) {
+			next = now.Add(time.Duration(f.rng.ExpFloat64() * float64(meanInterval)))
+			f.inject(now)
+		}
+	}
+	for _, a := range f.active {
+		a.undo()
+	}
+	h.endBackgroundFaults()
+}
+
+// inject draws a type of fault and injects it, unless there is nothing that it can apply to.
+func (f *faultInjector) inject(now time.Time) {
+	drawn := faultTypes[f.rng.IntN(len(faultTypes))]
+	injected, ok := drawn.inject(f)
+	if !ok {
+		return
+	}
+	name := drawn.name + " " + injected.target
+	f.harness.progress("fault: %s for %v", name, injected.duration.Round(time.Millisecond))
+	f.harness.countFault()
+	f.active = append(f.active, activeFault{name, now.Add(injected.duration), injected.undo})
+}
+
+func (h *harness) countFault() {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.checker.stats.Faults++
+}
+
+// endExpired undoes the faults whose time is over.
+func (f *faultInjector) endExpired(now time.Time) {
+	var lasting []activeFault
+	for _, a := range f.active {
+		if now.Before(a.endsAt) {
+			lasting = append(lasting, a)
+			continue
+		}
+		f.harness.progress("end: %s", a.name)
+		a.undo()
+	}
+	f.active = lasting
+}
+
+// drawDuration draws a duration between two numbers of seconds.
+func (f *faultInjector) drawDuration(from, to float64) time.Duration {
+	return time.Duration((from + f.rng.Float64()*(to-from)) * float64(time.Second))
+}
+
+// drawProbability draws a probability.
+func (f *faultInjector) drawProbability(limit float64) float64 { return limit * f.rng.Float64() }
+
+// drawController draws a controller that is neither killed nor frozen. It reports false if it has
+// found none.
+func (f *faultInjector) drawController() (int, bool) {
+	for range maxControllerDraws {
+		if i := f.rng.IntN(len(f.harness.controllers)); !f.unavailable[i] {
+			return i, true
+		}
+	}
+	return 0, false
+}
+
+// backgroundFaults are the conditions of links during the whole time of faults.
+type backgroundFaults struct {
+	delay, peerDelay       float64 // probabilities
+	maxDelay, maxPeerDelay time.Duration
+	loss, late, duplicate  float64 // probabilities
+	duplicateHeartbeat     float64 // probability
+}
+
+// drawBackgroundFaults draws the background faults, except for the duplicate heartbeats.
+func (f *faultInjector) drawBackgroundFaults() backgroundFaults {
+	var b backgroundFaults
+	b.delay = 0.15 + f.drawProbability(0.35)
+	b.maxDelay = f.drawDuration(0.1, 0.5)
+	b.peerDelay = f.drawProbability(0.3)
+	b.maxPeerDelay = f.drawDuration(0.02, 0.2)
+	b.loss = f.drawProbability(0.01)
+	b.late = f.drawProbability(0.01)
+	b.duplicate = f.drawProbability(0.02)
+	b.duplicateHeartbeat = f.drawProbability(0.1)
+	return b
+}
+
+// startBackgroundFaults delays some responses, and loses, delays and duplicates some messages.
+func (f *faultInjector) startBackgroundFaults() {
+	h, b := f.harness, f.drawBackgroundFaults()
+	h.progress("background: %.0f%% of the key-value store's responses delayed by up to %v, %.0f%% of the controllers' by up to %v",
+		100*b.delay, b.maxDelay.Round(time.Millisecond), 100*b.peerDelay, b.maxPeerDelay.Round(time.Millisecond))
+	for _, l := range h.links.kvStore {
+		l.update(func(c *linkConditions) { b.apply(c, b.delay, b.maxDelay) })
+	}
+	for _, l := range h.links.users {
+		l.update(func(c *linkConditions) { c.responseLossProbability, c.lateProbability = b.loss, b.late })
+	}
+	for _, peers := range h.links.peers {
+		for _, l := range peers {
+			l.update(func(c *linkConditions) { b.apply(c, b.peerDelay, b.maxPeerDelay) })
+		}
+	}
+	h.setDuplicateHeartbeats(b.duplicateHeartbeat)
+}
+
+// apply sets the conditions of a link between controllers or to the key-value store.
+func (b *backgroundFaults) apply(c *linkConditions, delay float64, maxDelay time.Duration) {
+	c.delayProbability, c.maxDelay = delay, maxDelay
+	c.responseLossProbability, c.lateProbability, c.duplicateProbability = b.loss, b.late, b.duplicate
+}
+
+// endBackgroundFaults restores the conditions of all links.
+func (h *harness) endBackgroundFaults() {
+	for _, l := range h.links.all() {
+		l.update(func(c *linkConditions) { *c = linkConditions{} })
+	}
+	h.setDuplicateHeartbeats(0)
+}
+
+func (h *harness) setDuplicateHeartbeats(probability float64) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.duplicateHeartbeatProbability = probability
+}
