--- /dev/null
+++ b/controller/inventory_adapter.go
@@ -0,0 +1,43 @@
+package controller
+
+import (
+	"tamarindlead/internal/inventory"
+	"tamarindlead/internal/wire"
+	"tamarindlead/micros"
+	"tamarindlead/sched"
+)
+
+// inventoryHost tells an owner what must be done because of changes of state in its inventory.
+type inventoryHost struct{ o *owner }
+
+func (h inventoryHost) Now() micros.Micros { return h.o.c.now }
+
+func (h inventoryHost) EntryChanged(m *inventory.Machine) { h.o.markDirty(m) }
+
+func (h inventoryHost) CompletionUnrecorded(j *inventory.Job, chunk int) {
+	h.o.segmentFor(j, chunk).MarkDirty(h.o.c.now)
+}
+
+func (h inventoryHost) CommandsNeeded(m *inventory.Machine) { h.o.queueDispatch(m) }
+
+// forgetMachine removes a machine whose record is gone, and refuses a heartbeat that waits for it.
+func (o *owner) forgetMachine(m *inventory.Machine) {
+	if m.PendingRequest != 0 {
+		o.c.refuse(m.PendingRequest, wire.StatusUnavailable, "machine was returned")
+		m.PendingRequest = 0
+	}
+	o.RemoveMachine(m)
+}
+
+// sizeOf returns the size of a machine type, or nothing while the type is unknown.
+func (o *owner) sizeOf(machineType string) sched.Resources {
+	if t := o.c.types.find(machineType); t != nil {
+		return t.Size
+	}
+	return sched.Resources{}
+}
+
+// addMachine adds a machine, with an entry in a block.
+func (o *owner) addMachine(b *inventory.Block, info inventory.MachineInfo) *inventory.Machine {
+	return o.AddMachine(b, info, o.sizeOf(info.Type))
+}
--- a/controller/job_view.go
+++ b/controller/job_view.go
@@ -2,6 +2,7 @@
 
 import (
 	"tamarindlead/internal/dag"
+	"tamarindlead/internal/inventory"
 	"tamarindlead/internal/jobview"
 	"tamarindlead/micros"
 )
@@ -73,7 +74,7 @@
 	if o == nil {
 		return
 	}
-	if j := o.jobs[id]; j != nil && j.state != jobEnded {
+	if j := o.Jobs[id]; j != nil && j.State != inventory.JobEnded {
 		o.inheritPriority(j)
 	}
 }
--- a/controller/owner.go
+++ b/controller/owner.go
@@ -4,14 +4,14 @@
 	"maps"
 	"slices"
 
-	"tamarindlead/config"
+	"tamarindlead/internal/inventory"
+
 	"tamarindlead/internal/autoscaler"
 	"tamarindlead/internal/cluster"
 	"tamarindlead/internal/kv"
 	"tamarindlead/internal/record"
 	"tamarindlead/internal/wire"
 	"tamarindlead/micros"
-	"tamarindlead/sched"
 )
 
 // ownerState is the state machine of owning teams and machines.
@@ -32,16 +32,13 @@
 	activeSince    micros.Micros // when it became active; before that, when it was made
 	readingRecords bool          // the records are being read
 	retryAt        micros.Micros // a read or watch that failed is tried again then
-	teams          map[string]*team
+	*inventory.Inventory
 
 	// Jobs.
-	jobs        map[string]*job
-	queue       []*job          // active jobs in the order in which they are placed
-	blockedJobs map[string]*job // those that wait for others, which are not among the jobs
 	// cascadedCancellations are waiting jobs that are cancelled with one before them, to be recorded.
 	cascadedCancellations []string
 	// unresolvedJobs are jobs that records name, of which it is not known how they ended.
-	unresolvedJobs []*job
+	unresolvedJobs []*inventory.Job
 	reservations   map[string]*reservation // by job
 	classes        *autoscaler.Classes
 
@@ -53,8 +50,6 @@
 	cancellationsKnownUntil micros.Micros
 
 	// Machines.
-	machines           map[string]*machine
-	sortedMachines     []*machine // the same in the order of their names
 	cloudListing       cloudList
 	scaleOutRequests   map[string]*scaleOutRequest
 	refusedOffers      map[autoscaler.Offer]micros.Micros // not asked for until then
@@ -62,7 +57,6 @@
 	ownedElsewhere     map[string]micros.Micros           // machines that another owns, though no peer says so yet
 	unclaimedSince     map[string]micros.Micros           // listed machines that nobody claims, since when
 	partitionedSince   map[string]micros.Micros           // zones that are cut off, since when
-	terminationNeeded  bool                               // machines are to be returned to the cloud
 	terminating        bool                               // a request for that is under way
 	nextTermination    micros.Micros
 	nextAutoscaling    micros.Micros
@@ -74,18 +68,15 @@
 
 	// Commands to machines.
 	lastHeartbeat    micros.Micros // the latest report
-	dispatchQueue    []*machine
+	dispatchQueue    []*inventory.Machine
 	commandsInFlight int // direct commands and questions to machines under way
 
 	// Scheduling passes, and the attempts that they have proposed.
-	schedulingNeeded   bool
 	nextSchedulingPass micros.Micros
-	assumed            int // attempts that are not recorded yet
-	assumedJobs        int // jobs with such
 
 	// Commits.
-	blocks             []*block
-	completionSegments []*completionSegment
+	blocks             []*inventory.Block
+	completionSegments []*inventory.CompletionSegment
 	committing         bool // a commit is under way
 	flushAt            micros.Micros
 	obsoleteKeys       []string      // keys that nobody reads any more
@@ -94,22 +85,10 @@
 	partsSweepCursor   string        // the last key that was looked at
 }
 
-// team is a team that this node owns.
-type team struct {
-	record   cluster.Team
-	used     sched.Resources
-	stopping sched.Resources // the part of it that is being stopped
-	config.Team
-}
-
 // newOwner returns an owner of teams that has read no records yet.
 func newOwner(c *Core, teams map[string]cluster.Team) *owner {
 	o := &owner{
 		c: c, activeSince: c.now, lastHeartbeat: c.now,
-		teams:              map[string]*team{},
-		machines:           map[string]*machine{},
-		jobs:               map[string]*job{},
-		blockedJobs:        map[string]*job{},
 		scaleOutRequests:   map[string]*scaleOutRequest{},
 		reservations:       map[string]*reservation{},
 		recentlyTerminated: map[string]micros.Micros{},
@@ -119,9 +98,10 @@
 		ownedElsewhere:     map[string]micros.Micros{},
 		unclaimedSince:     map[string]micros.Micros{},
 	}
+	o.Inventory = inventory.NewInventory(inventoryHost{o}, c.log)
 	for _, t := range c.cfg.Teams {
 		if v, ok := teams[t.Name]; ok {
-			o.teams[t.Name] = &team{record: v, Team: t}
+			o.Teams[t.Name] = &inventory.Team{Record: v, Team: t}
 		}
 	}
 	return o
@@ -130,14 +110,14 @@
 // setTeams takes the records of this node's teams. Should they be others than before,
 // all is read again.
 func (o *owner) setTeams(teams map[string]cluster.Team) {
-	same := len(teams) == len(o.teams)
+	same := len(teams) == len(o.Teams)
 	for name, v := range teams {
-		t := o.teams[name]
-		if t == nil || len(t.record.Predecessors) != len(v.Predecessors) {
+		t := o.Teams[name]
+		if t == nil || len(t.Record.Predecessors) != len(v.Predecessors) {
 			same = false
 			continue
 		}
-		t.record = v
+		t.Record = v
 	}
 	if !same {
 		o.c.log.Info("teams have changed", "teams", len(teams))
@@ -151,18 +131,18 @@
 // setState is the one place where the state changes.
 func (o *owner) setState(s ownerState) {
 	leader, term := o.c.node.Leader()
-	o.c.log.Info("owner", "from", o.state.String(), "to", s.String(), "jobs", len(o.jobs), "machines", len(o.machines),
-		"teams", len(o.teams), "member_version", o.c.node.RecordVersion(), "leader", leader, "term", term,
+	o.c.log.Info("owner", "from", o.state.String(), "to", s.String(), "jobs", len(o.Jobs), "machines", len(o.Machines),
+		"teams", len(o.Teams), "member_version", o.c.node.RecordVersion(), "leader", leader, "term", term,
 		"jobs_revision", o.watchRevision, "read_ago_us", int64(o.c.now-o.cancellationsKnownUntil))
 	o.state = s
 }
 
 // refusePendingHeartbeats answers the reports that wait, when this node stops owning.
 func (o *owner) refusePendingHeartbeats() {
-	for _, m := range o.sortedMachines {
-		if m.pendingRequest != 0 {
-			o.c.refuse(m.pendingRequest, wire.StatusUnavailable, "ownership lost")
-			m.pendingRequest = 0
+	for _, m := range o.SortedMachines {
+		if m.PendingRequest != 0 {
+			o.c.refuse(m.PendingRequest, wire.StatusUnavailable, "ownership lost")
+			m.PendingRequest = 0
 		}
 	}
 }
@@ -178,8 +158,8 @@
 	}
 	o.c.log.Warn("reading all records again", "why", why, "member_version", o.c.node.RecordVersion())
 	records := map[string]cluster.Team{}
-	for name, t := range o.teams {
-		records[name] = t.record
+	for name, t := range o.Teams {
+		records[name] = t.Record
 	}
 	o.c.setOwner(newOwner(o.c, records))
 	o.c.owner.retryAt = o.c.now + recoveryRestartDelay
@@ -236,11 +216,11 @@
 		return false
 	}
 	latest, expected := micros.Micros(0), 0
-	for _, m := range o.machines {
-		if !m.expectsHeartbeat() {
+	for _, m := range o.Machines {
+		if !m.ExpectsHeartbeat() {
 			continue
 		}
-		heard := m.lastHeartbeat
+		heard := m.LastHeartbeat
 		if heard > o.c.now { // it was given time after a takeover
 			heard = o.activeSince
 		}
@@ -258,18 +238,6 @@
 	return max(minAllUnresponsiveTimeout, o.c.cfg.HeartbeatInterval*5/4)
 }
 
-// expectsHeartbeat tells that a machine is up as far as is known. Nothing can be concluded from the
-// silence of one that still boots, but after a takeover one with tasks was up.
-func (m *machine) expectsHeartbeat() bool {
-	switch {
-	case m.state >= machineDecommissioning:
-		return false
-	case m.state == machineBooting:
-		return m.recovered && len(m.attempts) > 0
-	}
-	return true
-}
-
 // preconditions builds a list of guards that always holds this node's own record: an owner
 // that has lost it can change nothing.
 func (o *owner) preconditions(more map[string]uint64) []kv.Precondition {
@@ -287,8 +255,8 @@
 	if earlier == o.c.node.ID() || o.ownsAllTeams() {
 		return true
 	}
-	for _, t := range o.teams {
-		if slices.Contains(t.record.Predecessors, earlier) {
+	for _, t := range o.Teams {
+		if slices.Contains(t.Record.Predecessors, earlier) {
 			return true
 		}
 	}
--- a/internal/jobview/resolution.go
+++ b/internal/jobview/resolution.go
@@ -1,10 +1,8 @@
 package jobview
 
 import (
-	"maps"
-	"slices"
-
 	"tamarindlead/internal/budget"
+	"tamarindlead/internal/ordered"
 	"tamarindlead/internal/record"
 	"tamarindlead/micros"
 )
@@ -75,7 +73,7 @@
 	resolution := &v.resolution
 	resolution.reading = false
 	resolution.retryAt = v.host.Now() + v.settings.TickInterval
-	for _, id := range slices.Sorted(maps.Keys(found)) {
+	for _, id := range ordered.Keys(found) {
 		v.ApplyTerminalState(id, found[id])
 	}
 	if !ok || len(found) == 0 {
