--- a/controller/bench_test.go
+++ b/controller/bench_test.go
@@ -10,6 +10,7 @@
 
 	"tamarindlead/config"
 	"tamarindlead/internal/cluster"
+	"tamarindlead/internal/frontend"
 	"tamarindlead/internal/kv"
 	"tamarindlead/internal/record"
 	"tamarindlead/internal/wire"
@@ -190,9 +191,9 @@
 		answered := 0
 		for i := range 50 {
 			id++
-			c.Handle(c.now, c.now, Request{ID: id, Method: "GET", Path: pathJobs + "/" + o.queue[i].ID})
+			c.Handle(c.now, c.now, Request{ID: id, Method: "GET", Path: frontend.PathJobs + "/" + o.queue[i].ID})
 		}
-		for _, e := range c.Handle(c.now+lookupBatchInterval, c.now, Tick{}) {
+		for _, e := range c.Handle(c.now+frontend.LookupBatchInterval, c.now, Tick{}) {
 			call, ok := e.(Call)
 			if !ok || call.Target != "/commit" {
 				continue
--- a/controller/core.go
+++ b/controller/core.go
@@ -13,6 +13,7 @@
 	"tamarindlead/internal/cancellation"
 	"tamarindlead/internal/cluster"
 	"tamarindlead/internal/dag"
+	"tamarindlead/internal/frontend"
 	"tamarindlead/internal/kv"
 	"tamarindlead/internal/record"
 	"tamarindlead/internal/wire"
@@ -50,9 +51,8 @@
 	numbers numberGenerator
 
 	// What users ask for.
-	submissions    submissionQueue
+	frontend       *frontend.Frontend
 	terminalStates terminalStates
-	lookups        lookupStage
 	graph          *dag.Graph // the active jobs
 	jobView        jobView
 	// cancellations keeps which cancellations users may be told of, and bounds leases.
@@ -90,11 +90,12 @@
 	}
 	c.cancellations = newCancellationTracker(c)
 	c.budget = budget.New(budget.Limits{
-		Requests: cfg.KVRequestRate, Writes: cfg.KVWriteRate, MinWriteBurst: cancellationWrites + 1,
+		Requests: cfg.KVRequestRate, Writes: cfg.KVWriteRate, MinWriteBurst: frontend.CancellationWrites + 1,
 	}, len(cfg.Siblings)+1)
 	c.store = kv.New(kvHost{c}, c.budget, record.LeaderKey, log)
-	c.submissions, c.terminalStates = newSubmissionQueue(c), newTerminalStates()
+	c.terminalStates = newTerminalStates()
 	c.graph = dag.New(jobObserver{c}, log)
+	c.frontend = newFrontend(c, log)
 	return c
 }
 
@@ -124,9 +125,9 @@
 		c.nextSlowTick = c.now + slowTickInterval
 		c.tickSlow()
 	}
-	c.submissions.flush()
+	c.frontend.FlushSubmissions()
 	c.cancellations.Tick(c.now)
-	c.flushLookups()
+	c.frontend.FlushLookups()
 	if c.owner != nil {
 		c.owner.advance()
 	}
@@ -165,7 +166,7 @@
 }
 
 // refuse answers at once that a request cannot be taken now.
-func (c *Core) refuse(id uint64, status wire.Status, reason refusalReason) {
+func (c *Core) refuse(id uint64, status wire.Status, reason frontend.RefusalReason) {
 	c.counters.refused++
 	c.effects = append(c.effects, Respond{ID: id, Status: status, Body: wire.Encode(wire.ErrorResponse{Error: string(reason)}), RetryAfter: retryAfterSeconds})
 }
--- /dev/null
+++ b/controller/frontend_adapter.go
@@ -0,0 +1,137 @@
+package controller
+
+import (
+	"log/slog"
+
+	"tamarindlead/internal/frontend"
+	"tamarindlead/internal/wire"
+	"tamarindlead/micros"
+	"tamarindlead/sched"
+)
+
+// This file connects internal/frontend, which handles users' requests, with this node.
+
+// newFrontend returns the frontend of a node whose other parts exist.
+func newFrontend(c *Core, log *slog.Logger) *frontend.Frontend {
+	return frontend.New(
+		frontend.Config{Settings: c.cfg, MaxTransactionBytes: maxCommitBytes, Log: log},
+		frontend.Services{
+			Host: frontendHost{c}, KV: c.store, Budget: c.budget, Graph: c.graph, JobView: frontendJobView{c},
+			TerminalStates: frontendTerminalStates{c}, Cancellations: frontendCancellations{c},
+			Owner: frontendOwnedJobs{c}, Peers: frontendPeerJobs{c},
+		},
+		frontendResponses{c},
+	)
+}
+
+// submissionTimeout is the time after which reads for a submission are given up.
+const submissionTimeout = frontend.SubmissionTimeout
+
+// frontendHost is the node as the frontend sees it.
+type frontendHost struct{ c *Core }
+
+func (h frontendHost) Now() micros.Micros { return h.c.now }
+
+func (h frontendHost) WallClock() micros.Micros { return h.c.wallClock }
+
+func (h frontendHost) IsIsolated() bool { return h.c.isIsolated() }
+
+func (h frontendHost) MachineTypes() []sched.MachineType { return h.c.types.list }
+
+func (h frontendHost) ReportViolation(what string, args ...any) { h.c.reportViolation(what, args...) }
+
+// frontendResponses turns responses to users into effects.
+type frontendResponses struct{ c *Core }
+
+func (r frontendResponses) Respond(request uint64, status wire.Status, body any) {
+	r.c.respond(request, status, body)
+}
+
+func (r frontendResponses) Refuse(request uint64, status wire.Status, reason frontend.RefusalReason) {
+	r.c.refuse(request, status, reason)
+}
+
+// frontendJobView is the view of the active jobs, brought up to date by reads.
+type frontendJobView struct{ c *Core }
+
+func (v frontendJobView) Refresh(done func(ok bool)) { v.c.refresh(done) }
+
+func (v frontendJobView) ResolveDependencies(jobs []string, deadline micros.Micros, done func(ok bool)) {
+	v.c.resolveDependencies(jobs, deadline, done)
+}
+
+func (v frontendJobView) CheckDependencies(jobs []string, deadline micros.Micros, done func(frontend.DependencyResult)) {
+	v.c.checkDependencies(jobs, deadline, func(result dependencyResult) {
+		done(frontend.DependencyResult{Status: frontendDependencyStatus(result.status), CancelledRoot: result.cancelledRoot})
+	})
+}
+
+// frontendDependencyStatus returns a dependency status as the frontend names it.
+func frontendDependencyStatus(status dependencyStatus) frontend.DependencyStatus {
+	switch status {
+	case dependenciesNeverAccepted:
+		return frontend.DependenciesNeverAccepted
+	case dependenciesOpen:
+		return frontend.DependenciesOpen
+	case dependenciesCancelled:
+		return frontend.DependenciesCancelled
+	case dependenciesUnknown:
+	}
+	return frontend.DependenciesUnknown
+}
+
+// frontendTerminalStates holds the terminal states that users may be told.
+type frontendTerminalStates struct{ c *Core }
+
+func (t frontendTerminalStates) Of(job string) wire.JobPhase { return t.c.terminalStates.of(job) }
+
+func (t frontendTerminalStates) Remember(job string, state wire.JobPhase) {
+	t.c.terminalStates.remember(job, state)
+}
+
+// frontendCancellations holds which jobs are cancelled, and which cancellations users may be told.
+type frontendCancellations struct{ c *Core }
+
+func (t frontendCancellations) HasEnded(job string) bool { return t.c.cancellations.HasEnded(job) }
+
+func (t frontendCancellations) Announce(job string, deadline micros.Micros, done func(mayAcknowledge bool)) {
+	t.c.announceCancellation(job, deadline, done)
+}
+
+// frontendOwnedJobs are the jobs of the teams that this node owns.
+type frontendOwnedJobs struct{ c *Core }
+
+func (o frontendOwnedJobs) Version(job string) (version uint64, owned bool) {
+	if o.c.owner == nil {
+		return 0, false
+	}
+	j := o.c.owner.jobs[job]
+	if j == nil || j.state == jobEnded {
+		return 0, false
+	}
+	return j.version, true
+}
+
+func (o frontendOwnedJobs) TaskCounts(job string) (counts frontend.TaskCounts, owned bool) {
+	if o.c.owner == nil || o.c.owner.jobs[job] == nil {
+		return frontend.TaskCounts{}, false
+	}
+	done, running := o.c.owner.countsOf(job)
+	return frontend.TaskCounts{Done: done, Running: running}, true
+}
+
+// frontendPeerJobs are the jobs that peers report on in their heartbeats.
+type frontendPeerJobs struct{ c *Core }
+
+func (p frontendPeerJobs) TaskCounts(job string) frontend.TaskCounts {
+	var counts frontend.TaskCounts
+	latest := micros.Micros(0)
+	for _, sibling := range p.c.cfg.Siblings {
+		peer := p.c.peers[sibling.Node]
+		if count := peer.jobCounts[job]; count != nil && peer.lastHeartbeat > latest {
+			latest = peer.lastHeartbeat
+			counts = frontend.TaskCounts{Done: int(count.Done), Running: int(count.Running)}
+		}
+	}
+	return counts
+}
--- a/controller/routes.go
+++ b/controller/routes.go
@@ -2,67 +2,25 @@
 
 import (
 	"net/http"
-	"strings"
 
+	"tamarindlead/internal/frontend"
 	"tamarindlead/internal/wire"
 )
 
-// Paths of the users' interface.
-const (
-	pathJobs     = "/api/jobs"
-	pathUp       = "/up"
-	cancelSuffix = "/cancel" // after the path of a job
-)
-
-// PathHeartbeat is where workers report.
+// PathHeartbeat is the path of workers' heartbeats.
 const PathHeartbeat = wire.PathHeartbeat
 
-// routeRequest routes an inbound request to its handler.
+// routeRequest routes an inbound request to its handler: those of peers and workers are handled
+// here, those of users by the frontend.
 func (c *Core) routeRequest(r Request) {
-	if r.Peer {
-		c.handlePeerRequest(r)
-		return
-	}
-	switch r.Path {
-	case pathUp:
-		c.handleMethod(r, http.MethodGet, func() { c.handleHealthCheck(r.ID) })
-	case PathHeartbeat:
-		c.handleMethod(r, http.MethodPost, func() { c.handleHeartbeat(r) })
-	case pathJobs:
-		c.handleMethod(r, http.MethodPost, func() { c.handleSubmission(r) })
-	default:
-		c.routeJobRequest(r)
-	}
-}
-
-// routeJobRequest routes a request whose path names a job.
-func (c *Core) routeJobRequest(r Request) {
-	rest, found := strings.CutPrefix(r.Path, pathJobs+"/")
-	job, cancel := strings.CutSuffix(rest, cancelSuffix)
 	switch {
-	case !found || strings.Contains(job, "/"):
-		c.respond(r.ID, wire.StatusNotFound, wire.ErrorResponse{Error: "no such path"})
-	case cancel:
-		c.handleMethod(r, http.MethodPost, func() { c.cancel(c.newUserRequest(r), job) })
+	case r.Peer:
+		c.handlePeerRequest(r)
+	case r.Path != PathHeartbeat:
+		c.frontend.HandleRequest(frontend.Request{ID: r.ID, Method: r.Method, Path: r.Path, Body: r.Body})
+	case r.Method != http.MethodPost:
+		c.respond(r.ID, wire.StatusMethodNotAllowed, wire.ErrorResponse{Error: string(frontend.ReasonMethodNotAllowed)})
 	default:
-		c.handleMethod(r, http.MethodGet, func() { c.handleQuery(c.newUserRequest(r), job) })
-	}
-}
-
-// handleMethod calls a handler if the request has the method that it demands.
-func (c *Core) handleMethod(r Request, method string, handler func()) {
-	if r.Method != method {
-		c.respond(r.ID, wire.StatusMethodNotAllowed, wire.ErrorResponse{Error: "method not allowed"})
-		return
-	}
-	handler()
-}
-
-// handleHealthCheck tells whether this node can serve anybody.
-func (c *Core) handleHealthCheck(request uint64) {
-	if c.isIsolated() {
-		c.refuse(request, wire.StatusUnavailable, reasonIsolated)
-		return
+		c.handleHeartbeat(r)
 	}
-	c.respond(request, wire.StatusOK, nil)
 }
--- a/controller/status.go
+++ b/controller/status.go
@@ -14,10 +14,10 @@
 
 // counters are what the node did since they were last logged.
 type counters struct {
-	events, heartbeats, lookups, calls int
-	refused                            int // requests answered 429 or 503
-	dropped                            int // messages that could not be read
-	loggedAt                           micros.Micros
+	events, heartbeats, calls int
+	refused                   int // requests answered 429 or 503
+	dropped                   int // messages that could not be read
+	loggedAt                  micros.Micros
 }
 
 // tickStatus logs the counters, and at an owner what its machines do.
@@ -27,9 +27,9 @@
 		return
 	}
 	usage := c.store.TakeUsage()
-	c.log.Info("status", "events", n.events, "reports", n.heartbeats, "lookups", n.lookups, "calls", n.calls,
+	c.log.Info("status", "events", n.events, "reports", n.heartbeats, "lookups", c.frontend.TakeLookupCount(), "calls", n.calls,
 		"open_calls", len(c.calls), "store_requests", usage.Requests, "store_writes", usage.Writes, "refused", n.refused,
-		"dropped", n.dropped, "waiting", len(c.submissions.pending), "violations", c.violations)
+		"dropped", n.dropped, "waiting", c.frontend.PendingSubmissions(), "violations", c.violations)
 	*n = counters{loggedAt: c.now}
 	if c.owner != nil && c.owner.state == ownerActive {
 		c.owner.logStatus()
--- a/controller/timers.go
+++ b/controller/timers.go
@@ -36,7 +36,7 @@
 
 // TickInterval tells how often the time must be passed to the core now.
 func (c *Core) TickInterval() micros.Micros {
-	if c.owner != nil || len(c.submissions.pending) > 0 || len(c.lookups.pending) > 0 ||
+	if c.owner != nil || c.frontend.HasPending() ||
 		len(c.timers) > 0 || c.cancellations.Pending() {
 		return fastTickInterval
 	}
--- a/controller/cancellations.go
+++ b/internal/frontend/cancellations.go
@@ -1,4 +1,4 @@
-package controller
+package frontend
 
 import (
 	"tamarindlead/internal/budget"
@@ -8,36 +8,36 @@
 	"tamarindlead/micros"
 )
 
-// cancellationWrites is how many writes a cancellation takes.
-const cancellationWrites = 2
+// CancellationWrites is how many writes a cancellation takes.
+const CancellationWrites = 2
 
 // cancellationRequest is a user's request to cancel a job.
 type cancellationRequest struct {
-	c        *Core
+	c        *Frontend
 	request  userRequest
 	job      string
 	deadline micros.Micros
 }
 
 // cancel handles a user's request to cancel a job.
-func (c *Core) cancel(request userRequest, job string) {
+func (c *Frontend) cancel(request userRequest, job string) {
 	if !wire.ValidJobID(job) {
 		c.reject(request.id, wire.StatusNotFound, reasonNoSuchJob)
 		return
 	}
-	if status := c.terminalStates.of(job); status != "" {
+	if status := c.TerminalStates.Of(job); status != "" {
 		c.respondCancellation(request, job, status)
 		return
 	}
-	if c.store.Unavailable() {
-		c.refuse(request.id, wire.StatusUnavailable, reasonKVUnresponsive)
+	if c.KV.Unavailable() {
+		c.writer.Refuse(request.id, wire.StatusUnavailable, reasonKVUnresponsive)
 		return
 	}
-	if c.budget.AvailableWrites(budget.UserRequests, c.now) < cancellationWrites {
-		c.refuse(request.id, wire.StatusTooManyRequests, reasonTooManyCancellations) // a read would be wasted
+	if c.Budget.AvailableWrites(budget.UserRequests, c.now()) < CancellationWrites {
+		c.writer.Refuse(request.id, wire.StatusTooManyRequests, reasonTooManyCancellations) // a read would be wasted
 		return
 	}
-	cancel := &cancellationRequest{c, request, job, c.now + submissionTimeout}
+	cancel := &cancellationRequest{c, request, job, c.now() + SubmissionTimeout}
 	if version := c.knownVersion(job); version != 0 {
 		cancel.commit(version)
 		return
@@ -47,7 +47,7 @@
 
 // readRecord reads the job's record, and then cancels the job.
 func (r *cancellationRequest) readRecord() {
-	r.c.store.Get(budget.UserRequests, record.ActiveJobKey(r.job), func(outcome kv.Outcome, entry kv.Entry) {
+	r.c.KV.Get(budget.UserRequests, record.ActiveJobKey(r.job), func(outcome kv.Outcome, entry kv.Entry) {
 		switch outcome {
 		case kv.OK:
 			r.commit(entry.Version)
@@ -75,18 +75,18 @@
 func (r *cancellationRequest) commit(version uint64) {
 	guards := []kv.Precondition{{Key: record.ActiveJobKey(r.job), Version: version}}
 	writes := []kv.Write{
-		{Put: record.TerminalStateKey(r.job), Value: record.TerminalState{Status: record.StatusCancelled, FinishedAt: r.c.wallClock}},
+		{Put: record.TerminalStateKey(r.job), Value: record.TerminalState{Status: record.StatusCancelled, FinishedAt: r.c.Host.WallClock()}},
 		{Delete: record.ActiveJobKey(r.job)},
 	}
-	r.c.store.Do(budget.UserRequests, kv.Transaction(guards, writes), func(reply kv.Result) { r.handleCommitResult(reply.Outcome) })
+	r.c.KV.Do(budget.UserRequests, kv.Transaction(guards, writes), func(reply kv.Result) { r.handleCommitResult(reply.Outcome) })
 }
 
 func (r *cancellationRequest) handleCommitResult(outcome kv.Outcome) {
 	inDoubt := outcome == kv.PreconditionFailed || outcome == kv.Unknown // over meanwhile, or perhaps executed
 	switch {
 	case outcome == kv.OK:
-		r.c.announceCancellation(r.job, r.c.now+submissionTimeout, r.handleAcknowledged)
-	case inDoubt && r.c.now < r.deadline:
+		r.c.Cancellations.Announce(r.job, r.c.now()+SubmissionTimeout, r.handleAcknowledged)
+	case inDoubt && r.c.now() < r.deadline:
 		r.readRecord()
 	default:
 		r.refuse(reasonKVUnresponsive)
@@ -105,6 +105,6 @@
 	r.c.respondCancellation(r.request, r.job, status)
 }
 
-func (r *cancellationRequest) refuse(reason refusalReason) {
-	r.c.refuse(r.request.id, wire.StatusUnavailable, reason)
+func (r *cancellationRequest) refuse(reason RefusalReason) {
+	r.c.writer.Refuse(r.request.id, wire.StatusUnavailable, reason)
 }
--- a/controller/lookup_reads.go
+++ b/internal/frontend/lookup_reads.go
@@ -1,4 +1,4 @@
-package controller
+package frontend
 
 import (
 	"tamarindlead/internal/budget"
@@ -12,10 +12,10 @@
 // This file makes the reads that look up jobs, and takes their answers.
 
 // compareVersions asks whether jobs' records are as this node knows them.
-func (c *Core) compareVersions(batch *lookupBatch) {
+func (c *Frontend) compareVersions(batch *lookupBatch) {
 	c.lookups.inFlight += len(batch.compared)
 	c.recordReadSent(batch.compared...)
-	c.store.Do(budget.Reads, kv.Transaction(kv.SortedPreconditions(batch.versions), nil), func(r kv.Result) {
+	c.KV.Do(budget.Reads, kv.Transaction(kv.SortedPreconditions(batch.versions), nil), func(r kv.Result) {
 		var committed kv.TransactionResult
 		switch {
 		case r.Outcome == kv.OK:
@@ -33,7 +33,7 @@
 // applyComparison answers about the jobs of a batch whose keys did not fail, and reads the
 // others. Nothing says that all keys that failed are listed: if any did, the rest is compared
 // again.
-func (c *Core) applyComparison(batch *lookupBatch, failedKeys []string) {
+func (c *Frontend) applyComparison(batch *lookupBatch, failedKeys []string) {
 	failed := map[string]bool{}
 	for _, key := range failedKeys {
 		failed[key] = true
@@ -43,8 +43,8 @@
 		key := record.ActiveJobKey(l.id)
 		switch {
 		case failed[key]:
-			if c.graph.Version(l.id) == batch.versions[key] {
-				c.graph.ForgetVersion(l.id)
+			if c.Graph.Version(l.id) == batch.versions[key] {
+				c.Graph.ForgetVersion(l.id)
 			}
 			c.readActive(l)
 		case len(failed) > 0:
@@ -59,16 +59,16 @@
 
 // recordReadSent notes that a read is sent for lookups now, or as soon as the budget allows. Later
 // reads of the same lookup continue it, so what it finds is certain as of the first.
-func (c *Core) recordReadSent(list ...*lookup) {
+func (c *Frontend) recordReadSent(list ...*lookup) {
 	for _, l := range list {
-		l.read = freshness.Evidence{Basis: freshness.RecordRead, SentAt: c.now, ViaPeer: c.store.UsesPeerRoute()}
+		l.read = freshness.Evidence{Basis: freshness.RecordRead, SentAt: c.now(), ViaPeer: c.KV.UsesPeerRoute()}
 	}
 }
 
 // readActive looks a job up by its records, first by that of an active job.
-func (c *Core) readActive(l *lookup) {
+func (c *Frontend) readActive(l *lookup) {
 	c.recordReadSent(l)
-	c.store.Get(budget.Reads, record.ActiveJobKey(l.id), func(out kv.Outcome, e kv.Entry) {
+	c.KV.Get(budget.Reads, record.ActiveJobKey(l.id), func(out kv.Outcome, e kv.Entry) {
 		switch out {
 		case kv.OK:
 			c.handleActiveRead(l, e)
@@ -81,23 +81,23 @@
 }
 
 // handleActiveRead answers from the record of an active job, unless its state depends on others.
-func (c *Core) handleActiveRead(l *lookup, e kv.Entry) {
+func (c *Frontend) handleActiveRead(l *lookup, e kv.Entry) {
 	awaits, err := dag.HasDependencies(e.Value)
 	if err != nil {
 		c.finishLookup(l, lookupResult{})
 		return
 	}
-	if job := c.graph.Blocked(l.id); awaits && (job == nil || !job.Ready()) {
+	if job := c.Graph.Blocked(l.id); awaits && (job == nil || !job.Ready()) {
 		c.retryDerivation(l) // this node's view is behind
 		return
 	}
-	c.graph.SetVersion(l.id, e.Version)
+	c.Graph.SetVersion(l.id, e.Version)
 	c.finishLookup(l, activeResult(e.Version, l.read))
 }
 
 // readTerminalState looks a job up that is not active.
-func (c *Core) readTerminalState(l *lookup) {
-	c.store.Get(budget.Reads, record.TerminalStateKey(l.id), func(out kv.Outcome, e kv.Entry) {
+func (c *Frontend) readTerminalState(l *lookup) {
+	c.KV.Get(budget.Reads, record.TerminalStateKey(l.id), func(out kv.Outcome, e kv.Entry) {
 		var rec record.TerminalState
 		switch {
 		case out == kv.NotFound:
@@ -113,29 +113,29 @@
 // finishTerminal answers with a state that stays. That a job is cancelled is told only once the
 // peers know: see announceCancellation. If it was cancelled with one before it, the root, that
 // is what they know.
-func (c *Core) finishTerminal(l *lookup, status wire.JobPhase, root string) {
+func (c *Frontend) finishTerminal(l *lookup, status wire.JobPhase, root string) {
 	if status != wire.JobCancelled {
-		c.terminalStates.remember(l.id, status)
+		c.TerminalStates.Remember(l.id, status)
 		c.finishLookup(l, terminalResult(status))
 		return
 	}
-	c.announceCancellation(root, l.requestedAt+lookupTimeout, func(ok bool) {
+	c.Cancellations.Announce(root, l.requestedAt+lookupTimeout, func(ok bool) {
 		if !ok {
 			c.finishLookup(l, lookupResult{})
 			return
 		}
-		c.terminalStates.remember(l.id, status)
+		c.TerminalStates.Remember(l.id, status)
 		c.finishLookup(l, terminalResult(status))
 	})
 }
 
 // finishLookup hands over the result of a lookup that was sent.
-func (c *Core) finishLookup(l *lookup, result lookupResult) {
+func (c *Frontend) finishLookup(l *lookup, result lookupResult) {
 	c.lookups.inFlight--
-	switch final := c.terminalStates.of(l.id); {
+	switch final := c.TerminalStates.Of(l.id); {
 	case final != "": // told meanwhile
 		result = terminalResult(final)
-	case result.outcome != lookupFailed && !result.isTerminal() && c.cancellations.HasEnded(l.id):
+	case result.outcome != lookupFailed && !result.isTerminal() && c.Cancellations.HasEnded(l.id):
 		c.retryLookup(l) // cancelled since the read was sent
 		return
 	}
@@ -143,8 +143,8 @@
 }
 
 // retryLookup makes a new read for a lookup, unless its answer is of no use any more.
-func (c *Core) retryLookup(l *lookup) {
-	if l.expired(c.now) {
+func (c *Frontend) retryLookup(l *lookup) {
+	if l.expired(c.now()) {
 		l.done(lookupResult{})
 		return
 	}
@@ -153,23 +153,23 @@
 
 // deriveStates answers about jobs that wait for others, whose state follows from how those
 // ended: one read serves them all.
-func (c *Core) deriveStates(list []*lookup) {
+func (c *Frontend) deriveStates(list []*lookup) {
 	c.lookups.inFlight += len(list)
 	c.recordReadSent(list...)
-	c.refresh(func(ok bool) {
+	c.JobView.Refresh(func(ok bool) {
 		for _, l := range list {
 			if !ok {
 				c.finishLookup(l, lookupResult{})
 				continue
 			}
-			c.resolveDependencies([]string{l.id}, l.requestedAt+lookupTimeout, func(ok bool) { c.finishDerived(l, ok) })
+			c.JobView.ResolveDependencies([]string{l.id}, l.requestedAt+lookupTimeout, func(ok bool) { c.finishDerived(l, ok) })
 		}
 	})
 }
 
 // retryDerivation is deriveStates for a lookup that was sent.
-func (c *Core) retryDerivation(l *lookup) {
-	if l.expired(c.now) {
+func (c *Frontend) retryDerivation(l *lookup) {
+	if l.expired(c.now()) {
 		c.finishLookup(l, lookupResult{})
 		return
 	}
@@ -178,8 +178,8 @@
 }
 
 // finishDerived answers about a job from the view, once it shows what the job depends on.
-func (c *Core) finishDerived(l *lookup, ok bool) {
-	switch job := c.graph.Blocked(l.id); {
+func (c *Frontend) finishDerived(l *lookup, ok bool) {
+	switch job := c.Graph.Blocked(l.id); {
 	case !ok:
 		c.finishLookup(l, lookupResult{})
 	case job == nil:
--- a/controller/lookups.go
+++ b/internal/frontend/lookups.go
@@ -1,4 +1,4 @@
-package controller
+package frontend
 
 import (
 	"cmp"
@@ -21,7 +21,7 @@
 const (
 	maxPendingLookups   = 512
 	lookupTimeout       = 1500 * micros.Millisecond // users wait for 2 s
-	lookupBatchInterval = 60 * micros.Millisecond   // lookups gather for so long
+	LookupBatchInterval = 60 * micros.Millisecond   // lookups gather for so long
 	// comparisonsPerOp is how many versions one commit compares for each write that it could
 	// take, which bounds the commit's size.
 	comparisonsPerOp = 4
@@ -78,31 +78,31 @@
 }
 
 // lookup finds a job's state from the records, which alone are never outdated.
-func (c *Core) lookup(id string, done func(lookupResult)) {
-	c.counters.lookups++
-	if status := c.terminalStates.of(id); status != "" {
+func (c *Frontend) lookup(id string, done func(lookupResult)) {
+	c.lookupCount++
+	if status := c.TerminalStates.Of(id); status != "" {
 		done(terminalResult(status))
 		return
 	}
 	stage := &c.lookups
-	if len(stage.pending)+stage.inFlight >= maxPendingLookups || c.store.Unavailable() {
+	if len(stage.pending)+stage.inFlight >= maxPendingLookups || c.KV.Unavailable() {
 		done(lookupResult{})
 		return
 	}
 	if len(stage.pending) == 0 {
-		stage.sendAt = max(stage.sendAt, c.now+lookupBatchInterval)
+		stage.sendAt = max(stage.sendAt, c.now()+LookupBatchInterval)
 	}
-	stage.pending = append(stage.pending, &lookup{id: id, requestedAt: c.now, done: done})
+	stage.pending = append(stage.pending, &lookup{id: id, requestedAt: c.now(), done: done})
 }
 
 // flushLookups makes the reads for what waits, as the budget allows.
-func (c *Core) flushLookups() {
+func (c *Frontend) flushLookups() {
 	stage := &c.lookups
 	c.failExpiredLookups()
-	if len(stage.pending) == 0 || c.now < stage.sendAt {
+	if len(stage.pending) == 0 || c.now() < stage.sendAt {
 		return
 	}
-	stage.sendAt = c.now + lookupBatchInterval
+	stage.sendAt = c.now() + LookupBatchInterval
 	batch := c.takeLookupBatch()
 	if left := c.sendLookupBatch(batch); len(left) > 0 {
 		stage.pending = append(left, stage.pending...)
@@ -112,9 +112,9 @@
 }
 
 // failExpiredLookups ends the lookups that waited for too long.
-func (c *Core) failExpiredLookups() {
+func (c *Frontend) failExpiredLookups() {
 	stage := &c.lookups
-	for len(stage.pending) > 0 && stage.pending[0].expired(c.now) {
+	for len(stage.pending) > 0 && stage.pending[0].expired(c.now()) {
 		first := stage.pending[0]
 		stage.pending = stage.pending[1:]
 		first.done(lookupResult{})
@@ -129,13 +129,13 @@
 }
 
 // takeLookupBatch takes what can be answered together out of what waits.
-func (c *Core) takeLookupBatch() *lookupBatch {
+func (c *Frontend) takeLookupBatch() *lookupBatch {
 	batch := &lookupBatch{versions: map[string]uint64{}}
 	var rest []*lookup
 	for _, l := range c.lookups.pending {
 		version := c.knownVersion(l.id)
 		switch {
-		case c.graph.HasOpenDependencies(l.id):
+		case c.Graph.HasOpenDependencies(l.id):
 			batch.derived = append(batch.derived, l)
 		case version != 0 && c.hasRoomToCompare(batch, l.id, version):
 			batch.versions[record.ActiveJobKey(l.id)] = version
@@ -149,13 +149,13 @@
 }
 
 // hasRoomToCompare tells whether a job's version can be compared with a batch.
-func (c *Core) hasRoomToCompare(batch *lookupBatch, id string, version uint64) bool {
-	return batch.versions[record.ActiveJobKey(id)] == version || len(batch.versions) < comparisonsPerOp*c.cfg.MaxTransactionOps
+func (c *Frontend) hasRoomToCompare(batch *lookupBatch, id string, version uint64) bool {
+	return batch.versions[record.ActiveJobKey(id)] == version || len(batch.versions) < comparisonsPerOp*c.Settings.MaxTransactionOps
 }
 
 // sendLookupBatch sends what the budget allows of a batch and hands back the rest, in the
 // order in which it came.
-func (c *Core) sendLookupBatch(batch *lookupBatch) (left []*lookup) {
+func (c *Frontend) sendLookupBatch(batch *lookupBatch) (left []*lookup) {
 	type part struct {
 		lookups []*lookup
 		send    func()
@@ -170,7 +170,7 @@
 	for _, p := range parts {
 		switch {
 		case len(p.lookups) == 0:
-		case c.budget.MayRequest(budget.Reads, c.now):
+		case c.Budget.MayRequest(budget.Reads, c.now()):
 			p.send()
 		default:
 			left = append(left, p.lookups...)
@@ -185,11 +185,11 @@
 }
 
 // readIndividually reads the records of jobs that are not in the view, as the budget allows.
-func (c *Core) readIndividually() {
+func (c *Frontend) readIndividually() {
 	stage := &c.lookups
-	for len(stage.pending) > 0 && c.budget.MayRequest(budget.Reads, c.now) {
+	for len(stage.pending) > 0 && c.Budget.MayRequest(budget.Reads, c.now()) {
 		first := stage.pending[0]
-		if c.knownVersion(first.id) != 0 || c.graph.HasOpenDependencies(first.id) {
+		if c.knownVersion(first.id) != 0 || c.Graph.HasOpenDependencies(first.id) {
 			break // its turn comes with the next batch
 		}
 		stage.pending = stage.pending[1:]
@@ -197,13 +197,3 @@
 		c.readActive(first)
 	}
 }
-
-// knownVersion is the version of an active job's record as this node last saw it, or 0.
-func (c *Core) knownVersion(id string) uint64 {
-	if c.owner != nil {
-		if j := c.owner.jobs[id]; j != nil && j.state != jobEnded {
-			return j.version
-		}
-	}
-	return c.graph.Version(id)
-}
--- a/controller/queries.go
+++ b/internal/frontend/queries.go
@@ -1,12 +1,9 @@
-package controller
+package frontend
 
-import (
-	"tamarindlead/internal/wire"
-	"tamarindlead/micros"
-)
+import "tamarindlead/internal/wire"
 
 // handleQuery handles a user's question for the state of a job.
-func (c *Core) handleQuery(r userRequest, job string) {
+func (c *Frontend) handleQuery(r userRequest, job string) {
 	if !wire.ValidJobID(job) {
 		c.reject(r.id, wire.StatusNotFound, reasonNoSuchJob)
 		return
@@ -18,14 +15,14 @@
 		case lookupFound:
 			c.respondQuery(r, job, result)
 		default:
-			c.refuse(r.id, wire.StatusUnavailable, reasonKVUnresponsive)
+			c.writer.Refuse(r.id, wire.StatusUnavailable, reasonKVUnresponsive)
 		}
 	})
 }
 
 // userFacingStatus is a job's state as users see it: one that is not over may be running, and
 // shows how many tasks are done and run.
-func (c *Core) userFacingStatus(job string, status wire.JobPhase) wire.JobStatus {
+func (c *Frontend) userFacingStatus(job string, status wire.JobPhase) wire.JobStatus {
 	shown := wire.JobStatus{ID: job, Status: status}
 	if status == wire.JobQueued {
 		shown.Done, shown.Running = c.taskCounts(job)
@@ -37,16 +34,10 @@
 }
 
 // taskCounts tells how many tasks of a job are done and run, for display.
-func (c *Core) taskCounts(job string) (done, running int) {
-	if c.owner != nil && c.owner.jobs[job] != nil {
-		return c.owner.countsOf(job)
+func (c *Frontend) taskCounts(job string) (done, running int) {
+	counts, owned := c.Owner.TaskCounts(job)
+	if !owned { // an earlier owner may still say what it knew
+		counts = c.Peers.TaskCounts(job)
 	}
-	latest := micros.Micros(0)
-	for _, cfg := range c.cfg.Siblings { // an earlier owner may still say what it knew
-		s := c.peers[cfg.Node]
-		if count := s.jobCounts[job]; count != nil && s.lastHeartbeat > latest {
-			latest, done, running = s.lastHeartbeat, int(count.Done), int(count.Running)
-		}
-	}
-	return done, running
+	return counts.Done, counts.Running
 }
--- a/controller/responses_test.go
+++ b/internal/frontend/responses_test.go
@@ -1,42 +1,13 @@
-package controller
+package frontend
 
 import (
 	"testing"
 
-	"tamarindlead/config"
 	"tamarindlead/internal/freshness"
 	"tamarindlead/internal/wire"
 	"tamarindlead/micros"
-	"tamarindlead/sched"
 )
 
-// newRespondingCore returns the core of a node that has just started alone.
-func newRespondingCore() *Core {
-	cfg := &config.Settings{
-		Node: "n0", Zone: "a", KVAddr: "state", CloudAddr: "cloud", Zones: []string{"a"}, Sockets: 400,
-		KVRequestRate: 150, KVWriteRate: 40, CloudRequestRate: 5, MaxTransactionOps: 12, MaxValueBytes: 8 << 10, WorkerLease: 15 * micros.Second,
-		CancellationDeadline: 45 * micros.Second, HeartbeatInterval: 3 * micros.Second, Tuning: config.DefaultTuning(),
-	}
-	w := newSimulation(1, cfg)
-	w.run(micros.Second)
-	return w.nodes[0].core
-}
-
-// responseStatus returns the status of the one response among effects.
-func responseStatus(t *testing.T, effects []Effect) int {
-	t.Helper()
-	status := 0
-	for _, e := range effects {
-		if r, ok := e.(Respond); ok {
-			if status != 0 {
-				t.Fatal("a request is answered twice")
-			}
-			status = r.Status
-		}
-	}
-	return status
-}
-
 // TestCheckResponseRejectsStaleRead sees that an answer which rests on a read from before
 // the request is refused instead, and counted as a violation.
 func TestCheckResponseRejectsStaleRead(t *testing.T) {
@@ -58,14 +29,12 @@
 		{"final state of a job that is over", terminalResult(wire.JobCancelled), true, wire.StatusOK, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			core := newRespondingCore()
-			if c.ended {
-				core.cancellations.MarkEnded(job, core.now)
-			}
-			core.effects = nil
+			f := newFixture(t)
+			core := f.frontend
+			f.ended[job] = c.ended
 			core.respondQuery(userRequest{id: 1, receivedAt: 100}, job, c.result)
-			if status := responseStatus(t, core.effects); status != c.status || core.Violations() != c.violations {
-				t.Errorf("answered %d with %d violations, want %d and %d", status, core.Violations(), c.status, c.violations)
+			if status := f.responseStatus(); status != c.status || f.violations != c.violations {
+				t.Errorf("answered %d with %d violations, want %d and %d", status, f.violations, c.status, c.violations)
 			}
 		})
 	}
@@ -74,28 +43,20 @@
 // TestLateDuplicateRequestsAreLookedUp sees that of the requests that joined a submission only those are
 // answered by its commit that came before the commit was sent.
 func TestLateDuplicateRequestsAreLookedUp(t *testing.T) {
-	core := newRespondingCore()
+	f := newFixture(t)
+	core := f.frontend
 	job := newSmallJob()
-	sub := &submission{job: job, requests: []userRequest{{1, core.now - 1}, {2, core.now + 1}}, status: wire.JobQueued}
+	sub := &submission{job: job, requests: []userRequest{{1, f.time - 1}, {2, f.time + 1}}, status: wire.JobQueued}
 	core.submissions.byJob[job.ID] = sub
-	core.effects = nil
-	core.submissions.handleAccepted(sub, freshness.Evidence{Basis: freshness.OwnTransaction, SentAt: core.now})
-	if status := responseStatus(t, core.effects); status != wire.StatusAccepted {
+	core.submissions.handleAccepted(sub, freshness.Evidence{Basis: freshness.OwnTransaction, SentAt: f.time})
+	if status := f.responseStatus(); status != wire.StatusAccepted {
 		t.Errorf("the request that came before the commit is answered %d", status)
 	}
 	if waiting := core.lookups.pending; len(waiting) != 1 || waiting[0].id != job.ID {
 		t.Errorf("%d lookups wait for the other request, want 1", len(waiting))
 	}
-	if core.Violations() != 0 || core.submissions.byJob[job.ID] != nil {
-		t.Errorf("%d violations, or the submission is not over", core.Violations())
-	}
-}
-
-// newSmallJob is a small job.
-func newSmallJob() *sched.Job {
-	return &sched.Job{
-		ID: "req-000001", Class: "work", Team: "red", Priority: sched.Normal, Tasks: 1,
-		Need: sched.NewResources(1, 0, 1), Image: "img", ImageGB: 1, Estimate: 10 * micros.Second,
+	if f.violations != 0 || core.submissions.byJob[job.ID] != nil {
+		t.Errorf("%d violations, or the submission is not over", f.violations)
 	}
 }
 
@@ -111,17 +72,17 @@
 		{"joined after", 1, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			core := newRespondingCore()
-			asked := core.now - micros.Second
+			f := newFixture(t)
+			core := f.frontend
+			asked := f.time - micros.Second
 			sub := &submission{job: newSmallJob(), requests: []userRequest{{1, asked + c.cameAt}}, dependenciesReadAt: asked}
 			core.submissions.byJob[sub.job.ID] = sub
 			core.submissions.answerDuplicateOrRefuse(sub, permanentRefusal(reasonDependencyNotAccepted))
 			lookup := core.lookups.pending[0]
 			core.lookups.pending = nil
-			core.effects = nil
-			lookup.done(lookupResult{outcome: lookupNotFound, evidence: freshness.Evidence{Basis: freshness.RecordRead, SentAt: core.now}})
-			if status := responseStatus(t, core.effects); status != c.status || core.Violations() != 0 {
-				t.Errorf("answered %d with %d violations, want %d", status, core.Violations(), c.status)
+			lookup.done(lookupResult{outcome: lookupNotFound, evidence: freshness.Evidence{Basis: freshness.RecordRead, SentAt: f.time}})
+			if status := f.responseStatus(); status != c.status || f.violations != 0 {
+				t.Errorf("answered %d with %d violations, want %d", status, f.violations, c.status)
 			}
 			if again := len(core.lookups.pending); again != 1 && c.status == 0 {
 				t.Errorf("%d lookups follow, want 1", again)
--- /dev/null
+++ b/internal/frontend/routes.go
@@ -0,0 +1,68 @@
+package frontend
+
+import (
+	"net/http"
+	"strings"
+
+	"tamarindlead/internal/wire"
+)
+
+// Paths of the users' interface.
+const (
+	PathJobs     = "/api/jobs" // submissions; below it the jobs by ID
+	pathHealth   = "/up"
+	cancelSuffix = "/cancel" // after the path of a job
+)
+
+// Request is an HTTP request of a user.
+type Request struct {
+	ID     uint64 // identifies the request to the ResponseWriter
+	Method string
+	Path   string
+	Body   []byte
+}
+
+// HandleRequest handles a request, which is answered by this or a later event.
+func (f *Frontend) HandleRequest(r Request) {
+	user := f.newUserRequest(r)
+	switch r.Path {
+	case pathHealth:
+		f.handleMethod(r, user, http.MethodGet, func() { f.handleHealthCheck(user) })
+	case PathJobs:
+		f.handleMethod(r, user, http.MethodPost, func() { f.handleSubmission(r) })
+	default:
+		f.routeJobRequest(r, user)
+	}
+}
+
+// routeJobRequest routes a request whose path names a job.
+func (f *Frontend) routeJobRequest(r Request, user userRequest) {
+	rest, found := strings.CutPrefix(r.Path, PathJobs+"/")
+	job, cancel := strings.CutSuffix(rest, cancelSuffix)
+	switch {
+	case !found || strings.Contains(job, "/"):
+		f.reject(user.id, wire.StatusNotFound, "no such path")
+	case cancel:
+		f.handleMethod(r, user, http.MethodPost, func() { f.cancel(user, job) })
+	default:
+		f.handleMethod(r, user, http.MethodGet, func() { f.handleQuery(user, job) })
+	}
+}
+
+// handleMethod calls the handler if the request has the method that the path requires.
+func (f *Frontend) handleMethod(r Request, user userRequest, method string, handler func()) {
+	if r.Method != method {
+		f.reject(user.id, wire.StatusMethodNotAllowed, ReasonMethodNotAllowed)
+		return
+	}
+	handler()
+}
+
+// handleHealthCheck answers whether this node can serve requests at all.
+func (f *Frontend) handleHealthCheck(user userRequest) {
+	if f.node.Host.IsIsolated() {
+		f.writer.Refuse(user.id, wire.StatusUnavailable, reasonIsolated)
+		return
+	}
+	f.writer.Respond(user.id, wire.StatusOK, nil)
+}
--- a/controller/submission_commits.go
+++ b/internal/frontend/submission_commits.go
@@ -1,4 +1,4 @@
-package controller
+package frontend
 
 import (
 	"tamarindlead/internal/budget"
@@ -20,8 +20,8 @@
 		return
 	}
 	s.refuseExpired()
-	room := min(s.c.budget.AvailableWrites(budget.UserRequests, s.c.now), s.c.cfg.MaxTransactionOps)
-	if s.c.now < s.nextCommit || room == 0 || len(s.pending) == 0 {
+	room := min(s.c.Budget.AvailableWrites(budget.UserRequests, s.c.now()), s.c.Settings.MaxTransactionOps)
+	if s.c.now() < s.nextCommit || room == 0 || len(s.pending) == 0 {
 		return
 	}
 	if batch := s.takeBatch(room); len(batch) > 0 {
@@ -33,7 +33,7 @@
 func (s *submissionQueue) refuseExpired() {
 	var waiting []*submission
 	for _, sub := range s.pending {
-		if s.c.now-sub.receivedAt > submissionTimeout {
+		if s.c.now()-sub.receivedAt > SubmissionTimeout {
 			s.refuseRequests(sub, reasonKVUnresponsive)
 			continue
 		}
@@ -46,7 +46,7 @@
 // that needs more than there ever is room for is taken when there is as much as can be: its
 // writes beyond that are owed to the budget.
 func (s *submissionQueue) takeBatch(room int) []*submission {
-	if first := s.pending[0]; first.writeCount > room && room >= s.c.budget.WriteBurst() {
+	if first := s.pending[0]; first.writeCount > room && room >= s.c.Budget.WriteBurst() {
 		room = first.writeCount
 	}
 	var batch, rest []*submission
@@ -68,7 +68,7 @@
 	var writes []kv.Write
 	size := 0
 	for i, sub := range batch {
-		puts, bytes := record.JobWrites(sub.job, s.c.wallClock, s.c.cfg.MaxValueBytes)
+		puts, bytes := record.JobWrites(sub.job, s.c.Host.WallClock(), s.c.Settings.MaxValueBytes)
 		if size += bytes; i > 0 && size > maxSubmissionCommitBytes {
 			s.requeue(batch[i:])
 			batch = batch[:i]
@@ -79,8 +79,8 @@
 		writes = append(writes, puts...)
 	}
 	s.committing = true
-	sent := freshness.Evidence{Basis: freshness.OwnTransaction, SentAt: s.c.now, ViaPeer: s.c.store.UsesPeerRoute()}
-	s.c.store.Do(budget.UserRequests, kv.Transaction(guards, writes), func(reply kv.Result) {
+	sent := freshness.Evidence{Basis: freshness.OwnTransaction, SentAt: s.c.now(), ViaPeer: s.c.KV.UsesPeerRoute()}
+	s.c.KV.Do(budget.UserRequests, kv.Transaction(guards, writes), func(reply kv.Result) {
 		s.committing = false
 		s.handleCommitResult(batch, reply, sent)
 	})
@@ -96,14 +96,14 @@
 	switch reply.Outcome {
 	case kv.OK:
 		for _, sub := range batch {
-			s.c.log.Debug("job accepted", "job", sub.job.ID)
+			s.c.Log.Debug("job accepted", "job", sub.job.ID)
 			s.handleAccepted(sub, commit)
 		}
 	case kv.PreconditionFailed:
 		s.handlePreconditionFailed(batch, reply)
 	case kv.Throttled:
 		s.requeue(batch)
-		s.nextCommit = s.c.now + kv.ThrottledPause
+		s.nextCommit = s.c.now() + kv.ThrottledPause
 	case kv.Unknown:
 		// It may have been executed: the same commit again tells by its guards.
 		s.requeue(batch)
@@ -140,12 +140,12 @@
 		s.respondAccepted(sub, commit)
 		return
 	}
-	s.c.announceCancellation(sub.cancelledRoot, s.c.now+submissionTimeout, func(mayTell bool) {
+	s.c.Cancellations.Announce(sub.cancelledRoot, s.c.now()+SubmissionTimeout, func(mayTell bool) {
 		if !mayTell {
 			s.refuseRequests(sub, reasonUnacknowledged)
 			return
 		}
-		s.c.terminalStates.remember(sub.job.ID, wire.JobCancelled)
+		s.c.TerminalStates.Remember(sub.job.ID, wire.JobCancelled)
 		s.respondAccepted(sub, freshness.OfTerminalState())
 	})
 }
--- a/controller/submissions.go
+++ b/internal/frontend/submissions.go
@@ -1,4 +1,4 @@
-package controller
+package frontend
 
 import (
 	"slices"
@@ -15,12 +15,12 @@
 // waiting happens with the users.
 const (
 	maxPendingSubmissions = 128           // that wait for their commit
-	submissionTimeout     = micros.Second // a submission is given up after this
+	SubmissionTimeout     = micros.Second // a submission is given up after this
 )
 
 // submissionQueue is the stage of submissions that wait to be recorded.
 type submissionQueue struct {
-	c                    *Core
+	c                    *Frontend
 	pending              []*submission
 	byJob                map[string]*submission
 	committing           bool
@@ -42,27 +42,27 @@
 	cancelledRoot string
 }
 
-func newSubmissionQueue(c *Core) submissionQueue {
+func newSubmissionQueue(c *Frontend) submissionQueue {
 	return submissionQueue{c: c, byJob: map[string]*submission{}}
 }
 
 // handleSubmission handles the submission of a job.
-func (c *Core) handleSubmission(r Request) {
+func (c *Frontend) handleSubmission(r Request) {
 	job, err := wire.DecodeJob(r.Body)
 	if err != nil {
-		c.log.Info("submission refused as malformed", "error", err)
-		c.respond(r.ID, wire.StatusBadRequest, wire.ErrorResponse{Error: err.Error()})
+		c.Log.Info("submission refused as malformed", "error", err)
+		c.writer.Respond(r.ID, wire.StatusBadRequest, wire.ErrorResponse{Error: err.Error()})
 		return
 	}
-	if len(c.types.list) == 0 {
-		c.refuse(r.ID, wire.StatusUnavailable, reasonTypesUnknown)
+	if len(c.Host.MachineTypes()) == 0 {
+		c.writer.Refuse(r.ID, wire.StatusUnavailable, reasonTypesUnknown)
 		return
 	}
-	if c.store.Unavailable() {
-		c.refuse(r.ID, wire.StatusUnavailable, reasonKVUnresponsive)
+	if c.KV.Unavailable() {
+		c.writer.Refuse(r.ID, wire.StatusUnavailable, reasonKVUnresponsive)
 		return
 	}
-	writes, size := record.JobWrites(job, c.wallClock, c.cfg.MaxValueBytes)
+	writes, size := record.JobWrites(job, c.Host.WallClock(), c.Settings.MaxValueBytes)
 	refused := c.checkPlaceable(job)
 	if c.exceedsRecordLimits(writes, size) {
 		refused = &refusal{wire.StatusBadRequest, reasonTooLong}
@@ -76,36 +76,36 @@
 
 // refuseSubmission refuses a submission for good, unless the job is known: the types on offer,
 // and the limits, may have changed since it was accepted.
-func (c *Core) refuseSubmission(r userRequest, job string, refused *refusal) {
+func (c *Frontend) refuseSubmission(r userRequest, job string, refused *refusal) {
 	c.lookup(job, func(result lookupResult) { c.respondWithLookup(r, job, result, refused) })
 }
 
 // respondWithLookup answers a submission by what was found out about its job, and else refuses it.
-func (c *Core) respondWithLookup(r userRequest, job string, result lookupResult, refused *refusal) {
+func (c *Frontend) respondWithLookup(r userRequest, job string, result lookupResult, refused *refusal) {
 	switch {
 	case result.outcome == lookupFound:
 		c.respondSubmission(r, wire.StatusOK, job, result.status, result.evidence)
 	case result.outcome == lookupNotFound && refused.isPermanent():
 		c.respondNeverAccepted(r, job, refused, result.evidence)
 	case refused.isPermanent():
-		c.refuse(r.id, wire.StatusUnavailable, reasonKVUnresponsive)
+		c.writer.Refuse(r.id, wire.StatusUnavailable, reasonKVUnresponsive)
 	default:
-		c.refuse(r.id, wire.StatusUnavailable, refused.reason)
+		c.writer.Refuse(r.id, wire.StatusUnavailable, refused.reason)
 	}
 }
 
 // exceedsRecordLimits tells that the records of a job exceed the limits of the state service.
-func (c *Core) exceedsRecordLimits(writes []kv.Write, size int) bool {
-	return len(writes) > c.cfg.MaxTransactionOps || size > maxCommitBytes || kv.EncodedSizeBound(writes[0].Value) > c.cfg.MaxValueBytes
+func (c *Frontend) exceedsRecordLimits(writes []kv.Write, size int) bool {
+	return len(writes) > c.Settings.MaxTransactionOps || size > c.MaxTransactionBytes || kv.EncodedSizeBound(writes[0].Value) > c.Settings.MaxValueBytes
 }
 
 // checkPlaceable tells why a job could never run, or returns nil.
-func (c *Core) checkPlaceable(job *sched.Job) *refusal {
-	team, ok := c.cfg.Team(job.Team)
+func (c *Frontend) checkPlaceable(job *sched.Job) *refusal {
+	team, ok := c.Settings.Team(job.Team)
 	if !ok {
 		return permanentRefusal(reasonUnknownTeam)
 	}
-	if !job.FitsAny(c.types.list) {
+	if !job.FitsAny(c.Host.MachineTypes()) {
 		return permanentRefusal(reasonFitsNoType)
 	}
 	need := job.Need
@@ -130,10 +130,10 @@
 		return
 	}
 	if len(s.pending)+s.checkingDependencies >= maxPendingSubmissions {
-		s.c.refuse(request.id, wire.StatusTooManyRequests, reasonTooManySubmissions)
+		s.c.writer.Refuse(request.id, wire.StatusTooManyRequests, reasonTooManySubmissions)
 		return
 	}
-	added := &submission{job: job, requests: []userRequest{request}, receivedAt: s.c.now, writeCount: writes, status: wire.JobQueued}
+	added := &submission{job: job, requests: []userRequest{request}, receivedAt: s.c.now(), writeCount: writes, status: wire.JobQueued}
 	s.byJob[job.ID] = added
 	if len(job.Dependencies) > 0 {
 		s.checkDependencies(added)
@@ -150,32 +150,32 @@
 	case slices.Contains(sub.job.Dependencies, id):
 		s.answerDuplicateOrRefuse(sub, permanentRefusal(reasonDependsOnItself))
 		return
-	case c.terminalStates.of(id) != "" || c.knownVersion(id) != 0:
+	case c.TerminalStates.Of(id) != "" || c.knownVersion(id) != 0:
 		s.answerDuplicateOrRefuse(sub, temporaryRefusal(reasonKVUnresponsive))
 		return
-	case !c.graph.IsSynced():
+	case !c.Graph.IsSynced():
 		s.answerDuplicateOrRefuse(sub, temporaryRefusal(reasonJobsUnknown))
 		return
 	}
 	s.checkingDependencies++
-	sub.dependenciesReadAt = c.now
-	c.checkDependencies(sub.job.Dependencies, c.now+submissionTimeout, func(result dependencyResult) {
+	sub.dependenciesReadAt = c.now()
+	c.JobView.CheckDependencies(sub.job.Dependencies, c.now()+SubmissionTimeout, func(result DependencyResult) {
 		s.checkingDependencies--
 		s.dependenciesChecked(sub, result)
 	})
 }
 
 // dependenciesChecked goes on once it is known how the jobs stand that a submission awaits.
-func (s *submissionQueue) dependenciesChecked(sub *submission, result dependencyResult) {
-	switch result.status {
-	case dependenciesUnknown:
+func (s *submissionQueue) dependenciesChecked(sub *submission, result DependencyResult) {
+	switch result.Status {
+	case DependenciesUnknown:
 		s.answerDuplicateOrRefuse(sub, temporaryRefusal(reasonKVUnresponsive))
 		return
-	case dependenciesNeverAccepted:
+	case DependenciesNeverAccepted:
 		s.answerDuplicateOrRefuse(sub, permanentRefusal(reasonDependencyNotAccepted))
 		return
-	case dependenciesCancelled:
-		sub.status, sub.cancelledRoot = wire.JobCancelled, result.cancelledRoot
+	case DependenciesCancelled:
+		sub.status, sub.cancelledRoot = wire.JobCancelled, result.CancelledRoot
 	}
 	s.pending = append(s.pending, sub)
 }
@@ -229,6 +229,6 @@
 }
 
 // refuseRequests ends a submission that cannot be recorded now.
-func (s *submissionQueue) refuseRequests(sub *submission, reason refusalReason) {
-	s.finish(sub, func(r userRequest) { s.c.refuse(r.id, wire.StatusUnavailable, reason) })
+func (s *submissionQueue) refuseRequests(sub *submission, reason RefusalReason) {
+	s.finish(sub, func(r userRequest) { s.c.writer.Refuse(r.id, wire.StatusUnavailable, reason) })
 }
