--- a/controller/frontend_adapter.go
+++ b/controller/frontend_adapter.go
@@ -80,7 +80,7 @@
 	return frontend.DependenciesUnknown
 }
 
-// frontendTerminalStates holds the terminal states that users may be told.
+// frontendTerminalStates holds the terminal states that may be acknowledged to users.
 type frontendTerminalStates struct{ c *Core }
 
 func (t frontendTerminalStates) Of(job string) wire.JobPhase { return t.c.terminalStates.of(job) }
@@ -89,7 +89,8 @@
 	t.c.terminalStates.remember(job, state)
 }
 
-// frontendCancellations holds which jobs are cancelled, and which cancellations users may be told.
+// frontendCancellations holds which jobs are cancelled, and which cancellations may be
+// acknowledged to users.
 type frontendCancellations struct{ c *Core }
 
 func (t frontendCancellations) HasEnded(job string) bool { return t.c.cancellations.HasEnded(job) }
--- /dev/null
+++ b/internal/frontend/admission.go
@@ -0,0 +1,93 @@
+package frontend
+
+import (
+	"tamarindlead/internal/kv"
+	"tamarindlead/internal/record"
+	"tamarindlead/internal/wire"
+	"tamarindlead/sched"
+)
+
+// handleSubmission handles the submission of a job.
+func (f *Frontend) handleSubmission(request userRequest, body []byte) {
+	job, err := wire.DecodeJob(body)
+	if err != nil {
+		f.node.Log.Info("submission refused as malformed", "error", err)
+		f.responder.reject(request, malformed(err))
+		return
+	}
+	if len(f.node.Host.MachineTypes()) == 0 {
+		f.responder.refuse(request, reasonTypesUnknown)
+		return
+	}
+	if f.node.KV.Unavailable() {
+		f.responder.refuse(request, reasonKVUnresponsive)
+		return
+	}
+	writes, size := record.JobWrites(job, f.node.Host.WallClock(), f.node.Settings.MaxValueBytes)
+	if refused := f.node.checkAdmission(job, writes, size); refused != nil {
+		f.refuseUnlessKnown(request, job.ID, refused)
+		return
+	}
+	f.submissions.add(request, job, len(writes))
+}
+
+// refuseUnlessKnown refuses a submission for good, unless its job is known: the machine types on
+// offer and the limits may have changed since it was accepted.
+func (f *Frontend) refuseUnlessKnown(request userRequest, job string, refused *refusal) {
+	f.lookups.add(job, func(result lookupResult) {
+		f.responder.respondDuplicateOrRefuse(request, job, result, refused)
+	})
+}
+
+// respondDuplicateOrRefuse answers a submission by the lookup of its job: with the job's state
+// if it was accepted before, and else with a refusal.
+func (r *responder) respondDuplicateOrRefuse(request userRequest, job string, result lookupResult, refused *refusal) {
+	switch {
+	case result.outcome == lookupFound:
+		r.respondSubmission(request, wire.StatusOK, job, result.phase, result.evidence)
+	case result.outcome == lookupNotFound && refused.isPermanent():
+		r.rejectUnaccepted(request, job, refused, result.evidence)
+	case refused.isPermanent():
+		r.refuse(request, reasonKVUnresponsive)
+	default:
+		r.refuse(request, refused.reason)
+	}
+}
+
+// checkAdmission returns why a job can never be accepted, or nil.
+func (n *node) checkAdmission(job *sched.Job, writes []kv.Write, size int) *refusal {
+	if n.exceedsRecordLimits(writes, size) {
+		return &refusal{wire.StatusBadRequest, reasonTooLong}
+	}
+	return n.checkPlaceable(job)
+}
+
+// exceedsRecordLimits reports whether the records of a job exceed the limits of the state service.
+func (n *node) exceedsRecordLimits(writes []kv.Write, size int) bool {
+	return len(writes) > n.Settings.MaxTransactionOps || size > n.MaxTransactionBytes ||
+		kv.EncodedSizeBound(writes[0].Value) > n.Settings.MaxValueBytes
+}
+
+// checkPlaceable returns why a job could never run, or nil.
+func (n *node) checkPlaceable(job *sched.Job) *refusal {
+	team, ok := n.Settings.Team(job.Team)
+	if !ok {
+		return permanentRefusal(reasonUnknownTeam)
+	}
+	if !job.FitsAny(n.Host.MachineTypes()) {
+		return permanentRefusal(reasonFitsNoType)
+	}
+	need := job.Need
+	if job.Gang {
+		need = need.Times(job.Tasks)
+	}
+	if !withinQuotaLimit(need, team.QuotaLimit) {
+		return permanentRefusal(reasonAboveQuotaLimit)
+	}
+	return nil
+}
+
+// withinQuotaLimit reports whether resources are within a quota limit; a limit of 0 is none.
+func withinQuotaLimit(used, limit sched.Resources) bool {
+	return (limit.CPU == 0 || used.CPU <= limit.CPU) && (limit.GPU == 0 || used.GPU <= limit.GPU)
+}
--- a/internal/frontend/cancellations.go
+++ b/internal/frontend/cancellations.go
@@ -8,103 +8,115 @@
 	"tamarindlead/micros"
 )
 
-// CancellationWrites is how many writes a cancellation takes.
+// CancellationWrites is the number of writes in the transaction that cancels a job.
 const CancellationWrites = 2
 
-// cancellationRequest is a user's request to cancel a job.
-type cancellationRequest struct {
-	c        *Frontend
+// cancellation is a user's request to cancel a job.
+type cancellation struct {
+	node      *node
+	responder *responder
+	lookups   *lookupQueue
+
 	request  userRequest
 	job      string
-	deadline micros.Micros
+	deadline micros.Micros // for further attempts to commit
 }
 
-// cancel handles a user's request to cancel a job.
-func (c *Frontend) cancel(request userRequest, job string) {
+// handleCancellation handles a user's request to cancel a job. A job that has ended stays as it
+// is, and the response holds its terminal state.
+func (f *Frontend) handleCancellation(request userRequest, job string) {
 	if !wire.ValidJobID(job) {
-		c.reject(request.id, wire.StatusNotFound, reasonNoSuchJob)
+		f.responder.reject(request, noSuchJob())
 		return
 	}
-	if status := c.TerminalStates.Of(job); status != "" {
-		c.respondCancellation(request, job, status)
+	if phase := f.node.TerminalStates.Of(job); phase != "" {
+		f.responder.respondCancellation(request, job, phase)
 		return
 	}
-	if c.KV.Unavailable() {
-		c.writer.Refuse(request.id, wire.StatusUnavailable, reasonKVUnresponsive)
+	if f.node.KV.Unavailable() {
+		f.responder.refuse(request, reasonKVUnresponsive)
 		return
 	}
-	if c.Budget.AvailableWrites(budget.UserRequests, c.now()) < CancellationWrites {
-		c.writer.Refuse(request.id, wire.StatusTooManyRequests, reasonTooManyCancellations) // a read would be wasted
+	if f.node.Budget.AvailableWrites(budget.UserRequests, f.node.now()) < CancellationWrites {
+		f.responder.refuseOverload(request, reasonTooManyCancellations) // a read would be wasted
 		return
 	}
-	cancel := &cancellationRequest{c, request, job, c.now() + SubmissionTimeout}
-	if version := c.knownVersion(job); version != 0 {
-		cancel.commit(version)
+	c := &cancellation{
+		node: f.node, responder: f.responder, lookups: f.lookups,
+		request: request, job: job, deadline: f.node.now() + SubmissionTimeout,
+	}
+	if version := f.node.knownVersion(job); version != 0 {
+		c.commit(version)
 		return
 	}
-	cancel.readRecord()
+	c.readRecord()
 }
 
 // readRecord reads the job's record, and then cancels the job.
-func (r *cancellationRequest) readRecord() {
-	r.c.KV.Get(budget.UserRequests, record.ActiveJobKey(r.job), func(outcome kv.Outcome, entry kv.Entry) {
+func (c *cancellation) readRecord() {
+	c.node.KV.Get(budget.UserRequests, record.ActiveJobKey(c.job), func(outcome kv.Outcome, entry kv.Entry) {
 		switch outcome {
 		case kv.OK:
-			r.commit(entry.Version)
+			c.commit(entry.Version)
 		case kv.NotFound:
-			r.c.lookup(r.job, r.handleNotActive)
+			c.lookups.add(c.job, c.handleNotActive)
 		default:
-			r.refuse(reasonKVUnresponsive)
+			c.refuse(reasonKVUnresponsive)
 		}
 	})
 }
 
-// handleNotActive answers about a job that has no record as an active one.
-func (r *cancellationRequest) handleNotActive(result lookupResult) {
+// handleNotActive answers about a job that has no record of an active job.
+func (c *cancellation) handleNotActive(result lookupResult) {
 	switch {
 	case result.outcome == lookupNotFound:
-		r.c.respondNeverAccepted(r.request, r.job, noSuchJob(), result.evidence)
+		c.responder.rejectUnaccepted(c.request, c.job, noSuchJob(), result.evidence)
 	case result.outcome == lookupFound && result.isTerminal():
-		r.respond(result.status)
+		c.respond(result.phase)
 	default:
-		r.refuse(reasonKVUnresponsive)
+		c.refuse(reasonKVUnresponsive)
 	}
 }
 
-// commit records that the job is cancelled, if its record still has a version.
-func (r *cancellationRequest) commit(version uint64) {
-	guards := []kv.Precondition{{Key: record.ActiveJobKey(r.job), Version: version}}
+// commit records that the job is cancelled, if its record still has the version.
+func (c *cancellation) commit(version uint64) {
+	terminal := record.TerminalState{Status: record.StatusCancelled, FinishedAt: c.node.Host.WallClock()}
+	preconditions := []kv.Precondition{{Key: record.ActiveJobKey(c.job), Version: version}}
 	writes := []kv.Write{
-		{Put: record.TerminalStateKey(r.job), Value: record.TerminalState{Status: record.StatusCancelled, FinishedAt: r.c.Host.WallClock()}},
-		{Delete: record.ActiveJobKey(r.job)},
+		{Put: record.TerminalStateKey(c.job), Value: terminal},
+		{Delete: record.ActiveJobKey(c.job)},
 	}
-	r.c.KV.Do(budget.UserRequests, kv.Transaction(guards, writes), func(reply kv.Result) { r.handleCommitResult(reply.Outcome) })
+	c.node.KV.Do(budget.UserRequests, kv.Transaction(preconditions, writes), func(result kv.Result) {
+		c.handleCommitResult(result.Outcome)
+	})
 }
 
-func (r *cancellationRequest) handleCommitResult(outcome kv.Outcome) {
-	inDoubt := outcome == kv.PreconditionFailed || outcome == kv.Unknown // over meanwhile, or perhaps executed
+// handleCommitResult announces the cancellation, or tries again if it is in doubt.
+func (c *cancellation) handleCommitResult(outcome kv.Outcome) {
+	// The job has ended meanwhile, or the transaction may have been executed.
+	inDoubt := outcome == kv.PreconditionFailed || outcome == kv.Unknown
 	switch {
 	case outcome == kv.OK:
-		r.c.Cancellations.Announce(r.job, r.c.now()+SubmissionTimeout, r.handleAcknowledged)
-	case inDoubt && r.c.now() < r.deadline:
-		r.readRecord()
+		c.node.Cancellations.Announce(c.job, c.node.now()+SubmissionTimeout, c.handleAnnounced)
+	case inDoubt && c.node.now() < c.deadline:
+		c.readRecord()
 	default:
-		r.refuse(reasonKVUnresponsive)
+		c.refuse(reasonKVUnresponsive)
 	}
 }
 
-func (r *cancellationRequest) handleAcknowledged(mayTell bool) {
-	if !mayTell {
-		r.refuse(reasonUnacknowledged)
+// handleAnnounced answers the user. A cancellation that may not be acknowledged yet stays in
+// effect; the user learns of it by sending the request again.
+func (c *cancellation) handleAnnounced(mayAcknowledge bool) {
+	if !mayAcknowledge {
+		c.refuse(reasonUnacknowledged)
 		return
 	}
-	r.respond(wire.JobCancelled)
+	c.respond(wire.JobCancelled)
 }
 
-func (r *cancellationRequest) respond(status wire.JobPhase) {
-	r.c.respondCancellation(r.request, r.job, status)
+func (c *cancellation) respond(phase wire.JobPhase) {
+	c.responder.respondCancellation(c.request, c.job, phase)
 }
 
-func (r *cancellationRequest) refuse(reason RefusalReason) {
-	r.c.writer.Refuse(r.request.id, wire.StatusUnavailable, reason)
-}
+func (c *cancellation) refuse(reason RefusalReason) { c.responder.refuse(c.request, reason) }
--- a/internal/frontend/fixture_test.go
+++ b/internal/frontend/fixture_test.go
@@ -105,15 +105,6 @@
 	return f.responses[0]
 }
 
-// responseStatus returns the status of the one response, or 0 if there is none.
-func (f *fixture) responseStatus() wire.Status {
-	f.t.Helper()
-	if len(f.responses) == 0 {
-		return 0
-	}
-	return f.onlyResponse().status
-}
-
 // checkResponse checks that one response was sent, its status, and its reason if it refuses.
 func (f *fixture) checkResponse(status wire.Status, reason RefusalReason) {
 	f.t.Helper()
--- a/internal/frontend/frontend.go
+++ b/internal/frontend/frontend.go
@@ -7,20 +7,18 @@
 
 // Frontend handles users' requests at one node.
 type Frontend struct {
-	*node
-	writer      ResponseWriter
-	debug       bool
-	lookups     lookupStage
-	lookupCount int
-	submissions submissionQueue
+	node        *node
+	responder   *responder
+	lookups     *lookupQueue
+	submissions *submissionQueue
 }
 
 // New returns a frontend without requests.
 func New(cfg Config, services Services, writer ResponseWriter) *Frontend {
 	n := &node{Services: services, Config: cfg}
-	f := &Frontend{node: n, writer: writer, debug: cfg.Log.Enabled(context.Background(), slog.LevelDebug)}
-	f.submissions = newSubmissionQueue(f)
-	return f
+	r := &responder{node: n, writer: writer, debug: cfg.Log.Enabled(context.Background(), slog.LevelDebug)}
+	l := &lookupQueue{node: n}
+	return &Frontend{node: n, responder: r, lookups: l, submissions: newSubmissionQueue(n, r, l)}
 }
 
 // FlushSubmissions commits pending submissions as the budget allows. It is called after every event.
@@ -28,7 +26,7 @@
 
 // FlushLookups sends the reads of pending lookups as the budget allows. It is called after every
 // event.
-func (f *Frontend) FlushLookups() { f.flushLookups() }
+func (f *Frontend) FlushLookups() { f.lookups.flush() }
 
 // PendingSubmissions returns the number of submissions that wait for their commit to be sent.
 func (f *Frontend) PendingSubmissions() int { return len(f.submissions.pending) }
@@ -41,7 +39,7 @@
 
 // TakeLookupCount returns the number of lookups since the previous call.
 func (f *Frontend) TakeLookupCount() int {
-	count := f.lookupCount
-	f.lookupCount = 0
+	count := f.lookups.count
+	f.lookups.count = 0
 	return count
 }
--- a/internal/frontend/node.go
+++ b/internal/frontend/node.go
@@ -16,7 +16,7 @@
 	Log                 *slog.Logger
 }
 
-// node is what all handlers share.
+// node holds the services and settings that all handlers share.
 type node struct {
 	Services
 	Config
--- a/internal/frontend/queries.go
+++ b/internal/frontend/queries.go
@@ -2,42 +2,44 @@
 
 import "tamarindlead/internal/wire"
 
-// handleQuery handles a user's question for the state of a job.
-func (c *Frontend) handleQuery(r userRequest, job string) {
+// handleQuery handles a query of the state of a job.
+func (f *Frontend) handleQuery(request userRequest, job string) {
 	if !wire.ValidJobID(job) {
-		c.reject(r.id, wire.StatusNotFound, reasonNoSuchJob)
+		f.responder.reject(request, noSuchJob())
 		return
 	}
-	c.lookup(job, func(result lookupResult) {
+	f.lookups.add(job, func(result lookupResult) {
 		switch result.outcome {
 		case lookupNotFound:
-			c.respondNeverAccepted(r, job, noSuchJob(), result.evidence)
+			f.responder.rejectUnaccepted(request, job, noSuchJob(), result.evidence)
 		case lookupFound:
-			c.respondQuery(r, job, result)
-		default:
-			c.writer.Refuse(r.id, wire.StatusUnavailable, reasonKVUnresponsive)
+			f.responder.respondQuery(request, job, result)
+		case lookupFailed:
+			f.responder.refuse(request, reasonKVUnresponsive)
 		}
 	})
 }
 
-// userFacingStatus is a job's state as users see it: one that is not over may be running, and
-// shows how many tasks are done and run.
-func (c *Frontend) userFacingStatus(job string, status wire.JobPhase) wire.JobStatus {
-	shown := wire.JobStatus{ID: job, Status: status}
-	if status == wire.JobQueued {
-		shown.Done, shown.Running = c.taskCounts(job)
-		if shown.Running > 0 {
-			shown.Status = wire.JobRunning
-		}
+// userFacingStatus returns the state of a job as users see it: one that has not ended may be
+// running, and shows how many of its tasks are done and running.
+func (n *node) userFacingStatus(job string, phase wire.JobPhase) wire.JobStatus {
+	shown := wire.JobStatus{ID: job, Status: phase}
+	if phase != wire.JobQueued {
+		return shown
+	}
+	counts := n.taskCounts(job)
+	shown.Done, shown.Running = counts.Done, counts.Running
+	if counts.Running > 0 {
+		shown.Status = wire.JobRunning
 	}
 	return shown
 }
 
-// taskCounts tells how many tasks of a job are done and run, for display.
-func (c *Frontend) taskCounts(job string) (done, running int) {
-	counts, owned := c.Owner.TaskCounts(job)
-	if !owned { // an earlier owner may still say what it knew
-		counts = c.Peers.TaskCounts(job)
+// taskCounts returns the numbers of a job's tasks by the node's own records, or else by what
+// peers report; an earlier owner may still report what it knew.
+func (n *node) taskCounts(job string) TaskCounts {
+	if counts, owned := n.Owner.TaskCounts(job); owned {
+		return counts
 	}
-	return counts.Done, counts.Running
+	return n.Peers.TaskCounts(job)
 }
--- a/internal/frontend/refusals.go
+++ b/internal/frontend/refusals.go
@@ -2,13 +2,13 @@
 
 import "tamarindlead/internal/wire"
 
+// RefusalReason is the text by which a user or worker learns why a request is refused.
+type RefusalReason string
+
 // ReasonMethodNotAllowed refuses a request whose path requires another method.
 const ReasonMethodNotAllowed RefusalReason = "method not allowed"
 
-// RefusalReason tells a user or worker why a request is refused.
-type RefusalReason string
-
-// Why users' requests cannot be served now. They may be sent again.
+// Reasons why a user's request cannot be served now. It may be sent again.
 const (
 	reasonIsolated       RefusalReason = "reaches neither the state service nor a peer"
 	reasonKVUnresponsive RefusalReason = "state service does not answer"
@@ -21,7 +21,7 @@
 	reasonTooManyCancellations RefusalReason = "too many cancellations"
 )
 
-// Why a submission is never accepted.
+// Reasons why a submission is never accepted.
 const (
 	reasonTooLong               RefusalReason = "description too long"
 	reasonUnknownTeam           RefusalReason = "unknown team"
@@ -31,27 +31,35 @@
 	reasonDependencyNotAccepted RefusalReason = "awaits a job that was never accepted"
 )
 
-// reasonNoSuchJob tells that a job was never accepted.
-const reasonNoSuchJob RefusalReason = "no such job"
+// Reasons why a request names nothing that exists.
+const (
+	reasonNoSuchPath RefusalReason = "no such path"
+	reasonNoSuchJob  RefusalReason = "no such job" // it was never accepted
+)
 
-// refusal is how a request is refused.
+// refusal is the response that refuses a request.
 type refusal struct {
 	status wire.Status
 	reason RefusalReason
 }
 
-// permanentRefusal refuses a submission for good.
+// permanentRefusal returns the refusal of a valid submission that can never be accepted.
 func permanentRefusal(reason RefusalReason) *refusal {
 	return &refusal{wire.StatusUnprocessable, reason}
 }
 
-// temporaryRefusal refuses a request for now.
-func temporaryRefusal(reason RefusalReason) *refusal { return &refusal{wire.StatusUnavailable, reason} }
-
-// isPermanent tells that the same request would always be refused.
-func (r *refusal) isPermanent() bool { return r.status != wire.StatusUnavailable }
+// temporaryRefusal returns the refusal of a request that cannot be served now.
+func temporaryRefusal(reason RefusalReason) *refusal {
+	return &refusal{wire.StatusUnavailable, reason}
+}
 
-// reject answers that a request will never be served.
-func (c *Frontend) reject(request uint64, status wire.Status, reason RefusalReason) {
-	c.writer.Respond(request, status, wire.ErrorResponse{Error: string(reason)})
+// malformed returns the refusal of a submission that cannot be decoded.
+func malformed(err error) *refusal {
+	return &refusal{wire.StatusBadRequest, RefusalReason(err.Error())}
 }
+
+// noSuchJob returns the refusal of a request that names a job which was never accepted.
+func noSuchJob() *refusal { return &refusal{wire.StatusNotFound, reasonNoSuchJob} }
+
+// isPermanent reports whether the same request would always be refused.
+func (r *refusal) isPermanent() bool { return r.status != wire.StatusUnavailable }
--- a/internal/frontend/responses.go
+++ b/internal/frontend/responses.go
@@ -6,73 +6,92 @@
 	"tamarindlead/micros"
 )
 
-// This file answers users' requests with the state of a job. Every such answer passes
-// checkResponse, whatever asked for it: a submission, a question or a cancellation.
-
-// userRequest is a request of a user that waits for its answer.
+// userRequest is a user's request that has not been answered.
 type userRequest struct {
 	id         uint64
 	receivedAt micros.Micros
 }
 
-// newUserRequest is the user's request of the present event.
-func (c *Frontend) newUserRequest(r Request) userRequest { return userRequest{r.ID, c.now()} }
+// responder answers users' requests. Every answer with the state of a job passes checkResponse,
+// whichever handler it comes from.
+type responder struct {
+	node   *node
+	writer ResponseWriter
+	debug  bool // the log takes debug messages
+}
 
-// mayRespond decides whether knowledge about a job may answer a request: it must have been asked
-// for after the request came, and a job of which a peer told us that it is cancelled has no
-// state that is not final. Where it may not, the job is looked up again.
-func (c *Frontend) mayRespond(r userRequest, job string, evidence freshness.Evidence) bool {
-	if evidence.Basis != freshness.TerminalState && c.Cancellations.HasEnded(job) {
+// mayRespond reports whether evidence about a job is recent enough for the answer to a request:
+// its read must have been sent after the request was received, and a job that is known to be
+// cancelled has no state that is not terminal. Where it is not, the job is looked up again.
+func (r *responder) mayRespond(request userRequest, job string, evidence freshness.Evidence) bool {
+	if evidence.Basis != freshness.TerminalState && r.node.Cancellations.HasEnded(job) {
 		return false
 	}
-	return evidence.Covers(r.receivedAt)
+	return evidence.Covers(request.receivedAt)
 }
 
 // checkResponse asserts mayRespond for an answer that is about to be sent. If it fails, the request
 // is refused, and the violation is logged and counted.
-func (c *Frontend) checkResponse(r userRequest, job string, told string, evidence freshness.Evidence) bool {
-	if c.mayRespond(r, job, evidence) {
-		if c.debug {
-			c.Log.Debug("job answered", "job", job, "told", told, "basis", evidence.Basis, "came_us", int64(r.receivedAt),
-				"sent_us", int64(evidence.SentAt), "through_peer", evidence.ViaPeer, "version", evidence.Version)
+func (r *responder) checkResponse(request userRequest, job, answer string, evidence freshness.Evidence) bool {
+	if r.mayRespond(request, job, evidence) {
+		if r.debug {
+			r.node.Log.Debug("job answered", "job", job, "answer", answer, "basis", evidence.Basis, "received_us", int64(request.receivedAt),
+				"read_sent_us", int64(evidence.SentAt), "via_peer", evidence.ViaPeer, "version", evidence.Version)
 		}
 		return true
 	}
-	c.Host.ReportViolation("an answer about a job rests on old knowledge", "job", job, "request", r.id, "told", told, "basis", evidence.Basis,
-		"came_us", int64(r.receivedAt), "sent_us", int64(evidence.SentAt), "ended", c.Cancellations.HasEnded(job))
-	c.writer.Refuse(r.id, wire.StatusUnavailable, reasonKVUnresponsive)
+	r.node.Host.ReportViolation("stale answer about a job", "job", job, "request", request.id, "answer", answer, "basis", evidence.Basis,
+		"received_us", int64(request.receivedAt), "read_sent_us", int64(evidence.SentAt), "ended", r.node.Cancellations.HasEnded(job))
+	r.refuse(request, reasonKVUnresponsive)
 	return false
 }
 
 // respondSubmission answers a submission with the state of its job.
-func (c *Frontend) respondSubmission(r userRequest, httpStatus wire.Status, job string, status wire.JobPhase, evidence freshness.Evidence) {
-	shown := c.userFacingStatus(job, status).Status
-	if c.checkResponse(r, job, string(shown), evidence) {
-		c.writer.Respond(r.id, httpStatus, wire.JobState{ID: job, Status: shown})
+func (r *responder) respondSubmission(request userRequest, httpStatus wire.Status, job string, phase wire.JobPhase, evidence freshness.Evidence) {
+	shown := r.node.userFacingStatus(job, phase).Status
+	if r.checkResponse(request, job, string(shown), evidence) {
+		r.writer.Respond(request.id, httpStatus, wire.JobState{ID: job, Status: shown})
 	}
 }
 
-// respondQuery answers a question with the state of a job and the counts of its tasks.
-func (c *Frontend) respondQuery(r userRequest, job string, result lookupResult) {
-	shown := c.userFacingStatus(job, result.status)
-	if c.checkResponse(r, job, string(shown.Status), result.evidence) {
-		c.writer.Respond(r.id, wire.StatusOK, shown)
+// respondQuery answers a query with the state of a job and the counts of its tasks.
+func (r *responder) respondQuery(request userRequest, job string, result lookupResult) {
+	shown := r.node.userFacingStatus(job, result.phase)
+	if r.checkResponse(request, job, string(shown.Status), result.evidence) {
+		r.writer.Respond(request.id, wire.StatusOK, shown)
 	}
 }
 
-// respondCancellation answers a cancellation with the final state of its job.
-func (c *Frontend) respondCancellation(r userRequest, job string, status wire.JobPhase) {
-	if c.checkResponse(r, job, string(status), freshness.OfTerminalState()) {
-		c.writer.Respond(r.id, wire.StatusOK, wire.JobState{ID: job, Status: status})
+// respondCancellation answers a cancellation with the terminal state of its job.
+func (r *responder) respondCancellation(request userRequest, job string, phase wire.JobPhase) {
+	if r.checkResponse(request, job, string(phase), freshness.OfTerminalState()) {
+		r.writer.Respond(request.id, wire.StatusOK, wire.JobState{ID: job, Status: phase})
 	}
 }
 
-// respondNeverAccepted refuses a request for good since its job was never accepted.
-func (c *Frontend) respondNeverAccepted(r userRequest, job string, refused *refusal, evidence freshness.Evidence) {
-	if c.checkResponse(r, job, string(refused.reason), evidence) {
-		c.reject(r.id, refused.status, refused.reason)
+// rejectUnaccepted refuses a request for good, since its job was never accepted.
+func (r *responder) rejectUnaccepted(request userRequest, job string, refused *refusal, evidence freshness.Evidence) {
+	if r.checkResponse(request, job, string(refused.reason), evidence) {
+		r.reject(request, refused)
 	}
 }
 
-// noSuchJob refuses a request that names a job which was never accepted.
-func noSuchJob() *refusal { return &refusal{wire.StatusNotFound, reasonNoSuchJob} }
+// respondHealthy answers a health check.
+func (r *responder) respondHealthy(request userRequest) {
+	r.writer.Respond(request.id, wire.StatusOK, nil)
+}
+
+// reject answers that a request will never be served.
+func (r *responder) reject(request userRequest, refused *refusal) {
+	r.writer.Respond(request.id, refused.status, wire.ErrorResponse{Error: string(refused.reason)})
+}
+
+// refuse answers that a request cannot be served now.
+func (r *responder) refuse(request userRequest, reason RefusalReason) {
+	r.writer.Refuse(request.id, wire.StatusUnavailable, reason)
+}
+
+// refuseOverload answers that there are too many requests of a kind.
+func (r *responder) refuseOverload(request userRequest, reason RefusalReason) {
+	r.writer.Refuse(request.id, wire.StatusTooManyRequests, reason)
+}
--- a/internal/frontend/routes.go
+++ b/internal/frontend/routes.go
@@ -24,12 +24,12 @@
 
 // HandleRequest handles a request, which is answered by this or a later event.
 func (f *Frontend) HandleRequest(r Request) {
-	user := f.newUserRequest(r)
+	user := userRequest{r.ID, f.node.now()}
 	switch r.Path {
 	case pathHealth:
 		f.handleMethod(r, user, http.MethodGet, func() { f.handleHealthCheck(user) })
 	case PathJobs:
-		f.handleMethod(r, user, http.MethodPost, func() { f.handleSubmission(r) })
+		f.handleMethod(r, user, http.MethodPost, func() { f.handleSubmission(user, r.Body) })
 	default:
 		f.routeJobRequest(r, user)
 	}
@@ -41,9 +41,9 @@
 	job, cancel := strings.CutSuffix(rest, cancelSuffix)
 	switch {
 	case !found || strings.Contains(job, "/"):
-		f.reject(user.id, wire.StatusNotFound, "no such path")
+		f.responder.reject(user, &refusal{wire.StatusNotFound, reasonNoSuchPath})
 	case cancel:
-		f.handleMethod(r, user, http.MethodPost, func() { f.cancel(user, job) })
+		f.handleMethod(r, user, http.MethodPost, func() { f.handleCancellation(user, job) })
 	default:
 		f.handleMethod(r, user, http.MethodGet, func() { f.handleQuery(user, job) })
 	}
@@ -52,7 +52,7 @@
 // handleMethod calls the handler if the request has the method that the path requires.
 func (f *Frontend) handleMethod(r Request, user userRequest, method string, handler func()) {
 	if r.Method != method {
-		f.reject(user.id, wire.StatusMethodNotAllowed, ReasonMethodNotAllowed)
+		f.responder.reject(user, &refusal{wire.StatusMethodNotAllowed, ReasonMethodNotAllowed})
 		return
 	}
 	handler()
@@ -61,8 +61,8 @@
 // handleHealthCheck answers whether this node can serve requests at all.
 func (f *Frontend) handleHealthCheck(user userRequest) {
 	if f.node.Host.IsIsolated() {
-		f.writer.Refuse(user.id, wire.StatusUnavailable, reasonIsolated)
+		f.responder.refuse(user, reasonIsolated)
 		return
 	}
-	f.writer.Respond(user.id, wire.StatusOK, nil)
+	f.responder.respondHealthy(user)
 }
--- a/internal/frontend/services.go
+++ b/internal/frontend/services.go
@@ -96,7 +96,7 @@
 	CheckDependencies(jobs []string, deadline micros.Micros, done func(DependencyResult))
 }
 
-// TerminalStates holds terminal states that users may be told.
+// TerminalStates holds the terminal states that may be acknowledged to users.
 type TerminalStates interface {
 	// Of returns the terminal state of a job, or "" if it is not known.
 	Of(job string) wire.JobPhase
@@ -104,10 +104,10 @@
 	Remember(job string, state wire.JobPhase)
 }
 
-// Cancellations holds which jobs are cancelled and which cancellations users may be told.
+// Cancellations holds which jobs are cancelled and which cancellations may be acknowledged to users.
 type Cancellations interface {
-	// HasEnded reports whether the node knows that a job has been cancelled, even if users may
-	// not be told yet.
+	// HasEnded reports whether the node knows that a job has been cancelled, even if that
+	// may not be acknowledged to users yet.
 	HasEnded(job string) bool
 	// Announce calls done once it is certain whether the cancellation of a job may be
 	// acknowledged to users. An answer after the deadline is of no use to the caller.
--- a/internal/frontend/submission_commits.go
+++ b/internal/frontend/submission_commits.go
@@ -8,20 +8,20 @@
 	"tamarindlead/internal/wire"
 )
 
-// This file records submissions: a user is told that a job is accepted only after the commit
-// of its records.
+// This file records submissions: the acceptance of a job is acknowledged to its users only after
+// the commit of its records.
 
 // maxSubmissionCommitBytes bounds the size of the records of one commit that accepts several jobs.
 const maxSubmissionCommitBytes = wire.MaxBody / 2
 
-// flush records waiting submissions, as many as one commit takes.
+// flush commits pending submissions, as many as one transaction takes.
 func (s *submissionQueue) flush() {
 	if s.committing || len(s.pending) == 0 {
 		return
 	}
 	s.refuseExpired()
-	room := min(s.c.Budget.AvailableWrites(budget.UserRequests, s.c.now()), s.c.Settings.MaxTransactionOps)
-	if s.c.now() < s.nextCommit || room == 0 || len(s.pending) == 0 {
+	room := min(s.node.Budget.AvailableWrites(budget.UserRequests, s.node.now()), s.node.Settings.MaxTransactionOps)
+	if s.node.now() < s.nextCommit || room == 0 || len(s.pending) == 0 {
 		return
 	}
 	if batch := s.takeBatch(room); len(batch) > 0 {
@@ -29,24 +29,24 @@
 	}
 }
 
-// refuseExpired refuses submissions that have waited for too long.
+// refuseExpired refuses the submissions that have waited for too long.
 func (s *submissionQueue) refuseExpired() {
-	var waiting []*submission
+	var remaining []*submission
 	for _, sub := range s.pending {
-		if s.c.now()-sub.receivedAt > SubmissionTimeout {
-			s.refuseRequests(sub, reasonKVUnresponsive)
+		if s.node.now()-sub.receivedAt > SubmissionTimeout {
+			s.refuse(sub, reasonKVUnresponsive)
 			continue
 		}
-		waiting = append(waiting, sub)
+		remaining = append(remaining, sub)
 	}
-	s.pending = waiting
+	s.pending = remaining
 }
 
-// takeBatch takes the submissions whose writes have room, in the order in which they came. One
-// that needs more than there ever is room for is taken when there is as much as can be: its
-// writes beyond that are owed to the budget.
+// takeBatch takes the submissions whose writes have room, in the order in which they were
+// received. One that needs more room than there can ever be is taken when the room is largest:
+// its writes beyond that are a debt of the budget.
 func (s *submissionQueue) takeBatch(room int) []*submission {
-	if first := s.pending[0]; first.writeCount > room && room >= s.c.Budget.WriteBurst() {
+	if first := s.pending[0]; first.writeCount > room && room >= s.node.Budget.WriteBurst() {
 		room = first.writeCount
 	}
 	var batch, rest []*submission
@@ -62,63 +62,64 @@
 	return batch
 }
 
-// commit records a batch of submissions. What would make the commit too large waits again.
+// commit records a batch of submissions. Those that would make the transaction too large are
+// queued again.
 func (s *submissionQueue) commit(batch []*submission) {
-	var guards []kv.Precondition
+	var preconditions []kv.Precondition
 	var writes []kv.Write
 	size := 0
 	for i, sub := range batch {
-		puts, bytes := record.JobWrites(sub.job, s.c.Host.WallClock(), s.c.Settings.MaxValueBytes)
+		puts, bytes := record.JobWrites(sub.job, s.node.Host.WallClock(), s.node.Settings.MaxValueBytes)
 		if size += bytes; i > 0 && size > maxSubmissionCommitBytes {
 			s.requeue(batch[i:])
 			batch = batch[:i]
 			break
 		}
-		id := sub.job.ID
-		guards = append(guards, kv.Precondition{Key: record.ActiveJobKey(id)}, kv.Precondition{Key: record.TerminalStateKey(id)})
+		job := sub.job.ID
+		preconditions = append(preconditions, kv.Precondition{Key: record.ActiveJobKey(job)}, kv.Precondition{Key: record.TerminalStateKey(job)})
 		writes = append(writes, puts...)
 	}
 	s.committing = true
-	sent := freshness.Evidence{Basis: freshness.OwnTransaction, SentAt: s.c.now(), ViaPeer: s.c.KV.UsesPeerRoute()}
-	s.c.KV.Do(budget.UserRequests, kv.Transaction(guards, writes), func(reply kv.Result) {
+	evidence := s.node.evidenceNow(freshness.OwnTransaction)
+	s.node.KV.Do(budget.UserRequests, kv.Transaction(preconditions, writes), func(result kv.Result) {
 		s.committing = false
-		s.handleCommitResult(batch, reply, sent)
+		s.handleCommitResult(batch, result, evidence)
 	})
 }
 
-// requeue puts submissions back before those that came later.
+// requeue puts submissions back before those that were received later.
 func (s *submissionQueue) requeue(batch []*submission) {
 	s.pending = append(batch[:len(batch):len(batch)], s.pending...)
 }
 
-// handleCommitResult takes the answer to the commit of a batch.
-func (s *submissionQueue) handleCommitResult(batch []*submission, reply kv.Result, commit freshness.Evidence) {
-	switch reply.Outcome {
+// handleCommitResult handles the result of the commit of a batch.
+func (s *submissionQueue) handleCommitResult(batch []*submission, result kv.Result, evidence freshness.Evidence) {
+	switch result.Outcome {
 	case kv.OK:
 		for _, sub := range batch {
-			s.c.Log.Debug("job accepted", "job", sub.job.ID)
-			s.handleAccepted(sub, commit)
+			s.node.Log.Debug("job accepted", "job", sub.job.ID)
+			s.handleAccepted(sub, evidence)
 		}
 	case kv.PreconditionFailed:
-		s.handlePreconditionFailed(batch, reply)
+		s.handlePreconditionFailed(batch, result)
 	case kv.Throttled:
 		s.requeue(batch)
-		s.nextCommit = s.c.now() + kv.ThrottledPause
+		s.nextCommit = s.node.now() + kv.ThrottledPause
 	case kv.Unknown:
-		// It may have been executed: the same commit again tells by its guards.
+		// It may have been executed: the preconditions of the same commit show whether it was.
 		s.requeue(batch)
 	default:
 		for _, sub := range batch {
-			s.refuseRequests(sub, reasonKVRefuses)
+			s.refuse(sub, reasonKVRefuses)
 		}
 	}
 }
 
-// handlePreconditionFailed goes on when some job of a batch is known already: those are looked up, the rest is
-// tried again.
-func (s *submissionQueue) handlePreconditionFailed(batch []*submission, reply kv.Result) {
+// handlePreconditionFailed looks up the jobs of a batch that are known already and queues the
+// others again.
+func (s *submissionQueue) handlePreconditionFailed(batch []*submission, result kv.Result) {
 	var committed kv.TransactionResult
-	reply.Decode(&committed)
+	result.Decode(&committed) // without a list of keys, all jobs are looked up
 	failed := map[string]bool{}
 	for _, key := range committed.FailedPreconditions {
 		failed[key] = true
@@ -133,25 +134,26 @@
 	}
 }
 
-// handleAccepted answers a submission that was recorded by a commit just now. One that was cancelled
-// with a job before it is answered once users may be told of that.
-func (s *submissionQueue) handleAccepted(sub *submission, commit freshness.Evidence) {
-	if sub.status != wire.JobCancelled {
-		s.respondAccepted(sub, commit)
+// handleAccepted answers a submission that was just committed. One that is cancelled because of an
+// upstream job is answered once that cancellation may be acknowledged.
+func (s *submissionQueue) handleAccepted(sub *submission, evidence freshness.Evidence) {
+	if sub.phase != wire.JobCancelled {
+		s.respondAccepted(sub, evidence)
 		return
 	}
-	s.c.Cancellations.Announce(sub.cancelledRoot, s.c.now()+SubmissionTimeout, func(mayTell bool) {
-		if !mayTell {
-			s.refuseRequests(sub, reasonUnacknowledged)
+	s.node.Cancellations.Announce(sub.cancelledRoot, s.node.now()+SubmissionTimeout, func(mayAcknowledge bool) {
+		if !mayAcknowledge {
+			s.refuse(sub, reasonUnacknowledged)
 			return
 		}
-		s.c.TerminalStates.Remember(sub.job.ID, wire.JobCancelled)
+		s.node.TerminalStates.Remember(sub.job.ID, wire.JobCancelled)
 		s.respondAccepted(sub, freshness.OfTerminalState())
 	})
 }
 
+// respondAccepted answers the requests of a submission that was accepted.
 func (s *submissionQueue) respondAccepted(sub *submission, evidence freshness.Evidence) {
 	s.answer(sub, evidence, func(r userRequest) {
-		s.c.respondSubmission(r, wire.StatusAccepted, sub.job.ID, sub.status, evidence)
+		s.responder.respondSubmission(r, wire.StatusAccepted, sub.job.ID, sub.phase, evidence)
 	})
 }
--- /dev/null
+++ b/internal/frontend/submission_dependencies.go
@@ -0,0 +1,46 @@
+package frontend
+
+import (
+	"slices"
+
+	"tamarindlead/internal/wire"
+)
+
+// checkDependencies checks that all dependencies of a submission were accepted, and whether one is
+// cancelled. Acceptance is final, so a read before the commit suffices.
+func (s *submissionQueue) checkDependencies(sub *submission) {
+	job := sub.job.ID
+	switch {
+	case slices.Contains(sub.job.Dependencies, job):
+		s.answerDuplicateOrRefuse(sub, permanentRefusal(reasonDependsOnItself))
+		return
+	case s.node.TerminalStates.Of(job) != "" || s.node.knownVersion(job) != 0:
+		s.answerDuplicateOrRefuse(sub, temporaryRefusal(reasonKVUnresponsive))
+		return
+	case !s.node.Graph.IsSynced():
+		s.answerDuplicateOrRefuse(sub, temporaryRefusal(reasonJobsUnknown))
+		return
+	}
+	s.checkingDependencies++
+	sub.dependenciesReadAt = s.node.now()
+	s.node.JobView.CheckDependencies(sub.job.Dependencies, s.node.now()+SubmissionTimeout, func(result DependencyResult) {
+		s.checkingDependencies--
+		s.handleDependenciesChecked(sub, result)
+	})
+}
+
+// handleDependenciesChecked queues a submission for its commit if its dependencies allow.
+func (s *submissionQueue) handleDependenciesChecked(sub *submission, result DependencyResult) {
+	switch result.Status {
+	case DependenciesUnknown:
+		s.answerDuplicateOrRefuse(sub, temporaryRefusal(reasonKVUnresponsive))
+		return
+	case DependenciesNeverAccepted:
+		s.answerDuplicateOrRefuse(sub, permanentRefusal(reasonDependencyNotAccepted))
+		return
+	case DependenciesCancelled:
+		sub.phase, sub.cancelledRoot = wire.JobCancelled, result.CancelledRoot
+	case DependenciesOpen:
+	}
+	s.pending = append(s.pending, sub)
+}
