--- /dev/null
+++ b/internal/frontend/cancellations_test.go
@@ -0,0 +1,121 @@
+package frontend
+
+import (
+	"testing"
+
+	"tamarindlead/internal/kv"
+	"tamarindlead/internal/record"
+	"tamarindlead/internal/wire"
+)
+
+const (
+	commitTarget   = "/commit"
+	activeTarget   = "/kv/" + record.ActiveJobPrefix + testJobID
+	terminalTarget = "/kv/" + record.TerminalStatePrefix + testJobID
+)
+
+func (f *fixture) cancel() { f.request("POST", "/api/jobs/"+testJobID+"/cancel", nil) }
+
+// activeEntry returns the record of a job that was submitted without dependencies.
+func activeEntry() kv.Entry {
+	return kv.Entry{Value: wire.Encode(record.NewJob(newSmallJob(), 0)), Version: 7}
+}
+
+// terminalEntry returns the record of a job that has ended.
+func terminalEntry(status record.Status) kv.Entry {
+	return kv.Entry{Value: wire.Encode(record.TerminalState{Status: status}), Version: 9}
+}
+
+// TestCancellation plays the answers of the state service to a cancellation.
+func TestCancellation(t *testing.T) {
+	for _, c := range []struct {
+		name   string
+		play   func(f *fixture)
+		status wire.Status
+		reason RefusalReason
+	}{
+		{"known to have ended", func(f *fixture) {
+			f.terminal[testJobID] = wire.JobDone
+			f.cancel()
+		}, wire.StatusOK, ""},
+		{"state service unavailable", func(f *fixture) {
+			f.unavailable = true
+			f.cancel()
+		}, wire.StatusUnavailable, "state service does not answer"},
+		{"no writes left", func(f *fixture) {
+			f.writes = CancellationWrites - 1
+			f.cancel()
+		}, wire.StatusTooManyRequests, "too many cancellations"},
+		{"version known", func(f *fixture) {
+			f.graph.versions[testJobID] = 7
+			f.cancel()
+			f.answer(commitTarget, kv.OK, nil)
+			f.announcements[0](true)
+		}, wire.StatusOK, ""},
+		{"not acknowledged by a peer", func(f *fixture) {
+			f.ownedVersions[testJobID] = 7
+			f.cancel()
+			f.answer(commitTarget, kv.OK, nil)
+			f.announcements[0](false)
+		}, wire.StatusUnavailable, "a controller has not confirmed yet"},
+		{"version read", func(f *fixture) {
+			f.cancel()
+			f.answer(activeTarget, kv.OK, activeEntry())
+			f.answer(commitTarget, kv.OK, nil)
+			f.announcements[0](true)
+		}, wire.StatusOK, ""},
+		{"in doubt, and not executed", func(f *fixture) {
+			f.graph.versions[testJobID] = 7
+			f.cancel()
+			f.answer(commitTarget, kv.Unknown, nil)
+			f.answer(activeTarget, kv.OK, activeEntry())
+			f.answer(commitTarget, kv.OK, nil)
+			f.announcements[0](true)
+		}, wire.StatusOK, ""},
+		{"in doubt for too long", func(f *fixture) {
+			f.graph.versions[testJobID] = 7
+			f.cancel()
+			f.time += SubmissionTimeout
+			f.answer(commitTarget, kv.Unknown, nil)
+		}, wire.StatusUnavailable, "state service does not answer"},
+		{"done meanwhile", func(f *fixture) {
+			f.cancel()
+			f.answer(activeTarget, kv.NotFound, nil)
+			f.flush()
+			f.answer(activeTarget, kv.NotFound, nil)
+			f.answer(terminalTarget, kv.OK, terminalEntry(record.StatusDone))
+		}, wire.StatusOK, ""},
+		{"never accepted", func(f *fixture) {
+			f.cancel()
+			f.answer(activeTarget, kv.NotFound, nil)
+			f.flush()
+			f.answer(activeTarget, kv.NotFound, nil)
+			f.answer(terminalTarget, kv.NotFound, nil)
+		}, wire.StatusNotFound, "no such job"},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			f := newFixture(t)
+			c.play(f)
+			f.checkResponse(c.status, c.reason)
+			if f.violations != 0 || len(f.calls) != 0 {
+				t.Errorf("%d violations, %d calls left", f.violations, len(f.calls))
+			}
+		})
+	}
+}
+
+// TestCancellationIsAnsweredOnceAcknowledged checks that a user learns nothing of a cancellation
+// between its commit and its acknowledgement.
+func TestCancellationIsAnsweredOnceAcknowledged(t *testing.T) {
+	f := newFixture(t)
+	f.graph.versions[testJobID] = 7
+	f.cancel()
+	f.answer(commitTarget, kv.OK, nil)
+	if len(f.responses) != 0 || len(f.announcements) != 1 {
+		t.Fatalf("%d responses and %d announcements, want 0 and 1", len(f.responses), len(f.announcements))
+	}
+	f.announcements[0](true)
+	if state, ok := f.onlyResponse().body.(wire.JobState); !ok || state.Status != wire.JobCancelled {
+		t.Errorf("answered %+v, want %s", f.onlyResponse(), wire.JobCancelled)
+	}
+}
--- /dev/null
+++ b/internal/frontend/lookups_test.go
@@ -0,0 +1,150 @@
+package frontend
+
+import (
+	"testing"
+
+	"tamarindlead/internal/dag"
+	"tamarindlead/internal/kv"
+	"tamarindlead/internal/record"
+	"tamarindlead/internal/wire"
+)
+
+func (f *fixture) query() { f.request("GET", "/api/jobs/"+testJobID, nil) }
+
+// TestQuery plays the answers of the state service to a query.
+func TestQuery(t *testing.T) {
+	for _, c := range []struct {
+		name string
+		play func(f *fixture)
+		want wire.JobStatus // or else the request is refused
+	}{
+		{"version compared", func(f *fixture) {
+			f.graph.versions[testJobID] = 7
+			f.query()
+			f.flush()
+			f.answer(commitTarget, kv.OK, nil)
+		}, wire.JobStatus{ID: testJobID, Status: wire.JobQueued}},
+		{"own counts before those of peers", func(f *fixture) {
+			f.ownedVersions[testJobID] = 7
+			f.ownedCounts[testJobID], f.peerCounts[testJobID] = TaskCounts{2, 1}, TaskCounts{1, 2}
+			f.query()
+			f.flush()
+			f.answer(commitTarget, kv.OK, nil)
+		}, wire.JobStatus{ID: testJobID, Status: wire.JobRunning, Done: 2, Running: 1}},
+		{"counts of peers", func(f *fixture) {
+			f.peerCounts[testJobID] = TaskCounts{1, 2}
+			f.query()
+			f.flush()
+			f.answer(activeTarget, kv.OK, activeEntry())
+		}, wire.JobStatus{ID: testJobID, Status: wire.JobRunning, Done: 1, Running: 2}},
+		{"version outdated, done meanwhile", func(f *fixture) {
+			f.graph.versions[testJobID] = 7
+			f.query()
+			f.flush()
+			f.answer(commitTarget, kv.PreconditionFailed, kv.TransactionResult{FailedPreconditions: []string{record.ActiveJobKey(testJobID)}})
+			f.answer(activeTarget, kv.NotFound, nil)
+			f.answer(terminalTarget, kv.OK, terminalEntry(record.StatusDone))
+		}, wire.JobStatus{ID: testJobID, Status: wire.JobDone}},
+		{"cancelled, acknowledged", func(f *fixture) {
+			f.query()
+			f.flush()
+			f.answer(activeTarget, kv.NotFound, nil)
+			f.answer(terminalTarget, kv.OK, terminalEntry(record.StatusCancelled))
+			f.announcements[0](true)
+		}, wire.JobStatus{ID: testJobID, Status: wire.JobCancelled}},
+		{"cancelled, not acknowledged", func(f *fixture) {
+			f.query()
+			f.flush()
+			f.answer(activeTarget, kv.NotFound, nil)
+			f.answer(terminalTarget, kv.OK, terminalEntry(record.StatusCancelled))
+			f.announcements[0](false)
+		}, wire.JobStatus{}},
+		{"cancelled since the read was sent", func(f *fixture) {
+			f.query()
+			f.flush()
+			f.ended[testJobID] = true
+			f.answer(activeTarget, kv.OK, activeEntry())
+			f.graph.ForgetVersion(testJobID)
+			f.flush()
+			f.answer(activeTarget, kv.NotFound, nil)
+			f.answer(terminalTarget, kv.OK, terminalEntry(record.StatusCancelled))
+			f.announcements[0](true)
+		}, wire.JobStatus{ID: testJobID, Status: wire.JobCancelled}},
+		{"blocked", func(f *fixture) {
+			f.graph.blocked[testJobID] = &dag.BlockedJob{ID: testJobID, Version: 7}
+			f.query()
+			f.flush()
+			f.refreshes[0](true)
+		}, wire.JobStatus{ID: testJobID, Status: wire.JobQueued}},
+		{"blocked, view not refreshed", func(f *fixture) {
+			f.graph.blocked[testJobID] = &dag.BlockedJob{ID: testJobID, Version: 7}
+			f.query()
+			f.flush()
+			f.refreshes[0](false)
+		}, wire.JobStatus{}},
+		{"blocked by a cancelled job", func(f *fixture) {
+			f.graph.blocked[testJobID] = &dag.BlockedJob{ID: testJobID, Version: 7, CancelledRoot: "req-000002"}
+			f.query()
+			f.flush()
+			f.refreshes[0](true)
+			f.announcements[0](true)
+		}, wire.JobStatus{ID: testJobID, Status: wire.JobCancelled}},
+		{"no budget in time", func(f *fixture) {
+			f.noRequests = true
+			f.query()
+			f.flush()
+			f.time += lookupTimeout
+			f.flush()
+		}, wire.JobStatus{}},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			f := newFixture(t)
+			c.play(f)
+			if c.want.ID == "" {
+				f.checkResponse(wire.StatusUnavailable, "state service does not answer")
+			} else if got := f.onlyResponse(); got.status != wire.StatusOK || got.body != any(c.want) {
+				t.Errorf("answered %+v, want %+v", got, c.want)
+			}
+			if f.violations != 0 || len(f.calls) != 0 || f.frontend.lookups.inFlight != 0 || f.frontend.HasPending() {
+				t.Errorf("%d violations, %d calls left, %d lookups in flight", f.violations, len(f.calls), f.frontend.lookups.inFlight)
+			}
+		})
+	}
+}
+
+// TestLookupCount checks that lookups are counted once.
+func TestLookupCount(t *testing.T) {
+	f := newFixture(t)
+	f.query()
+	f.query()
+	if first, second := f.frontend.TakeLookupCount(), f.frontend.TakeLookupCount(); first != 2 || second != 0 {
+		t.Errorf("counted %d and then %d lookups, want 2 and 0", first, second)
+	}
+}
+
+// TestLookupsAreBounded checks that lookups beyond the bound are refused at once.
+func TestLookupsAreBounded(t *testing.T) {
+	f := newFixture(t)
+	for range maxPendingLookups {
+		f.query()
+	}
+	if len(f.responses) != 0 {
+		t.Fatalf("%d responses before the bound", len(f.responses))
+	}
+	f.query()
+	f.checkResponse(wire.StatusUnavailable, "state service does not answer")
+}
+
+// TestStrings checks that the values of enumerations are distinct.
+func TestStrings(t *testing.T) {
+	seen := map[string]bool{"invalid": true}
+	for _, s := range []string{
+		DependenciesUnknown.String(), DependenciesNeverAccepted.String(), DependenciesOpen.String(), DependenciesCancelled.String(),
+		lookupFailed.String(), lookupNotFound.String(), lookupFound.String(),
+	} {
+		if seen[s] {
+			t.Errorf("%q is not distinct", s)
+		}
+		seen[s] = true
+	}
+}
--- /dev/null
+++ b/internal/frontend/submissions_test.go
@@ -0,0 +1,248 @@
+package frontend
+
+import (
+	"fmt"
+	"slices"
+	"strings"
+	"testing"
+
+	"tamarindlead/internal/kv"
+	"tamarindlead/internal/record"
+	"tamarindlead/internal/wire"
+	"tamarindlead/micros"
+	"tamarindlead/sched"
+)
+
+func (f *fixture) submit(job *sched.Job) {
+	f.request("POST", "/api/jobs", wire.Encode(wire.FromJob(job)))
+}
+
+// neverAccepted answers the lookup of the fixture's job.
+func (f *fixture) neverAccepted() {
+	f.flush()
+	f.answer(activeTarget, kv.NotFound, nil)
+	f.answer(terminalTarget, kv.NotFound, nil)
+}
+
+// TestSubmission plays the answers of the state service to a submission.
+func TestSubmission(t *testing.T) {
+	known := kv.TransactionResult{FailedPreconditions: []string{record.TerminalStateKey(testJobID)}}
+	for _, c := range []struct {
+		name   string
+		play   func(f *fixture)
+		status wire.Status
+		reason RefusalReason
+	}{
+		{"accepted", func(f *fixture) {
+			f.submit(newSmallJob())
+			f.flush()
+			f.answer(commitTarget, kv.OK, nil)
+		}, wire.StatusAccepted, ""},
+		{"in doubt, and executed", func(f *fixture) {
+			f.submit(newSmallJob())
+			f.flush()
+			f.answer(commitTarget, kv.Unknown, nil)
+			f.flush()
+			f.answer(commitTarget, kv.PreconditionFailed, kv.TransactionResult{FailedPreconditions: []string{record.ActiveJobKey(testJobID)}})
+			f.flush()
+			f.answer(activeTarget, kv.OK, activeEntry())
+		}, wire.StatusOK, ""},
+		{"duplicate of a job that has ended", func(f *fixture) {
+			f.submit(newSmallJob())
+			f.flush()
+			f.answer(commitTarget, kv.PreconditionFailed, known)
+			f.flush()
+			f.answer(activeTarget, kv.NotFound, nil)
+			f.answer(terminalTarget, kv.OK, terminalEntry(record.StatusDone))
+		}, wire.StatusOK, ""},
+		{"throttled", func(f *fixture) {
+			f.submit(newSmallJob())
+			f.flush()
+			f.answer(commitTarget, kv.Throttled, nil)
+			f.flush()
+			if len(f.calls) != 0 {
+				f.t.Error("the commit is sent again without a pause")
+			}
+			f.time += kv.ThrottledPause
+			f.flush()
+			f.answer(commitTarget, kv.OK, nil)
+		}, wire.StatusAccepted, ""},
+		{"refused by the state service", func(f *fixture) {
+			f.submit(newSmallJob())
+			f.flush()
+			f.answer(commitTarget, kv.InvalidRequest, nil)
+		}, wire.StatusUnavailable, "state service refuses"},
+		{"no writes in time", func(f *fixture) {
+			f.writes = 0
+			f.submit(newSmallJob())
+			f.flush()
+			f.time += SubmissionTimeout
+			f.flush()
+		}, wire.StatusUnavailable, "state service does not answer"},
+		{"types unknown", func(f *fixture) {
+			f.types = nil
+			f.submit(newSmallJob())
+		}, wire.StatusUnavailable, "machine types are not known yet"},
+		{"state service unavailable", func(f *fixture) {
+			f.unavailable = true
+			f.submit(newSmallJob())
+		}, wire.StatusUnavailable, "state service does not answer"},
+		{"would never be accepted, but was", func(f *fixture) {
+			job := newSmallJob()
+			job.Team = "blue"
+			f.submit(job)
+			f.flush()
+			f.answer(activeTarget, kv.OK, activeEntry())
+		}, wire.StatusOK, ""},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			f := newFixture(t)
+			c.play(f)
+			f.checkResponse(c.status, c.reason)
+			f.checkIdle()
+		})
+	}
+}
+
+// checkIdle checks that no request is left.
+func (f *fixture) checkIdle() {
+	f.t.Helper()
+	submissions := f.frontend.submissions
+	if f.violations != 0 || len(f.calls) != 0 || f.frontend.HasPending() || len(submissions.byJob) != 0 || submissions.checkingDependencies != 0 {
+		f.t.Errorf("%d violations, %d calls and %d submissions left", f.violations, len(f.calls), len(submissions.byJob))
+	}
+}
+
+// TestSubmissionNeverAccepted checks the refusals of jobs that can never be accepted.
+func TestSubmissionNeverAccepted(t *testing.T) {
+	for _, c := range []struct {
+		name   string
+		change func(job *sched.Job)
+		status wire.Status
+		reason RefusalReason
+	}{
+		{"unknown team", func(job *sched.Job) { job.Team = "blue" }, wire.StatusUnprocessable, "unknown team"},
+		{"too large for any type", func(job *sched.Job) { job.Need = sched.NewResources(1, 0, 200) }, wire.StatusUnprocessable, "a task fits no allowed machine type"},
+		{"above the quota limit", func(job *sched.Job) { job.Need = sched.NewResources(21, 0, 1) }, wire.StatusUnprocessable, "more than the team's limit"},
+		{"gang above the quota limit", func(job *sched.Job) { job.Gang, job.Tasks = true, 21 }, wire.StatusUnprocessable, "more than the team's limit"},
+		{"description too long", func(job *sched.Job) { job.Types = slices.Repeat([]string{strings.Repeat("x", 150)}, 40) }, wire.StatusBadRequest, "description too long"},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			f := newFixture(t)
+			job := newSmallJob()
+			c.change(job)
+			f.submit(job)
+			f.neverAccepted()
+			f.checkResponse(c.status, c.reason)
+			f.checkIdle()
+		})
+	}
+}
+
+// TestSubmissionWithDependencies plays the results of the check of dependencies.
+func TestSubmissionWithDependencies(t *testing.T) {
+	const root = "req-000002"
+	for _, c := range []struct {
+		name   string
+		play   func(f *fixture, job *sched.Job)
+		status wire.Status
+		reason RefusalReason
+	}{
+		{"open", func(f *fixture, job *sched.Job) {
+			f.submit(job)
+			f.dependencyCheck(DependencyResult{Status: DependenciesOpen})
+			f.flush()
+			f.answer(commitTarget, kv.OK, nil)
+		}, wire.StatusAccepted, ""},
+		{"cancelled, acknowledged", func(f *fixture, job *sched.Job) {
+			f.submit(job)
+			f.dependencyCheck(DependencyResult{DependenciesCancelled, root})
+			f.flush()
+			f.answer(commitTarget, kv.OK, nil)
+			f.announcements[0](true)
+		}, wire.StatusAccepted, ""},
+		{"cancelled, not acknowledged", func(f *fixture, job *sched.Job) {
+			f.submit(job)
+			f.dependencyCheck(DependencyResult{DependenciesCancelled, root})
+			f.flush()
+			f.answer(commitTarget, kv.OK, nil)
+			f.announcements[0](false)
+		}, wire.StatusUnavailable, "a controller has not confirmed yet"},
+		{"never accepted", func(f *fixture, job *sched.Job) {
+			f.submit(job)
+			f.dependencyCheck(DependencyResult{Status: DependenciesNeverAccepted})
+			f.neverAccepted()
+		}, wire.StatusUnprocessable, "awaits a job that was never accepted"},
+		{"unknown", func(f *fixture, job *sched.Job) {
+			f.submit(job)
+			f.dependencyCheck(DependencyResult{})
+			f.neverAccepted()
+		}, wire.StatusUnavailable, "state service does not answer"},
+		{"view not synced", func(f *fixture, job *sched.Job) {
+			f.graph.synced = false
+			f.submit(job)
+			f.neverAccepted()
+		}, wire.StatusUnavailable, "the jobs are not known yet"},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			f := newFixture(t)
+			job := newSmallJob()
+			job.Dependencies = []string{root}
+			c.play(f, job)
+			f.checkResponse(c.status, c.reason)
+			f.checkIdle()
+		})
+	}
+}
+
+// TestDuplicateRequestsShareOneCommit checks that requests for the same job are answered together.
+func TestDuplicateRequestsShareOneCommit(t *testing.T) {
+	f := newFixture(t)
+	f.submit(newSmallJob())
+	f.submit(newSmallJob())
+	if pending := f.frontend.PendingSubmissions(); pending != 1 {
+		t.Fatalf("%d submissions are pending, want 1", pending)
+	}
+	f.flush()
+	f.answer(commitTarget, kv.OK, nil)
+	if len(f.responses) != 2 || f.responses[0].status != wire.StatusAccepted || f.responses[1].status != wire.StatusAccepted {
+		t.Errorf("responses %+v, want two of %d", f.responses, wire.StatusAccepted)
+	}
+	f.checkIdle()
+}
+
+// TestSubmissionsAreBounded checks that submissions beyond the bound are refused at once.
+func TestSubmissionsAreBounded(t *testing.T) {
+	f := newFixture(t)
+	for i := range maxPendingSubmissions + 1 {
+		job := newSmallJob()
+		job.ID = fmt.Sprintf("req-%06d", i)
+		f.submit(job)
+	}
+	f.checkResponse(wire.StatusTooManyRequests, "too many submissions wait")
+}
+
+// TestTakeBatch checks which submissions one transaction takes.
+func TestTakeBatch(t *testing.T) {
+	for _, c := range []struct {
+		name   string
+		room   int
+		counts []int // of writes of the pending submissions
+		taken  int
+	}{
+		{"all fit", 5, []int{1, 1, 3}, 3},
+		{"a small one passes a large one", 3, []int{1, 3, 2}, 2},
+		{"the first waits for more room", 11, []int{20}, 0},
+		{"the first needs more than there ever is", 12, []int{20, 1}, 1},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			submissions := newFixture(t).frontend.submissions
+			for i, count := range c.counts {
+				submissions.pending = append(submissions.pending, &submission{writeCount: count, receivedAt: micros.Micros(i)})
+			}
+			if batch := submissions.takeBatch(c.room); len(batch) != c.taken || len(submissions.pending) != len(c.counts)-c.taken {
+				t.Errorf("%d are taken and %d left, want %d taken of %d", len(batch), len(submissions.pending), c.taken, len(c.counts))
+			}
+		})
+	}
+}
