--- a/controller/blocked_jobs.go
+++ b/controller/blocked_jobs.go
@@ -127,7 +127,7 @@
 // recheckBlockedJob handles a waiting job's record that is not as it was: it was cancelled.
 func (o *owner) recheckBlockedJob(j *inventory.Job) {
 	j.RecordStale = true
-	o.c.refresh(func(ok bool) {
+	o.c.jobView.Refresh(func(ok bool) {
 		if o.superseded() || o.BlockedJobs[j.ID] != j {
 			return
 		}
@@ -163,7 +163,7 @@
 			o.partsSwept = false
 			return
 		}
-		o.c.refresh(func(ok bool) {
+		o.c.jobView.Refresh(func(ok bool) {
 			switch {
 			case o.superseded():
 			case !ok:
--- a/controller/commits.go
+++ b/controller/commits.go
@@ -247,7 +247,7 @@
 
 // handleJobDoneRecorded ends a job whose final record is written.
 func (o *owner) handleJobDoneRecorded(j *inventory.Job) {
-	o.c.terminalStates.remember(j.ID, wire.JobDone)
+	o.c.jobView.TerminalStates().Remember(j.ID, wire.JobDone)
 	o.c.log.Info("job done", "job", j.ID, "class", j.Class)
 	o.c.graph.MarkDone(j.ID, o.c.wallClock)
 	for _, a := range j.SortedAttempts() {
--- a/controller/job_view.go
+++ b/controller/job_view.go
@@ -2,6 +2,7 @@
 
 import (
 	"tamarindlead/internal/dag"
+	"tamarindlead/internal/frontend"
 	"tamarindlead/internal/inventory"
 	"tamarindlead/internal/jobview"
 	"tamarindlead/micros"
@@ -11,7 +12,7 @@
 
 func newJobView(c *Core) *jobview.View {
 	settings := jobview.Settings{
-		RequestTimeout: submissionTimeout,
+		RequestTimeout: frontend.SubmissionTimeout,
 		TickInterval:   fastTickInterval,
 		ReadRetryDelay: readRetryDelay,
 	}
--- /dev/null
+++ b/internal/frontend/submissions.go
@@ -0,0 +1,123 @@
+package frontend
+
+import (
+	"tamarindlead/internal/freshness"
+	"tamarindlead/internal/wire"
+	"tamarindlead/micros"
+	"tamarindlead/sched"
+)
+
+// maxPendingSubmissions bounds the submissions that are pending or whose dependencies are being
+// checked. Those beyond it are refused at once, so that the waiting happens with the users.
+const maxPendingSubmissions = 128
+
+// SubmissionTimeout is the time after which a submission or cancellation is given up.
+const SubmissionTimeout = micros.Second
+
+// submissionQueue holds the submissions that have not been committed.
+type submissionQueue struct {
+	node      *node
+	responder *responder
+	lookups   *lookupQueue
+
+	pending              []*submission          // to be committed
+	byJob                map[string]*submission // all that have not been answered
+	committing           bool
+	checkingDependencies int // number of submissions whose dependencies are being checked
+	nextCommit           micros.Micros
+}
+
+// submission is a job that is to be recorded, with the requests that submitted it.
+type submission struct {
+	job        *sched.Job
+	requests   []userRequest
+	receivedAt micros.Micros
+	writeCount int // of its records
+	// dependenciesReadAt is when the last read of its dependencies was sent, 0 if none was.
+	dependenciesReadAt micros.Micros
+	// phase is the job's state once it is accepted: it may be cancelled already, because of the
+	// upstream job cancelledRoot.
+	phase         wire.JobPhase
+	cancelledRoot string
+}
+
+func newSubmissionQueue(n *node, r *responder, lookups *lookupQueue) *submissionQueue {
+	return &submissionQueue{node: n, responder: r, lookups: lookups, byJob: map[string]*submission{}}
+}
+
+// add adds a submission, or adds the request to the submission of the same job. Whether the
+// answer to that one may also answer this request is decided once the answer is there: see
+// answer.
+func (s *submissionQueue) add(request userRequest, job *sched.Job, writes int) {
+	if known := s.byJob[job.ID]; known != nil {
+		known.requests = append(known.requests, request)
+		return
+	}
+	if len(s.pending)+s.checkingDependencies >= maxPendingSubmissions {
+		s.responder.refuseOverload(request, reasonTooManySubmissions)
+		return
+	}
+	added := &submission{
+		job: job, requests: []userRequest{request}, receivedAt: s.node.now(), writeCount: writes,
+		phase: wire.JobQueued,
+	}
+	s.byJob[job.ID] = added
+	if len(job.Dependencies) > 0 {
+		s.checkDependencies(added)
+		return
+	}
+	s.pending = append(s.pending, added)
+}
+
+// answerDuplicateOrRefuse answers a submission with the state of the job if it was accepted
+// before, whatever became of its dependencies, and else with a refusal.
+func (s *submissionQueue) answerDuplicateOrRefuse(sub *submission, refused *refusal) {
+	s.lookups.add(sub.job.ID, func(result lookupResult) {
+		respond := func(r userRequest) { s.responder.respondDuplicateOrRefuse(r, sub.job.ID, result, refused) }
+		if result.outcome == lookupFailed {
+			s.finish(sub, respond)
+			return
+		}
+		evidence := result.evidence
+		if result.outcome == lookupNotFound && sub.dependenciesReadAt != 0 { // the refusal rests on that read too
+			evidence.SentAt = min(evidence.SentAt, sub.dependenciesReadAt)
+		}
+		s.answer(sub, evidence, respond)
+	})
+}
+
+// answer ends a submission whose requests are answered by the evidence. Requests that joined it
+// after the read or commit was sent are looked up separately: meanwhile another node may have
+// given users a more recent answer.
+func (s *submissionQueue) answer(sub *submission, evidence freshness.Evidence, respond func(r userRequest)) {
+	job := sub.job.ID
+	var late []userRequest
+	s.finish(sub, func(r userRequest) {
+		if s.responder.mayRespond(r, job, evidence) {
+			respond(r)
+		} else {
+			late = append(late, r)
+		}
+	})
+	if len(late) == 0 {
+		return
+	}
+	s.lookups.add(job, func(result lookupResult) {
+		for _, r := range late {
+			s.responder.respondDuplicateOrRefuse(r, job, result, temporaryRefusal(reasonKVUnresponsive))
+		}
+	})
+}
+
+// finish ends a submission by answering all its requests.
+func (s *submissionQueue) finish(sub *submission, respond func(r userRequest)) {
+	delete(s.byJob, sub.job.ID)
+	for _, r := range sub.requests {
+		respond(r)
+	}
+}
+
+// refuse ends a submission that cannot be recorded now.
+func (s *submissionQueue) refuse(sub *submission, reason RefusalReason) {
+	s.finish(sub, func(r userRequest) { s.responder.refuse(r, reason) })
+}
