--- a/controller/authorization_test.go
+++ b/controller/authorization_test.go
@@ -24,33 +24,32 @@
 	return o, m, o.AddAttempt(j, 0, 1, m, inventory.AttemptRecorded)
 }
 
-// TestStartsRequireRecords sees that a start is ordered only on a recorded placement under a token
-// that the machine has shown, and that anything else is a violation.
-func TestStartsRequireRecords(t *testing.T) {
+// TestWorkersHostState checks what the part that commands workers is given to decide on: only an
+// owner that has recovered its records and was not replaced is active, the cancellations of peers
+// are known, and violations are counted.
+func TestWorkersHostState(t *testing.T) {
 	for _, c := range []struct {
-		name       string
-		change     func(o *owner, m *inventory.Machine, a *inventory.Attempt)
-		commands   int
-		violations int
+		name               string
+		change             func(o *owner)
+		active, superseded bool
+		jobEnded           bool
 	}{
-		{"recorded and claimed", func(*owner, *inventory.Machine, *inventory.Attempt) {}, 1, 0},
-		{"not claimed", func(_ *owner, m *inventory.Machine, _ *inventory.Attempt) { m.FencingToken = 0 }, 0, 1},
-		{"without an entry in a record", func(_ *owner, m *inventory.Machine, _ *inventory.Attempt) { m.Recorded = false }, 0, 1},
-		{"to be deleted", func(_ *owner, m *inventory.Machine, _ *inventory.Attempt) { m.State = inventory.MachineDecommissioning }, 0, 1},
-		{"its owner reads the records", func(o *owner, _ *inventory.Machine, _ *inventory.Attempt) { o.state = ownerRecovering }, 0, 1},
-		{"its owner was replaced", func(o *owner, _ *inventory.Machine, _ *inventory.Attempt) { o.c.owner = nil }, 0, 1},
-		{"a peer says that its job is cancelled", func(o *owner, _ *inventory.Machine, a *inventory.Attempt) {
-			o.c.cancellations.MarkEnded(a.Job.ID, o.c.now)
-			a.Job.State, a.State = inventory.JobActive, inventory.AttemptRecorded // as if this had been missed
-		}, 0, 1},
-		{"not recorded yet", func(_ *owner, _ *inventory.Machine, a *inventory.Attempt) { a.State = inventory.AttemptAssumed }, 0, 0},
-		{"the machine has not shown the token", func(_ *owner, m *inventory.Machine, _ *inventory.Attempt) { m.TokenConfirmed = false }, 0, 0},
+		{"active", func(*owner) {}, true, false, false},
+		{"its owner reads the records", func(o *owner) { o.state = ownerRecovering }, false, false, false},
+		{"its owner was replaced", func(o *owner) { o.c.owner = nil }, false, true, false},
+		{"a peer says that its job is cancelled", func(o *owner) {
+			o.c.cancellations.MarkEnded("req-000001", o.c.now)
+		}, true, false, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			o, m, a := activeOwner()
-			c.change(o, m, a)
-			if got := len(o.commands(m)); got != c.commands || o.c.Violations() != c.violations {
-				t.Errorf("%d commands and %d violations, want %d and %d", got, o.c.Violations(), c.commands, c.violations)
+			o, _, _ := activeOwner()
+			c.change(o)
+			h := workersHost{o}
+			if h.IsActive() != c.active || h.Superseded() != c.superseded || h.JobHasEnded("req-000001") != c.jobEnded {
+				t.Errorf("active %t, superseded %t, job ended %t", h.IsActive(), h.Superseded(), h.JobHasEnded("req-000001"))
+			}
+			if h.ReportViolation("of the test"); o.c.Violations() != 1 {
+				t.Errorf("%d violations are counted", o.c.Violations())
 			}
 		})
 	}
--- a/controller/bench_test.go
+++ b/controller/bench_test.go
@@ -44,7 +44,7 @@
 			o.AddAttempt(j, at%100, 7, m, inventory.AttemptLive).HeartbeatSeen = true
 		}
 	}
-	o.dispatchQueue = nil
+	o.workers.Reset()
 	return o
 }
 
--- a/controller/inventory_adapter.go
+++ b/controller/inventory_adapter.go
@@ -2,7 +2,7 @@
 
 import (
 	"tamarindlead/internal/inventory"
-	"tamarindlead/internal/wire"
+	"tamarindlead/internal/workers"
 	"tamarindlead/micros"
 	"tamarindlead/sched"
 )
@@ -22,10 +22,7 @@
 
 // forgetMachine removes a machine whose record is gone, and refuses a heartbeat that waits for it.
 func (o *owner) forgetMachine(m *inventory.Machine) {
-	if m.PendingRequest != 0 {
-		o.c.refuse(m.PendingRequest, wire.StatusUnavailable, "machine was returned")
-		m.PendingRequest = 0
-	}
+	o.workers.RefusePendingHeartbeat(m, workers.RefusalTerminated)
 	o.RemoveMachine(m)
 }
 
--- a/controller/machine_health.go
+++ b/controller/machine_health.go
@@ -75,7 +75,7 @@
 		}
 	}
 	return fleetHealth{
-		isolated:        o.c.now-max(o.lastHeartbeat, o.activeSince) > maxMissedHeartbeats*o.c.cfg.HeartbeatInterval,
+		isolated:        o.c.now-max(o.lastHeartbeat(), o.activeSince) > maxMissedHeartbeats*o.c.cfg.HeartbeatInterval,
 		manyUnreachable: unreachable > max(minUnreachableMachines, len(o.SortedMachines)/unreachableDivisor),
 	}
 }
--- a/controller/owner.go
+++ b/controller/owner.go
@@ -10,7 +10,7 @@
 	"tamarindlead/internal/cluster"
 	"tamarindlead/internal/kv"
 	"tamarindlead/internal/record"
-	"tamarindlead/internal/wire"
+	"tamarindlead/internal/workers"
 	"tamarindlead/micros"
 )
 
@@ -66,10 +66,8 @@
 	nextMachineRequest micros.Micros
 	nextArrayRequest   micros.Micros
 
-	// Commands to machines.
-	lastHeartbeat    micros.Micros // the latest report
-	dispatchQueue    []*inventory.Machine
-	commandsInFlight int // direct commands and questions to machines under way
+	// workers is the part that handles the heartbeats of machines and sends them commands.
+	workers *workers.Manager
 
 	// Scheduling passes, and the attempts that they have proposed.
 	nextSchedulingPass micros.Micros
@@ -88,7 +86,7 @@
 // newOwner returns an owner of teams that has read no records yet.
 func newOwner(c *Core, teams map[string]cluster.Team) *owner {
 	o := &owner{
-		c: c, activeSince: c.now, lastHeartbeat: c.now,
+		c: c, activeSince: c.now,
 		scaleOutRequests:   map[string]*scaleOutRequest{},
 		reservations:       map[string]*reservation{},
 		recentlyTerminated: map[string]micros.Micros{},
@@ -99,6 +97,7 @@
 		unclaimedSince:     map[string]micros.Micros{},
 	}
 	o.Inventory = inventory.NewInventory(inventoryHost{o}, c.log)
+	o.workers = workers.New(o.Inventory, c.cfg, c.log, workersHost{o})
 	for _, t := range c.cfg.Teams {
 		if v, ok := teams[t.Name]; ok {
 			o.Teams[t.Name] = &inventory.Team{Record: v, Team: t}
@@ -137,16 +136,6 @@
 	o.state = s
 }
 
-// refusePendingHeartbeats answers the reports that wait, when this node stops owning.
-func (o *owner) refusePendingHeartbeats() {
-	for _, m := range o.SortedMachines {
-		if m.PendingRequest != 0 {
-			o.c.refuse(m.PendingRequest, wire.StatusUnavailable, "ownership lost")
-			m.PendingRequest = 0
-		}
-	}
-}
-
 // recoveryRestartDelay keeps an owner that reads all records again and again from using up the limits.
 const recoveryRestartDelay = 200 * micros.Millisecond
 
@@ -163,7 +152,7 @@
 	}
 	o.c.setOwner(newOwner(o.c, records))
 	o.c.owner.retryAt = o.c.now + recoveryRestartDelay
-	o.c.owner.lastHeartbeat = o.lastHeartbeat
+	o.c.owner.workers.SetLastHeartbeat(o.workers.LastHeartbeat())
 }
 
 // advance does what can be done now; it is called after every event.
--- a/controller/recovery.go
+++ b/controller/recovery.go
@@ -31,7 +31,8 @@
 func (o *owner) reset() {
 	o.Inventory.Reset()
 	o.jobsListed, o.cascadedCancellations = false, nil
-	o.blocks, o.completionSegments, o.dispatchQueue, o.unresolvedJobs = nil, nil, nil, nil
+	o.blocks, o.completionSegments, o.unresolvedJobs = nil, nil, nil
+	o.workers.Reset()
 	clear(o.scaleOutRequests)
 	clear(o.reservations)
 }
--- /dev/null
+++ b/controller/workers_adapter.go
@@ -0,0 +1,91 @@
+package controller
+
+import (
+	"tamarindlead/internal/inventory"
+	"tamarindlead/internal/wire"
+	"tamarindlead/internal/workers"
+	"tamarindlead/micros"
+)
+
+// workersHost gives the part that handles workers what it needs of its owner and node.
+type workersHost struct{ o *owner }
+
+func (h workersHost) Now() micros.Micros { return h.o.c.now }
+
+func (h workersHost) Respond(request uint64, status wire.Status, body any) {
+	h.o.c.respond(request, status, body)
+}
+
+func (h workersHost) Refuse(request uint64, reason workers.RefusalReason) {
+	h.o.c.refuse(request, wire.StatusUnavailable, refusalReason(reason))
+}
+
+func (h workersHost) Call(call workers.Call, done func(workers.Response)) {
+	h.o.c.call(Call{
+		Addr: call.Address, Method: call.Method, Target: call.Path, Body: call.Body,
+		Timeout: call.Timeout, MaxBody: call.MaxResponse,
+	}, func(e CallDone) { done(workers.Response{Status: e.Status, Body: e.Body, Sent: e.Sent}) })
+}
+
+// ReportViolation adds the state of the owner to the violation.
+func (h workersHost) ReportViolation(what string, args ...any) {
+	h.o.c.reportViolation(what, append(args, "owner_state", h.o.state.String(), "superseded", h.o.superseded())...)
+}
+
+func (h workersHost) IsActive() bool { return h.o.isActiveOwner() }
+
+func (h workersHost) ActiveSince() micros.Micros { return h.o.activeSince }
+
+func (h workersHost) Superseded() bool { return h.o.superseded() }
+
+func (h workersHost) RestartRecovery(reason string) { h.o.restartRecovery(reason) }
+
+func (h workersHost) Claimant(machine string) string { return h.o.c.claimant(machine) }
+
+func (h workersHost) OwnedElsewhere(machine string) bool { return h.o.ownedElsewhere[machine] != 0 }
+
+func (h workersHost) RecentlyTerminated(machine string) bool {
+	return h.o.recentlyTerminated[machine] != 0
+}
+
+func (h workersHost) Adopt(info inventory.MachineInfo) *inventory.Machine { return h.o.adopt(info) }
+
+func (h workersHost) MayRenewLease() bool { return h.o.c.mayRenewLease() }
+
+func (h workersHost) JobHasEnded(job string) bool { return h.o.c.cancellations.HasEnded(job) }
+
+func (h workersHost) CancellationOverdue(m *inventory.Machine) bool {
+	return h.o.cancellationOverdue(m, overdueDecommissionFraction)
+}
+
+func (h workersHost) RecordRunTime(a *inventory.Attempt) { h.o.observeRunTime(a) }
+
+func (h workersHost) EstimatedRunTime(j *inventory.Job) micros.Micros {
+	return h.o.estimatedRunTime(j)
+}
+
+func (h workersHost) RecordSpotReclaimed(m *inventory.Machine) { h.o.recordSpotReclaimed(m) }
+
+// The methods below have the names by which the owner's other parts call this one.
+
+func (o *owner) lastHeartbeat() micros.Micros { return o.workers.LastHeartbeat() }
+
+func (o *owner) handleHeartbeat(request uint64, heartbeat *wire.Heartbeat) {
+	o.workers.HandleHeartbeat(request, heartbeat)
+}
+
+func (o *owner) answerDeferredHeartbeat(m *inventory.Machine) { o.workers.AnswerDeferredHeartbeat(m) }
+
+func (o *owner) refusePendingHeartbeats() { o.workers.RefusePendingHeartbeats() }
+
+func (o *owner) queueDispatch(m *inventory.Machine) { o.workers.QueueDispatch(m) }
+
+func (o *owner) dispatchQueuedMachines() { o.workers.DispatchQueuedMachines() }
+
+func (o *owner) inspectMachines() { o.workers.InspectMachines() }
+
+func (o *owner) evict(a *inventory.Attempt, why string) { o.workers.Evict(a, why) }
+
+func (o *owner) remainingRunTime(a *inventory.Attempt) micros.Micros {
+	return o.workers.RemainingRunTime(a)
+}
--- a/controller/commands.go
+++ b/internal/workers/commands.go
@@ -1,4 +1,4 @@
-package controller
+package workers
 
 import (
 	"tamarindlead/internal/inventory"
@@ -29,25 +29,25 @@
 
 // commands returns what a machine must do, given its latest report, and marks the starts
 // among it as ordered.
-func (o *owner) commands(m *inventory.Machine) []wire.Command {
+func (w *Manager) commands(m *inventory.Machine) []wire.Command {
 	if !m.TokenConfirmed {
 		return nil // it learns the token first
 	}
-	if !o.mayCommand(m, "any") {
+	if !w.mayCommand(m, "any") {
 		return nil
 	}
-	reported, commands := o.commandsForReportedTasks(m)
+	reported, commands := w.commandsForReportedTasks(m)
 	for _, a := range m.SortedAttempts() {
 		if a.State == inventory.AttemptStarting && a.Job.State == inventory.JobEnded {
-			o.StopAttempt(a, 0, "job is over")
+			w.inventory.StopAttempt(a, 0, "job is over")
 		}
 		switch {
 		case a.State == inventory.AttemptStopping && !a.HeartbeatSeen:
 			// Its start may be on its way, so the stop must follow it.
 			commands = append(commands, stopCommand(a.TaskName(), a.Number, a.GracePeriod))
-		case a.State == inventory.AttemptRecorded && !reported[a.Key()] && a.MayStart() && o.maySendStart(a):
+		case a.State == inventory.AttemptRecorded && !reported[a.Key()] && a.MayStart() && w.maySendStart(a):
 			a.StartHeartbeatSeq = m.HeartbeatSeq
-			o.SetAttemptState(a, inventory.AttemptStarting)
+			w.inventory.SetAttemptState(a, inventory.AttemptStarting)
 			commands = append(commands, wire.Command{Verb: wire.VerbStart, Task: a.TaskName(), Attempt: a.Number})
 		}
 	}
@@ -56,7 +56,7 @@
 
 // commandsForReportedTasks returns the commands for tasks that the machine's latest report
 // lists, and which tasks those are, less the ones that the machine is told to forget.
-func (o *owner) commandsForReportedTasks(m *inventory.Machine) (reported map[inventory.TaskKey]bool, commands []wire.Command) {
+func (w *Manager) commandsForReportedTasks(m *inventory.Machine) (reported map[inventory.TaskKey]bool, commands []wire.Command) {
 	reported = make(map[inventory.TaskKey]bool, len(m.ReportedTasks))
 	settled := m.Fencing == inventory.FencingNone && !m.CommandsInFlight
 	for _, task := range m.ReportedTasks {
@@ -88,107 +88,107 @@
 	return wire.Command{Verb: wire.VerbStop, Task: task, Attempt: attempt, GraceS: &seconds}
 }
 
-// queueDispatch has the next dispatchQueuedMachines look for commands for a machine.
-func (o *owner) queueDispatch(m *inventory.Machine) {
+// QueueDispatch has the next DispatchQueuedMachines look for commands for a machine.
+func (w *Manager) QueueDispatch(m *inventory.Machine) {
 	m.DispatchNeeded = true
 	if !m.InDispatchQueue {
 		m.InDispatchQueue = true
-		o.dispatchQueue = append(o.dispatchQueue, m)
+		w.dispatchQueue = append(w.dispatchQueue, m)
 	}
 }
 
 // commandLimitReached tells that no further request to a worker may be sent now. What waits goes
 // with the answers to reports.
-func (o *owner) commandLimitReached() bool {
-	return o.commandsInFlight >= max(minInFlightCommands, int(commandSocketFraction*float64(o.c.cfg.Sockets)))
+func (w *Manager) commandLimitReached() bool {
+	return w.commandsInFlight >= max(minInFlightCommands, int(commandSocketFraction*float64(w.settings.Sockets)))
 }
 
-// dispatchQueuedMachines sends commands to the machines in the dispatch queue. A machine that cannot
+// DispatchQueuedMachines sends commands to the machines in the dispatch queue. A machine that cannot
 // be sent to now is queued again when that changes.
-func (o *owner) dispatchQueuedMachines() {
-	queue := o.dispatchQueue
-	o.dispatchQueue = nil
+func (w *Manager) DispatchQueuedMachines() {
+	queue := w.dispatchQueue
+	w.dispatchQueue = nil
 	for i, m := range queue {
-		if o.commandLimitReached() {
-			o.dispatchQueue = append(queue[i:len(queue):len(queue)], o.dispatchQueue...)
+		if w.commandLimitReached() {
+			w.dispatchQueue = append(queue[i:len(queue):len(queue)], w.dispatchQueue...)
 			return
 		}
 		m.InDispatchQueue = false
-		if m.DispatchNeeded && o.Machines[m.Name] == m {
-			o.dispatch(m)
+		if m.DispatchNeeded && w.inventory.Machines[m.Name] == m {
+			w.dispatch(m)
 		}
 	}
 }
 
 // dispatch sends a machine its commands, if it can take them now.
-func (o *owner) dispatch(m *inventory.Machine) {
+func (w *Manager) dispatch(m *inventory.Machine) {
 	takesWork := m.State >= inventory.MachineReady && m.State <= inventory.MachineTransferring
 	if m.CommandsInFlight || !m.TokenConfirmed || m.Fencing != inventory.FencingNone || m.Endpoint == "" || !takesWork {
 		return
 	}
 	m.DispatchNeeded = false
-	if commands := o.commands(m); len(commands) > 0 {
-		o.sendCommands(m, commands)
+	if commands := w.commands(m); len(commands) > 0 {
+		w.sendCommands(m, commands)
 	}
 }
 
 // sendCommands sends commands to a machine's worker. Without commands it only shows the
 // worker this owner's token.
-func (o *owner) sendCommands(m *inventory.Machine, commands []wire.Command) {
+func (w *Manager) sendCommands(m *inventory.Machine, commands []wire.Command) {
 	m.CommandsInFlight = true
-	o.commandsInFlight++
+	w.commandsInFlight++
 	body := wire.Encode(wire.CommandsRequest{FencingToken: m.FencingToken, AgentEpoch: m.AgentEpoch, Commands: commands})
-	o.c.call(Call{
-		Addr: m.Endpoint, Method: "POST", Target: wire.PathCommands, Timeout: commandTimeout, MaxBody: wire.MaxBody, Body: body,
-	}, func(e CallDone) {
-		o.commandsInFlight--
-		if o.superseded() || o.Machines[m.Name] != m {
+	w.host.Call(Call{
+		Address: m.Endpoint, Method: "POST", Path: wire.PathCommands, Timeout: commandTimeout, MaxResponse: wire.MaxBody, Body: body,
+	}, func(e Response) {
+		w.commandsInFlight--
+		if w.host.Superseded() || w.inventory.Machines[m.Name] != m {
 			return
 		}
 		m.CommandsInFlight = false
-		o.handleCommandResponse(m, len(commands) > 0, e)
+		w.handleCommandResponse(m, len(commands) > 0, e)
 	})
 }
 
 // handleCommandResponse takes the report with which a worker answers commands. Commands without
 // an answer may still be executed: the machine is fenced until it has seen a higher token.
-func (o *owner) handleCommandResponse(m *inventory.Machine, hadCommands bool, e CallDone) {
+func (w *Manager) handleCommandResponse(m *inventory.Machine, hadCommands bool, e Response) {
 	var report *wire.Heartbeat
 	if e.Status == wire.StatusOK || e.Status == wire.StatusConflict {
 		report, _ = wire.DecodeHeartbeat(e.Body) // one that cannot be read counts as no answer
 	}
 	switch {
 	case report != nil && report.FencingToken > m.FencingToken:
-		o.restartRecovery("a machine has seen a higher token")
+		w.host.RestartRecovery("a machine has seen a higher token")
 	case report != nil:
-		o.applyHeartbeat(m, report, false)
+		w.applyHeartbeat(m, report, false)
 		if m.DispatchNeeded || m.HasPendingStarts() {
-			o.queueDispatch(m)
+			w.QueueDispatch(m)
 		}
 	case e.Sent && hadCommands:
-		o.c.log.Info("command not answered", "machine", m.Name)
-		o.SetFencingState(m, inventory.FencingNeeded)
+		w.log.Info("command not answered", "machine", m.Name)
+		w.inventory.SetFencingState(m, inventory.FencingNeeded)
 	}
 }
 
-// inspectMachines asks a few machines that were taken over and have not reported. Most workers
+// InspectMachines asks a few machines that were taken over and have not reported. Most workers
 // find this node by themselves, and asking all machines at once would delay their reports.
-func (o *owner) inspectMachines() {
-	if o.commandLimitReached() {
+func (w *Manager) InspectMachines() {
+	if w.commandLimitReached() {
 		return
 	}
 	asked := 0
-	for _, m := range o.SortedMachines {
+	for _, m := range w.inventory.SortedMachines {
 		// A machine with a task of a cancelled job is asked at once, since the leader may
 		// change again soon.
-		if o.c.now-o.activeSince < inspectionDelay && !o.cancellationOverdue(m, overdueDecommissionFraction) {
+		if w.host.Now()-w.host.ActiveSince() < inspectionDelay && !w.host.CancellationOverdue(m) {
 			continue
 		}
 		if !m.Recovered || m.AgentEpoch != 0 || m.Inspected || m.FencingToken == 0 || m.State >= inventory.MachineDecommissioning {
 			continue
 		}
 		m.Inspected = true
-		o.inspectMachine(m)
+		w.inspectMachine(m)
 		if asked++; asked == inspectionBatchSize {
 			return
 		}
@@ -197,21 +197,21 @@
 
 // inspectMachine asks a machine that was taken over for its report, and then shows it this owner's
 // token, so that commands need not wait until its worker has found this node.
-func (o *owner) inspectMachine(m *inventory.Machine) {
+func (w *Manager) inspectMachine(m *inventory.Machine) {
 	if m.Endpoint == "" || m.AgentEpoch != 0 || m.CommandsInFlight {
 		return
 	}
-	o.commandsInFlight++
-	o.c.call(Call{
-		Addr: m.Endpoint, Method: "GET", Target: wire.PathInspect, Timeout: commandTimeout, MaxBody: wire.MaxBody,
-	}, func(e CallDone) {
-		o.commandsInFlight--
+	w.commandsInFlight++
+	w.host.Call(Call{
+		Address: m.Endpoint, Method: "GET", Path: wire.PathInspect, Timeout: commandTimeout, MaxResponse: wire.MaxBody,
+	}, func(e Response) {
+		w.commandsInFlight--
 		report, err := wire.DecodeHeartbeat(e.Body)
-		if o.superseded() || o.Machines[m.Name] != m || e.Status != wire.StatusOK || err != nil || report.FencingToken > m.FencingToken {
+		if w.host.Superseded() || w.inventory.Machines[m.Name] != m || e.Status != wire.StatusOK || err != nil || report.FencingToken > m.FencingToken {
 			return
 		}
-		if o.applyHeartbeat(m, report, false) && !m.TokenConfirmed {
-			o.sendCommands(m, []wire.Command{})
+		if w.applyHeartbeat(m, report, false) && !m.TokenConfirmed {
+			w.sendCommands(m, []wire.Command{})
 		}
 	})
 }
