--- a/controller/authorization.go
+++ b/controller/authorization.go
@@ -2,12 +2,13 @@
 
 import "tamarindlead/internal/inventory"
 
-// This file states what an owner's actions on machines rest on, and asserts it at the moment of
-// each action: if it does not hold, the action is left out, and the violation is logged and
-// counted. docs/design.md has the table of all actions with their guards.
+// The assertions in this file state what an owner's requests to the cloud depend on; those of
+// commands to machines are in package workers. Each is checked at the moment of the request: if it
+// does not hold, the request is omitted, and the violation is logged and counted. docs/design.md
+// lists all actions and their conditions.
 
-// isActiveOwner tells that this owner has read its records and has not been replaced, as far as
-// this node knows. Whether others know better is decided by tokens and guards.
+// isActiveOwner reports whether this owner has recovered its records and, as far as this node knows,
+// was not replaced. Whether another node knows better is decided by fencing tokens and preconditions.
 func (o *owner) isActiveOwner() bool { return !o.superseded() && o.state == ownerActive }
 
 // mayTerminate asserts that the cloud may be asked to delete a machine: that is recorded, or there
--- a/controller/authorization_test.go
+++ b/controller/authorization_test.go
@@ -30,23 +30,23 @@
 func TestWorkersHostState(t *testing.T) {
 	for _, c := range []struct {
 		name               string
-		change             func(o *owner)
+		change             func(o *owner, a *inventory.Attempt)
 		active, superseded bool
 		jobEnded           bool
 	}{
-		{"active", func(*owner) {}, true, false, false},
-		{"its owner reads the records", func(o *owner) { o.state = ownerRecovering }, false, false, false},
-		{"its owner was replaced", func(o *owner) { o.c.owner = nil }, false, true, false},
-		{"a peer says that its job is cancelled", func(o *owner) {
-			o.c.cancellations.MarkEnded("req-000001", o.c.now)
+		{"active", func(*owner, *inventory.Attempt) {}, true, false, false},
+		{"its owner reads the records", func(o *owner, _ *inventory.Attempt) { o.state = ownerRecovering }, false, false, false},
+		{"its owner was replaced", func(o *owner, _ *inventory.Attempt) { o.c.owner = nil }, false, true, false},
+		{"a peer says that its job is cancelled", func(o *owner, a *inventory.Attempt) {
+			o.c.cancellations.MarkEnded(a.Job.ID, o.c.now)
 		}, true, false, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			o, _, _ := activeOwner()
-			c.change(o)
+			o, _, a := activeOwner()
+			c.change(o, a)
 			h := workersHost{o}
-			if h.IsActive() != c.active || h.Superseded() != c.superseded || h.JobHasEnded("req-000001") != c.jobEnded {
-				t.Errorf("active %t, superseded %t, job ended %t", h.IsActive(), h.Superseded(), h.JobHasEnded("req-000001"))
+			if h.IsActive() != c.active || h.Superseded() != c.superseded || h.JobHasEnded(a.Job.ID) != c.jobEnded {
+				t.Errorf("active %t, superseded %t, job ended %t", h.IsActive(), h.Superseded(), h.JobHasEnded(a.Job.ID))
 			}
 			if h.ReportViolation("of the test"); o.c.Violations() != 1 {
 				t.Errorf("%d violations are counted", o.c.Violations())
--- a/controller/workers_adapter.go
+++ b/controller/workers_adapter.go
@@ -7,7 +7,8 @@
 	"tamarindlead/micros"
 )
 
-// workersHost gives the part that handles workers what it needs of its owner and node.
+// workersHost gives the part of an owner that handles workers what it needs of the owner's other
+// parts and of the node.
 type workersHost struct{ o *owner }
 
 func (h workersHost) Now() micros.Micros { return h.o.c.now }
@@ -74,7 +75,7 @@
 	o.workers.HandleHeartbeat(request, heartbeat)
 }
 
-func (o *owner) answerDeferredHeartbeat(m *inventory.Machine) { o.workers.AnswerDeferredHeartbeat(m) }
+func (o *owner) answerDeferredHeartbeat(m *inventory.Machine) { o.workers.HandlePendingHeartbeat(m) }
 
 func (o *owner) refusePendingHeartbeats() { o.workers.RefusePendingHeartbeats() }
 
@@ -84,7 +85,7 @@
 
 func (o *owner) inspectMachines() { o.workers.InspectMachines() }
 
-func (o *owner) evict(a *inventory.Attempt, why string) { o.workers.Evict(a, why) }
+func (o *owner) evict(a *inventory.Attempt, reason string) { o.workers.Evict(a, reason) }
 
 func (o *owner) remainingRunTime(a *inventory.Attempt) micros.Micros {
 	return o.workers.RemainingRunTime(a)
--- a/internal/workers/assertions.go
+++ b/internal/workers/assertions.go
@@ -1,25 +1,36 @@
 package workers
 
-import "tamarindlead/internal/inventory"
+import (
+	"tamarindlead/internal/inventory"
+	"tamarindlead/internal/wire"
+)
 
-// mayCommand asserts that a machine may be commanded: it is claimed by a record of this owner,
-// whose token it has shown, and is not to be deleted.
-func (w *Manager) mayCommand(m *inventory.Machine, verb string) bool {
+// The assertions in this file state what a command to a machine depends on. Each is checked at the
+// moment at which the command is issued: if it does not hold, the command is omitted, and the
+// violation is logged and counted. docs/design.md lists all actions and their conditions.
+
+// anyVerb is the verb under which a violation is logged that concerns all commands to a machine.
+const anyVerb wire.Verb = "any"
+
+// mayCommand asserts that commands may be sent to a machine: a record of this owner claims it, its
+// worker has confirmed the fencing token of that claim, and it is not about to be terminated.
+func (w *Manager) mayCommand(m *inventory.Machine, verb wire.Verb) bool {
 	if w.host.IsActive() && m.FencingToken != 0 && m.TokenConfirmed && m.State < inventory.MachineDecommissioning {
 		return true
 	}
-	w.host.ReportViolation("a command without a claim", "verb", verb, "machine", m.Name, "token", m.FencingToken, "synced", m.TokenConfirmed,
-		"machine_state", m.State.String())
+	w.host.ReportViolation("command to an unclaimed machine", "verb", string(verb), "machine", m.Name,
+		"fencing_token", m.FencingToken, "token_confirmed", m.TokenConfirmed, "machine_state", m.State.String())
 	return false
 }
 
-// maySendStart asserts that an attempt may be started: its place is recorded, and its job is not
-// known to be over.
+// maySendStart asserts that an attempt may be started: its placement is recorded, and its job is not
+// known to have ended.
 func (w *Manager) maySendStart(a *inventory.Attempt) bool {
-	if a.State == inventory.AttemptRecorded && a.Machine.Recorded && !w.host.JobHasEnded(a.Job.ID) {
-		return w.mayCommand(a.Machine, "start")
+	jobEnded := w.host.JobHasEnded(a.Job.ID)
+	if a.State == inventory.AttemptRecorded && a.Machine.Recorded && !jobEnded {
+		return w.mayCommand(a.Machine, wire.VerbStart)
 	}
-	w.host.ReportViolation("a start without a recorded placement", "task", a.TaskName(), "try", a.Number, "machine", a.Machine.Name,
-		"state", a.State.String(), "recorded", a.Machine.Recorded, "ended", w.host.JobHasEnded(a.Job.ID))
+	w.host.ReportViolation("start without a recorded placement", "task", a.TaskName(), "attempt", a.Number,
+		"machine", a.Machine.Name, "state", a.State.String(), "recorded", a.Machine.Recorded, "job_ended", jobEnded)
 	return false
 }
--- /dev/null
+++ b/internal/workers/host.go
@@ -0,0 +1,83 @@
+package workers
+
+import (
+	"tamarindlead/internal/inventory"
+	"tamarindlead/internal/wire"
+	"tamarindlead/micros"
+)
+
+// Host is what the manager needs of its node and of the owner's other parts.
+type Host interface {
+	Node
+	Ownership
+	Statistics
+}
+
+// Node provides the time of the present event and exchanges messages with workers.
+type Node interface {
+	// Now returns the time of the present event.
+	Now() micros.Micros
+	// Respond responds to a heartbeat.
+	Respond(request uint64, status wire.Status, body any)
+	// Refuse refuses a heartbeat for now; the worker sends another one later.
+	Refuse(request uint64, reason RefusalReason)
+	// Call sends a request to a worker and calls done with the response.
+	Call(call Call, done func(Response))
+	// ReportViolation reports that an invariant does not hold, with attributes to log.
+	ReportViolation(what string, args ...any)
+}
+
+// Ownership reports which machines belong to the owner and what it may do.
+type Ownership interface {
+	// IsActive reports whether the owner has recovered its records and was not replaced.
+	IsActive() bool
+	// ActiveSince returns the time at which the owner became active.
+	ActiveSince() micros.Micros
+	// Superseded reports whether the owner was replaced. Its callbacks must do nothing then.
+	Superseded() bool
+	// RestartRecovery replaces the owner with one that reads all records again.
+	RestartRecovery(reason string)
+	// Claimant returns the peer that claims a machine, or "".
+	Claimant(machine string) string
+	// OwnedElsewhere reports whether another owner's record has the machine.
+	OwnedElsewhere(machine string) bool
+	// RecentlyTerminated reports whether the machine was terminated a short time ago.
+	RecentlyTerminated(machine string) bool
+	// Adopt adds a machine that sends heartbeats but has no record.
+	Adopt(info inventory.MachineInfo) *inventory.Machine
+	// MayRenewLease reports whether responses may renew the leases of workers.
+	MayRenewLease() bool
+	// JobHasEnded reports whether a job is known to have been cancelled.
+	JobHasEnded(job string) bool
+	// CancellationOverdue reports whether a task of a cancelled job has been on the machine
+	// for so long that the machine must be decommissioned unless it responds.
+	CancellationOverdue(m *inventory.Machine) bool
+}
+
+// Statistics records and provides observations of tasks and machines.
+type Statistics interface {
+	// RecordRunTime records the run time of a completed attempt.
+	RecordRunTime(a *inventory.Attempt)
+	// EstimatedRunTime returns the expected run time of a job's tasks.
+	EstimatedRunTime(j *inventory.Job) micros.Micros
+	// RecordSpotReclaimed records that the cloud reclaims a spot machine.
+	RecordSpotReclaimed(m *inventory.Machine)
+}
+
+// Call is a request to a worker.
+type Call struct {
+	Address     string
+	Method      string
+	Path        string
+	Body        []byte
+	Timeout     micros.Micros
+	MaxResponse int // bytes
+}
+
+// Response is the response to a Call. Its status is 0 if there is none; Sent then reports whether
+// the request may have reached the worker.
+type Response struct {
+	Status wire.Status
+	Body   []byte
+	Sent   bool
+}
--- a/internal/workers/task_exits.go
+++ b/internal/workers/task_exits.go
@@ -6,40 +6,40 @@
 	"tamarindlead/micros"
 )
 
-// Pauses after failures, and how faulty machines are told from faulty jobs.
+// Backoff after failures, and the limit by which faulty machines are distinguished from faulty jobs.
 const (
-	// initialErrorBackoff is the first pause of a job that fails; it doubles with each failure.
+	// initialErrorBackoff is the first backoff of a failing job; it doubles with each failure.
 	initialErrorBackoff = micros.Second
 	maxErrorBackoff     = 60 * micros.Second
-	// maxBackoffDoublings keeps the doubled pause from overflowing.
+	// maxBackoffDoublings keeps the doubled backoff from overflowing.
 	maxBackoffDoublings = 8
-	// startRefusalQuarantine is how long nothing is placed on a machine that refused a start.
+	// startRefusalQuarantine is the time for which nothing is placed on a machine that refused
+	// a start.
 	startRefusalQuarantine = 5 * micros.Second
-	// maxFaultyMachines is the number of machines on which a job may fail before the job
-	// itself is taken to be at fault.
+	// maxFaultyMachines is the number of machines on which a job may fail before the job itself
+	// is considered faulty.
 	maxFaultyMachines = 2
 )
 
-// handleTaskExit handles a task that the machine reports as ended.
+// handleTaskExit handles a task that its machine reports as exited.
 func (w *Manager) handleTaskExit(a *inventory.Attempt, task *wire.TaskStatus) {
-	if task.Cause == wire.CauseDone {
+	switch task.Cause {
+	case wire.CauseDone:
 		w.handleTaskCompleted(a)
 		return
-	}
-	switch task.Cause {
-	case wire.CauseError:
-		w.handleTaskFailed(a, true)
-	case wire.CauseUnknownTask:
-		w.handleTaskFailed(a, false)
+	case wire.CauseError, wire.CauseUnknownTask:
+		w.handleTaskFailed(a, task.Cause)
 	case wire.CauseInsufficientResources, wire.CauseBusy:
 		a.Machine.QuarantinedUntil = w.host.Now() + startRefusalQuarantine
+	case wire.CauseStopped, wire.CauseGangMemberLost, wire.CauseAlone:
+		// Neither the job nor the machine is at fault.
 	}
-	w.log.Info("task ended", "task", task.Task, "machine", a.Machine.Name, "cause", task.Cause,
-		"saved", task.Checkpointed, "why", a.Reason)
+	w.log.Info("task exited", "task", task.Task, "machine", a.Machine.Name, "cause", task.Cause,
+		"checkpointed", task.Checkpointed, "reason", a.Reason)
 	w.handleAttemptLost(a, string(task.Cause))
 }
 
-// handleTaskCompleted handles a task that ended with its result.
+// handleTaskCompleted handles a task that exited with its result.
 func (w *Manager) handleTaskCompleted(a *inventory.Attempt) {
 	j := a.Job
 	a.Machine.ConsecutiveErrors = 0
@@ -59,10 +59,10 @@
 	}
 }
 
-// completeGang marks all tasks of a gang as done once one is: they complete together, also
-// those whose machines are gone, for which another attempt of the gang would wait for ever.
-// Those that ran are off their machines. When a completed gang was started again, each task
-// ends by itself, and keeps its resources until its machine reports that.
+// completeGang marks all tasks of a gang as done once one of them is. They complete together, also
+// those on machines that are gone: another attempt of the gang would wait for these forever. Tasks
+// that ran have left their machines. If a completed gang was started again, each task exits by
+// itself and keeps its resources until its machine reports that.
 func (w *Manager) completeGang(first *inventory.Attempt) {
 	j := first.Job
 	for _, a := range j.SortedAttempts() {
@@ -75,72 +75,32 @@
 	}
 }
 
-// handleTaskFailed counts a failure, and tells a faulty machine from a job that fails everywhere.
-func (w *Manager) handleTaskFailed(a *inventory.Attempt, machineToo bool) {
+// handleTaskFailed counts a failure for its job and, if the task ran and the job does not fail
+// everywhere, for its machine. A faulty machine is drained; a faulty job backs off.
+func (w *Manager) handleTaskFailed(a *inventory.Attempt, cause wire.ExitCause) {
 	j, m := a.Job, a.Machine
 	j.Failures++
 	j.FailedOn[m.Name] = true
-	if machineToo && len(j.FailedOn) <= maxFaultyMachines {
+	jobFaulty := len(j.FailedOn) > maxFaultyMachines
+	if cause == wire.CauseError && !jobFaulty {
 		m.ConsecutiveErrors++
 	}
 	if m.ConsecutiveErrors >= w.settings.Tuning.QuarantineThreshold && m.State == inventory.MachineReady {
-		w.inventory.SetMachineState(m, inventory.MachineDraining, "fails task after task")
-		for _, b := range m.SortedAttempts() {
-			if b != a {
-				w.Evict(b, "machine is faulty")
-			}
-		}
-	}
-	if len(j.FailedOn) > maxFaultyMachines || j.Gang {
-		pause := initialErrorBackoff << min(j.Failures, maxBackoffDoublings)
-		j.BackoffUntil = max(j.BackoffUntil, w.host.Now()+min(pause, maxErrorBackoff))
-	}
-}
-
-// Evict stops an attempt with time to save its progress; of a gang, all attempts.
-func (w *Manager) Evict(a *inventory.Attempt, why string) {
-	grace := micros.Micros(0)
-	if a.Job.CheckpointInterval > 0 {
-		grace = a.Job.CheckpointDuration + micros.Second
+		w.drainFaultyMachine(m, a)
 	}
-	if a.Job.Gang {
-		w.inventory.StopJob(a.Job, grace, why)
-		return
+	if jobFaulty || j.Gang {
+		backoff := initialErrorBackoff << min(j.Failures, maxBackoffDoublings)
+		j.BackoffUntil = max(j.BackoffUntil, w.host.Now()+min(backoff, maxErrorBackoff))
 	}
-	w.inventory.StopAttempt(a, grace, why)
 }
 
-// handleReclaimNotice handles the cloud's notice that it reclaims a spot machine.
-func (w *Manager) handleReclaimNotice(m *inventory.Machine, left micros.Micros) {
-	first := m.ReclaimAt == 0
-	m.ReclaimAt = w.host.Now() + left
-	if m.State == inventory.MachineReady || m.State == inventory.MachineTransferring {
-		w.inventory.SetMachineState(m, inventory.MachineDraining, "taken back by the cloud")
-	}
-	if !first {
-		return
-	}
-	w.host.RecordSpotReclaimed(m)
+// drainFaultyMachine drains a machine on which tasks keep failing and evicts its attempts, but for
+// the one that has just failed.
+func (w *Manager) drainFaultyMachine(m *inventory.Machine, failed *inventory.Attempt) {
+	w.inventory.SetMachineState(m, inventory.MachineDraining, "consecutive task failures")
 	for _, a := range m.SortedAttempts() {
-		// A task that would not complete in time is stopped now: it saves if it can, and
-		// starts elsewhere the sooner. One that cannot save and has run for long may still
-		// complete, so it goes on.
-		ran := micros.Micros(0)
-		if a.RunningSince != 0 && a.Job.CheckpointInterval == 0 {
-			ran = w.host.Now() - a.RunningSince
+		if a != failed {
+			w.Evict(a, "machine is faulty")
 		}
-		if w.RemainingRunTime(a) > left-micros.Second && ran < left {
-			w.Evict(a, "machine is taken back")
-		}
-	}
-}
-
-// RemainingRunTime estimates how long an attempt still takes.
-func (w *Manager) RemainingRunTime(a *inventory.Attempt) micros.Micros {
-	total := w.host.EstimatedRunTime(a.Job)
-	if a.RunningSince == 0 {
-		return total
 	}
-	ran := w.host.Now() - a.RunningSince
-	return max(total-ran, ran/4, micros.Second)
 }
