--- a/internal/workers/assertions_test.go
+++ b/internal/workers/assertions_test.go
@@ -30,7 +30,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			h := newFakeHost(t)
 			m := h.addMachine("m-000001")
-			a := h.manager.inventory.AddAttempt(h.addJob("req-000001", 1), 0, 1, m, inventory.AttemptRecorded)
+			a := h.manager.inventory.AddAttempt(h.addJob(1), 0, 1, m, inventory.AttemptRecorded)
 			c.change(h, m, a)
 			if got := len(h.manager.commands(m)); got != c.commands || len(h.violations) != c.violations {
 				t.Errorf("%d commands and violations %q, want %d commands and %d violations", got, h.violations, c.commands, c.violations)
--- /dev/null
+++ b/internal/workers/heartbeats_test.go
@@ -0,0 +1,219 @@
+package workers
+
+import (
+	"reflect"
+	"testing"
+
+	"tamarindlead/internal/inventory"
+	"tamarindlead/internal/wire"
+	"tamarindlead/micros"
+)
+
+const machineName = "m-000001"
+
+// newHeartbeat returns a heartbeat of the test's machine under the fencing token of addMachine.
+func newHeartbeat(seq uint64, tasks ...wire.TaskStatus) *wire.Heartbeat {
+	return &wire.Heartbeat{
+		Machine: machineName, Endpoint: "worker:" + machineName, Type: "small", Zone: "a",
+		AgentEpoch: 1, HeartbeatSeq: seq, FencingToken: 7, Tasks: tasks,
+	}
+}
+
+// TestHandleHeartbeat checks how a heartbeat is responded to by the state of the owner and of the
+// machine. The texts of refusals are part of the protocol.
+func TestHandleHeartbeat(t *testing.T) {
+	refused := func(text RefusalReason) []fakeResponse {
+		return []fakeResponse{{request: 1, status: wire.StatusUnavailable, refusal: text}}
+	}
+	redirected := func(node string) []fakeResponse {
+		return []fakeResponse{{request: 1, status: wire.StatusMisdirected, body: wire.Redirect{HeartbeatNode: node}}}
+	}
+	accepted := []fakeResponse{{request: 1, status: wire.StatusOK, body: wire.HeartbeatResponse{FencingToken: 7}}}
+	unknown := func(change func(h *fakeHost)) func(*fakeHost, *inventory.Machine) {
+		return func(h *fakeHost, m *inventory.Machine) {
+			h.manager.inventory.RemoveMachine(m)
+			change(h)
+		}
+	}
+	for _, c := range []struct {
+		name   string
+		change func(h *fakeHost, m *inventory.Machine)
+		want   []fakeResponse
+	}{
+		{"accepted", func(*fakeHost, *inventory.Machine) {}, accepted},
+		{"owner recovers its records", func(h *fakeHost, _ *inventory.Machine) { h.active = false }, refused("taking over")},
+		{"decommissioning", func(_ *fakeHost, m *inventory.Machine) { m.State = inventory.MachineDecommissioning }, refused("machine is being returned")},
+		{"terminated", func(_ *fakeHost, m *inventory.Machine) { m.State = inventory.MachineTerminated }, refused("machine is being returned")},
+		{"lease not renewable", func(h *fakeHost, _ *inventory.Machine) { h.mayRenewLease = false }, refused("cannot know what users were told")},
+		{"not claimed yet", func(_ *fakeHost, m *inventory.Machine) { m.FencingToken = 0 }, nil},
+		{"unknown, claimed by a peer", unknown(func(h *fakeHost) { h.claimants[machineName] = "n2" }), redirected("n2")},
+		{"unknown, owned elsewhere", unknown(func(h *fakeHost) { h.ownedElsewhere[machineName] = true }), redirected("")},
+		{"unknown, recently terminated", unknown(func(h *fakeHost) { h.recentlyTerminated[machineName] = true }), refused("machine was returned")},
+		{"unknown, claimed by a peer and recently terminated", unknown(func(h *fakeHost) {
+			h.claimants[machineName], h.recentlyTerminated[machineName] = "n2", true
+		}), redirected("n2")},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			h := newFakeHost(t)
+			c.change(h, h.addMachine(machineName))
+			h.manager.HandleHeartbeat(1, newHeartbeat(1))
+			if !reflect.DeepEqual(h.responses, c.want) {
+				t.Errorf("responses %+v, want %+v", h.responses, c.want)
+			}
+			if len(h.adopted) != 0 || len(h.restarts) != 0 {
+				t.Errorf("adopted %q, recovery restarted for %q", h.adopted, h.restarts)
+			}
+		})
+	}
+}
+
+// TestAdoption checks that the heartbeat of a machine of which nobody knows is kept until the
+// machine is claimed, and then responded to.
+func TestAdoption(t *testing.T) {
+	h := newFakeHost(t)
+	h.manager.HandleHeartbeat(1, newHeartbeat(1))
+	m := h.manager.inventory.Machines[machineName]
+	if m == nil || len(h.responses) != 0 || !reflect.DeepEqual(h.adopted, []string{machineName}) {
+		t.Fatalf("machine %v, responses %+v, adopted %q", m, h.responses, h.adopted)
+	}
+	m.FencingToken = 9
+	h.manager.HandlePendingHeartbeat(m)
+	h.manager.HandlePendingHeartbeat(m) // there is none any more
+	want := []fakeResponse{{request: 1, status: wire.StatusOK, body: wire.HeartbeatResponse{FencingToken: 9}}}
+	if !reflect.DeepEqual(h.responses, want) {
+		t.Errorf("responses %+v, want %+v", h.responses, want)
+	}
+	if m.State != inventory.MachineReady || m.TokenConfirmed {
+		t.Errorf("state %v, token confirmed %t", m.State, m.TokenConfirmed)
+	}
+}
+
+// TestPendingHeartbeats checks which of several heartbeats stays pending, and that a pending one is
+// refused when the owner is replaced or the machine is gone.
+func TestPendingHeartbeats(t *testing.T) {
+	for _, c := range []struct {
+		name            string
+		second          *wire.Heartbeat
+		refused, stays  uint64
+		pendingSequence uint64
+	}{
+		{"a newer one replaces it", newHeartbeat(6), 1, 2, 6},
+		{"so does a repetition", newHeartbeat(5), 1, 2, 5},
+		{"a late duplicate does not", newHeartbeat(4), 2, 1, 5},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			h := newFakeHost(t)
+			m := h.addMachine(machineName)
+			m.FencingToken = 0
+			h.manager.HandleHeartbeat(1, newHeartbeat(5))
+			h.manager.HandleHeartbeat(2, c.second)
+			want := []fakeResponse{{request: c.refused, status: wire.StatusUnavailable, refusal: "superseded"}}
+			if !reflect.DeepEqual(h.responses, want) || m.PendingRequest != c.stays || m.PendingHeartbeat.HeartbeatSeq != c.pendingSequence {
+				t.Errorf("responses %+v, pending request %d, want %+v and %d", h.responses, m.PendingRequest, want, c.stays)
+			}
+			h.manager.RefusePendingHeartbeats()
+			h.manager.RefusePendingHeartbeat(m, RefusalTerminated) // there is none any more
+			want = append(want, fakeResponse{request: c.stays, status: wire.StatusUnavailable, refusal: "ownership lost"})
+			if !reflect.DeepEqual(h.responses, want) {
+				t.Errorf("responses %+v, want %+v", h.responses, want)
+			}
+		})
+	}
+}
+
+// TestHigherTokenRestartsRecovery checks that a worker which has a later owner's fencing token is
+// redirected before the owner reads its records again.
+func TestHigherTokenRestartsRecovery(t *testing.T) {
+	h := newFakeHost(t)
+	h.addMachine(machineName)
+	h.claimants[machineName] = "n2"
+	heartbeat := newHeartbeat(1)
+	heartbeat.FencingToken = 8
+	h.manager.HandleHeartbeat(1, heartbeat)
+	want := []fakeResponse{{request: 1, status: wire.StatusMisdirected, body: wire.Redirect{HeartbeatNode: "n2"}}}
+	if !reflect.DeepEqual(h.responses, want) || len(h.restarts) != 1 {
+		t.Errorf("responses %+v, recovery restarted for %q", h.responses, h.restarts)
+	}
+}
+
+// TestStaleHeartbeat checks that a late duplicate changes nothing and gets no commands.
+func TestStaleHeartbeat(t *testing.T) {
+	h := newFakeHost(t)
+	m := h.addMachine(machineName)
+	a := h.manager.inventory.AddAttempt(h.addJob(1), 0, 1, m, inventory.AttemptRecorded)
+	m.AgentEpoch, m.HeartbeatSeq, m.LastHeartbeat = 1, 5, h.now
+	h.now += micros.Second
+	h.manager.HandleHeartbeat(1, newHeartbeat(5))
+	want := []fakeResponse{{request: 1, status: wire.StatusOK, body: wire.HeartbeatResponse{FencingToken: 7}}}
+	if !reflect.DeepEqual(h.responses, want) || a.State != inventory.AttemptRecorded {
+		t.Errorf("responses %+v, attempt %v", h.responses, a.State)
+	}
+	if m.LastHeartbeat != h.now-micros.Second || h.manager.LastHeartbeat() != h.now-micros.Second || m.HeartbeatReceived {
+		t.Errorf("the duplicate counts as a heartbeat: %v, %v", m.LastHeartbeat, h.manager.LastHeartbeat())
+	}
+}
+
+// TestLastHeartbeat checks that only a heartbeat that the worker sent by itself counts for the
+// machine and the owner, but that a response counts until the machine has sent one.
+func TestLastHeartbeat(t *testing.T) {
+	h := newFakeHost(t)
+	m := h.addMachine(machineName)
+	start := h.now
+	step := func(apply func(), ofMachine, ofAny micros.Micros) {
+		t.Helper()
+		h.now += micros.Second
+		apply()
+		if m.LastHeartbeat != ofMachine || h.manager.LastHeartbeat() != ofAny {
+			t.Errorf("last heartbeat of the machine %v, of any %v, want %v and %v", m.LastHeartbeat, h.manager.LastHeartbeat(), ofMachine, ofAny)
+		}
+	}
+	step(func() { h.manager.applyCommandResponse(m, newHeartbeat(1)) }, start+1*micros.Second, start)
+	step(func() { h.manager.applyHeartbeat(m, newHeartbeat(2)) }, start+2*micros.Second, start+2*micros.Second)
+	step(func() { h.manager.applyCommandResponse(m, newHeartbeat(3)) }, start+2*micros.Second, start+2*micros.Second)
+	if h.manager.applyCommandResponse(m, newHeartbeat(3)) {
+		t.Error("a duplicate is applied")
+	}
+	m.LastHeartbeat = start + micros.Minute // grace after a failover
+	step(func() { h.manager.applyHeartbeat(m, newHeartbeat(4)) }, start+micros.Minute, start+4*micros.Second)
+}
+
+// TestFencingEnds checks that fencing ends when the worker confirms the higher token or its agent
+// has restarted.
+func TestFencingEnds(t *testing.T) {
+	for _, c := range []struct {
+		name    string
+		fencing inventory.FencingState
+		epoch   uint64
+		token   uint64
+		want    inventory.FencingState
+	}{
+		{"pending, token confirmed", inventory.FencingPending, 1, 7, inventory.FencingNone},
+		{"pending, earlier token", inventory.FencingPending, 1, 6, inventory.FencingPending},
+		{"needed, token confirmed", inventory.FencingNeeded, 1, 7, inventory.FencingNeeded},
+		{"needed, agent restarted", inventory.FencingNeeded, 2, 0, inventory.FencingNone},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			h := newFakeHost(t)
+			m := h.addMachine(machineName)
+			m.AgentEpoch, m.HeartbeatSeq, m.Fencing = 1, 1, c.fencing
+			heartbeat := newHeartbeat(2)
+			heartbeat.AgentEpoch, heartbeat.FencingToken = c.epoch, c.token
+			h.manager.HandleHeartbeat(1, heartbeat)
+			if m.Fencing != c.want || m.TokenConfirmed != (c.token == 7) {
+				t.Errorf("fencing %v, token confirmed %t, want fencing %v", m.Fencing, m.TokenConfirmed, c.want)
+			}
+		})
+	}
+}
+
+// TestSetLastHeartbeat checks that an owner that starts over keeps the time of the last heartbeat.
+func TestSetLastHeartbeat(t *testing.T) {
+	h := newFakeHost(t)
+	if got := h.manager.LastHeartbeat(); got != h.now {
+		t.Errorf("last heartbeat %v of a new owner, want %v", got, h.now)
+	}
+	h.manager.SetLastHeartbeat(h.now - micros.Minute)
+	if got := h.manager.LastHeartbeat(); got != h.now-micros.Minute {
+		t.Errorf("last heartbeat %v, want that of the earlier owner", got)
+	}
+}
--- a/internal/workers/host_test.go
+++ b/internal/workers/host_test.go
@@ -127,9 +127,12 @@
 	return m
 }
 
+// jobID identifies the job that addJob adds.
+const jobID = "req-000001"
+
 // addJob adds an active job with a number of tasks.
-func (h *fakeHost) addJob(id string, tasks int) *inventory.Job {
-	j := inventory.NewJob(&sched.Job{ID: id, Team: "red", Tasks: tasks, Need: sched.NewResources(1, 0, 1)}, 5, 0)
+func (h *fakeHost) addJob(tasks int) *inventory.Job {
+	j := inventory.NewJob(&sched.Job{ID: jobID, Team: "red", Tasks: tasks, Need: sched.NewResources(1, 0, 1)}, 5, 0)
 	h.manager.inventory.Jobs[j.ID] = j
 	return j
 }
