--- a/internal/workers/dispatch_test.go
+++ b/internal/workers/dispatch_test.go
@@ -109,3 +109,31 @@
 		})
 	}
 }
+
+// TestQueuedAfterResponse checks that a machine is queued again after a response if attempts wait
+// for their start or commands were requested meanwhile.
+func TestQueuedAfterResponse(t *testing.T) {
+	for _, c := range []struct {
+		name   string
+		change func(h *fakeHost, m *inventory.Machine)
+		queued bool
+	}{
+		{"nothing to do", func(*fakeHost, *inventory.Machine) {}, false},
+		{"an attempt to start", func(h *fakeHost, m *inventory.Machine) {
+			h.manager.inventory.AddAttempt(h.manager.inventory.Jobs[jobID], 1, 1, m, inventory.AttemptRecorded)
+		}, true},
+		{"commands requested", func(_ *fakeHost, m *inventory.Machine) { m.DispatchNeeded = true }, true},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			h := newFakeHost(t)
+			m := addStarts(h, 2)[0]
+			h.manager.DispatchQueuedMachines()
+			c.change(h, m)
+			body := wire.Encode(newHeartbeat(1, reported(1, wire.PhaseRunning, "")))
+			h.calls[0].done(Response{Status: wire.StatusOK, Body: body, Sent: true})
+			if m.InDispatchQueue != c.queued {
+				t.Errorf("queued %t", m.InDispatchQueue)
+			}
+		})
+	}
+}
--- a/internal/workers/reconciliation_test.go
+++ b/internal/workers/reconciliation_test.go
@@ -113,6 +113,22 @@
 	}
 }
 
+// TestStartNotLostYet checks that a heartbeat does not show the loss of a start which was sent with
+// the response to it.
+func TestStartNotLostYet(t *testing.T) {
+	for start, want := range map[uint64]inventory.AttemptState{1: inventory.AttemptRecorded, 2: inventory.AttemptStarting} {
+		h := newFakeHost(t)
+		m := h.addMachine(machineName)
+		m.HeartbeatSeq = 2
+		a := h.manager.inventory.AddAttempt(h.addJob(1), 0, 1, m, inventory.AttemptStarting)
+		a.StartHeartbeatSeq = start
+		h.manager.reconcileMissing(m, nil)
+		if a.State != want {
+			t.Errorf("start after heartbeat %d: state %v, want %v", start, a.State, want)
+		}
+	}
+}
+
 // TestLostGangMember checks that a gang is stopped once it has lost a task.
 func TestLostGangMember(t *testing.T) {
 	h := newFakeHost(t)
--- a/internal/workers/task_exits_test.go
+++ b/internal/workers/task_exits_test.go
@@ -86,8 +86,8 @@
 	h.manager.HandleHeartbeat(1, newHeartbeat(1,
 		reported(1, wire.PhaseExited, wire.CauseError),
 		wire.TaskStatus{Task: other.TaskName(), Attempt: 1, Phase: wire.PhaseRunning}))
-	if m.State != inventory.MachineDraining || failed.State != inventory.AttemptRemoving {
-		t.Errorf("machine %v, failed attempt %v", m.State, failed.State)
+	if m.State != inventory.MachineDraining || failed.State != inventory.AttemptRemoving || failed.GracePeriod != 0 {
+		t.Errorf("machine %v, failed attempt %v with grace period %v", m.State, failed.State, failed.GracePeriod)
 	}
 	if other.State != inventory.AttemptStopping || other.GracePeriod != 4*micros.Second {
 		t.Errorf("other attempt %v with grace period %v", other.State, other.GracePeriod)
@@ -115,6 +115,18 @@
 	}
 }
 
+// TestFailedGang checks that a gang backs off after each failure.
+func TestFailedGang(t *testing.T) {
+	h := newFakeHost(t)
+	j := h.addJob(1)
+	j.Gang, j.GangState = true, inventory.GangStarting
+	a := h.manager.inventory.AddAttempt(j, 0, 1, h.addMachine(machineName), inventory.AttemptLive)
+	h.manager.handleTaskFailed(a, wire.CauseError)
+	if want := h.now + 2*micros.Second; j.BackoffUntil != want {
+		t.Errorf("backoff until %v, want %v", j.BackoffUntil, want)
+	}
+}
+
 // TestGangCompletes checks that all tasks of a gang are done once one is, but that attempts which
 // have not run keep their machines.
 func TestGangCompletes(t *testing.T) {
