--- a/controller/autoscaling.go
+++ b/controller/autoscaling.go
@@ -34,9 +34,6 @@
 	return autoscaler.Market{Catalog: o.c.catalog(), Now: o.c.now, UnavailableUntil: o.refusedOffers, Partitioned: o.partitionedSince}
 }
 
-// isScarce tells that some recent class of jobs fits no other type than the machine's.
-func (o *owner) isScarce(m *inventory.Machine) bool { return o.classes.Scarce(o.c.now, m.Type, m.Spot) }
-
 // observeRunTime learns from a task that completed.
 func (o *owner) observeRunTime(a *inventory.Attempt) {
 	if a.RunningSince != 0 {
@@ -122,17 +119,6 @@
 	return d
 }
 
-// remainingBusyTime is how long the tasks on a machine still take whose room is not free yet.
-func (o *owner) remainingBusyTime(m *inventory.Machine) micros.Micros {
-	longest := micros.Micros(0)
-	for _, a := range m.Attempts {
-		if !a.ResourcesReleased {
-			longest = max(longest, o.remainingRunTime(a))
-		}
-	}
-	return longest
-}
-
 // applyPlan does what was decided about capacity.
 func (o *owner) applyPlan(plan autoscaler.Plan) {
 	for _, request := range plan.ScaleOutRequests {
@@ -178,17 +164,6 @@
 	}
 }
 
-// maxWait tells how long a job may wait by its class's objectives.
-func (o *owner) maxWait(j *inventory.Job) micros.Micros {
-	return autoscaler.WaitTarget(o.c.cfg.SLOs, j.Class, j.Gang, o.estimatedRunTime(j), o.c.cfg.Tuning.QueueTarget)
-}
-
-// estimatedRunTime is the owner's estimate of a task's run time, corrected by what tasks of
-// its class really took.
-func (o *owner) estimatedRunTime(j *inventory.Job) micros.Micros {
-	return o.classes.CorrectedEstimate(j.Class, j.Estimate)
-}
-
 // demandKey tells which jobs fit the same machines.
 type demandKey struct {
 	gang, spot  bool
@@ -248,7 +223,7 @@
 		d.LowPriorityMaxWait = max(d.LowPriorityMaxWait, o.maxWait(j))
 	}
 	if j.Gang && tasks == j.Tasks {
-		d.Gangs = append(d.Gangs, autoscaler.Gang{Job: j.Job, Reserved: o.reservations[j.ID] != nil})
+		d.Gangs = append(d.Gangs, autoscaler.Gang{Job: j.Job, Reserved: o.hasReservation(j.ID)})
 	}
 }
 
--- a/controller/bench_test.go
+++ b/controller/bench_test.go
@@ -14,6 +14,7 @@
 	"tamarindlead/internal/cluster"
 	"tamarindlead/internal/kv"
 	"tamarindlead/internal/record"
+	"tamarindlead/internal/scheduler"
 	"tamarindlead/internal/wire"
 	"tamarindlead/micros"
 	"tamarindlead/sched"
@@ -126,9 +127,13 @@
 func BenchmarkPlace(b *testing.B) {
 	o := benchOwner()
 	for b.Loop() {
-		o.SchedulingNeeded, o.nextSchedulingPass = true, 0
+		o.SchedulingNeeded = true
 		o.schedule()
 		b.StopTimer()
+		o.c.now += scheduler.MinPassInterval
+		for _, m := range o.SortedMachines {
+			m.LastHeartbeat = o.c.now
+		}
 		n := 0
 		for _, j := range o.Queue {
 			for _, a := range j.SortedAttempts() {
--- a/controller/limits_test.go
+++ b/controller/limits_test.go
@@ -13,6 +13,7 @@
 	"tamarindlead/internal/fake"
 	"tamarindlead/internal/kv"
 	"tamarindlead/internal/record"
+	"tamarindlead/internal/scheduler"
 	"tamarindlead/internal/wire"
 	"tamarindlead/micros"
 	"tamarindlead/sched"
@@ -104,7 +105,7 @@
 	}
 	placed := 0
 	for range 20 {
-		o.SchedulingNeeded, o.nextSchedulingPass = true, 0
+		o.SchedulingNeeded = true
 		o.schedule()
 		for _, b := range o.blocks {
 			tx := &transaction{preconditions: map[string]uint64{}}
@@ -120,7 +121,7 @@
 			}
 			o.finishTransaction(tx, true, 10)
 		}
-		o.c.now += minPassInterval
+		o.c.now += scheduler.MinPassInterval
 	}
 	for _, m := range o.Machines {
 		placed += len(m.Attempts)
--- a/controller/machine_transfers.go
+++ b/controller/machine_transfers.go
@@ -6,6 +6,7 @@
 	"tamarindlead/internal/kv"
 	"tamarindlead/internal/peer"
 	"tamarindlead/internal/record"
+	"tamarindlead/internal/scheduler"
 	"tamarindlead/internal/wire"
 	"tamarindlead/micros"
 	"tamarindlead/sched"
@@ -49,7 +50,7 @@
 
 // reclaimMachines transfers machines on which tasks of teams above their guarantees are stopped.
 func (o *owner) reclaimMachines(job *sched.Job, newOwner record.OwnerID) {
-	plan := o.preemptionPlan(job, o.preemptionView(), sched.Reclaim, o.jobsWithinGuarantee())
+	plan := o.planReclaim(job)
 	if plan == nil {
 		return
 	}
@@ -58,7 +59,7 @@
 	for _, a := range plan.Placement {
 		o.startTransfer(o.Machines[a.Machine.Name], newOwner)
 	}
-	why := "room for " + job.ID
+	why := scheduler.PreemptionReason(job.ID)
 	o.stopBundledAttempts(plan.Victims, why)
 	for _, a := range plan.Placement {
 		o.evictLongTasks(o.Machines[a.Machine.Name], why)
@@ -69,7 +70,7 @@
 // empty: arrays' tasks that would keep it for long, as far as their teams' guarantees allow.
 func (o *owner) evictLongTasks(m *inventory.Machine, why string) {
 	for _, a := range m.SortedAttempts() {
-		if a.Job.Gang || a.State != inventory.AttemptLive || o.remainingRunTime(a) < minRemainingForPreemption {
+		if a.Job.Gang || a.State != inventory.AttemptLive || o.remainingRunTime(a) < scheduler.MinRemainingForPreemption {
 			continue
 		}
 		use := o.teamUsage(o.Teams[a.Job.Team])
--- a/controller/owner.go
+++ b/controller/owner.go
@@ -10,6 +10,7 @@
 	"tamarindlead/internal/cluster"
 	"tamarindlead/internal/kv"
 	"tamarindlead/internal/record"
+	"tamarindlead/internal/scheduler"
 	"tamarindlead/internal/wire"
 	"tamarindlead/micros"
 )
@@ -39,8 +40,8 @@
 	cascadedCancellations []string
 	// unresolvedJobs are jobs that records name, of which it is not known how they ended.
 	unresolvedJobs []*inventory.Job
-	reservations   map[string]*reservation // by job
 	classes        *autoscaler.Classes
+	scheduler      *scheduler.Scheduler
 
 	// The watch of the jobs' records.
 	jobsListed    bool // the jobs were listed; changes since are taken
@@ -71,9 +72,6 @@
 	dispatchQueue    []*inventory.Machine
 	commandsInFlight int // direct commands and questions to machines under way
 
-	// Scheduling passes, and the attempts that they have proposed.
-	nextSchedulingPass micros.Micros
-
 	// Commits.
 	blocks             []*inventory.Block
 	completionSegments []*inventory.CompletionSegment
@@ -90,7 +88,6 @@
 	o := &owner{
 		c: c, activeSince: c.now, lastHeartbeat: c.now,
 		scaleOutRequests:   map[string]*scaleOutRequest{},
-		reservations:       map[string]*reservation{},
 		recentlyTerminated: map[string]micros.Micros{},
 		refusedOffers:      map[autoscaler.Offer]micros.Micros{},
 		partitionedSince:   map[string]micros.Micros{},
@@ -99,6 +96,7 @@
 		unclaimedSince:     map[string]micros.Micros{},
 	}
 	o.Inventory = inventory.NewInventory(inventoryHost{o}, c.log)
+	o.scheduler = newScheduler(o)
 	for _, t := range c.cfg.Teams {
 		if v, ok := teams[t.Name]; ok {
 			o.Teams[t.Name] = &inventory.Team{Record: v, Team: t}
--- a/controller/recovery.go
+++ b/controller/recovery.go
@@ -33,7 +33,7 @@
 	o.jobsListed, o.cascadedCancellations = false, nil
 	o.blocks, o.completionSegments, o.dispatchQueue, o.unresolvedJobs = nil, nil, nil, nil
 	clear(o.scaleOutRequests)
-	clear(o.reservations)
+	o.scheduler.ClearReservations()
 }
 
 // list reads the records with a prefix.
--- a/controller/gang_reservations.go
+++ b/internal/scheduler/gang_candidates.go
@@ -1,4 +1,4 @@
-package controller
+package scheduler
 
 import (
 	"cmp"
@@ -16,23 +16,23 @@
 // needs, those with room first, then those that will have it the soonest; and what is to
 // be ready for gangs to come. Only types that the gang depends on are reserved, but for a gang
 // that starves; without that, small tasks would fill every gap first.
-func (o *owner) reserveForGangs(view []*sched.Machine) {
-	ready := autoscaler.NewWarmPool(o.c.now, o.classes, o.c.cfg.SLOs, o.c.catalog())
+func (s *Scheduler) reserveForGangs(view []*sched.Machine) {
+	ready := autoscaler.NewWarmPool(s.host.Now(), s.classes, s.settings.SLOs, s.host.Catalog())
 	short := false
-	for _, j := range o.schedulingOrder() {
-		if !j.Gang || j.State != inventory.JobActive || j.GangState != inventory.GangNone || o.reservations[j.ID] != nil || o.c.now < j.BackoffUntil {
+	for _, j := range s.schedulingOrder() {
+		if !j.Gang || j.State != inventory.JobActive || j.GangState != inventory.GangNone || s.reservations[j.ID] != nil || s.host.Now() < j.BackoffUntil {
 			continue
 		}
 		// Of the gangs that the machines there are do not suffice for, only the first reserves
 		// what there is: it waits for machines that boot. What the others reserved would stand
 		// idle while smaller gangs wait.
-		short = !o.reserveForGang(j, view, short) || short
+		short = !s.reserveForGang(j, view, short) || short
 	}
 	if ready.Empty() {
 		return
 	}
 	for _, v := range view {
-		if m := o.Machines[v.Name]; !v.ReservedForGangs && v.Scarce && o.hasNoDependentTasks(m) && ready.Claim(m.Offer(), o.machineSize(m).Sub(m.Used)) {
+		if m := s.inventory.Machines[v.Name]; !v.ReservedForGangs && v.Scarce && s.HasNoDependentTasks(m) && ready.Claim(m.Offer(), s.machines.Size(m).Sub(m.Used)) {
 			v.ReservedForGangs = true
 		}
 	}
@@ -47,16 +47,16 @@
 
 // reserveForGang reserves machines for a gang and tells whether they will do. With complete,
 // it reserves none unless they do.
-func (o *owner) reserveForGang(j *inventory.Job, view []*sched.Machine, complete bool) bool {
-	starves := o.isStarving(j)
-	candidates := candidatesOfBestZone(o.gangCandidates(j, view, starves))
+func (s *Scheduler) reserveForGang(j *inventory.Job, view []*sched.Machine, complete bool) bool {
+	starves := s.isStarving(j)
+	candidates := candidatesOfBestZone(s.gangCandidates(j, view, starves))
 	chosen, tasks := chooseCandidates(j, candidates)
 	if complete && tasks < j.Tasks {
 		return false
 	}
 	for _, v := range chosen {
 		v.ReservedForGangs = true
-		if starves || o.waitsTooLong(j) {
+		if starves || s.waitsTooLong(j) {
 			v.ReservedForJob = j.ID
 		}
 	}
@@ -64,11 +64,11 @@
 }
 
 // gangCandidates lists the machines that a gang may have: by zone, if it must be in one.
-func (o *owner) gangCandidates(j *inventory.Job, view []*sched.Machine, starves bool) map[string][]gangCandidate {
+func (s *Scheduler) gangCandidates(j *inventory.Job, view []*sched.Machine, starves bool) map[string][]gangCandidate {
 	byZone := map[string][]gangCandidate{}
 	for _, v := range view {
-		m := o.Machines[v.Name]
-		if v.Slack || v.ReservedForGangs || !v.Scarce && !starves || !j.Allows(v.Type, v.Zone, v.Spot) || o.isReserved(v.Name) {
+		m := s.inventory.Machines[v.Name]
+		if v.Slack || v.ReservedForGangs || !v.Scarce && !starves || !j.Allows(v.Type, v.Zone, v.Spot) || s.IsReserved(v.Name) {
 			continue // what a hold reserves is spoken for
 		}
 		fits := j.Need.Count(m.Size, j.Tasks)
@@ -77,7 +77,7 @@
 		}
 		candidate := gangCandidate{view: v, taskSlots: fits}
 		if !j.Need.Fits(v.Free) {
-			candidate.availableIn = o.remainingBusyTime(m)
+			candidate.availableIn = s.RemainingBusyTime(m)
 		}
 		zone := ""
 		if j.OneZone {
--- a/controller/scheduling.go
+++ b/internal/scheduler/pass.go
@@ -1,4 +1,4 @@
-package controller
+package scheduler
 
 import (
 	"cmp"
@@ -13,8 +13,8 @@
 
 // Bounds of one scheduling pass.
 const (
-	// minPassInterval is the least time between two passes.
-	minPassInterval = 100 * micros.Millisecond
+	// MinPassInterval is the least time between two passes.
+	MinPassInterval = 100 * micros.Millisecond
 	// jobsPerPass is the number of jobs for which places are looked for in one pass.
 	jobsPerPass = 200
 	// maxAssumed is the number of attempts that may wait for their record.
@@ -26,13 +26,13 @@
 
 // schedule proposes places for waiting tasks. A proposal takes effect only when the
 // machine's record has been written with it.
-func (o *owner) schedule() {
-	if !o.SchedulingNeeded || o.committing || o.c.now < o.nextSchedulingPass || o.Assumed >= maxAssumed {
+func (s *Scheduler) Schedule() {
+	if !s.inventory.SchedulingNeeded || s.host.Committing() || s.host.Now() < s.nextPass || s.inventory.Assumed >= maxAssumed {
 		return
 	}
-	o.SchedulingNeeded, o.nextSchedulingPass = false, o.c.now+minPassInterval
-	pass := &schedulingPass{o: o, view: o.placementView(), reservedQuotas: quotaReservations{}, unplaceableShapes: map[shape]bool{}}
-	for _, j := range o.schedulingOrder() {
+	s.inventory.SchedulingNeeded, s.nextPass = false, s.host.Now()+MinPassInterval
+	pass := &schedulingPass{scheduler: s, view: s.placementView(), reservedQuotas: quotaReservations{}, unplaceableShapes: map[shape]bool{}}
+	for _, j := range s.schedulingOrder() {
 		if pass.isExhausted() {
 			return
 		}
@@ -42,7 +42,7 @@
 
 // schedulingPass is one pass over the jobs in the order in which they are placed.
 type schedulingPass struct {
-	o                 *owner
+	scheduler         *Scheduler
 	view              []*sched.Machine
 	reservedQuotas    quotaReservations
 	examinedJobs      int            // jobs for which places were looked for
@@ -51,13 +51,13 @@
 
 // isExhausted tells whether the pass has done as much as one may: the guards of a commit are bounded.
 func (p *schedulingPass) isExhausted() bool {
-	return p.examinedJobs >= jobsPerPass || p.o.AssumedJobs >= max(2*p.o.c.cfg.MaxTransactionOps, minAssumedJobs)
+	return p.examinedJobs >= jobsPerPass || p.scheduler.inventory.AssumedJobs >= max(2*p.scheduler.settings.MaxTransactionOps, minAssumedJobs)
 }
 
 // place looks for places for the waiting tasks of a job.
 func (p *schedulingPass) place(j *inventory.Job) {
-	o := p.o
-	if !o.schedulable(j) {
+	s := p.scheduler
+	if !s.schedulable(j) {
 		return
 	}
 	want, leftOut := p.allowance(j)
@@ -65,20 +65,20 @@
 		return
 	}
 	// Room only shrinks during a pass, so tasks alike to some that found no place find none.
-	plain := !j.Gang && !j.OneZone && !j.Spread && o.reservations[j.ID] == nil
+	plain := !j.Gang && !j.OneZone && !j.Spread && s.reservations[j.ID] == nil
 	if plain && p.unplaceableShapes[shapeOf(j)] {
 		return
 	}
 	p.examinedJobs++
-	if !j.Gang && (leftOut || o.isStarving(j)) {
+	if !j.Gang && (leftOut || s.isStarving(j)) {
 		want = min(want, starvingBatchSize(j)) // it must begin; the rest waits its turn
 	}
-	if h := o.reservations[j.ID]; h != nil {
+	if h := s.reservations[j.ID]; h != nil {
 		p.placeReserved(j, h, want)
 		return
 	}
 	assignments := sched.Place(j.Job, p.view, want, j.TasksByZone())
-	if len(assignments) == 0 && o.isIdleTooLong(j) {
+	if len(assignments) == 0 && s.isIdleTooLong(j) {
 		assignments = placeOnReserved(j, p.view, min(want, starvingBatchSize(j)))
 	}
 	if len(assignments) == 0 {
@@ -90,8 +90,8 @@
 }
 
 // schedulable tells whether places may be looked for now for tasks of a job.
-func (o *owner) schedulable(j *inventory.Job) bool {
-	if j.State != inventory.JobActive || j.Pending == 0 || j.RecordStale || o.c.now < j.BackoffUntil {
+func (s *Scheduler) schedulable(j *inventory.Job) bool {
+	if j.State != inventory.JobActive || j.Pending == 0 || j.RecordStale || s.host.Now() < j.BackoffUntil {
 		return false
 	}
 	return !j.Gang || j.GangState == inventory.GangNone
@@ -101,13 +101,13 @@
 // that does not fit whole, and whether the job takes what is kept for others since nothing
 // of it has run for long.
 func (p *schedulingPass) allowance(j *inventory.Job) (want int, leftOut bool) {
-	want = p.o.quotaHeadroom(j, p.o.reservedQuota(p.reservedQuotas, j))
+	want = p.scheduler.QuotaHeadroom(j, p.scheduler.reservedQuota(p.reservedQuotas, j))
 	if j.Gang && want < j.Tasks {
 		p.reserveQuota(j)
 		return 0, false
 	}
-	if want == 0 && p.o.isIdleTooLong(j) {
-		return p.o.quotaHeadroom(j, sched.Resources{}), true
+	if want == 0 && p.scheduler.isIdleTooLong(j) {
+		return p.scheduler.QuotaHeadroom(j, sched.Resources{}), true
 	}
 	return want, false
 }
@@ -120,7 +120,7 @@
 // placeReserved places a gang on the machines that are held for it, once their room is free.
 func (p *schedulingPass) placeReserved(j *inventory.Job, h *reservation, want int) {
 	if h.state == reservationReady {
-		p.assume(j, sched.Place(j.Job, p.o.reservedView(h, p.view), want, nil))
+		p.assume(j, sched.Place(j.Job, p.scheduler.reservedView(h, p.view), want, nil))
 	}
 }
 
@@ -129,17 +129,17 @@
 	if j.Gang { // when its machines come, it must be within the limit
 		p.reserveQuota(j)
 	}
-	if p.o.preempt(j) {
-		p.view = p.o.placementView() // without what is held now
+	if p.scheduler.preempt(j) {
+		p.view = p.scheduler.placementView() // without what is held now
 		clear(p.unplaceableShapes)
 		return
 	}
-	p.view = p.o.reserveSoonestFree(j, p.view)
+	p.view = p.scheduler.reserveSoonestFree(j, p.view)
 }
 
 func (p *schedulingPass) assume(j *inventory.Job, assignments []sched.Assignment) {
-	p.o.assume(j, assignments)
-	p.o.limitSlots(p.view, assignments)
+	p.scheduler.assume(j, assignments)
+	p.scheduler.limitSlots(p.view, assignments)
 }
 
 // shape is what decides on which machines the tasks of a job fit.
@@ -166,10 +166,10 @@
 
 // reservedQuota is what of its team's limit is kept from a job: for gangs of higher priority, and
 // for all that have waited for long.
-func (o *owner) reservedQuota(k quotaReservations, j *inventory.Job) sched.Resources {
+func (s *Scheduler) reservedQuota(k quotaReservations, j *inventory.Job) sched.Resources {
 	var sum sched.Resources
 	for _, g := range k[j.Team] {
-		if g.Priority > j.Priority || o.waitsTooLong(g) {
+		if g.Priority > j.Priority || s.waitsTooLong(g) {
 			sum = sum.Add(g.Need.Times(g.Tasks))
 		}
 	}
@@ -187,8 +187,8 @@
 const maxArrayIdleTime = 60 * micros.Second
 
 // isIdleTooLong tells whether nothing of an array has run for long.
-func (o *owner) isIdleTooLong(j *inventory.Job) bool {
-	return !j.Gang && len(j.Attempts) == 0 && o.c.now-j.IdleSince > maxArrayIdleTime
+func (s *Scheduler) isIdleTooLong(j *inventory.Job) bool {
+	return !j.Gang && len(j.Attempts) == 0 && s.host.Now()-j.IdleSince > maxArrayIdleTime
 }
 
 // placeOnReserved looks for places also on machines that are kept for gangs, though not on
@@ -208,19 +208,19 @@
 }
 
 // isStarving tells that a job has waited for long and not begun.
-func (o *owner) isStarving(j *inventory.Job) bool {
-	return !j.EverPlaced && j.State == inventory.JobActive && o.c.wallClock-j.ReadyAt > o.c.cfg.Tuning.StarvationTimeout
+func (s *Scheduler) isStarving(j *inventory.Job) bool {
+	return !j.EverPlaced && j.State == inventory.JobActive && s.host.WallClock()-j.ReadyAt > s.settings.Tuning.StarvationTimeout
 }
 
 // schedulingOrder lists the jobs in the order in which they are placed. Those that starve come first,
 // whatever their priority, so that under lasting overload every job begins; then, of equal
 // priority, those that their teams' guarantees cover, which need not wait for other teams;
 // then those in pipelines whose deadlines press; then who came first.
-func (o *owner) schedulingOrder() []*inventory.Job {
-	covered := o.jobsWithinGuarantee()
-	list := slices.Clone(o.Queue)
+func (s *Scheduler) schedulingOrder() []*inventory.Job {
+	covered := s.JobsWithinGuarantee()
+	list := slices.Clone(s.inventory.Queue)
 	slices.SortStableFunc(list, func(a, b *inventory.Job) int {
-		x, y := o.isStarving(a), o.isStarving(b)
+		x, y := s.isStarving(a), s.isStarving(b)
 		switch {
 		case x != y:
 			return compareTrueFirst(x)
@@ -229,7 +229,7 @@
 		case a.Priority == b.Priority && covered[a] != covered[b]:
 			return compareTrueFirst(covered[a])
 		case a.Priority == b.Priority:
-			return cmp.Or(o.compareUrgency(a, b), inventory.CompareQueueOrder(a, b))
+			return cmp.Or(s.compareUrgency(a, b), inventory.CompareQueueOrder(a, b))
 		}
 		return inventory.CompareQueueOrder(a, b)
 	})
@@ -246,8 +246,8 @@
 
 // quotaHeadroom tells how many tasks of a job its team's limit leaves room for, less what is
 // kept for others.
-func (o *owner) quotaHeadroom(j *inventory.Job, kept sched.Resources) int {
-	t := o.Teams[j.Team]
+func (s *Scheduler) QuotaHeadroom(j *inventory.Job, kept sched.Resources) int {
+	t := s.inventory.Teams[j.Team]
 	if t == nil {
 		return 0
 	}
@@ -264,19 +264,19 @@
 
 // reserveSoonestFree keeps the machine that will have room for a waiting gang the soonest free
 // of jobs that come after it; without that, small tasks would fill every gap first.
-func (o *owner) reserveSoonestFree(j *inventory.Job, view []*sched.Machine) []*sched.Machine {
-	if !j.Gang || o.dependsOnMachineType(j) {
+func (s *Scheduler) reserveSoonestFree(j *inventory.Job, view []*sched.Machine) []*sched.Machine {
+	if !j.Gang || s.dependsOnMachineType(j) {
 		return view // see reserveForGangs
 	}
 	best, soonest := -1, micros.Micros(0)
 	for i, v := range view {
-		m := o.Machines[v.Name]
+		m := s.inventory.Machines[v.Name]
 		if v.Slack || !j.Allows(m.Type, m.Zone, m.Spot) || !j.Need.Fits(m.Size) {
 			continue
 		}
 		wait := micros.Micros(0)
 		for _, a := range m.Attempts {
-			wait = max(wait, o.remainingRunTime(a))
+			wait = max(wait, s.machines.RemainingRunTime(a))
 		}
 		if best < 0 || wait < soonest {
 			best, soonest = i, wait
--- a/controller/placement_view.go
+++ b/internal/scheduler/placement_view.go
@@ -1,4 +1,4 @@
-package controller
+package scheduler
 
 import (
 	"math"
@@ -10,18 +10,18 @@
 
 // limitSlots leaves machines that share a block with those just used no more tasks than their
 // entries still have room for.
-func (o *owner) limitSlots(view []*sched.Machine, got []sched.Assignment) {
+func (s *Scheduler) limitSlots(view []*sched.Machine, got []sched.Assignment) {
 	left := map[*inventory.Block]float64{}
 	for _, as := range got {
-		b := o.Machines[as.Machine.Name].Block
+		b := s.inventory.Machines[as.Machine.Name].Block
 		if _, ok := left[b]; !ok {
-			left[b] = o.freeBytes(b)
+			left[b] = s.host.FreeBytes(b)
 		}
 	}
 	for _, v := range view {
-		m := o.Machines[v.Name]
+		m := s.inventory.Machines[v.Name]
 		if _, ok := left[m.Block]; ok {
-			v.Slots = min(v.Slots, o.freeSlots(m, left))
+			v.Slots = min(v.Slots, s.machines.FreeSlots(m, left))
 		}
 	}
 }
@@ -39,19 +39,19 @@
 }
 
 // machineView is what placement may use now.
-func (o *owner) machineView() []*sched.Machine {
+func (s *Scheduler) machineView() []*sched.Machine {
 	var view []*sched.Machine
-	catalog := o.c.catalog()
+	catalog := s.host.Catalog()
 	left := map[*inventory.Block]float64{}
-	for _, m := range o.SortedMachines {
-		if m.State != inventory.MachineReady || m.FencingToken == 0 || m.Fencing != inventory.FencingNone || o.c.now < m.QuarantinedUntil ||
-			o.c.now-m.LastHeartbeat > 2*o.c.cfg.HeartbeatInterval {
+	for _, m := range s.inventory.SortedMachines {
+		if m.State != inventory.MachineReady || m.FencingToken == 0 || m.Fencing != inventory.FencingNone || s.host.Now() < m.QuarantinedUntil ||
+			s.host.Now()-m.LastHeartbeat > 2*s.settings.HeartbeatInterval {
 			continue
 		}
 		view = append(view, &sched.Machine{
 			Name: m.Name, Type: m.Type, Zone: m.Zone, Spot: m.Spot,
-			Free: o.machineSize(m).Sub(m.Used).Sub(o.reservedResources(m.Name)), Slots: o.freeSlots(m, left),
-			Idle: len(m.Attempts) == 0, Scarce: o.isScarce(m), Price: priceClass(catalog.PricePerCPU(m.Type, m.Spot)), Images: m.CachedImages,
+			Free: s.machines.Size(m).Sub(m.Used).Sub(s.reservedResources(m.Name)), Slots: s.machines.FreeSlots(m, left),
+			Idle: len(m.Attempts) == 0, Scarce: s.IsScarce(m), Price: priceClass(catalog.PricePerCPU(m.Type, m.Spot)), Images: m.CachedImages,
 		})
 	}
 	return view
@@ -59,8 +59,8 @@
 
 // placementView is the view with what is kept for gangs, and with the slack of machines that
 // gangs use.
-func (o *owner) placementView() []*sched.Machine {
-	view := o.machineView()
-	o.reserveForGangs(view)
-	return o.addSlack(view)
+func (s *Scheduler) placementView() []*sched.Machine {
+	view := s.machineView()
+	s.reserveForGangs(view)
+	return s.addSlack(view)
 }
--- a/controller/preemption.go
+++ b/internal/scheduler/preemption.go
@@ -1,4 +1,4 @@
-package controller
+package scheduler
 
 import (
 	"cmp"
@@ -17,9 +17,9 @@
 // This file looks for work to stop for gangs that find no room.
 
 const (
-	// minRemainingForPreemption is the remaining time below which a task is not stopped but waited for: a
+	// MinRemainingForPreemption is the remaining time below which a task is not stopped but waited for: a
 	// stop would not be faster.
-	minRemainingForPreemption = 3 * micros.Second
+	MinRemainingForPreemption = 3 * micros.Second
 	// maxBootTimeToWait is the boot time left for which nothing is stopped.
 	maxBootTimeToWait = 12 * micros.Second
 	// preemptionRetryDelay is the pause after no room was found.
@@ -27,34 +27,34 @@
 )
 
 // preempt looks for work to stop for a gang that does not fit, and holds the machines.
-func (o *owner) preempt(j *inventory.Job) bool {
-	if !j.Gang || o.c.now < j.NextPreemptionAt || o.scaleOutSuffices(j) || o.capacityComesSoon(j) {
+func (s *Scheduler) preempt(j *inventory.Job) bool {
+	if !j.Gang || s.host.Now() < j.NextPreemptionAt || s.scaleOutSuffices(j) || s.capacityComesSoon(j) {
 		return false
 	}
-	covered := o.jobsWithinGuarantee()
-	plan := o.planPreemption(j, covered)
+	covered := s.JobsWithinGuarantee()
+	plan := s.planPreemption(j, covered)
 	if plan == nil {
-		j.NextPreemptionAt = o.c.now + preemptionRetryDelay
-		o.requestMachines(j.Job, j.Tasks, covered[j])
+		j.NextPreemptionAt = s.host.Now() + preemptionRetryDelay
+		s.host.RequestMachines(j.Job, j.Tasks, covered[j])
 		return false
 	}
 	h := newReservation(j, plan)
-	if kv.EncodedSizeBound(record.Reservation{Machines: h.machines}) > o.c.cfg.MaxValueBytes {
-		j.NextPreemptionAt = o.c.now + preemptionRetryDelay
+	if kv.EncodedSizeBound(record.Reservation{Machines: h.machines}) > s.settings.MaxValueBytes {
+		j.NextPreemptionAt = s.host.Now() + preemptionRetryDelay
 		return false // it could never be recorded
 	}
-	o.reservations[j.ID] = h
-	o.logPreemptionPlan(j, plan)
+	s.reservations[j.ID] = h
+	s.logPreemptionPlan(j, plan)
 	return true
 }
 
 // planPreemption looks for work to stop: of the gang's own team, else of teams that use more than
 // their guarantees if the gang is covered by its team's.
-func (o *owner) planPreemption(j *inventory.Job, covered map[*inventory.Job]bool) *sched.PreemptionPlan {
-	machines := o.preemptionView()
-	plan := o.preemptionPlan(j.Job, machines, sched.Preempt, covered)
+func (s *Scheduler) planPreemption(j *inventory.Job, covered map[*inventory.Job]bool) *sched.PreemptionPlan {
+	machines := s.preemptionView()
+	plan := s.preemptionPlan(j.Job, machines, sched.Preempt, covered)
 	if plan == nil && covered[j] {
-		plan = o.preemptionPlan(j.Job, machines, sched.Reclaim, covered)
+		plan = s.preemptionPlan(j.Job, machines, sched.Reclaim, covered)
 	}
 	return plan
 }
@@ -68,33 +68,33 @@
 	return h
 }
 
-func (o *owner) logPreemptionPlan(j *inventory.Job, plan *sched.PreemptionPlan) {
+func (s *Scheduler) logPreemptionPlan(j *inventory.Job, plan *sched.PreemptionPlan) {
 	stops := 0
 	for _, b := range plan.Victims {
 		stops += len(b.Tasks)
-		o.c.log.Info("victim", "job", b.Victim.Job, "team", b.Victim.Team, "safe", b.Safe, "tasks", len(b.Tasks), "for", j.ID)
+		s.log.Info("victim", "job", b.Victim.Job, "team", b.Victim.Team, "safe", b.Safe, "tasks", len(b.Tasks), "for", j.ID)
 	}
-	o.c.log.Info("making room", "job", j.ID, "class", j.Class, "ground", plan.Mode.String(), "domain", plan.Domain,
+	s.log.Info("making room", "job", j.ID, "class", j.Class, "ground", plan.Mode.String(), "domain", plan.Domain,
 		"machines", len(plan.Placement), "stops", stops)
 }
 
 // preemptionPlan looks for victims on a ground and for the cheapest set of them.
-func (o *owner) preemptionPlan(j *sched.Job, machines []*sched.Machine, mode sched.PreemptionMode, covered map[*inventory.Job]bool) *sched.PreemptionPlan {
-	victims := o.victims(j, mode, covered)
+func (s *Scheduler) preemptionPlan(j *sched.Job, machines []*sched.Machine, mode sched.PreemptionMode, covered map[*inventory.Job]bool) *sched.PreemptionPlan {
+	victims := s.victims(j, mode, covered)
 	if len(victims) == 0 {
 		return nil
 	}
-	rules := sched.PreemptionRules{Mode: mode, ROIThreshold: o.c.cfg.Tuning.ROIThreshold, Teams: map[string]sched.TeamUsage{}}
-	for name, t := range o.Teams {
-		rules.Teams[name] = o.teamUsage(t)
+	rules := sched.PreemptionRules{Mode: mode, ROIThreshold: s.settings.Tuning.ROIThreshold, Teams: map[string]sched.TeamUsage{}}
+	for name, t := range s.inventory.Teams {
+		rules.Teams[name] = Usage(t)
 	}
-	domains := sched.Domains(j, machines, victims, o.c.cfg.Tuning.MaxDomains)
+	domains := sched.Domains(j, machines, victims, s.settings.Tuning.MaxDomains)
 	return sched.PlanPreemption(j, domains, victims, rules)
 }
 
-// teamUsage is what a team uses and will go on using: what is being stopped already must
+// Usage is what a team uses and will go on using: what is being stopped already must
 // not be counted as surplus once more.
-func (o *owner) teamUsage(t *inventory.Team) sched.TeamUsage {
+func Usage(t *inventory.Team) sched.TeamUsage {
 	return sched.TeamUsage{Used: t.Used.Sub(t.Stopping), GuaranteedQuota: t.GuaranteedQuota}
 }
 
@@ -102,12 +102,12 @@
 // unfinished ones, as long as they fit together. By what a team uses at the moment, a gang
 // that was just stopped for another would be covered again and take the room back; two
 // teams would stop each other's gangs in turn (docs/incidents/eyjafold-third-reclaim.md).
-func (o *owner) jobsWithinGuarantee() map[*inventory.Job]bool {
-	list := slices.Clone(o.Queue)
+func (s *Scheduler) JobsWithinGuarantee() map[*inventory.Job]bool {
+	list := slices.Clone(s.inventory.Queue)
 	slices.SortStableFunc(list, func(a, b *inventory.Job) int { return cmp.Compare(a.ReadyAt, b.ReadyAt) })
 	covered, sums := map[*inventory.Job]bool{}, map[string]sched.Resources{}
 	for _, j := range list {
-		t := o.Teams[j.Team]
+		t := s.inventory.Teams[j.Team]
 		if t == nil || j.State != inventory.JobActive || t.GuaranteedQuota.CPU == 0 && t.GuaranteedQuota.GPU == 0 {
 			continue
 		}
@@ -120,9 +120,9 @@
 
 // scaleOutSuffices tells that a machine from the cloud would serve in time (ours): then
 // nothing needs to be stopped.
-func (o *owner) scaleOutSuffices(j *inventory.Job) bool {
-	market, left := o.market(), o.startDeadline(j)-(o.c.wallClock-j.ReadyAt)
-	for _, t := range o.c.types.list {
+func (s *Scheduler) scaleOutSuffices(j *inventory.Job) bool {
+	market, left := s.host.Market(), s.startDeadline(j)-(s.host.WallClock()-j.ReadyAt)
+	for _, t := range market.Types {
 		if t.Boot > left || !j.Need.Fits(t.Size) {
 			continue
 		}
@@ -136,9 +136,9 @@
 }
 
 // startDeadline is how long a gang should wait at the most.
-func (o *owner) startDeadline(j *inventory.Job) micros.Micros {
-	limit := o.c.cfg.Tuning.ReservationTimeout
-	for _, objective := range o.c.cfg.SLOs {
+func (s *Scheduler) startDeadline(j *inventory.Job) micros.Micros {
+	limit := s.settings.Tuning.ReservationTimeout
+	for _, objective := range s.settings.SLOs {
 		if objective.Kind == config.SLOWaitTime && objective.Class == j.Class {
 			limit = objective.Threshold
 		}
@@ -148,10 +148,10 @@
 
 // capacityComesSoon tells that a machine which boots will serve: one for each gang that waits,
 // in the order of the queue.
-func (o *owner) capacityComesSoon(j *inventory.Job) bool {
-	slots := o.bootingSlots(j)
-	for _, q := range o.Queue {
-		if q.Gang && q.GangState == inventory.GangNone && q.Class == j.Class && o.reservations[q.ID] == nil {
+func (s *Scheduler) capacityComesSoon(j *inventory.Job) bool {
+	slots := s.bootingSlots(j)
+	for _, q := range s.inventory.Queue {
+		if q.Gang && q.GangState == inventory.GangNone && q.Class == j.Class && s.reservations[q.ID] == nil {
 			if slots -= q.Tasks; q == j {
 				return slots >= 0
 			}
@@ -162,14 +162,14 @@
 
 // bootingSlots counts the tasks of a gang that there is room for on machines that will have
 // booted soon.
-func (o *owner) bootingSlots(j *inventory.Job) int {
+func (s *Scheduler) bootingSlots(j *inventory.Job) int {
 	slots := 0
-	for _, m := range o.SortedMachines {
-		t := o.c.types.find(m.Type)
+	for _, m := range s.inventory.SortedMachines {
+		t := s.machines.FindType(m.Type)
 		if m.State != inventory.MachineBooting || t == nil || !j.Allows(m.Type, m.Zone, m.Spot) {
 			continue
 		}
-		if o.c.wallClock-m.ProvisionedAt+maxBootTimeToWait > t.Boot {
+		if s.host.WallClock()-m.ProvisionedAt+maxBootTimeToWait > t.Boot {
 			slots += j.Need.Count(t.Size, j.Tasks)
 		}
 	}
@@ -177,23 +177,23 @@
 }
 
 // endsSoon tells that an attempt's room will be free without a stop.
-func (o *owner) endsSoon(a *inventory.Attempt) bool {
+func (s *Scheduler) endsSoon(a *inventory.Attempt) bool {
 	switch a.State {
 	case inventory.AttemptStopping, inventory.AttemptCompleted, inventory.AttemptRemoving:
 		return true
 	}
-	return a.RunningSince != 0 && !a.Job.Gang && a.Job.Estimate-(o.c.now-a.RunningSince) < minRemainingForPreemption &&
-		o.c.now-a.RunningSince < a.Job.Estimate+minRemainingForPreemption
+	return a.RunningSince != 0 && !a.Job.Gang && a.Job.Estimate-(s.host.Now()-a.RunningSince) < MinRemainingForPreemption &&
+		s.host.Now()-a.RunningSince < a.Job.Estimate+MinRemainingForPreemption
 }
 
 // preemptionView is the view in which room is sought: what leaves soon is gone already.
-func (o *owner) preemptionView() []*sched.Machine {
-	view := o.machineView()
+func (s *Scheduler) preemptionView() []*sched.Machine {
+	view := s.machineView()
 	for _, v := range view {
-		for _, a := range o.Machines[v.Name].Attempts {
+		for _, a := range s.inventory.Machines[v.Name].Attempts {
 			// What is freed is in the view already: counted twice, it would promise room that
 			// another gang may just have taken, and the hold would wait for it for ever.
-			if !a.ResourcesReleased && o.endsSoon(a) {
+			if !a.ResourcesReleased && s.endsSoon(a) {
 				v.Free = v.Free.Add(a.Job.Need)
 			}
 		}
@@ -202,14 +202,14 @@
 }
 
 // victims lists jobs that may be stopped for j.
-func (o *owner) victims(j *sched.Job, mode sched.PreemptionMode, covered map[*inventory.Job]bool) []*sched.Victim {
+func (s *Scheduler) victims(j *sched.Job, mode sched.PreemptionMode, covered map[*inventory.Job]bool) []*sched.Victim {
 	var list []*sched.Victim
-	for _, id := range ordered.Keys(o.Jobs) {
-		candidate := o.Jobs[id]
-		if candidate.Job == j || !mayPreemptFor(j, candidate, mode, covered) || o.reservations[id] != nil {
+	for _, id := range ordered.Keys(s.inventory.Jobs) {
+		candidate := s.inventory.Jobs[id]
+		if candidate.Job == j || !mayPreemptFor(j, candidate, mode, covered) || s.reservations[id] != nil {
 			continue
 		}
-		if victim := o.describeVictim(candidate); victim.ReadyTasks > 0 {
+		if victim := s.describeVictim(candidate); victim.ReadyTasks > 0 {
 			list = append(list, victim)
 		}
 	}
@@ -233,20 +233,20 @@
 }
 
 // describeVictim lists the tasks of a job that may be stopped.
-func (o *owner) describeVictim(j *inventory.Job) *sched.Victim {
+func (s *Scheduler) describeVictim(j *inventory.Job) *sched.Victim {
 	victim := &sched.Victim{Job: j.ID, Team: j.Team, Priority: j.Priority}
 	if j.Gang {
 		victim.MinTasks = j.Tasks
 	}
 	for _, a := range j.SortedAttempts() {
-		if o.endsSoon(a) || a.State == inventory.AttemptAssumed {
+		if s.endsSoon(a) || a.State == inventory.AttemptAssumed {
 			continue
 		}
 		victim.ReadyTasks++
 		victim.TotalResources = victim.TotalResources.Add(j.Need)
 		victim.Since = max(victim.Since, a.PlacedAt)
 		victim.Tasks = append(victim.Tasks, sched.VictimTask{
-			Index: a.Index, Machine: a.Machine.Name, Resources: j.Need, Since: a.PlacedAt, LostWork: o.preemptionCost(a),
+			Index: a.Index, Machine: a.Machine.Name, Resources: j.Need, Since: a.PlacedAt, LostWork: s.preemptionCost(a),
 		})
 	}
 	return victim
@@ -254,30 +254,38 @@
 
 // preemptionCost is what a stop of an attempt undoes: all of its progress, or the time for
 // saving.
-func (o *owner) preemptionCost(a *inventory.Attempt) float64 {
+func (s *Scheduler) preemptionCost(a *inventory.Attempt) float64 {
 	lost := a.Job.CheckpointDuration
 	if a.Job.CheckpointInterval == 0 && a.RunningSince != 0 {
-		lost = o.c.now - a.RunningSince
+		lost = s.host.Now() - a.RunningSince
 	}
 	return a.Job.Need.CPUs() * lost.Seconds()
 }
 
+// PlanReclaim looks for work of teams above their guarantees to stop for another owner's job.
+func (s *Scheduler) PlanReclaim(job *sched.Job) *sched.PreemptionPlan {
+	return s.preemptionPlan(job, s.preemptionView(), sched.Reclaim, s.JobsWithinGuarantee())
+}
+
+// PreemptionReason is the reason with which work is stopped for a job.
+func PreemptionReason(job string) string { return "room for " + job }
+
 // preemptVictims begins the stops of a hold that is recorded.
-func (o *owner) preemptVictims(h *reservation) {
-	o.stopBundledAttempts(h.victims, "room for "+h.job)
+func (s *Scheduler) preemptVictims(h *reservation) {
+	s.EvictVictims(h.victims, PreemptionReason(h.job))
 	h.victims = nil
 }
 
 // stopBundledAttempts begins the stops of a plan, as far as its tasks are still where they were.
-func (o *owner) stopBundledAttempts(bundles []sched.Bundle, why string) {
+func (s *Scheduler) EvictVictims(bundles []sched.Bundle, why string) {
 	for _, b := range bundles {
-		v := o.Jobs[b.Victim.Job]
+		v := s.inventory.Jobs[b.Victim.Job]
 		if v == nil || v.State != inventory.JobActive {
 			continue
 		}
 		for _, t := range b.Tasks {
 			if a := v.Attempts[t.Index]; a != nil && a.Machine.Name == t.Machine {
-				o.evict(a, why)
+				s.host.Evict(a, why)
 			}
 		}
 	}
--- a/controller/priority_inheritance.go
+++ b/internal/scheduler/queue_order.go
@@ -1,4 +1,4 @@
-package controller
+package scheduler
 
 import (
 	"cmp"
@@ -6,6 +6,7 @@
 
 	"tamarindlead/internal/inventory"
 
+	"tamarindlead/internal/autoscaler"
 	"tamarindlead/internal/dag"
 	"tamarindlead/micros"
 )
@@ -14,28 +15,28 @@
 // the order in which jobs are placed, and how long they may wait.
 
 // inheritPriority has a job take its place in the order by what it inherits.
-func (o *owner) inheritPriority(j *inventory.Job) {
-	inherited, awaited := o.c.graph.Inherited(j.ID)
+func (s *Scheduler) InheritPriority(j *inventory.Job) {
+	inherited, inPipeline := s.host.Inherited(j.ID)
 	priority, mustEnd := max(j.SubmittedPriority, inherited.Priority), micros.Micros(0)
-	if awaited || o.c.graph.Blocked(j.ID) != nil { // deadlines count in pipelines only
+	if inPipeline { // deadlines count in pipelines only
 		mustEnd = dag.EarlierDeadline(dag.AbsoluteDeadline(j.Accepted, j.Deadline), inherited.LatestFinish)
 	}
 	if priority == j.Priority && mustEnd == j.EffectiveDeadline {
 		return
 	}
 	j.EffectiveDeadline = mustEnd
-	o.SchedulingNeeded = true
+	s.inventory.SchedulingNeeded = true
 	if priority == j.Priority {
 		return
 	}
-	o.c.log.Debug("job inherits", "job", j.ID, "own", j.SubmittedPriority, "priority", priority)
-	at := slices.Index(o.Queue, j)
+	s.log.Debug("job inherits", "job", j.ID, "own", j.SubmittedPriority, "priority", priority)
+	at := slices.Index(s.inventory.Queue, j)
 	if at >= 0 {
-		o.Queue = slices.Delete(o.Queue, at, at+1)
+		s.inventory.Queue = slices.Delete(s.inventory.Queue, at, at+1)
 	}
 	j.Priority = priority
 	if at >= 0 {
-		o.QueueJob(j)
+		s.inventory.QueueJob(j)
 	}
 }
 
@@ -47,35 +48,40 @@
 const minWaitLimit = micros.Second
 
 // deadlineSlack is how much later than now a job may begin and still end in time.
-func (o *owner) deadlineSlack(j *inventory.Job) micros.Micros {
-	return j.EffectiveDeadline - o.c.wallClock - o.estimatedRunTime(j)
+func (s *Scheduler) deadlineSlack(j *inventory.Job) micros.Micros {
+	return j.EffectiveDeadline - s.host.WallClock() - s.EstimatedRunTime(j)
 }
 
 // isUrgent tells that a job must begin soon for it, or for some job that needs it, to end in
 // time.
-func (o *owner) isUrgent(j *inventory.Job) bool {
-	return j.EffectiveDeadline != 0 && o.deadlineSlack(j) < urgentSlack
+func (s *Scheduler) IsUrgent(j *inventory.Job) bool {
+	return j.EffectiveDeadline != 0 && s.deadlineSlack(j) < urgentSlack
 }
 
 // compareUrgency orders jobs of the same priority: first the urgent ones, by their slack.
-func (o *owner) compareUrgency(a, b *inventory.Job) int {
+func (s *Scheduler) compareUrgency(a, b *inventory.Job) int {
 	if a.EffectiveDeadline == 0 && b.EffectiveDeadline == 0 {
 		return 0
 	}
-	aUrgent, bUrgent := o.isUrgent(a), o.isUrgent(b)
+	aUrgent, bUrgent := s.IsUrgent(a), s.IsUrgent(b)
 	switch {
 	case aUrgent != bUrgent:
 		return compareTrueFirst(aUrgent)
 	case aUrgent:
-		return cmp.Compare(o.deadlineSlack(a), o.deadlineSlack(b))
+		return cmp.Compare(s.deadlineSlack(a), s.deadlineSlack(b))
 	}
 	return 0
 }
 
 // maxQueueingDelay is how long a job may wait: by its class, and until it must begin to end in time.
-func (o *owner) maxQueueingDelay(j *inventory.Job) micros.Micros {
+func (s *Scheduler) MaxQueueingDelay(j *inventory.Job) micros.Micros {
 	if j.EffectiveDeadline == 0 {
-		return o.maxWait(j)
+		return s.ClassWaitTarget(j)
 	}
-	return min(o.maxWait(j), max(minWaitLimit, o.deadlineSlack(j)))
+	return min(s.ClassWaitTarget(j), max(minWaitLimit, s.deadlineSlack(j)))
+}
+
+// ClassWaitTarget tells how long a job may wait by its class's objectives.
+func (s *Scheduler) ClassWaitTarget(j *inventory.Job) micros.Micros {
+	return autoscaler.WaitTarget(s.settings.SLOs, j.Class, j.Gang, s.EstimatedRunTime(j), s.settings.Tuning.QueueTarget)
 }
--- a/controller/reservations.go
+++ b/internal/scheduler/reservations.go
@@ -1,4 +1,4 @@
-package controller
+package scheduler
 
 import (
 	"strings"
@@ -45,27 +45,27 @@
 const stopTimeoutFactor = 2
 
 // setReservationState is the one place where a hold changes its state.
-func (o *owner) setReservationState(h *reservation, s reservationState, why string) {
-	if h.state == s {
+func (s *Scheduler) setReservationState(h *reservation, state reservationState, why string) {
+	if h.state == state {
 		return
 	}
-	o.c.log.Info("hold", "job", h.job, "from", h.state.String(), "to", s.String(), "machines", len(h.machines), "why", why)
-	h.state = s
-	switch s {
+	s.log.Info("hold", "job", h.job, "from", h.state.String(), "to", state.String(), "machines", len(h.machines), "why", why)
+	h.state = state
+	switch state {
 	case reservationStopping:
-		h.expiresAt = o.c.now + stopTimeoutFactor*o.c.cfg.Tuning.ReservationTimeout
+		h.expiresAt = s.host.Now() + stopTimeoutFactor*s.settings.Tuning.ReservationTimeout
 	case reservationReady:
-		h.expiresAt = o.c.now + o.c.cfg.Tuning.ReservationTimeout
+		h.expiresAt = s.host.Now() + s.settings.Tuning.ReservationTimeout
 	case reservationReleased:
-		o.SchedulingNeeded = true
+		s.inventory.SchedulingNeeded = true
 	}
 }
 
 // reservedResources is what is kept on a machine for gangs that are not placed yet.
-func (o *owner) reservedResources(name string) sched.Resources {
+func (s *Scheduler) reservedResources(name string) sched.Resources {
 	var sum sched.Resources
-	for id, h := range o.reservations {
-		if j := o.Jobs[id]; h.state != reservationReleased && j != nil && j.GangState == inventory.GangNone {
+	for id, h := range s.reservations {
+		if j := s.inventory.Jobs[id]; h.state != reservationReleased && j != nil && j.GangState == inventory.GangNone {
 			sum = sum.Add(h.need.Times(h.machines[name]))
 		}
 	}
@@ -74,7 +74,7 @@
 
 // reservedView is what the holder of a hold may use: the held machines, with what is kept
 // there.
-func (o *owner) reservedView(h *reservation, view []*sched.Machine) []*sched.Machine {
+func (s *Scheduler) reservedView(h *reservation, view []*sched.Machine) []*sched.Machine {
 	var out []*sched.Machine
 	for _, v := range view {
 		if n := h.machines[v.Name]; n > 0 {
@@ -88,36 +88,36 @@
 }
 
 // tickReservations moves holds on.
-func (o *owner) tickReservations() {
-	for _, id := range ordered.Keys(o.reservations) {
-		h, j := o.reservations[id], o.Jobs[id]
+func (s *Scheduler) TickReservations() {
+	for _, id := range ordered.Keys(s.reservations) {
+		h, j := s.reservations[id], s.inventory.Jobs[id]
 		switch {
 		case h.state == reservationReleased:
 		case j == nil || j.State != inventory.JobActive:
-			o.setReservationState(h, reservationReleased, "the gang is over")
-		case o.reservationBroken(h):
-			o.setReservationState(h, reservationReleased, "a machine is gone")
-		case j.GangState == inventory.GangStarting && o.allLive(j):
+			s.setReservationState(h, reservationReleased, "the gang is over")
+		case s.reservationBroken(h):
+			s.setReservationState(h, reservationReleased, "a machine is gone")
+		case j.GangState == inventory.GangStarting && s.allLive(j):
 			j.FailedPreemptions = 0
-			o.setReservationState(h, reservationReleased, "the gang has started")
-		case h.state == reservationStopping && o.reservedRoomFree(h):
-			o.setReservationState(h, reservationReady, "all stops have ended")
-			o.SchedulingNeeded = true
-		case h.state == reservationStopping && o.c.now > h.expiresAt:
-			o.setReservationState(h, reservationReleased, "its room does not come free")
-		case h.state == reservationReady && j.GangState == inventory.GangNone && o.c.now > h.expiresAt:
+			s.setReservationState(h, reservationReleased, "the gang has started")
+		case h.state == reservationStopping && s.reservedRoomFree(h):
+			s.setReservationState(h, reservationReady, "all stops have ended")
+			s.inventory.SchedulingNeeded = true
+		case h.state == reservationStopping && s.host.Now() > h.expiresAt:
+			s.setReservationState(h, reservationReleased, "its room does not come free")
+		case h.state == reservationReady && j.GangState == inventory.GangNone && s.host.Now() > h.expiresAt:
 			// Each eviction in vain doubles the pause before the next (ours).
-			j.NextPreemptionAt = o.c.now + o.c.cfg.Tuning.ReservationTimeout<<min(j.FailedPreemptions, 4)
+			j.NextPreemptionAt = s.host.Now() + s.settings.Tuning.ReservationTimeout<<min(j.FailedPreemptions, 4)
 			j.FailedPreemptions++
-			o.setReservationState(h, reservationReleased, "the gang has not started")
+			s.setReservationState(h, reservationReleased, "the gang has not started")
 		}
 	}
 }
 
 // reservationBroken tells that a machine of a hold can't be used any more.
-func (o *owner) reservationBroken(h *reservation) bool {
+func (s *Scheduler) reservationBroken(h *reservation) bool {
 	for name := range h.machines {
-		if m := o.Machines[name]; m == nil || m.State != inventory.MachineReady {
+		if m := s.inventory.Machines[name]; m == nil || m.State != inventory.MachineReady {
 			return true
 		}
 	}
@@ -125,9 +125,9 @@
 }
 
 // reservedRoomFree tells whether the held room is free of what had to go.
-func (o *owner) reservedRoomFree(h *reservation) bool {
+func (s *Scheduler) reservedRoomFree(h *reservation) bool {
 	for name, n := range h.machines {
-		m := o.Machines[name]
+		m := s.inventory.Machines[name]
 		if !h.need.Times(n).Fits(m.Size.Sub(m.Used)) {
 			return false
 		}
@@ -136,7 +136,7 @@
 }
 
 // allLive tells that all tasks of a job that have a place run.
-func (o *owner) allLive(j *inventory.Job) bool {
+func (s *Scheduler) allLive(j *inventory.Job) bool {
 	for _, a := range j.Attempts {
 		if a.State != inventory.AttemptLive || a.Phase != wire.PhaseRunning {
 			return false
@@ -145,12 +145,24 @@
 	return len(j.Attempts) > 0
 }
 
+// Transaction collects the writes of the owner's next transaction.
+type Transaction interface {
+	// Require adds the precondition that a key has a version.
+	Require(key string, version uint64)
+	// Put writes a value.
+	Put(key string, value any)
+	// Delete deletes a key.
+	Delete(key string)
+	// OnResult has a function called with the outcome of the transaction.
+	OnResult(handle func(ok bool, revision uint64))
+}
+
 // flushReservations writes the records of holds, and removes those that are over.
-func (o *owner) flushReservations(t *transaction, full func() bool) {
-	for _, id := range ordered.Keys(o.reservations) {
-		h := o.reservations[id]
-		if h.state == holdPlanned && o.Jobs[id] == nil {
-			o.setReservationState(h, reservationReleased, "the gang is over")
+func (s *Scheduler) FlushReservations(t Transaction, full func() bool) {
+	for _, id := range ordered.Keys(s.reservations) {
+		h := s.reservations[id]
+		if h.state == holdPlanned && s.inventory.Jobs[id] == nil {
+			s.setReservationState(h, reservationReleased, "the gang is over")
 		}
 		if h.writing || h.state != holdPlanned && h.state != reservationReleased {
 			continue
@@ -161,21 +173,21 @@
 		h.writing = true
 		over := h.state == reservationReleased
 		if over {
-			t.writes = append(t.writes, kv.Write{Delete: record.ReservationKey(id)})
+			t.Delete(record.ReservationKey(id))
 		} else {
-			t.preconditions[record.ActiveJobKey(id)] = o.Jobs[id].Version
-			t.put(record.ReservationKey(id), record.Reservation{Machines: h.machines})
+			t.Require(record.ActiveJobKey(id), s.inventory.Jobs[id].Version)
+			t.Put(record.ReservationKey(id), record.Reservation{Machines: h.machines})
 		}
-		t.results = append(t.results, func(ok bool, _ uint64) {
+		t.OnResult(func(ok bool, _ uint64) {
 			h.writing = false
 			switch {
 			case !ok:
 			case over:
-				delete(o.reservations, id)
-				o.SchedulingNeeded = true
+				delete(s.reservations, id)
+				s.inventory.SchedulingNeeded = true
 			case h.state == holdPlanned:
-				o.setReservationState(h, reservationStopping, "recorded")
-				o.preemptVictims(h)
+				s.setReservationState(h, reservationStopping, "recorded")
+				s.preemptVictims(h)
 			}
 		})
 	}
@@ -183,26 +195,34 @@
 
 // recoverReservations takes over the holds of an earlier owner. Its stops may not all have been
 // begun; what was not is found by the gang's next look for room once the wait is over.
-func (o *owner) recoverReservations(entries []kv.Entry) {
+func (s *Scheduler) RecoverReservations(entries []kv.Entry) (unused []string) {
 	for _, e := range entries {
 		var rec record.Reservation
 		id := strings.TrimPrefix(e.Key, record.ReservationPrefix)
-		j := o.unblockPlacedJob(id)
+		j := s.host.UnblockPlacedJob(id)
 		if j == nil || wire.Decode(e.Value, &rec) != nil {
-			if o.ownsAllTeams() { // else it may be another owner's
-				o.obsoleteKeys = append(o.obsoleteKeys, e.Key)
-			}
+			unused = append(unused, e.Key)
 			continue
 		}
 		h := &reservation{job: id, machines: rec.Machines, need: j.Need, state: reservationReady}
-		h.expiresAt = o.c.now + o.c.cfg.Tuning.ReservationTimeout
-		o.reservations[id] = h
+		h.expiresAt = s.host.Now() + s.settings.Tuning.ReservationTimeout
+		s.reservations[id] = h
 	}
+	return unused
 }
 
+// HasReservation tells whether there is a hold for a job.
+func (s *Scheduler) HasReservation(job string) bool { return s.reservations[job] != nil }
+
+// ReservationCount is the number of holds.
+func (s *Scheduler) ReservationCount() int { return len(s.reservations) }
+
+// ClearReservations forgets all holds, before they are read from the records.
+func (s *Scheduler) ClearReservations() { clear(s.reservations) }
+
 // isReserved tells whether a machine is held for some gang, and so must not be returned.
-func (o *owner) isReserved(name string) bool {
-	for _, h := range o.reservations {
+func (s *Scheduler) IsReserved(name string) bool {
+	for _, h := range s.reservations {
 		if h.state != reservationReleased && h.machines[name] > 0 {
 			return true
 		}
--- a/controller/gangs.go
+++ b/internal/scheduler/slack.go
@@ -1,4 +1,4 @@
-package controller
+package scheduler
 
 import (
 	"tamarindlead/internal/autoscaler"
@@ -15,54 +15,54 @@
 const gangStarvationAfter = 40 * micros.Second
 
 // waitsTooLong tells that a job has waited for longer than gangs let later ones pass.
-func (o *owner) waitsTooLong(j *inventory.Job) bool {
-	return o.c.wallClock-j.ReadyAt > gangStarvationAfter
+func (s *Scheduler) waitsTooLong(j *inventory.Job) bool {
+	return s.host.WallClock()-j.ReadyAt > gangStarvationAfter
 }
 
 // recordSpotUptime counts the time that spot machines are up.
-func (o *owner) recordSpotUptime() {
-	for _, m := range o.SortedMachines {
+func (s *Scheduler) RecordSpotUptime(elapsed micros.Micros) {
+	for _, m := range s.inventory.SortedMachines {
 		if m.Spot && (m.State == inventory.MachineReady || m.State == inventory.MachineDraining) {
-			o.c.spotRisk.RecordUptime(autoscalingInterval)
+			s.spotRisk.RecordUptime(elapsed)
 		}
 	}
 }
 
 // recordSpotReclaimed counts a spot machine that the cloud took.
-func (o *owner) recordSpotReclaimed(m *inventory.Machine) {
+func (s *Scheduler) RecordSpotReclaimed(m *inventory.Machine) {
 	if m.Spot && !m.SpotReclaimed {
 		m.SpotReclaimed = true
-		o.c.spotRisk.RecordLoss()
+		s.spotRisk.RecordLoss()
 	}
 }
 
 // minOnDemandTasks tells how many tasks of a gang must not be on spot machines. A gang that waits
 // for long takes as many spot machines as make good progress.
-func (o *owner) minOnDemandTasks(j *inventory.Job) int {
+func (s *Scheduler) MinOnDemandTasks(j *inventory.Job) int {
 	if !j.Spot {
 		return j.Tasks
 	}
-	catalog := o.c.catalog()
+	catalog := s.host.Catalog()
 	mix := autoscaler.GangMix{
 		Tasks:         j.Tasks,
 		SpotPrice:     catalog.LowestPrice(j.Job, true),
 		OnDemandPrice: catalog.LowestPrice(j.Job, false),
-		Estimate:      o.estimatedRunTime(j),
+		Estimate:      s.EstimatedRunTime(j),
 		Checkpoint:    j.CheckpointInterval,
 		Recovery:      catalog.BootTime(j.Job),
-		LossPerSecond: o.c.spotRisk.PerSecond(o.c.cfg.Tuning.SpotLossesPerHour),
-		MaxSpot:       o.waitsTooLong(j),
+		LossPerSecond: s.spotRisk.PerSecond(s.settings.Tuning.SpotLossesPerHour),
+		MaxSpot:       s.waitsTooLong(j),
 	}
 	return mix.OnDemandTasks()
 }
 
 // dependsOnMachineType tells that a class of jobs fits one machine type only.
-func (o *owner) dependsOnMachineType(j *inventory.Job) bool { return o.classes.SingleType(j.Class) }
+func (s *Scheduler) dependsOnMachineType(j *inventory.Job) bool { return s.classes.SingleType(j.Class) }
 
 // hasNoDependentTasks tells that no job which depends on the machine's type has tasks on it.
-func (o *owner) hasNoDependentTasks(m *inventory.Machine) bool {
+func (s *Scheduler) HasNoDependentTasks(m *inventory.Machine) bool {
 	for _, a := range m.Attempts {
-		if !a.ResourcesReleased && o.dependsOnMachineType(a.Job) {
+		if !a.ResourcesReleased && s.dependsOnMachineType(a.Job) {
 			return false
 		}
 	}
@@ -72,8 +72,8 @@
 // addSlack adds to the view what gangs leave on the machines that they use: the part that
 // no other task of theirs could use is paid for in any case, so short work goes there
 // first, and it never stands in a gang's way.
-func (o *owner) addSlack(view []*sched.Machine) []*sched.Machine {
-	needs := o.classes.LargestSingleTypeNeeds(o.c.now)
+func (s *Scheduler) addSlack(view []*sched.Machine) []*sched.Machine {
+	needs := s.classes.LargestSingleTypeNeeds(s.host.Now())
 	if len(needs) == 0 {
 		return view
 	}
@@ -82,7 +82,7 @@
 		if !ok || !v.Scarce || v.Slots <= 0 || v.Free.CPU <= 0 {
 			continue
 		}
-		left, ok := o.slackLeft(o.Machines[v.Name], v, need)
+		left, ok := s.slackLeft(s.inventory.Machines[v.Name], v, need)
 		if !ok {
 			continue
 		}
@@ -93,13 +93,13 @@
 
 // slackLeft is what gangs that need so much for a task leave of a machine that they use, as
 // far as it is free, and whether there is any.
-func (o *owner) slackLeft(m *inventory.Machine, v *sched.Machine, need sched.Resources) (sched.Resources, bool) {
+func (s *Scheduler) slackLeft(m *inventory.Machine, v *sched.Machine, need sched.Resources) (sched.Resources, bool) {
 	left := m.Slack(need)
-	if left.CPU <= 0 || o.hasNoDependentTasks(m) || o.isReserved(v.Name) {
+	if left.CPU <= 0 || s.HasNoDependentTasks(m) || s.IsReserved(v.Name) {
 		return sched.Resources{}, false
 	}
 	for _, a := range m.Attempts {
-		if !a.ResourcesReleased && !o.dependsOnMachineType(a.Job) {
+		if !a.ResourcesReleased && !s.dependsOnMachineType(a.Job) {
 			left = left.Sub(a.Job.Need)
 		}
 	}
