--- a/internal/scheduler/assume.go
+++ b/internal/scheduler/assume.go
@@ -4,36 +4,36 @@
 	"math"
 
 	"tamarindlead/internal/inventory"
-
 	"tamarindlead/sched"
 )
 
-// assume gives tasks their places, which take effect once they are recorded.
-func (s *Scheduler) assume(j *inventory.Job, got []sched.Assignment) {
-	if len(got) == 0 {
+// assume adds attempts for assignments, which take effect once they are recorded.
+func (s *Scheduler) assume(j *inventory.Job, assignments []sched.Assignment) {
+	if len(assignments) == 0 {
 		return
 	}
 	number := s.host.NextNumber()
 	if j.Gang {
 		s.inventory.SetGangState(j, inventory.GangPlacing)
 	}
-	for _, as := range got {
-		m := s.inventory.Machines[as.Machine.Name]
-		for n := 0; n < as.Count; n++ {
+	for _, assignment := range assignments {
+		m, v := s.inventory.Machines[assignment.Machine.Name], assignment.Machine
+		for range assignment.Count {
 			for j.TaskState(j.FirstPending) != inventory.TaskPending {
 				j.FirstPending++
 			}
 			s.inventory.AddAttempt(j, j.FirstPending, number, m, inventory.AttemptAssumed)
 		}
 		s.host.EntryChanged(m)
-		as.Machine.Free = as.Machine.Free.Sub(j.Need.Times(as.Count))
-		as.Machine.Slots -= as.Count
-		as.Machine.Idle = false
-		as.Machine.Images = m.CachedImages
+		v.Free = v.Free.Sub(j.Need.Times(assignment.Count))
+		v.Slots -= assignment.Count
+		v.Idle = false
+		v.Images = m.CachedImages
 	}
 }
 
-// handleAttemptRecorded handles a proposed attempt whose record was written.
+// HandleAttemptRecorded handles an assumed attempt whose record was written: it may be started, a
+// gang's once all attempts of the gang are recorded.
 func (s *Scheduler) HandleAttemptRecorded(a *inventory.Attempt) {
 	if a.State != inventory.AttemptAssumed {
 		return
@@ -46,19 +46,28 @@
 		s.inventory.StopAttempt(a, 0, "job is over")
 		return
 	}
-	if !j.Gang || j.GangState != inventory.GangPlacing {
-		return
+	if j.Gang && j.GangState == inventory.GangPlacing && !hasAssumedAttempts(j) {
+		s.startGang(j)
 	}
-	for _, b := range j.Attempts {
-		if b.State == inventory.AttemptAssumed {
-			return
+}
+
+// hasAssumedAttempts reports whether attempts of a job are not recorded yet.
+func hasAssumedAttempts(j *inventory.Job) bool {
+	for _, a := range j.Attempts {
+		if a.State == inventory.AttemptAssumed {
+			return true
 		}
 	}
+	return false
+}
+
+// startGang starts a gang, all attempts of which are recorded.
+func (s *Scheduler) startGang(j *inventory.Job) {
 	s.inventory.SetGangState(j, inventory.GangStarting)
 	j.EverPlaced = true
-	s.log.Info("gang placed", "job", j.ID, "class", j.Class, "tasks", j.Tasks, "ordinary", j.MinOnDemandTasks,
+	s.log.Info("gang placed", "job", j.ID, "class", j.Class, "tasks", j.Tasks, "min_on_demand", j.MinOnDemandTasks,
 		"since_accepted_s", math.Round((s.host.WallClock() - j.ReadyAt).Seconds()))
-	for _, b := range j.Attempts {
-		s.host.CommandsNeeded(b.Machine)
+	for _, a := range j.Attempts {
+		s.host.CommandsNeeded(a.Machine)
 	}
 }
--- a/internal/scheduler/gang_candidates.go
+++ b/internal/scheduler/gang_candidates.go
@@ -4,72 +4,87 @@
 	"cmp"
 	"slices"
 
+	"tamarindlead/internal/autoscaler"
 	"tamarindlead/internal/inventory"
 	"tamarindlead/internal/ordered"
-
-	"tamarindlead/internal/autoscaler"
 	"tamarindlead/micros"
 	"tamarindlead/sched"
 )
 
-// reserveForGangs reserves machines from other work: for each gang that waits as many as it
-// needs, those with room first, then those that will have it the soonest; and what is to
-// be ready for gangs to come. Only types that the gang depends on are reserved, but for a gang
-// that starves; without that, small tasks would fill every gap first.
+// gangOvertakingLimit is how long a gang waits before later gangs may no longer overtake it.
+const gangOvertakingLimit = 40 * micros.Second
+
+// waitsTooLong reports whether a gang has waited for so long that later ones may not overtake it.
+func waitsTooLong(j *inventory.Job, wallClock micros.Micros) bool {
+	return wallClock-j.ReadyAt > gangOvertakingLimit
+}
+
+// reserveForGangs reserves machines of the view from other work: for each waiting gang as many as it
+// needs, those with free resources first, then those that will have them the soonest; and the warm
+// pool for gangs to come. Without that, small tasks would fill every gap first. Only machine types
+// that a gang depends on are reserved, except for a starving gang.
 func (s *Scheduler) reserveForGangs(view []*sched.Machine) {
-	ready := autoscaler.NewWarmPool(s.host.Now(), s.classes, s.settings.SLOs, s.host.Catalog())
-	short := false
+	now := s.host.Now()
+	warmPool := autoscaler.NewWarmPool(now, s.classes, s.settings.SLOs, s.host.Catalog())
+	insufficient := false
 	for _, j := range s.schedulingOrder() {
-		if !j.Gang || j.State != inventory.JobActive || j.GangState != inventory.GangNone || s.reservations[j.ID] != nil || s.host.Now() < j.BackoffUntil {
+		if !j.Gang || j.State != inventory.JobActive || j.GangState != inventory.GangNone || s.reservations[j.ID] != nil || now < j.BackoffUntil {
 			continue
 		}
-		// Of the gangs that the machines there are do not suffice for, only the first reserves
-		// what there is: it waits for machines that boot. What the others reserved would stand
-		// idle while smaller gangs wait.
-		short = !s.reserveForGang(j, view, short) || short
+		// Of the gangs for which the machines do not suffice, only the first reserves what there
+		// is, and waits for machines that boot. What others reserved would be idle while smaller
+		// gangs wait.
+		insufficient = !s.reserveForGang(j, view, insufficient) || insufficient
 	}
-	if ready.Empty() {
+	if warmPool.Empty() {
 		return
 	}
 	for _, v := range view {
-		if m := s.inventory.Machines[v.Name]; !v.ReservedForGangs && v.Scarce && s.HasNoDependentTasks(m) && ready.Claim(m.Offer(), s.machines.Size(m).Sub(m.Used)) {
+		if v.ReservedForGangs || !v.Scarce {
+			continue
+		}
+		m := s.inventory.Machines[v.Name]
+		if s.HasNoDependentTasks(m) && warmPool.Claim(m.Offer(), s.machines.Size(m).Sub(m.Used)) {
 			v.ReservedForGangs = true
 		}
 	}
 }
 
-// gangCandidate is a machine that may be reserved for a gang.
-type gangCandidate struct {
-	view        *sched.Machine
-	taskSlots   int           // how many of the gang's tasks
-	availableIn micros.Micros // until there is room
-}
-
-// reserveForGang reserves machines for a gang and tells whether they will do. With complete,
-// it reserves none unless they do.
-func (s *Scheduler) reserveForGang(j *inventory.Job, view []*sched.Machine, complete bool) bool {
-	starves := s.isStarving(j)
-	candidates := candidatesOfBestZone(s.gangCandidates(j, view, starves))
+// reserveForGang reserves machines of the view for a gang and reports whether they suffice. With
+// completeOnly, it reserves none unless they do.
+func (s *Scheduler) reserveForGang(j *inventory.Job, view []*sched.Machine, completeOnly bool) bool {
+	wallClock := s.host.WallClock()
+	starving := s.isStarving(j, wallClock)
+	candidates := candidatesOfBestZone(s.gangCandidates(j, view, starving))
 	chosen, tasks := chooseCandidates(j, candidates)
-	if complete && tasks < j.Tasks {
+	if completeOnly && tasks < j.Tasks {
 		return false
 	}
+	exclusive := starving || waitsTooLong(j, wallClock)
 	for _, v := range chosen {
 		v.ReservedForGangs = true
-		if starves || s.waitsTooLong(j) {
+		if exclusive {
 			v.ReservedForJob = j.ID
 		}
 	}
 	return tasks >= j.Tasks
 }
 
-// gangCandidates lists the machines that a gang may have: by zone, if it must be in one.
-func (s *Scheduler) gangCandidates(j *inventory.Job, view []*sched.Machine, starves bool) map[string][]gangCandidate {
+// gangCandidate is a machine that may be reserved for a gang.
+type gangCandidate struct {
+	view        *sched.Machine
+	taskSlots   int           // tasks of the gang that fit on the machine
+	availableIn micros.Micros // time until its resources are free
+}
+
+// gangCandidates returns the machines that may be reserved for a gang, by zone if all its tasks must
+// be in one zone.
+func (s *Scheduler) gangCandidates(j *inventory.Job, view []*sched.Machine, starving bool) map[string][]gangCandidate {
 	byZone := map[string][]gangCandidate{}
 	for _, v := range view {
 		m := s.inventory.Machines[v.Name]
-		if v.Slack || v.ReservedForGangs || !v.Scarce && !starves || !j.Allows(v.Type, v.Zone, v.Spot) || s.IsReserved(v.Name) {
-			continue // what a hold reserves is spoken for
+		if v.Slack || v.ReservedForGangs || !v.Scarce && !starving || !j.Allows(v.Type, v.Zone, v.Spot) || s.IsReserved(v.Name) {
+			continue
 		}
 		fits := j.Need.Count(m.Size, j.Tasks)
 		if fits == 0 {
@@ -88,13 +103,13 @@
 	return byZone
 }
 
-// candidatesOfBestZone returns the candidates of the zone that has room for the most tasks
-// now, those with the shortest wait first.
+// candidatesOfBestZone returns the candidates of the zone that has room for the most tasks now,
+// those with the shortest wait first.
 func candidatesOfBestZone(byZone map[string][]gangCandidate) []gangCandidate {
 	best, most := "", -1
 	for _, zone := range ordered.Keys(byZone) {
-		if room := availableTaskSlots(byZone[zone]); room > most {
-			best, most = zone, room
+		if slots := availableTaskSlots(byZone[zone]); slots > most {
+			best, most = zone, slots
 		}
 	}
 	list := byZone[best]
@@ -102,7 +117,7 @@
 	return list
 }
 
-// availableTaskSlots counts the tasks that candidates have room for without a wait.
+// availableTaskSlots returns how many tasks fit on the candidates without a wait.
 func availableTaskSlots(candidates []gangCandidate) int {
 	tasks := 0
 	for _, c := range candidates {
@@ -113,8 +128,8 @@
 	return tasks
 }
 
-// chooseCandidates takes candidates in their order until all tasks of a gang have a place,
-// and tells for how many that is the case.
+// chooseCandidates chooses candidates in their order until all tasks of a gang fit, and returns how
+// many do.
 func chooseCandidates(j *inventory.Job, candidates []gangCandidate) (chosen []*sched.Machine, tasks int) {
 	spotLeft := j.Tasks - j.MinOnDemandTasks
 	inZone := map[string]int{}
@@ -124,11 +139,11 @@
 		}
 		fits := min(c.taskSlots, j.ZoneCap()-inZone[c.view.Zone])
 		if fits <= 0 {
-			continue // no zone may hold more of the gang
+			continue // a zone must not hold more tasks of the gang
 		}
 		if c.view.Spot {
 			if spotLeft <= 0 {
-				continue // more of them than the gang may use would stand idle
+				continue // more spot machines than the gang may use would be idle
 			}
 			spotLeft -= fits
 		}
--- a/internal/scheduler/pass.go
+++ b/internal/scheduler/pass.go
@@ -1,85 +1,101 @@
 package scheduler
 
 import (
-	"cmp"
-	"slices"
 	"strings"
 
 	"tamarindlead/internal/inventory"
-
 	"tamarindlead/micros"
 	"tamarindlead/sched"
 )
 
 // Bounds of one scheduling pass.
 const (
-	// MinPassInterval is the least time between two passes.
+	// MinPassInterval is the minimum time between two passes.
 	MinPassInterval = 100 * micros.Millisecond
-	// jobsPerPass is the number of jobs for which places are looked for in one pass.
-	jobsPerPass = 200
-	// maxAssumed is the number of attempts that may wait for their record.
+	// maxJobsPerPass is how many jobs a pass tries to place.
+	maxJobsPerPass = 200
+	// maxAssumed is how many attempts may wait for their record.
 	maxAssumed = 1000
-	// minAssumedJobs is the number of jobs that may have such attempts, however few guards
-	// a commit takes.
+	// minAssumedJobs is how many jobs may have such attempts, however few preconditions a
+	// transaction takes.
 	minAssumedJobs = 24
 )
 
-// schedule proposes places for waiting tasks. A proposal takes effect only when the
-// machine's record has been written with it.
+// Parameters for arrays of which nothing has run for long.
+const (
+	// starvingBatchDivisor is the divisor of the pending tasks of a starving array that are placed
+	// at a time.
+	starvingBatchDivisor = 8
+	// maxArrayIdleTime is how long an array has no task running before it may use machines that are
+	// reserved for gangs, and quota too, as long as its team is below its limit.
+	maxArrayIdleTime = 60 * micros.Second
+)
+
+// pass is one pass over the jobs in scheduling order.
+type pass struct {
+	scheduler         *Scheduler
+	view              []*sched.Machine
+	reservedQuotas    quotaReservations
+	examinedJobs      int            // jobs that the pass tried to place
+	unplaceableShapes map[shape]bool // shapes of tasks that no machine has room for
+}
+
+// Schedule places pending tasks. A placement takes effect only once the machine's record has been
+// written with it.
 func (s *Scheduler) Schedule() {
-	if !s.inventory.SchedulingNeeded || s.host.Committing() || s.host.Now() < s.nextPass || s.inventory.Assumed >= maxAssumed {
+	now := s.host.Now()
+	if !s.inventory.SchedulingNeeded || s.host.Committing() || now < s.nextPass || s.inventory.Assumed >= maxAssumed {
 		return
 	}
-	s.inventory.SchedulingNeeded, s.nextPass = false, s.host.Now()+MinPassInterval
-	pass := &schedulingPass{scheduler: s, view: s.placementView(), reservedQuotas: quotaReservations{}, unplaceableShapes: map[shape]bool{}}
+	s.inventory.SchedulingNeeded, s.nextPass = false, now+MinPassInterval
+	p := &pass{
+		scheduler:         s,
+		view:              s.placementView(),
+		reservedQuotas:    quotaReservations{},
+		unplaceableShapes: map[shape]bool{},
+	}
 	for _, j := range s.schedulingOrder() {
-		if pass.isExhausted() {
+		if p.exhausted() {
 			return
 		}
-		pass.place(j)
+		p.place(j)
 	}
 }
 
-// schedulingPass is one pass over the jobs in the order in which they are placed.
-type schedulingPass struct {
-	scheduler         *Scheduler
-	view              []*sched.Machine
-	reservedQuotas    quotaReservations
-	examinedJobs      int            // jobs for which places were looked for
-	unplaceableShapes map[shape]bool // kinds of tasks for which there is no place left
-}
-
-// isExhausted tells whether the pass has done as much as one may: the guards of a commit are bounded.
-func (p *schedulingPass) isExhausted() bool {
-	return p.examinedJobs >= jobsPerPass || p.scheduler.inventory.AssumedJobs >= max(2*p.scheduler.settings.MaxTransactionOps, minAssumedJobs)
+// exhausted reports whether the pass has reached its bounds: the preconditions of a transaction are
+// limited.
+func (p *pass) exhausted() bool {
+	maxJobs := max(2*p.scheduler.settings.MaxTransactionOps, minAssumedJobs)
+	return p.examinedJobs >= maxJobsPerPass || p.scheduler.inventory.AssumedJobs >= maxJobs
 }
 
-// place looks for places for the waiting tasks of a job.
-func (p *schedulingPass) place(j *inventory.Job) {
+// place places pending tasks of a job, as far as its quota and the machines have room.
+func (p *pass) place(j *inventory.Job) {
 	s := p.scheduler
 	if !s.schedulable(j) {
 		return
 	}
-	want, leftOut := p.allowance(j)
-	if want == 0 {
+	tasks, idle := p.allowance(j)
+	if tasks == 0 {
 		return
 	}
-	// Room only shrinks during a pass, so tasks alike to some that found no place find none.
-	plain := !j.Gang && !j.OneZone && !j.Spread && s.reservations[j.ID] == nil
+	// Resources only shrink during a pass: a shape for which no place was found finds none later.
+	reservation := s.reservations[j.ID]
+	plain := !j.Gang && !j.OneZone && !j.Spread && reservation == nil
 	if plain && p.unplaceableShapes[shapeOf(j)] {
 		return
 	}
 	p.examinedJobs++
-	if !j.Gang && (leftOut || s.isStarving(j)) {
-		want = min(want, starvingBatchSize(j)) // it must begin; the rest waits its turn
+	if !j.Gang && (idle || s.isStarving(j, s.host.WallClock())) {
+		tasks = min(tasks, starvingBatchSize(j)) // enough to start; the rest is placed in later passes
 	}
-	if h := s.reservations[j.ID]; h != nil {
-		p.placeReserved(j, h, want)
+	if reservation != nil {
+		p.placeReserved(j, reservation, tasks)
 		return
 	}
-	assignments := sched.Place(j.Job, p.view, want, j.TasksByZone())
+	assignments := sched.Place(j.Job, p.view, tasks, j.TasksByZone())
 	if len(assignments) == 0 && s.isIdleTooLong(j) {
-		assignments = placeOnReserved(j, p.view, min(want, starvingBatchSize(j)))
+		assignments = placeOnReserved(j, p.view, min(tasks, starvingBatchSize(j)))
 	}
 	if len(assignments) == 0 {
 		p.unplaceableShapes[shapeOf(j)] = plain
@@ -89,7 +105,7 @@
 	p.assume(j, assignments)
 }
 
-// schedulable tells whether places may be looked for now for tasks of a job.
+// schedulable reports whether tasks of a job may be placed now.
 func (s *Scheduler) schedulable(j *inventory.Job) bool {
 	if j.State != inventory.JobActive || j.Pending == 0 || j.RecordStale || s.host.Now() < j.BackoffUntil {
 		return false
@@ -97,47 +113,46 @@
 	return !j.Gang || j.GangState == inventory.GangNone
 }
 
-// allowance returns how many tasks of a job its team's limit has room for now, 0 for a gang
-// that does not fit whole, and whether the job takes what is kept for others since nothing
-// of it has run for long.
-func (p *schedulingPass) allowance(j *inventory.Job) (want int, leftOut bool) {
-	want = p.scheduler.QuotaHeadroom(j, p.scheduler.reservedQuota(p.reservedQuotas, j))
-	if j.Gang && want < j.Tasks {
-		p.reserveQuota(j)
+// allowance returns how many tasks of a job its team's quota limit has room for, 0 for a gang that
+// does not fit as a whole. idle is set if nothing of the job has run for so long that it may use
+// quota that is reserved for gangs.
+func (p *pass) allowance(j *inventory.Job) (tasks int, idle bool) {
+	s := p.scheduler
+	tasks = s.QuotaHeadroom(j, s.reservedQuota(p.reservedQuotas, j))
+	if j.Gang && tasks < j.Tasks {
+		p.reservedQuotas.add(j)
 		return 0, false
 	}
-	if want == 0 && p.scheduler.isIdleTooLong(j) {
-		return p.scheduler.QuotaHeadroom(j, sched.Resources{}), true
+	if tasks == 0 && s.isIdleTooLong(j) {
+		return s.QuotaHeadroom(j, sched.Resources{}), true
 	}
-	return want, false
-}
-
-// reserveQuota keeps a part of its team's limit for a gang that waits.
-func (p *schedulingPass) reserveQuota(gang *inventory.Job) {
-	p.reservedQuotas[gang.Team] = append(p.reservedQuotas[gang.Team], gang)
+	return tasks, false
 }
 
-// placeReserved places a gang on the machines that are held for it, once their room is free.
-func (p *schedulingPass) placeReserved(j *inventory.Job, h *reservation, want int) {
-	if h.state == reservationReady {
-		p.assume(j, sched.Place(j.Job, p.scheduler.reservedView(h, p.view), want, nil))
+// placeReserved places a gang on the machines that are reserved for it, once their resources are
+// free.
+func (p *pass) placeReserved(j *inventory.Job, r *reservation, tasks int) {
+	if r.state == reservationReady {
+		p.assume(j, sched.Place(j.Job, r.view(p.view), tasks, nil))
 	}
 }
 
-// handleNoPlacement makes room for a gang, or reserves machines for it.
-func (p *schedulingPass) handleNoPlacement(j *inventory.Job) {
-	if j.Gang { // when its machines come, it must be within the limit
-		p.reserveQuota(j)
+// handleNoPlacement preempts tasks for a gang that found no place, or leaves a machine to it.
+func (p *pass) handleNoPlacement(j *inventory.Job) {
+	s := p.scheduler
+	if j.Gang { // once its machines are free, it must be within its team's limit
+		p.reservedQuotas.add(j)
 	}
-	if p.scheduler.preempt(j) {
-		p.view = p.scheduler.placementView() // without what is held now
+	if s.preempt(j) {
+		p.view = s.placementView() // without what the new reservation holds
 		clear(p.unplaceableShapes)
 		return
 	}
-	p.view = p.scheduler.reserveSoonestFree(j, p.view)
+	p.view = s.withoutSoonestFree(j, p.view)
 }
 
-func (p *schedulingPass) assume(j *inventory.Job, assignments []sched.Assignment) {
+// assume assigns tasks to machines and updates the view.
+func (p *pass) assume(j *inventory.Job, assignments []sched.Assignment) {
 	p.scheduler.assume(j, assignments)
 	p.scheduler.limitSlots(p.view, assignments)
 }
@@ -152,119 +167,40 @@
 
 // shapeOf returns the shape of the job's tasks.
 func shapeOf(j *inventory.Job) shape {
-	s := shape{j.Need, j.Zone, j.Spot, "any"}
+	tasks := shape{need: j.Need, zone: j.Zone, spot: j.Spot, types: "any"}
 	if j.Types != nil {
-		s.types = "of " + strings.Join(j.Types, " ")
+		tasks.types = "of " + strings.Join(j.Types, " ")
 	}
-	return s
+	return tasks
 }
 
-// quotaReservations are gangs that wait, for their teams' limits or for machines. What comes free of a
-// limit must not go to work that comes later, a task at a time: the gang would wait for all of
-// it.
-type quotaReservations map[string][]*inventory.Job
-
-// reservedQuota is what of its team's limit is kept from a job: for gangs of higher priority, and
-// for all that have waited for long.
-func (s *Scheduler) reservedQuota(k quotaReservations, j *inventory.Job) sched.Resources {
-	var sum sched.Resources
-	for _, g := range k[j.Team] {
-		if g.Priority > j.Priority || s.waitsTooLong(g) {
-			sum = sum.Add(g.Need.Times(g.Tasks))
-		}
-	}
-	return sum
-}
-
-// starvingBatchDivisor is the divisor by which an array that starves is placed: one such part at a time.
-const starvingBatchDivisor = 8
-
-// starvingBatchSize is how many tasks of an array that starves are placed at a time.
+// starvingBatchSize returns how many tasks of a starving array are placed at a time.
 func starvingBatchSize(j *inventory.Job) int { return max(1, j.Pending/starvingBatchDivisor) }
 
-// maxArrayIdleTime is how long nothing of an array runs before it takes some of what is kept for
-// gangs: it must not wait for long while there is room and its team is under its limit.
-const maxArrayIdleTime = 60 * micros.Second
-
-// isIdleTooLong tells whether nothing of an array has run for long.
+// isIdleTooLong reports whether nothing of an array has run for long.
 func (s *Scheduler) isIdleTooLong(j *inventory.Job) bool {
 	return !j.Gang && len(j.Attempts) == 0 && s.host.Now()-j.IdleSince > maxArrayIdleTime
 }
 
-// placeOnReserved looks for places also on machines that are kept for gangs, though not on
-// those kept for one that starves.
-func placeOnReserved(j *inventory.Job, view []*sched.Machine, want int) []sched.Assignment {
-	var kept []*sched.Machine
+// placeOnReserved places tasks also on machines that are reserved for gangs in general, though not
+// on those reserved for one job that has waited for too long.
+func placeOnReserved(j *inventory.Job, view []*sched.Machine, tasks int) []sched.Assignment {
+	var reserved []*sched.Machine
 	for _, m := range view {
 		if m.ReservedForGangs {
-			kept, m.ReservedForGangs = append(kept, m), false
+			reserved, m.ReservedForGangs = append(reserved, m), false
 		}
 	}
-	got := sched.Place(j.Job, view, want, j.TasksByZone())
-	for _, m := range kept {
+	assignments := sched.Place(j.Job, view, tasks, j.TasksByZone())
+	for _, m := range reserved {
 		m.ReservedForGangs = true
 	}
-	return got
-}
-
-// isStarving tells that a job has waited for long and not begun.
-func (s *Scheduler) isStarving(j *inventory.Job) bool {
-	return !j.EverPlaced && j.State == inventory.JobActive && s.host.WallClock()-j.ReadyAt > s.settings.Tuning.StarvationTimeout
-}
-
-// schedulingOrder lists the jobs in the order in which they are placed. Those that starve come first,
-// whatever their priority, so that under lasting overload every job begins; then, of equal
-// priority, those that their teams' guarantees cover, which need not wait for other teams;
-// then those in pipelines whose deadlines press; then who came first.
-func (s *Scheduler) schedulingOrder() []*inventory.Job {
-	covered := s.JobsWithinGuarantee()
-	list := slices.Clone(s.inventory.Queue)
-	slices.SortStableFunc(list, func(a, b *inventory.Job) int {
-		x, y := s.isStarving(a), s.isStarving(b)
-		switch {
-		case x != y:
-			return compareTrueFirst(x)
-		case x:
-			return cmp.Compare(a.ReadyAt, b.ReadyAt)
-		case a.Priority == b.Priority && covered[a] != covered[b]:
-			return compareTrueFirst(covered[a])
-		case a.Priority == b.Priority:
-			return cmp.Or(s.compareUrgency(a, b), inventory.CompareQueueOrder(a, b))
-		}
-		return inventory.CompareQueueOrder(a, b)
-	})
-	return list
-}
-
-// compareTrueFirst orders what has something before what has not.
-func compareTrueFirst(has bool) int {
-	if has {
-		return -1
-	}
-	return 1
-}
-
-// quotaHeadroom tells how many tasks of a job its team's limit leaves room for, less what is
-// kept for others.
-func (s *Scheduler) QuotaHeadroom(j *inventory.Job, kept sched.Resources) int {
-	t := s.inventory.Teams[j.Team]
-	if t == nil {
-		return 0
-	}
-	free := t.QuotaLimit.Sub(t.Used).Sub(kept)
-	if t.QuotaLimit.CPU == 0 {
-		free.CPU = 1 << 60
-	}
-	if t.QuotaLimit.GPU == 0 {
-		free.GPU = 1 << 60
-	}
-	free.Mem = 1 << 60
-	return j.Need.Count(free, j.Pending)
+	return assignments
 }
 
-// reserveSoonestFree keeps the machine that will have room for a waiting gang the soonest free
-// of jobs that come after it; without that, small tasks would fill every gap first.
-func (s *Scheduler) reserveSoonestFree(j *inventory.Job, view []*sched.Machine) []*sched.Machine {
+// withoutSoonestFree removes from the view the machine that will have room for a waiting gang the
+// soonest: otherwise small tasks of later jobs would fill every gap first.
+func (s *Scheduler) withoutSoonestFree(j *inventory.Job, view []*sched.Machine) []*sched.Machine {
 	if !j.Gang || s.dependsOnMachineType(j) {
 		return view // see reserveForGangs
 	}
--- a/internal/scheduler/preemption.go
+++ b/internal/scheduler/preemption.go
@@ -1,127 +1,102 @@
 package scheduler
 
 import (
-	"cmp"
-	"slices"
-
-	"tamarindlead/internal/inventory"
-	"tamarindlead/internal/ordered"
-
 	"tamarindlead/config"
+	"tamarindlead/internal/inventory"
 	"tamarindlead/internal/kv"
 	"tamarindlead/internal/record"
 	"tamarindlead/micros"
 	"tamarindlead/sched"
 )
 
-// This file looks for work to stop for gangs that find no room.
-
 const (
-	// MinRemainingForPreemption is the remaining time below which a task is not stopped but waited for: a
-	// stop would not be faster.
-	MinRemainingForPreemption = 3 * micros.Second
-	// maxBootTimeToWait is the boot time left for which nothing is stopped.
+	// maxBootTimeToWait is the remaining boot time of a machine up to which nothing is preempted.
 	maxBootTimeToWait = 12 * micros.Second
-	// preemptionRetryDelay is the pause after no room was found.
+	// preemptionRetryDelay is the pause after no preemption plan was found.
 	preemptionRetryDelay = 4 * micros.Second
 )
 
-// preempt looks for work to stop for a gang that does not fit, and holds the machines.
+// preempt plans preemption for a gang that found no place and reserves the machines for it. It
+// reports whether it did.
 func (s *Scheduler) preempt(j *inventory.Job) bool {
-	if !j.Gang || s.host.Now() < j.NextPreemptionAt || s.scaleOutSuffices(j) || s.capacityComesSoon(j) {
+	now := s.host.Now()
+	if !j.Gang || now < j.NextPreemptionAt || s.scaleOutSuffices(j) || s.machinesBootSoon(j) {
 		return false
 	}
 	covered := s.JobsWithinGuarantee()
 	plan := s.planPreemption(j, covered)
 	if plan == nil {
-		j.NextPreemptionAt = s.host.Now() + preemptionRetryDelay
+		j.NextPreemptionAt = now + preemptionRetryDelay
 		s.host.RequestMachines(j.Job, j.Tasks, covered[j])
 		return false
 	}
-	h := newReservation(j, plan)
-	if kv.EncodedSizeBound(record.Reservation{Machines: h.machines}) > s.settings.MaxValueBytes {
-		j.NextPreemptionAt = s.host.Now() + preemptionRetryDelay
-		return false // it could never be recorded
+	r := newReservation(j, plan)
+	if kv.EncodedSizeBound(record.Reservation{Machines: r.machines}) > s.settings.MaxValueBytes {
+		j.NextPreemptionAt = now + preemptionRetryDelay
+		return false // its record would never be accepted
 	}
-	s.reservations[j.ID] = h
+	s.reservations[j.ID] = r
 	s.logPreemptionPlan(j, plan)
 	return true
 }
 
-// planPreemption looks for work to stop: of the gang's own team, else of teams that use more than
-// their guarantees if the gang is covered by its team's.
-func (s *Scheduler) planPreemption(j *inventory.Job, covered map[*inventory.Job]bool) *sched.PreemptionPlan {
-	machines := s.preemptionView()
-	plan := s.preemptionPlan(j.Job, machines, sched.Preempt, covered)
-	if plan == nil && covered[j] {
-		plan = s.preemptionPlan(j.Job, machines, sched.Reclaim, covered)
-	}
-	return plan
-}
-
-// newReservation returns a hold for the places of a plan, not recorded yet.
+// newReservation returns a reservation for the placement of a plan, which must be recorded.
 func newReservation(j *inventory.Job, plan *sched.PreemptionPlan) *reservation {
-	h := &reservation{job: j.ID, machines: map[string]int{}, need: j.Need, victims: plan.Victims}
+	r := &reservation{job: j.ID, machines: map[string]int{}, need: j.Need, victims: plan.Victims}
 	for _, a := range plan.Placement {
-		h.machines[a.Machine.Name] = a.Count
+		r.machines[a.Machine.Name] = a.Count
 	}
-	return h
+	return r
 }
 
+// logPreemptionPlan logs a preemption plan and its victims.
 func (s *Scheduler) logPreemptionPlan(j *inventory.Job, plan *sched.PreemptionPlan) {
 	stops := 0
 	for _, b := range plan.Victims {
 		stops += len(b.Tasks)
-		s.log.Info("victim", "job", b.Victim.Job, "team", b.Victim.Team, "safe", b.Safe, "tasks", len(b.Tasks), "for", j.ID)
+		s.log.Info("preemption victim", "job", b.Victim.Job, "team", b.Victim.Team, "safe", b.Safe, "tasks", len(b.Tasks), "for", j.ID)
 	}
-	s.log.Info("making room", "job", j.ID, "class", j.Class, "ground", plan.Mode.String(), "domain", plan.Domain,
+	s.log.Info("preemption planned", "job", j.ID, "class", j.Class, "mode", plan.Mode.String(), "domain", plan.Domain,
 		"machines", len(plan.Placement), "stops", stops)
 }
 
-// preemptionPlan looks for victims on a ground and for the cheapest set of them.
-func (s *Scheduler) preemptionPlan(j *sched.Job, machines []*sched.Machine, mode sched.PreemptionMode, covered map[*inventory.Job]bool) *sched.PreemptionPlan {
+// planPreemption plans which tasks are stopped for a gang: of its own team, or else, if the gang is
+// within its team's guaranteed quota, of teams that use more than theirs. It returns nil if there is
+// no acceptable plan.
+func (s *Scheduler) planPreemption(j *inventory.Job, covered map[*inventory.Job]bool) *sched.PreemptionPlan {
+	machines := s.preemptionView()
+	plan := s.planForMode(j.Job, machines, sched.Preempt, covered)
+	if plan == nil && covered[j] {
+		plan = s.planForMode(j.Job, machines, sched.Reclaim, covered)
+	}
+	return plan
+}
+
+// PlanReclaim plans which tasks of teams that use more than their guaranteed quotas are stopped for
+// a job of another owner. It returns nil if there is no acceptable plan.
+func (s *Scheduler) PlanReclaim(job *sched.Job) *sched.PreemptionPlan {
+	return s.planForMode(job, s.preemptionView(), sched.Reclaim, s.JobsWithinGuarantee())
+}
+
+// planForMode returns the cheapest preemption plan of a mode, or nil.
+func (s *Scheduler) planForMode(j *sched.Job, machines []*sched.Machine, mode sched.PreemptionMode, covered map[*inventory.Job]bool) *sched.PreemptionPlan {
 	victims := s.victims(j, mode, covered)
 	if len(victims) == 0 {
 		return nil
 	}
-	rules := sched.PreemptionRules{Mode: mode, ROIThreshold: s.settings.Tuning.ROIThreshold, Teams: map[string]sched.TeamUsage{}}
+	tuning := &s.settings.Tuning
+	rules := sched.PreemptionRules{Mode: mode, ROIThreshold: tuning.ROIThreshold, Teams: map[string]sched.TeamUsage{}}
 	for name, t := range s.inventory.Teams {
 		rules.Teams[name] = Usage(t)
 	}
-	domains := sched.Domains(j, machines, victims, s.settings.Tuning.MaxDomains)
+	domains := sched.Domains(j, machines, victims, tuning.MaxDomains)
 	return sched.PlanPreemption(j, domains, victims, rules)
 }
 
-// Usage is what a team uses and will go on using: what is being stopped already must
-// not be counted as surplus once more.
-func Usage(t *inventory.Team) sched.TeamUsage {
-	return sched.TeamUsage{Used: t.Used.Sub(t.Stopping), GuaranteedQuota: t.GuaranteedQuota}
-}
-
-// jobsWithinGuarantee finds the jobs that their teams' guarantees cover: each team's earliest
-// unfinished ones, as long as they fit together. By what a team uses at the moment, a gang
-// that was just stopped for another would be covered again and take the room back; two
-// teams would stop each other's gangs in turn (docs/incidents/eyjafold-third-reclaim.md).
-func (s *Scheduler) JobsWithinGuarantee() map[*inventory.Job]bool {
-	list := slices.Clone(s.inventory.Queue)
-	slices.SortStableFunc(list, func(a, b *inventory.Job) int { return cmp.Compare(a.ReadyAt, b.ReadyAt) })
-	covered, sums := map[*inventory.Job]bool{}, map[string]sched.Resources{}
-	for _, j := range list {
-		t := s.inventory.Teams[j.Team]
-		if t == nil || j.State != inventory.JobActive || t.GuaranteedQuota.CPU == 0 && t.GuaranteedQuota.GPU == 0 {
-			continue
-		}
-		sum := sums[j.Team].Add(j.Need.Times(j.Tasks - j.CompletedCount))
-		sums[j.Team] = sum
-		covered[j] = sum.CPU <= t.GuaranteedQuota.CPU && (sum.GPU <= t.GuaranteedQuota.GPU || j.Need.GPU == 0)
-	}
-	return covered
-}
-
-// scaleOutSuffices tells that a machine from the cloud would serve in time (ours): then
-// nothing needs to be stopped.
+// scaleOutSuffices reports whether a machine requested from the cloud now would be ready in time, so
+// that nothing needs to be preempted.
 func (s *Scheduler) scaleOutSuffices(j *inventory.Job) bool {
-	market, left := s.host.Market(), s.startDeadline(j)-(s.host.WallClock()-j.ReadyAt)
+	market, left := s.host.Market(), s.startTarget(j)-(s.host.WallClock()-j.ReadyAt)
 	for _, t := range market.Types {
 		if t.Boot > left || !j.Need.Fits(t.Size) {
 			continue
@@ -135,158 +110,62 @@
 	return false
 }
 
-// startDeadline is how long a gang should wait at the most.
-func (s *Scheduler) startDeadline(j *inventory.Job) micros.Micros {
+// startTarget returns how long a gang may wait until it starts.
+func (s *Scheduler) startTarget(j *inventory.Job) micros.Micros {
 	limit := s.settings.Tuning.ReservationTimeout
-	for _, objective := range s.settings.SLOs {
-		if objective.Kind == config.SLOWaitTime && objective.Class == j.Class {
-			limit = objective.Threshold
+	for _, slo := range s.settings.SLOs {
+		if slo.Kind == config.SLOWaitTime && slo.Class == j.Class {
+			limit = slo.Threshold
 		}
 	}
 	return limit
 }
 
-// capacityComesSoon tells that a machine which boots will serve: one for each gang that waits,
-// in the order of the queue.
-func (s *Scheduler) capacityComesSoon(j *inventory.Job) bool {
+// machinesBootSoon reports whether machines that boot have room for a gang, and for those of its
+// class that precede it in the queue.
+func (s *Scheduler) machinesBootSoon(j *inventory.Job) bool {
 	slots := s.bootingSlots(j)
-	for _, q := range s.inventory.Queue {
-		if q.Gang && q.GangState == inventory.GangNone && q.Class == j.Class && s.reservations[q.ID] == nil {
-			if slots -= q.Tasks; q == j {
-				return slots >= 0
-			}
+	for _, other := range s.inventory.Queue {
+		if !other.Gang || other.GangState != inventory.GangNone || other.Class != j.Class || s.HasReservation(other.ID) {
+			continue
+		}
+		slots -= other.Tasks
+		if other == j {
+			return slots >= 0
 		}
 	}
 	return false
 }
 
-// bootingSlots counts the tasks of a gang that there is room for on machines that will have
-// booted soon.
+// bootingSlots returns how many tasks of a gang fit on machines that will have booted soon.
 func (s *Scheduler) bootingSlots(j *inventory.Job) int {
-	slots := 0
+	slots, wallClock := 0, s.host.WallClock()
 	for _, m := range s.inventory.SortedMachines {
+		if m.State != inventory.MachineBooting {
+			continue
+		}
 		t := s.machines.FindType(m.Type)
-		if m.State != inventory.MachineBooting || t == nil || !j.Allows(m.Type, m.Zone, m.Spot) {
+		if t == nil || !j.Allows(m.Type, m.Zone, m.Spot) {
 			continue
 		}
-		if s.host.WallClock()-m.ProvisionedAt+maxBootTimeToWait > t.Boot {
+		if wallClock-m.ProvisionedAt+maxBootTimeToWait > t.Boot {
 			slots += j.Need.Count(t.Size, j.Tasks)
 		}
 	}
 	return slots
 }
 
-// endsSoon tells that an attempt's room will be free without a stop.
-func (s *Scheduler) endsSoon(a *inventory.Attempt) bool {
-	switch a.State {
-	case inventory.AttemptStopping, inventory.AttemptCompleted, inventory.AttemptRemoving:
-		return true
-	}
-	return a.RunningSince != 0 && !a.Job.Gang && a.Job.Estimate-(s.host.Now()-a.RunningSince) < MinRemainingForPreemption &&
-		s.host.Now()-a.RunningSince < a.Job.Estimate+MinRemainingForPreemption
-}
-
-// preemptionView is the view in which room is sought: what leaves soon is gone already.
+// preemptionView returns the machine view in which the resources of tasks that end soon are free.
 func (s *Scheduler) preemptionView() []*sched.Machine {
-	view := s.machineView()
+	view, now := s.machineView(), s.host.Now()
 	for _, v := range view {
 		for _, a := range s.inventory.Machines[v.Name].Attempts {
-			// What is freed is in the view already: counted twice, it would promise room that
-			// another gang may just have taken, and the hold would wait for it for ever.
-			if !a.ResourcesReleased && s.endsSoon(a) {
+			// Released resources are free in the view already. If they counted twice, a
+			// reservation could wait forever for what another gang has just taken.
+			if !a.ResourcesReleased && endsSoon(a, now) {
 				v.Free = v.Free.Add(a.Job.Need)
 			}
 		}
 	}
 	return view
 }
-
-// victims lists jobs that may be stopped for j.
-func (s *Scheduler) victims(j *sched.Job, mode sched.PreemptionMode, covered map[*inventory.Job]bool) []*sched.Victim {
-	var list []*sched.Victim
-	for _, id := range ordered.Keys(s.inventory.Jobs) {
-		candidate := s.inventory.Jobs[id]
-		if candidate.Job == j || !mayPreemptFor(j, candidate, mode, covered) || s.reservations[id] != nil {
-			continue
-		}
-		if victim := s.describeVictim(candidate); victim.ReadyTasks > 0 {
-			list = append(list, victim)
-		}
-	}
-	return list
-}
-
-// mayPreemptFor tells whether a job may be stopped for j. What another team's guarantee covers is
-// not reclaimed: the part that it runs beyond is its later work.
-func mayPreemptFor(j *sched.Job, candidate *inventory.Job, mode sched.PreemptionMode, covered map[*inventory.Job]bool) bool {
-	if candidate.State != inventory.JobActive || candidate.GangState == inventory.GangStopping || candidate.GangState == inventory.GangPlacing {
-		return false
-	}
-	sameTeam := candidate.Team == j.Team
-	switch mode {
-	case sched.Preempt:
-		return sameTeam && candidate.Priority < j.Priority
-	case sched.Reclaim:
-		return !sameTeam && !covered[candidate]
-	}
-	return true
-}
-
-// describeVictim lists the tasks of a job that may be stopped.
-func (s *Scheduler) describeVictim(j *inventory.Job) *sched.Victim {
-	victim := &sched.Victim{Job: j.ID, Team: j.Team, Priority: j.Priority}
-	if j.Gang {
-		victim.MinTasks = j.Tasks
-	}
-	for _, a := range j.SortedAttempts() {
-		if s.endsSoon(a) || a.State == inventory.AttemptAssumed {
-			continue
-		}
-		victim.ReadyTasks++
-		victim.TotalResources = victim.TotalResources.Add(j.Need)
-		victim.Since = max(victim.Since, a.PlacedAt)
-		victim.Tasks = append(victim.Tasks, sched.VictimTask{
-			Index: a.Index, Machine: a.Machine.Name, Resources: j.Need, Since: a.PlacedAt, LostWork: s.preemptionCost(a),
-		})
-	}
-	return victim
-}
-
-// preemptionCost is what a stop of an attempt undoes: all of its progress, or the time for
-// saving.
-func (s *Scheduler) preemptionCost(a *inventory.Attempt) float64 {
-	lost := a.Job.CheckpointDuration
-	if a.Job.CheckpointInterval == 0 && a.RunningSince != 0 {
-		lost = s.host.Now() - a.RunningSince
-	}
-	return a.Job.Need.CPUs() * lost.Seconds()
-}
-
-// PlanReclaim looks for work of teams above their guarantees to stop for another owner's job.
-func (s *Scheduler) PlanReclaim(job *sched.Job) *sched.PreemptionPlan {
-	return s.preemptionPlan(job, s.preemptionView(), sched.Reclaim, s.JobsWithinGuarantee())
-}
-
-// PreemptionReason is the reason with which work is stopped for a job.
-func PreemptionReason(job string) string { return "room for " + job }
-
-// preemptVictims begins the stops of a hold that is recorded.
-func (s *Scheduler) preemptVictims(h *reservation) {
-	s.EvictVictims(h.victims, PreemptionReason(h.job))
-	h.victims = nil
-}
-
-// stopBundledAttempts begins the stops of a plan, as far as its tasks are still where they were.
-func (s *Scheduler) EvictVictims(bundles []sched.Bundle, why string) {
-	for _, b := range bundles {
-		v := s.inventory.Jobs[b.Victim.Job]
-		if v == nil || v.State != inventory.JobActive {
-			continue
-		}
-		for _, t := range b.Tasks {
-			if a := v.Attempts[t.Index]; a != nil && a.Machine.Name == t.Machine {
-				s.host.Evict(a, why)
-			}
-		}
-	}
-}
--- a/internal/scheduler/preemption_test.go
+++ b/internal/scheduler/preemption_test.go
@@ -68,7 +68,7 @@
 		t.Errorf("%d tasks are to be stopped 2 s before their end", len(list[0].Tasks))
 	}
 	for _, a := range array.SortedAttempts() {
-		if !f.endsSoon(a) {
+		if !endsSoon(a, f.fake.now) {
 			t.Errorf("task %d does not count as ending soon", a.Index)
 		}
 	}
--- a/internal/scheduler/queue_order.go
+++ b/internal/scheduler/queue_order.go
@@ -4,84 +4,122 @@
 	"cmp"
 	"slices"
 
-	"tamarindlead/internal/inventory"
-
 	"tamarindlead/internal/autoscaler"
 	"tamarindlead/internal/dag"
+	"tamarindlead/internal/inventory"
 	"tamarindlead/micros"
 )
 
-// This file is what an owner makes of inherited priorities and deadlines (package jobgraph):
-// the order in which jobs are placed, and how long they may wait.
+const (
+	// urgentSlack is the slack below which a job precedes others of its priority.
+	urgentSlack = 30 * micros.Second
+	// minQueueingDelay is the queueing delay of a job that cannot meet its deadline any more: it is
+	// placed as soon as possible.
+	minQueueingDelay = micros.Second
+)
 
-// inheritPriority has a job take its place in the order by what it inherits.
-func (s *Scheduler) InheritPriority(j *inventory.Job) {
-	inherited, inPipeline := s.host.Inherited(j.ID)
-	priority, mustEnd := max(j.SubmittedPriority, inherited.Priority), micros.Micros(0)
-	if inPipeline { // deadlines count in pipelines only
-		mustEnd = dag.EarlierDeadline(dag.AbsoluteDeadline(j.Accepted, j.Deadline), inherited.LatestFinish)
-	}
-	if priority == j.Priority && mustEnd == j.EffectiveDeadline {
-		return
-	}
-	j.EffectiveDeadline = mustEnd
-	s.inventory.SchedulingNeeded = true
-	if priority == j.Priority {
-		return
-	}
-	s.log.Debug("job inherits", "job", j.ID, "own", j.SubmittedPriority, "priority", priority)
-	at := slices.Index(s.inventory.Queue, j)
-	if at >= 0 {
-		s.inventory.Queue = slices.Delete(s.inventory.Queue, at, at+1)
-	}
-	j.Priority = priority
-	if at >= 0 {
-		s.inventory.QueueJob(j)
-	}
+// schedulingOrder returns the jobs in the order in which they are placed. Starving jobs come first,
+// whatever their priority, so that every job starts even under lasting overload. Among jobs of equal
+// priority, those within their teams' guaranteed quotas come first, which need not wait for other
+// teams; then those with urgent deadlines; then the earliest.
+func (s *Scheduler) schedulingOrder() []*inventory.Job {
+	covered, wallClock := s.JobsWithinGuarantee(), s.host.WallClock()
+	list := slices.Clone(s.inventory.Queue)
+	slices.SortStableFunc(list, func(a, b *inventory.Job) int {
+		x, y := s.isStarving(a, wallClock), s.isStarving(b, wallClock)
+		switch {
+		case x != y:
+			return compareTrueFirst(x)
+		case x:
+			return cmp.Compare(a.ReadyAt, b.ReadyAt)
+		case a.Priority == b.Priority && covered[a] != covered[b]:
+			return compareTrueFirst(covered[a])
+		case a.Priority == b.Priority:
+			return cmp.Or(s.compareUrgency(a, b, wallClock), inventory.CompareQueueOrder(a, b))
+		}
+		return inventory.CompareQueueOrder(a, b)
+	})
+	return list
 }
 
-// urgentSlack is the slack below which a job goes before others of its priority.
-const urgentSlack = 30 * micros.Second
+// isStarving reports whether a job has waited for long and not started.
+func (s *Scheduler) isStarving(j *inventory.Job, wallClock micros.Micros) bool {
+	return !j.EverPlaced && j.State == inventory.JobActive && wallClock-j.ReadyAt > s.settings.Tuning.StarvationTimeout
+}
 
-// minWaitLimit is left to a job that cannot end in time any more: it is placed as soon as
-// that is possible.
-const minWaitLimit = micros.Second
+// compareTrueFirst orders what has a property before what does not have it.
+func compareTrueFirst(has bool) int {
+	if has {
+		return -1
+	}
+	return 1
+}
 
-// deadlineSlack is how much later than now a job may begin and still end in time.
-func (s *Scheduler) deadlineSlack(j *inventory.Job) micros.Micros {
-	return j.EffectiveDeadline - s.host.WallClock() - s.EstimatedRunTime(j)
+// deadlineSlack returns how much later than now a job may start and still meet its deadline.
+func (s *Scheduler) deadlineSlack(j *inventory.Job, wallClock micros.Micros) micros.Micros {
+	return j.EffectiveDeadline - wallClock - s.EstimatedRunTime(j)
 }
 
-// isUrgent tells that a job must begin soon for it, or for some job that needs it, to end in
-// time.
-func (s *Scheduler) IsUrgent(j *inventory.Job) bool {
-	return j.EffectiveDeadline != 0 && s.deadlineSlack(j) < urgentSlack
+// IsUrgent reports whether a job must start soon so that it, or a job downstream of it, meets its
+// deadline.
+func (s *Scheduler) IsUrgent(j *inventory.Job) bool { return s.isUrgent(j, s.host.WallClock()) }
+
+func (s *Scheduler) isUrgent(j *inventory.Job, wallClock micros.Micros) bool {
+	return j.EffectiveDeadline != 0 && s.deadlineSlack(j, wallClock) < urgentSlack
 }
 
-// compareUrgency orders jobs of the same priority: first the urgent ones, by their slack.
-func (s *Scheduler) compareUrgency(a, b *inventory.Job) int {
+// compareUrgency orders jobs of the same priority: urgent ones first, by their slack.
+func (s *Scheduler) compareUrgency(a, b *inventory.Job, wallClock micros.Micros) int {
 	if a.EffectiveDeadline == 0 && b.EffectiveDeadline == 0 {
 		return 0
 	}
-	aUrgent, bUrgent := s.IsUrgent(a), s.IsUrgent(b)
+	aUrgent, bUrgent := s.isUrgent(a, wallClock), s.isUrgent(b, wallClock)
 	switch {
 	case aUrgent != bUrgent:
 		return compareTrueFirst(aUrgent)
 	case aUrgent:
-		return cmp.Compare(s.deadlineSlack(a), s.deadlineSlack(b))
+		return cmp.Compare(s.deadlineSlack(a, wallClock), s.deadlineSlack(b, wallClock))
 	}
 	return 0
 }
 
-// maxQueueingDelay is how long a job may wait: by its class, and until it must begin to end in time.
+// ClassWaitTarget returns how long a job may wait by the SLOs of its class.
+func (s *Scheduler) ClassWaitTarget(j *inventory.Job) micros.Micros {
+	return autoscaler.WaitTarget(s.settings.SLOs, j.Class, j.Gang, s.EstimatedRunTime(j), s.settings.Tuning.QueueTarget)
+}
+
+// MaxQueueingDelay returns how long a job may wait: by its class, and until it must start to meet
+// its deadline.
 func (s *Scheduler) MaxQueueingDelay(j *inventory.Job) micros.Micros {
 	if j.EffectiveDeadline == 0 {
 		return s.ClassWaitTarget(j)
 	}
-	return min(s.ClassWaitTarget(j), max(minWaitLimit, s.deadlineSlack(j)))
+	return min(s.ClassWaitTarget(j), max(minQueueingDelay, s.deadlineSlack(j, s.host.WallClock())))
 }
 
-// ClassWaitTarget tells how long a job may wait by its class's objectives.
-func (s *Scheduler) ClassWaitTarget(j *inventory.Job) micros.Micros {
-	return autoscaler.WaitTarget(s.settings.SLOs, j.Class, j.Gang, s.EstimatedRunTime(j), s.settings.Tuning.QueueTarget)
+// InheritPriority updates a job's priority and deadline by what it inherits from its downstream
+// jobs, and its position in the queue.
+func (s *Scheduler) InheritPriority(j *inventory.Job) {
+	inherited, inPipeline := s.host.Inherited(j.ID)
+	priority, deadline := max(j.SubmittedPriority, inherited.Priority), micros.Micros(0)
+	if inPipeline { // deadlines count in pipelines only
+		deadline = dag.EarlierDeadline(dag.AbsoluteDeadline(j.Accepted, j.Deadline), inherited.LatestFinish)
+	}
+	if priority == j.Priority && deadline == j.EffectiveDeadline {
+		return
+	}
+	j.EffectiveDeadline = deadline
+	s.inventory.SchedulingNeeded = true
+	if priority == j.Priority {
+		return
+	}
+	s.log.Debug("priority inherited", "job", j.ID, "submitted", j.SubmittedPriority, "priority", priority)
+	at := slices.Index(s.inventory.Queue, j)
+	if at >= 0 {
+		s.inventory.Queue = slices.Delete(s.inventory.Queue, at, at+1)
+	}
+	j.Priority = priority
+	if at >= 0 {
+		s.inventory.QueueJob(j)
+	}
 }
--- /dev/null
+++ b/internal/scheduler/quota.go
@@ -0,0 +1,82 @@
+package scheduler
+
+import (
+	"cmp"
+	"slices"
+
+	"tamarindlead/internal/inventory"
+	"tamarindlead/sched"
+)
+
+// unlimited is the headroom for a resource without a limit.
+const unlimited = 1 << 60
+
+// QuotaHeadroom returns how many pending tasks of a job its team's quota limit has room for, less
+// the resources that are reserved for others.
+func (s *Scheduler) QuotaHeadroom(j *inventory.Job, reserved sched.Resources) int {
+	t := s.inventory.Teams[j.Team]
+	if t == nil {
+		return 0
+	}
+	free := t.QuotaLimit.Sub(t.Used).Sub(reserved)
+	if t.QuotaLimit.CPU == 0 {
+		free.CPU = unlimited
+	}
+	if t.QuotaLimit.GPU == 0 {
+		free.GPU = unlimited
+	}
+	free.Mem = unlimited
+	return j.Need.Count(free, j.Pending)
+}
+
+// quotaReservations are the gangs of each team that wait for quota or for machines. Quota that is
+// released must not go to later work a task at a time, since such a gang needs all of it at once.
+type quotaReservations map[string][]*inventory.Job
+
+// add reserves a part of its team's quota limit for a gang.
+func (q quotaReservations) add(gang *inventory.Job) {
+	q[gang.Team] = append(q[gang.Team], gang)
+}
+
+// reservedQuota returns the resources of its team's quota limit that a job must leave: for gangs of
+// higher priority, and for all that have waited for too long.
+func (s *Scheduler) reservedQuota(q quotaReservations, j *inventory.Job) sched.Resources {
+	gangs := q[j.Team]
+	if len(gangs) == 0 {
+		return sched.Resources{}
+	}
+	wallClock := s.host.WallClock()
+	var sum sched.Resources
+	for _, gang := range gangs {
+		if gang.Priority > j.Priority || waitsTooLong(gang, wallClock) {
+			sum = sum.Add(gang.Need.Times(gang.Tasks))
+		}
+	}
+	return sum
+}
+
+// Usage returns what a team uses once all tasks that are being stopped have ended: these must not be
+// counted as surplus a second time.
+func Usage(t *inventory.Team) sched.TeamUsage {
+	return sched.TeamUsage{Used: t.Used.Sub(t.Stopping), GuaranteedQuota: t.GuaranteedQuota}
+}
+
+// JobsWithinGuarantee returns the jobs that their teams' guaranteed quotas cover: the earliest
+// unfinished ones of each team, as long as they fit together. If current usage counted instead, a
+// gang that was just preempted for another would be covered again and reclaim the machines, and two
+// teams would preempt each other's gangs in turn (docs/incidents/eyjafold-third-reclaim.md).
+func (s *Scheduler) JobsWithinGuarantee() map[*inventory.Job]bool {
+	list := slices.Clone(s.inventory.Queue)
+	slices.SortStableFunc(list, func(a, b *inventory.Job) int { return cmp.Compare(a.ReadyAt, b.ReadyAt) })
+	covered, sums := map[*inventory.Job]bool{}, map[string]sched.Resources{}
+	for _, j := range list {
+		t := s.inventory.Teams[j.Team]
+		if t == nil || j.State != inventory.JobActive || t.GuaranteedQuota.CPU == 0 && t.GuaranteedQuota.GPU == 0 {
+			continue
+		}
+		sum := sums[j.Team].Add(j.Need.Times(j.Tasks - j.CompletedCount))
+		sums[j.Team] = sum
+		covered[j] = sum.CPU <= t.GuaranteedQuota.CPU && (sum.GPU <= t.GuaranteedQuota.GPU || j.Need.GPU == 0)
+	}
+	return covered
+}
--- a/internal/scheduler/reservations.go
+++ b/internal/scheduler/reservations.go
@@ -1,122 +1,161 @@
 package scheduler
 
 import (
+	"fmt"
 	"strings"
 
 	"tamarindlead/internal/inventory"
-	"tamarindlead/internal/ordered"
-
 	"tamarindlead/internal/kv"
+	"tamarindlead/internal/ordered"
 	"tamarindlead/internal/record"
 	"tamarindlead/internal/wire"
 	"tamarindlead/micros"
 	"tamarindlead/sched"
 )
 
-// This file keeps machines free for gangs for which work is stopped (see eviction.go).
+const (
+	// stopTimeoutFactor is how many times the reservation timeout preemption may take: what still
+	// uses the resources then was not among the victims.
+	stopTimeoutFactor = 2
+	// maxBackoffDoublings bounds the backoff after reservations with which a gang did not start.
+	maxBackoffDoublings = 4
+)
 
-// reservationState is the state machine of a hold.
+// reservationState is the state of a reservation.
 type reservationState int
 
+// The states of a reservation, in the order in which it passes them.
 const (
-	holdPlanned         reservationState = iota // must be recorded before anything is stopped
-	reservationStopping                         // recorded; what must go is leaving
-	reservationReady                            // the room is free: the gang may be placed
-	reservationReleased                         // its record must go
+	reservationPlanned  reservationState = iota // must be recorded before anything is preempted
+	reservationStopping                         // recorded; the victims are being stopped
+	reservationReady                            // its resources are free: the gang may be placed
+	reservationReleased                         // its record must be deleted
 )
 
 func (s reservationState) String() string {
-	return [...]string{"planned", "stopping", "waiting", "over"}[s]
+	switch s {
+	case reservationPlanned:
+		return "planned"
+	case reservationStopping:
+		return "stopping"
+	case reservationReady:
+		return "ready"
+	case reservationReleased:
+		return "released"
+	}
+	return fmt.Sprintf("reservationState(%d)", int(s))
 }
 
-// reservation is kept in one record, so that it survives its owner.
+// reservation reserves machines for a gang for which tasks are preempted. It is kept in a record of
+// its own, so that it survives a failover.
 type reservation struct {
 	job       string
 	state     reservationState
 	machines  map[string]int // tasks of the gang by machine
 	need      sched.Resources
-	victims   []sched.Bundle // what is stopped once the hold is recorded
-	expiresAt micros.Micros  // end of waiting
-	writing   bool
+	victims   []sched.Bundle // stopped once the reservation is recorded
+	expiresAt micros.Micros  // end of the present state
+	writing   bool           // a transaction with its record is in flight
 }
 
-// stopTimeoutFactor is how many times the wait of a hold its stops may take: what keeps its room
-// for longer was not among them.
-const stopTimeoutFactor = 2
+// view returns the reserved machines as the gang may use them: with the reserved resources free.
+func (r *reservation) view(view []*sched.Machine) []*sched.Machine {
+	var reserved []*sched.Machine
+	for _, v := range view {
+		if n := r.machines[v.Name]; n > 0 {
+			m := *v
+			m.Free = m.Free.Add(r.need.Times(n))
+			m.ReservedForGangs, m.ReservedForJob = false, "" // a recorded reservation takes precedence
+			reserved = append(reserved, &m)
+		}
+	}
+	return reserved
+}
 
-// setReservationState is the one place where a hold changes its state.
-func (s *Scheduler) setReservationState(h *reservation, state reservationState, why string) {
-	if h.state == state {
+// setReservationState is the only place where a reservation changes its state.
+func (s *Scheduler) setReservationState(r *reservation, state reservationState, reason string) {
+	if r.state == state {
 		return
 	}
-	s.log.Info("hold", "job", h.job, "from", h.state.String(), "to", state.String(), "machines", len(h.machines), "why", why)
-	h.state = state
+	s.log.Info("reservation state changed", "job", r.job, "from", r.state.String(), "to", state.String(),
+		"machines", len(r.machines), "reason", reason)
+	r.state = state
 	switch state {
+	case reservationPlanned: // only new reservations are
 	case reservationStopping:
-		h.expiresAt = s.host.Now() + stopTimeoutFactor*s.settings.Tuning.ReservationTimeout
+		r.expiresAt = s.host.Now() + stopTimeoutFactor*s.settings.Tuning.ReservationTimeout
 	case reservationReady:
-		h.expiresAt = s.host.Now() + s.settings.Tuning.ReservationTimeout
+		r.expiresAt = s.host.Now() + s.settings.Tuning.ReservationTimeout
 	case reservationReleased:
 		s.inventory.SchedulingNeeded = true
 	}
 }
 
-// reservedResources is what is kept on a machine for gangs that are not placed yet.
-func (s *Scheduler) reservedResources(name string) sched.Resources {
-	var sum sched.Resources
-	for id, h := range s.reservations {
-		if j := s.inventory.Jobs[id]; h.state != reservationReleased && j != nil && j.GangState == inventory.GangNone {
-			sum = sum.Add(h.need.Times(h.machines[name]))
+// HasReservation reports whether machines are reserved for a job, or the record of its reservation
+// still exists.
+func (s *Scheduler) HasReservation(job string) bool { return s.reservations[job] != nil }
+
+// ReservationCount returns the number of reservations.
+func (s *Scheduler) ReservationCount() int { return len(s.reservations) }
+
+// IsReserved reports whether a machine is reserved for some gang, and so must not be terminated or
+// transferred.
+func (s *Scheduler) IsReserved(machine string) bool {
+	for _, r := range s.reservations {
+		if r.state != reservationReleased && r.machines[machine] > 0 {
+			return true
 		}
 	}
-	return sum
+	return false
 }
 
-// reservedView is what the holder of a hold may use: the held machines, with what is kept
-// there.
-func (s *Scheduler) reservedView(h *reservation, view []*sched.Machine) []*sched.Machine {
-	var out []*sched.Machine
-	for _, v := range view {
-		if n := h.machines[v.Name]; n > 0 {
-			c := *v
-			c.Free = c.Free.Add(h.need.Times(n))
-			c.ReservedForGangs, c.ReservedForJob = false, "" // the hold comes before what is kept for others
-			out = append(out, &c)
+// reservedResources returns what is reserved on a machine for gangs that are not placed yet.
+func (s *Scheduler) reservedResources(machine string) sched.Resources {
+	var sum sched.Resources
+	for id, r := range s.reservations {
+		if j := s.inventory.Jobs[id]; r.state != reservationReleased && j != nil && j.GangState == inventory.GangNone {
+			sum = sum.Add(r.need.Times(r.machines[machine]))
 		}
 	}
-	return out
+	return sum
 }
 
-// tickReservations moves holds on.
+// TickReservations advances the states of reservations.
 func (s *Scheduler) TickReservations() {
 	for _, id := range ordered.Keys(s.reservations) {
-		h, j := s.reservations[id], s.inventory.Jobs[id]
-		switch {
-		case h.state == reservationReleased:
-		case j == nil || j.State != inventory.JobActive:
-			s.setReservationState(h, reservationReleased, "the gang is over")
-		case s.reservationBroken(h):
-			s.setReservationState(h, reservationReleased, "a machine is gone")
-		case j.GangState == inventory.GangStarting && s.allLive(j):
-			j.FailedPreemptions = 0
-			s.setReservationState(h, reservationReleased, "the gang has started")
-		case h.state == reservationStopping && s.reservedRoomFree(h):
-			s.setReservationState(h, reservationReady, "all stops have ended")
-			s.inventory.SchedulingNeeded = true
-		case h.state == reservationStopping && s.host.Now() > h.expiresAt:
-			s.setReservationState(h, reservationReleased, "its room does not come free")
-		case h.state == reservationReady && j.GangState == inventory.GangNone && s.host.Now() > h.expiresAt:
-			// Each eviction in vain doubles the pause before the next (ours).
-			j.NextPreemptionAt = s.host.Now() + s.settings.Tuning.ReservationTimeout<<min(j.FailedPreemptions, 4)
-			j.FailedPreemptions++
-			s.setReservationState(h, reservationReleased, "the gang has not started")
+		if r := s.reservations[id]; r.state != reservationReleased {
+			s.tickReservation(r, s.inventory.Jobs[id])
 		}
 	}
 }
 
-// reservationBroken tells that a machine of a hold can't be used any more.
-func (s *Scheduler) reservationBroken(h *reservation) bool {
-	for name := range h.machines {
+// tickReservation advances the state of a reservation for a gang, which is nil once it is over.
+func (s *Scheduler) tickReservation(r *reservation, j *inventory.Job) {
+	now := s.host.Now()
+	switch {
+	case j == nil || j.State != inventory.JobActive:
+		s.setReservationState(r, reservationReleased, "job ended")
+	case s.lostMachine(r):
+		s.setReservationState(r, reservationReleased, "machine lost")
+	case j.GangState == inventory.GangStarting && allRunning(j):
+		j.FailedPreemptions = 0
+		s.setReservationState(r, reservationReleased, "gang started")
+	case r.state == reservationStopping && s.resourcesFree(r):
+		s.setReservationState(r, reservationReady, "victims stopped")
+		s.inventory.SchedulingNeeded = true
+	case r.state == reservationStopping && now > r.expiresAt:
+		s.setReservationState(r, reservationReleased, "resources not freed in time")
+	case r.state == reservationReady && j.GangState == inventory.GangNone && now > r.expiresAt:
+		// Each preemption in vain doubles the pause before the next.
+		j.NextPreemptionAt = now + s.settings.Tuning.ReservationTimeout<<min(j.FailedPreemptions, maxBackoffDoublings)
+		j.FailedPreemptions++
+		s.setReservationState(r, reservationReleased, "gang not started in time")
+	}
+}
+
+// lostMachine reports whether some machine of a reservation can't be used any more.
+func (s *Scheduler) lostMachine(r *reservation) bool {
+	for name := range r.machines {
 		if m := s.inventory.Machines[name]; m == nil || m.State != inventory.MachineReady {
 			return true
 		}
@@ -124,19 +163,19 @@
 	return false
 }
 
-// reservedRoomFree tells whether the held room is free of what had to go.
-func (s *Scheduler) reservedRoomFree(h *reservation) bool {
-	for name, n := range h.machines {
+// resourcesFree reports whether all reserved resources are free.
+func (s *Scheduler) resourcesFree(r *reservation) bool {
+	for name, tasks := range r.machines {
 		m := s.inventory.Machines[name]
-		if !h.need.Times(n).Fits(m.Size.Sub(m.Used)) {
+		if !r.need.Times(tasks).Fits(m.Size.Sub(m.Used)) {
 			return false
 		}
 	}
 	return true
 }
 
-// allLive tells that all tasks of a job that have a place run.
-func (s *Scheduler) allLive(j *inventory.Job) bool {
+// allRunning reports whether a job has attempts and all of them run.
+func allRunning(j *inventory.Job) bool {
 	for _, a := range j.Attempts {
 		if a.State != inventory.AttemptLive || a.Phase != wire.PhaseRunning {
 			return false
@@ -157,44 +196,55 @@
 	OnResult(handle func(ok bool, revision uint64))
 }
 
-// flushReservations writes the records of holds, and removes those that are over.
+// FlushReservations adds the records of planned reservations to a transaction and deletes those of
+// released ones, until the transaction is full.
 func (s *Scheduler) FlushReservations(t Transaction, full func() bool) {
 	for _, id := range ordered.Keys(s.reservations) {
-		h := s.reservations[id]
-		if h.state == holdPlanned && s.inventory.Jobs[id] == nil {
-			s.setReservationState(h, reservationReleased, "the gang is over")
+		r := s.reservations[id]
+		if r.state == reservationPlanned && s.inventory.Jobs[id] == nil {
+			s.setReservationState(r, reservationReleased, "job ended")
 		}
-		if h.writing || h.state != holdPlanned && h.state != reservationReleased {
+		if r.writing || r.state != reservationPlanned && r.state != reservationReleased {
 			continue
 		}
 		if full() {
 			return
 		}
-		h.writing = true
-		over := h.state == reservationReleased
-		if over {
-			t.Delete(record.ReservationKey(id))
-		} else {
-			t.Require(record.ActiveJobKey(id), s.inventory.Jobs[id].Version)
-			t.Put(record.ReservationKey(id), record.Reservation{Machines: h.machines})
-		}
-		t.OnResult(func(ok bool, _ uint64) {
-			h.writing = false
-			switch {
-			case !ok:
-			case over:
-				delete(s.reservations, id)
-				s.inventory.SchedulingNeeded = true
-			case h.state == holdPlanned:
-				s.setReservationState(h, reservationStopping, "recorded")
-				s.preemptVictims(h)
-			}
-		})
+		s.writeReservation(t, r)
 	}
 }
 
-// recoverReservations takes over the holds of an earlier owner. Its stops may not all have been
-// begun; what was not is found by the gang's next look for room once the wait is over.
+// writeReservation adds the record of a reservation to a transaction, or its deletion.
+func (s *Scheduler) writeReservation(t Transaction, r *reservation) {
+	r.writing = true
+	released := r.state == reservationReleased
+	if released {
+		t.Delete(record.ReservationKey(r.job))
+	} else {
+		t.Require(record.ActiveJobKey(r.job), s.inventory.Jobs[r.job].Version)
+		t.Put(record.ReservationKey(r.job), record.Reservation{Machines: r.machines})
+	}
+	t.OnResult(func(ok bool, _ uint64) {
+		r.writing = false
+		switch {
+		case !ok:
+		case released:
+			delete(s.reservations, r.job)
+			s.inventory.SchedulingNeeded = true
+		case r.state == reservationPlanned:
+			s.setReservationState(r, reservationStopping, "recorded")
+			s.EvictVictims(r.victims, PreemptionReason(r.job))
+			r.victims = nil
+		}
+	})
+}
+
+// ClearReservations removes all reservations, before they are recovered from the records.
+func (s *Scheduler) ClearReservations() { clear(s.reservations) }
+
+// RecoverReservations recovers the reservations of an earlier owner from their records, and returns
+// the keys of those that are no use to this owner. Not all victims may have been stopped; if so, the
+// gang preempts tasks again after the reservation timeout.
 func (s *Scheduler) RecoverReservations(entries []kv.Entry) (unused []string) {
 	for _, e := range entries {
 		var rec record.Reservation
@@ -204,28 +254,10 @@
 			unused = append(unused, e.Key)
 			continue
 		}
-		h := &reservation{job: id, machines: rec.Machines, need: j.Need, state: reservationReady}
-		h.expiresAt = s.host.Now() + s.settings.Tuning.ReservationTimeout
-		s.reservations[id] = h
-	}
-	return unused
-}
-
-// HasReservation tells whether there is a hold for a job.
-func (s *Scheduler) HasReservation(job string) bool { return s.reservations[job] != nil }
-
-// ReservationCount is the number of holds.
-func (s *Scheduler) ReservationCount() int { return len(s.reservations) }
-
-// ClearReservations forgets all holds, before they are read from the records.
-func (s *Scheduler) ClearReservations() { clear(s.reservations) }
-
-// isReserved tells whether a machine is held for some gang, and so must not be returned.
-func (s *Scheduler) IsReserved(name string) bool {
-	for _, h := range s.reservations {
-		if h.state != reservationReleased && h.machines[name] > 0 {
-			return true
+		s.reservations[id] = &reservation{
+			job: id, state: reservationReady, machines: rec.Machines, need: j.Need,
+			expiresAt: s.host.Now() + s.settings.Tuning.ReservationTimeout,
 		}
 	}
-	return false
+	return unused
 }
--- /dev/null
+++ b/internal/scheduler/spot.go
@@ -0,0 +1,44 @@
+package scheduler
+
+import (
+	"tamarindlead/internal/autoscaler"
+	"tamarindlead/internal/inventory"
+	"tamarindlead/micros"
+)
+
+// RecordSpotUptime records that the spot machines have been up for a time.
+func (s *Scheduler) RecordSpotUptime(elapsed micros.Micros) {
+	for _, m := range s.inventory.SortedMachines {
+		if m.Spot && (m.State == inventory.MachineReady || m.State == inventory.MachineDraining) {
+			s.spotRisk.RecordUptime(elapsed)
+		}
+	}
+}
+
+// RecordSpotReclaimed records that the cloud reclaimed a machine, if it is a spot machine, once.
+func (s *Scheduler) RecordSpotReclaimed(m *inventory.Machine) {
+	if m.Spot && !m.SpotReclaimed {
+		m.SpotReclaimed = true
+		s.spotRisk.RecordLoss()
+	}
+}
+
+// MinOnDemandTasks returns how many tasks of a gang must not be on spot machines. A gang that has
+// waited for too long uses as many spot machines as make good progress.
+func (s *Scheduler) MinOnDemandTasks(j *inventory.Job) int {
+	if !j.Spot {
+		return j.Tasks
+	}
+	catalog := s.host.Catalog()
+	mix := autoscaler.GangMix{
+		Tasks:         j.Tasks,
+		SpotPrice:     catalog.LowestPrice(j.Job, true),
+		OnDemandPrice: catalog.LowestPrice(j.Job, false),
+		Estimate:      s.EstimatedRunTime(j),
+		Checkpoint:    j.CheckpointInterval,
+		Recovery:      catalog.BootTime(j.Job),
+		LossPerSecond: s.spotRisk.PerSecond(s.settings.Tuning.SpotLossesPerHour),
+		MaxSpot:       waitsTooLong(j, s.host.WallClock()),
+	}
+	return mix.OnDemandTasks()
+}
--- /dev/null
+++ b/internal/scheduler/victims.go
@@ -0,0 +1,105 @@
+package scheduler
+
+import (
+	"tamarindlead/internal/inventory"
+	"tamarindlead/internal/ordered"
+	"tamarindlead/micros"
+	"tamarindlead/sched"
+)
+
+// MinRemainingForPreemption is the remaining run time below which a task is not stopped, since
+// stopping it would not be faster.
+const MinRemainingForPreemption = 3 * micros.Second
+
+// endsSoon reports whether the resources of an attempt will be free without preemption.
+func endsSoon(a *inventory.Attempt, now micros.Micros) bool {
+	leaving := a.State == inventory.AttemptStopping || a.State == inventory.AttemptCompleted || a.State == inventory.AttemptRemoving
+	if leaving {
+		return true
+	}
+	if a.RunningSince == 0 || a.Job.Gang {
+		return false
+	}
+	ran := now - a.RunningSince
+	return a.Job.Estimate-ran < MinRemainingForPreemption && ran < a.Job.Estimate+MinRemainingForPreemption
+}
+
+// victims returns the jobs of which tasks may be preempted for j, with these tasks.
+func (s *Scheduler) victims(j *sched.Job, mode sched.PreemptionMode, covered map[*inventory.Job]bool) []*sched.Victim {
+	now := s.host.Now()
+	var list []*sched.Victim
+	for _, id := range ordered.Keys(s.inventory.Jobs) {
+		candidate := s.inventory.Jobs[id]
+		if candidate.Job == j || !mayPreempt(candidate, j, mode, covered) || s.HasReservation(id) {
+			continue
+		}
+		if victim := newVictim(candidate, now); victim.ReadyTasks > 0 {
+			list = append(list, victim)
+		}
+	}
+	return list
+}
+
+// mayPreempt reports whether tasks of a candidate may be preempted for j. Jobs within another team's
+// guaranteed quota are not reclaimed; what that team runs beyond it are its later jobs.
+func mayPreempt(candidate *inventory.Job, j *sched.Job, mode sched.PreemptionMode, covered map[*inventory.Job]bool) bool {
+	if candidate.State != inventory.JobActive || candidate.GangState == inventory.GangStopping || candidate.GangState == inventory.GangPlacing {
+		return false
+	}
+	sameTeam := candidate.Team == j.Team
+	switch mode {
+	case sched.Preempt:
+		return sameTeam && candidate.Priority < j.Priority
+	case sched.Reclaim:
+		return !sameTeam && !covered[candidate]
+	}
+	return true
+}
+
+// newVictim describes the tasks of a job that may be preempted.
+func newVictim(j *inventory.Job, now micros.Micros) *sched.Victim {
+	victim := &sched.Victim{Job: j.ID, Team: j.Team, Priority: j.Priority}
+	if j.Gang {
+		victim.MinTasks = j.Tasks
+	}
+	for _, a := range j.SortedAttempts() {
+		if endsSoon(a, now) || a.State == inventory.AttemptAssumed {
+			continue
+		}
+		victim.ReadyTasks++
+		victim.TotalResources = victim.TotalResources.Add(j.Need)
+		victim.Since = max(victim.Since, a.PlacedAt)
+		victim.Tasks = append(victim.Tasks, sched.VictimTask{
+			Index: a.Index, Machine: a.Machine.Name, Resources: j.Need, Since: a.PlacedAt, LostWork: lostWork(a, now),
+		})
+	}
+	return victim
+}
+
+// lostWork returns the processor seconds that stopping an attempt costs: the time for a checkpoint,
+// or without one all of its progress.
+func lostWork(a *inventory.Attempt, now micros.Micros) float64 {
+	lost := a.Job.CheckpointDuration
+	if a.Job.CheckpointInterval == 0 && a.RunningSince != 0 {
+		lost = now - a.RunningSince
+	}
+	return a.Job.Need.CPUs() * lost.Seconds()
+}
+
+// PreemptionReason returns the reason with which victims of a job are stopped.
+func PreemptionReason(job string) string { return "room for " + job }
+
+// EvictVictims starts the stops of a preemption plan, for the tasks that are still where they were.
+func (s *Scheduler) EvictVictims(bundles []sched.Bundle, reason string) {
+	for _, b := range bundles {
+		v := s.inventory.Jobs[b.Victim.Job]
+		if v == nil || v.State != inventory.JobActive {
+			continue
+		}
+		for _, t := range b.Tasks {
+			if a := v.Attempts[t.Index]; a != nil && a.Machine.Name == t.Machine {
+				s.host.Evict(a, reason)
+			}
+		}
+	}
+}
