--- a/internal/scheduler/pass.go
+++ b/internal/scheduler/pass.go
@@ -34,6 +34,7 @@
 // pass is one pass over the jobs in scheduling order.
 type pass struct {
 	scheduler         *Scheduler
+	now, wallClock    micros.Micros
 	view              []*sched.Machine
 	reservedQuotas    quotaReservations
 	examinedJobs      int            // jobs that the pass tried to place
@@ -50,6 +51,8 @@
 	s.inventory.SchedulingNeeded, s.nextPass = false, now+MinPassInterval
 	p := &pass{
 		scheduler:         s,
+		now:               now,
+		wallClock:         s.host.WallClock(),
 		view:              s.placementView(),
 		reservedQuotas:    quotaReservations{},
 		unplaceableShapes: map[shape]bool{},
@@ -72,7 +75,7 @@
 // place places pending tasks of a job, as far as its quota and the machines have room.
 func (p *pass) place(j *inventory.Job) {
 	s := p.scheduler
-	if !s.schedulable(j) {
+	if !schedulable(j, p.now) {
 		return
 	}
 	tasks, idle := p.allowance(j)
@@ -86,7 +89,7 @@
 		return
 	}
 	p.examinedJobs++
-	if !j.Gang && (idle || s.isStarving(j, s.host.WallClock())) {
+	if !j.Gang && (idle || s.isStarving(j, p.wallClock)) {
 		tasks = min(tasks, starvingBatchSize(j)) // enough to start; the rest is placed in later passes
 	}
 	if reservation != nil {
@@ -94,7 +97,7 @@
 		return
 	}
 	assignments := sched.Place(j.Job, p.view, tasks, j.TasksByZone())
-	if len(assignments) == 0 && s.isIdleTooLong(j) {
+	if len(assignments) == 0 && isIdleTooLong(j, p.now) {
 		assignments = placeOnReserved(j, p.view, min(tasks, starvingBatchSize(j)))
 	}
 	if len(assignments) == 0 {
@@ -106,8 +109,8 @@
 }
 
 // schedulable reports whether tasks of a job may be placed now.
-func (s *Scheduler) schedulable(j *inventory.Job) bool {
-	if j.State != inventory.JobActive || j.Pending == 0 || j.RecordStale || s.host.Now() < j.BackoffUntil {
+func schedulable(j *inventory.Job, now micros.Micros) bool {
+	if j.State != inventory.JobActive || j.Pending == 0 || j.RecordStale || now < j.BackoffUntil {
 		return false
 	}
 	return !j.Gang || j.GangState == inventory.GangNone
@@ -118,12 +121,12 @@
 // quota that is reserved for gangs.
 func (p *pass) allowance(j *inventory.Job) (tasks int, idle bool) {
 	s := p.scheduler
-	tasks = s.QuotaHeadroom(j, s.reservedQuota(p.reservedQuotas, j))
+	tasks = s.QuotaHeadroom(j, p.reservedQuotas.reservedFrom(j, p.wallClock))
 	if j.Gang && tasks < j.Tasks {
 		p.reservedQuotas.add(j)
 		return 0, false
 	}
-	if tasks == 0 && s.isIdleTooLong(j) {
+	if tasks == 0 && isIdleTooLong(j, p.now) {
 		return s.QuotaHeadroom(j, sched.Resources{}), true
 	}
 	return tasks, false
@@ -178,8 +181,8 @@
 func starvingBatchSize(j *inventory.Job) int { return max(1, j.Pending/starvingBatchDivisor) }
 
 // isIdleTooLong reports whether nothing of an array has run for long.
-func (s *Scheduler) isIdleTooLong(j *inventory.Job) bool {
-	return !j.Gang && len(j.Attempts) == 0 && s.host.Now()-j.IdleSince > maxArrayIdleTime
+func isIdleTooLong(j *inventory.Job, now micros.Micros) bool {
+	return !j.Gang && len(j.Attempts) == 0 && now-j.IdleSince > maxArrayIdleTime
 }
 
 // placeOnReserved places tasks also on machines that are reserved for gangs in general, though not
--- a/internal/scheduler/quota.go
+++ b/internal/scheduler/quota.go
@@ -5,6 +5,7 @@
 	"slices"
 
 	"tamarindlead/internal/inventory"
+	"tamarindlead/micros"
 	"tamarindlead/sched"
 )
 
@@ -38,16 +39,11 @@
 	q[gang.Team] = append(q[gang.Team], gang)
 }
 
-// reservedQuota returns the resources of its team's quota limit that a job must leave: for gangs of
+// reservedFrom returns the resources of its team's quota limit that a job must leave: for gangs of
 // higher priority, and for all that have waited for too long.
-func (s *Scheduler) reservedQuota(q quotaReservations, j *inventory.Job) sched.Resources {
-	gangs := q[j.Team]
-	if len(gangs) == 0 {
-		return sched.Resources{}
-	}
-	wallClock := s.host.WallClock()
+func (q quotaReservations) reservedFrom(j *inventory.Job, wallClock micros.Micros) sched.Resources {
 	var sum sched.Resources
-	for _, gang := range gangs {
+	for _, gang := range q[j.Team] {
 		if gang.Priority > j.Priority || waitsTooLong(gang, wallClock) {
 			sum = sum.Add(gang.Need.Times(gang.Tasks))
 		}
