--- a/controller/owner.go
+++ b/controller/owner.go
@@ -10,6 +10,7 @@
 	"tamarindlead/internal/cluster"
 	"tamarindlead/internal/kv"
 	"tamarindlead/internal/record"
+	"tamarindlead/internal/scheduler"
 	"tamarindlead/internal/workers"
 	"tamarindlead/micros"
 )
@@ -39,8 +40,8 @@
 	cascadedCancellations []string
 	// unresolvedJobs are jobs that records name, of which it is not known how they ended.
 	unresolvedJobs []*inventory.Job
-	reservations   map[string]*reservation // by job
 	classes        *autoscaler.Classes
+	scheduler      *scheduler.Scheduler
 
 	// The watch of the jobs' records.
 	jobsListed    bool // the jobs were listed; changes since are taken
@@ -69,9 +70,6 @@
 	// workers is the part that handles the heartbeats of machines and sends them commands.
 	workers *workers.Manager
 
-	// Scheduling passes, and the attempts that they have proposed.
-	nextSchedulingPass micros.Micros
-
 	// Commits.
 	blocks             []*inventory.Block
 	completionSegments []*inventory.CompletionSegment
@@ -88,7 +86,6 @@
 	o := &owner{
 		c: c, activeSince: c.now,
 		scaleOutRequests:   map[string]*scaleOutRequest{},
-		reservations:       map[string]*reservation{},
 		recentlyTerminated: map[string]micros.Micros{},
 		refusedOffers:      map[autoscaler.Offer]micros.Micros{},
 		partitionedSince:   map[string]micros.Micros{},
@@ -98,6 +95,7 @@
 	}
 	o.Inventory = inventory.NewInventory(inventoryHost{o}, c.log)
 	o.workers = workers.New(o.Inventory, c.cfg, c.log, workersHost{o})
+	o.scheduler = newScheduler(o)
 	for _, t := range c.cfg.Teams {
 		if v, ok := teams[t.Name]; ok {
 			o.Teams[t.Name] = &inventory.Team{Record: v, Team: t}
--- a/controller/recovery.go
+++ b/controller/recovery.go
@@ -34,7 +34,7 @@
 	o.blocks, o.completionSegments, o.unresolvedJobs = nil, nil, nil
 	o.workers.Reset()
 	clear(o.scaleOutRequests)
-	clear(o.reservations)
+	o.scheduler.ClearReservations()
 }
 
 // list reads the records with a prefix.
