--- a/controller/bench_test.go
+++ b/controller/bench_test.go
@@ -110,7 +110,8 @@
 	for _, m := range o.SortedMachines {
 		bodies = append(bodies, benchHeartbeat(m, 1<<40))
 	}
-	o.SchedulingNeeded, o.committing = false, true // a commit is under way
+	o.SchedulingNeeded = false
+	beginCommit(b, o)
 	for i := 0; b.Loop(); i++ {
 		m := o.SortedMachines[i%benchMachines]
 		m.HeartbeatSeq = 0
@@ -148,7 +149,8 @@
 // BenchmarkTick passes the time to an owner with nothing else to do.
 func BenchmarkTick(b *testing.B) {
 	o := benchOwner()
-	o.SchedulingNeeded, o.committing = false, true
+	o.SchedulingNeeded = false
+	beginCommit(b, o)
 	for b.Loop() {
 		o.c.nextSlowTick = 0
 		o.c.Handle(o.c.now, o.c.now, Tick{})
@@ -162,12 +164,8 @@
 func BenchmarkFailover(b *testing.B) {
 	o := benchOwner()
 	var entries []kv.Entry
-	for _, bl := range o.blocks {
-		t := &transaction{preconditions: map[string]uint64{}}
-		o.writeBlock(t, bl, 16)
-		for _, w := range t.writes {
-			entries = append(entries, kv.Entry{Key: w.Put, Value: wire.Encode(w.Value), Version: 5})
-		}
+	for _, w := range commitAll(b, o, 5) {
+		entries = append(entries, kv.Entry{Key: w.Put, Value: w.Value, Version: 5})
 	}
 	for b.Loop() {
 		fresh := newOwner(o.c, o.c.node.OwnTeams())
@@ -186,7 +184,8 @@
 func BenchmarkLookup(b *testing.B) {
 	o := benchOwner()
 	c := o.c
-	o.SchedulingNeeded, o.committing = false, true
+	o.SchedulingNeeded = false
+	beginCommit(b, o)
 	var id uint64
 	for b.Loop() {
 		answered := 0
--- a/controller/blocked_jobs.go
+++ b/controller/blocked_jobs.go
@@ -1,7 +1,6 @@
 package controller
 
 import (
-	"slices"
 	"strings"
 
 	"tamarindlead/internal/inventory"
@@ -108,10 +107,10 @@
 // recordCascadedCancellation adds to a commit that a waiting job is cancelled with one before it.
 func (o *owner) recordCascadedCancellation(t *transaction, j *inventory.Job, root string) {
 	j.Writing = true
-	t.preconditions[record.ActiveJobKey(j.ID)] = j.Version
-	t.writes = append(t.writes, kv.Write{Delete: record.ActiveJobKey(j.ID)})
-	t.put(record.TerminalStateKey(j.ID), record.TerminalState{Status: record.StatusCancelled, FinishedAt: o.c.wallClock, CancelledDependency: root})
-	t.results = append(t.results, func(ok bool, _ uint64) {
+	t.Require(record.ActiveJobKey(j.ID), j.Version)
+	t.Delete(record.ActiveJobKey(j.ID))
+	t.Put(record.TerminalStateKey(j.ID), record.TerminalState{Status: record.StatusCancelled, FinishedAt: o.c.wallClock, CancelledDependency: root})
+	t.OnResult(func(ok bool, _ uint64) {
 		j.Writing = false
 		switch {
 		case o.BlockedJobs[j.ID] != j:
@@ -134,7 +133,7 @@
 // dropParts has the further keys of a job's list deleted: they serve while its record exists.
 func (o *owner) dropParts(j *inventory.Job) {
 	for i := range j.DependencyParts {
-		o.obsoleteKeys = append(o.obsoleteKeys, record.DependencyPartKey(j.ID, i))
+		o.commits.AddObsoleteKey(record.DependencyPartKey(j.ID, i))
 	}
 	j.DependencyParts = 0
 }
@@ -201,8 +200,8 @@
 func (o *owner) dropLeftoverParts(entries []kv.Entry) {
 	for _, e := range entries {
 		id, _, _ := strings.Cut(strings.TrimPrefix(e.Key, record.DependencyPartPrefix), "/")
-		if !o.c.graph.IsActive(id) && !slices.Contains(o.obsoleteKeys, e.Key) {
-			o.obsoleteKeys = append(o.obsoleteKeys, e.Key)
+		if !o.c.graph.IsActive(id) && !o.commits.IsObsolete(e.Key) {
+			o.commits.AddObsoleteKey(e.Key)
 		}
 	}
 }
--- /dev/null
+++ b/controller/commit_adapter.go
@@ -0,0 +1,171 @@
+package controller
+
+import (
+	"tamarindlead/internal/budget"
+	"tamarindlead/internal/commit"
+	"tamarindlead/internal/inventory"
+	"tamarindlead/internal/kv"
+	"tamarindlead/internal/record"
+	"tamarindlead/internal/wire"
+	"tamarindlead/micros"
+)
+
+// newCommitPipeline returns the pipeline that writes an owner's records.
+func newCommitPipeline(o *owner) *commit.Pipeline {
+	c := o.c
+	return commit.New(commit.Dependencies{
+		Settings: c.cfg, Log: c.log, Store: c.store, Budget: c.budget, Member: c.node,
+		Inventory: o.Inventory, Host: commitHost{o}, Transfers: commitTransfers{o},
+		Sources: commit.Sources{
+			CascadedCancellations: o.flushCascadedCancellations,
+			ScaleOutRequests:      o.flushScaleOutRequests,
+			Reservations:          o.flushReservations,
+		},
+	})
+}
+
+// commitHost connects an owner's commit pipeline with its other parts.
+type commitHost struct{ o *owner }
+
+func (h commitHost) Now() micros.Micros { return h.o.c.now }
+
+func (h commitHost) WallClock() micros.Micros { return h.o.c.wallClock }
+
+func (h commitHost) After(d micros.Micros, do func()) { h.o.c.after(d, do) }
+
+func (h commitHost) Superseded() bool { return h.o.superseded() }
+
+func (h commitHost) NextNumber() uint64 { return h.o.nextNumber() }
+
+func (h commitHost) TypicalTasks(machineType string) int {
+	if t := h.o.c.types.find(machineType); t != nil {
+		return h.o.classes.MaxAverageTasks(t.Size, inventory.MaxEntryTasks)
+	}
+	return 0
+}
+
+func (h commitHost) JobDone(j *inventory.Job) { h.o.handleJobDoneRecorded(j) }
+
+func (h commitHost) AttemptRecorded(a *inventory.Attempt) { h.o.handleAttemptRecorded(a) }
+
+func (h commitHost) MachineClaimed(m *inventory.Machine) { h.o.answerDeferredHeartbeat(m) }
+
+func (h commitHost) MachineRemoved(m *inventory.Machine) { h.o.forgetMachine(m) }
+
+func (h commitHost) MachineOwnedElsewhere(m *inventory.Machine, block string) {
+	h.o.dropOwnedElsewhere(m, block)
+}
+
+func (h commitHost) JobRecordChanged(id string) {
+	if j := h.o.BlockedJobs[id]; j != nil {
+		h.o.recheckBlockedJob(j)
+	} else if j := h.o.Jobs[id]; j != nil {
+		h.o.handleJobRecordChanged(j)
+	}
+}
+
+func (h commitHost) MemberRecordLost() { h.o.c.node.RecordLost(h.o.c.now) }
+
+func (h commitHost) RestartRecovery(reason string) { h.o.restartRecovery(reason) }
+
+// commitTransfers connects an owner's commit pipeline with its transfers of machines.
+type commitTransfers struct{ o *owner }
+
+func (t commitTransfers) Successor(m *inventory.Machine) (kv.Precondition, bool) {
+	if !t.o.canTransfer(m) {
+		return kv.Precondition{}, false
+	}
+	return t.o.c.cluster.MemberPrecondition(m.TransferTo.Node()), true
+}
+
+func (t commitTransfers) AddTo(transaction *commit.Transaction, m *inventory.Machine) {
+	t.o.writeTransfer(transaction, m)
+}
+
+func (t commitTransfers) Recorded(m *inventory.Machine) { t.o.completeTransfer(m) }
+
+// handleJobDoneRecorded ends a job whose terminal state is recorded.
+func (o *owner) handleJobDoneRecorded(j *inventory.Job) {
+	o.c.terminalStates.remember(j.ID, wire.JobDone)
+	o.c.log.Info("job done", "job", j.ID, "class", j.Class)
+	o.c.graph.MarkDone(j.ID, o.c.wallClock)
+	for _, a := range j.SortedAttempts() {
+		if a.State == inventory.AttemptCompleted {
+			o.SetAttemptState(a, inventory.AttemptClosed)
+		}
+	}
+	o.endJob(j)
+	for _, a := range j.SortedAttempts() {
+		if a.State == inventory.AttemptLive || a.State == inventory.AttemptStarting {
+			a.Reason = "job is done"
+			o.SetAttemptState(a, inventory.AttemptStopping) // its machine's next heartbeat ends it
+		}
+	}
+}
+
+// handleJobRecordChanged stops placing a job whose record has changed, and reads the record again.
+func (o *owner) handleJobRecordChanged(j *inventory.Job) {
+	j.RecordStale = true
+	for _, a := range j.SortedAttempts() {
+		if a.State == inventory.AttemptAssumed {
+			o.StopAttempt(a, 0, "job's record has changed")
+		}
+	}
+	o.c.store.Get(budget.UserRequests, record.ActiveJobKey(j.ID), func(out kv.Outcome, e kv.Entry) {
+		switch {
+		case o.superseded():
+		case out == kv.NotFound:
+			o.handleJobRemoved(j.ID, o.cancellationsKnownUntil)
+		case out == kv.OK:
+			j.Version, j.RecordStale = e.Version, false
+			o.SchedulingNeeded = true
+		default:
+			j.RecordStale = false // if the record is still another, the next transaction fails too
+			o.commits.Postpone()
+		}
+	})
+}
+
+// ownedElsewhereRetention is how long a machine is remembered as another owner's, until a peer
+// heartbeat of that owner names it.
+const ownedElsewhereRetention = 10 * micros.Second
+
+// dropOwnedElsewhere removes an adopted machine that has an entry in another block: of another owner,
+// or of this one if the machine was transferred to it.
+func (o *owner) dropOwnedElsewhere(m *inventory.Machine, block string) {
+	o.ownedElsewhere[m.Name] = o.c.now + ownedElsewhereRetention
+	o.forgetMachine(m)
+	o.receiveTransfer(block)
+}
+
+// The rest of this file forwards calls of the owner's other parts to its commit pipeline.
+
+// maxCommitBytes is the largest body of a transaction.
+const maxCommitBytes = commit.MaxTransactionBytes
+
+// transaction is the type of an owner's transactions.
+type transaction = commit.Transaction
+
+func (o *owner) flush() { o.commits.Flush() }
+
+func (o *owner) markDirty(m *inventory.Machine) { o.commits.MarkDirty(m) }
+
+func (o *owner) blockFor(machineType, zone string) *inventory.Block {
+	return o.commits.BlockFor(machineType, zone)
+}
+
+func (o *owner) newBlock(name string) *inventory.Block { return o.commits.NewBlock(name) }
+
+func (o *owner) freeSlots(m *inventory.Machine, freeBytes map[*inventory.Block]float64) int {
+	return o.commits.FreeSlots(m, freeBytes)
+}
+
+func (o *owner) freeBytes(b *inventory.Block) float64 { return o.commits.FreeBytes(b) }
+
+func (o *owner) dropChunks(j *inventory.Job) { o.commits.DropChunks(j) }
+
+func (o *owner) ownsAllTeams() bool { return o.commits.OwnsAllTeams() }
+
+func (o *owner) preconditions(versions map[string]uint64) []kv.Precondition {
+	return o.commits.Preconditions(versions)
+}
--- a/controller/inventory_adapter.go
+++ b/controller/inventory_adapter.go
@@ -15,7 +15,7 @@
 func (h inventoryHost) EntryChanged(m *inventory.Machine) { h.o.markDirty(m) }
 
 func (h inventoryHost) CompletionUnrecorded(j *inventory.Job, chunk int) {
-	h.o.segmentFor(j, chunk).MarkDirty(h.o.c.now)
+	h.o.commits.MarkChunkDirty(j, chunk)
 }
 
 func (h inventoryHost) CommandsNeeded(m *inventory.Machine) { h.o.queueDispatch(m) }
--- a/controller/job_view_test.go
+++ b/controller/job_view_test.go
@@ -72,7 +72,8 @@
 	for _, chains := range []int{10, 1000} {
 		b.Run(fmt.Sprint(4*chains), func(b *testing.B) {
 			o := newOwnerWithBlockedJobs(chains, 5)
-			o.Queue, o.committing = nil, true // only what waits
+			o.Queue = nil // only blocked jobs
+			beginCommit(b, o)
 			clear(o.Jobs)
 			g, id := o.c.graph, jobName(5*chains)
 			for b.Loop() {
--- a/controller/limits_test.go
+++ b/controller/limits_test.go
@@ -86,6 +86,25 @@
 	return fmt.Sprint(n)
 }
 
+// blockSize returns the size of a written block as the value limit counts it.
+func blockSize(t *testing.T, w transactionWrite) int {
+	t.Helper()
+	var block record.Block
+	if err := wire.Decode(w.Value, &block); err != nil {
+		t.Fatal(err)
+	}
+	return block.Size()
+}
+
+// countAttempts returns how many attempts an owner's machines have.
+func countAttempts(o *owner) int {
+	n := 0
+	for _, m := range o.Machines {
+		n += len(m.Attempts)
+	}
+	return n
+}
+
 // TestTaskSlotsFitValueLimit guards against starts that fill a block beyond a value: all of one pass
 // are of different jobs, on machines whose block is new, and the smallest values are meant.
 func TestTaskSlotsFitValueLimit(t *testing.T) {
@@ -102,59 +121,30 @@
 		m := o.newMachine(inventory.MachineInfo{Name: fmt.Sprintf("m-%06d", i), Type: "mid", Zone: o.c.cfg.Zones[0], Spot: false, Endpoint: "worker"})
 		m.FencingToken, m.AgentEpoch, m.TokenConfirmed, m.TokenConfirmedAt, m.LastHeartbeat, m.State = 1, 1, true, o.c.now, o.c.now, inventory.MachineReady
 	}
-	placed := 0
 	for range 20 {
 		o.SchedulingNeeded, o.nextSchedulingPass = true, 0
 		o.schedule()
-		for _, b := range o.blocks {
-			tx := &transaction{preconditions: map[string]uint64{}}
-			if !b.Dirty {
-				continue
+		before := countAttempts(o)
+		for _, w := range commitAll(t, o, 10) {
+			if n := blockSize(t, w); n > o.c.cfg.MaxValueBytes {
+				t.Fatalf("%s has %d bytes", w.Put, n)
 			}
-			o.writeBlock(tx, b, 500)
-			if len(tx.writes) != 1 || b.Oversized {
+		}
+		if n := countAttempts(o); n != before {
+			t.Fatalf("%d of %d attempts were abandoned", before-n, before)
+		}
+		for _, b := range o.commits.Blocks() {
+			if b.Dirty || b.Oversized {
 				t.Fatalf("block %s is not written", b.Name)
 			}
-			if n := tx.writes[0].Value.(record.Block).Size(); n > o.c.cfg.MaxValueBytes {
-				t.Fatalf("block %s has %d bytes", b.Name, n)
-			}
-			o.finishTransaction(tx, true, 10)
 		}
 		o.c.now += minPassInterval
 	}
-	for _, m := range o.Machines {
-		placed += len(m.Attempts)
-	}
-	if placed < 300 {
+	if placed := countAttempts(o); placed < 300 {
 		t.Fatalf("only %d tasks were placed", placed)
 	}
 }
 
-// TestOversizedBlockEntry guards against a commit that is refused for ever: one machine's entry,
-// written while values were larger, fits none.
-func TestOversizedBlockEntry(t *testing.T) {
-	o := benchOwner()
-	b := o.blocks[0]
-	m := b.Machines[0]
-	b.Machines = b.Machines[:1]
-	m.FencingToken, o.c.cfg.MaxValueBytes = 0, 60
-	o.markDirty(m)
-	tries := 0
-	for end := o.c.now + micros.Minute; o.c.now < end && m.State < inventory.MachineTerminating; o.c.now += 100 * micros.Millisecond {
-		if !o.isDue(b) {
-			continue
-		}
-		tries++
-		tx := &transaction{preconditions: map[string]uint64{}}
-		if o.writeBlock(tx, b, 16); len(tx.writes) > 0 {
-			t.Fatal("it is written")
-		}
-	}
-	if m.State != inventory.MachineTerminating || tries > 12 {
-		t.Fatalf("state %v after %d tries", m.State, tries)
-	}
-}
-
 // TestCompletionSegmentsMove guards against completions that are lost while chunks change their shard:
 // those of two records count together, and an old record goes only after the new one is
 // written.
@@ -180,51 +170,24 @@
 	if j := o.Jobs[jobName(3)]; !j.Completed.Has(5) || !j.Completed.Has(700) || j.CompletedCount != 2 {
 		t.Fatalf("%d completions are known", j.CompletedCount)
 	}
-	dropped := func() bool { return slices.Contains(o.obsoleteKeys, record.CompletionSegmentKey("red", "1")) }
+	o.c.cfg.MaxTransactionOps = 1
+	old, deleted := record.CompletionSegmentKey("red", "1"), false
 	for range 20 {
-		if o.dropEmptySegments(); dropped() && slices.ContainsFunc(o.completionSegments, func(s *inventory.CompletionSegment) bool { return s.Version == 0 }) {
-			t.Fatal("the old record goes before the new ones are written")
-		}
-		tx := &transaction{preconditions: map[string]uint64{}}
-		o.flushRecords(tx, func() int { return 1 - len(tx.writes) })
-		for _, w := range tx.writes {
+		o.c.now += micros.Second // so that there are writes for deletions
+		for _, w := range commitNext(t, o, 30) {
+			deleted = deleted || w.Delete == old
 			if kv.EncodedSizeBound(w.Value) > 2*o.c.cfg.MaxValueBytes {
 				t.Fatalf("%s is too large", w.Put)
 			}
 		}
-		o.finishTransaction(tx, true, 30)
-	}
-	if !dropped() {
-		t.Fatal("the old record stays")
-	}
-}
-
-// TestTaskSlotsOfIdleMachines guards against machines that stand idle for ever: where a block's record
-// holds few tasks, its size is that of the entries, not of tasks.
-func TestTaskSlotsOfIdleMachines(t *testing.T) {
-	o := testOwner()
-	o.c.cfg.MaxValueBytes = 2 << 10
-	id := jobName(1)
-	o.recoverJob(record.ActiveJobKey(id), wire.Encode(record.NewJob(&sched.Job{
-		ID: id, Class: "work", Team: "red", Tasks: 40, Need: sched.NewResources(2, 0, 2), Image: "img", Estimate: micros.Second,
-	}, 0)), 1)
-	for i := range 6 {
-		m := o.newMachine(inventory.MachineInfo{Name: fmt.Sprintf("m-%06d", i*7919), Type: "mid", Zone: "a", Spot: false, Endpoint: fmt.Sprintf("10.1.%d.%d:9000", i*37, i*91%256)})
-		m.FencingToken, m.State, m.LastHeartbeat = uint64(1000+i*4711), inventory.MachineReady, o.c.now
-	}
-	if len(o.blocks) != 1 {
-		t.Fatalf("%d blocks", len(o.blocks))
-	}
-	o.AddAttempt(o.Jobs[id], 0, 1<<20|1, o.SortedMachines[0], inventory.AttemptLive)
-	o.flushRecords(&transaction{preconditions: map[string]uint64{}}, func() int { return 1 })
-	if !o.blocks[0].Writing {
-		t.Fatal("the block was not written")
-	}
-	for _, m := range o.SortedMachines {
-		if n := o.freeSlots(m, map[*inventory.Block]float64{}); n < 5 {
-			t.Errorf("%s takes %d more tasks", m.Name, n)
+		unwritten := func(s *inventory.CompletionSegment) bool { return s.Version == 0 }
+		if (deleted || o.commits.IsObsolete(old)) && slices.ContainsFunc(o.commits.Segments(), unwritten) {
+			t.Fatal("the old record is deleted before the new ones are written")
 		}
 	}
+	if !deleted {
+		t.Fatal("the old record is not deleted")
+	}
 }
 
 // TestIdleMachinesFilledInOneWrite guards against machines that fill up only some tasks with each write:
@@ -248,15 +211,14 @@
 	if o.Assumed != machines*tasksEach {
 		t.Errorf("%d of %d tasks were placed", o.Assumed, machines*tasksEach)
 	}
-	tx := &transaction{preconditions: map[string]uint64{}}
-	o.flushRecords(tx, func() int { return o.c.cfg.MaxTransactionOps - len(tx.writes) })
-	for _, b := range o.blocks {
-		if b.Oversized || !b.Writing {
+	writes := commitNext(t, o, 10)
+	for _, b := range o.commits.Blocks() {
+		if b.Oversized || b.Version != 10 {
 			t.Errorf("block %s of %d machines was not written", b.Name, len(b.Machines))
 		}
 	}
-	for _, w := range tx.writes {
-		if n := w.Value.(record.Block).Size(); n > o.c.cfg.MaxValueBytes {
+	for _, w := range writes {
+		if n := blockSize(t, w); n > o.c.cfg.MaxValueBytes {
 			t.Errorf("%s has %d bytes", w.Put, n)
 		}
 	}
--- a/controller/machine_transfers.go
+++ b/controller/machine_transfers.go
@@ -107,12 +107,12 @@
 // writeTransfer writes the new owner of an empty machine, in a block of its own.
 func (o *owner) writeTransfer(t *transaction, m *inventory.Machine) {
 	newOwner := o.c.cluster.MemberPrecondition(m.TransferTo.Node())
-	t.preconditions[newOwner.Key] = newOwner.Version
+	t.Require(newOwner.Key, newOwner.Version)
 	data := &record.BlockData{
 		MachineTypes: []record.BlockMachineType{{Type: m.Type, Zone: m.Zone, Spot: m.Spot}},
 		Machines:     []record.BlockMachine{{Name: m.Name, Endpoint: m.Endpoint, LaunchedAt: int64(m.ProvisionedAt)}},
 	}
-	t.put(record.BlockKey(transferBlockName(m)), data.Block(m.TransferTo))
+	t.Put(record.BlockKey(transferBlockName(m)), data.Block(m.TransferTo))
 }
 
 // completeTransfer drops a machine whose new owner is recorded, and tells that owner.
--- a/controller/owner.go
+++ b/controller/owner.go
@@ -8,7 +8,7 @@
 
 	"tamarindlead/internal/autoscaler"
 	"tamarindlead/internal/cluster"
-	"tamarindlead/internal/kv"
+	"tamarindlead/internal/commit"
 	"tamarindlead/internal/record"
 	"tamarindlead/internal/wire"
 	"tamarindlead/micros"
@@ -74,15 +74,9 @@
 	// Scheduling passes, and the attempts that they have proposed.
 	nextSchedulingPass micros.Micros
 
-	// Commits.
-	blocks             []*inventory.Block
-	completionSegments []*inventory.CompletionSegment
-	committing         bool // a commit is under way
-	flushAt            micros.Micros
-	obsoleteKeys       []string      // keys that nobody reads any more
-	obsoleteDeletedAt  micros.Micros // when some of them were deleted last, or there were none
-	partsSwept         bool          // leftovers of long lists were looked for
-	partsSweepCursor   string        // the last key that was looked at
+	commits          *commit.Pipeline // writes the records
+	partsSwept       bool             // leftovers of long lists were looked for
+	partsSweepCursor string           // the last key that was looked at
 }
 
 // newOwner returns an owner of teams that has read no records yet.
@@ -99,6 +93,7 @@
 		unclaimedSince:     map[string]micros.Micros{},
 	}
 	o.Inventory = inventory.NewInventory(inventoryHost{o}, c.log)
+	o.commits = newCommitPipeline(o)
 	for _, t := range c.cfg.Teams {
 		if v, ok := teams[t.Name]; ok {
 			o.Teams[t.Name] = &inventory.Team{Record: v, Team: t}
@@ -238,17 +233,6 @@
 	return max(minAllUnresponsiveTimeout, o.c.cfg.HeartbeatInterval*5/4)
 }
 
-// preconditions builds a list of guards that always holds this node's own record: an owner
-// that has lost it can change nothing.
-func (o *owner) preconditions(more map[string]uint64) []kv.Precondition {
-	own := o.c.node.OwnPrecondition()
-	all := map[string]uint64{own.Key: own.Version}
-	for k, v := range more {
-		all[k] = v
-	}
-	return kv.SortedPreconditions(all)
-}
-
 // ownsRecordsOf tells whether the records of an owner are this one's to take: its own, those of
 // owners whose successor it is, and what no other owner takes.
 func (o *owner) ownsRecordsOf(earlier record.OwnerID) bool {
--- a/controller/recovery.go
+++ b/controller/recovery.go
@@ -31,7 +31,8 @@
 func (o *owner) reset() {
 	o.Inventory.Reset()
 	o.jobsListed, o.cascadedCancellations = false, nil
-	o.blocks, o.completionSegments, o.dispatchQueue, o.unresolvedJobs = nil, nil, nil, nil
+	o.commits.Reset()
+	o.dispatchQueue, o.unresolvedJobs = nil, nil
 	clear(o.scaleOutRequests)
 	clear(o.reservations)
 }
--- a/controller/recovery_segments.go
+++ b/controller/recovery_segments.go
@@ -1,7 +1,6 @@
 package controller
 
 import (
-	"slices"
 	"strings"
 
 	"tamarindlead/internal/inventory"
@@ -17,7 +16,7 @@
 	for _, e := range entries {
 		o.recoverSegment(e)
 	}
-	o.emptyLargeSegments()
+	o.commits.EmptyOversizedSegments()
 }
 
 // recoverSegment takes over one shard, if it is of a team of this owner.
@@ -25,7 +24,7 @@
 	team, name, ok := o.splitSegmentKey(e.Key)
 	if !ok {
 		if o.ownsAllTeams() { // so it is of a team that is no more
-			o.obsoleteKeys = append(o.obsoleteKeys, e.Key)
+			o.commits.AddObsoleteKey(e.Key)
 		}
 		return
 	}
@@ -36,7 +35,7 @@
 	}
 	s := inventory.NewCompletionSegment(team, name)
 	s.Version = e.Version
-	o.completionSegments = append(o.completionSegments, s)
+	o.commits.AddSegment(s)
 	for _, chunkName := range ordered.Keys(rec.Chunks) {
 		o.recoverChunk(s, chunkName, rec.Chunks[chunkName])
 	}
@@ -52,7 +51,7 @@
 		return
 	}
 	if other := j.Segments[chunk]; other != nil {
-		o.moveChunk(other, s, j, chunk)
+		o.commits.MoveChunk(other, s, j, chunk)
 	} else {
 		s.AddChunk(j, chunk)
 	}
@@ -77,21 +76,6 @@
 	}
 }
 
-// emptyLargeSegments moves all chunks out of shards from the time of larger values, which could
-// never be written again. They are deleted once the other shards are written.
-func (o *owner) emptyLargeSegments() {
-	for _, s := range slices.Clone(o.completionSegments) {
-		if s.Bytes <= o.maxSegmentBytes() {
-			continue
-		}
-		o.c.log.Info("shard too large", "shard", s.Key(), "bytes", s.Bytes, "chunks", len(s.Chunks))
-		for _, k := range s.SortedChunks() {
-			j := s.Chunks[k]
-			o.moveChunk(s, o.segmentWithRoom(j, k.Chunk, s), j, k.Chunk)
-		}
-	}
-}
-
 // splitSegmentKey splits the key of a shard of this owner's teams.
 func (o *owner) splitSegmentKey(key string) (team, name string, ok bool) {
 	for team := range o.Teams {
--- a/controller/reservations.go
+++ b/controller/reservations.go
@@ -161,12 +161,12 @@
 		h.writing = true
 		over := h.state == reservationReleased
 		if over {
-			t.writes = append(t.writes, kv.Write{Delete: record.ReservationKey(id)})
+			t.Delete(record.ReservationKey(id))
 		} else {
-			t.preconditions[record.ActiveJobKey(id)] = o.Jobs[id].Version
-			t.put(record.ReservationKey(id), record.Reservation{Machines: h.machines})
+			t.Require(record.ActiveJobKey(id), o.Jobs[id].Version)
+			t.Put(record.ReservationKey(id), record.Reservation{Machines: h.machines})
 		}
-		t.results = append(t.results, func(ok bool, _ uint64) {
+		t.OnResult(func(ok bool, _ uint64) {
 			h.writing = false
 			switch {
 			case !ok:
@@ -190,7 +190,7 @@
 		j := o.unblockPlacedJob(id)
 		if j == nil || wire.Decode(e.Value, &rec) != nil {
 			if o.ownsAllTeams() { // else it may be another owner's
-				o.obsoleteKeys = append(o.obsoleteKeys, e.Key)
+				o.commits.AddObsoleteKey(e.Key)
 			}
 			continue
 		}
--- a/controller/scale_out.go
+++ b/controller/scale_out.go
@@ -95,13 +95,13 @@
 		r.writing = true
 		key := record.ScaleOutRequestKey(name)
 		if r.state == scaleOutDone {
-			t.writes = append(t.writes, kv.Write{Delete: key})
+			t.Delete(key)
 		} else {
-			t.put(key, record.ScaleOutRequest{
+			t.Put(key, record.ScaleOutRequest{
 				Owner: o.c.node.ID(), Type: r.offer.Type, Zone: r.offer.Zone, Spot: r.offer.Spot, Count: r.machineCount,
 			})
 		}
-		t.results = append(t.results, func(ok bool, _ uint64) {
+		t.OnResult(func(ok bool, _ uint64) {
 			r.writing = false
 			switch {
 			case !ok:
--- a/controller/scheduling.go
+++ b/controller/scheduling.go
@@ -27,7 +27,7 @@
 // schedule proposes places for waiting tasks. A proposal takes effect only when the
 // machine's record has been written with it.
 func (o *owner) schedule() {
-	if !o.SchedulingNeeded || o.committing || o.c.now < o.nextSchedulingPass || o.Assumed >= maxAssumed {
+	if !o.SchedulingNeeded || o.commits.InFlight() || o.c.now < o.nextSchedulingPass || o.Assumed >= maxAssumed {
 		return
 	}
 	o.SchedulingNeeded, o.nextSchedulingPass = false, o.c.now+minPassInterval
--- a/controller/status.go
+++ b/controller/status.go
@@ -105,6 +105,6 @@
 	}
 	lossesPerHour := o.c.spotRisk.PerSecond(o.c.cfg.Tuning.SpotLossesPerHour) * secondsPerHour
 	o.c.log.Info("work", "jobs", len(o.Queue), "waiting_jobs", jobs, "waiting_gangs", gangs, "waiting_tasks", tasks,
-		"awaiting_others", len(o.BlockedJobs), "proposed", o.Assumed, "blocks", len(o.blocks), "shards", len(o.completionSegments),
+		"awaiting_others", len(o.BlockedJobs), "proposed", o.Assumed, "blocks", len(o.commits.Blocks()), "shards", len(o.commits.Segments()),
 		"holds", len(o.reservations), "spot_losses_per_h", math.Round(lossesPerHour*10)/10)
 }
--- /dev/null
+++ b/internal/commit/block_result.go
@@ -0,0 +1,74 @@
+package commit
+
+import "tamarindlead/internal/inventory"
+
+// finish handles the result of the transaction.
+func (w *blockWrite) finish(committed bool, revision uint64) {
+	w.block.Writing = false
+	if !committed {
+		w.rollBack()
+		return
+	}
+	now := w.pipeline.host.Now()
+	w.block.Version, w.block.Oversized = revision, false
+	for _, m := range w.stored {
+		m.Recorded = true
+	}
+	for _, source := range w.sources {
+		source.UnwrittenTargets--
+		source.MarkDirty(now) // if it is empty now, its record is deleted
+	}
+	w.advanceMachines(revision)
+	w.markChanged()
+	w.pipeline.removeEmptyBlock(w.block)
+}
+
+// rollBack marks everything dirty again.
+func (w *blockWrite) rollBack() {
+	b := w.block
+	b.MarkDirty(w.pipeline.host.Now())
+	b.Sources = append(b.Sources, w.sources...)
+	for _, m := range b.Machines {
+		m.Dirty = true
+	}
+}
+
+// advanceMachines changes the states of machines and attempts that depend on the record.
+func (w *blockWrite) advanceMachines(revision uint64) {
+	p := w.pipeline
+	for _, m := range w.decommissioning {
+		if m.State == inventory.MachineDecommissioning {
+			p.inv.SetMachineState(m, inventory.MachineTerminating, "recorded")
+		}
+	}
+	for _, m := range w.claimed {
+		if w.block.IsAdopted() && m.FencingToken == 0 && !p.OwnsAllTeams() {
+			p.verifyAdopted(m, revision)
+			continue
+		}
+		p.setFencingToken(m, revision)
+	}
+	for _, a := range w.removing {
+		p.inv.SetAttemptState(a, inventory.AttemptClosed)
+	}
+	for _, a := range w.assumed {
+		p.host.AttemptRecorded(a)
+	}
+	for _, m := range w.terminated {
+		p.host.MachineRemoved(m)
+	}
+	for _, m := range w.transferred {
+		p.transfers.Recorded(m)
+	}
+}
+
+// markChanged marks the entries that changed while the transaction was in flight.
+func (w *blockWrite) markChanged() {
+	now := w.pipeline.host.Now()
+	for _, m := range w.block.Machines {
+		m.Dirty = m.Dirty || m.NeedsWrite()
+		if m.Dirty {
+			w.block.MarkDirty(now)
+		}
+	}
+}
--- /dev/null
+++ b/internal/commit/completion_segments.go
@@ -0,0 +1,137 @@
+package commit
+
+import (
+	"maps"
+	"slices"
+
+	"tamarindlead/internal/inventory"
+	"tamarindlead/internal/record"
+)
+
+// Segments returns the completion segments. The caller must not change the list.
+func (p *Pipeline) Segments() []*inventory.CompletionSegment { return p.segments }
+
+// AddSegment adds a segment that was recovered from its record.
+func (p *Pipeline) AddSegment(s *inventory.CompletionSegment) { p.segments = append(p.segments, s) }
+
+// MarkChunkDirty marks the segment of a chunk as one that must be written.
+func (p *Pipeline) MarkChunkDirty(j *inventory.Job, chunk int) {
+	p.segmentFor(j, chunk).MarkDirty(p.host.Now())
+}
+
+// segmentFor returns the segment of a chunk, after assigning one to a new chunk.
+func (p *Pipeline) segmentFor(j *inventory.Job, chunk int) *inventory.CompletionSegment {
+	if s := j.Segments[chunk]; s != nil {
+		return s
+	}
+	s := p.segmentWithRoom(j, chunk, nil)
+	s.AddChunk(j, chunk)
+	return s
+}
+
+// maxSegmentBytes returns how many bytes the chunks of a segment may take.
+func (p *Pipeline) maxSegmentBytes() int {
+	return p.settings.MaxValueBytes - inventory.SegmentSpareBytes
+}
+
+// segmentWithRoom returns a segment that can take a chunk, and adds one if there is none. It is
+// neither one that must not be written yet, nor the one that the chunk leaves.
+func (p *Pipeline) segmentWithRoom(j *inventory.Job, chunk int, from *inventory.CompletionSegment) *inventory.CompletionSegment {
+	for _, s := range p.segments {
+		fits := s.Bytes+j.ChunkBytes(chunk) <= p.maxSegmentBytes()
+		if s != from && s.Team == j.Team && s.UnwrittenTargets == 0 && fits {
+			return s
+		}
+	}
+	s := inventory.NewCompletionSegment(j.Team, record.FormatNumber(p.host.NextNumber()))
+	p.AddSegment(s)
+	return s
+}
+
+// MoveChunk moves a chunk to another segment. The record of the old one stays unchanged until the
+// new one is written.
+func (p *Pipeline) MoveChunk(from, to *inventory.CompletionSegment, j *inventory.Job, chunk int) {
+	from.RemoveChunk(j, chunk)
+	to.AddChunk(j, chunk)
+	to.MarkDirty(p.host.Now())
+	to.AddSource(from)
+}
+
+// EmptyOversizedSegments moves all chunks out of segments from the time of a higher value limit,
+// which could never be written again. They are deleted once the other segments are written.
+func (p *Pipeline) EmptyOversizedSegments() {
+	for _, s := range slices.Clone(p.segments) {
+		if s.Bytes <= p.maxSegmentBytes() {
+			continue
+		}
+		p.log.Info("completion segment exceeds the value limit", "segment", s.Key(), "bytes", s.Bytes, "chunks", len(s.Chunks))
+		for _, k := range s.SortedChunks() {
+			j := s.Chunks[k]
+			p.MoveChunk(s, p.segmentWithRoom(j, k.Chunk, s), j, k.Chunk)
+		}
+	}
+}
+
+// DropChunks removes the chunks of a job that has ended from their segments. The records are
+// corrected when they are next written.
+func (p *Pipeline) DropChunks(j *inventory.Job) {
+	for chunk, s := range j.Segments {
+		s.RemoveChunk(j, chunk)
+	}
+	clear(j.Segments)
+}
+
+// segmentWrite is one write of a segment.
+type segmentWrite struct {
+	pipeline  *Pipeline
+	segment   *inventory.CompletionSegment
+	sources   []*inventory.CompletionSegment // see inventory.CompletionSegment.Sources
+	completed []*inventory.Attempt           // those whose completion it records
+}
+
+// addSegment adds a segment's record to a transaction, if that has room for it.
+func (p *Pipeline) addSegment(t *Transaction, s *inventory.CompletionSegment) {
+	preconditions := map[string]uint64{s.Key(): s.Version}
+	size := s.Bytes + inventory.SegmentFrameBytes
+	if !t.hasRoomFor(preconditions, size, p.settings.MaxTransactionOps) {
+		return
+	}
+	maps.Copy(t.preconditions, preconditions)
+	t.putSized(s.Key(), s.Completions(), size)
+	w := &segmentWrite{pipeline: p, segment: s, sources: s.Sources}
+	s.Dirty, s.Writing, s.Sources = false, true, nil
+	for _, k := range s.SortedChunks() {
+		j := s.Chunks[k]
+		w.completed = append(w.completed, j.UnrecordedCompletions[k.Chunk]...)
+		delete(j.UnrecordedCompletions, k.Chunk)
+	}
+	t.OnResult(w.finish)
+}
+
+// finish handles the result of the transaction.
+func (w *segmentWrite) finish(committed bool, revision uint64) {
+	w.segment.Writing = false
+	if !committed {
+		w.rollBack()
+		return
+	}
+	w.segment.Version = revision
+	for _, source := range w.sources {
+		source.UnwrittenTargets--
+	}
+	// The records of the machines still name these attempts until they next change; for a
+	// reader the completion takes precedence.
+	for _, a := range w.completed {
+		w.pipeline.inv.SetAttemptState(a, inventory.AttemptClosed)
+	}
+}
+
+// rollBack marks everything dirty again.
+func (w *segmentWrite) rollBack() {
+	s := w.segment
+	s.MarkDirty(w.pipeline.host.Now())
+	s.Sources = append(s.Sources, w.sources...)
+	for _, a := range w.completed {
+		a.Job.AddUnrecordedCompletion(a)
+	}
+}
--- /dev/null
+++ b/internal/commit/flush.go
@@ -0,0 +1,111 @@
+package commit
+
+import (
+	"tamarindlead/internal/budget"
+	"tamarindlead/internal/inventory"
+	"tamarindlead/internal/kv"
+	"tamarindlead/internal/record"
+	"tamarindlead/micros"
+)
+
+// Pauses between transactions.
+const (
+	// flushInterval is the pause after a transaction while writes are plentiful.
+	flushInterval = 25 * micros.Millisecond
+	// flushIntervalThrottled is the pause while writes are scarce, so that batches grow.
+	flushIntervalThrottled = 300 * micros.Millisecond
+	// retryDelay is the pause before a transaction is sent again.
+	retryDelay = 150 * micros.Millisecond
+	// invalidRequestDelay is the pause after a transaction that the key-value store rejects as
+	// malformed.
+	invalidRequestDelay = micros.Second
+)
+
+// Flush sends the most urgent changes in one transaction, unless one is in flight.
+func (p *Pipeline) Flush() {
+	if p.inFlight || p.host.Now() < p.nextFlush {
+		return
+	}
+	purpose := budget.TaskUpdates
+	if p.hasUnclaimedMachines() {
+		purpose = budget.Ownership
+	}
+	t := NewTransaction()
+	if maxWrites := min(p.budget.AvailableWrites(purpose, p.host.Now()), p.settings.MaxTransactionOps); maxWrites > 0 {
+		p.fill(t, maxWrites)
+	}
+	if len(t.writes) == 0 {
+		p.deleteObsoleteKeys()
+		return
+	}
+	p.inFlight = true
+	p.send(t, purpose, firstAttempt)
+}
+
+// fill adds at most maxWrites writes to a transaction. The order is that of urgency.
+func (p *Pipeline) fill(t *Transaction, maxWrites int) {
+	room := func() int { return maxWrites - len(t.writes) }
+	full := func() bool {
+		return room() < 1 || t.valueBytes > MaxTransactionBytes/2 || len(t.preconditions) > 2*p.settings.MaxTransactionOps
+	}
+	// Some changes take two writes.
+	fullForPair := func() bool { return room() < 2 || full() }
+	p.addClaims(t, room)
+	p.addTerminalStates(t, fullForPair)
+	// No user waits for cascaded cancellations: they leave half to the rest, then take what
+	// remains.
+	half := maxWrites / 2
+	p.sources.CascadedCancellations(t, func() bool { return room() < 2+half || full() })
+	p.sources.ScaleOutRequests(t, fullForPair)
+	p.sources.Reservations(t, full)
+	p.addObsoleteKey(t, full)
+	p.addRecords(t, room)
+	p.sources.CascadedCancellations(t, fullForPair)
+}
+
+// flushPause returns the pause after a committed transaction.
+func (p *Pipeline) flushPause() micros.Micros {
+	if p.budget.AvailableWrites(budget.TaskUpdates, p.host.Now()) < p.settings.MaxTransactionOps/2 {
+		return flushIntervalThrottled
+	}
+	return flushInterval
+}
+
+// addTerminalStates records the jobs whose tasks have all completed.
+func (p *Pipeline) addTerminalStates(t *Transaction, full func() bool) {
+	for _, j := range p.inv.Queue {
+		if j.State != inventory.JobFinishing || j.RecordStale {
+			continue
+		}
+		if full() {
+			return
+		}
+		p.addTerminalState(t, j)
+	}
+}
+
+// addTerminalState replaces the record of a completed job by its terminal state.
+func (p *Pipeline) addTerminalState(t *Transaction, j *inventory.Job) {
+	key := record.ActiveJobKey(j.ID)
+	j.Writing = true
+	t.Require(key, j.Version)
+	t.Delete(key)
+	t.Put(record.TerminalStateKey(j.ID), record.TerminalState{Status: record.StatusDone, FinishedAt: p.host.WallClock()})
+	t.OnResult(func(committed bool, _ uint64) {
+		j.Writing = false
+		if committed && j.State != inventory.JobEnded {
+			p.host.JobDone(j)
+		}
+	})
+}
+
+// Preconditions returns a sorted list of preconditions for versions of keys and this node's member
+// record: an owner that has lost that record can change nothing.
+func (p *Pipeline) Preconditions(versions map[string]uint64) []kv.Precondition {
+	own := p.member.OwnPrecondition()
+	all := map[string]uint64{own.Key: own.Version}
+	for key, version := range versions {
+		all[key] = version
+	}
+	return kv.SortedPreconditions(all)
+}
--- /dev/null
+++ b/internal/commit/obsolete_keys.go
@@ -0,0 +1,77 @@
+package commit
+
+import (
+	"slices"
+
+	"tamarindlead/internal/budget"
+	"tamarindlead/internal/inventory"
+	"tamarindlead/internal/kv"
+	"tamarindlead/micros"
+)
+
+// obsoleteKeyMaxWait is how long obsolete keys wait for a moment without other writes. After that,
+// one of them is deleted in each such time.
+const obsoleteKeyMaxWait = 5 * micros.Second
+
+// AddObsoleteKey adds a key that nobody reads any more, to be deleted when writes are plentiful.
+func (p *Pipeline) AddObsoleteKey(key string) { p.obsoleteKeys = append(p.obsoleteKeys, key) }
+
+// IsObsolete reports whether a key waits to be deleted.
+func (p *Pipeline) IsObsolete(key string) bool { return slices.Contains(p.obsoleteKeys, key) }
+
+// addObsoleteKey deletes an obsolete key if other writes have delayed it for long.
+func (p *Pipeline) addObsoleteKey(t *Transaction, full func() bool) {
+	p.dropEmptySegments()
+	now := p.host.Now()
+	if len(p.obsoleteKeys) == 0 {
+		p.obsoleteKeyDeletedAt = now
+		return
+	}
+	if now-p.obsoleteKeyDeletedAt < obsoleteKeyMaxWait || full() {
+		return
+	}
+	p.obsoleteKeyDeletedAt = now
+	key := p.obsoleteKeys[0]
+	t.Delete(key)
+	t.OnResult(func(committed bool, _ uint64) {
+		if committed {
+			p.obsoleteKeys = slices.DeleteFunc(p.obsoleteKeys, func(k string) bool { return k == key })
+		}
+	})
+}
+
+// deleteObsoleteKeys deletes obsolete keys in a transaction of their own, when writes are plentiful.
+func (p *Pipeline) deleteObsoleteKeys() {
+	p.dropEmptySegments()
+	n := min(p.budget.AvailableWrites(budget.Cleanup, p.host.Now()), p.settings.MaxTransactionOps, len(p.obsoleteKeys))
+	if n < 1 {
+		return
+	}
+	var writes []kv.Write
+	for _, key := range p.obsoleteKeys[:n] {
+		writes = append(writes, kv.Write{Delete: key})
+	}
+	p.inFlight = true
+	p.store.Do(budget.Cleanup, kv.Transaction(p.Preconditions(nil), writes), func(r kv.Result) {
+		if p.host.Superseded() {
+			return
+		}
+		p.inFlight = false
+		p.nextFlush = p.host.Now() + flushInterval
+		if r.Outcome == kv.OK {
+			p.obsoleteKeys = p.obsoleteKeys[n:]
+		}
+	})
+}
+
+// dropEmptySegments removes segments without chunks. Their keys are never used again, so they can be
+// deleted at leisure.
+func (p *Pipeline) dropEmptySegments() {
+	p.segments = slices.DeleteFunc(p.segments, func(s *inventory.CompletionSegment) bool {
+		if !s.IsRemovable() {
+			return false
+		}
+		p.AddObsoleteKey(s.Key())
+		return true
+	})
+}
--- /dev/null
+++ b/internal/commit/pipeline.go
@@ -0,0 +1,137 @@
+package commit
+
+import (
+	"log/slog"
+
+	"tamarindlead/config"
+	"tamarindlead/internal/budget"
+	"tamarindlead/internal/inventory"
+	"tamarindlead/internal/kv"
+	"tamarindlead/internal/record"
+	"tamarindlead/micros"
+)
+
+// Host is the owner to which a pipeline belongs. It provides the time of the present event and
+// reacts to the results of transactions.
+type Host interface {
+	// Now returns the steady time of the present event, WallClock its time of day.
+	Now() micros.Micros
+	WallClock() micros.Micros
+	// After calls do once d has passed.
+	After(d micros.Micros, do func())
+	// Superseded reports whether another owner has replaced this one, so that callbacks must
+	// do nothing.
+	Superseded() bool
+	// NextNumber returns a number that is unique for ever, for the name of a record.
+	NextNumber() uint64
+	// TypicalTasks returns how many tasks a machine of a type is likely to run, or 0 if that
+	// is not known.
+	TypicalTasks(machineType string) int
+
+	// JobDone is called when the terminal state of a completed job is recorded.
+	JobDone(j *inventory.Job)
+	// AttemptRecorded is called when an attempt that was assumed is recorded.
+	AttemptRecorded(a *inventory.Attempt)
+	// MachineClaimed is called when a machine has its fencing token.
+	MachineClaimed(m *inventory.Machine)
+	// MachineRemoved is called when the record of a terminated machine no longer holds it.
+	MachineRemoved(m *inventory.Machine)
+	// MachineOwnedElsewhere is called when an adopted machine turns out to have an entry in
+	// another block.
+	MachineOwnedElsewhere(m *inventory.Machine, block string)
+	// JobRecordChanged is called when the record of a job is not as expected.
+	JobRecordChanged(id string)
+	// MemberRecordLost is called when this node's member record is not as expected.
+	MemberRecordLost()
+	// RestartRecovery replaces the owner by one that reads all records again.
+	RestartRecovery(reason string)
+}
+
+// Transfers is the part of the owner that transfers machines to other owners.
+type Transfers interface {
+	// Successor returns the precondition that the new owner of a machine is a member. If that
+	// owner is gone, it cancels the transfer and reports false.
+	Successor(m *inventory.Machine) (kv.Precondition, bool)
+	// AddTo adds the record that names the new owner of a machine.
+	AddTo(t *Transaction, m *inventory.Machine)
+	// Recorded is called when that record is written.
+	Recorded(m *inventory.Machine)
+}
+
+// Source adds the writes of another part of the owner to a transaction, until full returns true.
+type Source func(t *Transaction, full func() bool)
+
+// Sources are the parts of the owner that share its transactions.
+type Sources struct {
+	CascadedCancellations Source
+	ScaleOutRequests      Source
+	Reservations          Source
+}
+
+// Member is this node as a member of the cluster.
+type Member interface {
+	// ID returns the identity of this node as an owner.
+	ID() record.OwnerID
+	// OwnPrecondition returns the precondition that the node's member record is unchanged.
+	OwnPrecondition() kv.Precondition
+}
+
+// Store is the client of the key-value store.
+type Store interface {
+	Do(purpose budget.Purpose, request kv.Request, done func(kv.Result))
+	ListAll(prefix string, done func(kv.Listing, error))
+}
+
+// Dependencies is what a pipeline works with.
+type Dependencies struct {
+	Settings  *config.Settings
+	Log       *slog.Logger
+	Store     Store
+	Budget    *budget.Budget
+	Member    Member
+	Inventory *inventory.Inventory
+	Host      Host
+	Transfers Transfers
+	Sources   Sources
+}
+
+// Pipeline writes the records of one owner. At most one transaction is in flight, so that what it
+// was built on can only be changed by another node. It is not safe for concurrent use.
+type Pipeline struct {
+	settings  *config.Settings
+	log       *slog.Logger
+	store     Store
+	budget    *budget.Budget
+	member    Member
+	inv       *inventory.Inventory
+	host      Host
+	transfers Transfers
+	sources   Sources
+
+	blocks   []*inventory.Block // sorted by name
+	segments []*inventory.CompletionSegment
+
+	inFlight  bool // a transaction was sent and its result is not known
+	nextFlush micros.Micros
+
+	obsoleteKeys []string // keys that nobody reads any more
+	// obsoleteKeyDeletedAt is when one of them was last deleted, or when there was none.
+	obsoleteKeyDeletedAt micros.Micros
+}
+
+// New returns a pipeline without blocks and segments.
+func New(d Dependencies) *Pipeline {
+	return &Pipeline{
+		settings: d.Settings, log: d.Log, store: d.Store, budget: d.Budget, member: d.Member,
+		inv: d.Inventory, host: d.Host, transfers: d.Transfers, sources: d.Sources,
+	}
+}
+
+// Reset removes all blocks and segments, before the records are read again.
+func (p *Pipeline) Reset() { p.blocks, p.segments = nil, nil }
+
+// InFlight reports whether the result of a transaction is awaited.
+func (p *Pipeline) InFlight() bool { return p.inFlight }
+
+// Postpone delays the next transaction, after a read that must be repeated first.
+func (p *Pipeline) Postpone() { p.nextFlush = p.host.Now() + retryDelay }
--- /dev/null
+++ b/internal/commit/result.go
@@ -0,0 +1,136 @@
+package commit
+
+import (
+	"fmt"
+	"strings"
+
+	"tamarindlead/internal/budget"
+	"tamarindlead/internal/inventory"
+	"tamarindlead/internal/kv"
+	"tamarindlead/internal/record"
+)
+
+// sendAttempt tells the first sending of a transaction from later ones, after which it may have been
+// committed already.
+type sendAttempt bool
+
+const (
+	firstAttempt sendAttempt = false
+	resent       sendAttempt = true
+)
+
+// send sends a transaction.
+func (p *Pipeline) send(t *Transaction, purpose budget.Purpose, attempt sendAttempt) {
+	p.store.Do(purpose, kv.Transaction(p.Preconditions(t.preconditions), t.writes), func(r kv.Result) {
+		if !p.host.Superseded() {
+			p.handleResult(t, purpose, attempt, r)
+		}
+	})
+}
+
+// handleResult handles the result of a transaction.
+func (p *Pipeline) handleResult(t *Transaction, purpose budget.Purpose, attempt sendAttempt, r kv.Result) {
+	switch r.Outcome {
+	case kv.OK:
+		p.handleCommitted(t, r)
+	case kv.PreconditionFailed:
+		p.handlePreconditionFailed(t, attempt, r)
+	case kv.Unknown:
+		// It may still be committed: nothing else may be decided before the same transaction
+		// has been committed or refused by its preconditions.
+		p.nextFlush = p.host.Now() + retryDelay
+		p.resend(t, purpose)
+	case kv.InvalidRequest:
+		p.log.Error("transaction rejected as invalid", "writes", len(t.writes))
+		p.finish(t, false, 0)
+		p.nextFlush = p.host.Now() + invalidRequestDelay
+	default:
+		if attempt == resent {
+			p.resend(t, purpose)
+			return
+		}
+		p.finish(t, false, 0)
+		p.nextFlush = p.host.Now() + retryDelay
+	}
+}
+
+// handleCommitted applies a transaction that was committed.
+func (p *Pipeline) handleCommitted(t *Transaction, r kv.Result) {
+	var result kv.TransactionResult
+	if err := r.Decode(&result); err != nil {
+		p.host.RestartRecovery(fmt.Sprintf("response to a transaction is unreadable: %v", err))
+		return
+	}
+	p.finish(t, true, result.Revision)
+	p.nextFlush = p.host.Now() + p.flushPause()
+	p.inv.SchedulingNeeded = true
+}
+
+// resend sends a transaction whose result is unknown again after a pause.
+func (p *Pipeline) resend(t *Transaction, purpose budget.Purpose) {
+	p.host.After(retryDelay, func() {
+		if !p.host.Superseded() {
+			p.send(t, purpose, resent)
+		}
+	})
+}
+
+// finish ends a transaction: its changes hold from now on, or must be written again.
+func (p *Pipeline) finish(t *Transaction, committed bool, revision uint64) {
+	p.inFlight = false
+	t.Finish(committed, revision)
+}
+
+// handlePreconditionFailed handles a transaction whose preconditions did not hold.
+func (p *Pipeline) handlePreconditionFailed(t *Transaction, attempt sendAttempt, r kv.Result) {
+	if attempt == resent {
+		p.host.RestartRecovery("a transaction without response was committed, or another node wrote")
+		return
+	}
+	var result kv.TransactionResult
+	_ = r.Decode(&result) // an invalid body names no failed keys: the writes are tried again
+	p.finish(t, false, 0)
+	for _, key := range result.FailedPreconditions {
+		if !p.handleFailedKey(key) {
+			return
+		}
+	}
+	p.nextFlush = max(p.nextFlush, p.host.Now()+flushInterval)
+}
+
+// handleFailedKey handles a precondition that did not hold, and reports whether this owner continues.
+// The record of a job may have been deleted by a cancellation; all others are written by this
+// node alone, as long as it owns them.
+func (p *Pipeline) handleFailedKey(key string) bool {
+	switch {
+	case key == record.MemberKey(p.settings.Node):
+		p.host.MemberRecordLost()
+		return false
+	case strings.HasPrefix(key, record.MemberPrefix):
+		return true // the new owner of a transferred machine is gone
+	case p.handleAdoptedElsewhere(key):
+		return true
+	}
+	id, isJob := strings.CutPrefix(key, record.ActiveJobPrefix)
+	if !isJob {
+		p.host.RestartRecovery("an own record was changed: " + key)
+		return false
+	}
+	p.host.JobRecordChanged(id)
+	return true
+}
+
+// handleAdoptedElsewhere handles the failed first claim of a machine that another owner has adopted,
+// and reports whether the key is that of such a claim.
+func (p *Pipeline) handleAdoptedElsewhere(key string) bool {
+	name, isAdopted := strings.CutPrefix(key, record.BlockPrefix+inventory.AdoptedPrefix)
+	if !isAdopted {
+		return false
+	}
+	m := p.inv.Machines[name]
+	if m == nil || m.FencingToken != 0 {
+		return false
+	}
+	p.host.MachineOwnedElsewhere(m, inventory.AdoptedPrefix+name)
+	return true
+}
--- a/internal/inventory/block.go
+++ b/internal/inventory/block.go
@@ -98,6 +98,17 @@
 	MaxFreeBytesSplit = 3
 )
 
+// IsDue reports whether the block must and may be written now.
+func (b *Block) IsDue(now micros.Micros) bool {
+	return b.Dirty && !b.Writing && b.UnwrittenTargets == 0 && now >= b.RetryAt
+}
+
+// AddSource records that machines came from another block, which must not be written before this one.
+func (b *Block) AddSource(from *Block) {
+	b.Sources = append(b.Sources, from)
+	from.UnwrittenTargets++
+}
+
 // MarkDirty notes that the block must be written.
 func (b *Block) MarkDirty(now micros.Micros) {
 	if !b.Dirty {
--- a/internal/inventory/completion_segment.go
+++ b/internal/inventory/completion_segment.go
@@ -72,6 +72,19 @@
 // IsDue tells whether the shard must and may be written.
 func (s *CompletionSegment) IsDue() bool { return s.Dirty && !s.Writing && s.UnwrittenTargets == 0 }
 
+// IsRemovable reports whether the segment is recorded, holds nothing and is not needed for others.
+func (s *CompletionSegment) IsRemovable() bool {
+	return len(s.Chunks) == 0 && !s.Writing && s.Version != 0 && s.UnwrittenTargets == 0 && len(s.Sources) == 0
+}
+
+// AddSource records that chunks came from another segment, which must not be written before this one.
+func (s *CompletionSegment) AddSource(from *CompletionSegment) {
+	if !slices.Contains(s.Sources, from) {
+		s.Sources = append(s.Sources, from)
+		from.UnwrittenTargets++
+	}
+}
+
 // AddChunk puts a chunk into the shard.
 func (s *CompletionSegment) AddChunk(j *Job, chunk int) {
 	s.Chunks[ChunkKey{j.ID, chunk}] = j
