--- a/controller/blocked_jobs.go
+++ b/controller/blocked_jobs.go
@@ -133,7 +133,7 @@
 // dropParts has the further keys of a job's list deleted: they serve while its record exists.
 func (o *owner) dropParts(j *inventory.Job) {
 	for i := range j.DependencyParts {
-		o.commits.AddObsoleteKey(record.DependencyPartKey(j.ID, i))
+		o.commits.DeleteLater(record.DependencyPartKey(j.ID, i))
 	}
 	j.DependencyParts = 0
 }
@@ -201,7 +201,7 @@
 	for _, e := range entries {
 		id, _, _ := strings.Cut(strings.TrimPrefix(e.Key, record.DependencyPartPrefix), "/")
 		if !o.c.graph.IsActive(id) && !o.commits.IsObsolete(e.Key) {
-			o.commits.AddObsoleteKey(e.Key)
+			o.commits.DeleteLater(e.Key)
 		}
 	}
 }
--- a/controller/commit_test.go
+++ b/controller/commit_test.go
@@ -25,7 +25,7 @@
 // beginCommit brings an owner into the state in which the result of a transaction is awaited.
 func beginCommit(tb testing.TB, o *owner) {
 	tb.Helper()
-	o.commits.AddObsoleteKey("obsolete")
+	o.commits.DeleteLater("obsolete")
 	if o.flush(); !o.commits.InFlight() {
 		tb.Fatal("no transaction was sent")
 	}
--- a/controller/recovery_segments.go
+++ b/controller/recovery_segments.go
@@ -24,7 +24,7 @@
 	team, name, ok := o.splitSegmentKey(e.Key)
 	if !ok {
 		if o.ownsAllTeams() { // so it is of a team that is no more
-			o.commits.AddObsoleteKey(e.Key)
+			o.commits.DeleteLater(e.Key)
 		}
 		return
 	}
--- a/controller/reservations.go
+++ b/controller/reservations.go
@@ -190,7 +190,7 @@
 		j := o.unblockPlacedJob(id)
 		if j == nil || wire.Decode(e.Value, &rec) != nil {
 			if o.ownsAllTeams() { // else it may be another owner's
-				o.commits.AddObsoleteKey(e.Key)
+				o.commits.DeleteLater(e.Key)
 			}
 			continue
 		}
--- a/internal/commit/flush.go
+++ b/internal/commit/flush.go
@@ -58,7 +58,7 @@
 	p.sources.CascadedCancellations(t, func() bool { return room() < 2+half || full() })
 	p.sources.ScaleOutRequests(t, fullForPair)
 	p.sources.Reservations(t, full)
-	p.addObsoleteKey(t, full)
+	p.addOverdueDeletion(t, full)
 	p.addRecords(t, room)
 	p.sources.CascadedCancellations(t, fullForPair)
 }
--- a/internal/commit/machine_claims.go
+++ b/internal/commit/machine_claims.go
@@ -52,7 +52,7 @@
 			return
 		}
 		if block, found := otherBlockWith(m, listing.Entries); found {
-			p.AddObsoleteKey(record.BlockKey(m.Block.Name))
+			p.DeleteLater(record.BlockKey(m.Block.Name))
 			p.host.MachineOwnedElsewhere(m, block)
 			return
 		}
--- a/internal/commit/obsolete_keys.go
+++ b/internal/commit/obsolete_keys.go
@@ -13,14 +13,14 @@
 // one of them is deleted in each such time.
 const obsoleteKeyMaxWait = 5 * micros.Second
 
-// AddObsoleteKey adds a key that nobody reads any more, to be deleted when writes are plentiful.
-func (p *Pipeline) AddObsoleteKey(key string) { p.obsoleteKeys = append(p.obsoleteKeys, key) }
+// DeleteLater has a key that nobody reads any more deleted when writes are plentiful.
+func (p *Pipeline) DeleteLater(key string) { p.obsoleteKeys = append(p.obsoleteKeys, key) }
 
 // IsObsolete reports whether a key waits to be deleted.
 func (p *Pipeline) IsObsolete(key string) bool { return slices.Contains(p.obsoleteKeys, key) }
 
-// addObsoleteKey deletes an obsolete key if other writes have delayed it for long.
-func (p *Pipeline) addObsoleteKey(t *Transaction, full func() bool) {
+// addOverdueDeletion adds the deletion of an obsolete key if other writes have delayed it for long.
+func (p *Pipeline) addOverdueDeletion(t *Transaction, full func() bool) {
 	p.dropEmptySegments()
 	now := p.host.Now()
 	if len(p.obsoleteKeys) == 0 {
@@ -71,7 +71,7 @@
 		if !s.IsRemovable() {
 			return false
 		}
-		p.AddObsoleteKey(s.Key())
+		p.DeleteLater(s.Key())
 		return true
 	})
 }
--- a/internal/commit/pipeline.go
+++ b/internal/commit/pipeline.go
@@ -14,8 +14,9 @@
 // Host is the owner to which a pipeline belongs. It provides the time of the present event and
 // reacts to the results of transactions.
 type Host interface {
-	// Now returns the steady time of the present event, WallClock its time of day.
+	// Now returns the steady time of the present event.
 	Now() micros.Micros
+	// WallClock returns the time of day of the present event.
 	WallClock() micros.Micros
 	// After calls do once d has passed.
 	After(d micros.Micros, do func())
@@ -78,7 +79,9 @@
 
 // Store is the client of the key-value store.
 type Store interface {
+	// Do sends a request for a purpose, and calls done with the result.
 	Do(purpose budget.Purpose, request kv.Request, done func(kv.Result))
+	// ListAll reads all entries with a prefix, and calls done with them.
 	ListAll(prefix string, done func(kv.Listing, error))
 }
 
