--- a/internal/commit/result.go
+++ b/internal/commit/result.go
@@ -10,8 +10,8 @@
 	"tamarindlead/internal/record"
 )
 
-// sendAttempt tells the first sending of a transaction from later ones, after which it may have been
-// committed already.
+// sendAttempt distinguishes the first sending of a transaction from later ones, when the transaction
+// may have been committed already.
 type sendAttempt bool
 
 const (
--- a/internal/inventory/attempt.go
+++ b/internal/inventory/attempt.go
@@ -15,14 +15,15 @@
 const (
 	AttemptAssumed   AttemptState = iota // placed, but not recorded yet
 	AttemptRecorded                      // recorded, so that it may be started
-	AttemptStarting                      // a start command was sent, or may have been
+	AttemptStarting                      // a start command may have been sent
 	AttemptLive                          // reported by its machine
 	AttemptStopping                      // must be stopped
 	AttemptCompleted                     // its task has completed, which is not recorded yet
 	AttemptRemoving                      // off its machine, which is not recorded yet
-	AttemptClosed                        // over, and no record names it
+	AttemptClosed                        // over, and not in any record
 )
 
+// String returns the name of the state for logs.
 func (s AttemptState) String() string {
 	switch s {
 	case AttemptAssumed:
@@ -52,22 +53,22 @@
 	Number  uint64
 	Machine *Machine
 	State   AttemptState
-	// Phase is the task's phase in the machine's last heartbeat, HeartbeatSeen whether any
-	// heartbeat listed the attempt.
-	Phase         wire.TaskPhase
+	// Phase is the task's phase in the machine's last heartbeat.
+	Phase wire.TaskPhase
+	// HeartbeatSeen is set once a heartbeat has listed the attempt.
 	HeartbeatSeen bool
-	// StartHeartbeatSeq is the sequence number of the heartbeat to which the start command
-	// was the response.
+	// StartHeartbeatSeq is the sequence number of the heartbeat whose response was the start
+	// command.
 	StartHeartbeatSeq uint64
-	// PlacedAt is when it was placed, RunningSince when it was first reported as running, or 0.
-	PlacedAt     micros.Micros
+	PlacedAt          micros.Micros
+	// RunningSince is when the task was first reported as running, or 0.
 	RunningSince micros.Micros
-	// GracePeriod is the time for a checkpoint when it is stopped, Reason why it is stopped.
+	// GracePeriod is the time for a checkpoint when the attempt is stopped, Reason the cause.
 	GracePeriod micros.Micros
 	Reason      string
-	// CountedRunning is set while it counts among the running tasks of its job.
+	// CountedRunning is set while the attempt counts among the running tasks of its job.
 	CountedRunning bool
-	// ResourcesReleased is set once it uses no resources of its machine and team any more.
+	// ResourcesReleased is set once the attempt no longer uses resources of its machine and team.
 	ResourcesReleased bool
 }
 
@@ -77,31 +78,32 @@
 	Index int
 }
 
-// Key identifies the attempt's task on a machine.
+// Key returns the key of the attempt's task.
 func (a *Attempt) Key() TaskKey { return TaskKey{a.Job.ID, a.Index} }
 
-// TaskName is the name of the attempt's task on the wire.
+// TaskName returns the name of the attempt's task on the wire.
 func (a *Attempt) TaskName() string { return wire.TaskName(a.Job.ID, a.Index) }
 
-// MayStart tells whether the attempt's job wants it started: a gang only once all of its
-// places are recorded.
+// MayStart reports whether the attempt may be started. The tasks of a gang may start only once all
+// their attempts are recorded.
 func (a *Attempt) MayStart() bool {
 	return a.Job.State == JobActive && (!a.Job.Gang || a.Job.GangState == GangStarting)
 }
 
-// SetCountedRunning notes whether an attempt's task runs.
-func (a *Attempt) SetCountedRunning(runs bool) {
-	if a.CountedRunning == runs {
+// SetCountedRunning sets whether the attempt counts among the running tasks of its job.
+func (a *Attempt) SetCountedRunning(running bool) {
+	if a.CountedRunning == running {
 		return
 	}
-	if a.CountedRunning = runs; runs {
+	a.CountedRunning = running
+	if running {
 		a.Job.RunningTasks++
 	} else {
 		a.Job.RunningTasks--
 	}
 }
 
-// SortedAttempts lists the job's attempts in the order of their tasks.
+// SortedAttempts returns the job's attempts in the order of their tasks.
 func (j *Job) SortedAttempts() []*Attempt {
 	list := make([]*Attempt, 0, len(j.Attempts))
 	for _, i := range ordered.Keys(j.Attempts) {
--- a/internal/inventory/completion_segment.go
+++ b/internal/inventory/completion_segment.go
@@ -9,67 +9,66 @@
 	"tamarindlead/micros"
 )
 
-// SegmentFrameBytes is what a shard's value takes besides its chunks, at most.
+// SegmentFrameBytes is the largest size of a segment's value without its chunks.
 const SegmentFrameBytes = 64
 
-// SegmentSpareBytes is left free in a value when chunks are added to a shard.
+// SegmentSpareBytes is left free of the value limit when chunks are added to a segment.
 const SegmentSpareBytes = 2 * SegmentFrameBytes
 
-// CompletionSegment is a record of completed tasks at their owner. It holds chunks of several jobs of
-// one team.
+// CompletionSegment is a record of completed tasks. It holds chunks of several jobs of one team.
 type CompletionSegment struct {
 	Team    string
 	Name    string
-	Version uint64            // of the record; 0: not written yet
+	Version uint64            // of the record; 0 if it is not written yet
 	Chunks  map[ChunkKey]*Job // the jobs of the chunks
-	Bytes   int               // what the chunks take, at most
+	Bytes   int               // upper bound of the size of the chunks
 
-	Dirty      bool // it must be written
+	Dirty      bool // the segment must be written
 	DirtySince micros.Micros
-	Writing    bool // a commit with it is under way
+	Writing    bool // a transaction with the segment is in flight
 
-	// Sources are the shards from which chunks came since the last write.
+	// Sources are the segments from which chunks came since the last write.
 	Sources []*CompletionSegment
-	// UnwrittenTargets counts the shards to which chunks went and which are not written yet.
-	// Until they are, this shard must be neither written nor deleted.
+	// UnwrittenTargets counts the segments to which chunks went and which are not written yet.
+	// Until they are, this segment must be neither written nor deleted.
 	UnwrittenTargets int
 }
 
-// ChunkKey names a chunk of a job's tasks.
+// ChunkKey identifies a chunk of a job's tasks.
 type ChunkKey struct {
 	Job   string
 	Chunk int
 }
 
-// Name is the chunk's name in the record.
+// Name returns the chunk's name in the record.
 func (k ChunkKey) Name() string { return record.ChunkName(k.Job, k.Chunk) }
 
-// CompareChunks orders chunks by job and number.
+// CompareChunks compares chunks by job and number.
 func CompareChunks(a, b ChunkKey) int {
 	return cmp.Or(cmp.Compare(a.Job, b.Job), cmp.Compare(a.Chunk, b.Chunk))
 }
 
-// NewCompletionSegment makes a shard without chunks.
+// NewCompletionSegment returns a segment without chunks.
 func NewCompletionSegment(team, name string) *CompletionSegment {
 	return &CompletionSegment{Team: team, Name: name, Chunks: map[ChunkKey]*Job{}}
 }
 
-// Key is the key of the shard's record.
+// Key returns the key of the segment's record.
 func (s *CompletionSegment) Key() string { return record.CompletionSegmentKey(s.Team, s.Name) }
 
-// SortedChunks lists the shard's chunks in order.
+// SortedChunks returns the segment's chunks in order.
 func (s *CompletionSegment) SortedChunks() []ChunkKey {
 	return slices.SortedFunc(maps.Keys(s.Chunks), CompareChunks)
 }
 
-// MarkDirty notes that the shard must be written.
+// MarkDirty marks the segment as one that must be written.
 func (s *CompletionSegment) MarkDirty(now micros.Micros) {
 	if !s.Dirty {
 		s.Dirty, s.DirtySince = true, now
 	}
 }
 
-// IsDue tells whether the shard must and may be written.
+// IsDue reports whether the segment must and may be written.
 func (s *CompletionSegment) IsDue() bool { return s.Dirty && !s.Writing && s.UnwrittenTargets == 0 }
 
 // IsRemovable reports whether the segment is recorded, holds nothing and is not needed for others.
@@ -85,20 +84,20 @@
 	}
 }
 
-// AddChunk puts a chunk into the shard.
+// AddChunk adds a chunk to the segment.
 func (s *CompletionSegment) AddChunk(j *Job, chunk int) {
 	s.Chunks[ChunkKey{j.ID, chunk}] = j
 	s.Bytes += j.ChunkBytes(chunk)
 	j.Segments[chunk] = s
 }
 
-// RemoveChunk takes a chunk out of the shard.
+// RemoveChunk removes a chunk from the segment. The caller assigns it to another, or to none.
 func (s *CompletionSegment) RemoveChunk(j *Job, chunk int) {
 	delete(s.Chunks, ChunkKey{j.ID, chunk})
 	s.Bytes -= j.ChunkBytes(chunk)
 }
 
-// Completions encodes the shard's chunks.
+// Completions returns the value of the segment's record.
 func (s *CompletionSegment) Completions() record.CompletionSegment {
 	chunks := map[string]string{}
 	for k, j := range s.Chunks {
--- a/internal/inventory/doc.go
+++ b/internal/inventory/doc.go
@@ -1,9 +1,8 @@
-// Package inventory holds what an owner knows of its teams, jobs, attempts and machines, and of the
-// records (blocks and completion segments) that hold their state. It has one function for every
-// change of state, which keeps counts and usage consistent and tells the owner, through Host, what
-// must follow: a record to write, commands to send.
+// Package inventory holds the teams, jobs, attempts and machines of an owner, and the records (blocks
+// and completion segments) that store their state. It has one method for every change of state,
+// which keeps counts and usage consistent and reports through Host what must follow: a record to
+// write, commands to send.
 //
-// It decides nothing: which task goes where is up to the scheduler, what machines are told and
-// when they are terminated is up to the owner's other parts. It has no clock, no network and no
-// goroutine.
+// It makes no decisions: the scheduler places tasks, and the owner's other parts command and
+// terminate machines. It has no clock, no network and no goroutine.
 package inventory
--- a/internal/inventory/job.go
+++ b/internal/inventory/job.go
@@ -15,10 +15,11 @@
 const (
 	JobActive    JobState = iota // its tasks are pending or placed
 	JobFinishing                 // all tasks have completed, which is not recorded yet
-	JobEnded                     // done or cancelled: attempts that are left must be stopped
+	JobEnded                     // done or cancelled: remaining attempts must be stopped
 	JobBlocked                   // some of its dependencies are not done
 )
 
+// String returns the name of the state for logs.
 func (s JobState) String() string {
 	switch s {
 	case JobActive:
@@ -33,27 +34,41 @@
 	return fmt.Sprintf("JobState(%d)", int(s))
 }
 
-// TaskState is the state of a task.
+// TaskState is the state of a task at its owner.
 type TaskState uint8
 
 // The states of a task.
 const (
-	TaskPending TaskState = iota // has no place
+	TaskPending TaskState = iota // has no attempt
 	TaskPlaced                   // has an attempt
-	TaskDone                     // has completed; this is final
+	TaskDone                     // has completed, which is final
 )
 
-// GangState is the state of a gang's current attempt.
+// String returns the name of the state for logs.
+func (s TaskState) String() string {
+	switch s {
+	case TaskPending:
+		return "pending"
+	case TaskPlaced:
+		return "placed"
+	case TaskDone:
+		return "done"
+	}
+	return fmt.Sprintf("TaskState(%d)", int(s))
+}
+
+// GangState is the state of the current attempt to run a gang.
 type GangState int
 
-// The states of a gang's attempt.
+// The states of an attempt to run a gang.
 const (
 	GangNone     GangState = iota // there is no attempt
-	GangPlacing                   // the places of its tasks are being recorded
-	GangStarting                  // all places are recorded, so that tasks may be started
-	GangStopping                  // the attempt is over: its tasks must be stopped
+	GangPlacing                   // the attempts of its tasks are being recorded
+	GangStarting                  // all attempts are recorded, so that tasks may be started
+	GangStopping                  // the attempt is over, and its tasks must be stopped
 )
 
+// String returns the name of the state for logs.
 func (s GangState) String() string {
 	switch s {
 	case GangNone:
@@ -68,7 +83,7 @@
 	return fmt.Sprintf("GangState(%d)", int(s))
 }
 
-// Job is a job at its owner. Its parts say which concern changes which fields.
+// Job is a job at its owner. Its fields are grouped by the concern that changes them.
 type Job struct {
 	*sched.Job
 	State JobState
@@ -79,7 +94,7 @@
 	Backoff
 }
 
-// JobRecord is how a job's record stands.
+// JobRecord is the state of a job's record.
 type JobRecord struct {
 	// Version is the version of the record.
 	Version uint64
@@ -89,14 +104,14 @@
 	Writing bool
 	// CancelQueued is set while the job waits to be recorded as cancelled with a dependency.
 	CancelQueued bool
-	// RecordStale is set if the record has changed: nothing is placed until it was read again.
+	// RecordStale is set if the record has changed: nothing is placed until it is read again.
 	RecordStale bool
 	// EndedAt is a time before which no user got an acknowledgement of the job's
 	// cancellation; 0 if it was not cancelled.
 	EndedAt micros.Micros
 }
 
-// JobTimes is what a job's order in the queue and its service-level objectives depend on.
+// JobTimes holds what a job's order in the queue and its service-level objectives depend on.
 type JobTimes struct {
 	Accepted micros.Micros
 	// ReadyAt is when the job was accepted, or became ready if it was blocked by
@@ -109,7 +124,7 @@
 	EffectiveDeadline micros.Micros
 }
 
-// Progress is which tasks of a job are pending and which have completed.
+// Progress holds the states of a job's tasks, and the records of completed ones.
 type Progress struct {
 	// TaskStates are the states of the tasks; nil while all are pending.
 	TaskStates   []TaskState
@@ -124,19 +139,19 @@
 	UnrecordedCompletions map[int][]*Attempt
 }
 
-// Placement is what a job has on machines.
+// Placement holds the attempts of a job.
 type Placement struct {
-	// Attempts are the placements of the job's tasks, by task.
+	// Attempts are the attempts by task.
 	Attempts     map[int]*Attempt
 	Assumed      int // attempts that are not recorded yet
 	RunningTasks int // tasks that run, as shown to users
 	GangState    GangState
-	// EverPlaced is set once some task was placed; IdleSince is since when none has been.
+	// EverPlaced is set once some task was placed; IdleSince is when the job last had none.
 	EverPlaced bool
 	IdleSince  micros.Micros
 }
 
-// Backoff delays work for a job after failures.
+// Backoff delays the placement of a job after failures.
 type Backoff struct {
 	// BackoffUntil is the time before which no task is placed.
 	BackoffUntil micros.Micros
@@ -148,7 +163,7 @@
 	FailedPreemptions int
 }
 
-// NewJob returns an active job without attempts, from its record of a version.
+// NewJob returns an active job without attempts. version is that of its record.
 func NewJob(j *sched.Job, version uint64, accepted micros.Micros) *Job {
 	return &Job{
 		Job:       j,
@@ -164,7 +179,7 @@
 	}
 }
 
-// TaskState returns a task's state.
+// TaskState returns the state of a task.
 func (j *Job) TaskState(i int) TaskState {
 	if j.TaskStates == nil {
 		return TaskPending
@@ -172,14 +187,15 @@
 	return j.TaskStates[i]
 }
 
-// AllocateTaskStates makes room for the states of single tasks, which a job that only waits does
-// without: a queue of large jobs must fit into little memory.
+// AllocateTaskStates allocates the states of single tasks. A job of which nothing was ever placed has
+// none: a queue of large jobs must fit into little memory.
 func (j *Job) AllocateTaskStates() {
 	if j.TaskStates == nil {
 		j.TaskStates, j.Completed = make([]TaskState, j.Tasks), make(record.Bitmap, (j.Tasks+7)/8)
 	}
 }
 
+// SetTaskState sets the state of a task, unless it is done already, and updates the counts.
 func (j *Job) SetTaskState(i int, s TaskState) {
 	j.AllocateTaskStates()
 	was := j.TaskStates[i]
@@ -200,23 +216,23 @@
 	}
 }
 
-// ChunkBytes bounds what a chunk takes in its shard.
+// ChunkBytes returns an upper bound of the size of a chunk in its segment.
 func (j *Job) ChunkBytes(chunk int) int { return record.ChunkSize(j.ID, j.Tasks, chunk) }
 
-// AddUnrecordedCompletion remembers that an attempt's completion must be recorded.
+// AddUnrecordedCompletion adds an attempt whose completion must be recorded.
 func (j *Job) AddUnrecordedCompletion(a *Attempt) {
 	chunk := a.Index / record.TasksPerChunk
 	j.UnrecordedCompletions[chunk] = append(j.UnrecordedCompletions[chunk], a)
 }
 
-// TasksByZone counts a job's tasks by zone, if its place depends on that.
+// TasksByZone returns the number of a job's attempts by zone, if its placement depends on zones.
 func (j *Job) TasksByZone() map[string]int {
-	in := map[string]int{}
+	counts := map[string]int{}
 	if !j.OneZone && !j.Spread {
-		return in
+		return counts
 	}
 	for _, a := range j.Attempts {
-		in[a.Machine.Zone]++
+		counts[a.Machine.Zone]++
 	}
-	return in
+	return counts
 }
--- a/internal/inventory/machine.go
+++ b/internal/inventory/machine.go
@@ -19,14 +19,15 @@
 // The states of a machine, in the order in which it passes them.
 const (
 	MachineBooting         MachineState = iota // has not sent a heartbeat yet
-	MachineReady                               // sends heartbeats and takes tasks
-	MachineDraining                            // takes no new tasks and is terminated once empty
-	MachineTransferring                        // is handed to another owner once empty
+	MachineReady                               // sends heartbeats and accepts tasks
+	MachineDraining                            // accepts no new tasks and is terminated once empty
+	MachineTransferring                        // is transferred to another owner once empty
 	MachineDecommissioning                     // its termination is decided and must be recorded first
 	MachineTerminating                         // the decision is recorded; the cloud is asked to terminate it
 	MachineTerminated                          // the cloud has terminated it; its record must be deleted
 )
 
+// String returns the name of the state for logs.
 func (s MachineState) String() string {
 	switch s {
 	case MachineBooting:
@@ -47,18 +48,19 @@
 	return fmt.Sprintf("MachineState(%d)", int(s))
 }
 
-// FencingState tells whether a machine must be fenced. A command that was sent directly and not
+// FencingState is the state of fencing a machine. A command that was sent directly and not
 // answered may still be executed until the machine has seen a higher fencing token or has begun a
 // new agent epoch.
 type FencingState int
 
-// The fencing states of a machine.
+// The states of fencing a machine.
 const (
 	FencingNone    FencingState = iota // no command can be executed late
 	FencingNeeded                      // a higher fencing token must be recorded
 	FencingPending                     // the token is recorded, but the machine has not confirmed it
 )
 
+// String returns the name of the state for logs.
 func (s FencingState) String() string {
 	switch s {
 	case FencingNone:
@@ -71,8 +73,8 @@
 	return fmt.Sprintf("FencingState(%d)", int(s))
 }
 
-// MachineInfo describes a machine. It never changes, except for the endpoint, which is empty until
-// the machine has sent a heartbeat.
+// MachineInfo describes a machine. It is constant except for the endpoint, which is empty until the
+// machine has sent a heartbeat.
 type MachineInfo struct {
 	Name     string
 	Type     string // name of the machine type
@@ -81,7 +83,7 @@
 	Endpoint string
 }
 
-// Machine is a machine at its owner. Its parts say which concern changes which fields.
+// Machine is a machine at its owner. Its fields are grouped by the concern that changes them.
 type Machine struct {
 	MachineInfo
 	Size          sched.Resources
@@ -96,7 +98,7 @@
 	TransferTo record.OwnerID
 }
 
-// Entry is what the records say of a machine and its ownership.
+// Entry is the state of a machine's entry in the records, and of its ownership.
 type Entry struct {
 	// Block is the record that holds the machine's entry, Dirty whether the entry must be written.
 	Block *Block
@@ -108,42 +110,43 @@
 	Fencing      FencingState
 	// Verifying is set while an adopted machine may turn out to be another owner's.
 	Verifying bool
-	// Recovered is set if the machine was another owner's: it is up, or has been booting since
+	// Recovered is set if the machine was another owner's: it is ready, or has been booting since
 	// an unknown time.
 	Recovered bool
 }
 
-// Contact is what is known from a machine's heartbeats.
+// Contact is the state of a machine's heartbeats.
 type Contact struct {
-	// LastHeartbeat is the time of the last heartbeat, or when this owner began to wait for one.
+	// LastHeartbeat is when the last heartbeat arrived, or when this owner began to expect one.
 	LastHeartbeat micros.Micros
 	// HeartbeatGraceUntil is the time from which missing heartbeats count, after a network
 	// partition of the machine's zone.
 	HeartbeatGraceUntil micros.Micros
 	// TokenConfirmed is set if the last heartbeat carried this owner's fencing token, and
-	// TokenConfirmedAt is when one last did, or when this owner began to wait for that.
+	// TokenConfirmedAt is when one last did, or when this owner began to expect that.
 	TokenConfirmed   bool
 	TokenConfirmedAt micros.Micros
-	// HeartbeatReceived is set once the machine has sent a heartbeat to this owner by itself,
-	// rather than only answered commands.
+	// HeartbeatReceived is set once the machine has sent a heartbeat to this owner on its own
+	// account, rather than only as the response to commands.
 	HeartbeatReceived bool
 	// AgentEpoch and HeartbeatSeq order the heartbeats; ReportedTasks are those of the last.
 	AgentEpoch, HeartbeatSeq uint64
 	ReportedTasks            []wire.TaskStatus
 	// ReclaimAt is when the cloud reclaims the spot machine; 0 if that is not announced.
 	ReclaimAt micros.Micros
-	// PendingRequest and PendingHeartbeat are a heartbeat that waits until the machine is claimed.
+	// PendingRequest and PendingHeartbeat are a heartbeat whose response is deferred until the
+	// machine is claimed.
 	PendingRequest   uint64
 	PendingHeartbeat *wire.Heartbeat
 }
 
-// CloudListing is what the cloud's list says of a machine.
+// CloudListing is the state of a machine in the cloud's list.
 type CloudListing struct {
-	// CloudListed is set once the list has named the machine; MissedListings counts the
-	// consecutive readings without it since then.
+	// CloudListed is set once the list has contained the machine; MissedListings counts the
+	// consecutive lists without it since then.
 	CloudListed    bool
 	MissedListings int
-	// Failed is set if the list shows that the machine stopped by itself.
+	// Failed is set if the list shows that the machine has failed.
 	Failed bool
 	// SpotReclaimed is set once the loss of the spot machine to the cloud was counted.
 	SpotReclaimed bool
@@ -151,21 +154,21 @@
 
 // Dispatch is the state of direct commands to a machine.
 type Dispatch struct {
-	// CommandsInFlight is set while a request with commands is under way.
+	// CommandsInFlight is set while a request with commands is in flight.
 	CommandsInFlight bool
 	// DispatchNeeded is set if the machine may need commands, InDispatchQueue while it is in
 	// the dispatch queue.
 	DispatchNeeded  bool
 	InDispatchQueue bool
-	// Inspected is set once the machine was asked for a heartbeat after a failover.
+	// Inspected is set once a heartbeat was requested from the machine after a failover.
 	Inspected bool
 }
 
-// Workload is what runs on a machine, and whether it can run more.
+// Workload is what runs on a machine, and what limits further tasks.
 type Workload struct {
 	Attempts map[TaskKey]*Attempt
 	Used     sched.Resources
-	// CachedImages are the images that the machine presumably caches, the most recent last.
+	// CachedImages are the images that the machine presumably caches, the most recently used last.
 	CachedImages []string
 	IdleSince    micros.Micros
 	// ConsecutiveErrors counts task failures in a row; nothing is placed before QuarantinedUntil.
@@ -173,10 +176,10 @@
 	QuarantinedUntil  micros.Micros
 }
 
-// MaxCachedImages is how many images a machine is believed to keep.
+// MaxCachedImages is the assumed number of images in a machine's cache.
 const MaxCachedImages = 8
 
-// AddCachedImage notes that the machine was told to fetch an image.
+// AddCachedImage makes an image the most recently used one in the machine's cache.
 func (m *Machine) AddCachedImage(image string) {
 	if image == "" {
 		return
@@ -190,7 +193,7 @@
 	}
 }
 
-// SortedAttempts lists the machine's attempts by job and task.
+// SortedAttempts returns the machine's attempts sorted by job and task.
 func (m *Machine) SortedAttempts() []*Attempt {
 	list := slices.Collect(maps.Values(m.Attempts))
 	slices.SortFunc(list, func(a, b *Attempt) int {
@@ -199,7 +202,7 @@
 	return list
 }
 
-// AttemptsInRecordOrder lists a machine's attempts in the order in which its entry holds them.
+// AttemptsInRecordOrder returns the machine's attempts in the order of its entry.
 func (m *Machine) AttemptsInRecordOrder() []*Attempt {
 	list := slices.Collect(maps.Values(m.Attempts))
 	slices.SortFunc(list, func(a, b *Attempt) int {
@@ -208,10 +211,10 @@
 	return list
 }
 
-// IsUnclaimed tells that the machine has no token yet, nor waits for verify.
+// IsUnclaimed reports whether the machine has no fencing token, and none is being verified.
 func (m *Machine) IsUnclaimed() bool { return m.FencingToken == 0 && !m.Verifying }
 
-// NeedsWrite tells whether a machine's state or an attempt on it waits for the record.
+// NeedsWrite reports whether the machine's state or an attempt on it waits for the record.
 func (m *Machine) NeedsWrite() bool {
 	for _, a := range m.Attempts {
 		if a.State == AttemptAssumed || a.State == AttemptRemoving {
@@ -225,16 +228,17 @@
 		if len(m.Attempts) == 0 {
 			return true
 		}
+	case MachineBooting, MachineReady, MachineDraining, MachineTerminating:
 	}
 	return m.IsUnclaimed() || m.Fencing == FencingNeeded
 }
 
-// Offer is what the cloud rented a machine as.
+// Offer returns the offer of the cloud from which the machine came.
 func (m *Machine) Offer() autoscaler.Offer {
 	return autoscaler.Offer{Type: m.Type, Zone: m.Zone, Spot: m.Spot}
 }
 
-// HasPendingStarts tells whether attempts on the machine wait for their start command.
+// HasPendingStarts reports whether attempts on the machine wait for their start command.
 func (m *Machine) HasPendingStarts() bool {
 	for _, a := range m.Attempts {
 		if a.State == AttemptRecorded && (!a.Job.Gang || a.Job.GangState == GangStarting) {
@@ -244,8 +248,8 @@
 	return false
 }
 
-// ExpectsHeartbeat tells that a machine is up as far as is known. Nothing can be concluded from the
-// silence of one that still boots, but after a takeover one with tasks was up.
+// ExpectsHeartbeat reports whether missing heartbeats of the machine count: not while it boots. After
+// a failover, a machine with tasks is known to have booted.
 func (m *Machine) ExpectsHeartbeat() bool {
 	switch {
 	case m.State >= MachineDecommissioning:
@@ -256,9 +260,10 @@
 	return true
 }
 
-// Slack is what is left of a machine once it is full of tasks of that size.
+// Slack returns what is left of the machine once it is filled with tasks of one size.
 func (m *Machine) Slack(need sched.Resources) sched.Resources {
 	return m.Size.Sub(need.Times(need.Count(m.Size, MaxEntryTasks)))
 }
 
+// CompareMachineName compares a machine's name with another name, for searches in sorted lists.
 func CompareMachineName(m *Machine, name string) int { return cmp.Compare(m.Name, name) }
--- a/internal/inventory/team.go
+++ b/internal/inventory/team.go
@@ -6,10 +6,10 @@
 	"tamarindlead/sched"
 )
 
-// Team is a team that this node owns.
+// Team is a team that this owner owns.
 type Team struct {
 	Record   cluster.Team
-	Used     sched.Resources
-	Stopping sched.Resources // the part of it that is being stopped
+	Used     sched.Resources // by the attempts of the team's jobs
+	Stopping sched.Resources // the part of Used whose attempts are being stopped
 	config.Team
 }
