--- a/controller/commit_adapter.go
+++ b/controller/commit_adapter.go
@@ -86,7 +86,7 @@
 
 // handleJobDoneRecorded ends a job whose terminal state is recorded.
 func (o *owner) handleJobDoneRecorded(j *inventory.Job) {
-	o.c.terminalStates.remember(j.ID, wire.JobDone)
+	o.c.jobView.TerminalStates().Remember(j.ID, wire.JobDone)
 	o.c.log.Info("job done", "job", j.ID, "class", j.Class)
 	o.c.graph.MarkDone(j.ID, o.c.wallClock)
 	for _, a := range j.SortedAttempts() {
