--- a/controller/limits_test.go
+++ b/controller/limits_test.go
@@ -145,9 +145,9 @@
 	}
 }
 
-// TestCompletionSegmentsMove guards against completions that are lost while chunks change their shard:
-// those of two records count together, and an old record goes only after the new one is
-// written.
+// TestCompletionSegmentsMove guards against completions that are lost while chunks move to another
+// segment: those of two records count together, and an old record is deleted only after the new one
+// is written.
 func TestCompletionSegmentsMove(t *testing.T) {
 	o := testOwner()
 	o.c.cfg.MaxValueBytes = 1024
