--- a/controller/bench_test.go
+++ b/controller/bench_test.go
@@ -179,7 +179,7 @@
 		for _, j := range o.Queue {
 			fresh.recoverJob(record.ActiveJobKey(j.ID), wire.Encode(record.NewJob(j.Job, 0)), j.Version)
 		}
-		fresh.recoverBlocks(entries)
+		fresh.recovery.RecoverBlocks(entries)
 		if len(fresh.SortedMachines) != benchMachines {
 			b.Fatal("machines are missing")
 		}
--- a/controller/job_queue.go
+++ b/controller/job_queue.go
@@ -78,7 +78,7 @@
 
 // retryWatch watches again after a pause, which the slow tick ends.
 func (o *owner) retryWatch(after uint64) {
-	o.watchRevision, o.watchDown, o.retryAt = after, true, o.c.now+readRetryDelay
+	o.watchRevision, o.watchDown, o.watchRetryAt = after, true, o.c.now+readRetryDelay
 }
 
 // handleJobRemoved handles a job that is over: by our own commit, or cancelled, of which users were
--- a/controller/limits_test.go
+++ b/controller/limits_test.go
@@ -167,7 +167,7 @@
 	other.Set(700)
 	entries = append(entries, kv.Entry{Key: record.CompletionSegmentKey("red", "1"), Value: wire.Encode(rec), Version: 20},
 		kv.Entry{Key: record.CompletionSegmentKey("red", "2"), Value: wire.Encode(record.CompletionSegment{Chunks: map[string]string{wire.TaskName(jobName(3), 0): other.Chunk(0)}}), Version: 19})
-	o.recoverSegments(entries)
+	o.recovery.RecoverSegments(entries)
 	if j := o.Jobs[jobName(3)]; !j.Completed.Has(5) || !j.Completed.Has(700) || j.CompletedCount != 2 {
 		t.Fatalf("%d completions are known", j.CompletedCount)
 	}
--- a/controller/owner.go
+++ b/controller/owner.go
@@ -10,6 +10,7 @@
 	"tamarindlead/internal/cluster"
 	"tamarindlead/internal/commit"
 	"tamarindlead/internal/record"
+	"tamarindlead/internal/recovery"
 	"tamarindlead/internal/scheduler"
 	"tamarindlead/internal/workers"
 	"tamarindlead/micros"
@@ -28,25 +29,23 @@
 // owner is the part of a node that places jobs and gives commands. It works from the records:
 // after a takeover, or if they are not as they were known, a new owner reads all of them.
 type owner struct {
-	c              *Core
-	state          ownerState
-	activeSince    micros.Micros // when it became active; before that, when it was made
-	readingRecords bool          // the records are being read
-	retryAt        micros.Micros // a read or watch that failed is tried again then
+	c           *Core
+	state       ownerState
+	activeSince micros.Micros // when it became active; before that, when it was made
 	*inventory.Inventory
+	recovery *recovery.Recovery
 
 	// Jobs.
 	// cascadedCancellations are waiting jobs that are cancelled with one before them, to be recorded.
 	cascadedCancellations []string
-	// unresolvedJobs are jobs that records name, of which it is not known how they ended.
-	unresolvedJobs []*inventory.Job
-	classes        *autoscaler.Classes
-	scheduler      *scheduler.Scheduler
+	classes               *autoscaler.Classes
+	scheduler             *scheduler.Scheduler
 
 	// The watch of the jobs' records.
 	jobsListed    bool // the jobs were listed; changes since are taken
 	watchRevision uint64
 	watchDown     bool
+	watchRetryAt  micros.Micros // when a watch that failed is sent again
 	// cancellationsKnownUntil is when the last answered watch of the jobs began.
 	cancellationsKnownUntil micros.Micros
 
@@ -91,6 +90,7 @@
 	o.commits = newCommitPipeline(o)
 	o.workers = workers.New(o.Inventory, c.cfg, c.log, workersHost{o})
 	o.scheduler = newScheduler(o)
+	o.recovery = newRecovery(o)
 	for _, t := range c.cfg.Teams {
 		if v, ok := teams[t.Name]; ok {
 			o.Teams[t.Name] = &inventory.Team{Record: v, Team: t}
@@ -144,7 +144,7 @@
 		records[name] = t.Record
 	}
 	o.c.setOwner(newOwner(o.c, records))
-	o.c.owner.retryAt = o.c.now + recoveryRestartDelay
+	o.c.owner.recovery.Delay(o.c.now + recoveryRestartDelay)
 	o.c.owner.workers.SetLastHeartbeat(o.workers.LastHeartbeat())
 }
 
@@ -152,9 +152,7 @@
 func (o *owner) advance() {
 	switch o.state {
 	case ownerRecovering:
-		if !o.readingRecords && o.c.now >= o.retryAt {
-			o.startRecovery()
-		}
+		o.recovery.Advance()
 	case ownerActive:
 		o.advanceBlockedJobs()
 		o.schedule()
@@ -173,11 +171,11 @@
 		o.c.node.Rejoin(o.c.now, "its numbers are used up") // ends this owner
 		return
 	}
-	if o.watchDown && o.c.now >= o.retryAt {
+	if o.watchDown && o.c.now >= o.watchRetryAt {
 		o.watchDown = false
 		o.watchJobs(o.watchRevision)
 	}
-	o.readUnresolvedJobs()
+	o.recovery.ResolveJobs()
 	o.sweepParts()
 	o.checkMachineHealth()
 	o.inspectMachines()
@@ -236,3 +234,17 @@
 	}
 	return !o.c.cluster.HasSuccessor(earlier)
 }
+
+// activate begins the work of an owner that has recovered its records. Machines get time to send
+// heartbeats to it.
+func (o *owner) activate() {
+	for _, m := range o.SortedMachines {
+		m.LastHeartbeat, m.Recovered = o.c.now+o.c.cfg.FailoverGrace(), true
+		m.TokenConfirmedAt = m.LastHeartbeat
+	}
+	o.activeSince = o.c.now
+	o.SchedulingNeeded = true
+	o.setState(ownerActive)
+	o.watchJobs(o.watchRevision)
+	o.c.types.nextReadAt = o.c.now
+}
--- a/controller/recovery_machines_test.go
+++ b/controller/recovery_machines_test.go
@@ -38,7 +38,7 @@
 	j := inventory.NewJob(job, 5, 0)
 	o.Jobs[j.ID] = j
 	owner := core.node.ID()
-	o.recoverBlocks([]kv.Entry{
+	o.recovery.RecoverBlocks([]kv.Entry{
 		blockEntry(owner, "recorded", 10, "m-000001", job),
 		blockEntry(owner, inventory.AdoptedPrefix+"m-000001", 20, "m-000001", nil),
 	})
--- /dev/null
+++ b/internal/recovery/unresolved_jobs.go
@@ -0,0 +1,54 @@
+package recovery
+
+import (
+	"tamarindlead/internal/budget"
+	"tamarindlead/internal/inventory"
+	"tamarindlead/internal/kv"
+	"tamarindlead/internal/record"
+	"tamarindlead/internal/wire"
+)
+
+// terminalStatesPerTick is the number of terminal states that are read with each slow tick.
+const terminalStatesPerTick = 4
+
+// ResolveJobs reads the terminal states of jobs that blocks name although they are not active.
+func (r *Recovery) ResolveJobs() {
+	for range min(terminalStatesPerTick, len(r.unresolvedJobs)) {
+		j := r.unresolvedJobs[0]
+		r.unresolvedJobs = r.unresolvedJobs[1:]
+		if r.inv.Jobs[j.ID] != j {
+			continue // its machines have sent heartbeats, which closed its attempts
+		}
+		r.store.Get(budget.Reads, record.TerminalStateKey(j.ID), func(outcome kv.Outcome, e kv.Entry) {
+			switch {
+			case r.host.Superseded() || outcome == kv.NotFound:
+			case outcome != kv.OK:
+				r.unresolvedJobs = append(r.unresolvedJobs, j)
+			default:
+				r.resolveJob(j, e.Value)
+			}
+		})
+	}
+}
+
+// resolveJob applies the terminal state of a job. All tasks of a job that is done have ended, so its
+// attempts are closed without a heartbeat of their machines: a machine behind a network partition
+// need not be terminated for them, as it must be for tasks of a cancelled job, and a gang that runs
+// there continues.
+func (r *Recovery) resolveJob(j *inventory.Job, value []byte) {
+	var terminal record.TerminalState
+	// A job whose terminal state cannot be decoded is treated as cancelled, the stricter case.
+	if wire.Decode(value, &terminal) == nil && terminal.Status == record.StatusDone {
+		for _, a := range j.SortedAttempts() {
+			if a.Machine.AgentEpoch == 0 { // otherwise its heartbeat decides
+				r.inv.SetAttemptState(a, inventory.AttemptClosed)
+			}
+		}
+		return
+	}
+	sinceEnd := r.host.WallClock() - terminal.FinishedAt
+	if terminal.FinishedAt == 0 { // an older version did not record it: assume the earliest possible
+		sinceEnd = r.settings.CancellationDeadline
+	}
+	j.EndedAt = max(1, r.host.Now()-sinceEnd)
+}
