--- a/controller/owner.go
+++ b/controller/owner.go
@@ -2,51 +2,42 @@
 
 import (
 	"maps"
-	"slices"
 
 	"tamarindlead/internal/inventory"
 
 	"tamarindlead/internal/autoscaler"
 	"tamarindlead/internal/cluster"
 	"tamarindlead/internal/commit"
-	"tamarindlead/internal/record"
 	"tamarindlead/internal/recovery"
 	"tamarindlead/internal/scheduler"
 	"tamarindlead/internal/workers"
 	"tamarindlead/micros"
 )
 
-// ownerState is the state machine of owning teams and machines.
-type ownerState int
-
-const (
-	ownerRecovering ownerState = iota // the records are being read
-	ownerActive                       // jobs are placed, machines get commands
-)
-
-func (s ownerState) String() string { return [...]string{"loading", "active"}[s] }
-
-// owner is the part of a node that places jobs and gives commands. It works from the records:
-// after a takeover, or if they are not as they were known, a new owner reads all of them.
+// owner is the part of a node that schedules the jobs of its teams and commands machines. It consists
+// of parts with their own state, which share its inventory. All of them are created with the owner
+// and end with it: after a failover, or if records are not as expected, a new owner recovers
+// everything from the records.
 type owner struct {
 	c           *Core
 	state       ownerState
-	activeSince micros.Micros // when it became active; before that, when it was made
+	activeSince micros.Micros // when it became active; before that, when it was created
+	recovery    *recovery.Recovery
 	*inventory.Inventory
-	recovery *recovery.Recovery
 
 	// Jobs.
-	// cascadedCancellations are waiting jobs that are cancelled with one before them, to be recorded.
+	// cascadedCancellations are blocked jobs that must be recorded as cancelled, since an upstream
+	// job was cancelled.
 	cascadedCancellations []string
 	classes               *autoscaler.Classes
 	scheduler             *scheduler.Scheduler
 
 	// The watch of the jobs' records.
-	jobsListed    bool // the jobs were listed; changes since are taken
+	jobsListed    bool // the jobs are recovered; changes are applied from then on
 	watchRevision uint64
-	watchDown     bool
-	watchRetryAt  micros.Micros // when a watch that failed is sent again
-	// cancellationsKnownUntil is when the last answered watch of the jobs began.
+	watchDown     bool          // the last watch failed
+	watchRetryAt  micros.Micros // when it is sent again
+	// cancellationsKnownUntil is when the last watch with a response was sent.
 	cancellationsKnownUntil micros.Micros
 
 	// Machines.
@@ -66,15 +57,14 @@
 	nextMachineRequest micros.Micros
 	nextArrayRequest   micros.Micros
 
-	// workers is the part that handles the heartbeats of machines and sends them commands.
-	workers *workers.Manager
+	workers *workers.Manager // handles heartbeats of machines and sends commands
 
 	commits          *commit.Pipeline // writes the records
-	partsSwept       bool             // leftovers of long lists were looked for
-	partsSweepCursor string           // the last key that was looked at
+	partsSwept       bool             // dependency parts of ended jobs were searched for
+	partsSweepCursor string           // the last key that was examined
 }
 
-// newOwner returns an owner of teams that has read no records yet.
+// newOwner returns an owner of teams that has recovered nothing yet.
 func newOwner(c *Core, teams map[string]cluster.Team) *owner {
 	o := &owner{
 		c: c, activeSince: c.now,
@@ -91,64 +81,18 @@
 	o.workers = workers.New(o.Inventory, c.cfg, c.log, workersHost{o})
 	o.scheduler = newScheduler(o)
 	o.recovery = newRecovery(o)
-	for _, t := range c.cfg.Teams {
-		if v, ok := teams[t.Name]; ok {
-			o.Teams[t.Name] = &inventory.Team{Record: v, Team: t}
+	for _, team := range c.cfg.Teams {
+		if rec, ok := teams[team.Name]; ok {
+			o.Teams[team.Name] = &inventory.Team{Record: rec, Team: team}
 		}
 	}
 	return o
 }
 
-// setTeams takes the records of this node's teams. Should they be others than before,
-// all is read again.
-func (o *owner) setTeams(teams map[string]cluster.Team) {
-	same := len(teams) == len(o.Teams)
-	for name, v := range teams {
-		t := o.Teams[name]
-		if t == nil || len(t.Record.Predecessors) != len(v.Predecessors) {
-			same = false
-			continue
-		}
-		t.Record = v
-	}
-	if !same {
-		o.c.log.Info("teams have changed", "teams", len(teams))
-		o.c.setOwner(newOwner(o.c, teams))
-	}
-}
-
-// superseded tells callbacks of an owner that has been replaced to do nothing.
+// superseded reports whether another owner has replaced this one, so that its callbacks must do nothing.
 func (o *owner) superseded() bool { return o.c.owner != o }
 
-// setState is the one place where the state changes.
-func (o *owner) setState(s ownerState) {
-	leader, term := o.c.node.Leader()
-	o.c.log.Info("owner", "from", o.state.String(), "to", s.String(), "jobs", len(o.Jobs), "machines", len(o.Machines),
-		"teams", len(o.Teams), "member_version", o.c.node.RecordVersion(), "leader", leader, "term", term,
-		"jobs_revision", o.watchRevision, "read_ago_us", int64(o.c.now-o.cancellationsKnownUntil))
-	o.state = s
-}
-
-// recoveryRestartDelay keeps an owner that reads all records again and again from using up the limits.
-const recoveryRestartDelay = 200 * micros.Millisecond
-
-// restartRecovery starts over from the records, after something that should not happen if
-// they were as this node believes.
-func (o *owner) restartRecovery(why string) {
-	if o.superseded() {
-		return
-	}
-	o.c.log.Warn("reading all records again", "why", why, "member_version", o.c.node.RecordVersion())
-	records := map[string]cluster.Team{}
-	for name, t := range o.Teams {
-		records[name] = t.Record
-	}
-	o.c.setOwner(newOwner(o.c, records))
-	o.c.owner.recovery.Delay(o.c.now + recoveryRestartDelay)
-	o.c.owner.workers.SetLastHeartbeat(o.workers.LastHeartbeat())
-}
-
-// advance does what can be done now; it is called after every event.
+// advance takes the steps that an event has made possible. It is called after every event.
 func (o *owner) advance() {
 	switch o.state {
 	case ownerRecovering:
@@ -162,13 +106,13 @@
 	}
 }
 
-// slowTick does the slower duties of an active owner.
+// slowTick performs the periodic duties of an active owner. It is called every slowTickInterval.
 func (o *owner) slowTick() {
 	if o.state != ownerActive {
 		return
 	}
 	if o.c.numbers.nearlyExhausted(o.c.node.RecordVersion()) {
-		o.c.node.Rejoin(o.c.now, "its numbers are used up") // ends this owner
+		o.c.node.Rejoin(o.c.now, "numbers are exhausted") // ends this owner
 		return
 	}
 	if o.watchDown && o.c.now >= o.watchRetryAt {
@@ -186,65 +130,3 @@
 		maps.DeleteFunc(list, func(_ string, until micros.Micros) bool { return o.c.now > until })
 	}
 }
-
-// minAllUnresponsiveTimeout is the shortest silence of all machines after which something is wrong.
-const minAllUnresponsiveTimeout = 6 * micros.Second
-
-// allMachinesUnresponsive tells that machines which should report to this owner do not, not one of them.
-func (o *owner) allMachinesUnresponsive() bool {
-	if o.state != ownerActive {
-		return false
-	}
-	latest, expected := micros.Micros(0), 0
-	for _, m := range o.Machines {
-		if !m.ExpectsHeartbeat() {
-			continue
-		}
-		heard := m.LastHeartbeat
-		if heard > o.c.now { // it was given time after a takeover
-			heard = o.activeSince
-		}
-		latest = max(latest, heard)
-		expected++
-	}
-	return expected > 0 && o.c.now-latest > o.allUnresponsiveTimeout(expected)
-}
-
-// allUnresponsiveTimeout is how long all machines may be silent.
-func (o *owner) allUnresponsiveTimeout(machines int) micros.Micros {
-	if machines == 1 { // more likely it is the machine; it is given up before then
-		return o.c.cfg.HeartbeatTimeout() + o.c.cfg.HeartbeatInterval
-	}
-	return max(minAllUnresponsiveTimeout, o.c.cfg.HeartbeatInterval*5/4)
-}
-
-// ownsRecordsOf tells whether the records of an owner are this one's to take: its own, those of
-// owners whose successor it is, and what no other owner takes.
-func (o *owner) ownsRecordsOf(earlier record.OwnerID) bool {
-	if earlier == o.c.node.ID() || o.ownsAllTeams() {
-		return true
-	}
-	for _, t := range o.Teams {
-		if slices.Contains(t.Record.Predecessors, earlier) {
-			return true
-		}
-	}
-	if o.c.cluster.IsLive(earlier) || o.c.cluster.FirstOwner() != o.c.cfg.Node {
-		return false
-	}
-	return !o.c.cluster.HasSuccessor(earlier)
-}
-
-// activate begins the work of an owner that has recovered its records. Machines get time to send
-// heartbeats to it.
-func (o *owner) activate() {
-	for _, m := range o.SortedMachines {
-		m.LastHeartbeat, m.Recovered = o.c.now+o.c.cfg.FailoverGrace(), true
-		m.TokenConfirmedAt = m.LastHeartbeat
-	}
-	o.activeSince = o.c.now
-	o.SchedulingNeeded = true
-	o.setState(ownerActive)
-	o.watchJobs(o.watchRevision)
-	o.c.types.nextReadAt = o.c.now
-}
--- /dev/null
+++ b/controller/owner_state.go
@@ -0,0 +1,71 @@
+package controller
+
+import (
+	"fmt"
+
+	"tamarindlead/internal/cluster"
+	"tamarindlead/micros"
+)
+
+// ownerState is the state of an owner. An owner never returns to an earlier state: a new one replaces
+// it.
+type ownerState int
+
+const (
+	ownerRecovering ownerState = iota // the records are being read
+	ownerActive                       // jobs are scheduled and machines get commands
+)
+
+func (s ownerState) String() string {
+	switch s {
+	case ownerRecovering:
+		return "recovering"
+	case ownerActive:
+		return "active"
+	}
+	return fmt.Sprintf("ownerState(%d)", int(s))
+}
+
+// setState changes the state. Nothing else changes it.
+func (o *owner) setState(s ownerState) {
+	leader, term := o.c.node.Leader()
+	o.c.log.Info("owner state changed", "from", o.state.String(), "to", s.String(),
+		"jobs", len(o.Jobs), "machines", len(o.Machines), "teams", len(o.Teams),
+		"member_version", o.c.node.RecordVersion(), "leader", leader, "term", term,
+		"watch_revision", o.watchRevision, "listed_ago_us", int64(o.c.now-o.cancellationsKnownUntil))
+	o.state = s
+}
+
+// activate starts the work of an owner that has recovered its records. Its machines are treated as if
+// their last heartbeat came at the end of the failover grace, until they send one.
+func (o *owner) activate() {
+	for _, m := range o.SortedMachines {
+		m.LastHeartbeat, m.Recovered = o.c.now+o.c.cfg.FailoverGrace(), true
+		m.TokenConfirmedAt = m.LastHeartbeat
+	}
+	o.activeSince = o.c.now
+	o.SchedulingNeeded = true
+	o.setState(ownerActive)
+	o.watchJobs(o.watchRevision)
+	o.c.types.nextReadAt = o.c.now
+}
+
+// recoveryRestartDelay limits the reads of a node that restarts its recovery repeatedly.
+const recoveryRestartDelay = 200 * micros.Millisecond
+
+// restartRecovery replaces the owner with one that recovers everything from the records. It is called
+// when something happens that is impossible if the records are as expected.
+func (o *owner) restartRecovery(reason string) {
+	if o.superseded() {
+		return
+	}
+	o.c.log.Warn("recovery restarted", "reason", reason, "member_version", o.c.node.RecordVersion())
+	teams := map[string]cluster.Team{}
+	for name, team := range o.Teams {
+		teams[name] = team.Record
+	}
+	replacement := newOwner(o.c, teams)
+	o.c.setOwner(replacement)
+	replacement.recovery.Delay(o.c.now + recoveryRestartDelay)
+	replacement.workers.SetLastHeartbeat(o.workers.LastHeartbeat())
+}
