--- /dev/null
+++ b/internal/recovery/adopted_machines_test.go
@@ -0,0 +1,27 @@
+package recovery
+
+import (
+	"testing"
+
+	"tamarindlead/internal/inventory"
+	"tamarindlead/internal/kv"
+)
+
+// TestLoadKeepsAttemptsOfAdoptedMachines guards against a task that starts elsewhere while it is
+// on its machine: an owner adopted the machine in a block of its own, which has no attempts of its
+// tasks, and ended or restarted its recovery before it had seen that another owner's block has the
+// machine with a task.
+func TestLoadKeepsAttemptsOfAdoptedMachines(t *testing.T) {
+	o := newTestOwner(t)
+	j := o.addJob("req-000001", 1, false)
+	o.RecoverBlocks([]kv.Entry{
+		blockEntry(self, "recorded", 10, "m-000001", placement{j, 0}),
+		blockEntry(self, inventory.AdoptedPrefix+"m-000001", 20, "m-000001"),
+	})
+	if o.inv.Machines["m-000001"] == nil {
+		t.Fatal("the machine is not recovered")
+	}
+	if a := j.Attempts[0]; a == nil || a.Machine.Name != "m-000001" {
+		t.Error("the recorded attempt of the task is forgotten")
+	}
+}
