--- a/controller/core.go
+++ b/controller/core.go
@@ -1,7 +1,6 @@
 package controller
 
 import (
-	"context"
 	"log/slog"
 	"math/rand/v2"
 
@@ -16,6 +15,7 @@
 	"tamarindlead/internal/frontend"
 	"tamarindlead/internal/jobview"
 	"tamarindlead/internal/kv"
+	"tamarindlead/internal/peers"
 	"tamarindlead/internal/record"
 	"tamarindlead/internal/wire"
 	"tamarindlead/micros"
@@ -23,9 +23,8 @@
 
 // Core is the state of a controller node.
 type Core struct {
-	cfg   *config.Settings
-	log   *slog.Logger
-	debug bool // the log takes details
+	cfg *config.Settings
+	log *slog.Logger
 
 	// Times, as of the present event. now is steady and only grows; wallClock is the time of
 	// day, which records and users see.
@@ -45,7 +44,7 @@
 	cloudRate *rate.Limiter
 
 	// The cluster: other controllers, members and owners by the records, and this node's part.
-	peers   map[string]*peerNode
+	peers   *peers.Peers
 	node    *cluster.Node
 	cluster *cluster.View // of node
 	owner   *owner        // set while this node owns teams
@@ -59,12 +58,9 @@
 	cancellations *cancellation.Tracker
 
 	// Machines in general.
-	types    machineTypeTable
-	spotRisk autoscaler.SpotRisk
-	// recentHeartbeats are arrivals of workers' reports, the latest last.
-	recentHeartbeats []micros.Micros
-	// lastOtherZoneHeartbeat is when a worker of another zone reported last.
-	lastOtherZoneHeartbeat micros.Micros
+	types            machineTypeTable
+	spotRisk         autoscaler.SpotRisk
+	workerHeartbeats workerHeartbeats
 
 	counters counters
 	// violations counts the invariants that did not hold.
@@ -79,15 +75,11 @@
 	c := &Core{
 		cfg: cfg, log: log, now: now, wallClock: wallClock,
 		calls: map[uint64]func(CallDone){},
-		debug: log.Enabled(context.Background(), slog.LevelDebug),
-		peers: map[string]*peerNode{},
 	}
 	c.cloudRate = rate.NewLimiter(rate.Limit(cfg.CloudRequestRate), max(1, int(cfg.CloudRequestRate)))
 	c.node = cluster.New(cfg, clusterStore{c}, clusterHost{c}, rand.New(rand.NewPCG(seed, randomSeedStream)), log)
 	c.cluster = c.node.View()
-	for _, s := range cfg.Siblings {
-		c.peers[s.Node] = &peerNode{Sibling: s}
-	}
+	c.peers = peers.New(cfg, peersHost{c})
 	c.cancellations = newCancellationTracker(c)
 	c.budget = budget.New(budget.Limits{
 		Requests: cfg.KVRequestRate, Writes: cfg.KVWriteRate, MinWriteBurst: frontend.CancellationWrites + 1,
@@ -136,7 +128,8 @@
 // tickSlow does the slower duties.
 func (c *Core) tickSlow() {
 	c.store.Tick()
-	c.tickPeers()
+	c.workerHeartbeats.prune(c.now)
+	c.peers.Tick()
 	c.tickMachineTypes()
 	c.node.Tick(c.now)
 	c.jobView.Tick()
--- a/controller/frontend_adapter.go
+++ b/controller/frontend_adapter.go
@@ -85,14 +85,6 @@
 type frontendPeerJobs struct{ c *Core }
 
 func (p frontendPeerJobs) TaskCounts(job string) frontend.TaskCounts {
-	var counts frontend.TaskCounts
-	latest := micros.Micros(0)
-	for _, sibling := range p.c.cfg.Siblings {
-		peer := p.c.peers[sibling.Node]
-		if count := peer.jobCounts[job]; count != nil && peer.lastHeartbeat > latest {
-			latest = peer.lastHeartbeat
-			counts = frontend.TaskCounts{Done: int(count.Done), Running: int(count.Running)}
-		}
-	}
-	return counts
+	count := p.c.peers.JobCount(job)
+	return frontend.TaskCounts{Done: int(count.GetDone()), Running: int(count.GetRunning())}
 }
--- a/controller/frontend_adapter_test.go
+++ b/controller/frontend_adapter_test.go
@@ -3,9 +3,12 @@
 import (
 	"testing"
 
+	"google.golang.org/protobuf/proto"
+
 	"tamarindlead/config"
 	"tamarindlead/internal/frontend"
 	"tamarindlead/internal/peer"
+	"tamarindlead/internal/peers"
 	"tamarindlead/internal/wire"
 	"tamarindlead/micros"
 )
@@ -36,15 +39,24 @@
 func TestFrontendPeerCounts(t *testing.T) {
 	const job = "req-000001"
 	core := newRespondingCore()
-	for i, node := range []string{"n1", "n2", "n3"} {
-		sibling := config.Sibling{Node: node}
-		core.cfg.Siblings = append(core.cfg.Siblings, sibling)
-		core.peers[node] = &peerNode{
-			Sibling: sibling, lastHeartbeat: []micros.Micros{5, 9, 12}[i],
-			jobCounts: map[string]*peer.JobCount{job: {Id: job, Done: uint32(i), Running: uint32(10 * i)}},
+	nodes := []string{"n1", "n2", "n3"}
+	for _, node := range nodes {
+		core.cfg.Siblings = append(core.cfg.Siblings, config.Sibling{Node: node})
+	}
+	core.peers, core.cancellations = peers.New(core.cfg, peersHost{core}), newCancellationTracker(core)
+	start := core.now
+	for i, node := range nodes {
+		heartbeat := &peer.Beat{Jobs: []*peer.JobCount{{Id: job, Done: uint32(i), Running: uint32(10 * i)}}}
+		if node == "n3" {
+			heartbeat.Jobs = nil
+		}
+		body, err := proto.Marshal(&peer.Message{From: node, Body: &peer.Message_Beat{Beat: heartbeat}})
+		if err != nil {
+			t.Fatal(err)
 		}
+		core.now = start + []micros.Micros{5, 9, 12}[i]
+		core.peers.HandleRequest(1, "POST", "/peer", body)
 	}
-	core.peers["n3"].jobCounts = nil
 	if got, want := (frontendPeerJobs{core}).TaskCounts(job), (frontend.TaskCounts{Done: 1, Running: 10}); got != want {
 		t.Errorf("counts %+v, want %+v", got, want)
 	}
--- a/controller/kv_host.go
+++ b/controller/kv_host.go
@@ -6,10 +6,10 @@
 	"tamarindlead/micros"
 )
 
-// This file connects internal/store, the client of the state service, with this node's
-// outbound calls and its peers.
+// This file connects package kv, the client of the key-value store, with this node's calls and
+// peers.
 
-// kvHost lets the client of the state service use this node's calls and peers.
+// kvHost implements kv.Host.
 type kvHost struct{ c *Core }
 
 func (h kvHost) Now() micros.Micros { return h.c.now }
@@ -23,24 +23,13 @@
 	}, func(e CallDone) { done(kv.Response{Status: e.Status, Body: e.Body, Sent: e.Sent}) })
 }
 
-func (h kvHost) ConnectedPeer() string {
-	for _, cfg := range h.c.cfg.Siblings {
-		if s := h.c.peers[cfg.Node]; s.fresh(h.c.now) && s.kvReachable {
-			return s.Node
-		}
-	}
-	return ""
-}
+func (h kvHost) ConnectedPeer() string { return h.c.peers.KVRelay() }
 
 func (h kvHost) SendViaPeer(through string, request kv.Request, timeout micros.Micros, done func(kv.Response)) {
-	s := h.c.peers[through]
-	msg := &peer.Message{Body: &peer.Message_StoreCall{StoreCall: &peer.StoreCall{
-		Method: request.Method, Target: request.Target, Body: request.Body,
-	}}}
-	h.c.callPeer(s, msg, timeout, kv.MaxResponseBytes, func(m *peer.Message, sent bool) {
-		reply := m.GetStoreReply()
+	call := &peer.StoreCall{Method: request.Method, Target: request.Target, Body: request.Body}
+	h.c.peers.RelayKV(through, call, timeout, kv.MaxResponseBytes, func(reply *peer.StoreReply, sent bool) {
 		if reply == nil {
-			s.kvReachable = false // until its next heartbeat
+			h.c.peers.MarkKVUnreachable(through)
 			done(kv.Response{Sent: sent})
 			return
 		}
@@ -48,35 +37,27 @@
 	})
 }
 
-// relayToKV sends a peer's request to the state service.
+// relayToKV sends a peer's request to the key-value store and responds with the result.
 func (c *Core) relayToKV(id uint64, call *peer.StoreCall) {
 	request := kv.Request{Method: call.Method, Target: call.Target, Body: call.Body}
 	c.store.Relay(request, func(r kv.Response) {
-		c.respondToPeer(id, &peer.Message{Body: &peer.Message_StoreReply{StoreReply: &peer.StoreReply{
+		c.peers.Respond(id, &peer.Message{Body: &peer.Message_StoreReply{StoreReply: &peer.StoreReply{
 			Status: uint32(r.Status), Body: r.Body,
 		}}})
 	})
 }
 
-// minWatchWait keeps watches from being sent too often.
+// minWatchWait bounds the rate of watch requests.
 const minWatchWait = 500 * micros.Millisecond
 
-// watchWait is how long a watch of the jobs may wait: its answer shows up to when cancellations
-// are known, which must not lie too far back for leases to be renewed.
+// watchWait returns how long a watch of the jobs may wait for a change. The response shows up to
+// when cancellations are known, which must be recent enough for leases to be renewed.
 func (c *Core) watchWait() micros.Micros {
 	return min(kv.WatchWait, max(c.cancellations.MaxStaleness()/3, minWatchWait))
 }
 
-// isIsolated tells that this node reaches neither the state service nor any peer. In an outage
-// of the state service peers can be reached.
+// isIsolated reports whether this node reaches neither the key-value store nor any peer. During an
+// outage of the store alone, peers are reachable.
 func (c *Core) isIsolated() bool {
-	if len(c.cfg.Siblings) == 0 || !c.store.Unavailable() {
-		return false
-	}
-	for _, s := range c.peers {
-		if s.fresh(c.now) {
-			return false
-		}
-	}
-	return true
+	return len(c.cfg.Siblings) > 0 && c.store.Unavailable() && !c.peers.AnyReachable()
 }
--- a/controller/machine_requests.go
+++ b/controller/machine_requests.go
@@ -38,9 +38,7 @@
 		return
 	}
 	leader, _ := o.c.node.Leader()
-	if p := o.c.peers[leader]; p != nil {
-		o.c.sendPeerMessage(p, &peer.Message{Body: &peer.Message_Want{Want: request}})
-	}
+	o.c.peers.Send(leader, &peer.Message{Body: &peer.Message_Want{Want: request}})
 }
 
 // requestedJob is the job of a machine request, as far as a giver must know it.
@@ -83,7 +81,7 @@
 		c.handleMachineRequest(request)
 		return
 	}
-	c.sendPeerMessage(c.peers[giver], &peer.Message{Body: &peer.Message_Want{Want: request}})
+	c.peers.Send(giver, &peer.Message{Body: &peer.Message_Want{Want: request}})
 }
 
 // chooseTransferSource chooses the node that transfers machines, or "".
@@ -110,8 +108,8 @@
 	share := &peer.Beat{}
 	if node == c.cfg.Node && c.owner != nil {
 		c.owner.describeOwner(share)
-	} else if p := c.peers[node]; p != nil && p.fresh(c.now) {
-		share.Idle, share.Teams = p.idleMachines, p.teams
+	} else {
+		share.Idle, share.Teams = c.peers.OwnerSummary(node)
 	}
 	return share
 }
--- a/controller/machine_transfers.go
+++ b/controller/machine_transfers.go
@@ -120,10 +120,9 @@
 func (o *owner) completeTransfer(m *inventory.Machine) {
 	o.ownedElsewhere[m.Name] = o.c.now + ownedElsewhereRetention
 	o.forgetMachine(m)
-	if p := o.c.peers[m.TransferTo.Node()]; p != nil {
-		given := &peer.Given{Block: transferBlockName(m)}
-		o.c.sendPeerMessage(p, &peer.Message{Body: &peer.Message_Given{Given: given}})
-	}
+	o.c.peers.Send(m.TransferTo.Node(), &peer.Message{Body: &peer.Message_Given{
+		Given: &peer.Given{Block: transferBlockName(m)},
+	}})
 }
 
 // receiveTransfer reads a block that may name this node as the new owner of a machine.
--- a/controller/membership.go
+++ b/controller/membership.go
@@ -6,29 +6,31 @@
 	"tamarindlead/micros"
 )
 
-// clusterStore makes the calls of this node's part in the cluster, which come first in the
-// budget of calls to the state service.
+// This file connects package cluster, this node's membership and leadership, with its calls, its
+// owner and its limits.
+
+// clusterStore sends the requests of membership and leadership, which come first in the budget of
+// requests to the key-value store.
 type clusterStore struct{ core *Core }
 
-// Call sends a request.
+// Call implements cluster.KVClient.
 func (s clusterStore) Call(request kv.Request, done func(micros.Micros, kv.Result)) {
 	s.core.store.Do(budget.Leadership, request, s.withTime(done))
 }
 
-// Watch waits for changes of keys with a prefix after a revision.
+// Watch implements cluster.KVClient.
 func (s clusterStore) Watch(prefix string, after uint64, done func(micros.Micros, kv.Result)) {
 	s.core.store.Watch(budget.Leadership, prefix, after, kv.WatchWait, s.withTime(done))
 }
 
 func (s clusterStore) withTime(done func(micros.Micros, kv.Result)) func(kv.Result) {
-	return func(reply kv.Result) { done(s.core.now, reply) }
+	return func(result kv.Result) { done(s.core.now, result) }
 }
 
-// clusterHost takes the notifications of this node's part in the cluster.
+// clusterHost implements cluster.Host.
 type clusterHost struct{ core *Core }
 
-// OwnershipChanged starts, changes or ends this node's part as an owner, as the teams'
-// records tell.
+// OwnershipChanged creates, updates or removes the owner as the teams' records require.
 func (h clusterHost) OwnershipChanged() {
 	c := h.core
 	teams := c.node.OwnTeams()
@@ -43,17 +45,17 @@
 	}
 }
 
-// ViewChanged shares the limits of the state service anew.
+// ViewChanged divides the limits of the key-value store among the members again.
 func (h clusterHost) ViewChanged() { h.core.updateRateLimits() }
 
-// UnreachableByWorkers tells that the machines of this node's teams do not report to it, nor any other
-// machine, although some report to a peer.
+// UnreachableByWorkers reports whether no worker reaches this node, neither one of its own machines
+// nor another, although some worker reaches a peer.
 func (h clusterHost) UnreachableByWorkers() bool {
 	c := h.core
 	return c.owner != nil && c.owner.allMachinesUnresponsive() && c.onlyPeersReachable()
 }
 
-// setOwner is the one place where this node begins or ends owning.
+// setOwner replaces the owner; nil ends the ownership. Nothing else changes it.
 func (c *Core) setOwner(o *owner) {
 	if c.owner != nil {
 		c.owner.refusePendingHeartbeats()
@@ -62,7 +64,7 @@
 	c.updateRateLimits()
 }
 
-// updateRateLimits sets this node's part of the state service's limits by who is a member.
+// updateRateLimits sets this node's part of the key-value store's limits by the members and owners.
 func (c *Core) updateRateLimits() {
 	role := budget.Role{Nodes: len(c.cluster.Members()), Owners: c.cluster.LiveOwnerCount(), OwnsTeams: c.owner != nil}
 	if !c.cluster.IsMember(c.cfg.Node) {
@@ -74,37 +76,20 @@
 	c.budget.SetRole(role, c.now)
 }
 
-// onlyPeersReachable tells that no worker reaches this node although some reach a peer.
+// onlyPeersReachable reports whether no worker reaches this node although some reach a peer.
 func (c *Core) onlyPeersReachable() bool {
-	if len(c.recentHeartbeats) > 0 {
-		return false
-	}
-	for _, s := range c.peers {
-		if s.fresh(c.now) && s.recentHeartbeats > 0 {
-			return true
-		}
-	}
-	return false
+	return c.workerHeartbeats.recentCount() == 0 && c.peers.AnyReceivesHeartbeats()
 }
 
-// heartbeatTarget finds the node to which a machine's worker should report, or "".
+// heartbeatTarget returns the node to which a machine's worker should send its heartbeats, or "" if
+// that is this node or unknown.
 func (c *Core) heartbeatTarget(machine string) string {
-	to := c.claimant(machine)
-	if to == "" {
-		to = c.cluster.FirstOwner()
+	target := c.claimant(machine)
+	if target == "" {
+		target = c.cluster.FirstOwner()
 	}
-	if to == c.cfg.Node {
+	if target == c.cfg.Node {
 		return ""
 	}
-	return to
-}
-
-// claimant finds the peer that says it owns a machine, or "".
-func (c *Core) claimant(machine string) string {
-	for _, cfg := range c.cfg.Siblings {
-		if s := c.peers[cfg.Node]; s.fresh(c.now) && s.ownsMachine[machine] {
-			return s.Node
-		}
-	}
-	return ""
+	return target
 }
--- a/controller/routes.go
+++ b/controller/routes.go
@@ -15,7 +15,7 @@
 func (c *Core) routeRequest(r Request) {
 	switch {
 	case r.Peer:
-		c.handlePeerRequest(r)
+		c.peers.HandleRequest(r.ID, r.Method, r.Path, r.Body)
 	case r.Path != PathHeartbeat:
 		c.frontend.HandleRequest(frontend.Request{ID: r.ID, Method: r.Method, Path: r.Path, Body: r.Body})
 	case r.Method != http.MethodPost:
--- a/controller/foreign_heartbeats.go
+++ b/controller/worker_heartbeats.go
@@ -1,13 +1,40 @@
 package controller
 
-import "tamarindlead/internal/wire"
+import (
+	"tamarindlead/internal/wire"
+	"tamarindlead/micros"
+)
 
-// maxCountedHeartbeats bounds the recent heartbeats of workers that are counted.
-const maxCountedHeartbeats = 256
+const (
+	// maxCountedHeartbeats bounds the recent heartbeats of workers that are counted.
+	maxCountedHeartbeats = 256
+	// heartbeatCountWindow is the time over which heartbeats of workers count as recent.
+	heartbeatCountWindow = 5 * micros.Second
+	// otherZoneTimeoutIntervals is the number of heartbeat intervals without a heartbeat from another
+	// zone after which a node considers its own zone partitioned.
+	otherZoneTimeoutIntervals = 2
+)
 
-// otherZoneTimeoutIntervals is the number of heartbeat intervals without a heartbeat from another
-// zone after which a node considers its own zone partitioned.
-const otherZoneTimeoutIntervals = 2
+// workerHeartbeats records which workers reach this node, whether it owns their machines or not.
+type workerHeartbeats struct {
+	recent        []micros.Micros // times of arrival, the latest last
+	lastOtherZone micros.Micros   // the time of the last heartbeat from another zone
+}
+
+func (h *workerHeartbeats) recentCount() int { return len(h.recent) }
+
+func (h *workerHeartbeats) record(now micros.Micros) {
+	if len(h.recent) < maxCountedHeartbeats {
+		h.recent = append(h.recent, now)
+	}
+}
+
+// prune forgets the heartbeats that are no longer recent.
+func (h *workerHeartbeats) prune(now micros.Micros) {
+	for len(h.recent) > 0 && now-h.recent[0] > heartbeatCountWindow {
+		h.recent = h.recent[1:]
+	}
+}
 
 // handleHeartbeat handles a worker's heartbeat, whether this node owns machines or not.
 func (c *Core) handleHeartbeat(r Request) {
@@ -18,9 +45,7 @@
 		c.respond(r.ID, wire.StatusBadRequest, wire.ErrorResponse{Error: err.Error()})
 		return
 	}
-	if len(c.recentHeartbeats) < maxCountedHeartbeats {
-		c.recentHeartbeats = append(c.recentHeartbeats, c.now)
-	}
+	c.workerHeartbeats.record(c.now)
 	switch {
 	case c.owner != nil:
 		c.owner.handleHeartbeat(r.ID, heartbeat)
@@ -42,7 +67,7 @@
 // is partitioned alone receives heartbeats of other zones too, and redirects all workers.
 func (c *Core) mayExtendForeignLease(heartbeat *wire.Heartbeat) bool {
 	if heartbeat.Zone != c.cfg.Zone {
-		c.lastOtherZoneHeartbeat = c.now
+		c.workerHeartbeats.lastOtherZone = c.now
 		return false
 	}
 	if heartbeat.FencingToken == 0 || len(heartbeat.Tasks) == 0 || !c.zonePartitioned() || !c.mayRenewLease() {
@@ -60,16 +85,11 @@
 // store nor a peer of another zone is reachable, and no worker of another zone has sent a heartbeat
 // lately. It returns false again once that has lasted for the partition timeout.
 func (c *Core) zonePartitioned() bool {
-	if !c.store.Unavailable() || c.now-c.lastOtherZoneHeartbeat < otherZoneTimeoutIntervals*c.cfg.HeartbeatInterval ||
+	if !c.store.Unavailable() || c.now-c.workerHeartbeats.lastOtherZone < otherZoneTimeoutIntervals*c.cfg.HeartbeatInterval ||
 		c.now-c.store.LastSuccess() > c.cfg.Tuning.PartitionTimeout {
 		return false
 	}
-	for _, p := range c.peers {
-		if p.Zone != c.cfg.Zone && p.fresh(c.now) {
-			return false
-		}
-	}
-	return true
+	return !c.peers.AnyReachableOutside(c.cfg.Zone)
 }
 
 // mayKeepTask reports whether a task has exited or belongs to a job that is known to be active.
--- /dev/null
+++ b/internal/peers/heartbeats.go
@@ -0,0 +1,68 @@
+package peers
+
+import (
+	"tamarindlead/internal/cancellation"
+	"tamarindlead/internal/peer"
+	"tamarindlead/micros"
+)
+
+const (
+	heartbeatInterval = micros.Second
+	// messageTimeout bounds the wait for the response to a heartbeat or another short message.
+	messageTimeout = 1500 * micros.Millisecond
+	// heartbeatValidity is how long the content of a heartbeat is relied on: three intervals and
+	// some delay.
+	heartbeatValidity = 3500 * micros.Millisecond
+)
+
+// Tick sends the heartbeats that are due.
+func (p *Peers) Tick() {
+	for _, n := range p.ordered {
+		if !n.heartbeatInFlight && p.host.Now() >= n.nextHeartbeat {
+			p.sendHeartbeat(n)
+		}
+	}
+}
+
+// sendHeartbeat sends a heartbeat to a peer and applies the one in its response.
+func (p *Peers) sendHeartbeat(to *node) {
+	sentAt := p.host.Now()
+	to.heartbeatInFlight, to.nextHeartbeat = true, sentAt+heartbeatInterval
+	message := &peer.Message{Body: &peer.Message_Beat{Beat: p.host.NewHeartbeat(to.Node)}}
+	p.call(to, message, messageTimeout, maxMessageBytes, func(response *peer.Message, _ bool) {
+		to.heartbeatInFlight = false
+		heartbeat := response.GetBeat()
+		if heartbeat == nil {
+			return
+		}
+		p.applyHeartbeat(to, heartbeat)
+		p.host.ApplyGrant(to.Node, cancellation.Grant{
+			Period: micros.Micros(heartbeat.PromiseUs), SinceUserAcknowledged: micros.Micros(heartbeat.ToldAgoUs),
+		}, sentAt)
+	})
+}
+
+// handleHeartbeat applies a peer's heartbeat and responds with one of this node.
+func (p *Peers) handleHeartbeat(request uint64, from *node, received *peer.Beat) {
+	p.applyHeartbeat(from, received)
+	heartbeat := p.host.NewHeartbeat(from.Node)
+	grant := p.host.NewGrant(from.Node)
+	heartbeat.PromiseUs, heartbeat.ToldAgoUs = uint64(grant.Period), uint64(grant.SinceUserAcknowledged)
+	p.Respond(request, &peer.Message{Body: &peer.Message_Beat{Beat: heartbeat}})
+}
+
+// applyHeartbeat replaces what is known of a peer.
+func (p *Peers) applyHeartbeat(n *node, heartbeat *peer.Beat) {
+	n.lastHeartbeat = p.host.Now()
+	n.workerHeartbeats, n.kvReachable = int(heartbeat.WorkersHeard), heartbeat.StoreOk
+	n.jobCounts = make(map[string]*peer.JobCount, len(heartbeat.Jobs))
+	for _, count := range heartbeat.Jobs {
+		n.jobCounts[count.Id] = count
+	}
+	n.idleMachines, n.teams = heartbeat.Idle, heartbeat.Teams
+	n.ownsMachine = make(map[string]bool, len(heartbeat.Machines))
+	for _, name := range heartbeat.Machines {
+		n.ownsMachine[name] = true
+	}
+	p.host.HandleHeartbeat(n.Node, heartbeat)
+}
--- /dev/null
+++ b/internal/peers/peers.go
@@ -0,0 +1,120 @@
+package peers
+
+import (
+	"tamarindlead/config"
+	"tamarindlead/internal/peer"
+	"tamarindlead/micros"
+)
+
+// Peers are the other controllers of the cluster.
+type Peers struct {
+	host Host
+	// self is the name of this node.
+	self string
+	// ordered are the peers in the order of the configuration.
+	ordered []*node
+	byName  map[string]*node
+}
+
+// node is what is known of a peer, by its latest heartbeat.
+type node struct {
+	config.Sibling
+	heartbeatInFlight bool
+	nextHeartbeat     micros.Micros
+	lastHeartbeat     micros.Micros
+	workerHeartbeats  int // that the peer has received lately
+	kvReachable       bool
+	jobCounts         map[string]*peer.JobCount
+	ownsMachine       map[string]bool
+	idleMachines      []*peer.IdleMachine
+	teams             []*peer.TeamUse
+}
+
+// New returns the peers of a node, none of which has sent a heartbeat.
+func New(settings *config.Settings, host Host) *Peers {
+	p := &Peers{host: host, self: settings.Node, byName: make(map[string]*node, len(settings.Siblings))}
+	for _, sibling := range settings.Siblings {
+		n := &node{Sibling: sibling}
+		p.ordered = append(p.ordered, n)
+		p.byName[sibling.Node] = n
+	}
+	return p
+}
+
+// reachable reports whether the latest heartbeat of a peer is recent enough to rely on it.
+func (n *node) reachable(now micros.Micros) bool {
+	return n.lastHeartbeat > 0 && now-n.lastHeartbeat < heartbeatValidity
+}
+
+// first returns the first reachable peer that satisfies a condition, or nil.
+func (p *Peers) first(satisfies func(*node) bool) *node {
+	for _, n := range p.ordered {
+		if n.reachable(p.host.Now()) && satisfies(n) {
+			return n
+		}
+	}
+	return nil
+}
+
+// firstName returns the name of the first reachable peer that satisfies a condition, or "".
+func (p *Peers) firstName(satisfies func(*node) bool) string {
+	if n := p.first(satisfies); n != nil {
+		return n.Node
+	}
+	return ""
+}
+
+// AnyReachable reports whether any peer is reachable.
+func (p *Peers) AnyReachable() bool {
+	return p.first(func(*node) bool { return true }) != nil
+}
+
+// AnyReachableOutside reports whether a peer outside a zone is reachable.
+func (p *Peers) AnyReachableOutside(zone string) bool {
+	return p.first(func(n *node) bool { return n.Zone != zone }) != nil
+}
+
+// AnyReceivesHeartbeats reports whether a reachable peer has received heartbeats of workers lately.
+func (p *Peers) AnyReceivesHeartbeats() bool {
+	return p.first(func(n *node) bool { return n.workerHeartbeats > 0 }) != nil
+}
+
+// KVRelay returns a reachable peer that reaches the key-value store, or "".
+func (p *Peers) KVRelay() string {
+	return p.firstName(func(n *node) bool { return n.kvReachable })
+}
+
+// MarkKVUnreachable excludes a peer as a relay to the key-value store until its next heartbeat.
+func (p *Peers) MarkKVUnreachable(name string) {
+	if n := p.byName[name]; n != nil {
+		n.kvReachable = false
+	}
+}
+
+// Claimant returns the reachable peer that owns a machine by its heartbeat, or "".
+func (p *Peers) Claimant(machine string) string {
+	return p.firstName(func(n *node) bool { return n.ownsMachine[machine] })
+}
+
+// OwnerSummary returns the idle machines and the use of teams of a peer. Both are empty if the peer
+// is not reachable.
+func (p *Peers) OwnerSummary(name string) (idle []*peer.IdleMachine, teams []*peer.TeamUse) {
+	n := p.byName[name]
+	if n == nil || !n.reachable(p.host.Now()) {
+		return nil, nil
+	}
+	return n.idleMachines, n.teams
+}
+
+// JobCount returns the latest counts of a job's tasks in a peer's heartbeat, or nil. Progress is
+// shown to users even if the peer is no longer reachable.
+func (p *Peers) JobCount(job string) *peer.JobCount {
+	var latest *peer.JobCount
+	var latestAt micros.Micros
+	for _, n := range p.ordered {
+		if count := n.jobCounts[job]; count != nil && n.lastHeartbeat > latestAt {
+			latest, latestAt = count, n.lastHeartbeat
+		}
+	}
+	return latest
+}
