--- a/controller/autoscaling.go
+++ b/controller/autoscaling.go
@@ -26,7 +26,7 @@
 
 // catalog is what the cloud rents, as far as this node knows.
 func (c *Core) catalog() autoscaler.Catalog {
-	return autoscaler.Catalog{Types: c.types.list, MaxTasks: inventory.MaxEntryTasks}
+	return autoscaler.Catalog{Types: c.types.List(), MaxTasks: inventory.MaxEntryTasks}
 }
 
 // market is what may be rented now.
@@ -57,7 +57,7 @@
 			o.sendScaleOutRequest(r)
 		}
 	}
-	if o.c.now < o.nextAutoscaling || len(o.c.types.list) == 0 {
+	if o.c.now < o.nextAutoscaling || len(o.c.types.List()) == 0 {
 		return
 	}
 	o.nextAutoscaling = o.c.now + autoscalingInterval
@@ -229,7 +229,7 @@
 
 // machineSize is what a machine offers, once its type is known.
 func (o *owner) machineSize(m *inventory.Machine) sched.Resources {
-	if t := o.c.types.find(m.Type); t != nil {
+	if t := o.c.types.Find(m.Type); t != nil {
 		m.Size = t.Size
 	}
 	return m.Size
--- a/controller/bench_test.go
+++ b/controller/bench_test.go
@@ -60,7 +60,7 @@
 		Tuning: config.DefaultTuning(),
 	}
 	c := New(cfg, 1, slog.New(slog.NewTextHandler(io.Discard, &slog.HandlerOptions{Level: slog.LevelError})), micros.Hour, micros.Hour)
-	c.types.list = []sched.MachineType{{Name: "mid", Size: sched.NewResources(28, 0, 112), Price: 1, SpotPrice: 0.3, Zones: cfg.Zones}}
+	c.types.Fill([]sched.MachineType{{Name: "mid", Size: sched.NewResources(28, 0, 112), Price: 1, SpotPrice: 0.3, Zones: cfg.Zones}})
 	store := &ownerStore{}
 	c.node = cluster.New(cfg, store, clusterHost{c}, rand.New(rand.NewPCG(1, randomSeedStream)), c.log)
 	c.cluster = c.node.View()
--- a/controller/blocks.go
+++ b/controller/blocks.go
@@ -28,7 +28,7 @@
 // tasks that it may get.
 func (o *owner) maxMachines(kind string) int {
 	tasks := inventory.DefaultTasksPerMachine
-	if t := o.c.types.find(kind); t != nil {
+	if t := o.c.types.Find(kind); t != nil {
 		if n := o.classes.MaxAverageTasks(t.Size, inventory.MaxEntryTasks); n > 0 {
 			tasks = n
 		}
--- a/controller/core.go
+++ b/controller/core.go
@@ -15,6 +15,7 @@
 	"tamarindlead/internal/frontend"
 	"tamarindlead/internal/jobview"
 	"tamarindlead/internal/kv"
+	"tamarindlead/internal/machinetypes"
 	"tamarindlead/internal/peers"
 	"tamarindlead/internal/record"
 	"tamarindlead/internal/wire"
@@ -58,7 +59,7 @@
 	cancellations *cancellation.Tracker
 
 	// Machines in general.
-	types            machineTypeTable
+	types            *machinetypes.Table
 	spotRisk         autoscaler.SpotRisk
 	workerHeartbeats workerHeartbeats
 
@@ -85,6 +86,7 @@
 		Requests: cfg.KVRequestRate, Writes: cfg.KVWriteRate, MinWriteBurst: frontend.CancellationWrites + 1,
 	}, len(cfg.Siblings)+1)
 	c.store = kv.New(kvHost{c}, c.budget, record.LeaderKey, log)
+	c.types = newMachineTypes(c)
 	c.jobView = newJobView(c)
 	c.graph = c.jobView.Graph()
 	c.frontend = newFrontend(c, log)
@@ -130,7 +132,7 @@
 	c.store.Tick()
 	c.workerHeartbeats.prune(c.now)
 	c.peers.Tick()
-	c.tickMachineTypes()
+	c.types.Tick()
 	c.node.Tick(c.now)
 	c.jobView.Tick()
 	c.tickStatus()
--- a/controller/frontend_adapter.go
+++ b/controller/frontend_adapter.go
@@ -34,7 +34,7 @@
 
 func (h frontendHost) IsIsolated() bool { return h.c.isIsolated() }
 
-func (h frontendHost) MachineTypes() []sched.MachineType { return h.c.types.list }
+func (h frontendHost) MachineTypes() []sched.MachineType { return h.c.types.List() }
 
 func (h frontendHost) ReportViolation(what string, args ...any) { h.c.reportViolation(what, args...) }
 
--- a/controller/inventory_adapter.go
+++ b/controller/inventory_adapter.go
@@ -28,7 +28,7 @@
 
 // sizeOf returns the size of a machine type, or nothing while the type is unknown.
 func (o *owner) sizeOf(machineType string) sched.Resources {
-	if t := o.c.types.find(machineType); t != nil {
+	if t := o.c.types.Find(machineType); t != nil {
 		return t.Size
 	}
 	return sched.Resources{}
--- a/controller/machine_health.go
+++ b/controller/machine_health.go
@@ -173,7 +173,7 @@
 		return decommissionNone
 	}
 	boot := defaultBootTime
-	if t := o.c.types.find(m.Type); t != nil {
+	if t := o.c.types.Find(m.Type); t != nil {
 		boot = t.Boot
 	}
 	patience := micros.Micros(o.c.cfg.Tuning.BootTimeoutFactor*float64(boot)) + o.c.cfg.HeartbeatTimeout()
--- a/controller/machine_requests.go
+++ b/controller/machine_requests.go
@@ -116,7 +116,7 @@
 
 func (c *Core) hasIdleMachineFor(idle []*peer.IdleMachine, job *sched.Job) bool {
 	for _, m := range idle {
-		t := c.types.find(m.Type)
+		t := c.types.Find(m.Type)
 		if t != nil && job.Allows(m.Type, m.Zone, m.Spot) && job.Need.Fits(t.Size) {
 			return true
 		}
--- a/controller/recovery.go
+++ b/controller/recovery.go
@@ -100,5 +100,5 @@
 	o.SchedulingNeeded = true
 	o.setState(ownerActive)
 	o.watchJobs(o.watchRevision)
-	o.c.types.nextReadAt = o.c.now
+	o.c.types.Refresh()
 }
--- a/controller/scheduler_adapter.go
+++ b/controller/scheduler_adapter.go
@@ -17,7 +17,7 @@
 		Machines: scheduler.MachineFuncs{
 			FreeSlots:        o.freeSlots,
 			Size:             o.machineSize,
-			FindType:         o.c.types.find,
+			FindType:         o.c.types.Find,
 			RemainingRunTime: o.remainingRunTime,
 		},
 		Inventory: o.Inventory,
--- /dev/null
+++ b/internal/machinetypes/host.go
@@ -0,0 +1,31 @@
+package machinetypes
+
+import (
+	"tamarindlead/internal/budget"
+	"tamarindlead/internal/kv"
+	"tamarindlead/internal/wire"
+	"tamarindlead/micros"
+)
+
+// Host is the node that uses the table.
+type Host interface {
+	// Now returns the time of the present event.
+	Now() micros.Micros
+	// OwnsTeams reports whether this node owns teams.
+	OwnsTeams() bool
+	// IsActiveOwner reports whether this node owns teams and has recovered their records.
+	IsActiveOwner() bool
+	// OwnerPreconditions returns the preconditions of a write by the owner of this node.
+	OwnerPreconditions() []kv.Precondition
+	// FetchMachineTypes requests the machine types from the cloud. done gets status 0 if there is no
+	// response.
+	FetchMachineTypes(done func(status wire.Status, body []byte))
+}
+
+// Store is the key-value store that keeps a copy of the table. *kv.Client implements it.
+type Store interface {
+	// Get reads one key.
+	Get(purpose budget.Purpose, key string, done func(kv.Outcome, kv.Entry))
+	// Do sends a request within the budget.
+	Do(purpose budget.Purpose, request kv.Request, done func(kv.Result))
+}
