--- a/controller/blocked_jobs.go
+++ b/controller/blocked_jobs.go
@@ -4,62 +4,62 @@
 	"slices"
 	"strings"
 
-	"tamarindlead/internal/inventory"
-
 	"tamarindlead/internal/budget"
 	"tamarindlead/internal/dag"
+	"tamarindlead/internal/inventory"
 	"tamarindlead/internal/kv"
 	"tamarindlead/internal/record"
 	"tamarindlead/micros"
 )
 
-// This file is the owner's part in jobs that wait for others. They are kept apart from the
-// jobs that are placed: what looks for room, counts demand or shares out a guarantee does not
-// see them. A job leaves this state in one way, by jobReady, when the final records of all
-// that it awaits were read as done, or when a record shows that an earlier owner placed it.
+// This file handles an owner's blocked jobs, those with dependencies that are not done. They are not
+// in the queue: placement, demand and quotas ignore them. A job is unblocked by jobReady alone, once
+// the terminal states of all its dependencies were read as done, or once a record shows that an
+// earlier owner has placed it.
 
-// addBlockedJob takes a job of an own team that awaits others.
+// addBlockedJob adds a blocked job of an own team.
 func (o *owner) addBlockedJob(j *inventory.Job) {
 	o.SetJobState(j, inventory.JobBlocked)
 	o.BlockedJobs[j.ID] = j
-	switch waiting := o.c.graph.Blocked(j.ID); {
-	case waiting == nil: // its record is gone already; the watch will tell
-	case waiting.Cancelled():
+	switch blocked := o.c.graph.Blocked(j.ID); {
+	case blocked == nil: // its record is gone already, which the watch will show
+	case blocked.Cancelled():
 		o.queueCascadedCancellation(j.ID)
-	case waiting.Ready():
-		o.jobReady(waiting)
+	case blocked.Ready():
+		o.jobReady(blocked)
 	}
 }
 
-// jobReady lets a job be placed: all that it awaits is done. Its times count from then.
-func (o *owner) jobReady(waiting *dag.BlockedJob) {
-	j := o.BlockedJobs[waiting.ID]
+// jobReady enqueues a blocked job whose dependencies are done. Its queueing delay counts from then.
+func (o *owner) jobReady(blocked *dag.BlockedJob) {
+	j := o.BlockedJobs[blocked.ID]
 	if j == nil {
 		return
 	}
 	delete(o.BlockedJobs, j.ID)
-	j.ReadyAt = max(j.Accepted, waiting.LatestDependencyDone)
+	j.ReadyAt = max(j.Accepted, blocked.LatestDependencyDone)
 	o.SetJobState(j, inventory.JobActive)
-	o.c.log.Info("job is ready", "job", j.ID, "class", j.Class, "waited_s", (o.c.wallClock - j.Accepted).Seconds())
+	o.c.log.Info("job unblocked", "job", j.ID, "class", j.Class, "blocked_s", (o.c.wallClock - j.Accepted).Seconds())
 	o.enqueue(j)
 }
 
-// unblockPlacedJob finds a job that a record of an earlier owner names as placed. That owner had
-// read that all that the job awaits is done, which never changes.
+// unblockPlacedJob returns a job that was placed by an earlier owner's record, or nil if it is not
+// known. If it is blocked, it is unblocked: the earlier owner has read that its dependencies are
+// done, which never changes.
 func (o *owner) unblockPlacedJob(id string) *inventory.Job {
 	if o.BlockedJobs[id] != nil {
-		waiting := o.c.graph.Blocked(id)
-		if waiting == nil {
+		blocked := o.c.graph.Blocked(id)
+		if blocked == nil {
 			return nil
 		}
-		o.c.graph.AssumeDone(waiting)
-		o.jobReady(waiting)
+		o.c.graph.AssumeDone(blocked)
+		o.jobReady(blocked)
 	}
 	return o.Jobs[id]
 }
 
-// queueCascadedCancellation notes that a waiting job is cancelled with one before it, which must be
-// recorded. Users are told by what the records before it say, recorded or not.
+// queueCascadedCancellation queues the record of a blocked job's cancellation with an upstream job.
+// The status that users get follows from the upstream records, whether this one is written or not.
 func (o *owner) queueCascadedCancellation(id string) {
 	if j := o.BlockedJobs[id]; j != nil && !j.CancelQueued {
 		j.CancelQueued = true
@@ -67,27 +67,28 @@
 	}
 }
 
-// advanceBlockedJobs reads what blocked jobs need to proceed.
+// advanceBlockedJobs reads the records on which the blocked jobs depend.
 func (o *owner) advanceBlockedJobs() { o.c.jobView.ResolveBlockedJobs() }
 
-// flushCascadedCancellations records jobs that are cancelled with one before them, a few with each
-// commit: nobody waits for it.
+// flushCascadedCancellations adds queued cancellations to a transaction until it is full. The rest is
+// left to the next ones: no user waits for these records.
 func (o *owner) flushCascadedCancellations(t *transaction, full func() bool) {
 	for len(o.cascadedCancellations) > 0 && !full() {
 		id := o.cascadedCancellations[0]
 		o.cascadedCancellations = o.cascadedCancellations[1:]
-		j, waiting := o.BlockedJobs[id], o.c.graph.Blocked(id)
+		j, blocked := o.BlockedJobs[id], o.c.graph.Blocked(id)
 		if j == nil {
 			continue
 		}
 		j.CancelQueued = false
-		if waiting != nil && waiting.Cancelled() && !j.RecordStale {
-			o.recordCascadedCancellation(t, j, waiting.CancelledRoot)
+		if blocked != nil && blocked.Cancelled() && !j.RecordStale {
+			o.recordCascadedCancellation(t, j, blocked.CancelledRoot)
 		}
 	}
 }
 
-// recordCascadedCancellation adds to a commit that a waiting job is cancelled with one before it.
+// recordCascadedCancellation adds the cancellation of a blocked job with an upstream job, root, to a
+// transaction.
 func (o *owner) recordCascadedCancellation(t *transaction, j *inventory.Job, root string) {
 	j.Writing = true
 	t.preconditions[record.ActiveJobKey(j.ID)] = j.Version
@@ -100,20 +101,21 @@
 		case !ok:
 			o.queueCascadedCancellation(j.ID)
 		default:
-			o.c.log.Info("job cancelled with one before it", "job", j.ID, "before", root)
+			o.c.log.Info("job cancelled with an upstream job", "job", j.ID, "upstream", root)
 			o.removeBlockedJob(j)
 		}
 	})
 }
 
-// removeBlockedJob forgets a waiting job whose record is gone.
+// removeBlockedJob removes a blocked job whose record is gone.
 func (o *owner) removeBlockedJob(j *inventory.Job) {
 	delete(o.BlockedJobs, j.ID)
 	o.dropParts(j)
 	o.SetJobState(j, inventory.JobEnded)
 }
 
-// dropParts has the further keys of a job's list deleted: they serve while its record exists.
+// dropParts queues the deletion of the keys that continue a job's list of dependencies. They are of
+// use only while the job's record exists.
 func (o *owner) dropParts(j *inventory.Job) {
 	for i := range j.DependencyParts {
 		o.obsoleteKeys = append(o.obsoleteKeys, record.DependencyPartKey(j.ID, i))
@@ -121,10 +123,11 @@
 	j.DependencyParts = 0
 }
 
-// recheckDelay lets the watch show how a job's record changed before it is written again.
+// recheckDelay gives the watch time to show a change of a job's record before it is written again.
 const recheckDelay = micros.Second
 
-// recheckBlockedJob handles a waiting job's record that is not as it was: it was cancelled.
+// recheckBlockedJob handles a failed precondition on a blocked job's record, which means that a user
+// has cancelled the job.
 func (o *owner) recheckBlockedJob(j *inventory.Job) {
 	j.RecordStale = true
 	o.c.jobView.Refresh(func(ok bool) {
@@ -137,18 +140,18 @@
 			return
 		}
 		o.c.after(recheckDelay, func() {
-			if waiting := o.c.graph.Blocked(j.ID); !o.superseded() && waiting != nil && waiting.Cancelled() {
+			if blocked := o.c.graph.Blocked(j.ID); !o.superseded() && blocked != nil && blocked.Cancelled() {
 				o.queueCascadedCancellation(j.ID)
 			}
 		})
 	})
 }
 
-// partsSweepDelay lets a takeover do first what is urgent.
+// partsSweepDelay leaves the requests after a failover to more urgent purposes.
 const partsSweepDelay = 20 * micros.Second
 
-// sweepParts finds keys of lists whose jobs were over before an owner could have them
-// deleted.
+// sweepParts looks for keys of dependency lists whose jobs have ended without their deletion. It reads
+// one page at a time.
 func (o *owner) sweepParts() {
 	if o.partsSwept || o.c.now-o.activeSince < partsSweepDelay || !o.c.budget.MayRequest(budget.Cleanup, o.c.now) {
 		return
@@ -170,7 +173,7 @@
 				o.partsSwept = false
 			default:
 				o.dropLeftoverParts(page.Entries)
-				if page.More && len(page.Entries) > 0 { // the next page comes with a later tick
+				if page.More && len(page.Entries) > 0 { // a later tick reads the next page
 					o.partsSweepCursor, o.partsSwept = page.Entries[len(page.Entries)-1].Key, false
 				}
 			}
@@ -178,8 +181,8 @@
 	})
 }
 
-// dropLeftoverParts has parts of lists deleted whose jobs are over. A list is accepted with its
-// job in one commit: where a view that is newer than the list lacks the job, it is over.
+// dropLeftoverParts queues the deletion of dependency lists whose jobs have ended. A list is written
+// in one transaction with its job: if a view that is newer than the list lacks the job, it has ended.
 func (o *owner) dropLeftoverParts(entries []kv.Entry) {
 	for _, e := range entries {
 		id, _, _ := strings.Cut(strings.TrimPrefix(e.Key, record.DependencyPartPrefix), "/")
--- a/controller/core.go
+++ b/controller/core.go
@@ -27,55 +27,73 @@
 	cfg *config.Settings
 	log *slog.Logger
 
-	// Times, as of the present event. now is steady and only grows; wallClock is the time of
-	// day, which records and users see.
-	now          micros.Micros
-	wallClock    micros.Micros
-	timers       []timer
-	nextSlowTick micros.Micros // when the slower duties are due
-
-	// Effects of the present event, and the calls that wait for their ends.
+	// now is the monotonic time of the present event. wallClock is its time of day, which records and
+	// users get.
+	now, wallClock micros.Micros
+	timers         []timer
+	nextSlowTick   micros.Micros
+
+	// effects are those of the present event.
 	effects []Effect
-	nextID  uint64
-	calls   map[uint64]func(CallDone)
+	calls   outboundCalls
 
-	// The state service and the cloud, with this node's part of their limits.
+	// The key-value store and the cloud, with this node's part of their limits.
 	budget    *budget.Budget
 	store     *kv.Client
 	cloudRate *rate.Limiter
 
-	// The cluster: other controllers, members and owners by the records, and this node's part.
+	// The cluster, and this node's part in it.
 	peers   *peers.Peers
 	node    *cluster.Node
 	cluster *cluster.View // of node
-	owner   *owner        // set while this node owns teams
+	owner   *owner        // nil unless this node owns teams
 	numbers numberGenerator
 
-	// What users ask for.
-	frontend *frontend.Frontend
-	graph    *dag.Graph // the active jobs
-	jobView  *jobview.View
-	// cancellations keeps which cancellations users may be told of, and bounds leases.
+	// Users' requests and the active jobs.
+	frontend      *frontend.Frontend
+	jobView       *jobview.View
+	graph         *dag.Graph // of jobView
 	cancellations *cancellation.Tracker
 
-	// Machines in general.
+	// Machines and workers, whether this node owns them or not.
 	types            *machinetypes.Table
 	spotRisk         autoscaler.SpotRisk
 	workerHeartbeats workerHeartbeats
 
 	counters counters
-	// violations counts the invariants that did not hold.
+	// violations is the number of violated invariants since the node started.
 	violations int
 }
 
-// randomSeedStream is the second half of the seed of the random source.
+// outboundCalls are the calls whose results are outstanding.
+type outboundCalls struct {
+	lastID  uint64
+	pending map[uint64]func(CallDone)
+}
+
+// add registers the function that handles the result of a call, and returns the call's ID.
+func (o *outboundCalls) add(done func(CallDone)) uint64 {
+	o.lastID++
+	o.pending[o.lastID] = done
+	return o.lastID
+}
+
+// finish calls the function that handles a result. It ignores the result of an unknown call.
+func (o *outboundCalls) finish(result CallDone) {
+	if done, ok := o.pending[result.ID]; ok {
+		delete(o.pending, result.ID)
+		done(result)
+	}
+}
+
+// randomSeedStream is the second half of the seed of the node's random numbers.
 const randomSeedStream = 0x7461_6d61
 
-// New returns the core of a node that has just started.
+// New returns the core of a node that is starting. seed initializes its random numbers.
 func New(cfg *config.Settings, seed uint64, log *slog.Logger, now, wallClock micros.Micros) *Core {
 	c := &Core{
 		cfg: cfg, log: log, now: now, wallClock: wallClock,
-		calls: map[uint64]func(CallDone){},
+		calls: outboundCalls{pending: map[uint64]func(CallDone){}},
 	}
 	c.cloudRate = rate.NewLimiter(rate.Limit(cfg.CloudRequestRate), max(1, int(cfg.CloudRequestRate)))
 	c.node = cluster.New(cfg, clusterStore{c}, clusterHost{c}, rand.New(rand.NewPCG(seed, randomSeedStream)), log)
@@ -93,26 +111,23 @@
 	return c
 }
 
-// Handle takes one event and returns what must be done.
-func (c *Core) Handle(now, wallClock micros.Micros, ev Event) []Effect {
+// Handle handles one event at a time and returns the effects to carry out, in order.
+func (c *Core) Handle(now, wallClock micros.Micros, event Event) []Effect {
 	c.now, c.wallClock = max(now, c.now), wallClock
 	c.counters.events++
 	c.effects = nil
-	switch e := ev.(type) {
+	switch e := event.(type) {
 	case Request:
 		c.routeRequest(e)
 	case CallDone:
-		if done, ok := c.calls[e.ID]; ok {
-			delete(c.calls, e.ID)
-			done(e)
-		}
-	case Tick:
+		c.calls.finish(e)
+	case Tick: // every event lets time pass
 	}
 	c.tick()
 	return c.effects
 }
 
-// tick does what is due, after every event.
+// tick does the work that is due after every event.
 func (c *Core) tick() {
 	c.runTimers()
 	if c.now >= c.nextSlowTick {
@@ -127,7 +142,7 @@
 	}
 }
 
-// tickSlow does the slower duties.
+// tickSlow does the periodic work.
 func (c *Core) tickSlow() {
 	c.store.Tick()
 	c.workerHeartbeats.prune(c.now)
@@ -142,17 +157,15 @@
 	}
 }
 
-// call starts an outbound request.
+// call sends an outbound request and calls done with its result.
 func (c *Core) call(call Call, done func(CallDone)) {
-	c.nextID++
 	c.counters.calls++
-	call.ID = c.nextID
-	c.calls[call.ID] = done
+	call.ID = c.calls.add(done)
 	c.effects = append(c.effects, call)
 }
 
-// respond answers a request, with a body unless it is nil.
-func (c *Core) respond(id uint64, status int, body any) {
+// respond responds to a request. The response has no body if body is nil.
+func (c *Core) respond(id uint64, status wire.Status, body any) {
 	var data []byte
 	if body != nil {
 		data = wire.Encode(body)
@@ -160,11 +173,13 @@
 	c.effects = append(c.effects, Respond{ID: id, Status: status, Body: data})
 }
 
-// refuse answers at once that a request cannot be taken now.
+// retryAfterSeconds is the Retry-After of a refusal: the minimum wait of clients anyway.
+const retryAfterSeconds = 1
+
+// refuse responds that a request cannot be handled now and may be sent again.
 func (c *Core) refuse(id uint64, status wire.Status, reason frontend.RefusalReason) {
 	c.counters.refused++
-	c.effects = append(c.effects, Respond{ID: id, Status: status, Body: wire.Encode(wire.ErrorResponse{Error: string(reason)}), RetryAfter: retryAfterSeconds})
+	c.effects = append(c.effects, Respond{
+		ID: id, Status: status, Body: wire.Encode(wire.ErrorResponse{Error: string(reason)}), RetryAfter: retryAfterSeconds,
+	})
 }
-
-// retryAfterSeconds is what users are told, in seconds: the least they wait anyway.
-const retryAfterSeconds = 1
--- a/controller/events.go
+++ b/controller/events.go
@@ -1,24 +1,21 @@
-// Package controller is the deterministic core of a controller node: it takes
-// events and the time, and returns effects. It has no clock, no network and no
-// goroutine of its own; given the same events it returns the same effects.
 package controller
 
 import "tamarindlead/micros"
 
-// Event is something that reached the node: Request, CallDone or Tick.
+// Event is an input of the core: Request, CallDone or Tick.
 type Event interface{ event() }
 
 // Request is an HTTP request from a user, a worker or another controller.
 type Request struct {
 	ID     uint64
-	Peer   bool // came in on the listener for other controllers
+	Peer   bool // received on the listener for other controllers
 	Method string
 	Path   string
 	Body   []byte
 }
 
-// CallDone is the result of a Call. Status 0: no response; Sent then tells whether
-// the request may have reached the other side.
+// CallDone is the result of a Call. Without a response Status is 0, and Sent reports whether the
+// request may have reached the server.
 type CallDone struct {
 	ID     uint64
 	Status int
@@ -26,17 +23,17 @@
 	Sent   bool
 }
 
-// Tick only passes the time.
+// Tick is an event without content, by which time passes.
 type Tick struct{}
 
 func (Request) event()  {}
 func (CallDone) event() {}
 func (Tick) event()     {}
 
-// Effect is something the node must do: Call or Respond.
+// Effect is an output of the core that the node must carry out: Call or Respond.
 type Effect interface{ effect() }
 
-// Call is an outbound request; a CallDone with its ID must follow.
+// Call is an outbound request. A CallDone with its ID must follow.
 type Call struct {
 	ID      uint64
 	Addr    string
@@ -47,7 +44,7 @@
 	MaxBody int
 }
 
-// Respond answers a Request.
+// Respond is the response to a Request.
 type Respond struct {
 	ID         uint64
 	Status     int
--- a/controller/frontend_adapter.go
+++ b/controller/frontend_adapter.go
@@ -10,9 +10,9 @@
 	"tamarindlead/sched"
 )
 
-// This file connects internal/frontend, which handles users' requests, with this node.
+// This file connects package frontend, which handles users' requests, with this node.
 
-// newFrontend returns the frontend of a node whose other parts exist.
+// newFrontend returns the frontend of a node. The services that it uses must have been created.
 func newFrontend(c *Core, log *slog.Logger) *frontend.Frontend {
 	return frontend.New(
 		frontend.Config{Settings: c.cfg, MaxTransactionBytes: maxCommitBytes, Log: log},
@@ -25,7 +25,7 @@
 	)
 }
 
-// frontendHost is the node as the frontend sees it.
+// frontendHost implements frontend.Host.
 type frontendHost struct{ c *Core }
 
 func (h frontendHost) Now() micros.Micros { return h.c.now }
@@ -38,7 +38,7 @@
 
 func (h frontendHost) ReportViolation(what string, args ...any) { h.c.reportViolation(what, args...) }
 
-// frontendResponses turns responses to users into effects.
+// frontendResponses implements the frontend's responses as effects.
 type frontendResponses struct{ c *Core }
 
 func (r frontendResponses) Respond(request uint64, status wire.Status, body any) {
@@ -49,8 +49,7 @@
 	r.c.refuse(request, status, reason)
 }
 
-// frontendCancellations holds which jobs are cancelled, and which cancellations may be
-// acknowledged to users.
+// frontendCancellations gives the frontend access to the tracker of cancellations.
 type frontendCancellations struct{ c *Core }
 
 func (t frontendCancellations) HasEnded(job string) bool { return t.c.cancellations.HasEnded(job) }
@@ -59,7 +58,7 @@
 	t.c.announceCancellation(job, deadline, done)
 }
 
-// frontendOwnedJobs are the jobs of the teams that this node owns.
+// frontendOwnedJobs gives the frontend access to the jobs of the teams that this node owns.
 type frontendOwnedJobs struct{ c *Core }
 
 func (o frontendOwnedJobs) Version(job string) (version uint64, owned bool) {
@@ -81,7 +80,7 @@
 	return frontend.TaskCounts{Done: done, Running: running}, true
 }
 
-// frontendPeerJobs are the jobs that peers report on in their heartbeats.
+// frontendPeerJobs gives the frontend access to the progress of jobs that peers report in heartbeats.
 type frontendPeerJobs struct{ c *Core }
 
 func (p frontendPeerJobs) TaskCounts(job string) frontend.TaskCounts {
--- a/controller/inventory_adapter.go
+++ b/controller/inventory_adapter.go
@@ -7,7 +7,10 @@
 	"tamarindlead/sched"
 )
 
-// inventoryHost tells an owner what must be done because of changes of state in its inventory.
+// This file connects package inventory with its owner.
+
+// inventoryHost implements inventory.Host: it schedules the writes and commands that changes of state
+// require.
 type inventoryHost struct{ o *owner }
 
 func (h inventoryHost) Now() micros.Micros { return h.o.c.now }
@@ -20,13 +23,13 @@
 
 func (h inventoryHost) CommandsNeeded(m *inventory.Machine) { h.o.queueDispatch(m) }
 
-// forgetMachine removes a machine whose record is gone, and refuses a heartbeat that waits for it.
+// forgetMachine removes a machine whose record is gone, and refuses its pending heartbeat.
 func (o *owner) forgetMachine(m *inventory.Machine) {
 	o.workers.RefusePendingHeartbeat(m, workers.RefusalTerminated)
 	o.RemoveMachine(m)
 }
 
-// sizeOf returns the size of a machine type, or nothing while the type is unknown.
+// sizeOf returns the size of a machine type, which is zero while the type is unknown.
 func (o *owner) sizeOf(machineType string) sched.Resources {
 	if t := o.c.types.Find(machineType); t != nil {
 		return t.Size
--- a/controller/job_queue.go
+++ b/controller/job_queue.go
@@ -4,9 +4,8 @@
 	"slices"
 	"strings"
 
-	"tamarindlead/internal/inventory"
-
 	"tamarindlead/internal/budget"
+	"tamarindlead/internal/inventory"
 	"tamarindlead/internal/kv"
 	"tamarindlead/internal/peer"
 	"tamarindlead/internal/record"
@@ -14,18 +13,18 @@
 	"tamarindlead/micros"
 )
 
-// recoverJob takes an accepted job from its record, unless it is known or of another owner's team.
+// recoverJob adds an accepted job by its record, unless the job is known or of another owner's team.
 func (o *owner) recoverJob(key string, value []byte, version uint64) {
 	id := strings.TrimPrefix(key, record.ActiveJobPrefix)
 	if o.Jobs[id] != nil || o.BlockedJobs[id] != nil || o.c.cancellations.HasEnded(id) {
 		return
 	}
-	var rec record.Job
-	if err := wire.Decode(value, &rec); err != nil {
+	var job record.Job
+	if err := wire.Decode(value, &job); err != nil {
 		o.c.log.Error("record cannot be read", "key", key, "error", err)
 		return
 	}
-	spec, err := rec.Description()
+	spec, err := job.Description()
 	if err != nil {
 		o.c.log.Error("record cannot be read", "key", key, "error", err)
 		return
@@ -33,16 +32,16 @@
 	if o.Teams[spec.Team] == nil {
 		return // another owner's
 	}
-	j := inventory.NewJob(spec, version, rec.AcceptedAt)
-	if rec.Blocked != nil {
-		j.DependencyParts = rec.DependencyParts
+	j := inventory.NewJob(spec, version, job.AcceptedAt)
+	if job.Blocked != nil {
+		j.DependencyParts = job.DependencyParts
 		o.addBlockedJob(j)
 		return
 	}
 	o.enqueue(j)
 }
 
-// enqueue adds a job to those that are placed.
+// enqueue adds a job to the scheduling queue.
 func (o *owner) enqueue(j *inventory.Job) {
 	j.IdleSince = o.c.now
 	o.Jobs[j.ID] = j
@@ -52,46 +51,46 @@
 	o.SchedulingNeeded = true
 }
 
-// watchJobs follows jobs that are accepted, and those that are over.
+// watchJobs follows the jobs that are accepted and removed after a revision.
 func (o *owner) watchJobs(after uint64) {
 	c := o.c
-	asked := c.now
+	sentAt := c.now
 	c.store.Watch(budget.Ownership, record.ActiveJobPrefix, after, c.watchWait(), func(r kv.Result) {
 		if o.superseded() {
 			return
 		}
 		switch {
 		case r.Outcome == kv.Compacted:
-			o.restartRecovery("the watch fell behind")
+			o.restartRecovery("watch revision was compacted")
 			return
 		case r.Outcome != kv.OK:
 			o.retryWatch(after)
 			return
 		case !c.jobView.ApplyWatchResult(after, r):
-			o.restartRecovery("the watch cannot be followed")
+			o.restartRecovery("watch result does not continue the view")
 			return
 		}
-		o.cancellationsKnownUntil = asked
+		o.cancellationsKnownUntil = sentAt
 		o.watchJobs(c.graph.Revision())
 	})
 }
 
-// retryWatch watches again after a pause, which the slow tick ends.
+// retryWatch makes a slow tick watch again after a pause.
 func (o *owner) retryWatch(after uint64) {
 	o.watchRevision, o.watchDown, o.retryAt = after, true, o.c.now+readRetryDelay
 }
 
-// handleJobRemoved handles a job that is over: by our own commit, or cancelled, of which users were
-// told at since or later.
+// handleJobRemoved handles the removal of a job's record: by this owner's own transaction, or by a
+// cancellation that was acknowledged to users at since or later.
 func (o *owner) handleJobRemoved(id string, since micros.Micros) {
 	if j := o.BlockedJobs[id]; j != nil && !j.Writing {
-		o.c.log.Info("job cancelled while it waits", "job", id)
+		o.c.log.Info("blocked job cancelled", "job", id)
 		o.removeBlockedJob(j)
 		return
 	}
 	j := o.Jobs[id]
 	if j == nil || j.State == inventory.JobEnded || j.State == inventory.JobFinishing && j.Writing {
-		return // the watch may tell of our own commit before its answer comes
+		return // the watch may show the removal before this owner's transaction is confirmed
 	}
 	o.c.log.Info("job cancelled", "job", id, "attempts", len(j.Attempts))
 	o.endJob(j)
@@ -99,10 +98,10 @@
 	o.StopJob(j, 0, "cancelled")
 }
 
-// endJob takes a job out of the queue; its record is gone.
+// endJob removes a job whose record is gone from the queue.
 func (o *owner) endJob(j *inventory.Job) {
 	o.SetJobState(j, inventory.JobEnded)
-	o.Queue = slices.DeleteFunc(o.Queue, func(q *inventory.Job) bool { return q == j })
+	o.Queue = slices.DeleteFunc(o.Queue, func(queued *inventory.Job) bool { return queued == j })
 	o.dropChunks(j)
 	o.dropParts(j)
 	if len(j.Attempts) == 0 {
@@ -121,10 +120,10 @@
 	o.SchedulingNeeded = true
 }
 
-// maxJobCounts bounds the counts in a heartbeat: the jobs that are placed first are told of.
+// maxJobCounts bounds the counts in a heartbeat, which has those of the first jobs in the queue.
 const maxJobCounts = 200
 
-// jobCounts tells peers what to show their users.
+// jobCounts returns the counts of tasks that peers show their users.
 func (o *owner) jobCounts() []*peer.JobCount {
 	var list []*peer.JobCount
 	for _, j := range o.Queue {
@@ -138,7 +137,7 @@
 	return list
 }
 
-// countsOf tells how many tasks of a job are done and run.
+// countsOf returns how many tasks of a job are done and how many are running.
 func (o *owner) countsOf(id string) (done, running int) {
 	if j := o.Jobs[id]; j != nil {
 		return j.CompletedCount, j.RunningTasks
--- a/controller/job_view.go
+++ b/controller/job_view.go
@@ -19,59 +19,50 @@
 	return jobview.New(jobViewHost{c}, jobObserver{c}, settings, c.store, c.budget, c.log)
 }
 
-// jobViewHost gives the view this node's time and timers.
+// jobViewHost implements jobview.Host.
 type jobViewHost struct{ c *Core }
 
-// Now implements jobview.Host.
 func (h jobViewHost) Now() micros.Micros { return h.c.now }
 
-// WallClock implements jobview.Host.
 func (h jobViewHost) WallClock() micros.Micros { return h.c.wallClock }
 
-// After implements jobview.Host.
 func (h jobViewHost) After(d micros.Micros, do func()) { h.c.after(d, do) }
 
-// WatchWait implements jobview.Host.
 func (h jobViewHost) WatchWait() micros.Micros { return h.c.watchWait() }
 
-// OwnsTeams implements jobview.Host.
 func (h jobViewHost) OwnsTeams() bool { return h.c.owner != nil }
 
-// jobObserver forwards changes of the active jobs to the owner, if this node has one.
+// jobObserver implements jobview.Observer: it forwards changes of the active jobs to the owner, if this
+// node has one.
 type jobObserver struct{ c *Core }
 
-// JobPut implements jobview.Observer.
-func (w jobObserver) JobPut(key string, value []byte, version uint64) {
-	if o := w.c.owner; o != nil && o.jobsListed {
+func (b jobObserver) JobPut(key string, value []byte, version uint64) {
+	if o := b.c.owner; o != nil && o.jobsListed {
 		o.recoverJob(key, value, version)
 	}
 }
 
-// JobDeleted implements jobview.Observer.
-func (w jobObserver) JobDeleted(id string) {
-	if o := w.c.owner; o != nil && o.jobsListed {
-		// Users may have been told as early as the last answered watch began.
+func (b jobObserver) JobDeleted(id string) {
+	if o := b.c.owner; o != nil && o.jobsListed {
+		// The cancellation may have been acknowledged to a user since the last answered watch began.
 		o.handleJobRemoved(id, o.cancellationsKnownUntil)
 	}
 }
 
-// JobReady implements jobview.Observer.
-func (w jobObserver) JobReady(job *dag.BlockedJob) {
-	if o := w.c.owner; o != nil {
+func (b jobObserver) JobReady(job *dag.BlockedJob) {
+	if o := b.c.owner; o != nil {
 		o.jobReady(job)
 	}
 }
 
-// JobCancelled implements jobview.Observer.
-func (w jobObserver) JobCancelled(id string) {
-	if o := w.c.owner; o != nil {
+func (b jobObserver) JobCancelled(id string) {
+	if o := b.c.owner; o != nil {
 		o.queueCascadedCancellation(id)
 	}
 }
 
-// InheritanceChanged implements jobview.Observer.
-func (w jobObserver) InheritanceChanged(id string) {
-	o := w.c.owner
+func (b jobObserver) InheritanceChanged(id string) {
+	o := b.c.owner
 	if o == nil {
 		return
 	}
@@ -80,17 +71,15 @@
 	}
 }
 
-// EstimateOf implements jobview.Observer.
-func (w jobObserver) EstimateOf(job *dag.BlockedJob) micros.Micros {
-	if o := w.c.owner; o != nil {
+func (b jobObserver) EstimateOf(job *dag.BlockedJob) micros.Micros {
+	if o := b.c.owner; o != nil {
 		return o.classes.CorrectedEstimate(job.Class, job.Estimate)
 	}
 	return job.Estimate
 }
 
-// ChangesMissed implements jobview.Observer.
-func (w jobObserver) ChangesMissed() {
-	if o := w.c.owner; o != nil && o.jobsListed {
-		o.restartRecovery("changes of jobs were missed")
+func (b jobObserver) ChangesMissed() {
+	if o := b.c.owner; o != nil && o.jobsListed {
+		o.restartRecovery("job changes missed")
 	}
 }
--- a/controller/machine_requests.go
+++ b/controller/machine_requests.go
@@ -8,40 +8,46 @@
 	"tamarindlead/sched"
 )
 
-// This file asks for machines of other owners' shares. An owner whose share cannot hold a job
-// sends a machine request to the leader. The leader chooses the giver, which is an owner with a
-// suitable idle machine, or else, if the job's team is below its guarantee, the owner of the team
-// that is most above its own. machine_transfers.go tells how the giver transfers machines.
+// This file requests machines of other owners. An owner whose machines cannot hold a job sends a
+// machine request to the leader. The leader chooses the source of the transfer: an owner with a
+// suitable idle machine, or else, if the job's team is below its guaranteed quota, the owner of the
+// team that exceeds its own most. machine_transfers.go is the part of the source.
 
-// Least times between two requests of an owner.
+// Minimum times between two requests of an owner.
 const (
 	machineRequestInterval = 2 * micros.Second
 	// arrayRequestInterval is the one for arrays, which need machines less urgently than gangs.
 	arrayRequestInterval = 8 * micros.Second
 )
 
-// requestMachines asks the leader for machines for some tasks of a job. With reclaim, owners
-// whose teams are above their guarantees may stop tasks for it.
+// requestMachines requests machines for some tasks of a job from other owners. With reclaim, the
+// source may evict tasks of teams that exceed their guaranteed quotas.
 func (o *owner) requestMachines(job *sched.Job, tasks int, reclaim bool) {
 	if o.c.cluster.OwnerCount() < 2 || o.c.now < o.nextMachineRequest {
 		return
 	}
 	o.nextMachineRequest = o.c.now + machineRequestInterval
-	request := &peer.Want{
-		Job: job.ID, Team: job.Team, Owner: string(o.c.node.ID()), Tasks: int32(tasks), Priority: int32(job.Priority),
-		Cpu: job.Need.CPU, Gpu: job.Need.GPU, Mem: job.Need.Mem,
-		OneZone: job.OneZone && job.Gang, Spread: job.Spread && job.Gang, Spot: job.Spot, Zone: job.Zone,
-		AnyType: job.Types == nil, Types: job.Types, Reclaim: reclaim,
-	}
+	request := newMachineRequest(job, tasks)
+	request.Owner, request.Reclaim = string(o.c.node.ID()), reclaim
 	if o.c.node.IsLeader() {
 		o.c.handleMachineRequest(request)
 		return
 	}
 	leader, _ := o.c.node.Leader()
-	o.c.peers.Send(leader, &peer.Message{Body: &peer.Message_Want{Want: request}})
+	o.c.sendMachineRequest(leader, request)
+}
+
+// newMachineRequest returns a request for machines for some tasks of a job, without its owner.
+func newMachineRequest(job *sched.Job, tasks int) *peer.Want {
+	return &peer.Want{
+		Job: job.ID, Team: job.Team, Tasks: int32(tasks), Priority: int32(job.Priority),
+		Cpu: job.Need.CPU, Gpu: job.Need.GPU, Mem: job.Need.Mem,
+		OneZone: job.OneZone && job.Gang, Spread: job.Spread && job.Gang, Spot: job.Spot, Zone: job.Zone,
+		AnyType: job.Types == nil, Types: job.Types,
+	}
 }
 
-// requestedJob is the job of a machine request, as far as a giver must know it.
+// requestedJob returns the job of a machine request, as far as the source of a transfer must know it.
 func requestedJob(request *peer.Want) *sched.Job {
 	job := &sched.Job{
 		ID: request.Job, Team: request.Team, Gang: true,
@@ -50,90 +56,97 @@
 		OneZone: request.OneZone, Spread: request.Spread, Spot: request.Spot, Zone: request.Zone,
 	}
 	if !request.AnyType {
-		job.Types = append([]string{}, request.Types...) // not nil: an empty list allows none
+		job.Types = append([]string{}, request.Types...) // not nil: an empty list allows no type
 	}
 	return job
 }
 
-// handleMachineRequest takes a machine request: as the leader, from an owner, to choose the
-// giver; as the giver, from the leader, to transfer machines.
+// sendMachineRequest sends a machine request to a peer.
+func (c *Core) sendMachineRequest(to string, request *peer.Want) {
+	c.peers.Send(to, &peer.Message{Body: &peer.Message_Want{Want: request}})
+}
+
+// handleMachineRequest handles a machine request: the leader receives it from the owner that needs
+// machines and chooses the source, the source receives it from the leader and transfers machines.
 func (c *Core) handleMachineRequest(request *peer.Want) {
-	asking := record.OwnerID(request.Owner)
+	requester := record.OwnerID(request.Owner)
 	switch {
 	case request.Give:
-		if c.owner != nil && c.owner.state == ownerActive && asking != c.node.ID() {
+		if c.owner != nil && c.owner.state == ownerActive && requester != c.node.ID() {
 			c.owner.transferMachines(request)
 		}
-	case c.node.IsLeader() && c.cluster.IsLive(asking):
+	case c.node.IsLeader() && c.cluster.IsLive(requester):
 		c.assignMachineRequest(request)
 	}
 }
 
-// assignMachineRequest passes a request on to the owner that shall transfer machines.
+// assignMachineRequest passes a machine request to the source of the transfer, if there is one.
 func (c *Core) assignMachineRequest(request *peer.Want) {
-	giver := c.chooseTransferSource(request)
-	if giver == "" {
+	source := c.chooseTransferSource(request)
+	if source == "" {
 		return
 	}
-	c.log.Info("machines wanted", "job", request.Job, "owner", request.Owner, "from", giver, "reclaim", request.Reclaim)
+	c.log.Info("machine request assigned", "job", request.Job, "owner", request.Owner, "source", source, "reclaim", request.Reclaim)
 	request.Give = true
-	if giver == c.cfg.Node {
+	if source == c.cfg.Node {
 		c.handleMachineRequest(request)
 		return
 	}
-	c.peers.Send(giver, &peer.Message{Body: &peer.Message_Want{Want: request}})
+	c.sendMachineRequest(source, request)
 }
 
-// chooseTransferSource chooses the node that transfers machines, or "".
+// chooseTransferSource returns the node that shall transfer machines, or "".
 func (c *Core) chooseTransferSource(request *peer.Want) string {
 	job := requestedJob(request)
-	chosen, mostOver := "", 0.0
+	chosen, maxExcess := "", 0.0
 	for _, node := range c.cluster.Members() {
 		if c.cluster.MemberID(node) == record.OwnerID(request.Owner) {
 			continue
 		}
-		share := c.ownerSummary(node)
-		if c.hasIdleMachineFor(share.Idle, job) {
+		summary := c.ownerSummary(node)
+		if c.hasIdleMachineFor(summary.Idle, job) {
 			return node
 		}
-		if over := c.maxGuaranteeExcess(share.Teams, request.Team); request.Reclaim && over > mostOver {
-			chosen, mostOver = node, over
+		if excess := c.maxGuaranteeExcess(summary.Teams, request.Team); request.Reclaim && excess > maxExcess {
+			chosen, maxExcess = node, excess
 		}
 	}
 	return chosen
 }
 
-// ownerSummary tells of a node's idle machines and teams, as far as is known.
+// ownerSummary returns the idle machines and the use of teams of a node, as far as they are known.
 func (c *Core) ownerSummary(node string) *peer.Beat {
-	share := &peer.Beat{}
+	summary := &peer.Beat{}
 	if node == c.cfg.Node && c.owner != nil {
-		c.owner.describeOwner(share)
+		c.owner.describeOwner(summary)
 	} else {
-		share.Idle, share.Teams = c.peers.OwnerSummary(node)
+		summary.Idle, summary.Teams = c.peers.OwnerSummary(node)
 	}
-	return share
+	return summary
 }
 
+// hasIdleMachineFor reports whether one of the idle machines can hold a task of a job.
 func (c *Core) hasIdleMachineFor(idle []*peer.IdleMachine, job *sched.Job) bool {
 	for _, m := range idle {
-		t := c.types.Find(m.Type)
-		if t != nil && job.Allows(m.Type, m.Zone, m.Spot) && job.Need.Fits(t.Size) {
+		machineType := c.types.Find(m.Type)
+		if machineType != nil && job.Allows(m.Type, m.Zone, m.Spot) && job.Need.Fits(machineType.Size) {
 			return true
 		}
 	}
 	return false
 }
 
-// maxGuaranteeExcess tells by how much any team but the asking one is above its guarantee.
-func (c *Core) maxGuaranteeExcess(teams []*peer.TeamUse, asking string) float64 {
+// maxGuaranteeExcess returns the largest ratio by which a team other than the requesting one exceeds
+// its guaranteed quota.
+func (c *Core) maxGuaranteeExcess(teams []*peer.TeamUse, requesting string) float64 {
 	most := 0.0
 	for _, team := range teams {
 		settings, ok := c.cfg.Team(team.Team)
-		if !ok || team.Team == asking {
+		if !ok || team.Team == requesting {
 			continue
 		}
-		use := sched.TeamUsage{Used: sched.Resources{CPU: team.Cpu, GPU: team.Gpu}, GuaranteedQuota: settings.GuaranteedQuota}
-		most = max(most, use.OverQuotaRatio())
+		usage := sched.TeamUsage{Used: sched.Resources{CPU: team.Cpu, GPU: team.Gpu}, GuaranteedQuota: settings.GuaranteedQuota}
+		most = max(most, usage.OverQuotaRatio())
 	}
 	return most
 }
@@ -142,7 +155,7 @@
 func (o *owner) describeOwner(heartbeat *peer.Beat) {
 	heartbeat.Jobs = o.jobCounts()
 	if o.ownsAllTeams() {
-		return // there is no owner to share machines with
+		return // no other owner requests machines
 	}
 	for _, m := range o.SortedMachines {
 		heartbeat.Machines = append(heartbeat.Machines, m.Name)
--- a/controller/machine_transfers.go
+++ b/controller/machine_transfers.go
@@ -12,16 +12,16 @@
 	"tamarindlead/sched"
 )
 
-// This file transfers machines from this owner's share to another's: the giver chooses machines
-// and empties them; it writes a block that names the new owner, whose revision is the machine's
-// token from then on; it tells the new owner, which reads the block and takes the machine.
+// This file transfers machines to another owner. The source chooses machines and drains them. It
+// writes a block that names the new owner; the revision of the block is the machine's fencing token
+// from then on. It notifies the new owner, which reads the block and takes the machine over.
 
-// minIdleBeforeTransfer is how long a machine has had nothing to do before it counts as idle: less
-// would give away machines between two tasks.
+// minIdleBeforeTransfer is how long a machine must have been without tasks to count as idle. Less
+// would transfer machines between two tasks.
 const minIdleBeforeTransfer = 2 * micros.Second
 
-// transferMachines gives machines for another owner's job: idle ones, or else, if the request
-// allows it, some on which tasks are stopped.
+// transferMachines transfers machines for another owner's job: idle ones, or else, if the request
+// allows it, machines from which tasks are evicted.
 func (o *owner) transferMachines(request *peer.Want) {
 	job := requestedJob(request)
 	newOwner := record.OwnerID(request.Owner)
@@ -30,7 +30,8 @@
 	}
 }
 
-// transferIdleMachines transfers idle machines for a job, and returns how many of its tasks they hold.
+// transferIdleMachines transfers idle machines for a job and returns the number of its tasks that fit
+// them.
 func (o *owner) transferIdleMachines(job *sched.Job, newOwner record.OwnerID) int {
 	slots := 0
 	for _, m := range o.SortedMachines {
@@ -48,64 +49,67 @@
 	return slots
 }
 
-// reclaimMachines transfers machines on which tasks of teams above their guarantees are stopped.
+// reclaimMachines transfers machines from which it evicts tasks of teams that exceed their guaranteed
+// quotas.
 func (o *owner) reclaimMachines(job *sched.Job, newOwner record.OwnerID) {
 	plan := o.planReclaim(job)
 	if plan == nil {
 		return
 	}
-	o.c.log.Info("making room", "job", job.ID, "ground", plan.Mode.String(), "domain", plan.Domain,
+	o.c.log.Info("preemption planned", "job", job.ID, "mode", plan.Mode.String(), "domain", plan.Domain,
 		"machines", len(plan.Placement), "owner", newOwner)
 	for _, a := range plan.Placement {
 		o.startTransfer(o.Machines[a.Machine.Name], newOwner)
 	}
-	why := scheduler.PreemptionReason(job.ID)
-	o.stopBundledAttempts(plan.Victims, why)
+	reason := scheduler.PreemptionReason(job.ID)
+	o.stopBundledAttempts(plan.Victims, reason)
 	for _, a := range plan.Placement {
-		o.evictLongTasks(o.Machines[a.Machine.Name], why)
+		o.evictLongTasks(o.Machines[a.Machine.Name], reason)
 	}
 }
 
-// evictLongTasks stops what is left on a machine that is transferred, which goes only when it is
-// empty: arrays' tasks that would keep it for long, as far as their teams' guarantees allow.
-func (o *owner) evictLongTasks(m *inventory.Machine, why string) {
+// evictLongTasks evicts the tasks of arrays that would delay the transfer of a machine, as far as
+// the guaranteed quotas of their teams allow.
+func (o *owner) evictLongTasks(m *inventory.Machine, reason string) {
 	for _, a := range m.SortedAttempts() {
 		if a.Job.Gang || a.State != inventory.AttemptLive || o.remainingRunTime(a) < scheduler.MinRemainingForPreemption {
 			continue
 		}
-		use := o.teamUsage(o.Teams[a.Job.Team])
-		if use.Used = use.Used.Sub(a.Job.Need); use.MeetsGuarantee() {
-			o.evict(a, why)
+		usage := o.teamUsage(o.Teams[a.Job.Team])
+		usage.Used = usage.Used.Sub(a.Job.Need)
+		if usage.MeetsGuarantee() {
+			o.evict(a, reason)
 		}
 	}
 }
 
-// isIdle tells that a machine can be transferred at once.
+// isIdle reports whether a machine can be transferred at once.
 func (o *owner) isIdle(m *inventory.Machine) bool {
 	return m.State == inventory.MachineReady && len(m.Attempts) == 0 && m.FencingToken != 0 && !o.isReserved(m.Name) &&
 		o.c.now-m.IdleSince > minIdleBeforeTransfer
 }
 
+// startTransfer has no task placed on a machine any more. The machine is transferred once it is empty.
 func (o *owner) startTransfer(m *inventory.Machine, newOwner record.OwnerID) {
 	m.TransferTo = newOwner
-	o.SetMachineState(m, inventory.MachineTransferring, "for "+string(newOwner))
+	o.SetMachineState(m, inventory.MachineTransferring, "transfer to "+string(newOwner))
 }
 
-// canTransfer tells whether the new owner of a machine is live. If not, the machine stays.
+// canTransfer reports whether the new owner of a machine is live. If it is not, the machine stays.
 func (o *owner) canTransfer(m *inventory.Machine) bool {
 	if o.c.cluster.IsLive(m.TransferTo) {
 		return true
 	}
-	o.SetMachineState(m, inventory.MachineReady, "its new owner is gone")
+	o.SetMachineState(m, inventory.MachineReady, "new owner not live")
 	return false
 }
 
-// transferBlockName names the block in which a machine is transferred.
+// transferBlockName returns the name of the block by which a machine is transferred.
 func transferBlockName(m *inventory.Machine) string {
 	return inventory.TransferPrefix + m.Name + "-" + record.FormatNumber(m.FencingToken)
 }
 
-// writeTransfer writes the new owner of an empty machine, in a block of its own.
+// writeTransfer adds the block by which an empty machine is transferred to a transaction.
 func (o *owner) writeTransfer(t *transaction, m *inventory.Machine) {
 	newOwner := o.c.cluster.MemberPrecondition(m.TransferTo.Node())
 	t.preconditions[newOwner.Key] = newOwner.Version
@@ -116,7 +120,7 @@
 	t.put(record.BlockKey(transferBlockName(m)), data.Block(m.TransferTo))
 }
 
-// completeTransfer drops a machine whose new owner is recorded, and tells that owner.
+// completeTransfer removes a machine whose new owner is recorded, and notifies that owner.
 func (o *owner) completeTransfer(m *inventory.Machine) {
 	o.ownedElsewhere[m.Name] = o.c.now + ownedElsewhereRetention
 	o.forgetMachine(m)
@@ -130,8 +134,8 @@
 	if o.state != ownerActive {
 		return
 	}
-	o.c.store.Get(budget.Ownership, record.BlockKey(blockName), func(out kv.Outcome, entry kv.Entry) {
-		if o.superseded() || out != kv.OK {
+	o.c.store.Get(budget.Ownership, record.BlockKey(blockName), func(outcome kv.Outcome, entry kv.Entry) {
+		if o.superseded() || outcome != kv.OK {
 			return
 		}
 		if data := o.decodeTransfer(entry); data != nil {
@@ -140,8 +144,8 @@
 	})
 }
 
-// decodeTransfer is the content of a block by which a machine is transferred to this node, or
-// nil if it is something else or was taken before.
+// decodeTransfer returns the content of a block by which a machine is transferred to this node, or
+// nil if the block is another one or the machine was taken over before.
 func (o *owner) decodeTransfer(entry kv.Entry) *record.BlockData {
 	var block record.Block
 	if wire.Decode(entry.Value, &block) != nil || block.Owner != o.c.node.ID() {
@@ -154,7 +158,7 @@
 	return data
 }
 
-// acceptTransfer takes a machine, whose token is the version of its new block.
+// acceptTransfer takes over a machine. Its fencing token is the version of its new block.
 func (o *owner) acceptTransfer(blockName string, version uint64, data *record.BlockData) {
 	block := o.newBlock(blockName)
 	block.Version = version
@@ -163,5 +167,5 @@
 	delete(o.ownedElsewhere, m.Name)
 	m.FencingToken, m.Dirty, m.Recovered, block.Dirty = version, false, true, false
 	m.TokenConfirmedAt = o.c.now
-	o.c.log.Info("machine received", "machine", m.Name, "type", m.Type, "zone", m.Zone)
+	o.c.log.Info("machine transfer accepted", "machine", m.Name, "type", m.Type, "zone", m.Zone)
 }
--- a/controller/numbers.go
+++ b/controller/numbers.go
@@ -19,7 +19,7 @@
 	sequence uint64
 }
 
-// next returns a number that was never used before.
+// next returns a number that was never used before. revision is that of this node's member record.
 func (n *numberGenerator) next(revision uint64) uint64 {
 	if n.revision != revision {
 		n.revision, n.sequence = revision, 0
--- a/controller/routes.go
+++ b/controller/routes.go
@@ -10,8 +10,7 @@
 // PathHeartbeat is the path of workers' heartbeats.
 const PathHeartbeat = wire.PathHeartbeat
 
-// routeRequest routes an inbound request to its handler: those of peers and workers are handled
-// here, those of users by the frontend.
+// routeRequest passes an inbound request to the handler for peers, workers or users.
 func (c *Core) routeRequest(r Request) {
 	switch {
 	case r.Peer:
--- a/controller/scheduler_adapter.go
+++ b/controller/scheduler_adapter.go
@@ -10,6 +10,8 @@
 	"tamarindlead/sched"
 )
 
+// This file connects package scheduler with its owner.
+
 // newScheduler returns the scheduler of an owner.
 func newScheduler(o *owner) *scheduler.Scheduler {
 	return scheduler.New(scheduler.Dependencies{
@@ -28,8 +30,8 @@
 	})
 }
 
-// schedulerHost is the part of an owner that its scheduler uses. Changes of machines' entries and
-// commands are handled as for its inventory.
+// schedulerHost implements scheduler.Host. Changes of machines' entries and commands are handled as
+// for the inventory.
 type schedulerHost struct{ inventoryHost }
 
 func (h schedulerHost) WallClock() micros.Micros { return h.o.c.wallClock }
@@ -130,8 +132,8 @@
 	o.scheduler.FlushReservations(schedulerTransaction{t}, full)
 }
 
-// recoverReservations recovers the reservations of an earlier owner. A record that is no use may be
-// another owner's, unless there is none.
+// recoverReservations recovers the reservations of an earlier owner. Records that are not used are
+// deleted unless another owner may need them.
 func (o *owner) recoverReservations(entries []kv.Entry) {
 	unused := o.scheduler.RecoverReservations(entries)
 	if o.ownsAllTeams() {
--- a/controller/status.go
+++ b/controller/status.go
@@ -5,106 +5,105 @@
 
 	"tamarindlead/internal/inventory"
 	"tamarindlead/internal/ordered"
-
 	"tamarindlead/micros"
 	"tamarindlead/sched"
 )
 
-// statusInterval is how often the counters go to the log.
+// statusInterval is how often the status lines are logged.
 const statusInterval = 10 * micros.Second
 
 const secondsPerHour = 3600
 
-// counters are what the node did since they were last logged.
+// counters count what the node did since the last status line.
 type counters struct {
 	events, heartbeats, calls int
-	refused                   int // requests answered 429 or 503
-	dropped                   int // messages that could not be read
+	refused                   int // requests with a refusal that asks for another attempt
+	dropped                   int // heartbeats that could not be decoded
 	loggedAt                  micros.Micros
 }
 
-// tickStatus logs the counters, and at an owner what its machines do.
+// tickStatus logs the counters and, at an active owner, the state of its machines and jobs.
 func (c *Core) tickStatus() {
 	n := &c.counters
 	if c.now-n.loggedAt < statusInterval {
 		return
 	}
 	usage := c.store.TakeUsage()
-	c.log.Info("status", "events", n.events, "reports", n.heartbeats, "lookups", c.frontend.TakeLookupCount(), "calls", n.calls,
-		"open_calls", len(c.calls), "store_requests", usage.Requests, "store_writes", usage.Writes, "refused", n.refused,
-		"dropped", n.dropped, "waiting", c.frontend.PendingSubmissions(), "violations", c.violations)
+	c.log.Info("status", "events", n.events, "heartbeats", n.heartbeats, "lookups", c.frontend.TakeLookupCount(), "calls", n.calls,
+		"open_calls", len(c.calls.pending), "kv_requests", usage.Requests, "kv_writes", usage.Writes, "refused", n.refused,
+		"dropped", n.dropped, "pending_submissions", c.frontend.PendingSubmissions(), "violations", c.violations)
 	*n = counters{loggedAt: c.now}
 	if c.owner != nil && c.owner.state == ownerActive {
-		c.owner.logStatus()
+		c.owner.logMachineCounts()
+		c.owner.logWork()
 	}
 }
 
-// logStatus logs what an owner's machines do, and what waits for them.
-func (o *owner) logStatus() {
-	fleets := o.fleets()
-	for _, kind := range ordered.Keys(fleets) {
-		f := fleets[kind]
-		o.c.log.Info("fleet", "kind", kind, "up", f.ready, "idle", f.idle, "booting", f.booting, "leaving", f.leaving,
-			"cpus", int(f.cpus), "used", int(f.usedCPUs))
+// logMachineCounts logs the counts of an owner's machines, in one line for each type.
+func (o *owner) logMachineCounts() {
+	counts := o.machineCounts()
+	for _, name := range ordered.Keys(counts) {
+		n := counts[name]
+		o.c.log.Info("fleet", "machine_type", name, "ready", n.ready, "idle", n.idle, "booting", n.booting, "leaving", n.leaving,
+			"cpus", int(n.cpus), "used_cpus", int(n.usedCPUs))
 	}
-	o.logWork()
 }
 
-// fleet counts the machines of one kind.
-type fleet struct {
+// machineCounts counts the machines of one type.
+type machineCounts struct {
 	ready, idle, booting, leaving int
-	cpus, usedCPUs                float64 // of those that are up or leaving
+	cpus, usedCPUs                float64 // of the ready and the leaving ones
 }
 
-// fleets counts an owner's machines, by type and by whether they are spot machines.
-func (o *owner) fleets() map[string]*fleet {
-	fleets := map[string]*fleet{}
+// machineCounts counts an owner's machines by type; spot machines of a type are counted on their own.
+func (o *owner) machineCounts() map[string]*machineCounts {
+	counts := map[string]*machineCounts{}
 	for _, m := range o.SortedMachines {
-		kind := m.Type
+		name := m.Type
 		if m.Spot {
-			kind += " spot"
+			name += " spot"
 		}
-		if fleets[kind] == nil {
-			fleets[kind] = &fleet{}
+		if counts[name] == nil {
+			counts[name] = &machineCounts{}
 		}
-		fleets[kind].count(m)
+		counts[name].add(m)
 	}
-	return fleets
+	return counts
 }
 
-func (f *fleet) count(m *inventory.Machine) {
+func (n *machineCounts) add(m *inventory.Machine) {
 	switch m.State {
 	case inventory.MachineBooting:
-		f.booting++
+		n.booting++
 		return
 	case inventory.MachineReady:
-		f.ready++
+		n.ready++
 		if len(m.Attempts) == 0 {
-			f.idle++
+			n.idle++
 		}
 	default:
-		f.leaving++
+		n.leaving++
 	}
-	f.cpus += m.Size.CPUs()
-	f.usedCPUs += m.Used.CPUs()
+	n.cpus += m.Size.CPUs()
+	n.usedCPUs += m.Used.CPUs()
 }
 
-// logWork logs what waits for machines.
+// logWork logs the pending work, and the sizes of an owner's records and reservations.
 func (o *owner) logWork() {
 	jobs, gangs, tasks := 0, 0, 0
 	for _, j := range o.Queue {
-		waiting := min(j.Pending, o.quotaHeadroom(j, sched.Resources{}))
-		if waiting <= 0 || j.State != inventory.JobActive {
+		pending := min(j.Pending, o.quotaHeadroom(j, sched.Resources{}))
+		if pending <= 0 || j.State != inventory.JobActive {
 			continue
 		}
 		jobs++
-		tasks += waiting
+		tasks += pending
 		if j.Gang {
 			gangs++
 		}
 	}
 	lossesPerHour := o.c.spotRisk.PerSecond(o.c.cfg.Tuning.SpotLossesPerHour) * secondsPerHour
-	o.c.log.Info("work", "jobs", len(o.Queue), "waiting_jobs", jobs, "waiting_gangs", gangs, "waiting_tasks", tasks,
-		"awaiting_others", len(o.BlockedJobs), "proposed", o.Assumed, "blocks", len(o.blocks), "shards", len(o.completionSegments),
-		"holds", o.scheduler.ReservationCount(), "spot_losses_per_h", math.Round(lossesPerHour*10)/10)
+	o.c.log.Info("work", "jobs", len(o.Queue), "pending_jobs", jobs, "pending_gangs", gangs, "pending_tasks", tasks,
+		"blocked_jobs", len(o.BlockedJobs), "assumed", o.Assumed, "blocks", len(o.blocks), "segments", len(o.completionSegments),
+		"reservations", o.scheduler.ReservationCount(), "spot_losses_per_hour", math.Round(lossesPerHour*10)/10)
 }
--- a/controller/timers.go
+++ b/controller/timers.go
@@ -2,21 +2,20 @@
 
 import "tamarindlead/micros"
 
-// Intervals of ticks.
 const (
-	// slowTickInterval is how often the slower duties are looked at: heartbeats, leases, holds.
+	// slowTickInterval is how often periodic work is done: peer heartbeats, leases, reservations.
 	slowTickInterval = 250 * micros.Millisecond
-	// fastTickInterval is how exactly time is seen to pass while something waits for a moment.
+	// fastTickInterval is the precision of timers.
 	fastTickInterval = 50 * micros.Millisecond
 )
 
-// timer calls a function once a time has come.
+// timer is a function to be called at a time.
 type timer struct {
 	at micros.Micros
 	do func()
 }
 
-// after calls do once d has passed, as exactly as ticks come.
+// after calls do once d has passed, at the first event from then on.
 func (c *Core) after(d micros.Micros, do func()) {
 	c.timers = append(c.timers, timer{c.now + d, do})
 }
@@ -24,7 +23,7 @@
 // runTimers calls the timers that are due, in the order in which they were set.
 func (c *Core) runTimers() {
 	pending := c.timers
-	c.timers = nil // those called may set others
+	c.timers = nil // a function that is called may set another timer
 	for _, t := range pending {
 		if c.now >= t.at {
 			t.do()
@@ -34,10 +33,9 @@
 	}
 }
 
-// TickInterval tells how often the time must be passed to the core now.
+// TickInterval returns the interval at which the core currently needs events.
 func (c *Core) TickInterval() micros.Micros {
-	if c.owner != nil || c.frontend.HasPending() ||
-		len(c.timers) > 0 || c.cancellations.Pending() {
+	if c.owner != nil || c.frontend.HasPending() || len(c.timers) > 0 || c.cancellations.Pending() {
 		return fastTickInterval
 	}
 	return slowTickInterval
--- a/controller/workers_adapter.go
+++ b/controller/workers_adapter.go
@@ -8,8 +8,9 @@
 	"tamarindlead/micros"
 )
 
-// workersHost gives the part of an owner that handles workers what it needs of the owner's other
-// parts and of the node.
+// This file connects package workers with its owner and node.
+
+// workersHost implements workers.Host.
 type workersHost struct{ o *owner }
 
 func (h workersHost) Now() micros.Micros { return h.o.c.now }
@@ -68,7 +69,7 @@
 
 func (h workersHost) RecordSpotReclaimed(m *inventory.Machine) { h.o.recordSpotReclaimed(m) }
 
-// The methods below have the names by which the owner's other parts call this one.
+// The methods below forward to the manager of workers under the names that other parts use.
 
 func (o *owner) lastHeartbeat() micros.Micros { return o.workers.LastHeartbeat() }
 
