--- a/controller/doc.go
+++ b/controller/doc.go
@@ -14,6 +14,7 @@
 // handles users' requests, jobview follows the active jobs, cluster is the membership and leadership
 // of the node, peers the messages between controllers, kv the client of the key-value store, budget
 // its rate limits, cancellation the acknowledgement of cancellations, machinetypes the table of
-// machine types. An owner consists of inventory (jobs, attempts, machines and their states), workers
-// (heartbeats and commands of machines) and scheduler (the scheduling cycle).
+// machine types. An owner consists of inventory (jobs, attempts, machines and their states), commit (the
+// writes of its records), workers (heartbeats and commands of machines) and scheduler (the scheduling
+// cycle).
 package controller
--- a/controller/machine_transfers.go
+++ b/controller/machine_transfers.go
@@ -112,12 +112,12 @@
 // writeTransfer adds the block by which an empty machine is transferred to a transaction.
 func (o *owner) writeTransfer(t *transaction, m *inventory.Machine) {
 	newOwner := o.c.cluster.MemberPrecondition(m.TransferTo.Node())
-	t.preconditions[newOwner.Key] = newOwner.Version
+	t.Require(newOwner.Key, newOwner.Version)
 	data := &record.BlockData{
 		MachineTypes: []record.BlockMachineType{{Type: m.Type, Zone: m.Zone, Spot: m.Spot}},
 		Machines:     []record.BlockMachine{{Name: m.Name, Endpoint: m.Endpoint, LaunchedAt: int64(m.ProvisionedAt)}},
 	}
-	t.put(record.BlockKey(transferBlockName(m)), data.Block(m.TransferTo))
+	t.Put(record.BlockKey(transferBlockName(m)), data.Block(m.TransferTo))
 }
 
 // completeTransfer removes a machine whose new owner is recorded, and notifies that owner.
--- a/controller/recovery.go
+++ b/controller/recovery.go
@@ -31,7 +31,8 @@
 func (o *owner) reset() {
 	o.Reset()
 	o.jobsListed, o.cascadedCancellations = false, nil
-	o.blocks, o.completionSegments, o.unresolvedJobs = nil, nil, nil
+	o.commits.Reset()
+	o.unresolvedJobs = nil
 	o.workers.Reset()
 	clear(o.scaleOutRequests)
 	o.scheduler.ClearReservations()
--- a/controller/scheduler_adapter.go
+++ b/controller/scheduler_adapter.go
@@ -17,7 +17,7 @@
 	return scheduler.New(scheduler.Dependencies{
 		Host: schedulerHost{inventoryHost{o}},
 		Machines: scheduler.MachineFuncs{
-			FreeSlots:        o.freeSlots,
+			FreeSlots:        o.commits.FreeSlots,
 			Size:             o.machineSize,
 			FindType:         o.c.types.Find,
 			RemainingRunTime: o.remainingRunTime,
@@ -36,11 +36,11 @@
 
 func (h schedulerHost) WallClock() micros.Micros { return h.o.c.wallClock }
 
-func (h schedulerHost) Committing() bool { return h.o.committing }
+func (h schedulerHost) Committing() bool { return h.o.commits.InFlight() }
 
 func (h schedulerHost) NextNumber() uint64 { return h.o.nextNumber() }
 
-func (h schedulerHost) FreeBytes(b *inventory.Block) float64 { return h.o.freeBytes(b) }
+func (h schedulerHost) FreeBytes(b *inventory.Block) float64 { return h.o.commits.FreeBytes(b) }
 
 func (h schedulerHost) Evict(a *inventory.Attempt, reason string) { h.o.evict(a, reason) }
 
@@ -59,21 +59,6 @@
 
 func (h schedulerHost) UnblockPlacedJob(job string) *inventory.Job { return h.o.unblockPlacedJob(job) }
 
-// schedulerTransaction collects the scheduler's writes in a transaction.
-type schedulerTransaction struct{ t *transaction }
-
-func (s schedulerTransaction) Require(key string, version uint64) { s.t.preconditions[key] = version }
-
-func (s schedulerTransaction) Put(key string, value any) { s.t.put(key, value) }
-
-func (s schedulerTransaction) Delete(key string) {
-	s.t.writes = append(s.t.writes, kv.Write{Delete: key})
-}
-
-func (s schedulerTransaction) OnResult(handle func(ok bool, revision uint64)) {
-	s.t.results = append(s.t.results, handle)
-}
-
 func (o *owner) schedule() { o.scheduler.Schedule() }
 
 func (o *owner) quotaHeadroom(j *inventory.Job, reserved sched.Resources) int {
@@ -129,7 +114,7 @@
 func (o *owner) tickReservations() { o.scheduler.TickReservations() }
 
 func (o *owner) flushReservations(t *transaction, full func() bool) {
-	o.scheduler.FlushReservations(schedulerTransaction{t}, full)
+	o.scheduler.FlushReservations(t, full)
 }
 
 // recoverReservations recovers the reservations of an earlier owner. Records that are not used are
@@ -137,6 +122,6 @@
 func (o *owner) recoverReservations(entries []kv.Entry) {
 	unused := o.scheduler.RecoverReservations(entries)
 	if o.ownsAllTeams() {
-		o.obsoleteKeys = append(o.obsoleteKeys, unused...)
+		o.commits.DeleteLater(unused...)
 	}
 }
