--- a/controller/authorization.go
+++ b/controller/authorization.go
@@ -31,23 +31,3 @@
 		"state", a.State.String(), "recorded", a.Machine.Recorded, "ended", o.c.cancellations.HasEnded(a.Job.ID))
 	return false
 }
-
-// mayTerminate asserts that the cloud may be asked to delete a machine: that is recorded, or there
-// is no time left for that.
-func (o *owner) mayTerminate(m *inventory.Machine) bool {
-	overdue := m.State == inventory.MachineDecommissioning && o.cancellationOverdue(m, overdueTerminateFraction)
-	if o.isActiveOwner() && (m.State == inventory.MachineTerminating || overdue) {
-		return true
-	}
-	o.c.reportViolation("a release without a record", "machine", m.Name, "machine_state", m.State.String(), "owner_state", o.state.String())
-	return false
-}
-
-// mayRequestScaleOut asserts that the cloud may be asked for a rental: its name is recorded.
-func (o *owner) mayRequestScaleOut(r *scaleOutRequest) bool {
-	if o.isActiveOwner() && r.state == scaleOutRequested {
-		return true
-	}
-	o.c.reportViolation("a rental without a record", "name", r.name, "rental_state", r.state.String(), "owner_state", o.state.String())
-	return false
-}
