--- a/controller/authorization_test.go
+++ b/controller/authorization_test.go
@@ -5,7 +5,6 @@
 
 	"tamarindlead/internal/inventory"
 
-	"tamarindlead/internal/autoscaler"
 	"tamarindlead/internal/cluster"
 	"tamarindlead/sched"
 )
@@ -55,33 +54,3 @@
 		})
 	}
 }
-
-// TestTerminationsRequireRecords sees that the cloud is asked to delete a machine only if that is
-// recorded.
-func TestTerminationsRequireRecords(t *testing.T) {
-	for state, want := range map[inventory.MachineState]bool{inventory.MachineTerminating: true, inventory.MachineDecommissioning: false, inventory.MachineReady: false} {
-		o, m, _ := activeOwner()
-		m.State = state
-		if got := o.mayTerminate(m); got != want || o.c.Violations() != expectedViolations(!want) {
-			t.Errorf("%v: allowed %t with %d violations", state, got, o.c.Violations())
-		}
-	}
-}
-
-// TestScaleOutRequiresRecords sees that the cloud is asked for machines only under a recorded name.
-func TestScaleOutRequiresRecords(t *testing.T) {
-	for state, want := range map[scaleOutState]bool{scaleOutPlanned: false, scaleOutRequested: true, scaleOutGranted: false, scaleOutDone: false} {
-		o, _, _ := activeOwner()
-		r := &scaleOutRequest{name: "h-1", offer: autoscaler.Offer{Type: "small", Zone: "a"}, machineCount: 1, state: state}
-		if got := o.mayRequestScaleOut(r); got != want || o.c.Violations() != expectedViolations(!want) {
-			t.Errorf("%v: allowed %t with %d violations", state, got, o.c.Violations())
-		}
-	}
-}
-
-func expectedViolations(expected bool) int {
-	if expected {
-		return 1
-	}
-	return 0
-}
--- a/controller/commits.go
+++ b/controller/commits.go
@@ -218,7 +218,7 @@
 // dropOwnedElsewhere drops a machine that was taken for unexpected while it has a record already:
 // another owner's, or ours if it was given to us.
 func (o *owner) dropOwnedElsewhere(m *inventory.Machine, block string) {
-	o.ownedElsewhere[m.Name] = o.c.now + ownedElsewhereRetention
+	o.markOwnedElsewhere(m.Name)
 	o.forgetMachine(m)
 	o.receiveTransfer(block)
 }
--- /dev/null
+++ b/controller/fleet_adapter.go
@@ -0,0 +1,174 @@
+package controller
+
+import (
+	"tamarindlead/internal/autoscaler"
+	"tamarindlead/internal/fleet"
+	"tamarindlead/internal/inventory"
+	"tamarindlead/internal/kv"
+	"tamarindlead/internal/record"
+	"tamarindlead/internal/wire"
+	"tamarindlead/micros"
+	"tamarindlead/sched"
+)
+
+// This file connects package fleet with its owner, and forwards to it under the names that the
+// other parts of the owner use.
+
+// newFleet returns the fleet of an owner.
+func newFleet(o *owner) *fleet.Fleet {
+	return fleet.New(fleet.Config{
+		Inventory: o.Inventory, Classes: o.classes, Settings: o.c.cfg, Log: o.c.log,
+		Host: fleetHost{o}, Ownership: fleetOwnership{o}, Cloud: fleetCloud{o.c}, Jobs: fleetJobs{o},
+	})
+}
+
+// fleetHost implements fleet.Host.
+type fleetHost struct{ o *owner }
+
+func (h fleetHost) Now() micros.Micros                { return h.o.c.now }
+func (h fleetHost) WallClock() micros.Micros          { return h.o.c.wallClock }
+func (h fleetHost) MachineTypes() []sched.MachineType { return h.o.c.types.list }
+func (h fleetHost) Superseded() bool                  { return h.o.superseded() }
+func (h fleetHost) IsActive() bool                    { return h.o.isActiveOwner() }
+func (h fleetHost) ActiveSince() micros.Micros        { return h.o.activeSince }
+func (h fleetHost) LastHeartbeat() micros.Micros      { return h.o.lastHeartbeat }
+func (h fleetHost) NextNumber() uint64                { return h.o.nextNumber() }
+
+func (h fleetHost) ReportViolation(violation string, details ...any) {
+	h.o.c.reportViolation(violation, append(details, "owner_state", h.o.state.String())...)
+}
+
+// fleetOwnership implements fleet.Ownership.
+type fleetOwnership struct{ o *owner }
+
+func (h fleetOwnership) ID() record.OwnerID { return h.o.c.node.ID() }
+
+func (h fleetOwnership) OwnsRecordsOf(owner record.OwnerID) bool { return h.o.ownsRecordsOf(owner) }
+
+func (h fleetOwnership) IsClaimedByPeer(machine string) bool { return h.o.c.claimant(machine) != "" }
+
+func (h fleetOwnership) AdoptsUnclaimed() bool {
+	return h.o.c.cluster.FirstOwner() == h.o.c.cfg.Node
+}
+
+func (h fleetOwnership) NewMachine(info inventory.MachineInfo) *inventory.Machine {
+	return h.o.newMachine(info)
+}
+
+// NewAdoptedMachine gives the machine a block of its own while other owners exist: one may have
+// it without this owner's knowledge (see verifyAdopted).
+func (h fleetOwnership) NewAdoptedMachine(info inventory.MachineInfo) *inventory.Machine {
+	if h.o.ownsAllTeams() {
+		return h.o.newMachine(info)
+	}
+	return h.o.addMachine(h.o.newBlock(inventory.AdoptedPrefix+info.Name), info)
+}
+
+// fleetCloud implements fleet.Cloud.
+type fleetCloud struct{ c *Core }
+
+func (h fleetCloud) Allow() bool { return h.c.cloudRate.AllowN(h.c.now.Time(), 1) }
+
+func (h fleetCloud) Call(method, target string, body any, done func(status wire.Status, body []byte)) {
+	h.c.callCloud(method, target, body, done)
+}
+
+// fleetJobs implements fleet.Jobs.
+type fleetJobs struct{ o *owner }
+
+func (h fleetJobs) QuotaHeadroom(j *inventory.Job, reserved sched.Resources) int {
+	return h.o.quotaHeadroom(j, reserved)
+}
+
+func (h fleetJobs) MaxQueueingDelay(j *inventory.Job) micros.Micros { return h.o.maxQueueingDelay(j) }
+
+func (h fleetJobs) IsUrgent(j *inventory.Job) bool { return h.o.isUrgent(j) }
+
+func (h fleetJobs) MinOnDemandTasks(j *inventory.Job) int { return h.o.minOnDemandTasks(j) }
+
+func (h fleetJobs) HasReservation(j *inventory.Job) bool { return h.o.reservations[j.ID] != nil }
+
+func (h fleetJobs) IsReserved(machine string) bool { return h.o.isReserved(machine) }
+
+func (h fleetJobs) HasNoDependentTasks(m *inventory.Machine) bool { return h.o.hasNoDependentTasks(m) }
+
+func (h fleetJobs) RemainingRunTime(a *inventory.Attempt) micros.Micros {
+	return h.o.remainingRunTime(a)
+}
+
+func (h fleetJobs) Evict(a *inventory.Attempt, reason string) { h.o.evict(a, reason) }
+
+func (h fleetJobs) RequestMachines(job *sched.Job, tasks int) { h.o.requestMachines(job, tasks, false) }
+
+func (h fleetJobs) RecordSpotUptime() { h.o.recordSpotUptime() }
+
+func (h fleetJobs) RecordSpotReclaimed(m *inventory.Machine) { h.o.recordSpotReclaimed(m) }
+
+// fleetTransaction implements fleet.Transaction.
+type fleetTransaction struct{ t *transaction }
+
+func (h fleetTransaction) Put(key string, value any) { h.t.put(key, value) }
+
+func (h fleetTransaction) Delete(key string) { h.t.writes = append(h.t.writes, kv.Write{Delete: key}) }
+
+func (h fleetTransaction) OnResult(done func(ok bool)) {
+	h.t.results = append(h.t.results, func(ok bool, _ uint64) { done(ok) })
+}
+
+// Names under which the other parts of the owner use the fleet.
+const (
+	autoscalingInterval         = fleet.AutoscalingInterval
+	overdueDecommissionFraction = fleet.OverdueDecommissionFraction
+)
+
+// catalog returns the cloud's machine types, as far as this node knows them.
+func (c *Core) catalog() autoscaler.Catalog {
+	return autoscaler.Catalog{Types: c.types.list, MaxTasks: inventory.MaxEntryTasks}
+}
+
+// newMachine adds a machine, with an entry in a block of its type and zone.
+func (o *owner) newMachine(info inventory.MachineInfo) *inventory.Machine {
+	return o.addMachine(o.blockFor(info.Type, info.Zone), info)
+}
+
+func (o *owner) adopt(info inventory.MachineInfo) *inventory.Machine { return o.fleet.Adopt(info) }
+
+func (o *owner) market() autoscaler.Market { return o.fleet.Market() }
+
+func (o *owner) isScarce(m *inventory.Machine) bool {
+	return o.classes.Scarce(o.c.now, m.Type, m.Spot)
+}
+
+func (o *owner) machineSize(m *inventory.Machine) sched.Resources {
+	return fleet.MachineSize(m, o.c.types.list)
+}
+
+func (o *owner) observeRunTime(a *inventory.Attempt) { o.fleet.ObserveRunTime(a) }
+
+func (o *owner) maxWait(j *inventory.Job) micros.Micros { return o.fleet.MaxWait(j) }
+
+func (o *owner) estimatedRunTime(j *inventory.Job) micros.Micros { return o.fleet.EstimatedRunTime(j) }
+
+func (o *owner) remainingBusyTime(m *inventory.Machine) micros.Micros {
+	return o.fleet.RemainingBusyTime(m)
+}
+
+func (o *owner) cancellationOverdue(m *inventory.Machine, fraction float64) bool {
+	return o.fleet.CancellationOverdue(m, fraction, o.c.now)
+}
+
+func (o *owner) recoverScaleOutRequests(entries []kv.Entry) {
+	o.fleet.RecoverScaleOutRequests(entries)
+}
+
+func (o *owner) flushScaleOutRequests(t *transaction, full func() bool) {
+	o.fleet.FlushScaleOutRequests(fleetTransaction{t}, full)
+}
+
+func (o *owner) recentlyTerminated(machine string) bool { return o.fleet.IsRecentlyTerminated(machine) }
+
+func (o *owner) ownedElsewhere(machine string) bool { return o.fleet.IsOwnedElsewhere(machine) }
+
+func (o *owner) markOwnedElsewhere(machine string) {
+	o.fleet.MarkOwnedElsewhere(machine, o.c.now+ownedElsewhereRetention)
+}
--- a/controller/heartbeats.go
+++ b/controller/heartbeats.go
@@ -95,11 +95,11 @@
 	}
 	m := o.Machines[report.Machine]
 	if m == nil {
-		if to := c.claimant(report.Machine); to != "" || o.ownedElsewhere[report.Machine] != 0 {
+		if to := c.claimant(report.Machine); to != "" || o.ownedElsewhere(report.Machine) {
 			c.respond(req, wire.StatusMisdirected, wire.Redirect{HeartbeatNode: to})
 			return
 		}
-		if o.recentlyTerminated[report.Machine] != 0 {
+		if o.recentlyTerminated(report.Machine) {
 			c.refuse(req, wire.StatusUnavailable, "machine was returned")
 			return
 		}
--- a/controller/machine_requests.go
+++ b/controller/machine_requests.go
@@ -13,12 +13,8 @@
 // suitable idle machine, or else, if the job's team is below its guarantee, the owner of the team
 // that is most above its own. machine_transfers.go tells how the giver transfers machines.
 
-// Least times between two requests of an owner.
-const (
-	machineRequestInterval = 2 * micros.Second
-	// arrayRequestInterval is the one for arrays, which need machines less urgently than gangs.
-	arrayRequestInterval = 8 * micros.Second
-)
+// machineRequestInterval is the least time between two requests of an owner.
+const machineRequestInterval = 2 * micros.Second
 
 // requestMachines asks the leader for machines for some tasks of a job. With reclaim, owners
 // whose teams are above their guarantees may stop tasks for it.
--- a/controller/machine_transfers.go
+++ b/controller/machine_transfers.go
@@ -117,7 +117,7 @@
 
 // completeTransfer drops a machine whose new owner is recorded, and tells that owner.
 func (o *owner) completeTransfer(m *inventory.Machine) {
-	o.ownedElsewhere[m.Name] = o.c.now + ownedElsewhereRetention
+	o.markOwnedElsewhere(m.Name)
 	o.forgetMachine(m)
 	if p := o.c.peers[m.TransferTo.Node()]; p != nil {
 		given := &peer.Given{Block: transferBlockName(m)}
@@ -160,7 +160,7 @@
 	block.Version = version
 	o.recoverMachine(block, data, &data.Machines[0])
 	m := block.Machines[0]
-	delete(o.ownedElsewhere, m.Name)
+	o.fleet.UnmarkOwnedElsewhere(m.Name)
 	m.FencingToken, m.Dirty, m.Recovered, block.Dirty = version, false, true, false
 	m.TokenConfirmedAt = o.c.now
 	o.c.log.Info("machine received", "machine", m.Name, "type", m.Type, "zone", m.Zone)
--- a/controller/owner.go
+++ b/controller/owner.go
@@ -1,13 +1,13 @@
 package controller
 
 import (
-	"maps"
 	"slices"
 
 	"tamarindlead/internal/inventory"
 
 	"tamarindlead/internal/autoscaler"
 	"tamarindlead/internal/cluster"
+	"tamarindlead/internal/fleet"
 	"tamarindlead/internal/kv"
 	"tamarindlead/internal/record"
 	"tamarindlead/internal/wire"
@@ -50,21 +50,9 @@
 	cancellationsKnownUntil micros.Micros
 
 	// Machines.
-	cloudListing       cloudList
-	scaleOutRequests   map[string]*scaleOutRequest
-	refusedOffers      map[autoscaler.Offer]micros.Micros // not asked for until then
-	recentlyTerminated map[string]micros.Micros           // machines that were returned, remembered until then
-	ownedElsewhere     map[string]micros.Micros           // machines that another owns, though no peer says so yet
-	unclaimedSince     map[string]micros.Micros           // listed machines that nobody claims, since when
-	partitionedSince   map[string]micros.Micros           // zones that are cut off, since when
-	terminating        bool                               // a request for that is under way
-	nextTermination    micros.Micros
-	nextAutoscaling    micros.Micros
-	nextScaleIn        micros.Micros
-	// nextMachineRequest and nextArrayRequest are when machines may be asked of other owners
-	// again, the latter for arrays.
+	fleet *fleet.Fleet
+	// nextMachineRequest is when machines may be requested of other owners again.
 	nextMachineRequest micros.Micros
-	nextArrayRequest   micros.Micros
 
 	// Commands to machines.
 	lastHeartbeat    micros.Micros // the latest report
@@ -89,16 +77,11 @@
 func newOwner(c *Core, teams map[string]cluster.Team) *owner {
 	o := &owner{
 		c: c, activeSince: c.now, lastHeartbeat: c.now,
-		scaleOutRequests:   map[string]*scaleOutRequest{},
-		reservations:       map[string]*reservation{},
-		recentlyTerminated: map[string]micros.Micros{},
-		refusedOffers:      map[autoscaler.Offer]micros.Micros{},
-		partitionedSince:   map[string]micros.Micros{},
-		classes:            autoscaler.NewClasses(),
-		ownedElsewhere:     map[string]micros.Micros{},
-		unclaimedSince:     map[string]micros.Micros{},
+		reservations: map[string]*reservation{},
+		classes:      autoscaler.NewClasses(),
 	}
 	o.Inventory = inventory.NewInventory(inventoryHost{o}, c.log)
+	o.fleet = newFleet(o)
 	for _, t := range c.cfg.Teams {
 		if v, ok := teams[t.Name]; ok {
 			o.Teams[t.Name] = &inventory.Team{Record: v, Team: t}
@@ -178,7 +161,7 @@
 		o.schedule()
 		o.flush()
 		o.dispatchQueuedMachines()
-		o.terminateMachines()
+		o.fleet.TerminateMachines()
 	}
 }
 
@@ -197,14 +180,12 @@
 	}
 	o.readUnresolvedJobs()
 	o.sweepParts()
-	o.checkMachineHealth()
+	o.fleet.CheckHealth()
 	o.inspectMachines()
 	o.tickReservations()
-	o.tickCloudList()
-	o.tickAutoscaling()
-	for _, list := range []map[string]micros.Micros{o.recentlyTerminated, o.ownedElsewhere} {
-		maps.DeleteFunc(list, func(_ string, until micros.Micros) bool { return o.c.now > until })
-	}
+	o.fleet.TickCloudList()
+	o.fleet.TickAutoscaling()
+	o.fleet.RemoveExpired()
 }
 
 // minAllUnresponsiveTimeout is the shortest silence of all machines after which something is wrong.
--- a/controller/recovery.go
+++ b/controller/recovery.go
@@ -32,7 +32,7 @@
 	o.Inventory.Reset()
 	o.jobsListed, o.cascadedCancellations = false, nil
 	o.blocks, o.completionSegments, o.dispatchQueue, o.unresolvedJobs = nil, nil, nil, nil
-	clear(o.scaleOutRequests)
+	o.fleet.Reset()
 	clear(o.reservations)
 }
 
--- a/controller/status.go
+++ b/controller/status.go
@@ -50,29 +50,29 @@
 	o.logWork()
 }
 
-// fleet counts the machines of one kind.
-type fleet struct {
+// machineCounts counts the machines of one kind.
+type machineCounts struct {
 	ready, idle, booting, leaving int
 	cpus, usedCPUs                float64 // of those that are up or leaving
 }
 
 // fleets counts an owner's machines, by type and by whether they are spot machines.
-func (o *owner) fleets() map[string]*fleet {
-	fleets := map[string]*fleet{}
+func (o *owner) fleets() map[string]*machineCounts {
+	fleets := map[string]*machineCounts{}
 	for _, m := range o.SortedMachines {
 		kind := m.Type
 		if m.Spot {
 			kind += " spot"
 		}
 		if fleets[kind] == nil {
-			fleets[kind] = &fleet{}
+			fleets[kind] = &machineCounts{}
 		}
 		fleets[kind].count(m)
 	}
 	return fleets
 }
 
-func (f *fleet) count(m *inventory.Machine) {
+func (f *machineCounts) count(m *inventory.Machine) {
 	switch m.State {
 	case inventory.MachineBooting:
 		f.booting++
--- a/controller/cloud_list.go
+++ b/internal/fleet/cloud_list.go
@@ -1,4 +1,4 @@
-package controller
+package fleet
 
 import (
 	"cmp"
@@ -31,32 +31,34 @@
 }
 
 // tickCloudList begins a reading of the cloud's list when it is time.
-func (o *owner) tickCloudList() {
-	l := &o.cloudListing
-	if l.inProgress || o.c.now < l.nextAt || !o.c.cloudRate.AllowN(o.c.now.Time(), 1) {
+func (f *Fleet) TickCloudList() {
+	f.updateTime()
+	l := &f.cloudListing
+	if l.inProgress || f.now < l.nextAt || !f.cloud.Allow() {
 		return
 	}
 	l.inProgress, l.machines = true, map[string]wire.ListedMachine{}
-	o.requestCloudListPage("")
+	f.requestCloudListPage("")
 }
 
 // requestCloudListPage asks for the machines after one of that name.
-func (o *owner) requestCloudListPage(after string) {
+func (f *Fleet) requestCloudListPage(after string) {
 	query := url.Values{"limit": {strconv.Itoa(listPageSize)}}
 	if after != "" {
 		query.Set("after", after)
 	}
-	o.c.callCloud("GET", pathRentals+"?"+query.Encode(), nil, func(status int, body []byte) {
-		if !o.superseded() {
-			o.handleCloudListPage(status, body)
+	f.cloud.Call("GET", wire.PathRentals+"?"+query.Encode(), nil, func(status int, body []byte) {
+		if !f.host.Superseded() {
+			f.updateTime()
+			f.handleCloudListPage(status, body)
 		}
 	})
 }
 
 // handleCloudListPage takes one page of the list. A reading that fails is dropped.
-func (o *owner) handleCloudListPage(status wire.Status, body []byte) {
-	l := &o.cloudListing
-	l.nextAt = o.c.now + max(o.c.cfg.CloudListLag, minListInterval)
+func (f *Fleet) handleCloudListPage(status wire.Status, body []byte) {
+	l := &f.cloudListing
+	l.nextAt = f.now + max(f.settings.CloudListLag, minListInterval)
 	var page wire.MachineList
 	if status != wire.StatusOK || wire.Decode(body, &page) != nil {
 		l.inProgress = false
@@ -66,37 +68,37 @@
 		l.machines[m.Name] = m
 	}
 	if page.More && len(page.Machines) > 0 {
-		o.requestCloudListPage(page.Machines[len(page.Machines)-1].Name)
+		f.requestCloudListPage(page.Machines[len(page.Machines)-1].Name)
 		return
 	}
 	l.inProgress = false
-	o.applyCloudList(l.machines)
+	f.applyCloudList(l.machines)
 }
 
 // IsUnclaimed tells whether a listed machine belongs to nobody. The list may be twice its
 // usual lag late, so it still shows machines that another owner has returned: a machine
 // must stay listed for longer than that.
-func (o *owner) isUnclaimed(name string) bool {
-	if o.recentlyTerminated[name] != 0 || o.ownedElsewhere[name] != 0 || o.c.claimant(name) != "" ||
-		o.c.cluster.FirstOwner() != o.c.cfg.Node {
+func (f *Fleet) isUnclaimed(name string) bool {
+	if f.recentlyTerminated[name] != 0 || f.ownedElsewhere[name] != 0 || f.ownership.IsClaimedByPeer(name) ||
+		!f.ownership.AdoptsUnclaimed() {
 		return false
 	}
-	if o.unclaimedSince[name] == 0 {
-		o.unclaimedSince[name] = o.c.now
+	if f.unclaimedSince[name] == 0 {
+		f.unclaimedSince[name] = f.now
 	}
-	return o.c.now-o.unclaimedSince[name] > unclaimedLagFactor*o.c.cfg.CloudListLag
+	return f.now-f.unclaimedSince[name] > unclaimedLagFactor*f.settings.CloudListLag
 }
 
 // applyCloudList takes what the cloud lists, and adopts machines that nobody owns.
-func (o *owner) applyCloudList(found map[string]wire.ListedMachine) {
+func (f *Fleet) applyCloudList(found map[string]wire.ListedMachine) {
 	for _, name := range ordered.Keys(found) {
-		o.applyListedMachine(found[name])
+		f.applyListedMachine(found[name])
 	}
-	maps.DeleteFunc(o.unclaimedSince, func(name string, _ micros.Micros) bool {
+	maps.DeleteFunc(f.unclaimedSince, func(name string, _ micros.Micros) bool {
 		_, listed := found[name]
 		return !listed
 	})
-	for name, m := range o.Machines {
+	for name, m := range f.Machines {
 		if _, listed := found[name]; !listed && m.CloudListed {
 			m.MissedListings++
 		}
@@ -104,16 +106,16 @@
 }
 
 // applyListedMachine takes what the cloud lists of one machine.
-func (o *owner) applyListedMachine(entry wire.ListedMachine) {
-	m := o.Machines[entry.Name]
+func (f *Fleet) applyListedMachine(entry wire.ListedMachine) {
+	m := f.Machines[entry.Name]
 	if m == nil {
-		if !o.isUnclaimed(entry.Name) {
+		if !f.isUnclaimed(entry.Name) {
 			return
 		}
-		m = o.adopt(inventory.MachineInfo{
+		m = f.Adopt(inventory.MachineInfo{
 			Name: entry.Name, Type: entry.Type, Zone: entry.Zone, Spot: entry.Spot, Endpoint: entry.Endpoint,
 		})
-		m.ProvisionedAt = o.c.wallClock - micros.FromSeconds(entry.AgeS)
+		m.ProvisionedAt = f.wallClock - micros.FromSeconds(entry.AgeS)
 	}
 	m.CloudListed, m.MissedListings = true, 0
 	m.Failed = entry.Status == wire.ListFailed
--- a/controller/machine_health.go
+++ b/internal/fleet/health.go
@@ -1,4 +1,4 @@
-package controller
+package fleet
 
 import (
 	"tamarindlead/internal/inventory"
@@ -29,13 +29,13 @@
 	defaultBootTime = micros.Minute
 )
 
-// A silent machine with a task of a cancelled job is given up once overdueDecommissionFraction of the
+// A silent machine with a task of a cancelled job is given up once OverdueDecommissionFraction of the
 // time has passed that its tasks have to be gone, whatever else it runs and however lately this
 // node took over. Once overdueTerminateFraction of it has, the cloud is asked to delete it even if
 // the decision cannot be recorded: the state service may be away for longer. Should that request
 // be executed late, under another owner, the machine is lost as any machine may be.
 const (
-	overdueDecommissionFraction = 0.5
+	OverdueDecommissionFraction = 0.5
 	overdueTerminateFraction    = 0.6
 	// inspectTimeout is left to a machine that was taken over and asked for its report, when
 	// there is no time for more: each of many leaders in a row would wait anew.
@@ -67,33 +67,37 @@
 	manyUnreachable bool // too many machines hear nothing for the fault to be theirs
 }
 
-func (o *owner) fleetHealth() fleetHealth {
+func (f *Fleet) fleetHealth() fleetHealth {
 	unreachable := 0
-	for _, m := range o.SortedMachines {
-		if o.isUnreachable(m) {
+	for _, m := range f.SortedMachines {
+		if f.isUnreachable(m) {
 			unreachable++
 		}
 	}
 	return fleetHealth{
-		isolated:        o.c.now-max(o.lastHeartbeat, o.activeSince) > maxMissedHeartbeats*o.c.cfg.HeartbeatInterval,
-		manyUnreachable: unreachable > max(minUnreachableMachines, len(o.SortedMachines)/unreachableDivisor),
+		isolated:        f.now-max(f.host.LastHeartbeat(), f.host.ActiveSince()) > maxMissedHeartbeats*f.settings.HeartbeatInterval,
+		manyUnreachable: unreachable > max(minUnreachableMachines, len(f.SortedMachines)/unreachableDivisor),
 	}
 }
 
 // isUnreachable tells that a machine's reports arrive while nothing reaches it: it has not shown
 // our token for long. What runs there goes on until its lease ends; then it is idle and
 // paid for.
-func (o *owner) isUnreachable(m *inventory.Machine) bool {
+func (f *Fleet) isUnreachable(m *inventory.Machine) bool {
 	return m.FencingToken != 0 && m.State >= inventory.MachineReady && m.State <= inventory.MachineTransferring && !m.TokenConfirmed &&
-		o.c.now-m.TokenConfirmedAt > o.c.cfg.HeartbeatTimeout()+maxMissedHeartbeats*o.c.cfg.HeartbeatInterval
+		f.now-m.TokenConfirmedAt > f.settings.HeartbeatTimeout()+maxMissedHeartbeats*f.settings.HeartbeatInterval
 }
 
 // cancellationOverdue tells that so much of the time has passed in which a task on the machine, whose
 // job was cancelled, has to be gone.
-func (o *owner) cancellationOverdue(m *inventory.Machine, share float64) bool {
-	limit := micros.Micros(share * float64(o.c.cfg.CancellationDeadline))
+func (f *Fleet) cancellationOverdue(m *inventory.Machine, share float64) bool {
+	return f.CancellationOverdue(m, share, f.now)
+}
+
+func (f *Fleet) CancellationOverdue(m *inventory.Machine, share float64, now micros.Micros) bool {
+	limit := micros.Micros(share * float64(f.settings.CancellationDeadline))
 	for _, a := range m.Attempts {
-		if a.Job.State == inventory.JobEnded && a.Job.EndedAt != 0 && !a.ResourcesReleased && o.c.now-a.Job.EndedAt > limit {
+		if a.Job.State == inventory.JobEnded && a.Job.EndedAt != 0 && !a.ResourcesReleased && now-a.Job.EndedAt > limit {
 			return true
 		}
 	}
@@ -101,16 +105,16 @@
 }
 
 // sinceLastHeartbeat is how long a machine has not reported here.
-func (o *owner) sinceLastHeartbeat(m *inventory.Machine) micros.Micros {
+func (f *Fleet) sinceLastHeartbeat(m *inventory.Machine) micros.Micros {
 	if m.AgentEpoch == 0 {
-		return o.c.now - o.activeSince
+		return f.now - f.host.ActiveSince()
 	}
-	return o.c.now - min(m.LastHeartbeat, o.c.now)
+	return f.now - min(m.LastHeartbeat, f.now)
 }
 
 // unresponsiveFor is how long a machine is silent without a known reason.
-func (o *owner) unresponsiveFor(m *inventory.Machine) micros.Micros {
-	return o.c.now - max(m.LastHeartbeat, m.HeartbeatGraceUntil)
+func (f *Fleet) unresponsiveFor(m *inventory.Machine) micros.Micros {
+	return f.now - max(m.LastHeartbeat, m.HeartbeatGraceUntil)
 }
 
 // checkMachineHealth gives up machines that do not report, and returns empty ones that are to
@@ -118,33 +122,34 @@
 // recorded before the cloud is asked: a controller that was cut off, and so hears no
 // worker, cannot record it, while its requests to the cloud could be held back and
 // executed after another has taken over.
-func (o *owner) checkMachineHealth() {
-	fleet := o.fleetHealth()
-	o.detectPartitions()
-	for _, m := range o.SortedMachines {
-		if o.mustDecommission(m) {
-			o.decommission(m, decommissionOverdue)
+func (f *Fleet) CheckHealth() {
+	f.updateTime()
+	fleet := f.fleetHealth()
+	f.detectPartitions()
+	for _, m := range f.SortedMachines {
+		if f.mustDecommission(m) {
+			f.decommission(m, decommissionOverdue)
 		}
 		switch {
 		case m.State == inventory.MachineDecommissioning:
-			o.TerminationNeeded = o.TerminationNeeded || o.cancellationOverdue(m, overdueTerminateFraction)
+			f.TerminationNeeded = f.TerminationNeeded || f.cancellationOverdue(m, overdueTerminateFraction)
 		case hasBooted(m):
-			o.decommission(m, o.checkRunning(m, fleet))
+			f.decommission(m, f.checkRunning(m, fleet))
 		case m.State == inventory.MachineBooting:
-			o.decommission(m, o.checkBooting(m))
+			f.decommission(m, f.checkBooting(m))
 		}
 	}
 }
 
 // decommission decides to delete a machine, if there is a reason.
-func (o *owner) decommission(m *inventory.Machine, reason decommissionReason) {
+func (f *Fleet) decommission(m *inventory.Machine, reason decommissionReason) {
 	if reason == decommissionNone {
 		return
 	}
 	if reason.isMachineLoss() {
-		o.recordSpotReclaimed(m)
+		f.jobs.RecordSpotReclaimed(m)
 	}
-	o.SetMachineState(m, inventory.MachineDecommissioning, string(reason))
+	f.SetMachineState(m, inventory.MachineDecommissioning, string(reason))
 }
 
 // hasBooted tells whether a machine takes part, so that it should report. What had work before
@@ -155,47 +160,47 @@
 }
 
 // mustDecommission tells that a machine is silent with a task that has to be gone before long.
-func (o *owner) mustDecommission(m *inventory.Machine) bool {
-	if m.State >= inventory.MachineDecommissioning || !o.cancellationOverdue(m, overdueDecommissionFraction) {
+func (f *Fleet) mustDecommission(m *inventory.Machine) bool {
+	if m.State >= inventory.MachineDecommissioning || !f.cancellationOverdue(m, OverdueDecommissionFraction) {
 		return false
 	}
-	patience := maxMissedHeartbeats * o.c.cfg.HeartbeatInterval
-	if m.AgentEpoch == 0 && o.cancellationOverdue(m, overdueTerminateFraction) {
+	patience := maxMissedHeartbeats * f.settings.HeartbeatInterval
+	if m.AgentEpoch == 0 && f.cancellationOverdue(m, overdueTerminateFraction) {
 		patience = inspectTimeout
 	}
-	return o.sinceLastHeartbeat(m) > patience
+	return f.sinceLastHeartbeat(m) > patience
 }
 
 // checkBooting looks at a machine that has not reported yet. After a takeover it may have been
 // up all the while.
-func (o *owner) checkBooting(m *inventory.Machine) decommissionReason {
-	if o.retainedInPartition(m) {
+func (f *Fleet) checkBooting(m *inventory.Machine) decommissionReason {
+	if f.retainedInPartition(m) {
 		return decommissionNone
 	}
 	boot := defaultBootTime
-	if t := o.c.types.find(m.Type); t != nil {
+	if t := findType(f.types, m.Type); t != nil {
 		boot = t.Boot
 	}
-	patience := micros.Micros(o.c.cfg.Tuning.BootTimeoutFactor*float64(boot)) + o.c.cfg.HeartbeatTimeout()
-	if m.Failed || o.c.wallClock-m.ProvisionedAt > patience && o.unresponsiveFor(m) > o.c.cfg.HeartbeatTimeout() {
+	patience := micros.Micros(f.settings.Tuning.BootTimeoutFactor*float64(boot)) + f.settings.HeartbeatTimeout()
+	if m.Failed || f.wallClock-m.ProvisionedAt > patience && f.unresponsiveFor(m) > f.settings.HeartbeatTimeout() {
 		return decommissionBootTimeout
 	}
 	return decommissionNone
 }
 
 // checkRunning looks at a machine that should report.
-func (o *owner) checkRunning(m *inventory.Machine, fleet fleetHealth) decommissionReason {
-	silent, limit := o.unresponsiveFor(m), o.machineHeartbeatTimeout(m)
+func (f *Fleet) checkRunning(m *inventory.Machine, fleet fleetHealth) decommissionReason {
+	silent, limit := f.unresponsiveFor(m), f.machineHeartbeatTimeout(m)
 	switch {
 	case m.Failed:
 		return decommissionFailed
-	case m.MissedListings >= maxMissedListings && silent > maxMissedHeartbeats*o.c.cfg.HeartbeatInterval:
+	case m.MissedListings >= maxMissedListings && silent > maxMissedHeartbeats*f.settings.HeartbeatInterval:
 		return decommissionUnlisted
-	case silent > limit && (o.retainedInPartition(m) || o.retainedForGangs(m)):
+	case silent > limit && (f.retainedInPartition(m) || f.retainedForGangs(m)):
 		return decommissionNone
 	case silent > limit && (!fleet.isolated || silent > isolatedTimeoutFactor*limit):
 		return decommissionUnresponsive
-	case o.isUnreachable(m) && o.unreachableTimedOut(m, fleet):
+	case f.isUnreachable(m) && f.unreachableTimedOut(m, fleet):
 		return decommissionUnreachable
 	case m.State == inventory.MachineDraining && len(m.Attempts) == 0 && m.FencingToken != 0:
 		return decommissionDrained
@@ -204,17 +209,17 @@
 }
 
 // machineHeartbeatTimeout is how long a machine may be silent: not for long once the cloud takes it.
-func (o *owner) machineHeartbeatTimeout(m *inventory.Machine) micros.Micros {
-	if m.ReclaimAt != 0 && o.c.now > m.ReclaimAt {
-		return o.c.cfg.HeartbeatInterval * 3 / 2
+func (f *Fleet) machineHeartbeatTimeout(m *inventory.Machine) micros.Micros {
+	if m.ReclaimAt != 0 && f.now > m.ReclaimAt {
+		return f.settings.HeartbeatInterval * 3 / 2
 	}
-	return o.c.cfg.HeartbeatTimeout()
+	return f.settings.HeartbeatTimeout()
 }
 
 // unreachableTimedOut tells whether an unreachable machine is given up. With many of them the
 // fault is likely on this side: answers that come too late are dropped too.
-func (o *owner) unreachableTimedOut(m *inventory.Machine, fleet fleetHealth) bool {
-	return !fleet.manyUnreachable || o.c.now-m.TokenConfirmedAt > unreachableTimeoutFactor*o.c.cfg.HeartbeatTimeout()
+func (f *Fleet) unreachableTimedOut(m *inventory.Machine, fleet fleetHealth) bool {
+	return !fleet.manyUnreachable || f.now-m.TokenConfirmedAt > unreachableTimeoutFactor*f.settings.HeartbeatTimeout()
 }
 
 // retainedForGangs tells that a silent machine is kept since it works on, as others show: tasks
@@ -222,8 +227,8 @@
 // reported running later than that. Its worker may come back until its lease ends; to give
 // it up would stop whole gangs. Not one with tasks of a job that is over, nor one that the
 // cloud takes.
-func (o *owner) retainedForGangs(m *inventory.Machine) bool {
-	if o.unresponsiveFor(m) > o.c.cfg.WorkerLease || m.Failed || m.ReclaimAt != 0 {
+func (f *Fleet) retainedForGangs(m *inventory.Machine) bool {
+	if f.unresponsiveFor(m) > f.settings.WorkerLease || m.Failed || m.ReclaimAt != 0 {
 		return false
 	}
 	gang := false
@@ -233,7 +238,7 @@
 			return false
 		case !a.Job.Gang || a.ResourcesReleased:
 			continue
-		case a.Job.GangState != inventory.GangStarting || !o.gangPeerRunning(a):
+		case a.Job.GangState != inventory.GangStarting || !f.gangPeerRunning(a):
 			return false
 		}
 		gang = true
@@ -243,10 +248,10 @@
 
 // gangPeerRunning tells that a task of the same gang was reported running after this one's
 // machine fell silent, later than it would have noticed that this one is gone.
-func (o *owner) gangPeerRunning(a *inventory.Attempt) bool {
+func (f *Fleet) gangPeerRunning(a *inventory.Attempt) bool {
 	for _, b := range a.Job.Attempts {
 		if b.Machine != a.Machine && b.State == inventory.AttemptLive && b.Phase == wire.PhaseRunning &&
-			b.Machine.LastHeartbeat > a.Machine.LastHeartbeat+o.c.cfg.GangFailureTimeout {
+			b.Machine.LastHeartbeat > a.Machine.LastHeartbeat+f.settings.GangFailureTimeout {
 			return true
 		}
 	}
--- /dev/null
+++ b/internal/fleet/host_test.go
@@ -0,0 +1,107 @@
+package fleet
+
+import (
+	"io"
+	"log/slog"
+	"testing"
+
+	"tamarindlead/config"
+	"tamarindlead/internal/autoscaler"
+	"tamarindlead/internal/inventory"
+	"tamarindlead/internal/record"
+	"tamarindlead/internal/wire"
+	"tamarindlead/micros"
+	"tamarindlead/sched"
+)
+
+// fakeHost is an active owner of all machines, without jobs that wait. It records the
+// violations that are reported and the requests to the cloud.
+type fakeHost struct {
+	now           micros.Micros
+	activeSince   micros.Micros
+	lastHeartbeat micros.Micros
+	recovering    bool
+	superseded    bool
+	numbers       uint64
+	types         []sched.MachineType
+	inventory     *inventory.Inventory
+	violations    []string
+	calls         []cloudCall
+}
+
+// cloudCall is a request to the cloud that was not answered yet.
+type cloudCall struct {
+	target string
+	body   any
+	done   func(status wire.Status, body []byte)
+}
+
+func (h *fakeHost) Now() micros.Micros                { return h.now }
+func (h *fakeHost) WallClock() micros.Micros          { return h.now }
+func (h *fakeHost) MachineTypes() []sched.MachineType { return h.types }
+func (h *fakeHost) Superseded() bool                  { return h.superseded }
+func (h *fakeHost) IsActive() bool                    { return !h.superseded && !h.recovering }
+func (h *fakeHost) ActiveSince() micros.Micros        { return h.activeSince }
+func (h *fakeHost) LastHeartbeat() micros.Micros      { return h.lastHeartbeat }
+func (h *fakeHost) NextNumber() uint64                { h.numbers++; return h.numbers }
+
+func (h *fakeHost) ReportViolation(violation string, _ ...any) {
+	h.violations = append(h.violations, violation)
+}
+
+func (*fakeHost) ID() record.OwnerID                { return record.NewOwnerID("n0", 1) }
+func (*fakeHost) OwnsRecordsOf(record.OwnerID) bool { return true }
+func (*fakeHost) IsClaimedByPeer(string) bool       { return false }
+func (*fakeHost) AdoptsUnclaimed() bool             { return true }
+
+func (h *fakeHost) NewMachine(info inventory.MachineInfo) *inventory.Machine {
+	return h.inventory.AddMachine(&inventory.Block{Name: "b-" + info.Name}, info, sched.Resources{})
+}
+
+func (h *fakeHost) NewAdoptedMachine(info inventory.MachineInfo) *inventory.Machine {
+	return h.NewMachine(info)
+}
+
+func (*fakeHost) Allow() bool { return true }
+
+func (h *fakeHost) Call(_, target string, body any, done func(status wire.Status, body []byte)) {
+	h.calls = append(h.calls, cloudCall{target, body, done})
+}
+
+func (*fakeHost) QuotaHeadroom(*inventory.Job, sched.Resources) int { return 0 }
+func (*fakeHost) MaxQueueingDelay(*inventory.Job) micros.Micros     { return 0 }
+func (*fakeHost) IsUrgent(*inventory.Job) bool                      { return false }
+func (*fakeHost) MinOnDemandTasks(*inventory.Job) int               { return 0 }
+func (*fakeHost) HasReservation(*inventory.Job) bool                { return false }
+func (*fakeHost) IsReserved(string) bool                            { return false }
+func (*fakeHost) HasNoDependentTasks(*inventory.Machine) bool       { return true }
+func (*fakeHost) RemainingRunTime(*inventory.Attempt) micros.Micros { return 0 }
+func (*fakeHost) Evict(*inventory.Attempt, string)                  {}
+func (*fakeHost) RequestMachines(*sched.Job, int)                   {}
+func (*fakeHost) RecordSpotUptime()                                 {}
+func (*fakeHost) RecordSpotReclaimed(*inventory.Machine)            {}
+func (*fakeHost) EntryChanged(*inventory.Machine)                   {}
+func (*fakeHost) CompletionUnrecorded(*inventory.Job, int)          {}
+func (*fakeHost) CommandsNeeded(*inventory.Machine)                 {}
+
+// newTestFleet returns the fleet of an owner that became active at the time 0, with claimed
+// machines that are ready and have sent a heartbeat at that time.
+func newTestFleet(t *testing.T, machines ...string) (*Fleet, *fakeHost) {
+	t.Helper()
+	log := slog.New(slog.NewTextHandler(io.Discard, nil))
+	h := &fakeHost{types: []sched.MachineType{{Name: "small", Size: sched.NewResources(4, 0, 16), Boot: 40 * micros.Second}}}
+	h.inventory = inventory.NewInventory(h, log)
+	settings := &config.Settings{
+		Node: "n0", Zones: []string{"a"}, HeartbeatInterval: 3 * micros.Second, WorkerLease: 15 * micros.Second,
+		CancellationDeadline: 45 * micros.Second, CloudListLag: 5 * micros.Second, Tuning: config.DefaultTuning(),
+	}
+	f := New(Config{
+		Inventory: h.inventory, Classes: autoscaler.NewClasses(), Settings: settings, Log: log,
+		Host: h, Ownership: h, Cloud: h, Jobs: h,
+	})
+	for _, name := range machines {
+		m := h.NewMachine(inventory.MachineInfo{Name: name, Type: "small", Zone: "a", Endpoint: "worker:" + name})
+		m.State, m.FencingToken, m.TokenConfirmed, m.Recorded, m.AgentEpoch = inventory.MachineReady, 7, true, true, 1
+	}
+	return f, h
+}
--- a/controller/network_partitions.go
+++ b/internal/fleet/partitions.go
@@ -1,4 +1,4 @@
-package controller
+package fleet
 
 import (
 	"tamarindlead/internal/inventory"
@@ -28,28 +28,28 @@
 
 // detectPartitions finds zones that are cut off: nothing is rented there, and machines on which
 // gangs run are not given up at once, for what runs there goes on (see retainedInPartition).
-func (o *owner) detectPartitions() {
-	zones, heardInAll := o.zoneHealth()
+func (f *Fleet) detectPartitions() {
+	zones, heardInAll := f.zoneHealth()
 	for _, zone := range ordered.Keys(zones) {
 		health := *zones[zone]
 		partitioned := health.partitioned(heardInAll)
-		if partitioned == (o.partitionedSince[zone] != 0) {
+		if partitioned == (f.partitionedSince[zone] != 0) {
 			continue
 		}
-		o.c.log.Warn("zone", "zone", zone, "partitioned", partitioned, "silent", health.unresponsive, "heard", health.responsive)
+		f.log.Warn("zone", "zone", zone, "partitioned", partitioned, "silent", health.unresponsive, "heard", health.responsive)
 		if partitioned {
-			o.partitionedSince[zone] = o.c.now
+			f.partitionedSince[zone] = f.now
 		} else {
-			delete(o.partitionedSince, zone)
-			o.extendHeartbeatGrace(zone)
+			delete(f.partitionedSince, zone)
+			f.extendHeartbeatGrace(zone)
 		}
 	}
 }
 
 // zoneHealth counts by zone, and in all, which machines are heard.
-func (o *owner) zoneHealth() (zones map[string]*zoneHealth, heardInAll int) {
+func (f *Fleet) zoneHealth() (zones map[string]*zoneHealth, heardInAll int) {
 	zones = map[string]*zoneHealth{}
-	for _, m := range o.SortedMachines {
+	for _, m := range f.SortedMachines {
 		zone := zones[m.Zone]
 		if zone == nil {
 			zone = &zoneHealth{}
@@ -57,7 +57,7 @@
 		}
 		switch {
 		case !hasBooted(m):
-		case o.c.now-m.LastHeartbeat > maxMissedHeartbeats*o.c.cfg.HeartbeatInterval:
+		case f.now-m.LastHeartbeat > maxMissedHeartbeats*f.settings.HeartbeatInterval:
 			zone.unresponsive++
 		case m.AgentEpoch != 0:
 			zone.responsive++
@@ -68,10 +68,10 @@
 }
 
 // extendHeartbeatGrace gives the workers of a zone that is not cut off any more time to find this node.
-func (o *owner) extendHeartbeatGrace(zone string) {
-	for _, m := range o.SortedMachines {
+func (f *Fleet) extendHeartbeatGrace(zone string) {
+	for _, m := range f.SortedMachines {
 		if m.Zone == zone {
-			m.HeartbeatGraceUntil = o.c.now + o.c.cfg.FailoverGrace()
+			m.HeartbeatGraceUntil = f.now + f.settings.FailoverGrace()
 		}
 	}
 }
@@ -79,11 +79,11 @@
 // retainedInPartition tells that a silent machine in a partitioned zone is kept: a gang runs on it,
 // which would lose its work and find no other machine, or gangs will want it as soon as the
 // partition ends. Not one with tasks of a job that is over, which must be gone in time.
-func (o *owner) retainedInPartition(m *inventory.Machine) bool {
-	if o.partitionedSince[m.Zone] == 0 || o.unresponsiveFor(m) > o.c.cfg.Tuning.PartitionTimeout || m.Failed || m.ReclaimAt != 0 {
+func (f *Fleet) retainedInPartition(m *inventory.Machine) bool {
+	if f.partitionedSince[m.Zone] == 0 || f.unresponsiveFor(m) > f.settings.Tuning.PartitionTimeout || m.Failed || m.ReclaimAt != 0 {
 		return false
 	}
-	gang := len(m.Attempts) == 0 && o.isScarce(m) && m.State <= inventory.MachineReady
+	gang := len(m.Attempts) == 0 && f.isScarce(m) && m.State <= inventory.MachineReady
 	for _, a := range m.Attempts {
 		if a.Job.State == inventory.JobEnded {
 			return false
--- a/controller/scale_out.go
+++ b/internal/fleet/scale_out.go
@@ -1,4 +1,4 @@
-package controller
+package fleet
 
 import (
 	"strings"
@@ -39,8 +39,6 @@
 
 // Paths of the cloud, and the problem that it names when it has no machines of an offer.
 const (
-	pathRentals       = "/rentals"
-	pathRelease       = "/rentals/release"
 	problemNoCapacity = "no capacity"
 )
 
@@ -54,37 +52,47 @@
 )
 
 // setScaleOutState is the one place where a rental changes its state.
-func (o *owner) setScaleOutState(r *scaleOutRequest, s scaleOutState) {
-	o.c.log.Info("rental", "name", r.name, "type", r.offer.Type, "zone", r.offer.Zone, "spot", r.offer.Spot,
+func (f *Fleet) setScaleOutState(r *scaleOutRequest, s scaleOutState) {
+	f.log.Info("rental", "name", r.name, "type", r.offer.Type, "zone", r.offer.Zone, "spot", r.offer.Spot,
 		"number", r.machineCount, "from", r.state.String(), "to", s.String(), "machines", len(r.machines))
 	r.state = s
 }
 
 // recoverScaleOutRequests takes over the rentals of an earlier owner: the cloud is asked again.
-func (o *owner) recoverScaleOutRequests(entries []kv.Entry) {
+func (f *Fleet) RecoverScaleOutRequests(entries []kv.Entry) {
 	for _, e := range entries {
 		var rec record.ScaleOutRequest
 		if wire.Decode(e.Value, &rec) != nil {
-			o.c.log.Error("record cannot be read", "key", e.Key)
+			f.log.Error("record cannot be read", "key", e.Key)
 			continue
 		}
-		if !o.ownsRecordsOf(rec.Owner) {
+		if !f.ownership.OwnsRecordsOf(rec.Owner) {
 			continue
 		}
 		name := strings.TrimPrefix(e.Key, record.ScaleOutRequestPrefix)
-		o.scaleOutRequests[name] = &scaleOutRequest{
+		f.scaleOutRequests[name] = &scaleOutRequest{
 			name: name, offer: autoscaler.Offer{Type: rec.Type, Zone: rec.Zone, Spot: rec.Spot}, machineCount: rec.Count, state: scaleOutRequested,
 		}
 	}
 }
 
-// flushScaleOutRequests records the names of rentals before they are asked for, and removes
+// Transaction collects writes that are committed together.
+type Transaction interface {
+	// Put writes a record.
+	Put(key string, value any)
+	// Delete deletes a record.
+	Delete(key string)
+	// OnResult registers what is done once the transaction has succeeded or failed.
+	OnResult(done func(ok bool))
+}
+
+// FlushScaleOutRequests records the names of rentals before they are asked for, and removes
 // those that are over.
-func (o *owner) flushScaleOutRequests(t *transaction, full func() bool) {
-	for _, name := range ordered.Keys(o.scaleOutRequests) {
-		r := o.scaleOutRequests[name]
-		if r.state == scaleOutGranted && o.allMachinesClaimed(r) {
-			o.setScaleOutState(r, scaleOutDone)
+func (f *Fleet) FlushScaleOutRequests(t Transaction, full func() bool) {
+	for _, name := range ordered.Keys(f.scaleOutRequests) {
+		r := f.scaleOutRequests[name]
+		if r.state == scaleOutGranted && f.allMachinesClaimed(r) {
+			f.setScaleOutState(r, scaleOutDone)
 		}
 		if r.writing || r.state != scaleOutPlanned && r.state != scaleOutDone {
 			continue
@@ -95,37 +103,37 @@
 		r.writing = true
 		key := record.ScaleOutRequestKey(name)
 		if r.state == scaleOutDone {
-			t.writes = append(t.writes, kv.Write{Delete: key})
+			t.Delete(key)
 		} else {
-			t.put(key, record.ScaleOutRequest{
-				Owner: o.c.node.ID(), Type: r.offer.Type, Zone: r.offer.Zone, Spot: r.offer.Spot, Count: r.machineCount,
+			t.Put(key, record.ScaleOutRequest{
+				Owner: f.ownership.ID(), Type: r.offer.Type, Zone: r.offer.Zone, Spot: r.offer.Spot, Count: r.machineCount,
 			})
 		}
-		t.results = append(t.results, func(ok bool, _ uint64) {
+		t.OnResult(func(ok bool) {
 			r.writing = false
 			switch {
 			case !ok:
 			case r.state == scaleOutDone:
-				delete(o.scaleOutRequests, name)
+				delete(f.scaleOutRequests, name)
 			default:
-				o.setScaleOutState(r, scaleOutRequested)
+				f.setScaleOutState(r, scaleOutRequested)
 			}
 		})
 	}
 }
 
 // requestScaleOut begins a rental.
-func (o *owner) requestScaleOut(request autoscaler.ScaleOutRequest) {
-	r := &scaleOutRequest{name: "h-" + record.FormatNumber(o.nextNumber()), offer: request.Offer, machineCount: request.Number}
-	o.scaleOutRequests[r.name] = r
-	o.c.log.Info("rental wanted", "name", r.name, "type", r.offer.Type, "zone", r.offer.Zone,
+func (f *Fleet) requestScaleOut(request autoscaler.ScaleOutRequest) {
+	r := &scaleOutRequest{name: "h-" + record.FormatNumber(f.host.NextNumber()), offer: request.Offer, machineCount: request.Number}
+	f.scaleOutRequests[r.name] = r
+	f.log.Info("rental wanted", "name", r.name, "type", r.offer.Type, "zone", r.offer.Zone,
 		"spot", r.offer.Spot, "number", r.machineCount, "class", request.Job.Class, "short_cpus", request.ShortCPUs)
 }
 
 // allMachinesClaimed tells that all machines of a rental are recorded.
-func (o *owner) allMachinesClaimed(r *scaleOutRequest) bool {
+func (f *Fleet) allMachinesClaimed(r *scaleOutRequest) bool {
 	for _, name := range r.machines {
-		if m := o.Machines[name]; m != nil && m.FencingToken == 0 {
+		if m := f.Machines[name]; m != nil && m.FencingToken == 0 {
 			return false
 		}
 	}
@@ -133,97 +141,103 @@
 }
 
 // sendScaleOutRequest asks the cloud for the machines of a rental; asked again, it gives the same answer.
-func (o *owner) sendScaleOutRequest(r *scaleOutRequest) {
-	if r.inFlight || o.c.now < r.nextAttempt || !o.mayRequestScaleOut(r) || !o.c.cloudRate.AllowN(o.c.now.Time(), 1) {
+func (f *Fleet) sendScaleOutRequest(r *scaleOutRequest) {
+	if r.inFlight || f.now < r.nextAttempt || !f.mayRequestScaleOut(r) || !f.cloud.Allow() {
 		return
 	}
 	r.inFlight = true
 	body := wire.ScaleOutRequest{RequestID: r.name, Type: r.offer.Type, Zone: r.offer.Zone, Spot: r.offer.Spot, Number: r.machineCount}
-	o.c.callCloud("POST", pathRentals, body, func(status int, body []byte) {
-		if o.superseded() {
+	f.cloud.Call("POST", wire.PathRentals, body, func(status int, body []byte) {
+		if f.host.Superseded() {
 			return
 		}
-		r.inFlight, r.nextAttempt = false, o.c.now+cloudRetryDelay
-		o.handleScaleOutResponse(r, status, body)
+		f.updateTime()
+		r.inFlight, r.nextAttempt = false, f.now+cloudRetryDelay
+		f.handleScaleOutResponse(r, status, body)
 	})
 }
 
 // handleScaleOutResponse takes the cloud's answer to a rental. After any other answer it is asked again.
-func (o *owner) handleScaleOutResponse(r *scaleOutRequest, status wire.Status, body []byte) {
+func (f *Fleet) handleScaleOutResponse(r *scaleOutRequest, status wire.Status, body []byte) {
 	var names wire.MachineNames
 	var problem wire.ErrorResponse
 	switch {
 	case status == wire.StatusOK && wire.Decode(body, &names) == nil:
-		o.handleScaleOutGranted(r, names.Machines)
+		f.handleScaleOutGranted(r, names.Machines)
 	case status == wire.StatusUnavailable && wire.Decode(body, &problem) == nil && problem.Error == problemNoCapacity:
-		o.handleScaleOutRefused(r)
+		f.handleScaleOutRefused(r)
 	case status == wire.StatusBadRequest:
-		o.c.log.Error("rental refused as malformed", "name", r.name)
-		o.handleScaleOutRefused(r)
+		f.log.Error("rental refused as malformed", "name", r.name)
+		f.handleScaleOutRefused(r)
 	}
 }
 
 // handleScaleOutGranted takes the machines that the cloud rented. If they are fewer than were asked for,
 // there are no more.
-func (o *owner) handleScaleOutGranted(r *scaleOutRequest, names []string) {
+func (f *Fleet) handleScaleOutGranted(r *scaleOutRequest, names []string) {
 	r.machines = names
 	for _, name := range names {
-		if o.Machines[name] == nil {
-			m := o.newMachine(inventory.MachineInfo{Name: name, Type: r.offer.Type, Zone: r.offer.Zone, Spot: r.offer.Spot})
-			m.ProvisionedAt = o.c.wallClock
+		if f.Machines[name] == nil {
+			m := f.ownership.NewMachine(inventory.MachineInfo{Name: name, Type: r.offer.Type, Zone: r.offer.Zone, Spot: r.offer.Spot})
+			m.ProvisionedAt = f.wallClock
 		}
 	}
 	if len(names) < r.machineCount {
-		o.backOffOffer(r.offer)
+		f.backOffOffer(r.offer)
 	}
-	o.setScaleOutState(r, scaleOutGranted)
+	f.setScaleOutState(r, scaleOutGranted)
 }
 
 // handleScaleOutRefused ends a rental that the cloud cannot grant.
-func (o *owner) handleScaleOutRefused(r *scaleOutRequest) {
-	o.backOffOffer(r.offer)
-	o.setScaleOutState(r, scaleOutDone)
+func (f *Fleet) handleScaleOutRefused(r *scaleOutRequest) {
+	f.backOffOffer(r.offer)
+	f.setScaleOutState(r, scaleOutDone)
 }
 
 // backOffOffer has an offer not be asked for until there may be machines again.
-func (o *owner) backOffOffer(offer autoscaler.Offer) {
-	o.refusedOffers[offer] = o.c.now + o.c.cfg.Tuning.ScaleOutRetryDelay
+func (f *Fleet) backOffOffer(offer autoscaler.Offer) {
+	f.refusedOffers[offer] = f.now + f.settings.Tuning.ScaleOutRetryDelay
 }
 
 // terminateMachines asks the cloud to delete machines that are to go.
-func (o *owner) terminateMachines() {
-	if !o.TerminationNeeded || o.terminating || o.c.now < o.nextTermination {
+func (f *Fleet) TerminateMachines() {
+	if !f.TerminationNeeded || f.terminating {
+		return
+	}
+	f.updateTime()
+	if f.now < f.nextTermination {
 		return
 	}
-	names := o.terminableMachines()
+	names := f.terminableMachines()
 	if len(names) == 0 {
-		o.TerminationNeeded = false
+		f.TerminationNeeded = false
 		return
 	}
-	if !o.c.cloudRate.AllowN(o.c.now.Time(), 1) {
+	if !f.cloud.Allow() {
 		return
 	}
-	o.terminating = true
-	o.c.callCloud("POST", pathRelease, wire.MachineNames{Machines: names}, func(status int, _ []byte) {
-		if o.superseded() {
+	f.terminating = true
+	f.cloud.Call("POST", wire.PathRelease, wire.MachineNames{Machines: names}, func(status int, _ []byte) {
+		if f.host.Superseded() {
 			return
 		}
-		o.terminating, o.nextTermination = false, o.c.now+cloudRetryDelay
+		f.updateTime()
+		f.terminating, f.nextTermination = false, f.now+cloudRetryDelay
 		if status == wire.StatusOK {
-			o.nextTermination = o.c.now
-			o.handleMachinesTerminated(names)
+			f.nextTermination = f.now
+			f.handleMachinesTerminated(names)
 		}
 	})
 }
 
 // terminableMachines lists machines that the cloud may be asked to delete: those whose deletion is
 // recorded, and those for which there is no time for that.
-func (o *owner) terminableMachines() []string {
+func (f *Fleet) terminableMachines() []string {
 	var names []string
-	for _, name := range ordered.Keys(o.Machines) {
-		m := o.Machines[name]
-		due := m.State == inventory.MachineTerminating || m.State == inventory.MachineDecommissioning && o.cancellationOverdue(m, overdueTerminateFraction)
-		if due && len(names) < maxTerminationsPerCall && o.mayTerminate(m) {
+	for _, name := range ordered.Keys(f.Machines) {
+		m := f.Machines[name]
+		due := m.State == inventory.MachineTerminating || m.State == inventory.MachineDecommissioning && f.cancellationOverdue(m, overdueTerminateFraction)
+		if due && len(names) < maxTerminationsPerCall && f.mayTerminate(m) {
 			names = append(names, name)
 		}
 	}
@@ -231,33 +245,33 @@
 }
 
 // handleMachinesTerminated notes that the cloud has deleted machines.
-func (o *owner) handleMachinesTerminated(names []string) {
+func (f *Fleet) handleMachinesTerminated(names []string) {
 	for _, name := range names {
-		m := o.Machines[name]
+		m := f.Machines[name]
 		if m == nil || m.State != inventory.MachineTerminating && m.State != inventory.MachineDecommissioning {
 			continue
 		}
-		o.recentlyTerminated[name] = o.c.now + terminatedRetention
-		o.SetMachineState(m, inventory.MachineTerminated, "deleted by the cloud")
+		f.recentlyTerminated[name] = f.now + terminatedRetention
+		f.SetMachineState(m, inventory.MachineTerminated, "deleted by the cloud")
 	}
 }
 
 // mayTerminate asserts that the cloud may be asked to delete a machine: that is recorded, or there
 // is no time left for that.
-func (o *owner) mayTerminate(m *inventory.Machine) bool {
-	overdue := m.State == inventory.MachineDecommissioning && o.cancellationOverdue(m, overdueTerminateFraction)
-	if o.isActiveOwner() && (m.State == inventory.MachineTerminating || overdue) {
+func (f *Fleet) mayTerminate(m *inventory.Machine) bool {
+	overdue := m.State == inventory.MachineDecommissioning && f.cancellationOverdue(m, overdueTerminateFraction)
+	if f.host.IsActive() && (m.State == inventory.MachineTerminating || overdue) {
 		return true
 	}
-	o.c.reportViolation("a release without a record", "machine", m.Name, "machine_state", m.State.String(), "owner_state", o.state.String())
+	f.host.ReportViolation("a release without a record", "machine", m.Name, "machine_state", m.State.String())
 	return false
 }
 
 // mayRequestScaleOut asserts that the cloud may be asked for a rental: its name is recorded.
-func (o *owner) mayRequestScaleOut(r *scaleOutRequest) bool {
-	if o.isActiveOwner() && r.state == scaleOutRequested {
+func (f *Fleet) mayRequestScaleOut(r *scaleOutRequest) bool {
+	if f.host.IsActive() && r.state == scaleOutRequested {
 		return true
 	}
-	o.c.reportViolation("a rental without a record", "name", r.name, "rental_state", r.state.String(), "owner_state", o.state.String())
+	f.host.ReportViolation("a rental without a record", "name", r.name, "rental_state", r.state.String())
 	return false
 }
