--- a/controller/fleet_adapter.go
+++ b/controller/fleet_adapter.go
@@ -136,14 +136,14 @@
 func (o *owner) market() autoscaler.Market { return o.fleet.Market() }
 
 func (o *owner) isScarce(m *inventory.Machine) bool {
-	return o.classes.Scarce(o.c.now, m.Type, m.Spot)
+	return o.fleet.IsScarce(m, o.c.now)
 }
 
 func (o *owner) machineSize(m *inventory.Machine) sched.Resources {
 	return fleet.MachineSize(m, o.c.types.list)
 }
 
-func (o *owner) observeRunTime(a *inventory.Attempt) { o.fleet.ObserveRunTime(a) }
+func (o *owner) observeRunTime(a *inventory.Attempt) { o.fleet.RecordRunTime(a) }
 
 func (o *owner) maxWait(j *inventory.Job) micros.Micros { return o.fleet.MaxWait(j) }
 
--- a/controller/machine_transfers.go
+++ b/controller/machine_transfers.go
@@ -160,7 +160,7 @@
 	block.Version = version
 	o.recoverMachine(block, data, &data.Machines[0])
 	m := block.Machines[0]
-	o.fleet.UnmarkOwnedElsewhere(m.Name)
+	o.fleet.ClearOwnedElsewhere(m.Name)
 	m.FencingToken, m.Dirty, m.Recovered, block.Dirty = version, false, true, false
 	m.TokenConfirmedAt = o.c.now
 	o.c.log.Info("machine received", "machine", m.Name, "type", m.Type, "zone", m.Zone)
--- a/internal/fleet/cloud_list.go
+++ b/internal/fleet/cloud_list.go
@@ -3,12 +3,12 @@
 import (
 	"cmp"
 	"maps"
+	"net/http"
 	"net/url"
 	"strconv"
 
 	"tamarindlead/internal/inventory"
 	"tamarindlead/internal/ordered"
-
 	"tamarindlead/internal/wire"
 	"tamarindlead/micros"
 )
@@ -18,21 +18,21 @@
 	listPageSize = 500
 	// minListInterval is the least time between two readings of the list.
 	minListInterval = 2 * micros.Second
-	// unclaimedLagFactor is how many times the list's usual lag a machine must be listed without
-	// an owner to be taken for nobody's: the list may be twice its lag late.
+	// unclaimedLagFactor is how many times the list's usual lag a machine must be listed
+	// without an owner to count as unclaimed: the list may be twice its lag late.
 	unclaimedLagFactor = 3
 )
 
 // cloudList is a reading of the cloud's list, page by page.
 type cloudList struct {
 	inProgress bool
-	nextAt     micros.Micros
+	nextAt     micros.Micros // when the next reading may begin
 	machines   map[string]wire.ListedMachine
 }
 
-// tickCloudList begins a reading of the cloud's list when it is time.
+// TickCloudList begins a reading of the cloud's list when it is due.
 func (f *Fleet) TickCloudList() {
-	f.updateTime()
+	f.refresh()
 	l := &f.cloudListing
 	if l.inProgress || f.now < l.nextAt || !f.cloud.Allow() {
 		return
@@ -41,21 +41,22 @@
 	f.requestCloudListPage("")
 }
 
-// requestCloudListPage asks for the machines after one of that name.
+// requestCloudListPage requests the machines whose names follow a given one.
 func (f *Fleet) requestCloudListPage(after string) {
 	query := url.Values{"limit": {strconv.Itoa(listPageSize)}}
 	if after != "" {
 		query.Set("after", after)
 	}
-	f.cloud.Call("GET", wire.PathRentals+"?"+query.Encode(), nil, func(status int, body []byte) {
-		if !f.host.Superseded() {
-			f.updateTime()
-			f.handleCloudListPage(status, body)
+	f.cloud.Call(http.MethodGet, wire.PathRentals+"?"+query.Encode(), nil, func(status wire.Status, body []byte) {
+		if f.host.Superseded() {
+			return
 		}
+		f.refresh()
+		f.handleCloudListPage(status, body)
 	})
 }
 
-// handleCloudListPage takes one page of the list. A reading that fails is dropped.
+// handleCloudListPage handles one page of the list. A reading with a failed request is dropped.
 func (f *Fleet) handleCloudListPage(status wire.Status, body []byte) {
 	l := &f.cloudListing
 	l.nextAt = f.now + max(f.settings.CloudListLag, minListInterval)
@@ -75,37 +76,24 @@
 	f.applyCloudList(l.machines)
 }
 
-// IsUnclaimed tells whether a listed machine belongs to nobody. The list may be twice its
-// usual lag late, so it still shows machines that another owner has returned: a machine
-// must stay listed for longer than that.
-func (f *Fleet) isUnclaimed(name string) bool {
-	if f.recentlyTerminated[name] != 0 || f.ownedElsewhere[name] != 0 || f.ownership.IsClaimedByPeer(name) ||
-		!f.ownership.AdoptsUnclaimed() {
-		return false
-	}
-	if f.unclaimedSince[name] == 0 {
-		f.unclaimedSince[name] = f.now
-	}
-	return f.now-f.unclaimedSince[name] > unclaimedLagFactor*f.settings.CloudListLag
-}
-
-// applyCloudList takes what the cloud lists, and adopts machines that nobody owns.
-func (f *Fleet) applyCloudList(found map[string]wire.ListedMachine) {
-	for _, name := range ordered.Keys(found) {
-		f.applyListedMachine(found[name])
+// applyCloudList compares the machines with the cloud's list, and adopts those that no owner
+// claims.
+func (f *Fleet) applyCloudList(list map[string]wire.ListedMachine) {
+	for _, name := range ordered.Keys(list) {
+		f.applyListedMachine(list[name])
 	}
 	maps.DeleteFunc(f.unclaimedSince, func(name string, _ micros.Micros) bool {
-		_, listed := found[name]
+		_, listed := list[name]
 		return !listed
 	})
 	for name, m := range f.Machines {
-		if _, listed := found[name]; !listed && m.CloudListed {
+		if _, listed := list[name]; !listed && m.CloudListed {
 			m.MissedListings++
 		}
 	}
 }
 
-// applyListedMachine takes what the cloud lists of one machine.
+// applyListedMachine updates a machine from its entry in the cloud's list, or adopts it.
 func (f *Fleet) applyListedMachine(entry wire.ListedMachine) {
 	m := f.Machines[entry.Name]
 	if m == nil {
@@ -121,3 +109,17 @@
 	m.Failed = entry.Status == wire.ListFailed
 	m.Endpoint = cmp.Or(m.Endpoint, entry.Endpoint)
 }
+
+// isUnclaimed reports whether no owner claims a listed machine. The list may be twice its usual
+// lag late and still show machines that another owner has terminated, so a machine must stay
+// listed for longer than that.
+func (f *Fleet) isUnclaimed(name string) bool {
+	if f.IsRecentlyTerminated(name) || f.IsOwnedElsewhere(name) || f.ownership.IsClaimedByPeer(name) ||
+		!f.ownership.AdoptsUnclaimed() {
+		return false
+	}
+	if f.unclaimedSince[name] == 0 {
+		f.unclaimedSince[name] = f.now
+	}
+	return f.now-f.unclaimedSince[name] > unclaimedLagFactor*f.settings.CloudListLag
+}
--- /dev/null
+++ b/internal/fleet/demand.go
@@ -0,0 +1,98 @@
+package fleet
+
+import (
+	"tamarindlead/internal/autoscaler"
+	"tamarindlead/internal/inventory"
+	"tamarindlead/micros"
+	"tamarindlead/sched"
+)
+
+// retrySoonWindow is the rest of a job's back-off in which its work counts as demand already.
+const retrySoonWindow = 5 * micros.Second
+
+// demandKey identifies the jobs that fit the same machines.
+type demandKey struct {
+	gang, spot  bool
+	zone, types string
+}
+
+// Demands groups the active jobs by the machines that they fit.
+func (f *Fleet) Demands() []*autoscaler.Demand {
+	f.refresh()
+	return f.demands()
+}
+
+func (f *Fleet) demands() []*autoscaler.Demand {
+	byKey := map[demandKey]*autoscaler.Demand{}
+	countedByTeam := map[string]sched.Resources{} // by the jobs so far, towards the quota limit
+	var list []*autoscaler.Demand
+	for _, j := range f.Queue {
+		if j.State != inventory.JobActive {
+			continue
+		}
+		key := demandKey{j.Gang, j.Spot, j.Zone, f.classes.TypesKey(j.Class)}
+		d := byKey[key]
+		if d == nil {
+			d = autoscaler.NewDemand(j.Job, f.jobs.MaxQueueingDelay(j))
+			byKey[key] = d
+			list = append(list, d)
+		}
+		f.addDemand(d, j, countedByTeam)
+	}
+	return list
+}
+
+// addDemand adds a job's placed and pending tasks to a demand. Each job may use all that its
+// team's quota limit leaves, but all jobs of the team together may use it only once.
+func (f *Fleet) addDemand(d *autoscaler.Demand, j *inventory.Job, countedByTeam map[string]sched.Resources) {
+	d.MaxWait = min(d.MaxWait, f.jobs.MaxQueueingDelay(j))
+	for _, a := range j.Attempts {
+		if !a.ResourcesReleased {
+			offer := a.Machine.Offer()
+			d.UsedByOffer[offer] = d.UsedByOffer[offer].Add(j.Need)
+		}
+	}
+	if j.Gang {
+		j.MinOnDemandTasks = f.jobs.MinOnDemandTasks(j)
+	}
+	tasks := min(j.Pending, f.jobs.QuotaHeadroom(j, sched.Resources{}))
+	if tasks <= 0 || f.now+retrySoonWindow < j.BackoffUntil {
+		return
+	}
+	f.addPendingWork(d, j, tasks)
+	countedOnce := min(tasks, f.jobs.QuotaHeadroom(j, countedByTeam[j.Team]))
+	countedByTeam[j.Team] = countedByTeam[j.Team].Add(j.Need.Times(countedOnce))
+	d.QuotaHeadroom += float64(countedOnce) * autoscaler.TaskCPUs(j.Job)
+	d.QuotaLimited = d.QuotaLimited || countedOnce < j.Pending
+}
+
+// addPendingWork adds tasks of a job that are not placed to a demand.
+func (f *Fleet) addPendingWork(d *autoscaler.Demand, j *inventory.Job, tasks int) {
+	work := float64(tasks) * autoscaler.TaskCPUs(j.Job) * max(f.EstimatedRunTime(j).Seconds(), 1)
+	d.PendingCPUSeconds += work
+	if j.Priority == sched.Low && !f.jobs.IsUrgent(j) {
+		d.LowPriorityCPUSeconds += work
+		d.LowPriorityMaxWait = max(d.LowPriorityMaxWait, f.MaxWait(j))
+	}
+	if j.Gang && tasks == j.Tasks {
+		d.Gangs = append(d.Gangs, autoscaler.Gang{Job: j.Job, Reserved: f.jobs.HasReservation(j)})
+	}
+}
+
+// MaxWait returns how long a job may wait by the SLOs of its class.
+func (f *Fleet) MaxWait(j *inventory.Job) micros.Micros {
+	return autoscaler.WaitTarget(f.settings.SLOs, j.Class, j.Gang, f.EstimatedRunTime(j), f.settings.Tuning.QueueTarget)
+}
+
+// EstimatedRunTime returns the user's estimate of a task's run time, corrected by the run times of
+// completed tasks of its class.
+func (f *Fleet) EstimatedRunTime(j *inventory.Job) micros.Micros {
+	return f.classes.CorrectedEstimate(j.Class, j.Estimate)
+}
+
+// RecordRunTime adds the run time of a completed task to the statistics of its class.
+func (f *Fleet) RecordRunTime(a *inventory.Attempt) {
+	if a.RunningSince != 0 {
+		f.classes.RecordRunTime(a.Job.Class, f.host.Now()-a.RunningSince, a.Job.Estimate)
+	}
+}
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -1,17 +1,7 @@
-// Package fleet manages an owner's machines as a whole. It finds machines that are lost, decides
-// to decommission them and has the cloud terminate them, compares the machines with the cloud's
-// list, and plans and requests scale-out and scale-in. It owns the scale-out requests, the cloud's
-// refusals, the zones behind a network partition, and the names of machines that were terminated
-// or belong to another owner.
-//
-// How much capacity is needed is decided by package autoscaler, which tasks run where by the
-// scheduler, and how the records are written by the commit pipeline: the fleet reaches these
-// through narrow interfaces. It has no clock, no network and no goroutine.
 package fleet
 
 import (
 	"log/slog"
-	"maps"
 
 	"tamarindlead/config"
 	"tamarindlead/internal/autoscaler"
@@ -24,8 +14,9 @@
 
 // Host is what the fleet needs of its owner and the node.
 type Host interface {
-	// Now and WallClock return the times of the present event.
+	// Now returns the time of the present event on a clock that only moves forward.
 	Now() micros.Micros
+	// WallClock returns the time of day of the present event.
 	WallClock() micros.Micros
 	// MachineTypes returns the machine types of the cloud, as far as they are known.
 	MachineTypes() []sched.MachineType
@@ -90,8 +81,9 @@
 	Evict(a *inventory.Attempt, reason string)
 	// RequestMachines asks other owners for machines for tasks of a job.
 	RequestMachines(job *sched.Job, tasks int)
-	// RecordSpotUptime and RecordSpotReclaimed update the statistics of spot machines.
+	// RecordSpotUptime adds an autoscaling interval to the uptime of each spot machine.
 	RecordSpotUptime()
+	// RecordSpotReclaimed counts the loss of a machine, if it is a spot machine, once.
 	RecordSpotReclaimed(m *inventory.Machine)
 }
 
@@ -118,8 +110,9 @@
 	cloud     Cloud
 	jobs      Jobs
 
-	// now, wallClock and types are those of the present event. Every entry point updates them,
-	// so that loops over machines need not call the host for each machine.
+	// now, wallClock and types are those of the present event. Every exported method and callback
+	// that uses them calls refresh first, so that loops over machines need not call the host for
+	// each machine.
 	now       micros.Micros
 	wallClock micros.Micros
 	types     []sched.MachineType
@@ -128,7 +121,7 @@
 	recentlyTerminated map[string]micros.Micros // by machine, until when it is remembered
 	ownedElsewhere     map[string]micros.Micros // machines of other owners, until when that is assumed
 	unclaimedSince     map[string]micros.Micros // listed machines that no owner claims
-	partitionedSince   map[string]micros.Micros // by zone
+	partitionedSince   map[string]micros.Micros // zones behind a network partition
 
 	scaleOutRequests map[string]*scaleOutRequest
 	refusedOffers    map[autoscaler.Offer]micros.Micros // not requested until then
@@ -153,18 +146,10 @@
 	}
 }
 
-// updateTime takes the times and machine types of the present event.
-func (f *Fleet) updateTime() {
+// refresh updates now, wallClock and types at the beginning of an event.
+func (f *Fleet) refresh() {
 	f.now, f.wallClock, f.types = f.host.Now(), f.host.WallClock(), f.host.MachineTypes()
 }
 
 // Reset drops the scale-out requests, before the records are recovered.
 func (f *Fleet) Reset() { clear(f.scaleOutRequests) }
-
-// RemoveExpired forgets machines that were terminated, or belong to other owners, long ago.
-func (f *Fleet) RemoveExpired() {
-	f.updateTime()
-	for _, list := range []map[string]micros.Micros{f.recentlyTerminated, f.ownedElsewhere} {
-		maps.DeleteFunc(list, func(_ string, until micros.Micros) bool { return f.now > until })
-	}
-}
--- a/internal/fleet/health.go
+++ b/internal/fleet/health.go
@@ -2,258 +2,211 @@
 
 import (
 	"tamarindlead/internal/inventory"
-	"tamarindlead/internal/wire"
 	"tamarindlead/micros"
 )
 
-// This file finds machines that can't be used any more, and decides to delete them. Zones that
-// are cut off are found in partitions.go.
-
-// Bounds of what is taken for lost.
+// Bounds beyond which a machine, or this node, counts as faulty.
 const (
-	// maxMissedHeartbeats is how many reports in a row may be missing without any meaning.
+	// maxMissedHeartbeats is how many heartbeats in a row may be missing without any meaning.
 	maxMissedHeartbeats = 2
 	// maxMissedListings is how many readings of the cloud's list in a row must lack a machine.
 	maxMissedListings = 2
-	// isolatedTimeoutFactor is how many times the usual silence a machine is given if no worker at
-	// all is heard: the fault is likely on this side.
+	// isolatedTimeoutFactor prolongs the heartbeat timeout while no machine at all sends
+	// heartbeats: the fault is probably this node's.
 	isolatedTimeoutFactor = 3
-	// unreachableTimeoutFactor is how many times the usual silence a machine may be unreachable
+	// unreachableTimeoutFactor is how many heartbeat timeouts a machine may be unreachable
 	// while many are.
 	unreachableTimeoutFactor = 4
-	// minUnreachableMachines and unreachableDivisor give the number of machines that may be taken for
-	// unreachable at the same time: that part of all, but so many at the least.
+	// minUnreachableMachines and unreachableDivisor give the number of machines that may be
+	// unreachable at the same time before this node counts as faulty: that part of all
+	// machines, and at least the minimum.
 	minUnreachableMachines = 2
 	unreachableDivisor     = 10
-	// defaultBootTime is taken for the boot time of machines whose type is not known.
+	// defaultBootTime is the boot time of machines whose type is not known.
 	defaultBootTime = micros.Minute
-)
-
-// A silent machine with a task of a cancelled job is given up once OverdueDecommissionFraction of the
-// time has passed that its tasks have to be gone, whatever else it runs and however lately this
-// node took over. Once overdueTerminateFraction of it has, the cloud is asked to delete it even if
-// the decision cannot be recorded: the state service may be away for longer. Should that request
-// be executed late, under another owner, the machine is lost as any machine may be.
-const (
-	OverdueDecommissionFraction = 0.5
-	overdueTerminateFraction    = 0.6
-	// inspectTimeout is left to a machine that was taken over and asked for its report, when
-	// there is no time for more: each of many leaders in a row would wait anew.
+	// inspectTimeout is how long a machine has to answer an inspection after a failover, when
+	// there is no time for more: each of several leaders in a row would wait anew.
 	inspectTimeout = 3 * micros.Second
 )
 
-// decommissionReason tells why a machine is to be deleted.
-type decommissionReason string
-
 const (
-	decommissionNone         decommissionReason = ""
-	decommissionOverdue      decommissionReason = "is silent with tasks of a cancelled job"
-	decommissionBootTimeout  decommissionReason = "never came up"
-	decommissionFailed       decommissionReason = "has failed"
-	decommissionUnlisted     decommissionReason = "is not listed any more"
-	decommissionUnresponsive decommissionReason = "is silent"
-	decommissionUnreachable  decommissionReason = "reports, but hears nothing"
-	decommissionDrained      decommissionReason = "is empty"
+	// OverdueDecommissionFraction is the fraction of the cancellation deadline after which an
+	// unresponsive machine with a task of a cancelled job is decommissioned, whatever else it
+	// runs and however recent the failover is.
+	OverdueDecommissionFraction = 0.5
+	// overdueTerminateFraction is the fraction after which the cloud is asked to terminate the
+	// machine even if the decision cannot be recorded: the key-value store may be unavailable
+	// for longer. Should that request be executed late, under another owner, the machine is
+	// lost as any machine may be.
+	overdueTerminateFraction = 0.6
 )
 
-// isMachineLoss tells that the machine is gone by itself, rather than given up by this node.
-func (r decommissionReason) isMachineLoss() bool {
-	return r == decommissionFailed || r == decommissionUnlisted || r == decommissionUnresponsive
-}
-
-// fleetHealth is what all machines together tell about this node.
-type fleetHealth struct {
-	isolated        bool // no worker is heard: the fault is likely on this side
-	manyUnreachable bool // too many machines hear nothing for the fault to be theirs
-}
-
-func (f *Fleet) fleetHealth() fleetHealth {
-	unreachable := 0
-	for _, m := range f.SortedMachines {
-		if f.isUnreachable(m) {
-			unreachable++
-		}
-	}
-	return fleetHealth{
-		isolated:        f.now-max(f.host.LastHeartbeat(), f.host.ActiveSince()) > maxMissedHeartbeats*f.settings.HeartbeatInterval,
-		manyUnreachable: unreachable > max(minUnreachableMachines, len(f.SortedMachines)/unreachableDivisor),
-	}
-}
-
-// isUnreachable tells that a machine's reports arrive while nothing reaches it: it has not shown
-// our token for long. What runs there goes on until its lease ends; then it is idle and
-// paid for.
-func (f *Fleet) isUnreachable(m *inventory.Machine) bool {
-	return m.FencingToken != 0 && m.State >= inventory.MachineReady && m.State <= inventory.MachineTransferring && !m.TokenConfirmed &&
-		f.now-m.TokenConfirmedAt > f.settings.HeartbeatTimeout()+maxMissedHeartbeats*f.settings.HeartbeatInterval
-}
-
-// cancellationOverdue tells that so much of the time has passed in which a task on the machine, whose
-// job was cancelled, has to be gone.
-func (f *Fleet) cancellationOverdue(m *inventory.Machine, share float64) bool {
-	return f.CancellationOverdue(m, share, f.now)
-}
-
-func (f *Fleet) CancellationOverdue(m *inventory.Machine, share float64, now micros.Micros) bool {
-	limit := micros.Micros(share * float64(f.settings.CancellationDeadline))
-	for _, a := range m.Attempts {
-		if a.Job.State == inventory.JobEnded && a.Job.EndedAt != 0 && !a.ResourcesReleased && now-a.Job.EndedAt > limit {
-			return true
-		}
-	}
-	return false
-}
-
-// sinceLastHeartbeat is how long a machine has not reported here.
-func (f *Fleet) sinceLastHeartbeat(m *inventory.Machine) micros.Micros {
-	if m.AgentEpoch == 0 {
-		return f.now - f.host.ActiveSince()
-	}
-	return f.now - min(m.LastHeartbeat, f.now)
-}
-
-// unresponsiveFor is how long a machine is silent without a known reason.
-func (f *Fleet) unresponsiveFor(m *inventory.Machine) micros.Micros {
-	return f.now - max(m.LastHeartbeat, m.HeartbeatGraceUntil)
+// nodeHealth is what all machines together show about this node.
+type nodeHealth struct {
+	isolated        bool // no machine sends heartbeats: the fault is probably this node's
+	manyUnreachable bool // too many machines are unreachable for the fault to be theirs
 }
 
-// checkMachineHealth gives up machines that do not report, and returns empty ones that are to
-// go. If no worker at all is heard, the fault is likely on this side. The decision is
-// recorded before the cloud is asked: a controller that was cut off, and so hears no
-// worker, cannot record it, while its requests to the cloud could be held back and
-// executed after another has taken over.
+// CheckHealth decommissions the machines that are lost, and the drained ones that are empty. The
+// decision is recorded before the cloud is asked: a controller that is cut off, and therefore
+// receives no heartbeats, cannot record it, while its requests to the cloud could be delayed and
+// executed after a failover.
 func (f *Fleet) CheckHealth() {
-	f.updateTime()
-	fleet := f.fleetHealth()
+	f.refresh()
+	node := f.nodeHealth()
 	f.detectPartitions()
 	for _, m := range f.SortedMachines {
 		if f.mustDecommission(m) {
-			f.decommission(m, decommissionOverdue)
+			f.decommission(m, DecommissionCancellationOverdue)
 		}
 		switch {
 		case m.State == inventory.MachineDecommissioning:
 			f.TerminationNeeded = f.TerminationNeeded || f.cancellationOverdue(m, overdueTerminateFraction)
 		case hasBooted(m):
-			f.decommission(m, f.checkRunning(m, fleet))
+			f.decommission(m, f.checkRunning(m, node))
 		case m.State == inventory.MachineBooting:
 			f.decommission(m, f.checkBooting(m))
 		}
 	}
 }
 
-// decommission decides to delete a machine, if there is a reason.
-func (f *Fleet) decommission(m *inventory.Machine, reason decommissionReason) {
-	if reason == decommissionNone {
+// decommission decides to terminate a machine, if there is a reason.
+func (f *Fleet) decommission(m *inventory.Machine, reason DecommissionReason) {
+	if reason == NotDecommissioned {
 		return
 	}
 	if reason.isMachineLoss() {
 		f.jobs.RecordSpotReclaimed(m)
 	}
-	f.SetMachineState(m, inventory.MachineDecommissioning, string(reason))
+	f.SetMachineState(m, inventory.MachineDecommissioning, reason.String())
 }
 
-// hasBooted tells whether a machine takes part, so that it should report. What had work before
-// this node took over was up.
-func hasBooted(m *inventory.Machine) bool {
-	return m.State >= inventory.MachineReady && m.State <= inventory.MachineTransferring ||
-		m.State == inventory.MachineBooting && m.Recovered && len(m.Attempts) > 0
+// nodeHealth evaluates what all machines together show about this node.
+func (f *Fleet) nodeHealth() nodeHealth {
+	unreachable := 0
+	for _, m := range f.SortedMachines {
+		if f.isUnreachable(m) {
+			unreachable++
+		}
+	}
+	sinceHeartbeat := f.now - max(f.host.LastHeartbeat(), f.host.ActiveSince())
+	return nodeHealth{
+		isolated:        sinceHeartbeat > f.heartbeatTolerance(),
+		manyUnreachable: unreachable > max(minUnreachableMachines, len(f.SortedMachines)/unreachableDivisor),
+	}
 }
 
-// mustDecommission tells that a machine is silent with a task that has to be gone before long.
+// mustDecommission reports whether an unresponsive machine has a task that must be gone soon.
 func (f *Fleet) mustDecommission(m *inventory.Machine) bool {
 	if m.State >= inventory.MachineDecommissioning || !f.cancellationOverdue(m, OverdueDecommissionFraction) {
 		return false
 	}
-	patience := maxMissedHeartbeats * f.settings.HeartbeatInterval
+	timeout := f.heartbeatTolerance()
 	if m.AgentEpoch == 0 && f.cancellationOverdue(m, overdueTerminateFraction) {
-		patience = inspectTimeout
+		timeout = inspectTimeout
 	}
-	return f.sinceLastHeartbeat(m) > patience
+	return f.sinceLastHeartbeat(m) > timeout
 }
 
-// checkBooting looks at a machine that has not reported yet. After a takeover it may have been
-// up all the while.
-func (f *Fleet) checkBooting(m *inventory.Machine) decommissionReason {
+// checkBooting returns why a machine that has sent no heartbeat yet must be decommissioned, if
+// so. After a failover it may have been up all the time.
+func (f *Fleet) checkBooting(m *inventory.Machine) DecommissionReason {
 	if f.retainedInPartition(m) {
-		return decommissionNone
+		return NotDecommissioned
 	}
 	boot := defaultBootTime
 	if t := findType(f.types, m.Type); t != nil {
 		boot = t.Boot
 	}
-	patience := micros.Micros(f.settings.Tuning.BootTimeoutFactor*float64(boot)) + f.settings.HeartbeatTimeout()
-	if m.Failed || f.wallClock-m.ProvisionedAt > patience && f.unresponsiveFor(m) > f.settings.HeartbeatTimeout() {
-		return decommissionBootTimeout
+	heartbeatTimeout := f.settings.HeartbeatTimeout()
+	bootTimeout := micros.Micros(f.settings.Tuning.BootTimeoutFactor*float64(boot)) + heartbeatTimeout
+	if m.Failed || f.wallClock-m.ProvisionedAt > bootTimeout && f.unresponsiveFor(m) > heartbeatTimeout {
+		return DecommissionBootTimeout
 	}
-	return decommissionNone
+	return NotDecommissioned
 }
 
-// checkRunning looks at a machine that should report.
-func (f *Fleet) checkRunning(m *inventory.Machine, fleet fleetHealth) decommissionReason {
-	silent, limit := f.unresponsiveFor(m), f.machineHeartbeatTimeout(m)
+// checkRunning returns why a machine that should send heartbeats must be decommissioned, if so.
+func (f *Fleet) checkRunning(m *inventory.Machine, node nodeHealth) DecommissionReason {
+	unresponsive, timeout := f.unresponsiveFor(m), f.machineHeartbeatTimeout(m)
 	switch {
 	case m.Failed:
-		return decommissionFailed
-	case m.MissedListings >= maxMissedListings && silent > maxMissedHeartbeats*f.settings.HeartbeatInterval:
-		return decommissionUnlisted
-	case silent > limit && (f.retainedInPartition(m) || f.retainedForGangs(m)):
-		return decommissionNone
-	case silent > limit && (!fleet.isolated || silent > isolatedTimeoutFactor*limit):
-		return decommissionUnresponsive
-	case f.isUnreachable(m) && f.unreachableTimedOut(m, fleet):
-		return decommissionUnreachable
+		return DecommissionFailed
+	case m.MissedListings >= maxMissedListings && unresponsive > f.heartbeatTolerance():
+		return DecommissionUnlisted
+	case unresponsive > timeout && (f.retainedInPartition(m) || f.retainedForGangs(m)):
+		return NotDecommissioned
+	case unresponsive > timeout && (!node.isolated || unresponsive > isolatedTimeoutFactor*timeout):
+		return DecommissionUnresponsive
+	case f.isUnreachable(m) && f.unreachableTimedOut(m, node):
+		return DecommissionUnreachable
 	case m.State == inventory.MachineDraining && len(m.Attempts) == 0 && m.FencingToken != 0:
-		return decommissionDrained
+		return DecommissionDrained
 	}
-	return decommissionNone
+	return NotDecommissioned
 }
 
-// machineHeartbeatTimeout is how long a machine may be silent: not for long once the cloud takes it.
-func (f *Fleet) machineHeartbeatTimeout(m *inventory.Machine) micros.Micros {
-	if m.ReclaimAt != 0 && f.now > m.ReclaimAt {
-		return f.settings.HeartbeatInterval * 3 / 2
-	}
-	return f.settings.HeartbeatTimeout()
+// hasBooted reports whether a machine should send heartbeats. A machine that had work before a
+// failover was up.
+func hasBooted(m *inventory.Machine) bool {
+	return m.State >= inventory.MachineReady && m.State <= inventory.MachineTransferring ||
+		m.State == inventory.MachineBooting && m.Recovered && len(m.Attempts) > 0
 }
 
-// unreachableTimedOut tells whether an unreachable machine is given up. With many of them the
-// fault is likely on this side: answers that come too late are dropped too.
-func (f *Fleet) unreachableTimedOut(m *inventory.Machine, fleet fleetHealth) bool {
-	return !fleet.manyUnreachable || f.now-m.TokenConfirmedAt > unreachableTimeoutFactor*f.settings.HeartbeatTimeout()
+// isUnreachable reports whether a machine's heartbeats arrive while nothing reaches the machine:
+// it has not confirmed its fencing token for long. Its tasks continue until its lease ends; then
+// it is idle, and still paid for.
+func (f *Fleet) isUnreachable(m *inventory.Machine) bool {
+	return m.FencingToken != 0 && m.State >= inventory.MachineReady && m.State <= inventory.MachineTransferring && !m.TokenConfirmed &&
+		f.now-m.TokenConfirmedAt > f.settings.HeartbeatTimeout()+f.heartbeatTolerance()
 }
 
-// retainedForGangs tells that a silent machine is kept since it works on, as others show: tasks
-// whose gang lost one end within GangPeer, but those of its gangs on other machines were
-// reported running later than that. Its worker may come back until its lease ends; to give
-// it up would stop whole gangs. Not one with tasks of a job that is over, nor one that the
-// cloud takes.
-func (f *Fleet) retainedForGangs(m *inventory.Machine) bool {
-	if f.unresponsiveFor(m) > f.settings.WorkerLease || m.Failed || m.ReclaimAt != 0 {
-		return false
-	}
-	gang := false
-	for _, a := range m.Attempts {
-		switch {
-		case a.Job.State == inventory.JobEnded:
-			return false
-		case !a.Job.Gang || a.ResourcesReleased:
-			continue
-		case a.Job.GangState != inventory.GangStarting || !f.gangPeerRunning(a):
-			return false
-		}
-		gang = true
-	}
-	return gang
+// unreachableTimedOut reports whether an unreachable machine is given up. With many of them the
+// fault is probably this node's: responses that arrive too late are dropped too.
+func (f *Fleet) unreachableTimedOut(m *inventory.Machine, node nodeHealth) bool {
+	return !node.manyUnreachable || f.now-m.TokenConfirmedAt > unreachableTimeoutFactor*f.settings.HeartbeatTimeout()
 }
 
-// gangPeerRunning tells that a task of the same gang was reported running after this one's
-// machine fell silent, later than it would have noticed that this one is gone.
-func (f *Fleet) gangPeerRunning(a *inventory.Attempt) bool {
-	for _, b := range a.Job.Attempts {
-		if b.Machine != a.Machine && b.State == inventory.AttemptLive && b.Phase == wire.PhaseRunning &&
-			b.Machine.LastHeartbeat > a.Machine.LastHeartbeat+f.settings.GangFailureTimeout {
+func (f *Fleet) cancellationOverdue(m *inventory.Machine, fraction float64) bool {
+	return f.CancellationOverdue(m, fraction, f.now)
+}
+
+// CancellationOverdue reports whether a machine has a task whose job ended at least that fraction
+// of the cancellation deadline ago.
+func (f *Fleet) CancellationOverdue(m *inventory.Machine, fraction float64, now micros.Micros) bool {
+	limit := micros.Micros(fraction * float64(f.settings.CancellationDeadline))
+	for _, a := range m.Attempts {
+		if a.Job.State == inventory.JobEnded && a.Job.EndedAt != 0 && !a.ResourcesReleased && now-a.Job.EndedAt > limit {
 			return true
 		}
 	}
 	return false
 }
+
+// heartbeatTolerance returns for how long missing heartbeats have no meaning.
+func (f *Fleet) heartbeatTolerance() micros.Micros {
+	return maxMissedHeartbeats * f.settings.HeartbeatInterval
+}
+
+// machineHeartbeatTimeout returns how long a machine may be unresponsive: not for long once the
+// cloud has reclaimed it.
+func (f *Fleet) machineHeartbeatTimeout(m *inventory.Machine) micros.Micros {
+	if m.ReclaimAt != 0 && f.now > m.ReclaimAt {
+		return f.settings.HeartbeatInterval * 3 / 2
+	}
+	return f.settings.HeartbeatTimeout()
+}
+
+// sinceLastHeartbeat returns the time since a machine's last heartbeat to this owner.
+func (f *Fleet) sinceLastHeartbeat(m *inventory.Machine) micros.Micros {
+	if m.AgentEpoch == 0 {
+		return f.now - f.host.ActiveSince()
+	}
+	return f.now - min(m.LastHeartbeat, f.now)
+}
+
+// unresponsiveFor returns how long a machine's heartbeats have been missing without a known
+// reason.
+func (f *Fleet) unresponsiveFor(m *inventory.Machine) micros.Micros {
+	return f.now - max(m.LastHeartbeat, m.HeartbeatGraceUntil)
+}
--- a/internal/fleet/partitions.go
+++ b/internal/fleet/partitions.go
@@ -5,38 +5,37 @@
 	"tamarindlead/internal/ordered"
 )
 
-// This file finds zones that are cut off from this node.
-
-// A zone is partitioned when of at least minZoneMachines machines at most maxResponsiveFraction are
-// heard, while some elsewhere are.
+// A zone is partitioned when at most maxResponsiveFraction of at least minZoneMachines machines
+// respond, while some in other zones do.
 const (
 	minZoneMachines       = 4
 	maxResponsiveFraction = 0.15
 )
 
-// zoneHealth counts the machines of a zone by whether they report.
+// zoneHealth counts the machines of a zone by whether they send heartbeats.
 type zoneHealth struct {
 	unresponsive int
 	responsive   int
 }
 
-// partitioned tells whether a zone is cut off, given how many machines are heard in all zones.
-func (z zoneHealth) partitioned(heardInAll int) bool {
+// partitioned reports whether a zone is partitioned, given how many machines respond in all zones.
+func (z zoneHealth) partitioned(responsiveInAll int) bool {
 	all := z.unresponsive + z.responsive
-	return all >= minZoneMachines && float64(z.responsive) <= maxResponsiveFraction*float64(all) && heardInAll > z.responsive
+	return all >= minZoneMachines && float64(z.responsive) <= maxResponsiveFraction*float64(all) && responsiveInAll > z.responsive
 }
 
-// detectPartitions finds zones that are cut off: nothing is rented there, and machines on which
-// gangs run are not given up at once, for what runs there goes on (see retainedInPartition).
+// detectPartitions finds the zones that are cut off from this node: no machines are requested
+// there, and some are not given up at once (see retainedInPartition), since their tasks continue.
 func (f *Fleet) detectPartitions() {
-	zones, heardInAll := f.zoneHealth()
+	zones, responsiveInAll := f.zoneHealth()
 	for _, zone := range ordered.Keys(zones) {
 		health := *zones[zone]
-		partitioned := health.partitioned(heardInAll)
+		partitioned := health.partitioned(responsiveInAll)
 		if partitioned == (f.partitionedSince[zone] != 0) {
 			continue
 		}
-		f.log.Warn("zone", "zone", zone, "partitioned", partitioned, "silent", health.unresponsive, "heard", health.responsive)
+		f.log.Warn("network partition state changed", "zone", zone, "partitioned", partitioned,
+			"unresponsive", health.unresponsive, "responsive", health.responsive)
 		if partitioned {
 			f.partitionedSince[zone] = f.now
 		} else {
@@ -46,9 +45,11 @@
 	}
 }
 
-// zoneHealth counts by zone, and in all, which machines are heard.
-func (f *Fleet) zoneHealth() (zones map[string]*zoneHealth, heardInAll int) {
+// zoneHealth counts the responsive and unresponsive machines by zone, and the responsive ones in
+// all zones.
+func (f *Fleet) zoneHealth() (zones map[string]*zoneHealth, responsiveInAll int) {
 	zones = map[string]*zoneHealth{}
+	tolerance := f.heartbeatTolerance()
 	for _, m := range f.SortedMachines {
 		zone := zones[m.Zone]
 		if zone == nil {
@@ -57,17 +58,18 @@
 		}
 		switch {
 		case !hasBooted(m):
-		case f.now-m.LastHeartbeat > maxMissedHeartbeats*f.settings.HeartbeatInterval:
+		case f.now-m.LastHeartbeat > tolerance:
 			zone.unresponsive++
 		case m.AgentEpoch != 0:
 			zone.responsive++
-			heardInAll++
+			responsiveInAll++
 		}
 	}
-	return zones, heardInAll
+	return zones, responsiveInAll
 }
 
-// extendHeartbeatGrace gives the workers of a zone that is not cut off any more time to find this node.
+// extendHeartbeatGrace gives the machines of a zone whose partition has ended time to find this
+// node.
 func (f *Fleet) extendHeartbeatGrace(zone string) {
 	for _, m := range f.SortedMachines {
 		if m.Zone == zone {
@@ -76,19 +78,20 @@
 	}
 }
 
-// retainedInPartition tells that a silent machine in a partitioned zone is kept: a gang runs on it,
-// which would lose its work and find no other machine, or gangs will want it as soon as the
-// partition ends. Not one with tasks of a job that is over, which must be gone in time.
+// retainedInPartition reports whether an unresponsive machine in a partitioned zone is kept: a
+// gang runs on it, which would lose its progress and find no other machine, or gangs will need
+// the machine once the partition ends. A machine with tasks of a job that has ended is not kept,
+// since these must be gone in time.
 func (f *Fleet) retainedInPartition(m *inventory.Machine) bool {
 	if f.partitionedSince[m.Zone] == 0 || f.unresponsiveFor(m) > f.settings.Tuning.PartitionTimeout || m.Failed || m.ReclaimAt != 0 {
 		return false
 	}
-	gang := len(m.Attempts) == 0 && f.isScarce(m) && m.State <= inventory.MachineReady
+	retained := len(m.Attempts) == 0 && f.isScarce(m) && m.State <= inventory.MachineReady
 	for _, a := range m.Attempts {
 		if a.Job.State == inventory.JobEnded {
 			return false
 		}
-		gang = gang || a.Job.Gang
+		retained = retained || a.Job.Gang
 	}
-	return gang
+	return retained
 }
--- a/internal/fleet/planning.go
+++ b/internal/fleet/planning.go
@@ -8,63 +8,24 @@
 	"tamarindlead/sched"
 )
 
-// This file describes machines, rentals and waiting work to the policy of renting
-// (internal/capacity), and carries out what it decides.
-
-// Times between decisions about capacity.
 const (
+	// AutoscalingInterval is the time between two plans.
 	AutoscalingInterval = micros.Second
+	// scaleInInterval is the least time between two plans that may drain machines: tasks of
+	// machines that were drained find other machines in between.
+	scaleInInterval = 2 * micros.Second
 	// arrayRequestInterval is the least time between two requests to other owners for arrays,
 	// which need machines less urgently than gangs.
 	arrayRequestInterval = 8 * micros.Second
-	scaleInInterval      = 2 * micros.Second // what leaves drained machines finds its place meanwhile
-)
-
-const (
-	// minConsolidationSaving is how much machine time moving tasks off a drained machine must save.
+	// minConsolidationSaving is how much machine time the eviction of a drained machine's tasks
+	// must save.
 	minConsolidationSaving = 15 * micros.Second
-	// retrySoonWindow is the rest of a job's pause after failures in which its work counts already.
-	retrySoonWindow = 5 * micros.Second
 )
 
-// catalog is what the cloud rents, as far as this node knows.
-func (f *Fleet) catalog() autoscaler.Catalog {
-	return autoscaler.Catalog{Types: f.types, MaxTasks: inventory.MaxEntryTasks}
-}
-
-// market is what may be rented now.
-func (f *Fleet) market() autoscaler.Market {
-	return autoscaler.Market{Catalog: f.catalog(), Now: f.now, UnavailableUntil: f.refusedOffers, Partitioned: f.partitionedSince}
-}
-
-// isScarce tells that some recent class of jobs fits no other type than the machine's.
-func (f *Fleet) isScarce(m *inventory.Machine) bool { return f.classes.Scarce(f.now, m.Type, m.Spot) }
-
-// Market returns what may be requested of the cloud now.
-func (f *Fleet) Market() autoscaler.Market {
-	f.updateTime()
-	return f.market()
-}
-
-// observeRunTime learns from a task that completed.
-func (f *Fleet) ObserveRunTime(a *inventory.Attempt) {
-	if a.RunningSince != 0 {
-		f.classes.RecordRunTime(a.Job.Class, f.host.Now()-a.RunningSince, a.Job.Estimate)
-	}
-}
-
-// pruneClasses drops the statistics of classes that no job uses any more.
-func (f *Fleet) pruneClasses() {
-	inUse := map[string]bool{}
-	for _, j := range f.Queue {
-		inUse[j.Class] = true
-	}
-	f.classes.RemoveExpired(f.now, inUse, f.catalog())
-}
-
-// tickAutoscaling asks for rentals and decides about more of them, and about machines to drain.
+// TickAutoscaling sends the scale-out requests that are recorded and, when it is due, plans
+// further ones and which machines to drain.
 func (f *Fleet) TickAutoscaling() {
-	f.updateTime()
+	f.refresh()
 	for _, name := range ordered.Keys(f.scaleOutRequests) {
 		if r := f.scaleOutRequests[name]; r.state == scaleOutRequested {
 			f.sendScaleOutRequest(r)
@@ -74,10 +35,10 @@
 		return
 	}
 	f.nextAutoscaling = f.now + AutoscalingInterval
-	f.SchedulingNeeded = true // pauses of jobs end without an event
+	f.SchedulingNeeded = true // the back-off of a job ends without an event
 	f.jobs.RecordSpotUptime()
-	f.pruneClasses()
-	demands := f.Demands()
+	f.removeExpiredClasses()
+	demands := f.demands()
 	planner := f.newPlanner(demands)
 	if planner.MayScaleIn {
 		f.nextScaleIn = f.now + scaleInInterval
@@ -85,7 +46,31 @@
 	f.applyPlan(planner.Plan(demands))
 }
 
-// newPlanner describes what there is now.
+// removeExpiredClasses removes the statistics of classes that no job uses any more.
+func (f *Fleet) removeExpiredClasses() {
+	inUse := map[string]bool{}
+	for _, j := range f.Queue {
+		inUse[j.Class] = true
+	}
+	f.classes.RemoveExpired(f.now, inUse, f.catalog())
+}
+
+// Market returns what may be requested of the cloud now.
+func (f *Fleet) Market() autoscaler.Market {
+	f.refresh()
+	return f.market()
+}
+
+func (f *Fleet) market() autoscaler.Market {
+	return autoscaler.Market{Catalog: f.catalog(), Now: f.now, UnavailableUntil: f.refusedOffers, Partitioned: f.partitionedSince}
+}
+
+// catalog returns the machine types of the cloud.
+func (f *Fleet) catalog() autoscaler.Catalog {
+	return autoscaler.Catalog{Types: f.types, MaxTasks: inventory.MaxEntryTasks}
+}
+
+// newPlanner returns a planner that knows the machines and the scale-out requests.
 func (f *Fleet) newPlanner(demands []*autoscaler.Demand) *autoscaler.Planner {
 	p := &autoscaler.Planner{
 		Market: f.market(), Classes: f.classes, SLOs: f.settings.SLOs,
@@ -99,19 +84,19 @@
 			p.PendingScaleOuts = append(p.PendingScaleOuts, autoscaler.ScaleOut{Offer: r.offer, Number: r.machineCount})
 		}
 	}
-	gangs := false
+	hasGangs := false
 	for _, d := range demands {
-		gangs = gangs || d.Representative.Gang
+		hasGangs = hasGangs || d.Representative.Gang
 	}
 	for _, m := range f.SortedMachines {
-		p.Machines = append(p.Machines, f.describeMachine(m, gangs))
+		p.Machines = append(p.Machines, f.describeMachine(m, hasGangs))
 	}
 	return p
 }
 
-// describeMachine tells planning about a machine. How long its tasks still take matters for gangs
-// only.
-func (f *Fleet) describeMachine(m *inventory.Machine, forGangs bool) *autoscaler.Machine {
+// describeMachine describes a machine to the planner. The remaining busy time matters only if
+// there are gangs.
+func (f *Fleet) describeMachine(m *inventory.Machine, withBusyTime bool) *autoscaler.Machine {
 	d := &autoscaler.Machine{Name: m.Name, Offer: m.Offer()}
 	switch m.State {
 	case inventory.MachineBooting:
@@ -126,13 +111,14 @@
 	d.Claimed, d.Busy = m.FencingToken != 0, len(m.Attempts) > 0
 	d.Reserved = f.jobs.IsReserved(m.Name)
 	d.OnlySlack = d.Busy && f.isScarce(m) && f.jobs.HasNoDependentTasks(m)
-	if forGangs {
+	if withBusyTime {
 		d.BusyFor = f.RemainingBusyTime(m)
 	}
 	return d
 }
 
-// remainingBusyTime is how long the tasks on a machine still take whose room is not free yet.
+// RemainingBusyTime returns how long the tasks that use resources of a machine are estimated to
+// run still.
 func (f *Fleet) RemainingBusyTime(m *inventory.Machine) micros.Micros {
 	longest := micros.Micros(0)
 	for _, a := range m.Attempts {
@@ -143,7 +129,7 @@
 	return longest
 }
 
-// applyPlan does what was decided about capacity.
+// applyPlan carries out what the planner has decided.
 func (f *Fleet) applyPlan(plan autoscaler.Plan) {
 	for _, request := range plan.ScaleOutRequests {
 		f.requestScaleOut(request)
@@ -160,8 +146,8 @@
 	}
 }
 
-// requestMachinesForArray asks other owners for machines: nothing can be rented for an array, but
-// what they have idle may serve.
+// requestMachinesForArray asks other owners for machines for an array, for which none can be
+// requested of the cloud.
 func (f *Fleet) requestMachinesForArray(shortage autoscaler.Shortage) {
 	if f.now < f.nextArrayRequest {
 		return
@@ -170,8 +156,8 @@
 	f.jobs.RequestMachines(shortage.Job, shortage.Tasks)
 }
 
-// consolidate moves what can save away from a machine that is drained, if it would keep
-// the machine for much longer than saving takes.
+// consolidate evicts the tasks of a drained machine if all of them can write checkpoints, and
+// would otherwise keep the machine busy for much longer than that takes.
 func (f *Fleet) consolidate(m *inventory.Machine) {
 	longest := micros.Micros(0)
 	for _, a := range m.Attempts {
@@ -188,82 +174,14 @@
 	}
 }
 
-// maxWait tells how long a job may wait by its class's objectives.
-func (f *Fleet) MaxWait(j *inventory.Job) micros.Micros {
-	return autoscaler.WaitTarget(f.settings.SLOs, j.Class, j.Gang, f.EstimatedRunTime(j), f.settings.Tuning.QueueTarget)
-}
-
-// estimatedRunTime is the owner's estimate of a task's run time, corrected by what tasks of
-// its class really took.
-func (f *Fleet) EstimatedRunTime(j *inventory.Job) micros.Micros {
-	return f.classes.CorrectedEstimate(j.Class, j.Estimate)
-}
-
-// demandKey tells which jobs fit the same machines.
-type demandKey struct {
-	gang, spot  bool
-	zone, types string
-}
-
-// demands groups the jobs by the machine types that they fit.
-func (f *Fleet) Demands() []*autoscaler.Demand {
-	f.updateTime()
-	byKey := map[demandKey]*autoscaler.Demand{}
-	counted := map[string]sched.Resources{} // of each team's limit, by the jobs before
-	var list []*autoscaler.Demand
-	for _, j := range f.Queue {
-		if j.State != inventory.JobActive {
-			continue
-		}
-		key := demandKey{j.Gang, j.Spot, j.Zone, f.classes.TypesKey(j.Class)}
-		d := byKey[key]
-		if d == nil {
-			d = autoscaler.NewDemand(j.Job, f.jobs.MaxQueueingDelay(j))
-			byKey[key] = d
-			list = append(list, d)
-		}
-		f.addDemand(d, j, counted)
-	}
-	return list
-}
-
-// addDemand adds what runs and what waits of a job. Each job may use all that its team's limit
-// leaves, but all of them together may use it once only.
-func (f *Fleet) addDemand(d *autoscaler.Demand, j *inventory.Job, counted map[string]sched.Resources) {
-	d.MaxWait = min(d.MaxWait, f.jobs.MaxQueueingDelay(j))
-	for _, a := range j.Attempts {
-		if !a.ResourcesReleased {
-			offer := a.Machine.Offer()
-			d.UsedByOffer[offer] = d.UsedByOffer[offer].Add(j.Need)
-		}
-	}
-	if j.Gang {
-		j.MinOnDemandTasks = f.jobs.MinOnDemandTasks(j)
-	}
-	tasks := min(j.Pending, f.jobs.QuotaHeadroom(j, sched.Resources{}))
-	if tasks > 0 && f.now+retrySoonWindow >= j.BackoffUntil {
-		f.addPendingWork(d, j, tasks)
-		once := min(tasks, f.jobs.QuotaHeadroom(j, counted[j.Team]))
-		counted[j.Team] = counted[j.Team].Add(j.Need.Times(once))
-		d.QuotaHeadroom += float64(once) * autoscaler.TaskCPUs(j.Job)
-		d.QuotaLimited = d.QuotaLimited || once < j.Pending
-	}
+// IsScarce reports whether some recent class of jobs fits no other type than the machine's.
+func (f *Fleet) IsScarce(m *inventory.Machine, now micros.Micros) bool {
+	return f.classes.Scarce(now, m.Type, m.Spot)
 }
 
-// addPendingWork adds so many tasks of a job that have no place.
-func (f *Fleet) addPendingWork(d *autoscaler.Demand, j *inventory.Job, tasks int) {
-	work := float64(tasks) * autoscaler.TaskCPUs(j.Job) * max(f.EstimatedRunTime(j).Seconds(), 1)
-	d.PendingCPUSeconds += work
-	if j.Priority == sched.Low && !f.jobs.IsUrgent(j) {
-		d.LowPriorityCPUSeconds += work
-		d.LowPriorityMaxWait = max(d.LowPriorityMaxWait, f.MaxWait(j))
-	}
-	if j.Gang && tasks == j.Tasks {
-		d.Gangs = append(d.Gangs, autoscaler.Gang{Job: j.Job, Reserved: f.jobs.HasReservation(j)})
-	}
-}
+func (f *Fleet) isScarce(m *inventory.Machine) bool { return f.IsScarce(m, f.now) }
 
-// machineSize is what a machine offers, once its type is known.
+// MachineSize returns the size of a machine, and updates it by the machine types of the cloud.
 func MachineSize(m *inventory.Machine, types []sched.MachineType) sched.Resources {
 	if t := findType(types, m.Type); t != nil {
 		m.Size = t.Size
@@ -271,7 +189,7 @@
 	return m.Size
 }
 
-// findType returns the machine type of a name, or nil.
+// findType returns the machine type with a name, or nil.
 func findType(types []sched.MachineType, name string) *sched.MachineType {
 	for i := range types {
 		if types[i].Name == name {
--- a/internal/fleet/scale_out.go
+++ b/internal/fleet/scale_out.go
@@ -1,93 +1,107 @@
 package fleet
 
 import (
+	"fmt"
+	"net/http"
 	"strings"
 
-	"tamarindlead/internal/inventory"
-	"tamarindlead/internal/ordered"
-
 	"tamarindlead/internal/autoscaler"
+	"tamarindlead/internal/inventory"
 	"tamarindlead/internal/kv"
+	"tamarindlead/internal/ordered"
 	"tamarindlead/internal/record"
 	"tamarindlead/internal/wire"
 	"tamarindlead/micros"
 )
 
-// scaleOutState is the state machine of a rental.
+// scaleOutNamePrefix begins the names of scale-out requests.
+const scaleOutNamePrefix = "h-"
+
+// errorNoCapacity is the cloud's error when it has no machines of an offer.
+const errorNoCapacity = "no capacity"
+
+// cloudRetryDelay is the pause after a response of the cloud before a request is repeated.
+const cloudRetryDelay = micros.Second
+
+// scaleOutState is the state of a scale-out request.
 type scaleOutState int
 
+// The states of a scale-out request, in the order in which it passes them.
 const (
 	scaleOutPlanned   scaleOutState = iota // its name must be recorded first
-	scaleOutRequested                      // recorded; the cloud is asked, again if need be
+	scaleOutRequested                      // recorded; it is sent to the cloud, repeatedly if necessary
 	scaleOutGranted                        // its machines must be recorded
-	scaleOutDone                           // its record must go
+	scaleOutDone                           // its record must be deleted
 )
 
-func (s scaleOutState) String() string { return [...]string{"named", "asking", "granted", "over"}[s] }
+func (s scaleOutState) String() string {
+	switch s {
+	case scaleOutPlanned:
+		return "planned"
+	case scaleOutRequested:
+		return "requested"
+	case scaleOutGranted:
+		return "granted"
+	case scaleOutDone:
+		return "done"
+	}
+	return fmt.Sprintf("scaleOutState(%d)", int(s))
+}
 
-// scaleOutRequest is a request for machines.
+// scaleOutRequest is a request for machines of an offer. The cloud answers a request that is
+// repeated under the same name with the same machines.
 type scaleOutRequest struct {
 	name         string
 	offer        autoscaler.Offer
-	machineCount int // of machines
+	machineCount int
 	state        scaleOutState
-	writing      bool          // its record is being written
-	inFlight     bool          // the cloud is being asked
-	nextAttempt  micros.Micros // when the cloud may be asked again
-	machines     []string      // that the cloud gave
+	writing      bool          // a transaction that writes or deletes its record is in flight
+	inFlight     bool          // it was sent to the cloud, which has not answered yet
+	nextAttempt  micros.Micros // when it may be sent again
+	machines     []string      // granted by the cloud
 }
 
-// Paths of the cloud, and the problem that it names when it has no machines of an offer.
-const (
-	problemNoCapacity = "no capacity"
-)
-
-const (
-	// cloudRetryDelay is the pause after an answer of the cloud before it is asked the same again.
-	cloudRetryDelay = micros.Second
-	// maxTerminationsPerCall is how many machines one request may release.
-	maxTerminationsPerCall = 100
-	// terminatedRetention is how long the cloud's list may still show a machine that was returned.
-	terminatedRetention = 120 * micros.Second
-)
+// Transaction collects writes that are committed together.
+type Transaction interface {
+	// Put writes a record.
+	Put(key string, value any)
+	// Delete deletes a record.
+	Delete(key string)
+	// OnResult registers what is done once the transaction has succeeded or failed.
+	OnResult(done func(ok bool))
+}
 
-// setScaleOutState is the one place where a rental changes its state.
+// setScaleOutState is the one place where a scale-out request changes its state.
 func (f *Fleet) setScaleOutState(r *scaleOutRequest, s scaleOutState) {
-	f.log.Info("rental", "name", r.name, "type", r.offer.Type, "zone", r.offer.Zone, "spot", r.offer.Spot,
+	f.log.Info("scale-out state changed", "name", r.name, "type", r.offer.Type, "zone", r.offer.Zone, "spot", r.offer.Spot,
 		"number", r.machineCount, "from", r.state.String(), "to", s.String(), "machines", len(r.machines))
 	r.state = s
 }
 
-// recoverScaleOutRequests takes over the rentals of an earlier owner: the cloud is asked again.
+// RecoverScaleOutRequests takes over the scale-out requests of an earlier owner, which are sent
+// again.
 func (f *Fleet) RecoverScaleOutRequests(entries []kv.Entry) {
 	for _, e := range entries {
-		var rec record.ScaleOutRequest
-		if wire.Decode(e.Value, &rec) != nil {
-			f.log.Error("record cannot be read", "key", e.Key)
+		var recorded record.ScaleOutRequest
+		if err := wire.Decode(e.Value, &recorded); err != nil {
+			f.log.Error("record cannot be decoded", "key", e.Key, "error", err)
 			continue
 		}
-		if !f.ownership.OwnsRecordsOf(rec.Owner) {
+		if !f.ownership.OwnsRecordsOf(recorded.Owner) {
 			continue
 		}
 		name := strings.TrimPrefix(e.Key, record.ScaleOutRequestPrefix)
 		f.scaleOutRequests[name] = &scaleOutRequest{
-			name: name, offer: autoscaler.Offer{Type: rec.Type, Zone: rec.Zone, Spot: rec.Spot}, machineCount: rec.Count, state: scaleOutRequested,
+			name:         name,
+			offer:        autoscaler.Offer{Type: recorded.Type, Zone: recorded.Zone, Spot: recorded.Spot},
+			machineCount: recorded.Count,
+			state:        scaleOutRequested,
 		}
 	}
 }
 
-// Transaction collects writes that are committed together.
-type Transaction interface {
-	// Put writes a record.
-	Put(key string, value any)
-	// Delete deletes a record.
-	Delete(key string)
-	// OnResult registers what is done once the transaction has succeeded or failed.
-	OnResult(done func(ok bool))
-}
-
-// FlushScaleOutRequests records the names of rentals before they are asked for, and removes
-// those that are over.
+// FlushScaleOutRequests records the names of scale-out requests before they are sent, and deletes
+// the records of those that are done, until the transaction is full.
 func (f *Fleet) FlushScaleOutRequests(t Transaction, full func() bool) {
 	for _, name := range ordered.Keys(f.scaleOutRequests) {
 		r := f.scaleOutRequests[name]
@@ -100,37 +114,43 @@
 		if full() {
 			return
 		}
-		r.writing = true
-		key := record.ScaleOutRequestKey(name)
-		if r.state == scaleOutDone {
-			t.Delete(key)
-		} else {
-			t.Put(key, record.ScaleOutRequest{
-				Owner: f.ownership.ID(), Type: r.offer.Type, Zone: r.offer.Zone, Spot: r.offer.Spot, Count: r.machineCount,
-			})
-		}
-		t.OnResult(func(ok bool) {
-			r.writing = false
-			switch {
-			case !ok:
-			case r.state == scaleOutDone:
-				delete(f.scaleOutRequests, name)
-			default:
-				f.setScaleOutState(r, scaleOutRequested)
-			}
+		f.flushScaleOutRequest(t, r)
+	}
+}
+
+// flushScaleOutRequest writes or deletes the record of a scale-out request.
+func (f *Fleet) flushScaleOutRequest(t Transaction, r *scaleOutRequest) {
+	r.writing = true
+	key := record.ScaleOutRequestKey(r.name)
+	if r.state == scaleOutDone {
+		t.Delete(key)
+	} else {
+		t.Put(key, record.ScaleOutRequest{
+			Owner: f.ownership.ID(), Type: r.offer.Type, Zone: r.offer.Zone, Spot: r.offer.Spot, Count: r.machineCount,
 		})
 	}
+	t.OnResult(func(ok bool) {
+		r.writing = false
+		switch {
+		case !ok:
+		case r.state == scaleOutDone:
+			delete(f.scaleOutRequests, r.name)
+		default:
+			f.setScaleOutState(r, scaleOutRequested)
+		}
+	})
 }
 
-// requestScaleOut begins a rental.
+// requestScaleOut adds a scale-out request.
 func (f *Fleet) requestScaleOut(request autoscaler.ScaleOutRequest) {
-	r := &scaleOutRequest{name: "h-" + record.FormatNumber(f.host.NextNumber()), offer: request.Offer, machineCount: request.Number}
-	f.scaleOutRequests[r.name] = r
-	f.log.Info("rental wanted", "name", r.name, "type", r.offer.Type, "zone", r.offer.Zone,
-		"spot", r.offer.Spot, "number", r.machineCount, "class", request.Job.Class, "short_cpus", request.ShortCPUs)
+	name := scaleOutNamePrefix + record.FormatNumber(f.host.NextNumber())
+	offer := request.Offer
+	f.scaleOutRequests[name] = &scaleOutRequest{name: name, offer: offer, machineCount: request.Number}
+	f.log.Info("scale-out planned", "name", name, "type", offer.Type, "zone", offer.Zone,
+		"spot", offer.Spot, "number", request.Number, "class", request.Job.Class, "short_cpus", request.ShortCPUs)
 }
 
-// allMachinesClaimed tells that all machines of a rental are recorded.
+// allMachinesClaimed reports whether all machines of a scale-out request are recorded.
 func (f *Fleet) allMachinesClaimed(r *scaleOutRequest) bool {
 	for _, name := range r.machines {
 		if m := f.Machines[name]; m != nil && m.FencingToken == 0 {
@@ -140,40 +160,50 @@
 	return true
 }
 
-// sendScaleOutRequest asks the cloud for the machines of a rental; asked again, it gives the same answer.
+// mayRequestScaleOut asserts that a scale-out request may be sent to the cloud: its name is recorded.
+func (f *Fleet) mayRequestScaleOut(r *scaleOutRequest) bool {
+	if f.host.IsActive() && r.state == scaleOutRequested {
+		return true
+	}
+	f.host.ReportViolation("a scale-out request without a record", "name", r.name, "state", r.state.String())
+	return false
+}
+
+// sendScaleOutRequest sends a scale-out request to the cloud.
 func (f *Fleet) sendScaleOutRequest(r *scaleOutRequest) {
 	if r.inFlight || f.now < r.nextAttempt || !f.mayRequestScaleOut(r) || !f.cloud.Allow() {
 		return
 	}
 	r.inFlight = true
 	body := wire.ScaleOutRequest{RequestID: r.name, Type: r.offer.Type, Zone: r.offer.Zone, Spot: r.offer.Spot, Number: r.machineCount}
-	f.cloud.Call("POST", wire.PathRentals, body, func(status int, body []byte) {
+	f.cloud.Call(http.MethodPost, wire.PathRentals, body, func(status wire.Status, body []byte) {
 		if f.host.Superseded() {
 			return
 		}
-		f.updateTime()
+		f.refresh()
 		r.inFlight, r.nextAttempt = false, f.now+cloudRetryDelay
 		f.handleScaleOutResponse(r, status, body)
 	})
 }
 
-// handleScaleOutResponse takes the cloud's answer to a rental. After any other answer it is asked again.
+// handleScaleOutResponse handles the cloud's response to a scale-out request. After any other
+// response, or none, the request is sent again.
 func (f *Fleet) handleScaleOutResponse(r *scaleOutRequest, status wire.Status, body []byte) {
-	var names wire.MachineNames
-	var problem wire.ErrorResponse
+	var granted wire.MachineNames
+	var refused wire.ErrorResponse
 	switch {
-	case status == wire.StatusOK && wire.Decode(body, &names) == nil:
-		f.handleScaleOutGranted(r, names.Machines)
-	case status == wire.StatusUnavailable && wire.Decode(body, &problem) == nil && problem.Error == problemNoCapacity:
+	case status == wire.StatusOK && wire.Decode(body, &granted) == nil:
+		f.handleScaleOutGranted(r, granted.Machines)
+	case status == wire.StatusUnavailable && wire.Decode(body, &refused) == nil && refused.Error == errorNoCapacity:
 		f.handleScaleOutRefused(r)
 	case status == wire.StatusBadRequest:
-		f.log.Error("rental refused as malformed", "name", r.name)
+		f.log.Error("scale-out request refused as malformed", "name", r.name)
 		f.handleScaleOutRefused(r)
 	}
 }
 
-// handleScaleOutGranted takes the machines that the cloud rented. If they are fewer than were asked for,
-// there are no more.
+// handleScaleOutGranted adds the machines that the cloud has granted. If they are fewer than
+// requested, the cloud has no more.
 func (f *Fleet) handleScaleOutGranted(r *scaleOutRequest, names []string) {
 	r.machines = names
 	for _, name := range names {
@@ -188,90 +218,13 @@
 	f.setScaleOutState(r, scaleOutGranted)
 }
 
-// handleScaleOutRefused ends a rental that the cloud cannot grant.
+// handleScaleOutRefused ends a scale-out request that the cloud cannot grant.
 func (f *Fleet) handleScaleOutRefused(r *scaleOutRequest) {
 	f.backOffOffer(r.offer)
 	f.setScaleOutState(r, scaleOutDone)
 }
 
-// backOffOffer has an offer not be asked for until there may be machines again.
+// backOffOffer keeps an offer from being requested until the cloud may have machines again.
 func (f *Fleet) backOffOffer(offer autoscaler.Offer) {
 	f.refusedOffers[offer] = f.now + f.settings.Tuning.ScaleOutRetryDelay
 }
-
-// terminateMachines asks the cloud to delete machines that are to go.
-func (f *Fleet) TerminateMachines() {
-	if !f.TerminationNeeded || f.terminating {
-		return
-	}
-	f.updateTime()
-	if f.now < f.nextTermination {
-		return
-	}
-	names := f.terminableMachines()
-	if len(names) == 0 {
-		f.TerminationNeeded = false
-		return
-	}
-	if !f.cloud.Allow() {
-		return
-	}
-	f.terminating = true
-	f.cloud.Call("POST", wire.PathRelease, wire.MachineNames{Machines: names}, func(status int, _ []byte) {
-		if f.host.Superseded() {
-			return
-		}
-		f.updateTime()
-		f.terminating, f.nextTermination = false, f.now+cloudRetryDelay
-		if status == wire.StatusOK {
-			f.nextTermination = f.now
-			f.handleMachinesTerminated(names)
-		}
-	})
-}
-
-// terminableMachines lists machines that the cloud may be asked to delete: those whose deletion is
-// recorded, and those for which there is no time for that.
-func (f *Fleet) terminableMachines() []string {
-	var names []string
-	for _, name := range ordered.Keys(f.Machines) {
-		m := f.Machines[name]
-		due := m.State == inventory.MachineTerminating || m.State == inventory.MachineDecommissioning && f.cancellationOverdue(m, overdueTerminateFraction)
-		if due && len(names) < maxTerminationsPerCall && f.mayTerminate(m) {
-			names = append(names, name)
-		}
-	}
-	return names
-}
-
-// handleMachinesTerminated notes that the cloud has deleted machines.
-func (f *Fleet) handleMachinesTerminated(names []string) {
-	for _, name := range names {
-		m := f.Machines[name]
-		if m == nil || m.State != inventory.MachineTerminating && m.State != inventory.MachineDecommissioning {
-			continue
-		}
-		f.recentlyTerminated[name] = f.now + terminatedRetention
-		f.SetMachineState(m, inventory.MachineTerminated, "deleted by the cloud")
-	}
-}
-
-// mayTerminate asserts that the cloud may be asked to delete a machine: that is recorded, or there
-// is no time left for that.
-func (f *Fleet) mayTerminate(m *inventory.Machine) bool {
-	overdue := m.State == inventory.MachineDecommissioning && f.cancellationOverdue(m, overdueTerminateFraction)
-	if f.host.IsActive() && (m.State == inventory.MachineTerminating || overdue) {
-		return true
-	}
-	f.host.ReportViolation("a release without a record", "machine", m.Name, "machine_state", m.State.String())
-	return false
-}
-
-// mayRequestScaleOut asserts that the cloud may be asked for a rental: its name is recorded.
-func (f *Fleet) mayRequestScaleOut(r *scaleOutRequest) bool {
-	if f.host.IsActive() && r.state == scaleOutRequested {
-		return true
-	}
-	f.host.ReportViolation("a rental without a record", "name", r.name, "rental_state", r.state.String())
-	return false
-}
--- a/internal/soaktest/logs.go
+++ b/internal/soaktest/logs.go
@@ -7,6 +7,8 @@
 	"os"
 	"slices"
 	"strings"
+
+	"tamarindlead/internal/fleet"
 )
 
 // invariantViolatedMessage is in a controller's log line about a violation of its own invariants.
@@ -19,7 +21,16 @@
 var crashPrefixes = []string{"panic:", "fatal error:"}
 
 // machineLostReasons are the reasons for which a controller considers a machine lost.
-var machineLostReasons = []string{`reason="is silent"`, `reason="reports, but hears nothing"`, `reason="is not listed any more"`}
+var machineLostReasons = []string{
+	reasonAttribute(fleet.DecommissionUnresponsive),
+	reasonAttribute(fleet.DecommissionUnreachable),
+	reasonAttribute(fleet.DecommissionUnlisted),
+}
+
+// reasonAttribute returns a reason as a line of a controller's log has it.
+func reasonAttribute(reason fleet.DecommissionReason) string {
+	return fmt.Sprintf("reason=%q", reason.String())
+}
 
 // checkLogs checks the logs of all controllers.
 func (c *checker) checkLogs() {
--- a/internal/soaktest/logs_test.go
+++ b/internal/soaktest/logs_test.go
@@ -1,14 +1,19 @@
 package soaktest
 
 import (
+	"log/slog"
 	"os"
 	"path/filepath"
+	"strings"
 	"testing"
+
+	"tamarindlead/internal/fleet"
+	"tamarindlead/internal/inventory"
 )
 
 // TestCheckLogs checks which rules the lines of a controller's log violate.
 func TestCheckLogs(t *testing.T) {
-	const lost = `level=INFO msg="machine state changed" node=controller-0 machine=m-000001 to=decommissioning reason="is silent"`
+	const lost = `level=INFO msg="machine state changed" node=controller-0 machine=m-000001 to=decommissioning reason="heartbeat timeout"`
 	for _, test := range []struct {
 		name     string
 		line     string
@@ -39,3 +44,26 @@
 		})
 	}
 }
+
+// TestIsMachineLost checks for which reasons a machine counts as lost, in the form in which a
+// controller logs them.
+func TestIsMachineLost(t *testing.T) {
+	for reason, want := range map[fleet.DecommissionReason]bool{
+		fleet.DecommissionCancellationOverdue: false,
+		fleet.DecommissionBootTimeout:         false,
+		fleet.DecommissionFailed:              false,
+		fleet.DecommissionUnlisted:            true,
+		fleet.DecommissionUnresponsive:        true,
+		fleet.DecommissionUnreachable:         true,
+		fleet.DecommissionDrained:             false,
+	} {
+		t.Run(reason.String(), func(t *testing.T) {
+			var line strings.Builder
+			slog.New(slog.NewTextHandler(&line, nil)).Info("machine state changed", "machine", "m-000001",
+				"to", inventory.MachineDecommissioning.String(), "reason", reason.String())
+			if got := isMachineLost(line.String()); got != want {
+				t.Errorf("machine lost: %t, want %t, by the line %s", got, want, line.String())
+			}
+		})
+	}
+}
