--- /dev/null
+++ b/internal/fleet/cloud_list_test.go
@@ -0,0 +1,87 @@
+package fleet
+
+import (
+	"testing"
+
+	"tamarindlead/internal/inventory"
+	"tamarindlead/internal/wire"
+	"tamarindlead/micros"
+	"tamarindlead/sched"
+)
+
+// TestCloudList checks what a reading of the cloud's list, of two pages, changes.
+func TestCloudList(t *testing.T) {
+	f, host := newTestFleet(t, "m-000001", "m-000002", "m-000003")
+	f.Machines["m-000001"].CloudListed = true
+	f.TickCloudList()
+	host.respond(t, "/rentals?limit=500", wire.StatusOK, wire.MachineList{
+		Machines: []wire.ListedMachine{{Name: "m-000002", Status: wire.ListFailed}}, More: true,
+	})
+	host.respond(t, "/rentals?after=m-000002&limit=500", wire.StatusOK, wire.MachineList{})
+	if n := f.Machines["m-000001"].MissedListings; n != 1 {
+		t.Errorf("the machine that is not listed any more has missed %d listings, want 1", n)
+	}
+	if m := f.Machines["m-000002"]; !m.CloudListed || !m.Failed || m.MissedListings != 0 {
+		t.Errorf("the listed machine is %+v", m.CloudListing)
+	}
+	if m := f.Machines["m-000003"]; m.CloudListed || m.MissedListings != 0 {
+		t.Errorf("the machine that was never listed is %+v", m.CloudListing)
+	}
+	f.TickCloudList()
+	if len(host.calls) != 0 {
+		t.Error("the list is read again without a pause")
+	}
+}
+
+// TestUnclaimedMachinesAreAdopted checks that a listed machine is adopted once no owner has claimed
+// it for long.
+func TestUnclaimedMachinesAreAdopted(t *testing.T) {
+	for _, test := range []struct {
+		name   string
+		change func(f *Fleet)
+		want   bool
+	}{
+		{"unclaimed", func(*Fleet) {}, true},
+		{"recently terminated", func(f *Fleet) { f.recentlyTerminated["m-000001"] = micros.Minute }, false},
+		{"another owner's", func(f *Fleet) { f.MarkOwnedElsewhere("m-000001", micros.Minute) }, false},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			f, host := newTestFleet(t)
+			test.change(f)
+			list := wire.MachineList{Machines: []wire.ListedMachine{{Name: "m-000001", Type: "small", Zone: "a", AgeS: 2}}}
+			lag := f.settings.CloudListLag
+			for _, now := range []micros.Micros{1, 1 + unclaimedLagFactor*lag, 1 + (unclaimedLagFactor+1)*lag} {
+				if f.Machines["m-000001"] != nil {
+					t.Fatalf("adopted before %v", now)
+				}
+				host.now = now
+				f.TickCloudList()
+				host.respond(t, "/rentals?limit=500", wire.StatusOK, list)
+			}
+			m := f.Machines["m-000001"]
+			if (m != nil) != test.want {
+				t.Fatalf("adopted: %t, want %t", m != nil, test.want)
+			}
+			if m != nil && m.ProvisionedAt != host.now-2*micros.Second {
+				t.Errorf("provisioned at %v", m.ProvisionedAt)
+			}
+		})
+	}
+}
+
+// TestRecordRunTime checks that the run time of a task ends with the present event.
+func TestRecordRunTime(t *testing.T) {
+	f, host := newTestFleet(t, "m-000001")
+	f.refresh()
+	j := inventory.NewJob(&sched.Job{
+		ID: "req-000001", Class: "c", Tasks: 1, Need: sched.NewResources(1, 0, 1), Estimate: 10 * micros.Second,
+	}, 5, 0)
+	f.classes.RecordSubmission(0, j.Job, f.catalog())
+	a := f.AddAttempt(j, 0, 1, f.Machines["m-000001"], inventory.AttemptLive)
+	a.RunningSince = 1
+	host.now = 1 + 40*micros.Second
+	f.RecordRunTime(a)
+	if got := f.EstimatedRunTime(j); got <= 10*micros.Second || got > 40*micros.Second {
+		t.Errorf("the estimate after a task of 40 s is %v", got)
+	}
+}
--- a/internal/fleet/host_test.go
+++ b/internal/fleet/host_test.go
@@ -1,7 +1,7 @@
 package fleet
 
 import (
-	"io"
+	"context"
 	"log/slog"
 	"testing"
 
@@ -27,6 +27,28 @@
 	inventory     *inventory.Inventory
 	violations    []string
 	calls         []cloudCall
+	// onMachineState is called with a machine's name and the reason for its change of state.
+	onMachineState func(machine, reason string)
+}
+
+// logHandler passes changes of machines' states to the host; other lines are dropped.
+type logHandler struct{ host *fakeHost }
+
+func (logHandler) Enabled(context.Context, slog.Level) bool { return true }
+func (h logHandler) WithAttrs([]slog.Attr) slog.Handler     { return h }
+func (h logHandler) WithGroup(string) slog.Handler          { return h }
+
+func (h logHandler) Handle(_ context.Context, r slog.Record) error {
+	if r.Message != "machine state changed" || h.host.onMachineState == nil {
+		return nil
+	}
+	values := map[string]string{}
+	r.Attrs(func(a slog.Attr) bool {
+		values[a.Key] = a.Value.String()
+		return true
+	})
+	h.host.onMachineState(values["machine"], values["reason"])
+	return nil
 }
 
 // cloudCall is a request to the cloud that was not answered yet.
@@ -88,8 +110,8 @@
 // machines that are ready and have sent a heartbeat at that time.
 func newTestFleet(t *testing.T, machines ...string) (*Fleet, *fakeHost) {
 	t.Helper()
-	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	h := &fakeHost{types: []sched.MachineType{{Name: "small", Size: sched.NewResources(4, 0, 16), Boot: 40 * micros.Second}}}
+	log := slog.New(logHandler{h})
 	h.inventory = inventory.NewInventory(h, log)
 	settings := &config.Settings{
 		Node: "n0", Zones: []string{"a"}, HeartbeatInterval: 3 * micros.Second, WorkerLease: 15 * micros.Second,
@@ -105,3 +127,31 @@
 	}
 	return f, h
 }
+
+// respond answers the only request to the cloud that is in flight, which must have the target.
+func (h *fakeHost) respond(t *testing.T, target string, status wire.Status, body any) {
+	t.Helper()
+	if len(h.calls) != 1 || h.calls[0].target != target {
+		t.Fatalf("requests in flight are %+v, want one to %s", h.calls, target)
+	}
+	call := h.calls[0]
+	h.calls = nil
+	call.done(status, wire.Encode(body))
+}
+
+// fakeTransaction collects the keys that are written and deleted.
+type fakeTransaction struct {
+	puts, deletes []string
+	results       []func(ok bool)
+}
+
+func (x *fakeTransaction) Put(key string, _ any)       { x.puts = append(x.puts, key) }
+func (x *fakeTransaction) Delete(key string)           { x.deletes = append(x.deletes, key) }
+func (x *fakeTransaction) OnResult(done func(ok bool)) { x.results = append(x.results, done) }
+
+// finish ends the transaction.
+func (x *fakeTransaction) finish(ok bool) {
+	for _, done := range x.results {
+		done(ok)
+	}
+}
