--- a/controller/bench_test.go
+++ b/controller/bench_test.go
@@ -12,8 +12,10 @@
 
 	"tamarindlead/config"
 	"tamarindlead/internal/cluster"
+	"tamarindlead/internal/frontend"
 	"tamarindlead/internal/kv"
 	"tamarindlead/internal/record"
+	"tamarindlead/internal/scheduler"
 	"tamarindlead/internal/wire"
 	"tamarindlead/micros"
 	"tamarindlead/sched"
@@ -44,7 +46,7 @@
 			o.AddAttempt(j, at%100, 7, m, inventory.AttemptLive).HeartbeatSeen = true
 		}
 	}
-	o.dispatchQueue = nil
+	o.workers.Reset()
 	return o
 }
 
@@ -126,9 +128,13 @@
 func BenchmarkPlace(b *testing.B) {
 	o := benchOwner()
 	for b.Loop() {
-		o.SchedulingNeeded, o.nextSchedulingPass = true, 0
+		o.SchedulingNeeded = true
 		o.schedule()
 		b.StopTimer()
+		o.c.now += scheduler.MinPassInterval
+		for _, m := range o.SortedMachines {
+			m.LastHeartbeat = o.c.now
+		}
 		n := 0
 		for _, j := range o.Queue {
 			for _, a := range j.SortedAttempts() {
@@ -192,9 +198,9 @@
 		answered := 0
 		for i := range 50 {
 			id++
-			c.Handle(c.now, c.now, Request{ID: id, Method: "GET", Path: pathJobs + "/" + o.Queue[i].ID})
+			c.Handle(c.now, c.now, Request{ID: id, Method: "GET", Path: frontend.PathJobs + "/" + o.Queue[i].ID})
 		}
-		for _, e := range c.Handle(c.now+lookupBatchInterval, c.now, Tick{}) {
+		for _, e := range c.Handle(c.now+frontend.LookupBatchInterval, c.now, Tick{}) {
 			call, ok := e.(Call)
 			if !ok || call.Target != "/commit" {
 				continue
--- a/controller/fleet_adapter.go
+++ b/controller/fleet_adapter.go
@@ -31,7 +31,7 @@
 func (h fleetHost) Superseded() bool                  { return h.o.superseded() }
 func (h fleetHost) IsActive() bool                    { return h.o.isActiveOwner() }
 func (h fleetHost) ActiveSince() micros.Micros        { return h.o.activeSince }
-func (h fleetHost) LastHeartbeat() micros.Micros      { return h.o.lastHeartbeat }
+func (h fleetHost) LastHeartbeat() micros.Micros      { return h.o.lastHeartbeat() }
 func (h fleetHost) NextNumber() uint64                { return h.o.nextNumber() }
 
 func (h fleetHost) ReportViolation(violation string, details ...any) {
@@ -86,7 +86,7 @@
 
 func (h fleetJobs) MinOnDemandTasks(j *inventory.Job) int { return h.o.minOnDemandTasks(j) }
 
-func (h fleetJobs) HasReservation(j *inventory.Job) bool { return h.o.reservations[j.ID] != nil }
+func (h fleetJobs) HasReservation(j *inventory.Job) bool { return h.o.hasReservation(j.ID) }
 
 func (h fleetJobs) IsReserved(machine string) bool { return h.o.isReserved(machine) }
 
@@ -135,24 +135,12 @@
 
 func (o *owner) market() autoscaler.Market { return o.fleet.Market() }
 
-func (o *owner) isScarce(m *inventory.Machine) bool {
-	return o.fleet.IsScarce(m, o.c.now)
-}
-
 func (o *owner) machineSize(m *inventory.Machine) sched.Resources {
 	return fleet.MachineSize(m, o.c.types.list)
 }
 
 func (o *owner) observeRunTime(a *inventory.Attempt) { o.fleet.RecordRunTime(a) }
 
-func (o *owner) maxWait(j *inventory.Job) micros.Micros { return o.fleet.MaxWait(j) }
-
-func (o *owner) estimatedRunTime(j *inventory.Job) micros.Micros { return o.fleet.EstimatedRunTime(j) }
-
-func (o *owner) remainingBusyTime(m *inventory.Machine) micros.Micros {
-	return o.fleet.RemainingBusyTime(m)
-}
-
 func (o *owner) cancellationOverdue(m *inventory.Machine, fraction float64) bool {
 	return o.fleet.CancellationOverdue(m, fraction, o.c.now)
 }
@@ -165,10 +153,6 @@
 	o.fleet.FlushScaleOutRequests(fleetTransaction{t}, full)
 }
 
-func (o *owner) recentlyTerminated(machine string) bool { return o.fleet.IsRecentlyTerminated(machine) }
-
-func (o *owner) ownedElsewhere(machine string) bool { return o.fleet.IsOwnedElsewhere(machine) }
-
 func (o *owner) markOwnedElsewhere(machine string) {
 	o.fleet.MarkOwnedElsewhere(machine, o.c.now+ownedElsewhereRetention)
 }
--- a/controller/owner.go
+++ b/controller/owner.go
@@ -10,7 +10,8 @@
 	"tamarindlead/internal/fleet"
 	"tamarindlead/internal/kv"
 	"tamarindlead/internal/record"
-	"tamarindlead/internal/wire"
+	"tamarindlead/internal/scheduler"
+	"tamarindlead/internal/workers"
 	"tamarindlead/micros"
 )
 
@@ -39,8 +40,8 @@
 	cascadedCancellations []string
 	// unresolvedJobs are jobs that records name, of which it is not known how they ended.
 	unresolvedJobs []*inventory.Job
-	reservations   map[string]*reservation // by job
 	classes        *autoscaler.Classes
+	scheduler      *scheduler.Scheduler
 
 	// The watch of the jobs' records.
 	jobsListed    bool // the jobs were listed; changes since are taken
@@ -54,13 +55,8 @@
 	// nextMachineRequest is when machines may be requested of other owners again.
 	nextMachineRequest micros.Micros
 
-	// Commands to machines.
-	lastHeartbeat    micros.Micros // the latest report
-	dispatchQueue    []*inventory.Machine
-	commandsInFlight int // direct commands and questions to machines under way
-
-	// Scheduling passes, and the attempts that they have proposed.
-	nextSchedulingPass micros.Micros
+	// workers is the part that handles the heartbeats of machines and sends them commands.
+	workers *workers.Manager
 
 	// Commits.
 	blocks             []*inventory.Block
@@ -76,12 +72,13 @@
 // newOwner returns an owner of teams that has read no records yet.
 func newOwner(c *Core, teams map[string]cluster.Team) *owner {
 	o := &owner{
-		c: c, activeSince: c.now, lastHeartbeat: c.now,
-		reservations: map[string]*reservation{},
-		classes:      autoscaler.NewClasses(),
+		c: c, activeSince: c.now,
+		classes: autoscaler.NewClasses(),
 	}
 	o.Inventory = inventory.NewInventory(inventoryHost{o}, c.log)
 	o.fleet = newFleet(o)
+	o.workers = workers.New(o.Inventory, c.cfg, c.log, workersHost{o})
+	o.scheduler = newScheduler(o)
 	for _, t := range c.cfg.Teams {
 		if v, ok := teams[t.Name]; ok {
 			o.Teams[t.Name] = &inventory.Team{Record: v, Team: t}
@@ -111,6 +108,10 @@
 // superseded tells callbacks of an owner that has been replaced to do nothing.
 func (o *owner) superseded() bool { return o.c.owner != o }
 
+// isActiveOwner reports whether this owner has recovered its records and, as far as this node knows,
+// was not replaced. Whether another node knows better is decided by fencing tokens and preconditions.
+func (o *owner) isActiveOwner() bool { return !o.superseded() && o.state == ownerActive }
+
 // setState is the one place where the state changes.
 func (o *owner) setState(s ownerState) {
 	leader, term := o.c.node.Leader()
@@ -120,16 +121,6 @@
 	o.state = s
 }
 
-// refusePendingHeartbeats answers the reports that wait, when this node stops owning.
-func (o *owner) refusePendingHeartbeats() {
-	for _, m := range o.SortedMachines {
-		if m.PendingRequest != 0 {
-			o.c.refuse(m.PendingRequest, wire.StatusUnavailable, "ownership lost")
-			m.PendingRequest = 0
-		}
-	}
-}
-
 // recoveryRestartDelay keeps an owner that reads all records again and again from using up the limits.
 const recoveryRestartDelay = 200 * micros.Millisecond
 
@@ -146,7 +137,7 @@
 	}
 	o.c.setOwner(newOwner(o.c, records))
 	o.c.owner.retryAt = o.c.now + recoveryRestartDelay
-	o.c.owner.lastHeartbeat = o.lastHeartbeat
+	o.c.owner.workers.SetLastHeartbeat(o.workers.LastHeartbeat())
 }
 
 // advance does what can be done now; it is called after every event.
--- a/controller/priority_inheritance_test.go
+++ b/controller/priority_inheritance_test.go
@@ -59,7 +59,7 @@
 func (w *inheritanceTest) finish(id string, status wire.JobPhase) {
 	delete(w.jobs, id)
 	w.apply(kv.Change{Delete: record.ActiveJobKey(id)})
-	w.core.applyTerminalState(id, record.TerminalState{Status: record.Status(status), FinishedAt: 1})
+	w.core.jobView.ApplyTerminalState(id, record.TerminalState{Status: record.Status(status), FinishedAt: 1})
 }
 
 // check holds what the owner makes of a job against what is expected.
@@ -78,8 +78,10 @@
 }
 
 func stage(id int, priority sched.Priority, estimate, deadline float64) sched.Job {
-	return sched.Job{ID: jobName(id), Priority: priority,
-		Estimate: micros.FromSeconds(estimate), Deadline: micros.FromSeconds(deadline)}
+	return sched.Job{
+		ID: jobName(id), Priority: priority,
+		Estimate: micros.FromSeconds(estimate), Deadline: micros.FromSeconds(deadline),
+	}
 }
 
 // TestInheritChain guards against a first stage that does not inherit from the last, of
--- a/controller/recovery.go
+++ b/controller/recovery.go
@@ -29,11 +29,12 @@
 
 // reset forgets what was read or decided before.
 func (o *owner) reset() {
-	o.Inventory.Reset()
+	o.Reset()
 	o.jobsListed, o.cascadedCancellations = false, nil
-	o.blocks, o.completionSegments, o.dispatchQueue, o.unresolvedJobs = nil, nil, nil, nil
+	o.blocks, o.completionSegments, o.unresolvedJobs = nil, nil, nil
+	o.workers.Reset()
 	o.fleet.Reset()
-	clear(o.reservations)
+	o.scheduler.ClearReservations()
 }
 
 // list reads the records with a prefix.
--- /dev/null
+++ b/internal/scheduler/preemption.go
@@ -0,0 +1,171 @@
+package scheduler
+
+import (
+	"tamarindlead/config"
+	"tamarindlead/internal/inventory"
+	"tamarindlead/internal/kv"
+	"tamarindlead/internal/record"
+	"tamarindlead/micros"
+	"tamarindlead/sched"
+)
+
+const (
+	// maxBootTimeToWait is the remaining boot time of a machine up to which nothing is preempted.
+	maxBootTimeToWait = 12 * micros.Second
+	// preemptionRetryDelay is the pause after no preemption plan was found.
+	preemptionRetryDelay = 4 * micros.Second
+)
+
+// preempt plans preemption for a gang that found no place and reserves the machines for it. It
+// reports whether it did.
+func (s *Scheduler) preempt(j *inventory.Job) bool {
+	now := s.host.Now()
+	if !j.Gang || now < j.NextPreemptionAt || s.scaleOutSuffices(j) || s.machinesBootSoon(j) {
+		return false
+	}
+	covered := s.JobsWithinGuarantee()
+	plan := s.planPreemption(j, covered)
+	if plan == nil {
+		j.NextPreemptionAt = now + preemptionRetryDelay
+		s.host.RequestMachines(j.Job, j.Tasks, covered[j])
+		return false
+	}
+	r := newReservation(j, plan)
+	if kv.EncodedSizeBound(record.Reservation{Machines: r.machines}) > s.settings.MaxValueBytes {
+		j.NextPreemptionAt = now + preemptionRetryDelay
+		return false // its record would never be accepted
+	}
+	s.reservations[j.ID] = r
+	s.logPreemptionPlan(j, plan)
+	return true
+}
+
+// newReservation returns a reservation for the placement of a plan, which must be recorded.
+func newReservation(j *inventory.Job, plan *sched.PreemptionPlan) *reservation {
+	r := &reservation{job: j.ID, machines: map[string]int{}, need: j.Need, victims: plan.Victims}
+	for _, a := range plan.Placement {
+		r.machines[a.Machine.Name] = a.Count
+	}
+	return r
+}
+
+// logPreemptionPlan logs a preemption plan and its victims.
+func (s *Scheduler) logPreemptionPlan(j *inventory.Job, plan *sched.PreemptionPlan) {
+	stops := 0
+	for _, b := range plan.Victims {
+		stops += len(b.Tasks)
+		s.log.Info("preemption victim", "job", b.Victim.Job, "team", b.Victim.Team, "safe", b.Safe, "tasks", len(b.Tasks), "for", j.ID)
+	}
+	s.log.Info("preemption planned", "job", j.ID, "class", j.Class, "mode", plan.Mode.String(), "domain", plan.Domain,
+		"machines", len(plan.Placement), "stops", stops)
+}
+
+// planPreemption plans which tasks are stopped for a gang: of its own team, or else, if the gang is
+// within its team's guaranteed quota, of teams that use more than theirs. It returns nil if there is
+// no acceptable plan.
+func (s *Scheduler) planPreemption(j *inventory.Job, covered map[*inventory.Job]bool) *sched.PreemptionPlan {
+	machines := s.preemptionView()
+	plan := s.planForMode(j.Job, machines, sched.Preempt, covered)
+	if plan == nil && covered[j] {
+		plan = s.planForMode(j.Job, machines, sched.Reclaim, covered)
+	}
+	return plan
+}
+
+// PlanReclaim plans which tasks of teams that use more than their guaranteed quotas are stopped for
+// a job of another owner. It returns nil if there is no acceptable plan.
+func (s *Scheduler) PlanReclaim(job *sched.Job) *sched.PreemptionPlan {
+	return s.planForMode(job, s.preemptionView(), sched.Reclaim, s.JobsWithinGuarantee())
+}
+
+// planForMode returns the cheapest preemption plan of a mode, or nil.
+func (s *Scheduler) planForMode(j *sched.Job, machines []*sched.Machine, mode sched.PreemptionMode, covered map[*inventory.Job]bool) *sched.PreemptionPlan {
+	victims := s.victims(j, mode, covered)
+	if len(victims) == 0 {
+		return nil
+	}
+	tuning := &s.settings.Tuning
+	rules := sched.PreemptionRules{Mode: mode, ROIThreshold: tuning.ROIThreshold, Teams: map[string]sched.TeamUsage{}}
+	for name, t := range s.inventory.Teams {
+		rules.Teams[name] = Usage(t)
+	}
+	domains := sched.Domains(j, machines, victims, tuning.MaxDomains)
+	return sched.PlanPreemption(j, domains, victims, rules)
+}
+
+// scaleOutSuffices reports whether a machine requested from the cloud now would be ready in time, so
+// that nothing needs to be preempted.
+func (s *Scheduler) scaleOutSuffices(j *inventory.Job) bool {
+	market, left := s.host.Market(), s.startTarget(j)-(s.host.WallClock()-j.ReadyAt)
+	for _, t := range market.Types {
+		if t.Boot > left || !j.Need.Fits(t.Size) {
+			continue
+		}
+		for _, zone := range t.Zones {
+			if market.CanScaleOut(j.Job, t.Name, zone) {
+				return true
+			}
+		}
+	}
+	return false
+}
+
+// startTarget returns how long a gang may wait until it starts.
+func (s *Scheduler) startTarget(j *inventory.Job) micros.Micros {
+	limit := s.settings.Tuning.ReservationTimeout
+	for _, slo := range s.settings.SLOs {
+		if slo.Kind == config.SLOWaitTime && slo.Class == j.Class {
+			limit = slo.Threshold
+		}
+	}
+	return limit
+}
+
+// machinesBootSoon reports whether machines that boot have room for a gang, and for those of its
+// class that precede it in the queue.
+func (s *Scheduler) machinesBootSoon(j *inventory.Job) bool {
+	slots := s.bootingSlots(j)
+	for _, other := range s.inventory.Queue {
+		if !other.Gang || other.GangState != inventory.GangNone || other.Class != j.Class || s.HasReservation(other.ID) {
+			continue
+		}
+		slots -= other.Tasks
+		if other == j {
+			return slots >= 0
+		}
+	}
+	return false
+}
+
+// bootingSlots returns how many tasks of a gang fit on machines that will have booted soon.
+func (s *Scheduler) bootingSlots(j *inventory.Job) int {
+	slots, wallClock := 0, s.host.WallClock()
+	for _, m := range s.inventory.SortedMachines {
+		if m.State != inventory.MachineBooting {
+			continue
+		}
+		t := s.machines.FindType(m.Type)
+		if t == nil || !j.Allows(m.Type, m.Zone, m.Spot) {
+			continue
+		}
+		if wallClock-m.ProvisionedAt+maxBootTimeToWait > t.Boot {
+			slots += j.Need.Count(t.Size, j.Tasks)
+		}
+	}
+	return slots
+}
+
+// preemptionView returns the machine view in which the resources of tasks that end soon are free.
+func (s *Scheduler) preemptionView() []*sched.Machine {
+	view, now := s.machineView(), s.host.Now()
+	for _, v := range view {
+		for _, a := range s.inventory.Machines[v.Name].Attempts {
+			// Released resources are free in the view already. If they counted twice, a
+			// reservation could wait forever for what another gang has just taken.
+			if !a.ResourcesReleased && endsSoon(a, now) {
+				v.Free = v.Free.Add(a.Job.Need)
+			}
+		}
+	}
+	return view
+}
