--- a/controller/fleet_adapter.go
+++ b/controller/fleet_adapter.go
@@ -6,6 +6,7 @@
 	"tamarindlead/internal/inventory"
 	"tamarindlead/internal/kv"
 	"tamarindlead/internal/record"
+	"tamarindlead/internal/scheduler"
 	"tamarindlead/internal/wire"
 	"tamarindlead/micros"
 	"tamarindlead/sched"
@@ -18,7 +19,7 @@
 func newFleet(o *owner) *fleet.Fleet {
 	return fleet.New(fleet.Config{
 		Inventory: o.Inventory, Classes: o.classes, Settings: o.c.cfg, Log: o.c.log,
-		Host: fleetHost{o}, Ownership: fleetOwnership{o}, Cloud: fleetCloud{o.c}, Jobs: fleetJobs{o},
+		Host: fleetHost{o}, Ownership: fleetOwnership{o}, Cloud: fleetCloud{o.c}, Jobs: fleetJobs{o.scheduler, o},
 	})
 }
 
@@ -73,25 +74,12 @@
 	h.c.callCloud(method, target, body, done)
 }
 
-// fleetJobs implements fleet.Jobs.
-type fleetJobs struct{ o *owner }
-
-func (h fleetJobs) QuotaHeadroom(j *inventory.Job, reserved sched.Resources) int {
-	return h.o.quotaHeadroom(j, reserved)
+// fleetJobs implements fleet.Jobs: the scheduler, with what other parts of the owner do with jobs.
+type fleetJobs struct {
+	*scheduler.Scheduler
+	o *owner
 }
 
-func (h fleetJobs) MaxQueueingDelay(j *inventory.Job) micros.Micros { return h.o.maxQueueingDelay(j) }
-
-func (h fleetJobs) IsUrgent(j *inventory.Job) bool { return h.o.isUrgent(j) }
-
-func (h fleetJobs) MinOnDemandTasks(j *inventory.Job) int { return h.o.minOnDemandTasks(j) }
-
-func (h fleetJobs) HasReservation(j *inventory.Job) bool { return h.o.hasReservation(j.ID) }
-
-func (h fleetJobs) IsReserved(machine string) bool { return h.o.isReserved(machine) }
-
-func (h fleetJobs) HasNoDependentTasks(m *inventory.Machine) bool { return h.o.hasNoDependentTasks(m) }
-
 func (h fleetJobs) RemainingRunTime(a *inventory.Attempt) micros.Micros {
 	return h.o.remainingRunTime(a)
 }
@@ -100,10 +88,6 @@
 
 func (h fleetJobs) RequestMachines(job *sched.Job, tasks int) { h.o.requestMachines(job, tasks, false) }
 
-func (h fleetJobs) RecordSpotUptime() { h.o.recordSpotUptime() }
-
-func (h fleetJobs) RecordSpotReclaimed(m *inventory.Machine) { h.o.recordSpotReclaimed(m) }
-
 // fleetTransaction implements fleet.Transaction.
 type fleetTransaction struct{ t *transaction }
 
@@ -115,11 +99,8 @@
 	h.t.results = append(h.t.results, func(ok bool, _ uint64) { done(ok) })
 }
 
-// Names under which the other parts of the owner use the fleet.
-const (
-	autoscalingInterval         = fleet.AutoscalingInterval
-	overdueDecommissionFraction = fleet.OverdueDecommissionFraction
-)
+// overdueDecommissionFraction is the name under which the other parts of the owner use it.
+const overdueDecommissionFraction = fleet.OverdueDecommissionFraction
 
 // catalog returns the cloud's machine types, as far as this node knows them.
 func (c *Core) catalog() autoscaler.Catalog {
--- a/controller/owner.go
+++ b/controller/owner.go
@@ -76,9 +76,9 @@
 		classes: autoscaler.NewClasses(),
 	}
 	o.Inventory = inventory.NewInventory(inventoryHost{o}, c.log)
-	o.fleet = newFleet(o)
 	o.workers = workers.New(o.Inventory, c.cfg, c.log, workersHost{o})
 	o.scheduler = newScheduler(o)
+	o.fleet = newFleet(o)
 	for _, t := range c.cfg.Teams {
 		if v, ok := teams[t.Name]; ok {
 			o.Teams[t.Name] = &inventory.Team{Record: v, Team: t}
--- a/controller/scheduler_adapter.go
+++ b/controller/scheduler_adapter.go
@@ -86,28 +86,8 @@
 
 func (o *owner) maxWait(j *inventory.Job) micros.Micros { return o.scheduler.ClassWaitTarget(j) }
 
-func (o *owner) maxQueueingDelay(j *inventory.Job) micros.Micros {
-	return o.scheduler.MaxQueueingDelay(j)
-}
-
-func (o *owner) isUrgent(j *inventory.Job) bool { return o.scheduler.IsUrgent(j) }
-
 func (o *owner) inheritPriority(j *inventory.Job) { o.scheduler.InheritPriority(j) }
 
-func (o *owner) isScarce(m *inventory.Machine) bool { return o.scheduler.IsScarce(m) }
-
-func (o *owner) hasNoDependentTasks(m *inventory.Machine) bool {
-	return o.scheduler.HasNoDependentTasks(m)
-}
-
-func (o *owner) remainingBusyTime(m *inventory.Machine) micros.Micros {
-	return o.scheduler.RemainingBusyTime(m)
-}
-
-func (o *owner) minOnDemandTasks(j *inventory.Job) int { return o.scheduler.MinOnDemandTasks(j) }
-
-func (o *owner) recordSpotUptime() { o.scheduler.RecordSpotUptime(autoscalingInterval) }
-
 func (o *owner) recordSpotReclaimed(m *inventory.Machine) { o.scheduler.RecordSpotReclaimed(m) }
 
 func (o *owner) handleAttemptRecorded(a *inventory.Attempt) { o.scheduler.HandleAttemptRecorded(a) }
@@ -122,8 +102,6 @@
 
 func (o *owner) isReserved(machine string) bool { return o.scheduler.IsReserved(machine) }
 
-func (o *owner) hasReservation(job string) bool { return o.scheduler.HasReservation(job) }
-
 func (o *owner) tickReservations() { o.scheduler.TickReservations() }
 
 func (o *owner) flushReservations(t *transaction, full func() bool) {
--- a/internal/fleet/demand.go
+++ b/internal/fleet/demand.go
@@ -68,28 +68,17 @@
 
 // addPendingWork adds tasks of a job that are not placed to a demand.
 func (f *Fleet) addPendingWork(d *autoscaler.Demand, j *inventory.Job, tasks int) {
-	work := float64(tasks) * autoscaler.TaskCPUs(j.Job) * max(f.EstimatedRunTime(j).Seconds(), 1)
+	work := float64(tasks) * autoscaler.TaskCPUs(j.Job) * max(f.jobs.EstimatedRunTime(j).Seconds(), 1)
 	d.PendingCPUSeconds += work
 	if j.Priority == sched.Low && !f.jobs.IsUrgent(j) {
 		d.LowPriorityCPUSeconds += work
-		d.LowPriorityMaxWait = max(d.LowPriorityMaxWait, f.MaxWait(j))
+		d.LowPriorityMaxWait = max(d.LowPriorityMaxWait, f.jobs.ClassWaitTarget(j))
 	}
 	if j.Gang && tasks == j.Tasks {
-		d.Gangs = append(d.Gangs, autoscaler.Gang{Job: j.Job, Reserved: f.jobs.HasReservation(j)})
+		d.Gangs = append(d.Gangs, autoscaler.Gang{Job: j.Job, Reserved: f.jobs.HasReservation(j.ID)})
 	}
 }
 
-// MaxWait returns how long a job may wait by the SLOs of its class.
-func (f *Fleet) MaxWait(j *inventory.Job) micros.Micros {
-	return autoscaler.WaitTarget(f.settings.SLOs, j.Class, j.Gang, f.EstimatedRunTime(j), f.settings.Tuning.QueueTarget)
-}
-
-// EstimatedRunTime returns the user's estimate of a task's run time, corrected by the run times of
-// completed tasks of its class.
-func (f *Fleet) EstimatedRunTime(j *inventory.Job) micros.Micros {
-	return f.classes.CorrectedEstimate(j.Class, j.Estimate)
-}
-
 // RecordRunTime adds the run time of a completed task to the statistics of its class.
 func (f *Fleet) RecordRunTime(a *inventory.Attempt) {
 	if a.RunningSince != 0 {
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -63,26 +63,32 @@
 	// QuotaHeadroom returns how many more tasks of a job its team's quota limit permits, if
 	// the reserved resources are used too.
 	QuotaHeadroom(j *inventory.Job, reserved sched.Resources) int
+	// ClassWaitTarget returns how long a job may wait, by the SLOs of its class.
+	ClassWaitTarget(j *inventory.Job) micros.Micros
 	// MaxQueueingDelay returns how long a job may wait, by its SLOs and its deadline.
 	MaxQueueingDelay(j *inventory.Job) micros.Micros
+	// EstimatedRunTime returns the estimated run time of a job's tasks.
+	EstimatedRunTime(j *inventory.Job) micros.Micros
 	// IsUrgent reports whether a job must start soon for a deadline to be met.
 	IsUrgent(j *inventory.Job) bool
 	// MinOnDemandTasks returns how many tasks of a gang must not run on spot machines.
 	MinOnDemandTasks(j *inventory.Job) int
 	// HasReservation reports whether machines are reserved for a gang.
-	HasReservation(j *inventory.Job) bool
+	HasReservation(job string) bool
 	// IsReserved reports whether a machine is reserved for some gang.
 	IsReserved(machine string) bool
 	// HasNoDependentTasks reports whether no job that depends on the machine's type has tasks on it.
 	HasNoDependentTasks(m *inventory.Machine) bool
 	// RemainingRunTime estimates how long an attempt still takes.
 	RemainingRunTime(a *inventory.Attempt) micros.Micros
+	// RemainingBusyTime estimates how long the tasks that use resources of a machine still take.
+	RemainingBusyTime(m *inventory.Machine) micros.Micros
 	// Evict stops an attempt, with time for a checkpoint.
 	Evict(a *inventory.Attempt, reason string)
 	// RequestMachines asks other owners for machines for tasks of a job.
 	RequestMachines(job *sched.Job, tasks int)
-	// RecordSpotUptime adds an autoscaling interval to the uptime of each spot machine.
-	RecordSpotUptime()
+	// RecordSpotUptime adds an interval to the uptime of each spot machine.
+	RecordSpotUptime(interval micros.Micros)
 	// RecordSpotReclaimed counts the loss of a machine, if it is a spot machine, once.
 	RecordSpotReclaimed(m *inventory.Machine)
 }
--- a/internal/fleet/host_test.go
+++ b/internal/fleet/host_test.go
@@ -90,21 +90,24 @@
 	h.calls = append(h.calls, cloudCall{target, body, done})
 }
 
-func (*fakeHost) QuotaHeadroom(*inventory.Job, sched.Resources) int { return 0 }
-func (*fakeHost) MaxQueueingDelay(*inventory.Job) micros.Micros     { return 0 }
-func (*fakeHost) IsUrgent(*inventory.Job) bool                      { return false }
-func (*fakeHost) MinOnDemandTasks(*inventory.Job) int               { return 0 }
-func (*fakeHost) HasReservation(*inventory.Job) bool                { return false }
-func (*fakeHost) IsReserved(string) bool                            { return false }
-func (*fakeHost) HasNoDependentTasks(*inventory.Machine) bool       { return true }
-func (*fakeHost) RemainingRunTime(*inventory.Attempt) micros.Micros { return 0 }
-func (*fakeHost) Evict(*inventory.Attempt, string)                  {}
-func (*fakeHost) RequestMachines(*sched.Job, int)                   {}
-func (*fakeHost) RecordSpotUptime()                                 {}
-func (*fakeHost) RecordSpotReclaimed(*inventory.Machine)            {}
-func (*fakeHost) EntryChanged(*inventory.Machine)                   {}
-func (*fakeHost) CompletionUnrecorded(*inventory.Job, int)          {}
-func (*fakeHost) CommandsNeeded(*inventory.Machine)                 {}
+func (*fakeHost) QuotaHeadroom(*inventory.Job, sched.Resources) int  { return 0 }
+func (*fakeHost) MaxQueueingDelay(*inventory.Job) micros.Micros      { return 0 }
+func (*fakeHost) ClassWaitTarget(*inventory.Job) micros.Micros       { return 0 }
+func (*fakeHost) EstimatedRunTime(j *inventory.Job) micros.Micros    { return j.Estimate }
+func (*fakeHost) RemainingBusyTime(*inventory.Machine) micros.Micros { return 0 }
+func (*fakeHost) IsUrgent(*inventory.Job) bool                       { return false }
+func (*fakeHost) MinOnDemandTasks(*inventory.Job) int                { return 0 }
+func (*fakeHost) HasReservation(string) bool                         { return false }
+func (*fakeHost) IsReserved(string) bool                             { return false }
+func (*fakeHost) HasNoDependentTasks(*inventory.Machine) bool        { return true }
+func (*fakeHost) RemainingRunTime(*inventory.Attempt) micros.Micros  { return 0 }
+func (*fakeHost) Evict(*inventory.Attempt, string)                   {}
+func (*fakeHost) RequestMachines(*sched.Job, int)                    {}
+func (*fakeHost) RecordSpotUptime(micros.Micros)                     {}
+func (*fakeHost) RecordSpotReclaimed(*inventory.Machine)             {}
+func (*fakeHost) EntryChanged(*inventory.Machine)                    {}
+func (*fakeHost) CompletionUnrecorded(*inventory.Job, int)           {}
+func (*fakeHost) CommandsNeeded(*inventory.Machine)                  {}
 
 // newTestFleet returns the fleet of an owner that became active at the time 0, with claimed
 // machines that are ready and have sent a heartbeat at that time.
--- a/internal/fleet/planning.go
+++ b/internal/fleet/planning.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	// AutoscalingInterval is the time between two plans.
-	AutoscalingInterval = micros.Second
+	// autoscalingInterval is the time between two plans.
+	autoscalingInterval = micros.Second
 	// scaleInInterval is the least time between two plans that may drain machines: tasks of
 	// machines that were drained find other machines in between.
 	scaleInInterval = 2 * micros.Second
@@ -34,9 +34,9 @@
 	if f.now < f.nextAutoscaling || len(f.types) == 0 {
 		return
 	}
-	f.nextAutoscaling = f.now + AutoscalingInterval
+	f.nextAutoscaling = f.now + autoscalingInterval
 	f.SchedulingNeeded = true // the back-off of a job ends without an event
-	f.jobs.RecordSpotUptime()
+	f.jobs.RecordSpotUptime(autoscalingInterval)
 	f.removeExpiredClasses()
 	demands := f.demands()
 	planner := f.newPlanner(demands)
@@ -112,23 +112,11 @@
 	d.Reserved = f.jobs.IsReserved(m.Name)
 	d.OnlySlack = d.Busy && f.isScarce(m) && f.jobs.HasNoDependentTasks(m)
 	if withBusyTime {
-		d.BusyFor = f.RemainingBusyTime(m)
+		d.BusyFor = f.jobs.RemainingBusyTime(m)
 	}
 	return d
 }
 
-// RemainingBusyTime returns how long the tasks that use resources of a machine are estimated to
-// run still.
-func (f *Fleet) RemainingBusyTime(m *inventory.Machine) micros.Micros {
-	longest := micros.Micros(0)
-	for _, a := range m.Attempts {
-		if !a.ResourcesReleased {
-			longest = max(longest, f.jobs.RemainingRunTime(a))
-		}
-	}
-	return longest
-}
-
 // applyPlan carries out what the planner has decided.
 func (f *Fleet) applyPlan(plan autoscaler.Plan) {
 	for _, request := range plan.ScaleOutRequests {
@@ -174,12 +162,8 @@
 	}
 }
 
-// IsScarce reports whether some recent class of jobs fits no other type than the machine's.
-func (f *Fleet) IsScarce(m *inventory.Machine, now micros.Micros) bool {
-	return f.classes.Scarce(now, m.Type, m.Spot)
-}
-
-func (f *Fleet) isScarce(m *inventory.Machine) bool { return f.IsScarce(m, f.now) }
+// isScarce reports whether some recent class of jobs fits no other type than the machine's.
+func (f *Fleet) isScarce(m *inventory.Machine) bool { return f.classes.Scarce(f.now, m.Type, m.Spot) }
 
 // MachineSize returns the size of a machine, and updates it by the machine types of the cloud.
 func MachineSize(m *inventory.Machine, types []sched.MachineType) sched.Resources {
