--- a/controller/fleet_adapter.go
+++ b/controller/fleet_adapter.go
@@ -88,17 +88,6 @@
 
 func (h fleetJobs) RequestMachines(job *sched.Job, tasks int) { h.o.requestMachines(job, tasks, false) }
 
-// fleetTransaction implements fleet.Transaction.
-type fleetTransaction struct{ t *transaction }
-
-func (h fleetTransaction) Put(key string, value any) { h.t.put(key, value) }
-
-func (h fleetTransaction) Delete(key string) { h.t.writes = append(h.t.writes, kv.Write{Delete: key}) }
-
-func (h fleetTransaction) OnResult(done func(ok bool)) {
-	h.t.results = append(h.t.results, func(ok bool, _ uint64) { done(ok) })
-}
-
 // overdueDecommissionFraction is the name under which the other parts of the owner use it.
 const overdueDecommissionFraction = fleet.OverdueDecommissionFraction
 
@@ -131,7 +120,7 @@
 }
 
 func (o *owner) flushScaleOutRequests(t *transaction, full func() bool) {
-	o.fleet.FlushScaleOutRequests(fleetTransaction{t}, full)
+	o.fleet.FlushScaleOutRequests(t, full)
 }
 
 func (o *owner) markOwnedElsewhere(machine string) {
--- a/controller/owner.go
+++ b/controller/owner.go
@@ -7,8 +7,8 @@
 
 	"tamarindlead/internal/autoscaler"
 	"tamarindlead/internal/cluster"
+	"tamarindlead/internal/commit"
 	"tamarindlead/internal/fleet"
-	"tamarindlead/internal/kv"
 	"tamarindlead/internal/record"
 	"tamarindlead/internal/scheduler"
 	"tamarindlead/internal/workers"
@@ -58,15 +58,9 @@
 	// workers is the part that handles the heartbeats of machines and sends them commands.
 	workers *workers.Manager
 
-	// Commits.
-	blocks             []*inventory.Block
-	completionSegments []*inventory.CompletionSegment
-	committing         bool // a commit is under way
-	flushAt            micros.Micros
-	obsoleteKeys       []string      // keys that nobody reads any more
-	obsoleteDeletedAt  micros.Micros // when some of them were deleted last, or there were none
-	partsSwept         bool          // leftovers of long lists were looked for
-	partsSweepCursor   string        // the last key that was looked at
+	commits          *commit.Pipeline // writes the records
+	partsSwept       bool             // leftovers of long lists were looked for
+	partsSweepCursor string           // the last key that was looked at
 }
 
 // newOwner returns an owner of teams that has read no records yet.
@@ -76,6 +70,7 @@
 		classes: autoscaler.NewClasses(),
 	}
 	o.Inventory = inventory.NewInventory(inventoryHost{o}, c.log)
+	o.commits = newCommitPipeline(o)
 	o.workers = workers.New(o.Inventory, c.cfg, c.log, workersHost{o})
 	o.scheduler = newScheduler(o)
 	o.fleet = newFleet(o)
@@ -210,17 +205,6 @@
 	return max(minAllUnresponsiveTimeout, o.c.cfg.HeartbeatInterval*5/4)
 }
 
-// preconditions builds a list of guards that always holds this node's own record: an owner
-// that has lost it can change nothing.
-func (o *owner) preconditions(more map[string]uint64) []kv.Precondition {
-	own := o.c.node.OwnPrecondition()
-	all := map[string]uint64{own.Key: own.Version}
-	for k, v := range more {
-		all[k] = v
-	}
-	return kv.SortedPreconditions(all)
-}
-
 // ownsRecordsOf tells whether the records of an owner are this one's to take: its own, those of
 // owners whose successor it is, and what no other owner takes.
 func (o *owner) ownsRecordsOf(earlier record.OwnerID) bool {
--- a/internal/fleet/host_test.go
+++ b/internal/fleet/host_test.go
@@ -145,16 +145,18 @@
 // fakeTransaction collects the keys that are written and deleted.
 type fakeTransaction struct {
 	puts, deletes []string
-	results       []func(ok bool)
+	results       []func(committed bool, revision uint64)
 }
 
-func (x *fakeTransaction) Put(key string, _ any)       { x.puts = append(x.puts, key) }
-func (x *fakeTransaction) Delete(key string)           { x.deletes = append(x.deletes, key) }
-func (x *fakeTransaction) OnResult(done func(ok bool)) { x.results = append(x.results, done) }
+func (x *fakeTransaction) Put(key string, _ any) { x.puts = append(x.puts, key) }
+func (x *fakeTransaction) Delete(key string)     { x.deletes = append(x.deletes, key) }
+func (x *fakeTransaction) OnResult(done func(committed bool, revision uint64)) {
+	x.results = append(x.results, done)
+}
 
 // finish ends the transaction.
-func (x *fakeTransaction) finish(ok bool) {
+func (x *fakeTransaction) finish(committed bool) {
 	for _, done := range x.results {
-		done(ok)
+		done(committed, 9)
 	}
 }
--- a/internal/fleet/scale_out.go
+++ b/internal/fleet/scale_out.go
@@ -67,8 +67,9 @@
 	Put(key string, value any)
 	// Delete deletes a record.
 	Delete(key string)
-	// OnResult registers what is done once the transaction has succeeded or failed.
-	OnResult(done func(ok bool))
+	// OnResult registers what is done once the transaction is committed, at a revision, or has
+	// failed.
+	OnResult(done func(committed bool, revision uint64))
 }
 
 // setScaleOutState is the one place where a scale-out request changes its state.
@@ -129,10 +130,10 @@
 			Owner: f.ownership.ID(), Type: r.offer.Type, Zone: r.offer.Zone, Spot: r.offer.Spot, Count: r.machineCount,
 		})
 	}
-	t.OnResult(func(ok bool) {
+	t.OnResult(func(committed bool, _ uint64) {
 		r.writing = false
 		switch {
-		case !ok:
+		case !committed:
 		case r.state == scaleOutDone:
 			delete(f.scaleOutRequests, r.name)
 		default:
