--- a/controller/commit_adapter.go
+++ b/controller/commit_adapter.go
@@ -133,7 +133,7 @@
 // dropOwnedElsewhere removes an adopted machine that has an entry in another block: of another owner,
 // or of this one if the machine was transferred to it.
 func (o *owner) dropOwnedElsewhere(m *inventory.Machine, block string) {
-	o.ownedElsewhere[m.Name] = o.c.now + ownedElsewhereRetention
+	o.markOwnedElsewhere(m.Name)
 	o.forgetMachine(m)
 	o.receiveTransfer(block)
 }
--- a/controller/machine_requests.go
+++ b/controller/machine_requests.go
@@ -13,12 +13,8 @@
 // suitable idle machine, or else, if the job's team is below its guaranteed quota, the owner of the
 // team that exceeds its own most. machine_transfers.go is the part of the source.
 
-// Minimum times between two requests of an owner.
-const (
-	machineRequestInterval = 2 * micros.Second
-	// arrayRequestInterval is the one for arrays, which need machines less urgently than gangs.
-	arrayRequestInterval = 8 * micros.Second
-)
+// machineRequestInterval is the minimum time between two requests of an owner.
+const machineRequestInterval = 2 * micros.Second
 
 // requestMachines requests machines for some tasks of a job from other owners. With reclaim, the
 // source may evict tasks of teams that exceed their guaranteed quotas.
--- a/controller/machine_transfers.go
+++ b/controller/machine_transfers.go
@@ -122,7 +122,7 @@
 
 // completeTransfer removes a machine whose new owner is recorded, and notifies that owner.
 func (o *owner) completeTransfer(m *inventory.Machine) {
-	o.ownedElsewhere[m.Name] = o.c.now + ownedElsewhereRetention
+	o.markOwnedElsewhere(m.Name)
 	o.forgetMachine(m)
 	o.c.peers.Send(m.TransferTo.Node(), &peer.Message{Body: &peer.Message_Given{
 		Given: &peer.Given{Block: transferBlockName(m)},
@@ -164,7 +164,7 @@
 	block.Version = version
 	o.recoverMachine(block, data, &data.Machines[0])
 	m := block.Machines[0]
-	delete(o.ownedElsewhere, m.Name)
+	o.fleet.ClearOwnedElsewhere(m.Name)
 	m.FencingToken, m.Dirty, m.Recovered, block.Dirty = version, false, true, false
 	m.TokenConfirmedAt = o.c.now
 	o.c.log.Info("machine transfer accepted", "machine", m.Name, "type", m.Type, "zone", m.Zone)
--- a/controller/owner.go
+++ b/controller/owner.go
@@ -1,7 +1,6 @@
 package controller
 
 import (
-	"maps"
 	"slices"
 
 	"tamarindlead/internal/inventory"
@@ -9,6 +8,7 @@
 	"tamarindlead/internal/autoscaler"
 	"tamarindlead/internal/cluster"
 	"tamarindlead/internal/commit"
+	"tamarindlead/internal/fleet"
 	"tamarindlead/internal/record"
 	"tamarindlead/internal/scheduler"
 	"tamarindlead/internal/workers"
@@ -51,21 +51,9 @@
 	cancellationsKnownUntil micros.Micros
 
 	// Machines.
-	cloudListing       cloudList
-	scaleOutRequests   map[string]*scaleOutRequest
-	refusedOffers      map[autoscaler.Offer]micros.Micros // not asked for until then
-	recentlyTerminated map[string]micros.Micros           // machines that were returned, remembered until then
-	ownedElsewhere     map[string]micros.Micros           // machines that another owns, though no peer says so yet
-	unclaimedSince     map[string]micros.Micros           // listed machines that nobody claims, since when
-	partitionedSince   map[string]micros.Micros           // zones that are cut off, since when
-	terminating        bool                               // a request for that is under way
-	nextTermination    micros.Micros
-	nextAutoscaling    micros.Micros
-	nextScaleIn        micros.Micros
-	// nextMachineRequest and nextArrayRequest are when machines may be asked of other owners
-	// again, the latter for arrays.
+	fleet *fleet.Fleet
+	// nextMachineRequest is when machines may be requested of other owners again.
 	nextMachineRequest micros.Micros
-	nextArrayRequest   micros.Micros
 
 	// workers is the part that handles the heartbeats of machines and sends them commands.
 	workers *workers.Manager
@@ -79,18 +67,13 @@
 func newOwner(c *Core, teams map[string]cluster.Team) *owner {
 	o := &owner{
 		c: c, activeSince: c.now,
-		scaleOutRequests:   map[string]*scaleOutRequest{},
-		recentlyTerminated: map[string]micros.Micros{},
-		refusedOffers:      map[autoscaler.Offer]micros.Micros{},
-		partitionedSince:   map[string]micros.Micros{},
-		classes:            autoscaler.NewClasses(),
-		ownedElsewhere:     map[string]micros.Micros{},
-		unclaimedSince:     map[string]micros.Micros{},
+		classes: autoscaler.NewClasses(),
 	}
 	o.Inventory = inventory.NewInventory(inventoryHost{o}, c.log)
 	o.commits = newCommitPipeline(o)
 	o.workers = workers.New(o.Inventory, c.cfg, c.log, workersHost{o})
 	o.scheduler = newScheduler(o)
+	o.fleet = newFleet(o)
 	for _, t := range c.cfg.Teams {
 		if v, ok := teams[t.Name]; ok {
 			o.Teams[t.Name] = &inventory.Team{Record: v, Team: t}
@@ -120,6 +103,10 @@
 // superseded tells callbacks of an owner that has been replaced to do nothing.
 func (o *owner) superseded() bool { return o.c.owner != o }
 
+// isActiveOwner reports whether this owner has recovered its records and, as far as this node knows,
+// was not replaced. Whether another node knows better is decided by fencing tokens and preconditions.
+func (o *owner) isActiveOwner() bool { return !o.superseded() && o.state == ownerActive }
+
 // setState is the one place where the state changes.
 func (o *owner) setState(s ownerState) {
 	leader, term := o.c.node.Leader()
@@ -160,7 +147,7 @@
 		o.schedule()
 		o.flush()
 		o.dispatchQueuedMachines()
-		o.terminateMachines()
+		o.fleet.TerminateMachines()
 	}
 }
 
@@ -179,14 +166,12 @@
 	}
 	o.readUnresolvedJobs()
 	o.sweepParts()
-	o.checkMachineHealth()
+	o.fleet.CheckHealth()
 	o.inspectMachines()
 	o.tickReservations()
-	o.tickCloudList()
-	o.tickAutoscaling()
-	for _, list := range []map[string]micros.Micros{o.recentlyTerminated, o.ownedElsewhere} {
-		maps.DeleteFunc(list, func(_ string, until micros.Micros) bool { return o.c.now > until })
-	}
+	o.fleet.TickCloudList()
+	o.fleet.TickAutoscaling()
+	o.fleet.RemoveExpired()
 }
 
 // minAllUnresponsiveTimeout is the shortest silence of all machines after which something is wrong.
--- a/controller/recovery.go
+++ b/controller/recovery.go
@@ -34,7 +34,7 @@
 	o.commits.Reset()
 	o.unresolvedJobs = nil
 	o.workers.Reset()
-	clear(o.scaleOutRequests)
+	o.fleet.Reset()
 	o.scheduler.ClearReservations()
 }
 
--- a/controller/workers_adapter.go
+++ b/controller/workers_adapter.go
@@ -45,10 +45,10 @@
 
 func (h workersHost) Claimant(machine string) string { return h.o.c.claimant(machine) }
 
-func (h workersHost) OwnedElsewhere(machine string) bool { return h.o.ownedElsewhere[machine] != 0 }
+func (h workersHost) OwnedElsewhere(machine string) bool { return h.o.fleet.IsOwnedElsewhere(machine) }
 
 func (h workersHost) RecentlyTerminated(machine string) bool {
-	return h.o.recentlyTerminated[machine] != 0
+	return h.o.fleet.IsRecentlyTerminated(machine)
 }
 
 func (h workersHost) Adopt(info inventory.MachineInfo) *inventory.Machine { return h.o.adopt(info) }
--- /dev/null
+++ b/internal/fleet/cloud_list.go
@@ -0,0 +1,125 @@
+package fleet
+
+import (
+	"cmp"
+	"maps"
+	"net/http"
+	"net/url"
+	"strconv"
+
+	"tamarindlead/internal/inventory"
+	"tamarindlead/internal/ordered"
+	"tamarindlead/internal/wire"
+	"tamarindlead/micros"
+)
+
+const (
+	// listPageSize is how many machines a page of the cloud's list may have.
+	listPageSize = 500
+	// minListInterval is the least time between two readings of the list.
+	minListInterval = 2 * micros.Second
+	// unclaimedLagFactor is how many times the list's usual lag a machine must be listed
+	// without an owner to count as unclaimed: the list may be twice its lag late.
+	unclaimedLagFactor = 3
+)
+
+// cloudList is a reading of the cloud's list, page by page.
+type cloudList struct {
+	inProgress bool
+	nextAt     micros.Micros // when the next reading may begin
+	machines   map[string]wire.ListedMachine
+}
+
+// TickCloudList begins a reading of the cloud's list when it is due.
+func (f *Fleet) TickCloudList() {
+	f.refresh()
+	l := &f.cloudListing
+	if l.inProgress || f.now < l.nextAt || !f.cloud.Allow() {
+		return
+	}
+	l.inProgress, l.machines = true, map[string]wire.ListedMachine{}
+	f.requestCloudListPage("")
+}
+
+// requestCloudListPage requests the machines whose names follow a given one.
+func (f *Fleet) requestCloudListPage(after string) {
+	query := url.Values{"limit": {strconv.Itoa(listPageSize)}}
+	if after != "" {
+		query.Set("after", after)
+	}
+	f.cloud.Call(http.MethodGet, wire.PathRentals+"?"+query.Encode(), nil, func(status wire.Status, body []byte) {
+		if f.host.Superseded() {
+			return
+		}
+		f.refresh()
+		f.handleCloudListPage(status, body)
+	})
+}
+
+// handleCloudListPage handles one page of the list. A reading with a failed request is dropped.
+func (f *Fleet) handleCloudListPage(status wire.Status, body []byte) {
+	l := &f.cloudListing
+	l.nextAt = f.now + max(f.settings.CloudListLag, minListInterval)
+	var page wire.MachineList
+	if status != wire.StatusOK || wire.Decode(body, &page) != nil {
+		l.inProgress = false
+		return
+	}
+	for _, m := range page.Machines {
+		l.machines[m.Name] = m
+	}
+	if page.More && len(page.Machines) > 0 {
+		f.requestCloudListPage(page.Machines[len(page.Machines)-1].Name)
+		return
+	}
+	l.inProgress = false
+	f.applyCloudList(l.machines)
+}
+
+// applyCloudList compares the machines with the cloud's list, and adopts those that no owner
+// claims.
+func (f *Fleet) applyCloudList(list map[string]wire.ListedMachine) {
+	for _, name := range ordered.Keys(list) {
+		f.applyListedMachine(list[name])
+	}
+	maps.DeleteFunc(f.unclaimedSince, func(name string, _ micros.Micros) bool {
+		_, listed := list[name]
+		return !listed
+	})
+	for name, m := range f.Machines {
+		if _, listed := list[name]; !listed && m.CloudListed {
+			m.MissedListings++
+		}
+	}
+}
+
+// applyListedMachine updates a machine from its entry in the cloud's list, or adopts it.
+func (f *Fleet) applyListedMachine(entry wire.ListedMachine) {
+	m := f.Machines[entry.Name]
+	if m == nil {
+		if !f.isUnclaimed(entry.Name) {
+			return
+		}
+		m = f.Adopt(inventory.MachineInfo{
+			Name: entry.Name, Type: entry.Type, Zone: entry.Zone, Spot: entry.Spot, Endpoint: entry.Endpoint,
+		})
+		m.ProvisionedAt = f.wallClock - micros.FromSeconds(entry.AgeS)
+	}
+	m.CloudListed, m.MissedListings = true, 0
+	m.Failed = entry.Status == wire.ListFailed
+	m.Endpoint = cmp.Or(m.Endpoint, entry.Endpoint)
+}
+
+// isUnclaimed reports whether no owner claims a listed machine. The list may be twice its usual
+// lag late and still show machines that another owner has terminated, so a machine must stay
+// listed for longer than that.
+func (f *Fleet) isUnclaimed(name string) bool {
+	if f.IsRecentlyTerminated(name) || f.IsOwnedElsewhere(name) || f.ownership.IsClaimedByPeer(name) ||
+		!f.ownership.AdoptsUnclaimed() {
+		return false
+	}
+	if f.unclaimedSince[name] == 0 {
+		f.unclaimedSince[name] = f.now
+	}
+	return f.now-f.unclaimedSince[name] > unclaimedLagFactor*f.settings.CloudListLag
+}
