--- a/controller/fleet_adapter_test.go
+++ b/controller/fleet_adapter_test.go
@@ -15,7 +15,7 @@
 		{"replaced", func(o *owner) { o.c.owner = nil }, false, true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			o, _, _ := activeOwner()
+			o, _ := activeOwner()
 			test.change(o)
 			host := fleetHost{o}
 			if host.IsActive() != test.active || host.Superseded() != test.superseded {
--- a/controller/authorization_test.go
+++ b/controller/workers_adapter_test.go
@@ -11,7 +11,7 @@
 
 // activeOwner returns an active owner with a machine that it has claimed, and on it an attempt
 // whose place is recorded.
-func activeOwner() (*owner, *inventory.Machine, *inventory.Attempt) {
+func activeOwner() (*owner, *inventory.Attempt) {
 	core := newRespondingCore()
 	o := newOwner(core, map[string]cluster.Team{})
 	core.setOwner(o)
@@ -20,7 +20,7 @@
 	m.State, m.FencingToken, m.TokenConfirmed, m.Recorded = inventory.MachineReady, 7, true, true
 	j := inventory.NewJob(&sched.Job{ID: "req-000001", Team: "red", Tasks: 1, Need: sched.NewResources(1, 0, 1)}, 5, 0)
 	o.Jobs[j.ID] = j
-	return o, m, o.AddAttempt(j, 0, 1, m, inventory.AttemptRecorded)
+	return o, o.AddAttempt(j, 0, 1, m, inventory.AttemptRecorded)
 }
 
 // TestWorkersHostState checks what the part that commands workers is given to decide on: only an
@@ -41,7 +41,7 @@
 		}, true, false, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			o, _, a := activeOwner()
+			o, a := activeOwner()
 			c.change(o, a)
 			h := workersHost{o}
 			if h.IsActive() != c.active || h.Superseded() != c.superseded || h.JobHasEnded(a.Job.ID) != c.jobEnded {
