--- a/internal/inventory/job.go
+++ b/internal/inventory/job.go
@@ -191,7 +191,7 @@
 // none: a queue of large jobs must fit into little memory.
 func (j *Job) AllocateTaskStates() {
 	if j.TaskStates == nil {
-		j.TaskStates, j.Completed = make([]TaskState, j.Tasks), make(record.Bitmap, (j.Tasks+7)/8)
+		j.TaskStates, j.Completed = make([]TaskState, j.Tasks), record.NewBitmap(j.Tasks)
 	}
 }
 
