--- a/controller/commit_adapter.go
+++ b/controller/commit_adapter.go
@@ -18,8 +18,9 @@
 		Inventory: o.Inventory, Host: commitHost{o}, Transfers: commitTransfers{o},
 		Sources: commit.Sources{
 			CascadedCancellations: o.flushCascadedCancellations,
-			ScaleOutRequests:      o.flushScaleOutRequests,
-			Reservations:          o.flushReservations,
+			// The fleet and the scheduler are created after the pipeline.
+			ScaleOutRequests: func(t *commit.Transaction, full func() bool) { o.fleet.FlushScaleOutRequests(t, full) },
+			Reservations:     func(t *commit.Transaction, full func() bool) { o.scheduler.FlushReservations(t, full) },
 		},
 	})
 }
@@ -46,9 +47,9 @@
 
 func (h commitHost) JobDone(j *inventory.Job) { h.o.handleJobDoneRecorded(j) }
 
-func (h commitHost) AttemptRecorded(a *inventory.Attempt) { h.o.handleAttemptRecorded(a) }
+func (h commitHost) AttemptRecorded(a *inventory.Attempt) { h.o.scheduler.HandleAttemptRecorded(a) }
 
-func (h commitHost) MachineClaimed(m *inventory.Machine) { h.o.answerDeferredHeartbeat(m) }
+func (h commitHost) MachineClaimed(m *inventory.Machine) { h.o.workers.HandlePendingHeartbeat(m) }
 
 func (h commitHost) MachineRemoved(m *inventory.Machine) { h.o.forgetMachine(m) }
 
@@ -148,18 +149,6 @@
 
 func (o *owner) flush() { o.commits.Flush() }
 
-func (o *owner) markDirty(m *inventory.Machine) { o.commits.MarkDirty(m) }
-
-func (o *owner) blockFor(machineType, zone string) *inventory.Block {
-	return o.commits.BlockFor(machineType, zone)
-}
-
 func (o *owner) newBlock(name string) *inventory.Block { return o.commits.NewBlock(name) }
 
-func (o *owner) dropChunks(j *inventory.Job) { o.commits.DropChunks(j) }
-
 func (o *owner) ownsAllTeams() bool { return o.commits.OwnsAllTeams() }
-
-func (o *owner) preconditions(versions map[string]uint64) []kv.Precondition {
-	return o.commits.Preconditions(versions)
-}
--- a/controller/fleet_adapter.go
+++ b/controller/fleet_adapter.go
@@ -32,7 +32,7 @@
 func (h fleetHost) Superseded() bool                  { return h.o.superseded() }
 func (h fleetHost) IsActive() bool                    { return h.o.isActiveOwner() }
 func (h fleetHost) ActiveSince() micros.Micros        { return h.o.activeSince }
-func (h fleetHost) LastHeartbeat() micros.Micros      { return h.o.lastHeartbeat() }
+func (h fleetHost) LastHeartbeat() micros.Micros      { return h.o.workers.LastHeartbeat() }
 func (h fleetHost) NextNumber() uint64                { return h.o.nextNumber() }
 
 func (h fleetHost) ReportViolation(violation string, details ...any) {
@@ -81,16 +81,13 @@
 }
 
 func (h fleetJobs) RemainingRunTime(a *inventory.Attempt) micros.Micros {
-	return h.o.remainingRunTime(a)
+	return h.o.workers.RemainingRunTime(a)
 }
 
-func (h fleetJobs) Evict(a *inventory.Attempt, reason string) { h.o.evict(a, reason) }
+func (h fleetJobs) Evict(a *inventory.Attempt, reason string) { h.o.workers.Evict(a, reason) }
 
 func (h fleetJobs) RequestMachines(job *sched.Job, tasks int) { h.o.requestMachines(job, tasks, false) }
 
-// overdueDecommissionFraction is the name under which the other parts of the owner use it.
-const overdueDecommissionFraction = fleet.OverdueDecommissionFraction
-
 // catalog returns the cloud's machine types, as far as this node knows them.
 func (c *Core) catalog() autoscaler.Catalog {
 	return autoscaler.Catalog{Types: c.types.List(), MaxTasks: inventory.MaxEntryTasks}
@@ -98,31 +95,17 @@
 
 // newMachine adds a machine, with an entry in a block of its type and zone.
 func (o *owner) newMachine(info inventory.MachineInfo) *inventory.Machine {
-	return o.addMachine(o.blockFor(info.Type, info.Zone), info)
+	return o.addMachine(o.commits.BlockFor(info.Type, info.Zone), info)
 }
 
-func (o *owner) adopt(info inventory.MachineInfo) *inventory.Machine { return o.fleet.Adopt(info) }
-
-func (o *owner) market() autoscaler.Market { return o.fleet.Market() }
-
 func (o *owner) machineSize(m *inventory.Machine) sched.Resources {
 	return fleet.MachineSize(m, o.c.types.List())
 }
 
-func (o *owner) observeRunTime(a *inventory.Attempt) { o.fleet.RecordRunTime(a) }
-
-func (o *owner) cancellationOverdue(m *inventory.Machine, fraction float64) bool {
-	return o.fleet.CancellationOverdue(m, fraction, o.c.now)
-}
-
 func (o *owner) recoverScaleOutRequests(entries []kv.Entry) {
 	o.fleet.RecoverScaleOutRequests(entries)
 }
 
-func (o *owner) flushScaleOutRequests(t *transaction, full func() bool) {
-	o.fleet.FlushScaleOutRequests(t, full)
-}
-
 func (o *owner) markOwnedElsewhere(machine string) {
 	o.fleet.MarkOwnedElsewhere(machine, o.c.now+ownedElsewhereRetention)
 }
--- a/controller/inventory_adapter.go
+++ b/controller/inventory_adapter.go
@@ -15,13 +15,13 @@
 
 func (h inventoryHost) Now() micros.Micros { return h.o.c.now }
 
-func (h inventoryHost) EntryChanged(m *inventory.Machine) { h.o.markDirty(m) }
+func (h inventoryHost) EntryChanged(m *inventory.Machine) { h.o.commits.MarkDirty(m) }
 
 func (h inventoryHost) CompletionUnrecorded(j *inventory.Job, chunk int) {
 	h.o.commits.MarkChunkDirty(j, chunk)
 }
 
-func (h inventoryHost) CommandsNeeded(m *inventory.Machine) { h.o.queueDispatch(m) }
+func (h inventoryHost) CommandsNeeded(m *inventory.Machine) { h.o.workers.QueueDispatch(m) }
 
 // forgetMachine removes a machine whose record is gone, and refuses its pending heartbeat.
 func (o *owner) forgetMachine(m *inventory.Machine) {
--- a/controller/job_queue.go
+++ b/controller/job_queue.go
@@ -45,7 +45,7 @@
 func (o *owner) enqueue(j *inventory.Job) {
 	j.IdleSince = o.c.now
 	o.Jobs[j.ID] = j
-	o.inheritPriority(j)
+	o.scheduler.InheritPriority(j)
 	o.QueueJob(j)
 	o.classes.RecordSubmission(o.c.now, j.Job, o.c.catalog())
 	o.SchedulingNeeded = true
@@ -102,7 +102,7 @@
 func (o *owner) endJob(j *inventory.Job) {
 	o.SetJobState(j, inventory.JobEnded)
 	o.Queue = slices.DeleteFunc(o.Queue, func(queued *inventory.Job) bool { return queued == j })
-	o.dropChunks(j)
+	o.commits.DropChunks(j)
 	o.dropParts(j)
 	if len(j.Attempts) == 0 {
 		delete(o.Jobs, j.ID)
--- a/controller/machine_requests.go
+++ b/controller/machine_requests.go
@@ -4,6 +4,7 @@
 	"tamarindlead/internal/ordered"
 	"tamarindlead/internal/peer"
 	"tamarindlead/internal/record"
+	"tamarindlead/internal/scheduler"
 	"tamarindlead/micros"
 	"tamarindlead/sched"
 )
@@ -160,7 +161,7 @@
 		}
 	}
 	for _, name := range ordered.Keys(o.Teams) {
-		used := o.teamUsage(o.Teams[name]).Used
+		used := scheduler.Usage(o.Teams[name]).Used
 		heartbeat.Teams = append(heartbeat.Teams, &peer.TeamUse{Team: name, Cpu: used.CPU, Gpu: used.GPU})
 	}
 }
--- a/controller/machine_transfers.go
+++ b/controller/machine_transfers.go
@@ -52,7 +52,7 @@
 // reclaimMachines transfers machines from which it evicts tasks of teams that exceed their guaranteed
 // quotas.
 func (o *owner) reclaimMachines(job *sched.Job, newOwner record.OwnerID) {
-	plan := o.planReclaim(job)
+	plan := o.scheduler.PlanReclaim(job)
 	if plan == nil {
 		return
 	}
@@ -62,7 +62,7 @@
 		o.startTransfer(o.Machines[a.Machine.Name], newOwner)
 	}
 	reason := scheduler.PreemptionReason(job.ID)
-	o.stopBundledAttempts(plan.Victims, reason)
+	o.scheduler.EvictVictims(plan.Victims, reason)
 	for _, a := range plan.Placement {
 		o.evictLongTasks(o.Machines[a.Machine.Name], reason)
 	}
@@ -72,20 +72,20 @@
 // the guaranteed quotas of their teams allow.
 func (o *owner) evictLongTasks(m *inventory.Machine, reason string) {
 	for _, a := range m.SortedAttempts() {
-		if a.Job.Gang || a.State != inventory.AttemptLive || o.remainingRunTime(a) < scheduler.MinRemainingForPreemption {
+		if a.Job.Gang || a.State != inventory.AttemptLive || o.workers.RemainingRunTime(a) < scheduler.MinRemainingForPreemption {
 			continue
 		}
-		usage := o.teamUsage(o.Teams[a.Job.Team])
+		usage := scheduler.Usage(o.Teams[a.Job.Team])
 		usage.Used = usage.Used.Sub(a.Job.Need)
 		if usage.MeetsGuarantee() {
-			o.evict(a, reason)
+			o.workers.Evict(a, reason)
 		}
 	}
 }
 
 // isIdle reports whether a machine can be transferred at once.
 func (o *owner) isIdle(m *inventory.Machine) bool {
-	return m.State == inventory.MachineReady && len(m.Attempts) == 0 && m.FencingToken != 0 && !o.isReserved(m.Name) &&
+	return m.State == inventory.MachineReady && len(m.Attempts) == 0 && m.FencingToken != 0 && !o.scheduler.IsReserved(m.Name) &&
 		o.c.now-m.IdleSince > minIdleBeforeTransfer
 }
 
--- a/controller/machine_types_adapter.go
+++ b/controller/machine_types_adapter.go
@@ -27,7 +27,7 @@
 }
 
 func (h machineTypesHost) OwnerPreconditions() []kv.Precondition {
-	return h.c.owner.preconditions(nil)
+	return h.c.owner.commits.Preconditions(nil)
 }
 
 func (h machineTypesHost) FetchMachineTypes(done func(status wire.Status, body []byte)) {
--- a/controller/membership.go
+++ b/controller/membership.go
@@ -58,7 +58,7 @@
 // setOwner replaces the owner; nil ends the ownership. Nothing else changes it.
 func (c *Core) setOwner(o *owner) {
 	if c.owner != nil {
-		c.owner.refusePendingHeartbeats()
+		c.owner.workers.RefusePendingHeartbeats()
 	}
 	c.owner = o
 	c.updateRateLimits()
--- a/controller/priority_inheritance_test.go
+++ b/controller/priority_inheritance_test.go
@@ -233,7 +233,7 @@
 		w.submit(stage(1, 0, 10, 0), w.core.wallClock)
 		w.submit(stage(2, 0, 25, due), w.core.wallClock, jobName(1))
 		g := w.owner.fleet.Demands()[0]
-		want := w.owner.maxWait(w.owner.Jobs[g.Representative.ID])
+		want := w.owner.scheduler.ClassWaitTarget(w.owner.Jobs[g.Representative.ID])
 		if due == 50 {
 			want = 15 * micros.Second // 50 s less both estimates
 		}
--- a/controller/scheduler_adapter.go
+++ b/controller/scheduler_adapter.go
@@ -20,7 +20,7 @@
 			FreeSlots:        o.commits.FreeSlots,
 			Size:             o.machineSize,
 			FindType:         o.c.types.Find,
-			RemainingRunTime: o.remainingRunTime,
+			RemainingRunTime: o.workers.RemainingRunTime,
 		},
 		Inventory: o.Inventory,
 		Classes:   o.classes,
@@ -42,11 +42,11 @@
 
 func (h schedulerHost) FreeBytes(b *inventory.Block) float64 { return h.o.commits.FreeBytes(b) }
 
-func (h schedulerHost) Evict(a *inventory.Attempt, reason string) { h.o.evict(a, reason) }
+func (h schedulerHost) Evict(a *inventory.Attempt, reason string) { h.o.workers.Evict(a, reason) }
 
 func (h schedulerHost) Catalog() autoscaler.Catalog { return h.o.c.catalog() }
 
-func (h schedulerHost) Market() autoscaler.Market { return h.o.market() }
+func (h schedulerHost) Market() autoscaler.Market { return h.o.fleet.Market() }
 
 func (h schedulerHost) RequestMachines(job *sched.Job, tasks int, reclaim bool) {
 	h.o.requestMachines(job, tasks, reclaim)
@@ -61,40 +61,8 @@
 
 func (o *owner) schedule() { o.scheduler.Schedule() }
 
-func (o *owner) quotaHeadroom(j *inventory.Job, reserved sched.Resources) int {
-	return o.scheduler.QuotaHeadroom(j, reserved)
-}
-
-func (o *owner) teamUsage(t *inventory.Team) sched.TeamUsage { return scheduler.Usage(t) }
-
-func (o *owner) estimatedRunTime(j *inventory.Job) micros.Micros {
-	return o.scheduler.EstimatedRunTime(j)
-}
-
-func (o *owner) maxWait(j *inventory.Job) micros.Micros { return o.scheduler.ClassWaitTarget(j) }
-
-func (o *owner) inheritPriority(j *inventory.Job) { o.scheduler.InheritPriority(j) }
-
-func (o *owner) recordSpotReclaimed(m *inventory.Machine) { o.scheduler.RecordSpotReclaimed(m) }
-
-func (o *owner) handleAttemptRecorded(a *inventory.Attempt) { o.scheduler.HandleAttemptRecorded(a) }
-
-func (o *owner) planReclaim(job *sched.Job) *sched.PreemptionPlan {
-	return o.scheduler.PlanReclaim(job)
-}
-
-func (o *owner) stopBundledAttempts(bundles []sched.Bundle, reason string) {
-	o.scheduler.EvictVictims(bundles, reason)
-}
-
-func (o *owner) isReserved(machine string) bool { return o.scheduler.IsReserved(machine) }
-
 func (o *owner) tickReservations() { o.scheduler.TickReservations() }
 
-func (o *owner) flushReservations(t *transaction, full func() bool) {
-	o.scheduler.FlushReservations(t, full)
-}
-
 // recoverReservations recovers the reservations of an earlier owner. Records that are not used are
 // deleted unless another owner may need them.
 func (o *owner) recoverReservations(entries []kv.Entry) {
--- a/controller/status.go
+++ b/controller/status.go
@@ -92,7 +92,7 @@
 func (o *owner) logWork() {
 	jobs, gangs, tasks := 0, 0, 0
 	for _, j := range o.Queue {
-		pending := min(j.Pending, o.quotaHeadroom(j, sched.Resources{}))
+		pending := min(j.Pending, o.scheduler.QuotaHeadroom(j, sched.Resources{}))
 		if pending <= 0 || j.State != inventory.JobActive {
 			continue
 		}
--- a/controller/worker_heartbeats.go
+++ b/controller/worker_heartbeats.go
@@ -48,7 +48,7 @@
 	c.workerHeartbeats.record(c.now)
 	switch {
 	case c.owner != nil:
-		c.owner.handleHeartbeat(r.ID, heartbeat)
+		c.owner.workers.HandleHeartbeat(r.ID, heartbeat)
 	case c.mayExtendForeignLease(heartbeat):
 		c.respond(r.ID, wire.StatusOK, wire.HeartbeatResponse{FencingToken: heartbeat.FencingToken})
 	default:
--- a/controller/workers_adapter.go
+++ b/controller/workers_adapter.go
@@ -1,6 +1,7 @@
 package controller
 
 import (
+	"tamarindlead/internal/fleet"
 	"tamarindlead/internal/frontend"
 	"tamarindlead/internal/inventory"
 	"tamarindlead/internal/wire"
@@ -51,44 +52,28 @@
 	return h.o.fleet.IsRecentlyTerminated(machine)
 }
 
-func (h workersHost) Adopt(info inventory.MachineInfo) *inventory.Machine { return h.o.adopt(info) }
+func (h workersHost) Adopt(info inventory.MachineInfo) *inventory.Machine {
+	return h.o.fleet.Adopt(info)
+}
 
 func (h workersHost) MayRenewLease() bool { return h.o.c.mayRenewLease() }
 
 func (h workersHost) JobHasEnded(job string) bool { return h.o.c.cancellations.HasEnded(job) }
 
 func (h workersHost) CancellationOverdue(m *inventory.Machine) bool {
-	return h.o.cancellationOverdue(m, overdueDecommissionFraction)
+	return h.o.fleet.CancellationOverdue(m, fleet.OverdueDecommissionFraction, h.o.c.now)
 }
 
-func (h workersHost) RecordRunTime(a *inventory.Attempt) { h.o.observeRunTime(a) }
+func (h workersHost) RecordRunTime(a *inventory.Attempt) { h.o.fleet.RecordRunTime(a) }
 
 func (h workersHost) EstimatedRunTime(j *inventory.Job) micros.Micros {
-	return h.o.estimatedRunTime(j)
-}
-
-func (h workersHost) RecordSpotReclaimed(m *inventory.Machine) { h.o.recordSpotReclaimed(m) }
-
-// The methods below forward to the manager of workers under the names that other parts use.
-
-func (o *owner) lastHeartbeat() micros.Micros { return o.workers.LastHeartbeat() }
-
-func (o *owner) handleHeartbeat(request uint64, heartbeat *wire.Heartbeat) {
-	o.workers.HandleHeartbeat(request, heartbeat)
+	return h.o.scheduler.EstimatedRunTime(j)
 }
 
-func (o *owner) answerDeferredHeartbeat(m *inventory.Machine) { o.workers.HandlePendingHeartbeat(m) }
-
-func (o *owner) refusePendingHeartbeats() { o.workers.RefusePendingHeartbeats() }
+func (h workersHost) RecordSpotReclaimed(m *inventory.Machine) { h.o.scheduler.RecordSpotReclaimed(m) }
 
-func (o *owner) queueDispatch(m *inventory.Machine) { o.workers.QueueDispatch(m) }
+// The methods below forward to the manager of workers for the owner's ticks.
 
 func (o *owner) dispatchQueuedMachines() { o.workers.DispatchQueuedMachines() }
 
 func (o *owner) inspectMachines() { o.workers.InspectMachines() }
-
-func (o *owner) evict(a *inventory.Attempt, reason string) { o.workers.Evict(a, reason) }
-
-func (o *owner) remainingRunTime(a *inventory.Attempt) micros.Micros {
-	return o.workers.RemainingRunTime(a)
-}
