--- a/controller/owner.go
+++ b/controller/owner.go
@@ -1,13 +1,12 @@
 package controller
 
 import (
-	"maps"
-
 	"tamarindlead/internal/inventory"
 
 	"tamarindlead/internal/autoscaler"
 	"tamarindlead/internal/cluster"
 	"tamarindlead/internal/commit"
+	"tamarindlead/internal/fleet"
 	"tamarindlead/internal/recovery"
 	"tamarindlead/internal/scheduler"
 	"tamarindlead/internal/workers"
@@ -41,21 +40,9 @@
 	cancellationsKnownUntil micros.Micros
 
 	// Machines.
-	cloudListing       cloudList
-	scaleOutRequests   map[string]*scaleOutRequest
-	refusedOffers      map[autoscaler.Offer]micros.Micros // not asked for until then
-	recentlyTerminated map[string]micros.Micros           // machines that were returned, remembered until then
-	ownedElsewhere     map[string]micros.Micros           // machines that another owns, though no peer says so yet
-	unclaimedSince     map[string]micros.Micros           // listed machines that nobody claims, since when
-	partitionedSince   map[string]micros.Micros           // zones that are cut off, since when
-	terminating        bool                               // a request for that is under way
-	nextTermination    micros.Micros
-	nextAutoscaling    micros.Micros
-	nextScaleIn        micros.Micros
-	// nextMachineRequest and nextArrayRequest are when machines may be asked of other owners
-	// again, the latter for arrays.
+	fleet *fleet.Fleet
+	// nextMachineRequest is when machines may be requested of other owners again.
 	nextMachineRequest micros.Micros
-	nextArrayRequest   micros.Micros
 
 	workers *workers.Manager // handles heartbeats of machines and sends commands
 
@@ -68,18 +55,13 @@
 func newOwner(c *Core, teams map[string]cluster.Team) *owner {
 	o := &owner{
 		c: c, activeSince: c.now,
-		scaleOutRequests:   map[string]*scaleOutRequest{},
-		recentlyTerminated: map[string]micros.Micros{},
-		refusedOffers:      map[autoscaler.Offer]micros.Micros{},
-		partitionedSince:   map[string]micros.Micros{},
-		classes:            autoscaler.NewClasses(),
-		ownedElsewhere:     map[string]micros.Micros{},
-		unclaimedSince:     map[string]micros.Micros{},
+		classes: autoscaler.NewClasses(),
 	}
 	o.Inventory = inventory.NewInventory(inventoryHost{o}, c.log)
 	o.commits = newCommitPipeline(o)
 	o.workers = workers.New(o.Inventory, c.cfg, c.log, workersHost{o})
 	o.scheduler = newScheduler(o)
+	o.fleet = newFleet(o)
 	o.recovery = newRecovery(o)
 	for _, team := range c.cfg.Teams {
 		if rec, ok := teams[team.Name]; ok {
@@ -102,7 +84,7 @@
 		o.schedule()
 		o.flush()
 		o.dispatchQueuedMachines()
-		o.terminateMachines()
+		o.fleet.TerminateMachines()
 	}
 }
 
@@ -121,12 +103,10 @@
 	}
 	o.recovery.ResolveJobs()
 	o.sweepParts()
-	o.checkMachineHealth()
+	o.fleet.CheckHealth()
 	o.inspectMachines()
 	o.tickReservations()
-	o.tickCloudList()
-	o.tickAutoscaling()
-	for _, list := range []map[string]micros.Micros{o.recentlyTerminated, o.ownedElsewhere} {
-		maps.DeleteFunc(list, func(_ string, until micros.Micros) bool { return o.c.now > until })
-	}
+	o.fleet.TickCloudList()
+	o.fleet.TickAutoscaling()
+	o.fleet.RemoveExpired()
 }
--- a/controller/owner_state.go
+++ b/controller/owner_state.go
@@ -26,6 +26,10 @@
 	return fmt.Sprintf("ownerState(%d)", int(s))
 }
 
+// isActiveOwner reports whether this owner has recovered its records and, as far as this node knows,
+// was not replaced. Whether another node knows better is decided by fencing tokens and preconditions.
+func (o *owner) isActiveOwner() bool { return !o.superseded() && o.state == ownerActive }
+
 // setState changes the state. Nothing else changes it.
 func (o *owner) setState(s ownerState) {
 	leader, term := o.c.node.Leader()
@@ -47,7 +51,7 @@
 	o.SchedulingNeeded = true
 	o.setState(ownerActive)
 	o.watchJobs(o.watchRevision)
-	o.c.types.nextReadAt = o.c.now
+	o.c.types.Refresh()
 }
 
 // recoveryRestartDelay limits the reads of a node that restarts its recovery repeatedly.
--- a/controller/recovery_adapter.go
+++ b/controller/recovery_adapter.go
@@ -36,7 +36,7 @@
 	o.jobsListed, o.cascadedCancellations = false, nil
 	o.commits.Reset()
 	o.workers.Reset()
-	clear(o.scaleOutRequests)
+	o.fleet.Reset()
 	o.scheduler.ClearReservations()
 }
 
@@ -63,8 +63,3 @@
 }
 
 func (h recoveryHost) RecoveryComplete() { h.o.activate() }
-
-// recoverMachine adds a machine that another owner has transferred to this one.
-func (o *owner) recoverMachine(b *inventory.Block, data *record.BlockData, entry *record.BlockMachine) {
-	o.recovery.RecoverMachine(b, data, entry)
-}
--- a/controller/workers_adapter.go
+++ b/controller/workers_adapter.go
@@ -1,6 +1,7 @@
 package controller
 
 import (
+	"tamarindlead/internal/fleet"
 	"tamarindlead/internal/frontend"
 	"tamarindlead/internal/inventory"
 	"tamarindlead/internal/wire"
@@ -8,8 +9,9 @@
 	"tamarindlead/micros"
 )
 
-// workersHost gives the part of an owner that handles workers what it needs of the owner's other
-// parts and of the node.
+// This file connects package workers with its owner and node.
+
+// workersHost implements workers.Host.
 type workersHost struct{ o *owner }
 
 func (h workersHost) Now() micros.Micros { return h.o.c.now }
@@ -44,50 +46,34 @@
 
 func (h workersHost) Claimant(machine string) string { return h.o.c.claimant(machine) }
 
-func (h workersHost) OwnedElsewhere(machine string) bool { return h.o.ownedElsewhere[machine] != 0 }
+func (h workersHost) OwnedElsewhere(machine string) bool { return h.o.fleet.IsOwnedElsewhere(machine) }
 
 func (h workersHost) RecentlyTerminated(machine string) bool {
-	return h.o.recentlyTerminated[machine] != 0
+	return h.o.fleet.IsRecentlyTerminated(machine)
 }
 
-func (h workersHost) Adopt(info inventory.MachineInfo) *inventory.Machine { return h.o.adopt(info) }
+func (h workersHost) Adopt(info inventory.MachineInfo) *inventory.Machine {
+	return h.o.fleet.Adopt(info)
+}
 
 func (h workersHost) MayRenewLease() bool { return h.o.c.mayRenewLease() }
 
 func (h workersHost) JobHasEnded(job string) bool { return h.o.c.cancellations.HasEnded(job) }
 
 func (h workersHost) CancellationOverdue(m *inventory.Machine) bool {
-	return h.o.cancellationOverdue(m, overdueDecommissionFraction)
+	return h.o.fleet.CancellationOverdue(m, fleet.OverdueDecommissionFraction, h.o.c.now)
 }
 
-func (h workersHost) RecordRunTime(a *inventory.Attempt) { h.o.observeRunTime(a) }
+func (h workersHost) RecordRunTime(a *inventory.Attempt) { h.o.fleet.RecordRunTime(a) }
 
 func (h workersHost) EstimatedRunTime(j *inventory.Job) micros.Micros {
-	return h.o.estimatedRunTime(j)
+	return h.o.scheduler.EstimatedRunTime(j)
 }
 
-func (h workersHost) RecordSpotReclaimed(m *inventory.Machine) { h.o.recordSpotReclaimed(m) }
-
-// The methods below have the names by which the owner's other parts call this one.
-
-func (o *owner) lastHeartbeat() micros.Micros { return o.workers.LastHeartbeat() }
-
-func (o *owner) handleHeartbeat(request uint64, heartbeat *wire.Heartbeat) {
-	o.workers.HandleHeartbeat(request, heartbeat)
-}
+func (h workersHost) RecordSpotReclaimed(m *inventory.Machine) { h.o.scheduler.RecordSpotReclaimed(m) }
 
-func (o *owner) answerDeferredHeartbeat(m *inventory.Machine) { o.workers.HandlePendingHeartbeat(m) }
-
-func (o *owner) refusePendingHeartbeats() { o.workers.RefusePendingHeartbeats() }
-
-func (o *owner) queueDispatch(m *inventory.Machine) { o.workers.QueueDispatch(m) }
+// The methods below forward to the manager of workers for the owner's ticks.
 
 func (o *owner) dispatchQueuedMachines() { o.workers.DispatchQueuedMachines() }
 
 func (o *owner) inspectMachines() { o.workers.InspectMachines() }
-
-func (o *owner) evict(a *inventory.Attempt, reason string) { o.workers.Evict(a, reason) }
-
-func (o *owner) remainingRunTime(a *inventory.Attempt) micros.Micros {
-	return o.workers.RemainingRunTime(a)
-}
