--- a/controller/dump_play_test.go
+++ b/controller/dump_play_test.go
@@ -12,21 +12,21 @@
 
 // runDumpScript plays production/script.txt: with nodes of the version in production where
 // save takes the dumps, else with present ones. begin sees each world before it plays.
-func runDumpScript(t *testing.T, begin func(w *simulation), save func(w *simulation, name string)) {
+func runDumpScript(t *testing.T, begin func(sim *simulation), save func(sim *simulation, name string)) {
 	t.Helper()
-	var w *simulation
+	var sim *simulation
 	datadriven.RunTest(t, "production/script.txt", func(t *testing.T, d *datadriven.TestData) string {
 		if d.Cmd == "world" {
-			w = newScenarioSimulation(t, d)
+			sim = newScenarioSimulation(t, d)
 			if save != nil {
-				w.startWithProduction(t, len(w.nodes))
+				sim.startWithProduction(t, len(sim.nodes))
 			}
-			begin(w)
+			begin(sim)
 			return ""
 		}
 		if d.Cmd == "dump" {
 			if save != nil {
-				save(w, arg(t, d, "name", ""))
+				save(sim, arg(t, d, "name", ""))
 			}
 			return ""
 		}
@@ -35,21 +35,21 @@
 			if d.HasArg("condemned") {
 				text = `"condemned":true`
 			}
-			return w.runUntilRecord(arg(t, d, "prefix", ""), text)
+			return sim.runUntilRecord(arg(t, d, "prefix", ""), text)
 		}
-		out := runScenarioCommand(t, w, d)
-		if len(w.violations) > 0 {
-			t.Fatalf("%s: rules broken:\n%s", filepath.Base(d.Pos), strings.Join(w.violations, "\n"))
+		out := runScenarioCommand(t, sim, d)
+		if len(sim.violations) > 0 {
+			t.Fatalf("%s: rules broken:\n%s", filepath.Base(d.Pos), strings.Join(sim.violations, "\n"))
 		}
 		return out
 	})
 }
 
 // runUntilRecord plays until there is a record with a prefix in which a text is read.
-func (w *simulation) runUntilRecord(prefix, text string) string {
-	for end := w.now + 60*micros.Second; w.now < end; w.run(simulationStep) {
-		for _, k := range w.kvStore.Keys(prefix) {
-			if v, _ := w.kvStore.Get(k); strings.Contains(decodedText(k, v), text) {
+func (sim *simulation) runUntilRecord(prefix, text string) string {
+	for end := sim.now + 60*micros.Second; sim.now < end; sim.run(simulationStep) {
+		for _, k := range sim.kvStore.Keys(prefix) {
+			if v, _ := sim.kvStore.Get(k); strings.Contains(decodedText(k, v), text) {
 				return "seen"
 			}
 		}
--- a/controller/dump_test.go
+++ b/controller/dump_test.go
@@ -62,10 +62,10 @@
 	Cancelled micros.Micros
 }
 
-// recordPeerMessage passes on what a node said to another.
-func (w *simulation) recordPeerMessage(body []byte) {
-	if w.onMessage != nil && len(body) > 0 {
-		w.onMessage(body)
+// notifyPeerMessage passes on what a node said to another.
+func (sim *simulation) notifyPeerMessage(body []byte) {
+	if sim.onMessage != nil && len(body) > 0 {
+		sim.onMessage(body)
 	}
 }
 
@@ -75,55 +75,55 @@
 // loadSimulation makes a world that goes on from a dump; its users ask for their jobs.
 func loadSimulation(d *dump) *simulation {
 	cfg := d.Settings
-	w := newSimulation(1, &cfg)
-	w.now, w.kvStore.Now, w.cloud.Now = d.Now, d.Now, d.Now
-	w.kvStore.Load(d.Records, d.Revision, dumpLease)
-	w.cloud.Types, w.cloud.Capacity = d.Types, d.Capacity
-	w.cloud.RestoreScaleOutGrants(d.Grants, d.Rented)
+	sim := newSimulation(1, &cfg)
+	sim.now, sim.kvStore.Now, sim.cloud.Now = d.Now, d.Now, d.Now
+	sim.kvStore.Load(d.Records, d.Revision, dumpLease)
+	sim.cloud.Types, sim.cloud.Capacity = d.Types, d.Capacity
+	sim.cloud.RestoreScaleOutGrants(d.Grants, d.Rented)
 	for _, task := range d.Done {
-		w.done[task] = true
+		sim.completedTasks[task] = true
 	}
 	for _, j := range d.Jobs {
 		job := j.Job
 		id := job.ID
-		w.submitted[id], w.infos[id], w.bodies[id] = &job, j.Info, wire.Encode(wire.FromJob(&job))
-		w.submittedAt[id], w.cancelRequested[id] = w.now, j.WantsEnd
+		sim.submitted[id], sim.taskInfos[id], sim.submissions[id] = &job, j.Info, wire.Encode(wire.FromJob(&job))
+		sim.submittedAt[id], sim.cancelRequested[id] = sim.now, j.WantsEnd
 		if j.Accepted {
-			w.accepted[id], w.users.acceptedAt[id] = true, w.now
+			sim.accepted[id], sim.users.acceptedAt[id] = true, sim.now
 		}
 		if j.Told != "" {
-			w.reportedTerminal[id], w.users.terminalSeenAt[id] = j.Told, w.now
+			sim.reportedTerminal[id], sim.users.terminalSeenAt[id] = j.Told, sim.now
 		}
 		if j.Cancelled > 0 {
-			w.cancelled[id] = j.Cancelled
+			sim.acknowledgedCancellations[id] = j.Cancelled
 		}
 		if j.WantsEnd && j.Told == "" {
-			w.cancel(id, 0)
+			sim.cancel(id, 0)
 		}
 		if !j.Accepted {
-			w.submit(id, 0)
+			sim.submit(id, 0)
 		}
-		w.after(micros.Second, func() { w.poll(id, 0) })
+		sim.after(micros.Second, func() { sim.poll(id, 0) })
 	}
 	for _, m := range d.Machines {
-		cm := m.CloudMachine
-		cm.Endpoint = fake.Endpoint(cm.Name) // dumps do not hold it
-		w.cloud.Machines[cm.Name] = &cm
+		machine := m.CloudMachine
+		machine.Endpoint = fake.Endpoint(machine.Name) // dumps do not hold it
+		sim.cloud.Machines[machine.Name] = &machine
 		if !m.Worker {
 			continue
 		}
-		k := w.bootWorker(&cm, w.typeOf(cm.Type))
-		k.Hung, k.AgentEpoch, k.HeartbeatSeq, k.FencingToken = m.Hung, m.Session, m.Seq, m.Token
+		worker := sim.bootWorker(&machine, sim.machineType(machine.Type))
+		worker.Hung, worker.AgentEpoch, worker.HeartbeatSeq, worker.FencingToken = m.Hung, m.Session, m.Seq, m.Token
 		for _, t := range m.Tasks {
 			task := &fake.Task{Name: t.Name, Attempt: t.Attempt, Phase: t.Phase, Cause: t.Cause, Checkpointed: t.Saved}
-			task.SetPhaseRemaining(w.now, t.Left)
-			k.Tasks[t.Name] = task
-			if t.Phase != wire.PhaseExited && !cm.Gone {
-				w.running[t.Name] = cm.Name
+			task.SetPhaseRemaining(sim.now, t.Left)
+			worker.Tasks[t.Name] = task
+			if t.Phase != wire.PhaseExited && !machine.Gone {
+				sim.runningOn[t.Name] = machine.Name
 			}
 		}
 	}
-	return w
+	return sim
 }
 
 // readDumps reads the dumps of the version in production.
@@ -175,24 +175,24 @@
 				}
 			}
 			runToCompletion(t, loadSimulation(d))
-			w := loadSimulation(d) // and with the smaller limits at once
-			w.nextLimits = nextLimits{on: true, value: 1 << 10, ops: 5, writes: 15, rps: 150}
-			w.kvStore.MaxValueBytes, w.kvStore.MaxOps, w.kvStore.WriteRate, w.kvStore.RequestRate = 1<<10, 5, 15, 150
-			runToCompletion(t, w)
+			sim := loadSimulation(d) // and with the smaller limits at once
+			sim.nextLimits = nextLimits{on: true, value: 1 << 10, ops: 5, writes: 15, rps: 150}
+			sim.kvStore.MaxValueBytes, sim.kvStore.MaxOps, sim.kvStore.WriteRate, sim.kvStore.RequestRate = 1<<10, 5, 15, 150
+			runToCompletion(t, sim)
 		})
 	}
 }
 
 // runToCompletion plays until all jobs have ended.
-func runToCompletion(t *testing.T, w *simulation) {
+func runToCompletion(t *testing.T, sim *simulation) {
 	t.Helper()
-	for end := w.now + 300*micros.Second; w.now < end && len(unfinished(w)) > 0 && len(w.violations) == 0; {
-		w.run(micros.Second)
+	for end := sim.now + 300*micros.Second; sim.now < end && len(unfinishedJobs(sim)) > 0 && len(sim.violations) == 0; {
+		sim.run(micros.Second)
 	}
-	if len(w.violations) > 0 {
-		t.Errorf("rules broken:\n%s", strings.Join(w.violations, "\n"))
+	if len(sim.violations) > 0 {
+		t.Errorf("rules broken:\n%s", strings.Join(sim.violations, "\n"))
 	}
-	if left := unfinished(w); len(left) > 0 {
+	if left := unfinishedJobs(sim); len(left) > 0 {
 		t.Errorf("not done: %s", strings.Join(left, " "))
 	}
 }
@@ -203,18 +203,18 @@
 	for name, d := range readDumps(t) {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			w := loadSimulation(d)
-			w.startWithProduction(t, 1)
-			for _, n := range w.nodes[1:] { // so that the old one leads first
-				n.downUntil = w.now + 6*micros.Second
+			sim := loadSimulation(d)
+			sim.startWithProduction(t, 1)
+			for _, node := range sim.nodes[1:] { // so that the old one leads first
+				node.downUntil = sim.now + 6*micros.Second
 			}
-			w.run(12 * micros.Second)
-			if w.leader() != 0 {
+			sim.run(12 * micros.Second)
+			if sim.leader() != 0 {
 				t.Fatal("the node of the production version does not lead")
 			}
-			w.nodes[0].version = currentVersion
-			w.crash(w.nodes[0], restartDelay)
-			runToCompletion(t, w)
+			sim.nodes[0].version = currentVersion
+			sim.crash(sim.nodes[0], restartDelay)
+			runToCompletion(t, sim)
 		})
 	}
 }
@@ -262,38 +262,38 @@
 
 // differences collects what two versions read differently.
 type differences struct {
-	name  *production
-	seen  map[string]bool
-	kinds map[string]bool
-	found []string
+	process   *productionProcess
+	compared  map[string]bool
+	kinds     map[string]bool
+	differing []string
 }
 
-func (f *differences) record(key string, value []byte) {
+func (diffs *differences) record(key string, value []byte) {
 	text := key + " " + string(value)
-	if f.seen[text] {
+	if diffs.compared[text] {
 		return
 	}
-	f.seen[text], f.kinds[recordKind(key)] = true, true
-	f.compare(key, decodedText(key, value), f.name.decodeRecord(key, value))
+	diffs.compared[text], diffs.kinds[recordKind(key)] = true, true
+	diffs.compare(key, decodedText(key, value), diffs.process.decodeRecord(key, value))
 }
 
-func (f *differences) message(body []byte) {
-	if f.seen[string(body)] {
+func (diffs *differences) message(body []byte) {
+	if diffs.compared[string(body)] {
 		return
 	}
-	f.seen[string(body)] = true
+	diffs.compared[string(body)] = true
 	own := decodedMessage(body)
 	for _, m := range messageKinds {
 		if strings.Contains(own, `"`+m+`":`) {
-			f.kinds[m] = true
+			diffs.kinds[m] = true
 		}
 	}
-	f.compare("a message", own, f.name.decodeMessage(body))
+	diffs.compare("a message", own, diffs.process.decodeMessage(body))
 }
 
-func (f *differences) compare(what, own, old string) {
+func (diffs *differences) compare(what, own, old string) {
 	if own != old || strings.HasPrefix(own, "error") {
-		f.found = append(f.found, what+" means\n"+own+"\nand in production\n"+old)
+		diffs.differing = append(diffs.differing, what+" means\n"+own+"\nand in production\n"+old)
 	}
 }
 
@@ -301,16 +301,16 @@
 // says while plain jobs are all that there is: each record and message must mean to it what
 // it means to us.
 func TestProductionReads(t *testing.T) {
-	f := &differences{name: startProduction(t), seen: map[string]bool{}, kinds: map[string]bool{}}
-	runDumpScript(t, func(w *simulation) {
-		w.kvStore.OnPut = func(key string, value []byte, _ uint64) { f.record(key, value) }
-		w.onMessage = f.message
+	diffs := &differences{process: startProduction(t), compared: map[string]bool{}, kinds: map[string]bool{}}
+	runDumpScript(t, func(sim *simulation) {
+		sim.kvStore.OnPut = func(key string, value []byte, _ uint64) { diffs.record(key, value) }
+		sim.onMessage = diffs.message
 	}, nil)
-	if len(f.found) > 0 {
-		t.Errorf("%d differences, the first:\n%s", len(f.found), f.found[0])
+	if len(diffs.differing) > 0 {
+		t.Errorf("%d differences, the first:\n%s", len(diffs.differing), diffs.differing[0])
 	}
 	for _, k := range slices.Concat(recordKinds, messageKinds) {
-		if !f.kinds[k] {
+		if !diffs.kinds[k] {
 			t.Errorf("no %s was written", k)
 		}
 	}
@@ -323,37 +323,37 @@
 func TestBlockedJobInProduction(t *testing.T) {
 	d := readDumps(t)["begun"]
 	id := "req-000099"
-	j := sched.Job{ID: id, Class: "work", Team: "red", Tasks: 2, Need: sched.NewResources(1, 0, 1), Image: "img", ImageGB: 1, Estimate: micros.Second}
-	value := wire.Encode(map[string]any{"w": wire.FromJob(&j), "at": int64(d.Now)})
+	job := sched.Job{ID: id, Class: "work", Team: "red", Tasks: 2, Need: sched.NewResources(1, 0, 1), Image: "img", ImageGB: 1, Estimate: micros.Second}
+	value := wire.Encode(map[string]any{"w": wire.FromJob(&job), "at": int64(d.Now)})
 	d.Records = append(d.Records, fake.Record{Key: record.ActiveJobKey(id), Value: value, Version: d.Revision + 1})
 	d.Revision++
-	d.Jobs = append(d.Jobs, dumpJob{Job: j, Info: fake.TaskInfo{CPU: 1, Mem: 1, Run: micros.Second, Fetch: micros.Second, Tasks: 2}, Accepted: true})
-	w := loadSimulation(d)
-	w.startWithProduction(t, len(w.nodes))
-	if old := w.production.decodeRecord(record.ActiveJobKey(id), value); !strings.HasPrefix(old, "error") {
+	d.Jobs = append(d.Jobs, dumpJob{Job: job, Info: fake.TaskInfo{CPU: 1, Mem: 1, Run: micros.Second, Fetch: micros.Second, Tasks: 2}, Accepted: true})
+	sim := loadSimulation(d)
+	sim.startWithProduction(t, len(sim.nodes))
+	if old := sim.production.decodeRecord(record.ActiveJobKey(id), value); !strings.HasPrefix(old, "error") {
 		t.Errorf("the version in production reads %s", old)
 	}
-	w.run(60 * micros.Second)
+	sim.run(60 * micros.Second)
 	statuses := map[string]int{}
-	for i := range w.nodes {
-		for _, r := range []Request{{Method: "GET", Path: "/api/jobs/" + id}, {Method: "POST", Path: "/api/jobs", Body: w.bodies[id]}} {
-			w.sendRequest(w.nodes[i], r, 5*micros.Second, func(a Respond) {
-				var st wire.JobState
-				if wire.Decode(a.Body, &st) != nil {
-					st.Status = "unreadable"
+	for i := range sim.nodes {
+		for _, request := range []Request{{Method: "GET", Path: "/api/jobs/" + id}, {Method: "POST", Path: "/api/jobs", Body: sim.submissions[id]}} {
+			sim.sendRequest(sim.nodes[i], request, 5*micros.Second, func(a Respond) {
+				var state wire.JobState
+				if wire.Decode(a.Body, &state) != nil {
+					state.Status = "unreadable"
 				}
-				statuses[strings.Join([]string{r.Method, string(st.Status)}, " ")]++
+				statuses[strings.Join([]string{request.Method, string(state.Status)}, " ")]++
 			})
 		}
 	}
-	w.run(6 * micros.Second)
-	if statuses["GET queued"] != len(w.nodes) || statuses["POST queued"] != len(w.nodes) {
+	sim.run(6 * micros.Second)
+	if statuses["GET queued"] != len(sim.nodes) || statuses["POST queued"] != len(sim.nodes) {
 		t.Errorf("answers: %v", statuses)
 	}
-	if w.startedAt[id] != 0 || w.running[wire.TaskName(id, 0)] != "" || w.done[wire.TaskName(id, 0)] {
+	if sim.startedAt[id] != 0 || sim.runningOn[wire.TaskName(id, 0)] != "" || sim.completedTasks[wire.TaskName(id, 0)] {
 		t.Error("it has started")
 	}
-	if len(w.violations) > 0 {
-		t.Errorf("rules broken:\n%s", strings.Join(w.violations, "\n"))
+	if len(sim.violations) > 0 {
+		t.Errorf("rules broken:\n%s", strings.Join(sim.violations, "\n"))
 	}
 }
--- a/controller/dump_write_test.go
+++ b/controller/dump_write_test.go
@@ -24,13 +24,13 @@
 	}
 	var bodies [][]byte
 	count := map[string]int{}
-	runDumpScript(t, func(w *simulation) {
+	runDumpScript(t, func(sim *simulation) {
 		bodies, count = nil, map[string]int{}
-		f := &differences{name: w.production, seen: map[string]bool{}}
-		w.onMessage = func(body []byte) {
-			f.kinds = map[string]bool{}
-			f.message(body)
-			for kind := range f.kinds {
+		diffs := &differences{process: sim.production, compared: map[string]bool{}}
+		sim.onMessage = func(body []byte) {
+			diffs.kinds = map[string]bool{}
+			diffs.message(body)
+			for kind := range diffs.kinds {
 				if kind == "beat" && bytes.Contains([]byte(decodedMessage(body)), []byte(`"idle"`)) {
 					kind = "beat of an owner"
 				}
@@ -39,11 +39,11 @@
 				}
 			}
 		}
-	}, func(w *simulation, name string) {
-		d := w.writeDump()
+	}, func(sim *simulation, name string) {
+		d := sim.writeDump()
 		d.Commit, d.Messages = commit, bodies
 		for _, m := range bodies {
-			d.Said = append(d.Said, w.production.decodeMessage(m))
+			d.Said = append(d.Said, sim.production.decodeMessage(m))
 		}
 		if err := os.WriteFile("production/"+name+".cbor", record.Compress(wire.Encode(toProduction(d))), 0o644); err != nil {
 			t.Fatal(err)
@@ -57,26 +57,26 @@
 }
 
 // writeDump takes a dump; the messages come from elsewhere.
-func (w *simulation) writeDump() *dump {
-	d := &dump{Settings: *w.cfg, Now: w.now, Types: w.cloud.Types, Capacity: w.cloud.Capacity, Done: ordered.Keys(w.done)}
-	d.Records, d.Revision = w.kvStore.Records()
-	d.Grants, d.Rented = w.cloud.ScaleOutGrants()
+func (sim *simulation) writeDump() *dump {
+	d := &dump{Settings: *sim.cfg, Now: sim.now, Types: sim.cloud.Types, Capacity: sim.cloud.Capacity, Done: ordered.Keys(sim.completedTasks)}
+	d.Records, d.Revision = sim.kvStore.Records()
+	d.Grants, d.Rented = sim.cloud.ScaleOutGrants()
 	for _, r := range d.Records {
-		d.Readings = append(d.Readings, w.production.decodeRecord(r.Key, r.Value))
+		d.Readings = append(d.Readings, sim.production.decodeRecord(r.Key, r.Value))
 	}
-	for _, name := range w.cloud.MachineNames() {
-		m := dumpMachine{CloudMachine: *w.cloud.Machines[name]}
-		if k := w.workers[name]; k != nil {
-			m.Worker, m.Hung, m.Session, m.Seq, m.Token = true, k.Hung, k.AgentEpoch, k.HeartbeatSeq, k.FencingToken
-			for _, n := range ordered.Keys(k.Tasks) {
-				t := k.Tasks[n]
-				m.Tasks = append(m.Tasks, dumpTask{t.Name, t.Attempt, t.Phase, t.Cause, t.Checkpointed, t.PhaseRemaining(w.now)})
+	for _, name := range sim.cloud.MachineNames() {
+		m := dumpMachine{CloudMachine: *sim.cloud.Machines[name]}
+		if worker := sim.workers[name]; worker != nil {
+			m.Worker, m.Hung, m.Session, m.Seq, m.Token = true, worker.Hung, worker.AgentEpoch, worker.HeartbeatSeq, worker.FencingToken
+			for _, n := range ordered.Keys(worker.Tasks) {
+				t := worker.Tasks[n]
+				m.Tasks = append(m.Tasks, dumpTask{t.Name, t.Attempt, t.Phase, t.Cause, t.Checkpointed, t.PhaseRemaining(sim.now)})
 			}
 		}
 		d.Machines = append(d.Machines, m)
 	}
-	for _, id := range ordered.Keys(w.submitted) {
-		d.Jobs = append(d.Jobs, dumpJob{*w.submitted[id], w.infos[id], w.accepted[id], w.cancelRequested[id], w.reportedTerminal[id], w.cancelled[id]})
+	for _, id := range ordered.Keys(sim.submitted) {
+		d.Jobs = append(d.Jobs, dumpJob{*sim.submitted[id], sim.taskInfos[id], sim.accepted[id], sim.cancelRequested[id], sim.reportedTerminal[id], sim.acknowledgedCancellations[id]})
 	}
 	return d
 }
--- a/controller/effects_test.go
+++ b/controller/effects_test.go
@@ -35,9 +35,9 @@
 func TestRecordedEffectsDiffer(t *testing.T) {
 	base := []Effect{Call{ID: 1, Addr: "state", Method: "GET", Target: "/kv/types", Timeout: 5, MaxBody: 6}, Respond{ID: 2, Status: 200, Body: []byte("x")}}
 	digest := func(ev Event, effects []Effect) string {
-		r := newEffectDigest()
-		r.add(0, micros.Second, ev, effects)
-		return r.String()
+		record := newEffectDigest()
+		record.add(0, micros.Second, ev, effects)
+		return record.String()
 	}
 	same := digest(Tick{}, base)
 	if again := digest(Tick{}, base); again != same {
@@ -68,8 +68,10 @@
 // runRecorded plays a scenario and digests what its nodes took and returned.
 func runRecorded(t *testing.T, scenario string) *effectDigest {
 	record := newEffectDigest()
-	runScenario(t, filepath.Join("testdata", scenario+".txt"), func(*datadriven.TestData) {}, func(w *simulation) {
-		w.onEffects = func(n *simNode, ev Event, effects []Effect) { record.add(n.index, w.now-micros.Hour, ev, effects) }
+	runScenario(t, filepath.Join("testdata", scenario+".txt"), func(*datadriven.TestData) {}, func(sim *simulation) {
+		sim.onEffects = func(node *simNode, ev Event, effects []Effect) {
+			record.add(node.index, sim.now-micros.Hour, ev, effects)
+		}
 	})
 	return record
 }
@@ -80,47 +82,47 @@
 
 // effectDigest digests events and effects. Each line holds the digest of all up to its time.
 type effectDigest struct {
-	sum     hash.Hash64
-	events  int
-	effects int
-	next    micros.Micros
-	lines   []string
+	hash       hash.Hash64
+	events     int
+	effects    int
+	nextLineAt micros.Micros
+	lines      []string
 }
 
 func newEffectDigest() *effectDigest {
-	return &effectDigest{sum: fnv.New64a(), next: digestInterval}
+	return &effectDigest{hash: fnv.New64a(), nextLineAt: digestInterval}
 }
 
-func (r *effectDigest) add(node int, now micros.Micros, ev Event, effects []Effect) {
-	for now >= r.next {
-		r.line()
-		r.next += digestInterval
+func (record *effectDigest) add(node int, now micros.Micros, ev Event, effects []Effect) {
+	for now >= record.nextLineAt {
+		record.appendLine()
+		record.nextLineAt += digestInterval
 	}
-	r.events++
-	r.effects += len(effects)
-	r.writef("%d %d ", node, now)
+	record.events++
+	record.effects += len(effects)
+	record.writef("%d %d ", node, now)
 	switch e := ev.(type) {
 	case Request:
-		r.writef("request %d %t %q %q %x", e.ID, e.Peer, e.Method, e.Path, canonical(e.Body))
+		record.writef("request %d %t %q %q %x", e.ID, e.Peer, e.Method, e.Path, canonical(e.Body))
 	case CallDone:
-		r.writef("done %d %d %t %x", e.ID, e.Status, e.Sent, canonical(e.Body))
+		record.writef("done %d %d %t %x", e.ID, e.Status, e.Sent, canonical(e.Body))
 	case Tick:
-		r.writef("tick")
+		record.writef("tick")
 	}
 	for _, effect := range effects {
 		switch e := effect.(type) {
 		case Call:
-			r.writef(" call %d %q %q %q %d %d %x", e.ID, e.Addr, e.Method, e.Target, e.Timeout, e.MaxBody, canonical(e.Body))
+			record.writef(" call %d %q %q %q %d %d %x", e.ID, e.Addr, e.Method, e.Target, e.Timeout, e.MaxBody, canonical(e.Body))
 		case Respond:
-			r.writef(" respond %d %d %d %x", e.ID, e.Status, e.RetryAfter, canonical(e.Body))
+			record.writef(" respond %d %d %d %x", e.ID, e.Status, e.RetryAfter, canonical(e.Body))
 		}
 	}
-	r.writef("\n")
+	record.writef("\n")
 }
 
 // writef adds formatted text to the digest.
-func (r *effectDigest) writef(format string, args ...any) {
-	if _, err := fmt.Fprintf(r.sum, format, args...); err != nil {
+func (record *effectDigest) writef(format string, args ...any) {
+	if _, err := fmt.Fprintf(record.hash, format, args...); err != nil {
 		panic(err) // a hash takes everything
 	}
 }
@@ -161,12 +163,12 @@
 	return ordered
 }
 
-func (r *effectDigest) line() {
-	r.lines = append(r.lines, fmt.Sprintf("%ds events=%d effects=%d digest=%s",
-		r.next/micros.Second, r.events, r.effects, hex.EncodeToString(r.sum.Sum(nil))))
+func (record *effectDigest) appendLine() {
+	record.lines = append(record.lines, fmt.Sprintf("%ds events=%d effects=%d digest=%s",
+		record.nextLineAt/micros.Second, record.events, record.effects, hex.EncodeToString(record.hash.Sum(nil))))
 }
 
-func (r *effectDigest) String() string {
-	r.line()
-	return strings.Join(r.lines, "\n") + "\n"
+func (record *effectDigest) String() string {
+	record.appendLine()
+	return strings.Join(record.lines, "\n") + "\n"
 }
--- a/controller/fault_pairs_test.go
+++ b/controller/fault_pairs_test.go
@@ -52,13 +52,13 @@
 	for _, seed := range seeds {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			p := newFaultPairRun(seed)
-			p.run()
-			if len(p.w.violations) > 0 {
+			run := newFaultPairRun(seed)
+			run.play()
+			if len(run.sim.violations) > 0 {
 				t.Errorf("rules broken:\n%s\n\nplayed:\n%s\n\nagain: PAIRS_SEED=%d SCENARIO_LOG=1 go test ./controller -run TestPairs",
-					strings.Join(p.w.violations, "\n"), strings.Join(p.notes, "\n"), seed)
+					strings.Join(run.sim.violations, "\n"), strings.Join(run.playedLog, "\n"), seed)
 			} else if testing.Verbose() {
-				t.Logf("%s\n%s", strings.Join(p.notes, "\n"), p.summary())
+				t.Logf("%s\n%s", strings.Join(run.playedLog, "\n"), run.summary())
 			}
 		})
 	}
@@ -74,19 +74,19 @@
 	for _, seed := range upgradeSeeds {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			p := newFaultPairRun(seed)
-			p.noDependencies = true
-			w := p.w
-			w.startWithProduction(t, len(w.nodes))
-			for i, n := range w.nodes {
-				w.after(8*micros.Second+micros.Micros(i)*p.seconds(4, 8), func() {
-					n.version = currentVersion
-					w.crash(n, restartDelay)
+			run := newFaultPairRun(seed)
+			run.withoutDependencies = true
+			sim := run.sim
+			sim.startWithProduction(t, len(sim.nodes))
+			for i, node := range sim.nodes {
+				sim.after(8*micros.Second+micros.Micros(i)*run.randomSeconds(4, 8), func() {
+					node.version = currentVersion
+					sim.crash(node, restartDelay)
 				})
 			}
-			p.run()
-			if len(w.violations) > 0 {
-				t.Errorf("rules broken:\n%s\n\nplayed:\n%s", strings.Join(w.violations, "\n"), strings.Join(p.notes, "\n"))
+			run.play()
+			if len(sim.violations) > 0 {
+				t.Errorf("rules broken:\n%s\n\nplayed:\n%s", strings.Join(sim.violations, "\n"), strings.Join(run.playedLog, "\n"))
 			}
 		})
 	}
@@ -95,15 +95,15 @@
 // faultPairRun is one drawn run.
 type faultPairRun struct {
 	seed                 uint64
-	w                    *simulation
+	sim                  *simulation
 	rng                  *rand.Rand // draws; the world has its own
-	notes                []string   // what is played
-	invalidJobs          map[string]int
+	playedLog            []string   // what is played
+	expectedRefusals     map[string]int
 	onCancelAcknowledged func(id string) // called once, when a cancellation is told
 	fitsSince            map[string]micros.Micros
-	openFaults           int  // under way or to come
-	outageSecond         bool // the state service goes down second
-	noDependencies       bool // no job waits for others: nothing new is asked of an old version
+	activeFaults         int  // under way or to come
+	secondIsKVOutage     bool // the state service goes down second
+	withoutDependencies  bool // no job waits for others: nothing new is asked of an old version
 }
 
 const (
@@ -114,16 +114,16 @@
 )
 
 func newFaultPairRun(seed uint64) *faultPairRun {
-	p := &faultPairRun{seed: seed, rng: rand.New(rand.NewPCG(seed, 2)), invalidJobs: map[string]int{}, fitsSince: map[string]micros.Micros{}}
-	r := p.rng
-	zones := []string{"a", "b", "c"}[:2+r.IntN(2)]
-	nodes := 3 + 2*r.IntN(2)
+	run := &faultPairRun{seed: seed, rng: rand.New(rand.NewPCG(seed, 2)), expectedRefusals: map[string]int{}, fitsSince: map[string]micros.Micros{}}
+	rng := run.rng
+	zones := []string{"a", "b", "c"}[:2+rng.IntN(2)]
+	nodes := 3 + 2*rng.IntN(2)
 	cfg := &config.Settings{
 		Zone: "a", KVAddr: "state", CloudAddr: "cloud", Zones: zones,
 		Siblings: make([]config.Sibling, nodes-1),
 		Teams: []config.Team{
-			{Name: "red", GuaranteedQuota: sched.NewResources(float64(8*r.IntN(3)), 0, 0), QuotaLimit: sched.NewResources(float64(24+8*r.IntN(3)), 0, 0)},
-			{Name: "blue", GuaranteedQuota: sched.NewResources(float64(8*r.IntN(3)), 0, 0), QuotaLimit: sched.NewResources([]float64{0, 24, 32}[r.IntN(3)], 0, 0)},
+			{Name: "red", GuaranteedQuota: sched.NewResources(float64(8*rng.IntN(3)), 0, 0), QuotaLimit: sched.NewResources(float64(24+8*rng.IntN(3)), 0, 0)},
+			{Name: "blue", GuaranteedQuota: sched.NewResources(float64(8*rng.IntN(3)), 0, 0), QuotaLimit: sched.NewResources([]float64{0, 24, 32}[rng.IntN(3)], 0, 0)},
 		},
 		HeartbeatInterval: 3 * micros.Second, WorkerLease: 15 * micros.Second, GangStartTimeout: 30 * micros.Second,
 		GangFailureTimeout: 5 * micros.Second, CancellationDeadline: 45 * micros.Second,
@@ -131,123 +131,123 @@
 		MaxValueBytes: 8 << 10, MaxTransactionOps: 12, CloudRequestRate: 5, CloudListLag: 6 * micros.Second,
 		Tuning: config.DefaultTuning(),
 	}
-	cfg.Tuning.SpreadTeams = r.IntN(2) == 0
-	p.w = newSimulation(seed, cfg)
-	w := p.w
-	w.cloud.Now = w.now
-	boot := []float64{1, 10}[r.IntN(2)]
-	w.cloud.Types = []wire.MachineType{
+	cfg.Tuning.SpreadTeams = rng.IntN(2) == 0
+	run.sim = newSimulation(seed, cfg)
+	sim := run.sim
+	sim.cloud.Now = sim.now
+	boot := []float64{1, 10}[rng.IntN(2)]
+	sim.cloud.Types = []wire.MachineType{
 		{Name: "small", CPUs: 8, MemGB: 32, CacheGB: 50, FetchGBPerS: 1, HourlyPrice: 1, SpotPrice: 0.3, BootS: boot, Zones: zones},
 		{Name: "big", CPUs: 32, MemGB: 128, CacheGB: 50, FetchGBPerS: 1, HourlyPrice: 4, SpotPrice: 1.2, BootS: boot * 1.5, Zones: zones},
 	}
-	spots := 2 * r.IntN(2)
+	spots := 2 * rng.IntN(2)
 	for _, typ := range []string{"small", "big"} {
 		for _, z := range zones {
-			w.cloud.Capacity[typ+" "+z+" false"] = 4
-			w.cloud.Capacity[typ+" "+z+" true"] = spots
+			sim.cloud.Capacity[typ+" "+z+" false"] = 4
+			sim.cloud.Capacity[typ+" "+z+" true"] = spots
 		}
 	}
-	machines := 3 + r.IntN(5)
+	machines := 3 + rng.IntN(5)
 	for i := range machines {
-		w.cloud.Add("small", zones[i%len(zones)], false, 0)
+		sim.cloud.Add("small", zones[i%len(zones)], false, 0)
 	}
-	p.logf("%d nodes, %d zones, %d machines, spot %d, boot %g s, spread %t, limits %g and %g, guarantees %g and %g", nodes, len(zones), machines, spots, boot,
+	run.logf("%d nodes, %d zones, %d machines, spot %d, boot %g s, spread %t, limits %g and %g, guarantees %g and %g", nodes, len(zones), machines, spots, boot,
 		cfg.Tuning.SpreadTeams, cfg.Teams[0].QuotaLimit.CPUs(), cfg.Teams[1].QuotaLimit.CPUs(), cfg.Teams[0].GuaranteedQuota.CPUs(), cfg.Teams[1].GuaranteedQuota.CPUs())
-	return p
+	return run
 }
 
 // logf adds to what is printed of a failing run; later the time comes first.
-func (p *faultPairRun) logf(format string, args ...any) {
-	p.notes = append(p.notes, fmt.Sprintf("%v: ", p.w.now-micros.Hour)+fmt.Sprintf(format, args...))
+func (run *faultPairRun) logf(format string, args ...any) {
+	run.playedLog = append(run.playedLog, fmt.Sprintf("%v: ", run.sim.now-micros.Hour)+fmt.Sprintf(format, args...))
 }
 
-func (p *faultPairRun) seconds(from, to float64) micros.Micros {
-	return micros.FromSeconds(from + p.rng.Float64()*(to-from))
+func (run *faultPairRun) randomSeconds(from, to float64) micros.Micros {
+	return micros.FromSeconds(from + run.rng.Float64()*(to-from))
 }
 
-func (p *faultPairRun) run() {
-	w := p.w
-	first := faultPairsLeadTime + p.seconds(0, 15)
-	second := first + p.seconds(0, 3)
-	if p.rng.IntN(4) == 0 {
-		second = first + p.seconds(3, 25)
-	}
-	kinds := p.generateFaults()
-	p.outageSecond = len(kinds) > 1 && kinds[1].outage
-	for i := range 10 + p.rng.IntN(6) {
-		p.generateJob(i+1, first, second)
-	}
-	if p.seed%3 == 0 && !p.noDependencies {
-		p.generatePipelines(p.seed, first, second)
-	}
-	p.generateInvalidJobs()
-	for i, when := range []micros.Micros{first, second, second + p.seconds(0, 12)}[:len(kinds)] {
-		p.openFaults++
-		w.after(when, func() { p.begin(kinds[i]) })
-	}
-	p.generateResponseDelays()
-	for p.openFaults > 0 && len(w.violations) == 0 {
-		w.run(micros.Second)
-	}
-	w.kvFaults.kvResponseDelay.share, w.kvFaults.peerResponseDelay.share = 0, 0
-	w.faultsEndedAt = w.now
-	p.logf("troubles are over")
-	for end := w.now + completionDeadline; w.now < end && len(p.openJobs()) > 0 && len(w.violations) == 0; {
-		w.run(micros.Second)
-		p.checkSchedulingDelay()
-	}
-	if left := p.openJobs(); len(left) > 0 && len(w.violations) == 0 {
-		w.reportViolation("not served %v after the troubles: %s", completionDeadline, strings.Join(left, " "))
-	}
-	if len(w.violations) > 0 {
+func (run *faultPairRun) play() {
+	sim := run.sim
+	first := faultPairsLeadTime + run.randomSeconds(0, 15)
+	second := first + run.randomSeconds(0, 3)
+	if run.rng.IntN(4) == 0 {
+		second = first + run.randomSeconds(3, 25)
+	}
+	kinds := run.generateFaults()
+	run.secondIsKVOutage = len(kinds) > 1 && kinds[1].kvOutage
+	for i := range 10 + run.rng.IntN(6) {
+		run.generateJob(i+1, first, second)
+	}
+	if run.seed%3 == 0 && !run.withoutDependencies {
+		run.generatePipelines(run.seed, first, second)
+	}
+	run.generateInvalidJobs()
+	for i, when := range []micros.Micros{first, second, second + run.randomSeconds(0, 12)}[:len(kinds)] {
+		run.activeFaults++
+		sim.after(when, func() { run.startFault(kinds[i]) })
+	}
+	run.generateResponseDelays()
+	for run.activeFaults > 0 && len(sim.violations) == 0 {
+		sim.run(micros.Second)
+	}
+	sim.kvFaults.kvResponseDelay.share, sim.kvFaults.peerResponseDelay.share = 0, 0
+	sim.faultsEndedAt = sim.now
+	run.logf("troubles are over")
+	for end := sim.now + completionDeadline; sim.now < end && len(run.openJobs()) > 0 && len(sim.violations) == 0; {
+		sim.run(micros.Second)
+		run.checkSchedulingDelay()
+	}
+	if left := run.openJobs(); len(left) > 0 && len(sim.violations) == 0 {
+		sim.reportViolation("not served %v after the troubles: %s", completionDeadline, strings.Join(left, " "))
+	}
+	if len(sim.violations) > 0 {
 		return
 	}
 	// All stays known, at all nodes, well within 75 s of the troubles' end: a node that has
 	// just started tells of no cancellation for a while.
-	for end := w.now + maxUnknownTime; ; {
-		missing := p.unansweredJobs()
+	for end := sim.now + maxUnknownTime; ; {
+		missing := run.unansweredJobs()
 		if len(missing) == 0 {
 			return
 		}
-		if w.now >= end || len(w.violations) > 0 {
-			w.reportViolation("forgotten: %v after the troubles these have no answer: %s", w.now-w.faultsEndedAt, strings.Join(missing, " "))
+		if sim.now >= end || len(sim.violations) > 0 {
+			sim.reportViolation("forgotten: %v after the troubles these have no answer: %s", sim.now-sim.faultsEndedAt, strings.Join(missing, " "))
 			return
 		}
 	}
 }
 
 // unansweredJobs asks all nodes about all accepted jobs, and lists those that have no answer.
-func (p *faultPairRun) unansweredJobs() []string {
-	w := p.w
+func (run *faultPairRun) unansweredJobs() []string {
+	sim := run.sim
 	open := map[string]bool{}
-	for _, id := range ordered.Keys(w.accepted) {
-		for n := range w.nodes {
+	for _, id := range ordered.Keys(sim.accepted) {
+		for n := range sim.nodes {
 			key := fmt.Sprintf("%s at %s", id, nodeName(n))
 			open[key] = true
-			p.request(n, "GET", id, "", func(r Respond) {
-				if r.Status == 200 {
+			run.sendJobRequest(n, "GET", id, "", func(response Respond) {
+				if response.Status == 200 {
 					delete(open, key)
 				}
 			})
-			w.run(2 * simulationStep)
+			sim.run(2 * simulationStep)
 		}
 	}
-	w.run(3 * micros.Second)
+	sim.run(3 * micros.Second)
 	return ordered.Keys(open)
 }
 
 // openJobs lists the jobs whose users were told no final state, but for those that are refused.
-func (p *faultPairRun) openJobs() []string {
+func (run *faultPairRun) openJobs() []string {
 	var left []string
-	for _, id := range unfinished(p.w) {
-		if p.invalidJobs[id] == 0 {
+	for _, id := range unfinishedJobs(run.sim) {
+		if run.expectedRefusals[id] == 0 {
 			left = append(left, id)
 		}
 	}
 	return left
 }
 
-func (p *faultPairRun) summary() string {
-	w := p.w
-	return fmt.Sprintf("%v: %d starts, %d after a confirmed cancellation, %d jobs, %d cancelled", w.now-micros.Hour, w.starts, w.users.startsAfterCancel, len(w.submitted), len(w.cancelled))
+func (run *faultPairRun) summary() string {
+	sim := run.sim
+	return fmt.Sprintf("%v: %d starts, %d after a confirmed cancellation, %d jobs, %d cancelled", sim.now-micros.Hour, sim.startedTasks, sim.users.startsAfterCancel, len(sim.submitted), len(sim.acknowledgedCancellations))
 }
--- a/controller/faults_response_delay_test.go
+++ b/controller/faults_response_delay_test.go
@@ -38,36 +38,36 @@
 }
 
 // delayResponse returns an answer that is held back if its turn comes.
-func (u *responseDelay) delayResponse(w *simulation, n *simNode, answer func(fake.Response)) func(fake.Response) {
-	if u.share == 0 || u.node != allNodes && u.node != n.index || u.rng.Float64() >= u.share {
+func (d *responseDelay) delayResponse(sim *simulation, node *simNode, answer func(fake.Response)) func(fake.Response) {
+	if d.share == 0 || d.node != allNodes && d.node != node.index || d.rng.Float64() >= d.share {
 		return answer
 	}
-	delay := u.maxDelay
-	if !u.fixed {
-		delay = micros.Micros(u.rng.Int64N(int64(u.maxDelay)))
+	delay := d.maxDelay
+	if !d.fixed {
+		delay = micros.Micros(d.rng.Int64N(int64(d.maxDelay)))
 	}
-	return func(r fake.Response) {
-		u.delayedCount++
-		w.after(delay, func() { answer(r) })
+	return func(response fake.Response) {
+		d.delayedCount++
+		sim.after(delay, func() { answer(response) })
 	}
 }
 
 // parseArgs takes the arguments of a command: share=0.3 ms=300 exact for=60 node=0.
-func (u *responseDelay) parseArgs(t *testing.T, d *datadriven.TestData, during func(func())) {
-	u.share = argNumber(t, d, "share", 0.3)
-	u.maxDelay = micros.FromMillis(argNumber(t, d, "ms", 300))
-	u.fixed = d.HasArg("exact")
-	u.node = arg(t, d, "node", allNodes)
-	during(func() { u.share = 0 })
+func (r *responseDelay) parseArgs(t *testing.T, d *datadriven.TestData, during func(func())) {
+	r.share = argNumber(t, d, "share", 0.3)
+	r.maxDelay = micros.FromMillis(argNumber(t, d, "ms", 300))
+	r.fixed = d.HasArg("exact")
+	r.node = arg(t, d, "node", allNodes)
+	during(func() { r.share = 0 })
 }
 
 // runResponseDelayCommand plays the commands of this file; false for any other.
-func runResponseDelayCommand(t *testing.T, w *simulation, d *datadriven.TestData, during func(func())) bool {
+func runResponseDelayCommand(t *testing.T, sim *simulation, d *datadriven.TestData, during func(func())) bool {
 	switch d.Cmd {
 	case "uneven-state":
-		w.kvFaults.kvResponseDelay.parseArgs(t, d, during)
+		sim.kvFaults.kvResponseDelay.parseArgs(t, d, during)
 	case "uneven-peers":
-		w.kvFaults.peerResponseDelay.parseArgs(t, d, during)
+		sim.kvFaults.peerResponseDelay.parseArgs(t, d, during)
 	default:
 		return false
 	}
@@ -76,7 +76,7 @@
 
 // applyResponseDelayFromEnv lets answers be uneven in any scenario: SCENARIO_UNEVEN=0.3 holds back that
 // share of the answers of the state service.
-func (w *simulation) applyResponseDelayFromEnv(t *testing.T) {
+func (sim *simulation) applyResponseDelayFromEnv(t *testing.T) {
 	text := os.Getenv("SCENARIO_UNEVEN")
 	if text == "" {
 		return
@@ -85,5 +85,5 @@
 	if err != nil || share < 0 || share > 1 {
 		t.Fatalf("SCENARIO_UNEVEN=%s: want a share from 0 to 1", text)
 	}
-	w.kvFaults.kvResponseDelay.share, w.kvFaults.kvResponseDelay.maxDelay = share, 300*micros.Millisecond
+	sim.kvFaults.kvResponseDelay.share, sim.kvFaults.kvResponseDelay.maxDelay = share, 300*micros.Millisecond
 }
--- a/controller/faults_state_test.go
+++ b/controller/faults_state_test.go
@@ -17,15 +17,15 @@
 // controllers. They draw from a row of their own, so that scenarios without them stay as
 // they are.
 type kvFaults struct {
-	rng                  *rand.Rand
-	lateTransactionRate  float64       // of the transactions: no answer, carried out late
-	responseLostOnly     bool          // carried out at once, only the answer is lost
-	responseDelay        micros.Micros // the state service answers after so long
-	peerLossRate         float64       // of the messages between controllers: lost
-	peerResponsesOnly    bool          // only the answers to them are
-	peerHeartbeatsSpared bool          // but not what they say once a second, nor what they pass on
-	lateApplied          int           // transactions that were carried out late and held
-	lostResponses        int           // transactions that were carried out, their answer lost
+	rng                     *rand.Rand
+	lateTransactionRate     float64       // of the transactions: no answer, carried out late
+	responseLostOnly        bool          // carried out at once, only the answer is lost
+	responseDelay           micros.Micros // the state service answers after so long
+	peerLossRate            float64       // of the messages between controllers: lost
+	peerResponsesOnly       bool          // only the answers to them are
+	peerHeartbeatsSpared    bool          // but not what they say once a second, nor what they pass on
+	lateTransactionsApplied int           // transactions that were carried out late and held
+	lostResponses           int           // transactions that were carried out, their answer lost
 
 	kvResponseDelay   responseDelay // of the answers of the state service
 	peerResponseDelay responseDelay // of those of other controllers
@@ -46,79 +46,79 @@
 )
 
 // callKVStore brings a call to the state service, with the troubles of the moment.
-func (w *simulation) callKVStore(n *simNode, c Call, answer func(fake.Response)) {
-	f := &w.kvFaults
-	whole := f.kvResponseDelay.delayResponse(w, n, answer)
-	answer = func(r fake.Response) {
-		if !n.onlyWorkersReachable { // the cut holds answers too, those of open watches among them
-			whole(r)
+func (sim *simulation) callKVStore(node *simNode, call Call, answer func(fake.Response)) {
+	faults := &sim.kvFaults
+	whole := faults.kvResponseDelay.delayResponse(sim, node, answer)
+	answer = func(response fake.Response) {
+		if !node.onlyWorkersReachable { // the cut holds answers too, those of open watches among them
+			whole(response)
 		}
 	}
-	deliver := func(answer func(fake.Response)) { w.executeKV(n, c, w.now, answer) }
-	commit := strings.HasPrefix(c.Target, "/commit")
-	if commit && f.lateTransactionRate > 0 && f.rng.Float64() < f.lateTransactionRate {
-		if f.responseLostOnly {
-			deliver(func(r fake.Response) { f.lostResponses += held(r) })
+	deliver := func(answer func(fake.Response)) { sim.executeKV(node, call, sim.now, answer) }
+	commit := strings.HasPrefix(call.Target, "/commit")
+	if commit && faults.lateTransactionRate > 0 && faults.rng.Float64() < faults.lateTransactionRate {
+		if faults.responseLostOnly {
+			deliver(func(response fake.Response) { faults.lostResponses += committedCount(response) })
 			return
 		}
 		span := int64(maxLateWrite - minLateWrite)
-		w.after(minLateWrite+micros.Micros(f.rng.Int64N(span)), func() {
-			deliver(func(r fake.Response) { f.lateApplied += held(r) })
+		sim.after(minLateWrite+micros.Micros(faults.rng.Int64N(span)), func() {
+			deliver(func(response fake.Response) { faults.lateTransactionsApplied += committedCount(response) })
 		})
 		return
 	}
-	if f.responseDelay > 0 && !strings.HasPrefix(c.Target, "/changes") {
-		half := f.responseDelay / 2
-		w.after(half, func() {
-			deliver(func(r fake.Response) { w.after(half, func() { answer(r) }) })
+	if faults.responseDelay > 0 && !strings.HasPrefix(call.Target, "/changes") {
+		half := faults.responseDelay / 2
+		sim.after(half, func() {
+			deliver(func(response fake.Response) { sim.after(half, func() { answer(response) }) })
 		})
 		return
 	}
 	deliver(answer)
 }
 
-func held(r fake.Response) int {
-	if r.Status == 200 {
+func committedCount(response fake.Response) int {
+	if response.Status == 200 {
 		return 1
 	}
 	return 0
 }
 
 // dropPeerMessage draws whether a message between controllers, or the answer to it, gets lost.
-func (w *simulation) dropPeerMessage(c Call, answer bool) bool {
-	f := &w.kvFaults
-	if f.peerLossRate == 0 || f.peerResponsesOnly != answer {
+func (sim *simulation) dropPeerMessage(call Call, answer bool) bool {
+	faults := &sim.kvFaults
+	if faults.peerLossRate == 0 || faults.peerResponsesOnly != answer {
 		return false
 	}
-	if f.peerHeartbeatsSpared {
+	if faults.peerHeartbeatsSpared {
 		var m peer.Message
-		if proto.Unmarshal(c.Body, &m) == nil && (m.GetBeat() != nil || m.GetStoreCall() != nil) {
+		if proto.Unmarshal(call.Body, &m) == nil && (m.GetBeat() != nil || m.GetStoreCall() != nil) {
 			return false
 		}
 	}
-	return f.rng.Float64() < f.peerLossRate
+	return faults.rng.Float64() < faults.peerLossRate
 }
 
 // runKVFaultCommand plays the commands of this file; ok is false for any other.
-func runKVFaultCommand(t *testing.T, w *simulation, d *datadriven.TestData, node func() *simNode, during func(func())) (out string, ok bool) {
-	f := &w.kvFaults
+func runKVFaultCommand(t *testing.T, sim *simulation, d *datadriven.TestData, node func() *simNode, during func(func())) (out string, ok bool) {
+	faults := &sim.kvFaults
 	switch d.Cmd {
 	case "late-writes":
-		f.lateTransactionRate, f.responseLostOnly = argNumber(t, d, "share", 1), d.HasArg("at-once")
-		during(func() { f.lateTransactionRate = 0 })
+		faults.lateTransactionRate, faults.responseLostOnly = argNumber(t, d, "share", 1), d.HasArg("at-once")
+		during(func() { faults.lateTransactionRate = 0 })
 	case "slow-state":
-		f.responseDelay = micros.FromMillis(argNumber(t, d, "ms", 1000))
-		during(func() { f.responseDelay = 0 })
+		faults.responseDelay = micros.FromMillis(argNumber(t, d, "ms", 1000))
+		during(func() { faults.responseDelay = 0 })
 	case "lose-peer-messages":
-		f.peerLossRate, f.peerHeartbeatsSpared = argNumber(t, d, "share", 1), d.HasArg("spare-beats")
-		f.peerResponsesOnly = d.HasArg("answers")
-		during(func() { f.peerLossRate = 0 })
+		faults.peerLossRate, faults.peerHeartbeatsSpared = argNumber(t, d, "share", 1), d.HasArg("spare-beats")
+		faults.peerResponsesOnly = d.HasArg("answers")
+		during(func() { faults.peerLossRate = 0 })
 	case "cancel-jobs":
 		// Users cancel a row of jobs, beginning at one node.
 		to, every := node().index, argSeconds(t, d, "every", 0)
 		for i := range arg(t, d, "count", 1) {
 			id := jobName(arg(t, d, "from", 1) + i)
-			w.after(micros.Micros(i)*every, func() { w.cancel(id, to) })
+			sim.after(micros.Micros(i)*every, func() { sim.cancel(id, to) })
 		}
 	default:
 		return "", false
--- a/controller/faults_workers_test.go
+++ b/controller/faults_workers_test.go
@@ -21,7 +21,7 @@
 	duplicateHeartbeatRate float64                  // of the reports, of which copies come late
 	replayToNextOwner      bool                     // the copies are kept for the next owner
 	replayHeartbeats       []savedHeartbeat         // those copies
-	delayNextOf            []string                 // the next reports of these machines are held back
+	delayNextHeartbeatOf   []string                 // the next reports of these machines are held back
 	delayedHeartbeats      []savedHeartbeat         // until a new owner has acted
 	capturedHeartbeats     [][]byte                 // reports that come again when asked for
 	commandDelayRate       float64                  // of the direct commands, held up on the way there or back
@@ -30,7 +30,7 @@
 	delayRequestOnly       bool          // only on the way there
 	commitDelay            micros.Micros // of commits
 	owners                 map[int]any
-	acting                 map[int]any
+	activeOwners           map[int]any
 }
 
 type savedHeartbeat struct{ body []byte }
@@ -38,134 +38,134 @@
 const maxSavedHeartbeats = 64 // copies for the next owner
 
 // setTaskStagger has each task of a job take longer than the one before it.
-func (w *simulation) setTaskStagger(id string, step micros.Micros) {
+func (sim *simulation) setTaskStagger(id string, step micros.Micros) {
 	if step > 0 {
-		if w.taskStagger == nil {
-			w.taskStagger = map[string]micros.Micros{}
+		if sim.taskStagger == nil {
+			sim.taskStagger = map[string]micros.Micros{}
 		}
-		w.taskStagger[id] = step
+		sim.taskStagger[id] = step
 	}
 }
 
 // randomDuration draws a time.
-func (w *simulation) randomDuration(low, high micros.Micros) micros.Micros {
-	return low + micros.Micros(w.rng.Int64N(int64(max(1, high-low))))
+func (sim *simulation) randomDuration(low, high micros.Micros) micros.Micros {
+	return low + micros.Micros(sim.rng.Int64N(int64(max(1, high-low))))
 }
 
-// deliverHeartbeat brings a worker's report to a node; nobody waits for the answer.
-func (w *simulation) deliverHeartbeat(node int, body []byte) {
-	w.sendRequest(w.nodes[node], Request{Method: "POST", Path: PathHeartbeat, Body: body}, micros.Second, func(Respond) {})
+// sendHeartbeatCopy brings a worker's report to a node; nobody waits for the answer.
+func (sim *simulation) sendHeartbeatCopy(node int, body []byte) {
+	sim.sendRequest(sim.nodes[node], Request{Method: "POST", Path: PathHeartbeat, Body: body}, micros.Second, func(Respond) {})
 }
 
 // duplicateHeartbeat makes the copies of a report that come later. It returns true if the report
 // itself does not arrive now.
-func (w *simulation) duplicateHeartbeat(k *fake.Worker, body []byte) bool {
-	if w.duplicateHeartbeatRate > 0 && w.rng.Float64() < w.duplicateHeartbeatRate {
-		if w.replayToNextOwner {
-			if w.replayHeartbeats = append(w.replayHeartbeats, savedHeartbeat{body}); len(w.replayHeartbeats) > maxSavedHeartbeats {
-				w.replayHeartbeats = w.replayHeartbeats[1:]
+func (sim *simulation) duplicateHeartbeat(worker *fake.Worker, body []byte) bool {
+	if sim.duplicateHeartbeatRate > 0 && sim.rng.Float64() < sim.duplicateHeartbeatRate {
+		if sim.replayToNextOwner {
+			if sim.replayHeartbeats = append(sim.replayHeartbeats, savedHeartbeat{body}); len(sim.replayHeartbeats) > maxSavedHeartbeats {
+				sim.replayHeartbeats = sim.replayHeartbeats[1:]
 			}
 		} else {
-			to := w.rng.IntN(len(w.nodes))
-			w.after(w.randomDuration(2*micros.Second, 2*w.cfg.WorkerLease), func() { w.deliverHeartbeat(to, body) })
+			to := sim.rng.IntN(len(sim.nodes))
+			sim.after(sim.randomDuration(2*micros.Second, 2*sim.cfg.WorkerLease), func() { sim.sendHeartbeatCopy(to, body) })
 		}
 	}
-	i := slices.Index(w.delayNextOf, k.Machine.Name)
+	i := slices.Index(sim.delayNextHeartbeatOf, worker.Machine.Name)
 	if i < 0 {
 		return false
 	}
-	w.delayNextOf = slices.Delete(w.delayNextOf, i, i+1)
-	w.delayedHeartbeats = append(w.delayedHeartbeats, savedHeartbeat{body})
+	sim.delayNextHeartbeatOf = slices.Delete(sim.delayNextHeartbeatOf, i, i+1)
+	sim.delayedHeartbeats = append(sim.delayedHeartbeats, savedHeartbeat{body})
 	return true
 }
 
-// replayToLeader delivers what was kept for a new owner: copies to every controller as it begins
+// replayToNewOwners delivers what was kept for a new owner: copies to every controller as it begins
 // and again as it becomes active, a report that was held back once it has acted.
-func (w *simulation) replayToLeader() {
-	if w.owners == nil {
-		w.owners, w.acting = map[int]any{}, map[int]any{}
+func (sim *simulation) replayToNewOwners() {
+	if sim.owners == nil {
+		sim.owners, sim.activeOwners = map[int]any{}, map[int]any{}
 	}
 	copies := func() {
-		for _, r := range w.replayHeartbeats {
-			for i := range w.nodes {
-				w.deliverHeartbeat(i, r.body)
+		for _, r := range sim.replayHeartbeats {
+			for i := range sim.nodes {
+				sim.sendHeartbeatCopy(i, r.body)
 			}
 		}
 	}
-	for i, n := range w.nodes {
-		o, active := n.ownership()
+	for i, node := range sim.nodes {
+		o, active := node.ownership()
 		if o == nil {
-			w.owners[i], w.acting[i] = nil, nil
+			sim.owners[i], sim.activeOwners[i] = nil, nil
 			continue
 		}
-		if w.owners[i] != o {
-			w.owners[i] = o
+		if sim.owners[i] != o {
+			sim.owners[i] = o
 			copies()
 		}
-		if active && w.acting[i] != o {
-			w.acting[i] = o
+		if active && sim.activeOwners[i] != o {
+			sim.activeOwners[i] = o
 			copies()
-			w.replayHeartbeats = nil
-			for _, r := range w.delayedHeartbeats {
-				w.after(4*micros.Second, func() { w.deliverHeartbeat(i, r.body) })
+			sim.replayHeartbeats = nil
+			for _, r := range sim.delayedHeartbeats {
+				sim.after(4*micros.Second, func() { sim.sendHeartbeatCopy(i, r.body) })
 			}
-			w.delayedHeartbeats = nil
+			sim.delayedHeartbeats = nil
 		}
 	}
 }
 
 // delayCommand holds up a direct command, or its answer. It returns how to answer, or nil if the
 // command comes later.
-func (w *simulation) delayCommand(c Call, answer func(fake.Response)) func(fake.Response) {
-	if w.commandDelayRate == 0 || w.rng.Float64() >= w.commandDelayRate {
+func (sim *simulation) delayCommand(call Call, answer func(fake.Response)) func(fake.Response) {
+	if sim.commandDelayRate == 0 || sim.rng.Float64() >= sim.commandDelayRate {
 		return answer
 	}
-	wait := w.randomDuration(w.minCommandDelay, w.commandDelay)
-	if w.delayRequestOnly || w.rng.IntN(2) == 0 {
-		k := w.workers[strings.TrimPrefix(c.Addr, "worker:")]
-		w.after(wait, func() { w.executeWhenResumed(k, c, answer) })
+	wait := sim.randomDuration(sim.minCommandDelay, sim.commandDelay)
+	if sim.delayRequestOnly || sim.rng.IntN(2) == 0 {
+		worker := sim.workers[strings.TrimPrefix(call.Addr, "worker:")]
+		sim.after(wait, func() { sim.executeWhenResumed(worker, call, answer) })
 		return nil
 	}
-	return func(r fake.Response) { w.after(wait, func() { answer(r) }) }
+	return func(response fake.Response) { sim.after(wait, func() { answer(response) }) }
 }
 
 // executeWhenResumed executes a command that was held up on its way, once the machine goes on.
-func (w *simulation) executeWhenResumed(k *fake.Worker, c Call, answer func(fake.Response)) {
+func (sim *simulation) executeWhenResumed(worker *fake.Worker, call Call, answer func(fake.Response)) {
 	switch {
-	case k.Machine.Gone:
-	case k.Hung || k.Partitioned:
-		w.after(simulationStep, func() { w.executeWhenResumed(k, c, answer) })
-	case c.Target == "/inspect":
-		answer(fake.Response{Status: 200, Body: wire.Encode(k.BuildHeartbeat())})
+	case worker.Machine.Gone:
+	case worker.Hung || worker.Partitioned:
+		sim.after(simulationStep, func() { sim.executeWhenResumed(worker, call, answer) })
+	case call.Target == "/inspect":
+		answer(fake.Response{Status: 200, Body: wire.Encode(worker.BuildHeartbeat())})
 	default:
-		answer(k.ExecuteDirect(w.now, c.Body))
+		answer(worker.ExecuteDirect(sim.now, call.Body))
 	}
 }
 
 // afterCommitDelay executes a commit later while commits lag.
-func (w *simulation) afterCommitDelay(c Call, do func()) {
-	if w.commitDelay == 0 || c.Target != "/commit" {
+func (sim *simulation) afterCommitDelay(call Call, do func()) {
+	if sim.commitDelay == 0 || call.Target != "/commit" {
 		do()
 		return
 	}
-	w.after(w.randomDuration(w.commitDelay/2, w.commitDelay), do)
+	sim.after(sim.randomDuration(sim.commitDelay/2, sim.commitDelay), do)
 }
 
 // selectMachines lists the machines that a command names by count, share or zone, those with the
 // most tasks first; nil: it names none so.
-func (w *simulation) selectMachines(t *testing.T, d *datadriven.TestData) []string {
+func (sim *simulation) selectMachines(t *testing.T, d *datadriven.TestData) []string {
 	if !d.HasArg("count") && !d.HasArg("share") && !d.HasArg("zone") {
 		return nil
 	}
 	var names []string
-	for _, n := range w.workerNames() {
-		m := w.workers[n].Machine
-		if !m.Gone && (!d.HasArg("zone") || m.Zone == arg(t, d, "zone", "")) {
+	for _, n := range sim.workerNames() {
+		machine := sim.workers[n].Machine
+		if !machine.Gone && (!d.HasArg("zone") || machine.Zone == arg(t, d, "zone", "")) {
 			names = append(names, n)
 		}
 	}
 	slices.SortStableFunc(names, func(a, b string) int {
-		return -cmp.Compare(len(w.workers[a].Tasks), len(w.workers[b].Tasks))
+		return -cmp.Compare(len(sim.workers[a].Tasks), len(sim.workers[b].Tasks))
 	})
 	n := len(names)
 	if d.HasArg("share") {
@@ -186,45 +186,45 @@
 }
 
 // runWorkerFaultCommand executes a scenario's command of these troubles; false: it is none.
-func runWorkerFaultCommand(t *testing.T, w *simulation, d *datadriven.TestData, during func(func())) bool {
+func runWorkerFaultCommand(t *testing.T, sim *simulation, d *datadriven.TestData, during func(func())) bool {
 	switch d.Cmd {
 	case "late-reports":
-		w.duplicateHeartbeatRate, w.replayToNextOwner = argNumber(t, d, "share", 0), d.HasArg("for-next")
-		during(func() { w.duplicateHeartbeatRate = 0 })
+		sim.duplicateHeartbeatRate, sim.replayToNextOwner = argNumber(t, d, "share", 0), d.HasArg("for-next")
+		during(func() { sim.duplicateHeartbeatRate = 0 })
 	case "hold-report":
-		w.delayNextOf = append(w.delayNextOf, arg(t, d, "machine", w.workerNames()[0]))
+		sim.delayNextHeartbeatOf = append(sim.delayNextHeartbeatOf, arg(t, d, "machine", sim.workerNames()[0]))
 	case "capture-reports":
-		w.capturedHeartbeats = nil
-		for _, n := range w.workerNames() {
-			w.capturedHeartbeats = append(w.capturedHeartbeats, wire.Encode(w.workers[n].BuildHeartbeat()))
+		sim.capturedHeartbeats = nil
+		for _, n := range sim.workerNames() {
+			sim.capturedHeartbeats = append(sim.capturedHeartbeats, wire.Encode(sim.workers[n].BuildHeartbeat()))
 		}
 	case "replay-reports": // at all nodes, again and again
 		for at := micros.Micros(0); at < argSeconds(t, d, "for", 10); at += 50 * micros.Millisecond {
-			w.after(at, func() {
-				for _, body := range w.capturedHeartbeats {
-					for i := range w.nodes {
-						w.deliverHeartbeat(i, body)
+			sim.after(at, func() {
+				for _, body := range sim.capturedHeartbeats {
+					for i := range sim.nodes {
+						sim.sendHeartbeatCopy(i, body)
 					}
 				}
 			})
 		}
 	case "slow-commands":
-		w.commandDelayRate, w.delayRequestOnly = argNumber(t, d, "share", 1), d.HasArg("there")
-		w.minCommandDelay, w.commandDelay = argSeconds(t, d, "from", 1), argSeconds(t, d, "by", 8)
-		during(func() { w.commandDelayRate = 0 })
+		sim.commandDelayRate, sim.delayRequestOnly = argNumber(t, d, "share", 1), d.HasArg("there")
+		sim.minCommandDelay, sim.commandDelay = argSeconds(t, d, "from", 1), argSeconds(t, d, "by", 8)
+		during(func() { sim.commandDelayRate = 0 })
 	case "slow-writes":
-		w.commitDelay = argSeconds(t, d, "s", 0)
-		during(func() { w.commitDelay = 0 })
+		sim.commitDelay = argSeconds(t, d, "s", 0)
+		during(func() { sim.commitDelay = 0 })
 	case "fast-boot":
-		w.cloud.BootTime = func(micros.Micros) micros.Micros { return w.randomDuration(micros.Second/2, 2*micros.Second) }
-		during(func() { w.cloud.BootTime = nil })
+		sim.cloud.BootTime = func(micros.Micros) micros.Micros { return sim.randomDuration(micros.Second/2, 2*micros.Second) }
+		during(func() { sim.cloud.BootTime = nil })
 	case "cancel-now":
-		w.cancelDuringFaults(arg(t, d, "count", 1), argSeconds(t, d, "hang", 0), d.HasArg("cut"))
+		sim.cancelDuringFaults(arg(t, d, "count", 1), argSeconds(t, d, "hang", 0), d.HasArg("cut"))
 	case "change-leader":
 		times := arg(t, d, "times", 10)
 		every := argSeconds(t, d, "within", 120) / micros.Micros(times)
 		for i := range times {
-			w.after(every*micros.Micros(i)+w.randomDuration(0, every/4), func() { w.changeLeader(i, every) })
+			sim.after(every*micros.Micros(i)+sim.randomDuration(0, every/4), func() { sim.changeLeader(i, every) })
 		}
 	default:
 		return false
@@ -237,64 +237,64 @@
 
 // cancelDuringFaults has users cancel running jobs within a fifth of a second; some of their machines
 // hang, or are cut off.
-func (w *simulation) cancelDuringFaults(count int, hang micros.Micros, cut bool) {
+func (sim *simulation) cancelDuringFaults(count int, hang micros.Micros, cut bool) {
 	var jobs []string
-	for task := range w.running {
-		if id, _, _ := wire.SplitTaskName(task); !w.cancelRequested[id] && !slices.Contains(jobs, id) {
+	for task := range sim.runningOn {
+		if id, _, _ := wire.SplitTaskName(task); !sim.cancelRequested[id] && !slices.Contains(jobs, id) {
 			jobs = append(jobs, id)
 		}
 	}
 	slices.Sort(jobs)
 	jobs = jobs[:min(count, len(jobs))]
 	hung := map[string]bool{}
-	for _, task := range ordered.Keys(w.running) {
+	for _, task := range ordered.Keys(sim.runningOn) {
 		id, _, _ := wire.SplitTaskName(task)
-		name := w.running[task]
+		name := sim.runningOn[task]
 		if hang == 0 || !slices.Contains(jobs, id) || hung[name] || len(hung) == maxHungMachines {
 			continue
 		}
 		hung[name] = true
-		k := w.workers[name]
+		worker := sim.workers[name]
 		if cut {
-			k.Partitioned = true
-			w.after(hang, func() { k.Partitioned = false })
+			worker.Partitioned = true
+			sim.after(hang, func() { worker.Partitioned = false })
 			continue
 		}
-		k.Hung = true
-		w.after(hang, func() { k.Hung = false })
+		worker.Hung = true
+		sim.after(hang, func() { worker.Hung = false })
 	}
 	for _, id := range jobs {
-		w.after(w.randomDuration(0, micros.Second/5), func() { w.cancel(id, w.rng.IntN(len(w.nodes))) })
+		sim.after(sim.randomDuration(0, micros.Second/5), func() { sim.cancel(id, sim.rng.IntN(len(sim.nodes))) })
 	}
 }
 
 // changeLeader takes the lead from whoever has it: it ends for a moment or for longer, or is
 // cut off, or loses the state service and its siblings, in turn.
-func (w *simulation) changeLeader(turn int, every micros.Micros) {
-	i := w.leader()
+func (sim *simulation) changeLeader(turn int, every micros.Micros) {
+	i := sim.leader()
 	if i < 0 {
 		return
 	}
-	n := w.nodes[i]
+	node := sim.nodes[i]
 	switch turn % 4 {
 	case 0:
-		w.crash(n, micros.Second/5)
+		sim.crash(node, micros.Second/5)
 	case 1:
-		n.partitioned, n.delaysOutbound = true, true
-		w.after(every*3/4, func() { n.partitioned = false })
+		node.partitioned, node.delaysOutbound = true, true
+		sim.after(every*3/4, func() { node.partitioned = false })
 	case 2:
-		n.onlyWorkersReachable = true
-		w.after(every*3/4, func() { n.onlyWorkersReachable = false })
+		node.onlyWorkersReachable = true
+		sim.after(every*3/4, func() { node.onlyWorkersReachable = false })
 	case 3:
-		w.crash(n, every/2)
+		sim.crash(node, every/2)
 	}
 }
 
 // countCancelledRunning counts the tasks on machines whose users were told that they are cancelled.
-func (w *simulation) countCancelledRunning() int {
+func (sim *simulation) countCancelledRunning() int {
 	n := 0
-	for task := range w.running {
-		if id, _, _ := wire.SplitTaskName(task); w.cancelled[id] > 0 {
+	for task := range sim.runningOn {
+		if id, _, _ := wire.SplitTaskName(task); sim.acknowledgedCancellations[id] > 0 {
 			n++
 		}
 	}
--- a/controller/incompatible_test.go
+++ b/controller/incompatible_test.go
@@ -43,25 +43,25 @@
 
 // fullRecords are records with a value in every field.
 func fullRecords() map[string][]byte {
-	j := &sched.Job{
+	job := &sched.Job{
 		ID: "req-000009", Class: "work", Team: "red", Gang: true, Priority: sched.High, Tasks: 3,
 		Need: sched.NewResources(2, 1, 3), Image: "img", ImageGB: 1, Types: []string{"big"}, Zone: "a", OneZone: true,
 		Spread: true, Spot: true, Estimate: 7e6, CheckpointInterval: 8e6, CheckpointDuration: 9e6, Deadline: 10e6,
 	}
 	d := &record.BlockData{
 		AttemptBase: 5, LaunchTimeBase: 6, MachineTypes: []record.BlockMachineType{{Type: "small", Zone: "a"}, {Type: "big", Zone: "b", Spot: true}},
-		Jobs:     []record.BlockJob{{ID: j.ID, Team: j.Team, Tasks: 9, CPU: 1, GPU: 2, Mem: 3}},
+		Jobs:     []record.BlockJob{{ID: job.ID, Team: job.Team, Tasks: 9, CPU: 1, GPU: 2, Mem: 3}},
 		Machines: []record.BlockMachine{{Name: "m-000001", FencingToken: 3, Endpoint: "worker:m-000001", MachineType: 1, LaunchedAt: 4, Decommissioning: true}},
 	}
 	d.Pack(&d.Machines[0], []record.BlockTask{{Job: 0, Index: 4, Attempt: 7}, {Job: 0, Index: 6, Attempt: 7}})
 	return map[string][]byte{
-		record.ActiveJobKey(j.ID):               wire.Encode(map[string]any{"j": wire.FromJob(j), "at": 11}),
-		record.TerminalStateKey(j.ID):           wire.Encode(record.TerminalState{Status: record.StatusCancelled, FinishedAt: 5}),
+		record.ActiveJobKey(job.ID):             wire.Encode(map[string]any{"j": wire.FromJob(job), "at": 11}),
+		record.TerminalStateKey(job.ID):         wire.Encode(record.TerminalState{Status: record.StatusCancelled, FinishedAt: 5}),
 		record.LeaderKey:                        wire.Encode(record.Leader{Node: "n1", Incarnation: 2}),
 		record.MemberKey("n1"):                  wire.Encode(record.Member{Incarnation: 2}),
 		record.TeamKey("red"):                   wire.Encode(record.Team{Owner: "n1", Incarnation: 2, Term: 3, Predecessors: []record.OwnerID{"n0.1"}}),
 		record.BlockKey("1"):                    wire.Encode(d.Block("n1.2")),
-		record.CompletionSegmentKey("red", "1"): wire.Encode(record.CompletionSegment{Chunks: map[string]string{j.ID + "/0": record.Bitmap{3, 1}.Chunk(0)}}),
+		record.CompletionSegmentKey("red", "1"): wire.Encode(record.CompletionSegment{Chunks: map[string]string{job.ID + "/0": record.Bitmap{3, 1}.Chunk(0)}}),
 		record.ScaleOutRequestKey("1"):          wire.Encode(record.ScaleOutRequest{Owner: "n1.2", Type: "big", Zone: "b", Spot: true, Count: 3}),
 		record.ReservationKey("req-000009"):     wire.Encode(record.Reservation{Machines: map[string]int{"m-000001": 2}}),
 		record.MachineTypesKey:                  wire.Encode(wire.MachineTypes{Entries: []wire.MachineType{{Name: "big", CPUs: 1, GPUs: 2, MemGB: 3, CacheGB: 4, FetchGBPerS: 5, HourlyPrice: 6, SpotPrice: 7, BootS: 8, Zones: []string{"a"}}}}),
@@ -69,7 +69,7 @@
 }
 
 // A way of making a field incompatible takes what holds it.
-var mutations = map[string]func(holder any, field string) (any, bool){
+var recordMutations = map[string]func(holder any, field string) (any, bool){
 	"renamed": func(holder any, field string) (any, bool) {
 		m, ok := holder.(map[any]any)
 		if !ok {
@@ -113,8 +113,8 @@
 	},
 }
 
-// mutate changes the field at the end of a path in a decoded value.
-func mutate(v any, path []string, how func(any, string) (any, bool)) (any, bool) {
+// mutateRecord changes the field at the end of a path in a decoded value.
+func mutateRecord(v any, path []string, how func(any, string) (any, bool)) (any, bool) {
 	if text, is := v.(string); is { // a block's data
 		raw, err := base64.RawStdEncoding.DecodeString(text)
 		if err == nil {
@@ -124,7 +124,7 @@
 		if err != nil || wire.Decode(raw, &d) != nil {
 			return nil, false
 		}
-		d, ok := mutate(d, path, how)
+		d, ok := mutateRecord(d, path, how)
 		return base64.RawStdEncoding.EncodeToString(record.Compress(wire.Encode(d))), ok
 	}
 	if len(path) == 1 {
@@ -133,14 +133,14 @@
 	changed := false
 	switch h := v.(type) {
 	case map[any]any:
-		h[path[0]], changed = mutate(h[path[0]], path[1:], how)
+		h[path[0]], changed = mutateRecord(h[path[0]], path[1:], how)
 		return h, changed
 	case []any:
 		for i := range h {
 			if path[0] != "*" && path[0] != fmt.Sprint(i) {
 				continue
 			}
-			x, ok := mutate(h[i], path[1:], how)
+			x, ok := mutateRecord(h[i], path[1:], how)
 			if ok {
 				h[i], changed = x, true
 			}
@@ -154,17 +154,17 @@
 // that the comparison of TestProductionReads and TestProductionRecords reports it: that what
 // the version in production reads then differs from what was meant.
 func TestIncompatibleFieldsAreDetected(t *testing.T) {
-	p := startProduction(t)
+	process := startProduction(t)
 	records := fullRecords()
 	for key, value := range records {
-		if own, old := decodedText(key, value), p.decodeRecord(key, value); own != old {
+		if own, old := decodedText(key, value), process.decodeRecord(key, value); own != old {
 			t.Errorf("%s means\n%s\nand in production\n%s", key, own, old)
 		}
 	}
 	tried := 0
 	for _, field := range recordFields {
 		kind, rest, _ := strings.Cut(field, " ")
-		for name, how := range mutations {
+		for name, how := range recordMutations {
 			for key, value := range records {
 				if recordKind(key) != kind {
 					continue
@@ -173,7 +173,7 @@
 				if err := wire.Decode(value, &v); err != nil {
 					t.Fatal(err)
 				}
-				v, ok := mutate(v, strings.Fields(rest), how)
+				v, ok := mutateRecord(v, strings.Fields(rest), how)
 				if !ok {
 					if name != "renamed" {
 						t.Errorf("%s is not there to be %s", field, name)
@@ -182,7 +182,7 @@
 				}
 				tried++
 				changed := wire.Encode(v)
-				if p.decodeRecord(key, changed) == decodedText(key, value) {
+				if process.decodeRecord(key, changed) == decodedText(key, value) {
 					t.Errorf("%s %s is not seen in production", field, name)
 				}
 				if decodedText(key, changed) == decodedText(key, value) {
@@ -203,7 +203,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if own, old := decodedMessage(data), p.decodeMessage(data); own != old {
+		if own, old := decodedMessage(data), process.decodeMessage(data); own != old {
 			t.Errorf("a message means\n%s\nand in production\n%s", own, old)
 		}
 		for _, path := range fieldPaths(f) {
@@ -213,15 +213,15 @@
 					t.Errorf("%v is not there to be %s", path, name)
 				}
 				messages++
-				if p.decodeMessage(changed) == decodedMessage(data) {
+				if process.decodeMessage(changed) == decodedMessage(data) {
 					t.Errorf("%v of %s %s is not seen in production", path, f.Name(), name)
 				}
 			}
 		}
 	}
 	t.Logf("%d changes of records, %d of messages", tried, messages)
-	if p.err != nil {
-		t.Fatal(p.err)
+	if process.err != nil {
+		t.Fatal(process.err)
 	}
 }
 
--- a/controller/production_decode_test.go
+++ b/controller/production_decode_test.go
@@ -103,7 +103,7 @@
 	case strings.HasPrefix(key, record.BlockPrefix):
 		return readBlock(value)
 	case strings.HasPrefix(key, record.CompletionSegmentPrefix):
-		return readShard(value)
+		return readCompletionSegment(value)
 	}
 	return "", fmt.Errorf("%s is no key of this version", key)
 }
@@ -113,11 +113,11 @@
 	if err := wire.Decode(value, &rec); err != nil {
 		return "", err
 	}
-	j, err := rec.Description()
+	job, err := rec.Description()
 	if err != nil {
 		return "", err
 	}
-	text, err := json.Marshal(map[string]any{"job": toProduction(j), "accepted": rec.AcceptedAt})
+	text, err := json.Marshal(map[string]any{"job": toProduction(job), "accepted": rec.AcceptedAt})
 	return string(text), err
 }
 
@@ -150,7 +150,7 @@
 	return string(text), err
 }
 
-func readShard(value []byte) (string, error) {
+func readCompletionSegment(value []byte) (string, error) {
 	var rec record.CompletionSegment
 	if err := wire.Decode(value, &rec); err != nil {
 		return "", err
--- a/controller/production_test.go
+++ b/controller/production_test.go
@@ -24,16 +24,16 @@
 // from the repository's history, together with production/_node, and run it as a program:
 // so both versions' cores play in one world, and each reads what the other wrote.
 
-// nodeProgram is the program, built once in a run of the tests.
-var nodeProgram = sync.OnceValues(buildNode)
+// productionProgram is the program, built once in a run of the tests.
+var productionProgram = sync.OnceValues(buildProductionProgram)
 
-// programDir holds what buildNode makes; TestMain deletes it.
-var programDir string
+// productionBuildDir holds what buildProductionProgram makes; TestMain deletes it.
+var productionBuildDir string
 
 func TestMain(m *testing.M) {
 	code := m.Run()
-	if programDir != "" {
-		if err := os.RemoveAll(programDir); err != nil {
+	if productionBuildDir != "" {
+		if err := os.RemoveAll(productionBuildDir); err != nil {
 			fmt.Fprintln(os.Stderr, err)
 			code = max(code, 1)
 		}
@@ -44,30 +44,30 @@
 var productionLine = regexp.MustCompile(`(?m)^production = "([0-9a-f]{40})"$`)
 
 // runProductionCommand plays the commands of this file; ok is false for any other.
-func runProductionCommand(t *testing.T, w *simulation, d *datadriven.TestData, node func() *simNode) (out string, ok bool) {
+func runProductionCommand(t *testing.T, sim *simulation, d *datadriven.TestData, node func() *simNode) (out string, ok bool) {
 	down := argSeconds(t, d, "for", restartDelay.Seconds())
 	switch d.Cmd {
 	case "upgrade": // a node ends and returns with the present version
 		n := node()
 		n.version = currentVersion
-		w.crash(n, down)
+		sim.crash(n, down)
 	case "downgrade":
 		n := node()
 		n.version = productionVersion
-		w.crash(n, down)
+		sim.crash(n, down)
 	case "downgrade-all": // all end at once and return with the version in production
-		for _, n := range w.nodes {
-			n.version = productionVersion
-			w.crash(n, down)
+		for _, node := range sim.nodes {
+			node.version = productionVersion
+			sim.crash(node, down)
 		}
 	case "upgrade-all":
-		for _, n := range w.nodes {
-			n.version = currentVersion
-			w.crash(n, down)
+		for _, node := range sim.nodes {
+			node.version = currentVersion
+			sim.crash(node, down)
 		}
 	case "leader-version":
-		if i := w.leader(); i >= 0 {
-			return w.nodes[i].version.String(), true
+		if i := sim.leader(); i >= 0 {
+			return sim.nodes[i].version.String(), true
 		}
 		return "nobody leads", true
 	default:
@@ -77,10 +77,10 @@
 }
 
 // startWithProduction has the world's first nodes begin with the version in production.
-func (w *simulation) startWithProduction(t *testing.T, nodes int) {
-	w.production = startProduction(t)
-	for _, n := range w.nodes[:nodes] {
-		n.version = productionVersion
+func (sim *simulation) startWithProduction(t *testing.T, nodes int) {
+	sim.production = startProduction(t)
+	for _, node := range sim.nodes[:nodes] {
+		node.version = productionVersion
 	}
 }
 
@@ -97,15 +97,15 @@
 	return string(found[1]), nil
 }
 
-func buildNode() (string, error) {
+func buildProductionProgram() (string, error) {
 	commit, err := productionCommit()
 	if err != nil {
 		return "", err
 	}
-	if programDir, err = os.MkdirTemp("", "production-"); err != nil {
+	if productionBuildDir, err = os.MkdirTemp("", "production-"); err != nil {
 		return "", err
 	}
-	tree := filepath.Join(programDir, "tree")
+	tree := filepath.Join(productionBuildDir, "tree")
 	archive, err := exec.Command("git", "-C", "..", "archive", commit, "--", "go.mod", "go.sum", "config", "controller", "internal", "micros", "sched").Output()
 	if err != nil {
 		return "", fmt.Errorf("the production version %s is not in the repository's history: %w", commit, err)
@@ -125,7 +125,7 @@
 			return "", err
 		}
 	}
-	program := filepath.Join(programDir, "node")
+	program := filepath.Join(productionBuildDir, "node")
 	build := exec.Command("go", "build", "-trimpath", "-o", program, "./cmd/node")
 	build.Dir = tree
 	if out, err := build.CombinedOutput(); err != nil {
@@ -160,8 +160,8 @@
 	}
 }
 
-// production is the running program.
-type production struct {
+// productionProcess is the running program.
+type productionProcess struct {
 	out *gob.Encoder
 	in  *gob.Decoder
 	err error // it has ended
@@ -195,9 +195,9 @@
 )
 
 // startProduction runs the production version until the test ends.
-func startProduction(t *testing.T) *production {
+func startProduction(t *testing.T) *productionProcess {
 	t.Helper()
-	program, err := nodeProgram()
+	program, err := productionProgram()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -219,57 +219,57 @@
 			t.Errorf("the production version: %v", err)
 		}
 	})
-	return &production{out: gob.NewEncoder(stdin), in: gob.NewDecoder(stdout)}
+	return &productionProcess{out: gob.NewEncoder(stdin), in: gob.NewDecoder(stdout)}
 }
 
-func (p *production) exchange(a productionRequest) (answer productionResponse) {
-	if p.err == nil {
-		p.err = p.out.Encode(toProduction(a))
+func (process *productionProcess) exchange(request productionRequest) (response productionResponse) {
+	if process.err == nil {
+		process.err = process.out.Encode(toProduction(request))
 	}
-	if p.err == nil {
-		p.err = p.in.Decode(&answer)
+	if process.err == nil {
+		process.err = process.in.Decode(&response)
 	}
-	return answer
+	return response
 }
 
 // decodeRecord tells what the production version reads in a record.
-func (p *production) decodeRecord(key string, value []byte) string {
-	return withoutDefaults(p.exchange(productionRequest{Read: true, Key: key, Value: value}).Text)
+func (process *productionProcess) decodeRecord(key string, value []byte) string {
+	return withoutDefaults(process.exchange(productionRequest{Read: true, Key: key, Value: value}).Text)
 }
 
 // decodeMessage is the same for a message between siblings.
-func (p *production) decodeMessage(body []byte) string {
-	return p.exchange(productionRequest{Message: true, Value: body}).Text
+func (process *productionProcess) decodeMessage(body []byte) string {
+	return process.exchange(productionRequest{Message: true, Value: body}).Text
 }
 
 // productionCore is a node's core of the production version.
 type productionCore struct {
-	process   *production
+	process   *productionProcess
 	node      int
 	ownership int
 	active    bool
 }
 
-func (w *simulation) startProductionNode(n *simNode, cfg *config.Settings) {
-	n.productionCore = &productionCore{process: w.production, node: n.index}
-	n.productionCore.process.exchange(productionRequest{Node: n.index, Now: w.now, Settings: cfg, Seed: w.rng.Uint64(), Debug: os.Getenv("SCENARIO_LOG") != ""})
+func (sim *simulation) startProductionNode(node *simNode, cfg *config.Settings) {
+	node.productionCore = &productionCore{process: sim.production, node: node.index}
+	node.productionCore.process.exchange(productionRequest{Node: node.index, Now: sim.now, Settings: cfg, Seed: sim.rng.Uint64(), Debug: os.Getenv("SCENARIO_LOG") != ""})
 }
 
-func (o *productionCore) handle(w *simulation, ev Event) []Effect {
-	a := productionRequest{Node: o.node, Now: w.now}
+func (core *productionCore) handle(sim *simulation, ev Event) []Effect {
+	request := productionRequest{Node: core.node, Now: sim.now}
 	switch ev := ev.(type) {
 	case Request:
-		a.Request = &ev
+		request.Request = &ev
 	case CallDone:
-		a.Done = &ev
+		request.Done = &ev
 	}
-	answer := o.process.exchange(a)
-	if o.process.err != nil {
-		w.reportViolation("the production version has ended: %v", o.process.err)
+	response := core.process.exchange(request)
+	if core.process.err != nil {
+		sim.reportViolation("the production version has ended: %v", core.process.err)
 	}
-	o.ownership, o.active = answer.Owner, answer.Active
+	core.ownership, core.active = response.Owner, response.Active
 	var out []Effect
-	for _, e := range answer.Effects {
+	for _, e := range response.Effects {
 		if e.Call != nil {
 			out = append(out, *e.Call)
 		} else {
@@ -289,21 +289,21 @@
 
 func (v version) String() string { return [...]string{"present", "production"}[v] }
 
-func (n *simNode) handle(w *simulation, ev Event) []Effect {
-	if n.productionCore != nil {
-		return n.productionCore.handle(w, ev)
+func (node *simNode) handle(sim *simulation, ev Event) []Effect {
+	if node.productionCore != nil {
+		return node.productionCore.handle(sim, ev)
 	}
-	return n.core.Handle(w.now, w.now, ev)
+	return node.core.Handle(sim.now, sim.now, ev)
 }
 
 // ownership tells whether the node owns teams, and by what; nil: it does not.
-func (n *simNode) ownership() (by any, active bool) {
+func (node *simNode) ownership() (by any, active bool) {
 	switch {
-	case !n.up:
-	case n.productionCore != nil && n.productionCore.ownership > 0:
-		return fmt.Sprint(n.incarnation, " ", n.productionCore.ownership), n.productionCore.active
-	case n.productionCore == nil && n.core.owner != nil:
-		return n.core.owner, n.core.owner.state == ownerActive
+	case !node.up:
+	case node.productionCore != nil && node.productionCore.ownership > 0:
+		return fmt.Sprint(node.incarnation, " ", node.productionCore.ownership), node.productionCore.active
+	case node.productionCore == nil && node.core.owner != nil:
+		return node.core.owner, node.core.owner.state == ownerActive
 	}
 	return nil, false
 }
--- a/controller/scenario_figures_test.go
+++ b/controller/scenario_figures_test.go
@@ -12,87 +12,89 @@
 // This file prints what a scenario looks at.
 
 // runQueryCommand plays the commands that print something; ok is false for any other.
-func runQueryCommand(t *testing.T, w *simulation, d *datadriven.TestData, node func() *simNode) (out string, ok bool) {
+func runQueryCommand(t *testing.T, sim *simulation, d *datadriven.TestData, node func() *simNode) (out string, ok bool) {
 	switch id := jobArg(t, d); d.Cmd {
 	case "up":
-		return w.get(t, node(), "/up"), true
+		return sim.requestStatus(t, node(), "/up"), true
 	case "ask":
-		return w.get(t, node(), "/api/jobs/"+id), true
+		return sim.requestStatus(t, node(), "/api/jobs/"+id), true
 	case "damaged":
-		return w.sendUndecodableMessages(node()), true
+		return sim.sendUndecodableMessages(node()), true
 	case "status":
-		if s, ok := w.reportedTerminal[id]; ok {
+		if s, ok := sim.reportedTerminal[id]; ok {
 			return string(s), true
 		}
 		return "open", true
 	case "began-by":
 		limit := argSeconds(t, d, "s", 240)
-		return atLeast(t, d, func(id string) bool { return w.startedAt[id] != 0 && w.startedAt[id]-w.eligibleSince(id) <= limit }), true
+		return countAtLeast(t, d, func(id string) bool {
+			return sim.startedAt[id] != 0 && sim.startedAt[id]-sim.eligibleSince(id) <= limit
+		}), true
 	case "done-of":
-		return atLeast(t, d, func(id string) bool { return w.reportedTerminal[id] == wire.JobDone }), true
+		return countAtLeast(t, d, func(id string) bool { return sim.reportedTerminal[id] == wire.JobDone }), true
 	case "accepted":
-		return atLeast(t, d, func(id string) bool { return w.accepted[id] }), true
+		return countAtLeast(t, d, func(id string) bool { return sim.accepted[id] }), true
 	case "numbers-left":
 		owner := node().core
 		return fmt.Sprint(!owner.numbers.nearlyExhausted(owner.node.RecordVersion())), true
 	case "count":
-		return runCountCommand(t, w, d), true
+		return runCountCommand(t, sim, d), true
 	case "leader":
-		return fmt.Sprint(w.leader() >= 0), true
+		return fmt.Sprint(sim.leader() >= 0), true
 	}
 	return "", false
 }
 
 // runCountCommand prints a figure of the world.
-func runCountCommand(t *testing.T, w *simulation, d *datadriven.TestData) string {
+func runCountCommand(t *testing.T, sim *simulation, d *datadriven.TestData) string {
 	switch what := arg(t, d, "what", "running"); what {
 	case "running":
-		return fmt.Sprint(len(w.running))
+		return fmt.Sprint(len(sim.runningOn))
 	case "held":
-		return fmt.Sprint(len(w.delayedHeartbeats) + len(w.delayNextOf))
+		return fmt.Sprint(len(sim.delayedHeartbeats) + len(sim.delayNextHeartbeatOf))
 	case "cancelled-running":
-		return fmt.Sprint(w.countCancelledRunning())
+		return fmt.Sprint(sim.countCancelledRunning())
 	case "starts":
-		return fmt.Sprint(w.starts)
+		return fmt.Sprint(sim.startedTasks)
 	case "stopped", "error":
-		return fmt.Sprint(w.stops[what])
+		return fmt.Sprint(sim.exitsByCause[what])
 	case "machines":
 		n := 0
-		for _, m := range w.cloud.Machines {
-			if !m.Gone {
+		for _, machine := range sim.cloud.Machines {
+			if !machine.Gone {
 				n++
 			}
 		}
 		return fmt.Sprint(n)
 	case "rented":
-		return fmt.Sprint(len(w.cloud.Machines))
+		return fmt.Sprint(len(sim.cloud.Machines))
 	case "told-cancelled": // jobs whose users were told so
-		return fmt.Sprint(len(w.cancelled))
+		return fmt.Sprint(len(sim.acknowledgedCancellations))
 	case "starts-after-cancel":
-		return fmt.Sprint(w.users.startsAfterCancel)
+		return fmt.Sprint(sim.users.startsAfterCancel)
 	case "cancelled-at-end":
-		return fmt.Sprint(w.users.cancelledAtEnd)
+		return fmt.Sprint(sim.users.cancelledAtEnd)
 	case "looks", "odd-requests", "late-writes", "lost-answers", "held-answers", "answers", "refused-429", "refused-503": // how often a meeting came about
 		n := map[string]int{
-			"looks":        w.users.consistencyChecks,
-			"odd-requests": w.users.unusualRequestsSent,
-			"late-writes":  w.kvFaults.lateApplied,
-			"lost-answers": w.kvFaults.lostResponses,
-			"held-answers": w.kvFaults.kvResponseDelay.delayedCount + w.kvFaults.peerResponseDelay.delayedCount,
-			"answers":      w.users.responseCount[arg(t, d, "job", "")],
-			"refused-429":  w.users.refusals[wire.StatusTooManyRequests],
-			"refused-503":  w.users.refusals[wire.StatusUnavailable],
+			"looks":        sim.users.consistencyChecks,
+			"odd-requests": sim.users.unusualRequestsSent,
+			"late-writes":  sim.kvFaults.lateTransactionsApplied,
+			"lost-answers": sim.kvFaults.lostResponses,
+			"held-answers": sim.kvFaults.kvResponseDelay.delayedCount + sim.kvFaults.peerResponseDelay.delayedCount,
+			"answers":      sim.users.responseCount[arg(t, d, "job", "")],
+			"refused-429":  sim.users.refusals[wire.StatusTooManyRequests],
+			"refused-503":  sim.users.refusals[wire.StatusUnavailable],
 		}[what]
 		if least := arg(t, d, "least", 0); least > 0 && n >= least {
 			return "enough"
 		}
 		return fmt.Sprint(n)
 	case "limited":
-		return fmt.Sprint(w.kvStore.Throttled)
+		return fmt.Sprint(sim.kvStore.Throttled)
 	case "records-above": // a size, in the form in which the limits count it
-		return w.countRecordsAbove(arg(t, d, "prefix", ""), arg(t, d, "bytes", 0), arg(t, d, "least", 0))
+		return sim.countRecordsAbove(arg(t, d, "prefix", ""), arg(t, d, "bytes", 0), arg(t, d, "least", 0))
 	case "records":
-		return fmt.Sprint(len(w.kvStore.Keys(arg(t, d, "prefix", ""))))
+		return fmt.Sprint(len(sim.kvStore.Keys(arg(t, d, "prefix", ""))))
 	default:
 		d.Fatalf(t, "unknown figure %s", what)
 	}
--- a/controller/scenario_jobs_test.go
+++ b/controller/scenario_jobs_test.go
@@ -20,16 +20,16 @@
 func jobArg(t *testing.T, d *datadriven.TestData) string { return arg(t, d, "job", "req-000001") }
 
 // runJobCommand plays the commands of users; ok is false for any other.
-func runJobCommand(t *testing.T, w *simulation, d *datadriven.TestData) (out string, ok bool) {
+func runJobCommand(t *testing.T, sim *simulation, d *datadriven.TestData) (out string, ok bool) {
 	switch d.Cmd {
 	case "submit":
-		return runSubmitCommand(t, w, d, jobArg(t, d)), true
+		return runSubmitCommand(t, sim, d, jobArg(t, d)), true
 	case "jobs":
-		submitMany(t, w, d)
+		submitMany(t, sim, d)
 	case "again":
-		w.submit(jobArg(t, d), arg(t, d, "to", 0))
+		sim.submit(jobArg(t, d), arg(t, d, "to", 0))
 	case "cancel":
-		w.cancel(jobArg(t, d), arg(t, d, "to", 0))
+		sim.cancel(jobArg(t, d), arg(t, d, "to", 0))
 	default:
 		return "", false
 	}
@@ -37,18 +37,18 @@
 }
 
 // submitMany submits a row of jobs; the teams may take turns.
-func submitMany(t *testing.T, w *simulation, d *datadriven.TestData) {
+func submitMany(t *testing.T, sim *simulation, d *datadriven.TestData) {
 	for i := range arg(t, d, "count", 10) {
 		one := *d
 		if n := arg(t, d, "over", 0); n > 0 {
 			one.CmdArgs = append([]datadriven.CmdArg{{Key: "team", Vals: []string{teamName(i % n)}}}, d.CmdArgs...)
 		}
-		runSubmitCommand(t, w, &one, fmt.Sprintf("req-%06d", arg(t, d, "from", 1)+i))
+		runSubmitCommand(t, sim, &one, fmt.Sprintf("req-%06d", arg(t, d, "from", 1)+i))
 	}
 }
 
-// atLeast tells whether something holds for enough of a row of jobs.
-func atLeast(t *testing.T, d *datadriven.TestData, holds func(id string) bool) string {
+// countAtLeast tells whether something holds for enough of a row of jobs.
+func countAtLeast(t *testing.T, d *datadriven.TestData, holds func(id string) bool) string {
 	from, n := arg(t, d, "from", 1), 0
 	for i := range arg(t, d, "count", 10) {
 		if holds(fmt.Sprintf("req-%06d", from+i)) {
@@ -61,9 +61,9 @@
 	return fmt.Sprint(n)
 }
 
-func runSubmitCommand(t *testing.T, w *simulation, d *datadriven.TestData, id string) string {
+func runSubmitCommand(t *testing.T, sim *simulation, d *datadriven.TestData, id string) string {
 	run := argSeconds(t, d, "run", 10)
-	j := &sched.Job{
+	job := &sched.Job{
 		ID: id, Class: arg(t, d, "class", "work"), Team: arg(t, d, "team", "red"),
 		Gang: d.HasArg("gang"), Priority: sched.Priority(arg(t, d, "priority", 1)),
 		Tasks: arg(t, d, "tasks", 1),
@@ -73,51 +73,51 @@
 		Zone: arg(t, d, "zone", ""), Deadline: argSeconds(t, d, "due", 0),
 	}
 	for i := range arg(t, d, "types", 0) { // so many names of types, of which one is on offer
-		j.Types = append(j.Types, fmt.Sprintf("type-of-machine-%04d", i))
+		job.Types = append(job.Types, fmt.Sprintf("type-of-machine-%04d", i))
 	}
-	if j.Types != nil {
-		j.Types[0] = "small"
+	if job.Types != nil {
+		job.Types[0] = "small"
 	}
-	w.submitted[id], w.submittedAt[id] = j, w.now
-	w.bodies[id] = wire.Encode(wire.FromJob(j))
-	w.infos[id] = fake.TaskInfo{
-		CPU: j.Need.CPUs(), Mem: argNumber(t, d, "mem", 2), Run: run, Fetch: micros.Second, Save: j.CheckpointDuration,
-		Saves: j.CheckpointInterval > 0, Gang: j.Gang, Tasks: j.Tasks, Fails: d.HasArg("fails"),
+	sim.submitted[id], sim.submittedAt[id] = job, sim.now
+	sim.submissions[id] = wire.Encode(wire.FromJob(job))
+	sim.taskInfos[id] = fake.TaskInfo{
+		CPU: job.Need.CPUs(), Mem: argNumber(t, d, "mem", 2), Run: run, Fetch: micros.Second, Save: job.CheckpointDuration,
+		Saves: job.CheckpointInterval > 0, Gang: job.Gang, Tasks: job.Tasks, Fails: d.HasArg("fails"),
 	}
-	w.setTaskStagger(id, argSeconds(t, d, "apart", 0))
-	w.setDependencies(id, dependenciesArg(t, d))
+	sim.setTaskStagger(id, argSeconds(t, d, "apart", 0))
+	sim.setDependencies(id, dependenciesArg(t, d))
 	if d.HasArg("check") {
 		status, state := -1, ""
-		sent := w.now
-		w.user(arg(t, d, "to", 0), "POST", "/api/jobs", w.bodies[id], func(r Respond) {
-			w.checkResponse(id, r, sent)
-			status, state = r.Status, responseState(r)
+		sent := sim.now
+		sim.sendUserRequest(arg(t, d, "to", 0), "POST", "/api/jobs", sim.submissions[id], func(response Respond) {
+			sim.checkResponse(id, response, sent)
+			status, state = response.Status, responseState(response)
 		})
-		for end := w.now + 6*micros.Second; status < 0 && w.now < end; {
-			w.run(simulationStep)
+		for end := sim.now + 6*micros.Second; status < 0 && sim.now < end; {
+			sim.run(simulationStep)
 		}
-		if w.accepted[id] && len(w.pipelines.dependencies[id]) > 0 {
-			w.poll(id, 0)
+		if sim.accepted[id] && len(sim.pipelines.dependencies[id]) > 0 {
+			sim.poll(id, 0)
 		}
 		if d.HasArg("state") {
 			return fmt.Sprint(status, " ", state)
 		}
 		return fmt.Sprint(status)
 	}
-	if len(w.pipelines.dependencies[id]) > 0 && !d.HasArg("at-once") {
-		w.submitAfterDependencies(id, arg(t, d, "to", 0), d.HasArg("over"))
+	if len(sim.pipelines.dependencies[id]) > 0 && !d.HasArg("at-once") {
+		sim.submitAfterDependencies(id, arg(t, d, "to", 0), d.HasArg("over"))
 		return ""
 	}
-	w.submit(id, arg(t, d, "to", 0))
-	w.after(2*micros.Second, func() { w.poll(id, 0) })
+	sim.submit(id, arg(t, d, "to", 0))
+	sim.after(2*micros.Second, func() { sim.poll(id, 0) })
 	return ""
 }
 
-// unfinished lists accepted or submitted jobs whose users were told no final state.
-func unfinished(w *simulation) []string {
+// unfinishedJobs lists accepted or submitted jobs whose users were told no final state.
+func unfinishedJobs(sim *simulation) []string {
 	var left []string
-	for _, id := range ordered.Keys(w.submitted) {
-		if w.reportedTerminal[id] == "" {
+	for _, id := range ordered.Keys(sim.submitted) {
+		if sim.reportedTerminal[id] == "" {
 			left = append(left, id)
 		}
 	}
--- a/controller/scenario_pipelines_test.go
+++ b/controller/scenario_pipelines_test.go
@@ -50,24 +50,24 @@
 }
 
 // responseState is the state in an answer, or its status if it tells none.
-func responseState(r Respond) string {
-	var st wire.JobState
-	if (r.Status == 200 || r.Status == 201) && wire.Decode(r.Body, &st) == nil {
-		return string(st.Status)
+func responseState(response Respond) string {
+	var state wire.JobState
+	if (response.Status == 200 || response.Status == 201) && wire.Decode(response.Body, &state) == nil {
+		return string(state.Status)
 	}
-	return fmt.Sprint(r.Status)
+	return fmt.Sprint(response.Status)
 }
 
 // requestAndWait sends a user's request about a job and runs until it is answered.
-func (w *simulation) requestAndWait(node int, method, path, id string, body []byte) Respond {
+func (sim *simulation) requestAndWait(node int, method, path, id string, body []byte) Respond {
 	var got *Respond
-	sent := w.now
-	w.user(node, method, path, body, func(r Respond) {
-		w.checkResponse(id, r, sent)
-		got = &r
+	sent := sim.now
+	sim.sendUserRequest(node, method, path, body, func(response Respond) {
+		sim.checkResponse(id, response, sent)
+		got = &response
 	})
-	for end := w.now + 6*micros.Second; got == nil && w.now < end; {
-		w.run(simulationStep)
+	for end := sim.now + 6*micros.Second; got == nil && sim.now < end; {
+		sim.run(simulationStep)
 	}
 	if got == nil {
 		return Respond{}
@@ -76,34 +76,34 @@
 }
 
 // watchJobs asks all nodes about jobs again and again.
-func (w *simulation) watchJobs(ids []string, every, until micros.Micros) {
-	if w.now > until {
+func (sim *simulation) watchJobs(ids []string, every, until micros.Micros) {
+	if sim.now > until {
 		return
 	}
-	sent := w.now
+	sent := sim.now
 	for _, id := range ids {
-		if !w.accepted[id] {
+		if !sim.accepted[id] {
 			continue
 		}
-		for n := range w.nodes {
-			w.user(n, "GET", "/api/jobs/"+id, nil, func(r Respond) { w.checkResponse(id, r, sent) })
+		for n := range sim.nodes {
+			sim.sendUserRequest(n, "GET", "/api/jobs/"+id, nil, func(response Respond) { sim.checkResponse(id, response, sent) })
 		}
 	}
-	w.after(every, func() { w.watchJobs(ids, every, until) })
+	sim.after(every, func() { sim.watchJobs(ids, every, until) })
 }
 
 // sendInvalidDependencies submits jobs with such lists at a node and tells how they are answered.
-func (w *simulation) sendInvalidDependencies(to, first int, known string) string {
+func (sim *simulation) sendInvalidDependencies(to, first int, known string) string {
 	var out []string
 	for i, b := range invalidDependencies {
 		id := jobName(first + i)
-		w.users.mustRefuse[id] = "awaits: " + b.name
-		body := withAwaits(wire.Encode(w.validJobFields(id)), b.value(id, known))
-		r := w.requestAndWait(to, "POST", "/api/jobs", id, body)
-		if b.want == 400 && r.Status != 400 {
-			w.reportViolation("accepted_bad: awaits of the form %s is answered %d", b.name, r.Status)
+		sim.users.mustRefuse[id] = "awaits: " + b.name
+		body := withDependencyField(wire.Encode(sim.validJobFields(id)), b.value(id, known))
+		response := sim.requestAndWait(to, "POST", "/api/jobs", id, body)
+		if b.want == 400 && response.Status != 400 {
+			sim.reportViolation("accepted_bad: awaits of the form %s is answered %d", b.name, response.Status)
 		}
-		out = append(out, fmt.Sprintf("%s %d", b.name, r.Status))
+		out = append(out, fmt.Sprintf("%s %d", b.name, response.Status))
 	}
 	return strings.Join(out, "\n")
 }
@@ -118,85 +118,85 @@
 }
 
 // runPipelineCommand plays the commands of this file; ok is false for any other.
-func runPipelineCommand(t *testing.T, w *simulation, d *datadriven.TestData, node func() *simNode) (out string, ok bool) {
-	p := &w.pipelines
+func runPipelineCommand(t *testing.T, sim *simulation, d *datadriven.TestData, node func() *simNode) (out string, ok bool) {
+	pipelines := &sim.pipelines
 	id := arg(t, d, "job", "req-000001")
 	path := "/api/jobs/" + id
 	switch d.Cmd {
 	case "chain": // each job waits for the one before it
 		before := dependenciesArg(t, d)
 		for _, id := range jobRange(t, d) {
-			runSubmitCommand(t, w, withDependencies(d, before...), id)
+			runSubmitCommand(t, sim, withDependencies(d, before...), id)
 			before = []string{id}
 		}
 	case "fan": // all wait for the same
 		for _, id := range jobRange(t, d) {
-			runSubmitCommand(t, w, d, id)
+			runSubmitCommand(t, sim, d, id)
 		}
 	case "repeat": // the submission again, and its answer
-		r := w.requestAndWait(arg(t, d, "to", 0), "POST", "/api/jobs", id, w.bodies[id])
-		return fmt.Sprintf("%d %s", r.Status, responseState(r)), true
+		response := sim.requestAndWait(arg(t, d, "to", 0), "POST", "/api/jobs", id, sim.submissions[id])
+		return fmt.Sprintf("%d %s", response.Status, responseState(response)), true
 	case "cancel-answer":
-		w.cancelRequested[id] = true
-		return responseState(w.requestAndWait(arg(t, d, "to", 0), "POST", path+"/cancel", id, nil)), true
+		sim.cancelRequested[id] = true
+		return responseState(sim.requestAndWait(arg(t, d, "to", 0), "POST", path+"/cancel", id, nil)), true
 	case "cancel-at-done": // a job is cancelled at the moment at which another's last task completes, or soon after
 		of, in := arg(t, d, "of", id), argSeconds(t, d, "in", 0)
-		p.onDone[of] = append(p.onDone[of], func() {
-			w.after(in, func() { w.cancel(id, p.rng.IntN(len(w.nodes))) })
+		pipelines.onDone[of] = append(pipelines.onDone[of], func() {
+			sim.after(in, func() { sim.cancel(id, pipelines.rng.IntN(len(sim.nodes))) })
 		})
 	case "crash-at-done": // the leader, or all
 		in, away := argSeconds(t, d, "in", 0), argSeconds(t, d, "for", restartDelay.Seconds())
-		p.onDone[id] = append(p.onDone[id], func() {
-			w.after(in, func() {
-				for i, n := range w.nodes {
-					if d.HasArg("all") || i == w.leader() {
-						w.crash(n, away)
+		pipelines.onDone[id] = append(pipelines.onDone[id], func() {
+			sim.after(in, func() {
+				for i, node := range sim.nodes {
+					if d.HasArg("all") || i == sim.leader() {
+						sim.crash(node, away)
 					}
 				}
 			})
 		})
 	case "until-ended": // all tasks of a job completed, whoever knows of it
-		for end := w.now + argSeconds(t, d, "s", 240); w.now < end && !w.allTasksDone(id); {
-			w.run(simulationStep)
+		for end := sim.now + argSeconds(t, d, "s", 240); sim.now < end && !sim.allTasksDone(id); {
+			sim.run(simulationStep)
 		}
-		if !w.allTasksDone(id) {
+		if !sim.allTasksDone(id) {
 			return "not ended", true
 		}
 		return "ended", true
 	case "until-recorded": // a job's final state, whoever was told
-		for end := w.now + argSeconds(t, d, "s", 240); w.now < end && w.recordedTerminalState(id) == ""; {
-			w.run(simulationStep)
+		for end := sim.now + argSeconds(t, d, "s", 240); sim.now < end && sim.recordedTerminalState(id) == ""; {
+			sim.run(simulationStep)
 		}
-		return string(w.recordedTerminalState(id)), true
+		return string(sim.recordedTerminalState(id)), true
 	case "until-told":
-		for end := w.now + argSeconds(t, d, "s", 240); w.now < end && w.reportedTerminal[id] == ""; {
-			w.run(simulationStep)
+		for end := sim.now + argSeconds(t, d, "s", 240); sim.now < end && sim.reportedTerminal[id] == ""; {
+			sim.run(simulationStep)
 		}
-		if w.reportedTerminal[id] == "" {
+		if sim.reportedTerminal[id] == "" {
 			return "open", true
 		}
-		return string(w.reportedTerminal[id]), true
+		return string(sim.reportedTerminal[id]), true
 	case "state":
-		return responseState(w.requestAndWait(node().index, "GET", path, id, nil)), true
+		return responseState(sim.requestAndWait(node().index, "GET", path, id, nil)), true
 	case "ask-all":
-		states := make([]string, len(w.nodes))
-		open, sent := len(states), w.now
-		for i := range w.nodes {
-			w.user(i, "GET", path, nil, func(r Respond) {
-				w.checkResponse(id, r, sent)
-				states[i], open = responseState(r), open-1
+		states := make([]string, len(sim.nodes))
+		open, sent := len(states), sim.now
+		for i := range sim.nodes {
+			sim.sendUserRequest(i, "GET", path, nil, func(response Respond) {
+				sim.checkResponse(id, response, sent)
+				states[i], open = responseState(response), open-1
 			})
 		}
 		for open > 0 {
-			w.run(simulationStep)
+			sim.run(simulationStep)
 		}
 		return strings.Join(states, " "), true
 	case "watch-jobs":
-		w.watchJobs(jobRange(t, d), argSeconds(t, d, "every", 1), w.now+argSeconds(t, d, "for", 60))
+		sim.watchJobs(jobRange(t, d), argSeconds(t, d, "every", 1), sim.now+argSeconds(t, d, "for", 60))
 	case "told":
 		n := map[string]int{}
 		for _, id := range jobRange(t, d) {
-			s := string(w.reportedTerminal[id])
+			s := string(sim.reportedTerminal[id])
 			if s == "" {
 				s = "open"
 			}
@@ -208,12 +208,12 @@
 		}
 		return strings.Join(lines, ", "), true
 	case "bad-awaits":
-		return w.sendInvalidDependencies(arg(t, d, "to", 0), arg(t, d, "from", 970000), id), true
+		return sim.sendInvalidDependencies(arg(t, d, "to", 0), arg(t, d, "from", 970000), id), true
 	case "began-before": // the first task of a job started before that of another
 		of := arg(t, d, "of", "")
-		return fmt.Sprint(w.startedAt[id] > 0 && (w.startedAt[of] == 0 || w.startedAt[id] < w.startedAt[of])), true
+		return fmt.Sprint(sim.startedAt[id] > 0 && (sim.startedAt[of] == 0 || sim.startedAt[id] < sim.startedAt[of])), true
 	case "waited": // a user saw the job queued while it waited
-		return fmt.Sprint(p.queuedResponses[id] > 0), true
+		return fmt.Sprint(pipelines.queuedResponses[id] > 0), true
 	default:
 		return "", false
 	}
--- a/controller/scenario_setup_test.go
+++ b/controller/scenario_setup_test.go
@@ -41,12 +41,12 @@
 	}
 	cfg.Tuning.MaxMachines = arg(t, d, "most", 0)
 	cfg.Tuning.SpreadTeams = d.HasArg("spread")
-	w := newSimulation(scenarioSeed(t, d), cfg)
-	w.nextLimits = parseNextLimits(t, d)
-	w.applyResponseDelayFromEnv(t)
-	w.cloud.Now = w.now
+	sim := newSimulation(scenarioSeed(t, d), cfg)
+	sim.nextLimits = parseNextLimits(t, d)
+	sim.applyResponseDelayFromEnv(t)
+	sim.cloud.Now = sim.now
 	bigZones := zones[arg(t, d, "no-big-in", 0):] // the first zones may lack the big type
-	w.cloud.Types = []wire.MachineType{
+	sim.cloud.Types = []wire.MachineType{
 		{Name: "small", CPUs: 8, MemGB: 32, CacheGB: 50, FetchGBPerS: 1, HourlyPrice: 1, SpotPrice: 0.3, BootS: 10, Zones: zones},
 		{Name: "big", CPUs: 32, MemGB: 128, CacheGB: 50, FetchGBPerS: 1, HourlyPrice: 4, SpotPrice: 1.2, BootS: 15, Zones: bigZones},
 	}
@@ -55,18 +55,18 @@
 			if typ == "big" && !slices.Contains(bigZones, z) {
 				continue
 			}
-			w.cloud.Capacity[typ+" "+z+" false"] = arg(t, d, "capacity", 10)
-			w.cloud.Capacity[typ+" "+z+" true"] = arg(t, d, "spots", 0)
+			sim.cloud.Capacity[typ+" "+z+" false"] = arg(t, d, "capacity", 10)
+			sim.cloud.Capacity[typ+" "+z+" true"] = arg(t, d, "spots", 0)
 		}
 	}
 	for i := range arg(t, d, "machines", 4) {
-		w.cloud.Add(arg(t, d, "type", "small"), zones[i%len(zones)], false, 0)
+		sim.cloud.Add(arg(t, d, "type", "small"), zones[i%len(zones)], false, 0)
 	}
-	w.lossRate, w.lateRequestRate, w.duplicateRequestRate = argNumber(t, d, "loss", 0), argNumber(t, d, "late", 0), argNumber(t, d, "dup", 0)
+	sim.lossRate, sim.lateRequestRate, sim.duplicateRequestRate = argNumber(t, d, "loss", 0), argNumber(t, d, "late", 0), argNumber(t, d, "dup", 0)
 	if n := arg(t, d, "production", -1); n >= 0 { // so many nodes begin with that version
-		w.startWithProduction(t, n)
+		sim.startWithProduction(t, n)
 	}
-	return w
+	return sim
 }
 
 func jobName(i int) string { return fmt.Sprintf("req-%06d", i) }
--- a/controller/scenario_test.go
+++ b/controller/scenario_test.go
@@ -22,19 +22,19 @@
 
 // runScenario plays a file. prepare may change the command that makes the world, and made is
 // shown the world.
-func runScenario(t *testing.T, path string, prepare func(d *datadriven.TestData), made func(w *simulation)) {
+func runScenario(t *testing.T, path string, prepare func(d *datadriven.TestData), made func(sim *simulation)) {
 	t.Helper()
-	var w *simulation
+	var sim *simulation
 	datadriven.RunTest(t, path, func(t *testing.T, d *datadriven.TestData) string {
 		if d.Cmd == "world" {
 			prepare(d)
-			w = newScenarioSimulation(t, d)
-			made(w)
+			sim = newScenarioSimulation(t, d)
+			made(sim)
 			return ""
 		}
-		out := runScenarioCommand(t, w, d)
-		if len(w.violations) > 0 {
-			t.Fatalf("%s: rules broken:\n%s", filepath.Base(d.Pos), strings.Join(w.violations, "\n"))
+		out := runScenarioCommand(t, sim, d)
+		if len(sim.violations) > 0 {
+			t.Fatalf("%s: rules broken:\n%s", filepath.Base(d.Pos), strings.Join(sim.violations, "\n"))
 		}
 		return out
 	})
@@ -61,28 +61,28 @@
 }
 
 // runScenarioCommand plays a command other than that which makes the world.
-func runScenarioCommand(t *testing.T, w *simulation, d *datadriven.TestData) string {
-	node := func() *simNode { return nodeArg(t, w, d) }
+func runScenarioCommand(t *testing.T, sim *simulation, d *datadriven.TestData) string {
+	node := func() *simNode { return nodeArg(t, sim, d) }
 	// during undoes a fault after the time given by "for".
 	during := func(undo func()) {
 		if d.HasArg("for") {
-			w.after(argSeconds(t, d, "for", 0), undo)
+			sim.after(argSeconds(t, d, "for", 0), undo)
 		}
 	}
 	withoutOutput := func(ok bool) (string, bool) { return "", ok }
 	verbs := []func() (out string, ok bool){
-		func() (string, bool) { return runTimeCommand(t, w, d) },
-		func() (string, bool) { return runJobCommand(t, w, d) },
-		func() (string, bool) { return runQueryCommand(t, w, d, node) },
-		func() (string, bool) { return withoutOutput(runNodeCommand(t, w, d, node, during)) },
-		func() (string, bool) { return withoutOutput(runMachineCommand(t, w, d, during)) },
-		func() (string, bool) { return runKVFaultCommand(t, w, d, node, during) },
-		func() (string, bool) { return withoutOutput(runResponseDelayCommand(t, w, d, during)) },
-		func() (string, bool) { return withoutOutput(runLimitCommand(t, w, d)) },
-		func() (string, bool) { return runUserCommand(t, w, d) },
-		func() (string, bool) { return runPipelineCommand(t, w, d, node) },
-		func() (string, bool) { return runProductionCommand(t, w, d, node) },
-		func() (string, bool) { return withoutOutput(runWorkerFaultCommand(t, w, d, during)) },
+		func() (string, bool) { return runTimeCommand(t, sim, d) },
+		func() (string, bool) { return runJobCommand(t, sim, d) },
+		func() (string, bool) { return runQueryCommand(t, sim, d, node) },
+		func() (string, bool) { return withoutOutput(runNodeCommand(t, sim, d, node, during)) },
+		func() (string, bool) { return withoutOutput(runMachineCommand(t, sim, d, during)) },
+		func() (string, bool) { return runKVFaultCommand(t, sim, d, node, during) },
+		func() (string, bool) { return withoutOutput(runResponseDelayCommand(t, sim, d, during)) },
+		func() (string, bool) { return withoutOutput(runLimitCommand(t, sim, d)) },
+		func() (string, bool) { return runUserCommand(t, sim, d) },
+		func() (string, bool) { return runPipelineCommand(t, sim, d, node) },
+		func() (string, bool) { return runProductionCommand(t, sim, d, node) },
+		func() (string, bool) { return withoutOutput(runWorkerFaultCommand(t, sim, d, during)) },
 	}
 	for _, verb := range verbs {
 		if out, ok := verb(); ok {
@@ -94,30 +94,30 @@
 }
 
 // runTimeCommand plays the commands that let time pass; ok is false for any other.
-func runTimeCommand(t *testing.T, w *simulation, d *datadriven.TestData) (out string, ok bool) {
+func runTimeCommand(t *testing.T, sim *simulation, d *datadriven.TestData) (out string, ok bool) {
 	switch d.Cmd {
 	case "run":
-		w.run(argSeconds(t, d, "s", 1))
+		sim.run(argSeconds(t, d, "s", 1))
 	case "until-done":
-		limit := w.now + argSeconds(t, d, "s", 300)
-		for w.now < limit && len(unfinished(w)) > 0 {
-			w.run(micros.Second)
+		limit := sim.now + argSeconds(t, d, "s", 300)
+		for sim.now < limit && len(unfinishedJobs(sim)) > 0 {
+			sim.run(micros.Second)
 		}
-		if left := unfinished(w); len(left) > 0 {
+		if left := unfinishedJobs(sim); len(left) > 0 {
 			return "not done: " + strings.Join(left, " "), true
 		}
 		return "done", true
 	case "until-began":
 		id := jobArg(t, d)
-		for limit := w.now + argSeconds(t, d, "s", 240); w.now < limit && w.startedAt[id] == 0; {
-			w.run(micros.Second)
+		for limit := sim.now + argSeconds(t, d, "s", 240); sim.now < limit && sim.startedAt[id] == 0; {
+			sim.run(micros.Second)
 		}
-		if w.startedAt[id] == 0 {
+		if sim.startedAt[id] == 0 {
 			return "not begun", true
 		}
 		return "begun", true
 	case "calm":
-		w.faultsEndedAt = w.now
+		sim.faultsEndedAt = sim.now
 	default:
 		return "", false
 	}
--- a/controller/simulation_network_test.go
+++ b/controller/simulation_network_test.go
@@ -19,128 +19,128 @@
 
 type eventQueue []simulatedEvent
 
-func (d eventQueue) Len() int { return len(d) }
+func (q eventQueue) Len() int { return len(q) }
 
-func (d eventQueue) Less(i, j int) bool {
-	return d[i].at < d[j].at || d[i].at == d[j].at && d[i].seq < d[j].seq
+func (q eventQueue) Less(i, j int) bool {
+	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].seq < q[j].seq
 }
 
-func (d eventQueue) Swap(i, j int) { d[i], d[j] = d[j], d[i] }
+func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
 
-func (d *eventQueue) Push(x any) { *d = append(*d, x.(simulatedEvent)) }
+func (q *eventQueue) Push(x any) { *q = append(*q, x.(simulatedEvent)) }
 
-func (d *eventQueue) Pop() any {
-	old := *d
+func (q *eventQueue) Pop() any {
+	old := *q
 	x := old[len(old)-1]
-	*d = old[:len(old)-1]
+	*q = old[:len(old)-1]
 	return x
 }
 
-// partitioned tells that a cut lies between two zones; "" is where state service, cloud and
+// zonesPartitioned tells that a cut lies between two zones; "" is where state service, cloud and
 // users are.
-func (w *simulation) partitioned(a, b string) bool {
-	return w.partitionedZone != "" && (a == w.partitionedZone) != (b == w.partitionedZone)
+func (sim *simulation) zonesPartitioned(a, b string) bool {
+	return sim.partitionedZone != "" && (a == sim.partitionedZone) != (b == sim.partitionedZone)
 }
 
-func (w *simulation) after(d micros.Micros, do func()) {
-	w.seq++
-	heap.Push(&w.queue, simulatedEvent{w.now + d, w.seq, do})
+func (sim *simulation) after(d micros.Micros, do func()) {
+	sim.eventSeq++
+	heap.Push(&sim.events, simulatedEvent{sim.now + d, sim.eventSeq, do})
 }
 
-func (w *simulation) latency() micros.Micros {
-	return micros.Millisecond + micros.Micros(w.rng.Int64N(int64(4*micros.Millisecond)))
+func (sim *simulation) randomLatency() micros.Micros {
+	return micros.Millisecond + micros.Micros(sim.rng.Int64N(int64(4*micros.Millisecond)))
 }
 
-func (w *simulation) handleEvent(n *simNode, ev Event) {
-	if !n.up {
+func (sim *simulation) handleEvent(node *simNode, ev Event) {
+	if !node.up {
 		return
 	}
-	life := n.incarnation
-	effects := n.handle(w, ev)
-	if w.onEffects != nil {
-		w.onEffects(n, ev, effects)
+	life := node.incarnation
+	effects := node.handle(sim, ev)
+	if sim.onEffects != nil {
+		sim.onEffects(node, ev, effects)
 	}
 	for _, e := range effects {
 		switch e := e.(type) {
 		case Respond:
-			if answer := n.pending[e.ID]; answer != nil {
-				delete(n.pending, e.ID)
+			if answer := node.pending[e.ID]; answer != nil {
+				delete(node.pending, e.ID)
 				answer(e)
 			}
 		case Call:
-			w.call(n, life, e)
+			sim.startCall(node, life, e)
 		}
 	}
 }
 
 // sendRequest sends a request to a node and hands over its response; status 0: none.
-func (w *simulation) sendRequest(n *simNode, r Request, timeout micros.Micros, done func(Respond)) {
+func (sim *simulation) sendRequest(node *simNode, request Request, timeout micros.Micros, done func(Respond)) {
 	answered := false
-	finish := func(resp Respond) {
+	finish := func(response Respond) {
 		if !answered {
 			answered = true
-			done(resp)
+			done(response)
 		}
 	}
-	w.after(w.latency(), func() {
-		if !n.up || n.partitioned {
-			w.after(0, func() { finish(Respond{}) })
+	sim.after(sim.randomLatency(), func() {
+		if !node.up || node.partitioned {
+			sim.after(0, func() { finish(Respond{}) })
 			return
 		}
-		n.nextID++
-		r.ID = n.nextID
-		life, came := n.incarnation, w.now
-		n.pending[r.ID] = func(resp Respond) {
-			w.checkRefusal(r, resp, w.now-came)
-			w.after(w.latency(), func() {
-				if !n.partitioned && (life == n.incarnation || resp.Status == 0) {
-					finish(resp)
+		node.nextID++
+		request.ID = node.nextID
+		life, came := node.incarnation, sim.now
+		node.pending[request.ID] = func(response Respond) {
+			sim.checkRefusal(request, response, sim.now-came)
+			sim.after(sim.randomLatency(), func() {
+				if !node.partitioned && (life == node.incarnation || response.Status == 0) {
+					finish(response)
 				}
 			})
 		}
-		w.handleEvent(n, r)
+		sim.handleEvent(node, request)
 	})
-	w.after(timeout, func() { finish(Respond{}) })
+	sim.after(timeout, func() { finish(Respond{}) })
 }
 
-func (w *simulation) call(n *simNode, life int, c Call) {
+func (sim *simulation) startCall(node *simNode, life int, c Call) {
 	answered := false
-	if n.openCalls++; n.openCalls > w.cfg.Sockets/4 {
-		w.reportViolation("sockets: node %d has %d calls under way", n.index, n.openCalls)
+	if node.openCalls++; node.openCalls > sim.cfg.Sockets/4 {
+		sim.reportViolation("sockets: node %d has %d calls under way", node.index, node.openCalls)
 	}
-	finish := func(r fake.Response, sent bool) {
-		if answered || n.incarnation != life {
+	finish := func(response fake.Response, sent bool) {
+		if answered || node.incarnation != life {
 			return
 		}
 		answered = true
-		n.openCalls--
-		w.handleEvent(n, CallDone{ID: c.ID, Status: r.Status, Body: r.Body, Sent: sent})
+		node.openCalls--
+		sim.handleEvent(node, CallDone{ID: c.ID, Status: response.Status, Body: response.Body, Sent: sent})
 	}
-	w.after(c.Timeout, func() { finish(fake.Response{}, true) })
-	back := func(r fake.Response) {
-		if w.rng.Float64() < w.lossRate {
+	sim.after(c.Timeout, func() { finish(fake.Response{}, true) })
+	back := func(response fake.Response) {
+		if sim.rng.Float64() < sim.lossRate {
 			return
 		}
-		w.after(w.latency(), func() {
-			if !n.partitioned {
-				finish(r, true)
+		sim.after(sim.randomLatency(), func() {
+			if !node.partitioned {
+				finish(response, true)
 			}
 		})
 	}
-	execute := func(answer func(fake.Response)) { w.execute(n, c, answer) }
+	execute := func(answer func(fake.Response)) { sim.executeCall(node, c, answer) }
 	watch := strings.HasPrefix(c.Target, "/changes")
-	w.after(w.latency(), func() {
-		p := w.rng.Float64()
+	sim.after(sim.randomLatency(), func() {
+		p := sim.rng.Float64()
 		switch {
-		case n.partitioned && n.delaysOutbound:
-			w.afterPartition(n, func() { execute(func(fake.Response) {}) })
-		case n.partitioned || p < w.lossRate:
-		case p < w.lossRate+w.lateRequestRate && !watch:
-			delay := 2*micros.Second + micros.Micros(w.rng.Int64N(int64(20*micros.Second)))
-			w.after(delay, func() { execute(func(fake.Response) {}) })
-		case p < w.lossRate+w.lateRequestRate+w.duplicateRequestRate && !watch:
-			delay := 2*micros.Second + micros.Micros(w.rng.Int64N(int64(20*micros.Second)))
-			w.after(delay, func() { execute(func(fake.Response) {}) })
+		case node.partitioned && node.delaysOutbound:
+			sim.afterPartition(node, func() { execute(func(fake.Response) {}) })
+		case node.partitioned || p < sim.lossRate:
+		case p < sim.lossRate+sim.lateRequestRate && !watch:
+			delay := 2*micros.Second + micros.Micros(sim.rng.Int64N(int64(20*micros.Second)))
+			sim.after(delay, func() { execute(func(fake.Response) {}) })
+		case p < sim.lossRate+sim.lateRequestRate+sim.duplicateRequestRate && !watch:
+			delay := 2*micros.Second + micros.Micros(sim.rng.Int64N(int64(20*micros.Second)))
+			sim.after(delay, func() { execute(func(fake.Response) {}) })
 			execute(back)
 		default:
 			execute(back)
@@ -149,71 +149,71 @@
 }
 
 // afterPartition does something once a node has its network back.
-func (w *simulation) afterPartition(n *simNode, do func()) {
-	if n.partitioned {
-		w.after(simulationStep, func() { w.afterPartition(n, do) })
+func (sim *simulation) afterPartition(node *simNode, do func()) {
+	if node.partitioned {
+		sim.after(simulationStep, func() { sim.afterPartition(node, do) })
 		return
 	}
 	do()
 }
 
-func (w *simulation) execute(n *simNode, c Call, answer func(fake.Response)) {
-	peer := strings.HasPrefix(c.Addr, "peer:")
+func (sim *simulation) executeCall(node *simNode, call Call, answer func(fake.Response)) {
+	peer := strings.HasPrefix(call.Addr, "peer:")
 	if peer {
-		i, _ := strconv.Atoi(strings.TrimPrefix(c.Addr, "peer:"))
-		peer = n.onlyWorkersReachable || w.nodes[i].onlyWorkersReachable || w.dropPeerMessage(c, false) || w.partitioned(w.nodeZone(n.index), w.nodeZone(i))
+		i, _ := strconv.Atoi(strings.TrimPrefix(call.Addr, "peer:"))
+		peer = node.onlyWorkersReachable || sim.nodes[i].onlyWorkersReachable || sim.dropPeerMessage(call, false) || sim.zonesPartitioned(sim.nodeZone(node.index), sim.nodeZone(i))
 	}
-	outside := c.Addr == w.cfg.KVAddr || c.Addr == w.cfg.CloudAddr
+	outside := call.Addr == sim.cfg.KVAddr || call.Addr == sim.cfg.CloudAddr
 	switch {
-	case peer, n.onlyWorkersReachable && c.Addr == w.cfg.KVAddr, outside && w.partitioned(w.nodeZone(n.index), ""): // lost
-	case c.Addr == w.cfg.KVAddr:
-		w.afterCommitDelay(c, func() { w.callKVStore(n, c, answer) })
-	case c.Addr == w.cfg.CloudAddr:
-		w.cloud.Now = w.now
-		answer(w.cloud.Handle(c.Method, c.Target, c.Body))
-		w.forgetDeletedMachines()
-	case strings.HasPrefix(c.Addr, "peer:"):
-		i, _ := strconv.Atoi(strings.TrimPrefix(c.Addr, "peer:"))
-		to := w.nodes[i]
-		w.recordPeerMessage(c.Body)
-		answer = w.kvFaults.peerResponseDelay.delayResponse(w, n, answer)
-		w.sendRequest(to, Request{Peer: true, Method: c.Method, Path: c.Target, Body: c.Body}, c.Timeout, func(r Respond) {
-			w.recordPeerMessage(r.Body)
-			if r.Status != 0 && !w.dropPeerMessage(c, true) {
-				answer(fake.Response{Status: r.Status, Body: r.Body})
+	case peer, node.onlyWorkersReachable && call.Addr == sim.cfg.KVAddr, outside && sim.zonesPartitioned(sim.nodeZone(node.index), ""): // lost
+	case call.Addr == sim.cfg.KVAddr:
+		sim.afterCommitDelay(call, func() { sim.callKVStore(node, call, answer) })
+	case call.Addr == sim.cfg.CloudAddr:
+		sim.cloud.Now = sim.now
+		answer(sim.cloud.Handle(call.Method, call.Target, call.Body))
+		sim.forgetDeletedMachines()
+	case strings.HasPrefix(call.Addr, "peer:"):
+		i, _ := strconv.Atoi(strings.TrimPrefix(call.Addr, "peer:"))
+		to := sim.nodes[i]
+		sim.notifyPeerMessage(call.Body)
+		answer = sim.kvFaults.peerResponseDelay.delayResponse(sim, node, answer)
+		sim.sendRequest(to, Request{Peer: true, Method: call.Method, Path: call.Target, Body: call.Body}, call.Timeout, func(response Respond) {
+			sim.notifyPeerMessage(response.Body)
+			if response.Status != 0 && !sim.dropPeerMessage(call, true) {
+				answer(fake.Response{Status: response.Status, Body: response.Body})
 			}
 		})
 	default:
-		k := w.workers[strings.TrimPrefix(c.Addr, "worker:")]
-		if k == nil || k.Machine.Gone || k.Partitioned || k.InboundBlocked || n.workersUnreachable || w.partitioned(w.nodeZone(n.index), k.Machine.Zone) {
+		worker := sim.workers[strings.TrimPrefix(call.Addr, "worker:")]
+		if worker == nil || worker.Machine.Gone || worker.Partitioned || worker.InboundBlocked || node.workersUnreachable || sim.zonesPartitioned(sim.nodeZone(node.index), worker.Machine.Zone) {
 			return
 		}
-		if k.Hung { // it executes when it continues
-			w.after(simulationStep, func() { w.execute(n, c, answer) })
+		if worker.Hung { // it executes when it continues
+			sim.after(simulationStep, func() { sim.executeCall(node, call, answer) })
 			return
 		}
-		if answer = w.delayCommand(c, answer); answer == nil {
+		if answer = sim.delayCommand(call, answer); answer == nil {
 			return
 		}
-		if c.Target == "/inspect" {
-			answer(fake.Response{Status: 200, Body: wire.Encode(k.BuildHeartbeat())})
+		if call.Target == "/inspect" {
+			answer(fake.Response{Status: 200, Body: wire.Encode(worker.BuildHeartbeat())})
 			return
 		}
-		answer(k.ExecuteDirect(w.now, c.Body))
+		answer(worker.ExecuteDirect(sim.now, call.Body))
 	}
 }
 
-func (w *simulation) executeKV(n *simNode, c Call, since micros.Micros, answer func(fake.Response)) {
+func (sim *simulation) executeKV(node *simNode, call Call, since micros.Micros, answer func(fake.Response)) {
 	wait := micros.Micros(0)
-	if u, err := url.ParseRequestURI(c.Target); err == nil {
+	if u, err := url.ParseRequestURI(call.Target); err == nil {
 		ms, _ := strconv.ParseFloat(u.Query().Get("waitMs"), 64)
 		wait = micros.FromMillis(ms)
 	}
-	w.kvStore.Now = w.now
-	r, ok := w.kvStore.Handle(nodeName(n.index), c.Method, c.Target, c.Body, w.now-since >= wait)
+	sim.kvStore.Now = sim.now
+	response, ok := sim.kvStore.Handle(nodeName(node.index), call.Method, call.Target, call.Body, sim.now-since >= wait)
 	if ok {
-		answer(r)
+		answer(response)
 		return
 	}
-	w.after(simulationStep, func() { w.executeKV(n, c, since, answer) })
+	sim.after(simulationStep, func() { sim.executeKV(node, call, since, answer) })
 }
--- a/controller/simulation_test.go
+++ b/controller/simulation_test.go
@@ -30,8 +30,8 @@
 	cloud                   *fake.Cloud
 	fleet                   *fake.Fleet
 	workers                 map[string]*fake.Worker // of the fleet
-	queue                   eventQueue
-	seq                     int
+	events                  eventQueue
+	eventSeq                int
 	lossRate                float64 // a message gets lost
 	lateRequestRate         float64 // a request is executed long after it was given up
 	duplicateRequestRate    float64 // a request is executed twice, the second time late
@@ -40,28 +40,28 @@
 	partitionedZone         string        // a zone that is cut off from everything else
 	faultsEndedAt           micros.Micros // troubles are over since then, 0: not yet
 
-	infos            map[string]fake.TaskInfo
-	submitted        map[string]*sched.Job
-	submittedAt      map[string]micros.Micros // when they were
-	bodies           map[string][]byte
-	reportedTerminal map[string]wire.JobPhase // final state that a user was told
-	accepted         map[string]bool
-	cancelled        map[string]micros.Micros
-	cancelRequested  map[string]bool
-	done             map[string]bool // task -> completed
-	running          map[string]string
-	violations       []string
-	starts           int
-	stops            map[string]int           // by cause
-	lastAnsweredAt   map[string]micros.Micros // when a question for a job was answered last
-	startedAt        map[string]micros.Micros // when a job's first task, or its whole gang, started
-	kvFaults         kvFaults
-	users            userLoad
-	pipelines        pipelineState
-
-	production *production       // runs the nodes of that version
-	onMessage  func(body []byte) // is shown what siblings say
-	onEffects  func(n *simNode, ev Event, effects []Effect)
+	taskInfos                 map[string]fake.TaskInfo
+	submitted                 map[string]*sched.Job
+	submittedAt               map[string]micros.Micros // when they were
+	submissions               map[string][]byte
+	reportedTerminal          map[string]wire.JobPhase // final state that a user was told
+	accepted                  map[string]bool
+	acknowledgedCancellations map[string]micros.Micros
+	cancelRequested           map[string]bool
+	completedTasks            map[string]bool // task -> completed
+	runningOn                 map[string]string
+	violations                []string
+	startedTasks              int
+	exitsByCause              map[string]int           // by cause
+	lastAnsweredAt            map[string]micros.Micros // when a question for a job was answered last
+	startedAt                 map[string]micros.Micros // when a job's first task, or its whole gang, started
+	kvFaults                  kvFaults
+	users                     userLoad
+	pipelines                 pipelineState
+
+	production *productionProcess // runs the nodes of that version
+	onMessage  func(body []byte)  // is shown what siblings say
+	onEffects  func(node *simNode, ev Event, effects []Effect)
 
 	workerFaults
 	nextLimits nextLimits
@@ -91,106 +91,106 @@
 )
 
 func newSimulation(seed uint64, cfg *config.Settings) *simulation {
-	w := &simulation{
+	sim := &simulation{
 		now: micros.Hour, rng: rand.New(rand.NewPCG(seed, 1)), cfg: cfg,
 		kvStore: fake.NewKVStore(), cloud: fake.NewCloud(),
-		infos: map[string]fake.TaskInfo{}, submitted: map[string]*sched.Job{}, submittedAt: map[string]micros.Micros{}, bodies: map[string][]byte{},
-		reportedTerminal: map[string]wire.JobPhase{}, accepted: map[string]bool{}, cancelled: map[string]micros.Micros{},
-		cancelRequested: map[string]bool{}, running: map[string]string{},
+		taskInfos: map[string]fake.TaskInfo{}, submitted: map[string]*sched.Job{}, submittedAt: map[string]micros.Micros{}, submissions: map[string][]byte{},
+		reportedTerminal: map[string]wire.JobPhase{}, accepted: map[string]bool{}, acknowledgedCancellations: map[string]micros.Micros{},
+		cancelRequested: map[string]bool{}, runningOn: map[string]string{},
 		kvFaults: newKVFaults(seed), users: newUserLoad(seed), pipelines: newPipelineState(seed),
-		stops: map[string]int{}, lastAnsweredAt: map[string]micros.Micros{}, startedAt: map[string]micros.Micros{},
+		exitsByCause: map[string]int{}, lastAnsweredAt: map[string]micros.Micros{}, startedAt: map[string]micros.Micros{},
 	}
-	w.fleet = fake.NewFleet(fake.FleetTimeouts{Lease: cfg.WorkerLease, GangPeerTimeout: cfg.GangFailureTimeout, GangWaitTimeout: cfg.GangStartTimeout})
-	w.fleet.Info, w.fleet.OnStart, w.fleet.OnExit, w.fleet.OnDone = w.info, w.onStart, w.onExit, w.onDone
-	w.workers, w.done = w.fleet.Workers, w.fleet.CompletedTasks
-	w.kvStore.MaxOps, w.kvStore.MaxValueBytes = cfg.MaxTransactionOps, cfg.MaxValueBytes
-	w.cloud.ListDelay = cfg.CloudListLag
+	sim.fleet = fake.NewFleet(fake.FleetTimeouts{Lease: cfg.WorkerLease, GangPeerTimeout: cfg.GangFailureTimeout, GangWaitTimeout: cfg.GangStartTimeout})
+	sim.fleet.Info, sim.fleet.OnStart, sim.fleet.OnExit, sim.fleet.OnDone = sim.taskInfo, sim.onTaskStart, sim.onTaskExit, sim.onTaskCompleted
+	sim.workers, sim.completedTasks = sim.fleet.Workers, sim.fleet.CompletedTasks
+	sim.kvStore.MaxOps, sim.kvStore.MaxValueBytes = cfg.MaxTransactionOps, cfg.MaxValueBytes
+	sim.cloud.ListDelay = cfg.CloudListLag
 	for i := range len(cfg.Siblings) + 1 {
-		w.nodes = append(w.nodes, &simNode{index: i})
+		sim.nodes = append(sim.nodes, &simNode{index: i})
 	}
-	return w
+	return sim
 }
 
 func nodeName(i int) string { return fmt.Sprintf("n%d", i) }
 
 // nodeZone is where a node is: the zones take turns.
-func (w *simulation) nodeZone(i int) string { return w.cfg.Zones[i%len(w.cfg.Zones)] }
-
-func (w *simulation) start(n *simNode) {
-	cfg := *w.cfg
-	cfg.Zone = w.nodeZone(n.index)
-	cfg.Node = nodeName(n.index)
-	if n.version != productionVersion { // that version does not know of them
-		w.nextLimits.apply(&cfg)
+func (sim *simulation) nodeZone(i int) string { return sim.cfg.Zones[i%len(sim.cfg.Zones)] }
+
+func (sim *simulation) start(node *simNode) {
+	cfg := *sim.cfg
+	cfg.Zone = sim.nodeZone(node.index)
+	cfg.Node = nodeName(node.index)
+	if node.version != productionVersion { // that version does not know of them
+		sim.nextLimits.apply(&cfg)
 	}
 	cfg.Siblings = nil
-	for i := range w.nodes {
-		if i != n.index {
-			cfg.Siblings = append(cfg.Siblings, config.Sibling{Node: nodeName(i), Zone: w.nodeZone(i), Endpoint: "peer:" + strconv.Itoa(i)})
+	for i := range sim.nodes {
+		if i != node.index {
+			cfg.Siblings = append(cfg.Siblings, config.Sibling{Node: nodeName(i), Zone: sim.nodeZone(i), Endpoint: "peer:" + strconv.Itoa(i)})
 		}
 	}
 	out := io.Discard
 	if os.Getenv("SCENARIO_LOG") != "" {
 		out = os.Stderr
 	}
-	log := slog.New(slog.NewTextHandler(out, &slog.HandlerOptions{Level: slog.LevelDebug, ReplaceAttr: w.worldTime})).With("node", cfg.Node)
-	n.incarnation++
-	n.up, n.pending, n.nextID, n.openCalls = true, map[uint64]func(Respond){}, 0, 0
-	n.core, n.productionCore = nil, nil
-	if n.version == productionVersion {
-		w.startProductionNode(n, &cfg)
+	log := slog.New(slog.NewTextHandler(out, &slog.HandlerOptions{Level: slog.LevelDebug, ReplaceAttr: sim.replaceLogTime})).With("node", cfg.Node)
+	node.incarnation++
+	node.up, node.pending, node.nextID, node.openCalls = true, map[uint64]func(Respond){}, 0, 0
+	node.core, node.productionCore = nil, nil
+	if node.version == productionVersion {
+		sim.startProductionNode(node, &cfg)
 		return
 	}
-	n.core = New(&cfg, w.rng.Uint64(), log, w.now, w.now)
+	node.core = New(&cfg, sim.rng.Uint64(), log, sim.now, sim.now)
 }
 
-// worldTime puts the world's time into its log.
-func (w *simulation) worldTime(_ []string, a slog.Attr) slog.Attr {
+// replaceLogTime puts the world's time into its log.
+func (sim *simulation) replaceLogTime(_ []string, a slog.Attr) slog.Attr {
 	if a.Key == slog.TimeKey {
-		return slog.String(a.Key, fmt.Sprint(w.now-micros.Hour))
+		return slog.String(a.Key, fmt.Sprint(sim.now-micros.Hour))
 	}
 	return a
 }
 
-func (w *simulation) crash(n *simNode, down micros.Micros) {
-	n.up, n.incarnation, n.downUntil = false, n.incarnation+1, w.now+down
-	for _, id := range ordered.Keys(n.pending) {
-		n.pending[id](Respond{})
+func (sim *simulation) crash(node *simNode, down micros.Micros) {
+	node.up, node.incarnation, node.downUntil = false, node.incarnation+1, sim.now+down
+	for _, id := range ordered.Keys(node.pending) {
+		node.pending[id](Respond{})
 	}
-	n.pending = nil
+	node.pending = nil
 }
 
-func (w *simulation) reportViolation(format string, args ...any) {
-	w.violations = append(w.violations, fmt.Sprintf("%v: ", w.now-micros.Hour)+fmt.Sprintf(format, args...))
+func (sim *simulation) reportViolation(format string, args ...any) {
+	sim.violations = append(sim.violations, fmt.Sprintf("%v: ", sim.now-micros.Hour)+fmt.Sprintf(format, args...))
 }
 
-func (w *simulation) run(d micros.Micros) {
-	for end := w.now + d; w.now < end; w.now += simulationStep {
-		for len(w.queue) > 0 && w.queue[0].at <= w.now {
-			heap.Pop(&w.queue).(simulatedEvent).run()
+func (sim *simulation) run(d micros.Micros) {
+	for end := sim.now + d; sim.now < end; sim.now += simulationStep {
+		for len(sim.events) > 0 && sim.events[0].at <= sim.now {
+			heap.Pop(&sim.events).(simulatedEvent).run()
 		}
-		w.kvStore.Advance(w.now)
-		w.cloud.Now = w.now
-		for _, n := range w.nodes {
-			if !n.up && w.now >= n.downUntil {
-				w.start(n)
+		sim.kvStore.Advance(sim.now)
+		sim.cloud.Now = sim.now
+		for _, node := range sim.nodes {
+			if !node.up && sim.now >= node.downUntil {
+				sim.start(node)
 			}
-			if n.up && w.now >= n.nextTimer {
-				n.nextTimer = w.now + 50*micros.Millisecond
-				w.handleEvent(n, Tick{})
+			if node.up && sim.now >= node.nextTimer {
+				node.nextTimer = sim.now + 50*micros.Millisecond
+				sim.handleEvent(node, Tick{})
 			}
 		}
-		w.replayToLeader()
-		w.bootMachines()
-		for _, name := range w.workerNames() {
-			w.stepWorker(w.workers[name])
+		sim.replayToNewOwners()
+		sim.bootMachines()
+		for _, name := range sim.workerNames() {
+			sim.stepWorker(sim.workers[name])
 		}
-		w.checkRules()
+		sim.checkRules()
 	}
 }
 
-func (w *simulation) nodeOf(name string) (int, bool) {
-	for i := range w.nodes {
+func (sim *simulation) nodeIndex(name string) (int, bool) {
+	for i := range sim.nodes {
 		if nodeName(i) == name {
 			return i, true
 		}
@@ -198,45 +198,45 @@
 	return 0, false
 }
 
-func (w *simulation) checkRules() {
+func (sim *simulation) checkRules() {
 	used := map[string]float64{}
-	for task := range w.running {
+	for task := range sim.runningOn {
 		id, _, _ := wire.SplitTaskName(task)
-		used[w.submitted[id].Team] += w.infos[id].CPU
-		if at, ok := w.cancelled[id]; ok && w.now > at+w.cfg.CancellationDeadline {
-			w.reportViolation("ran_cancelled: %s is still on %s", task, w.running[task])
+		used[sim.submitted[id].Team] += sim.taskInfos[id].CPU
+		if at, ok := sim.acknowledgedCancellations[id]; ok && sim.now > at+sim.cfg.CancellationDeadline {
+			sim.reportViolation("ran_cancelled: %s is still on %s", task, sim.runningOn[task])
 		}
-		w.checkOrphans(task, id)
+		sim.checkCancelledAncestors(task, id)
 	}
-	for _, t := range w.cfg.Teams {
-		if t.QuotaLimit.CPU > 0 && used[t.Name] > t.QuotaLimit.CPUs()+1e-6 {
-			w.reportViolation("quota: %s uses %g", t.Name, used[t.Name])
+	for _, team := range sim.cfg.Teams {
+		if team.QuotaLimit.CPU > 0 && used[team.Name] > team.QuotaLimit.CPUs()+1e-6 {
+			sim.reportViolation("quota: %s uses %g", team.Name, used[team.Name])
 		}
 	}
-	if w.kvStore.OversizedTransactions > 0 {
-		w.reportViolation("limits: a commit was too large")
+	if sim.kvStore.OversizedTransactions > 0 {
+		sim.reportViolation("limits: a commit was too large")
 	}
 	// Once troubles are over, a job about which no question is answered is forgotten.
-	for id := range w.accepted {
-		if w.faultsEndedAt > 0 && w.reportedTerminal[id] == "" && w.now-max(w.lastAnsweredAt[id], w.faultsEndedAt) > maxUnansweredTime {
-			w.reportViolation("forgotten: nobody answers about %s", id)
+	for id := range sim.accepted {
+		if sim.faultsEndedAt > 0 && sim.reportedTerminal[id] == "" && sim.now-max(sim.lastAnsweredAt[id], sim.faultsEndedAt) > maxUnansweredTime {
+			sim.reportViolation("forgotten: nobody answers about %s", id)
 		}
 	}
-	w.checkSchedulingDelay()
-	w.checkInvariants()
-	w.violations = w.violations[:min(len(w.violations), 10)]
+	sim.checkSchedulingDelay()
+	sim.checkInvariants()
+	sim.violations = sim.violations[:min(len(sim.violations), 10)]
 }
 
 // leader finds the node that leads, or -1.
-func (w *simulation) leader() int {
-	return slices.IndexFunc(w.nodes, func(n *simNode) bool { by, _ := n.ownership(); return by != nil })
+func (sim *simulation) leader() int {
+	return slices.IndexFunc(sim.nodes, func(node *simNode) bool { by, _ := node.ownership(); return by != nil })
 }
 
 // checkInvariants sees that no node reports a violation of its own invariants.
-func (w *simulation) checkInvariants() {
-	for _, n := range w.nodes {
-		if n.up && n.core != nil && n.core.Violations() > 0 {
-			w.reportViolation("invariant: node %d reports %d violations", n.index, n.core.Violations())
+func (sim *simulation) checkInvariants() {
+	for _, node := range sim.nodes {
+		if node.up && node.core != nil && node.core.Violations() > 0 {
+			sim.reportViolation("invariant: node %d reports %d violations", node.index, node.core.Violations())
 		}
 	}
 }
--- a/controller/simulation_workers_test.go
+++ b/controller/simulation_workers_test.go
@@ -8,82 +8,82 @@
 )
 
 // forgetDeletedMachines drops what ran on machines that were deleted.
-func (w *simulation) forgetDeletedMachines() {
-	for task, name := range w.running {
-		if w.cloud.Machines[name].Gone {
-			delete(w.running, task)
+func (sim *simulation) forgetDeletedMachines() {
+	for task, name := range sim.runningOn {
+		if sim.cloud.Machines[name].Gone {
+			delete(sim.runningOn, task)
 		}
 	}
 }
 
-func (w *simulation) workerNames() []string { return ordered.Keys(w.workers) }
+func (sim *simulation) workerNames() []string { return ordered.Keys(sim.workers) }
 
-func (w *simulation) bootMachines() {
-	for _, name := range w.cloud.MachineNames() {
-		m := w.cloud.Machines[name]
-		if m.Started || m.Gone || m.UpAt == 0 || w.now < m.UpAt {
+func (sim *simulation) bootMachines() {
+	for _, name := range sim.cloud.MachineNames() {
+		machine := sim.cloud.Machines[name]
+		if machine.Started || machine.Gone || machine.UpAt == 0 || sim.now < machine.UpAt {
 			continue
 		}
-		m.Started = true
-		t := w.typeOf(m.Type)
-		w.bootWorker(m, t)
+		machine.Started = true
+		machineType := sim.machineType(machine.Type)
+		sim.bootWorker(machine, machineType)
 	}
 }
 
-func (w *simulation) bootWorker(m *fake.CloudMachine, t wire.MachineType) *fake.Worker {
-	return w.fleet.Boot(m, t, w.rng.IntN(len(w.nodes)), w.now)
+func (sim *simulation) bootWorker(machine *fake.CloudMachine, machineType wire.MachineType) *fake.Worker {
+	return sim.fleet.Boot(machine, machineType, sim.rng.IntN(len(sim.nodes)), sim.now)
 }
 
-func (w *simulation) typeOf(name string) wire.MachineType {
-	for _, t := range w.cloud.Types {
-		if t.Name == name {
-			return t
+func (sim *simulation) machineType(name string) wire.MachineType {
+	for _, machineType := range sim.cloud.Types {
+		if machineType.Name == name {
+			return machineType
 		}
 	}
 	return wire.MachineType{}
 }
 
-func (w *simulation) info(task string) (fake.TaskInfo, bool) {
+func (sim *simulation) taskInfo(task string) (fake.TaskInfo, bool) {
 	id, index, _ := wire.SplitTaskName(task)
-	i, ok := w.infos[id]
-	i.Run += micros.Micros(index) * w.taskStagger[id]
+	i, ok := sim.taskInfos[id]
+	i.Run += micros.Micros(index) * sim.taskStagger[id]
 	return i, ok
 }
 
-func (w *simulation) onStart(k *fake.Worker, task string, _ uint64) {
-	w.starts++
+func (sim *simulation) onTaskStart(worker *fake.Worker, task string, _ uint64) {
+	sim.startedTasks++
 	id, _, _ := wire.SplitTaskName(task)
-	w.jobStarted(id)
-	w.checkStartAfterDependencies(task, id)
-	j := w.submitted[id]
-	if other, ok := w.running[task]; ok && other != k.Machine.Name {
-		w.reportViolation("ran_twice: %s starts on %s while on %s", task, k.Machine.Name, other)
+	sim.countStartAfterCancellation(id)
+	sim.checkStartAfterDependencies(task, id)
+	job := sim.submitted[id]
+	if other, ok := sim.runningOn[task]; ok && other != worker.Machine.Name {
+		sim.reportViolation("ran_twice: %s starts on %s while on %s", task, worker.Machine.Name, other)
 	}
-	if at, ok := w.cancelled[id]; ok && w.now > at+w.cfg.CancellationDeadline {
-		w.reportViolation("ran_cancelled: %s starts", task)
+	if at, ok := sim.acknowledgedCancellations[id]; ok && sim.now > at+sim.cfg.CancellationDeadline {
+		sim.reportViolation("ran_cancelled: %s starts", task)
 	}
-	w.running[task] = k.Machine.Name
-	if _, ok := w.startedAt[id]; !ok && (!j.Gang || w.onMachines(id) == j.Tasks) {
-		w.startedAt[id] = w.now
+	sim.runningOn[task] = worker.Machine.Name
+	if _, ok := sim.startedAt[id]; !ok && (!job.Gang || sim.runningTasks(id) == job.Tasks) {
+		sim.startedAt[id] = sim.now
 	}
-	if !j.Allows(k.Machine.Type, k.Machine.Zone, k.Machine.Spot) {
-		w.reportViolation("wrong_place: %s on %s", task, k.Machine.Name)
+	if !job.Allows(worker.Machine.Type, worker.Machine.Zone, worker.Machine.Spot) {
+		sim.reportViolation("wrong_place: %s on %s", task, worker.Machine.Name)
 	}
 	zones := map[string]int{}
-	for other, name := range w.running {
+	for other, name := range sim.runningOn {
 		if o, _, _ := wire.SplitTaskName(other); o == id {
-			zones[w.cloud.Machines[name].Zone]++
+			zones[sim.cloud.Machines[name].Zone]++
 		}
 	}
-	if j.OneZone && len(zones) > 1 || zones[k.Machine.Zone] > j.ZoneCap() {
-		w.reportViolation("wrong_place: %s in zones %v", task, zones)
+	if job.OneZone && len(zones) > 1 || zones[worker.Machine.Zone] > job.ZoneCap() {
+		sim.reportViolation("wrong_place: %s in zones %v", task, zones)
 	}
 }
 
-// onMachines counts the tasks of a job that are on machines.
-func (w *simulation) onMachines(id string) int {
+// runningTasks counts the tasks of a job that are on machines.
+func (sim *simulation) runningTasks(id string) int {
 	n := 0
-	for task := range w.running {
+	for task := range sim.runningOn {
 		if o, _, _ := wire.SplitTaskName(task); o == id {
 			n++
 		}
@@ -91,49 +91,49 @@
 	return n
 }
 
-func (w *simulation) onExit(k *fake.Worker, task string, cause wire.ExitCause) {
-	w.stops[string(cause)]++
-	if w.running[task] == k.Machine.Name {
-		delete(w.running, task)
+func (sim *simulation) onTaskExit(worker *fake.Worker, task string, cause wire.ExitCause) {
+	sim.exitsByCause[string(cause)]++
+	if sim.runningOn[task] == worker.Machine.Name {
+		delete(sim.runningOn, task)
 	}
 }
 
-func (w *simulation) onDone(task string) {
+func (sim *simulation) onTaskCompleted(task string) {
 	id, _, _ := wire.SplitTaskName(task)
-	w.jobEnded(id)
-	w.taskDone(id)
+	sim.cancelCompletedJob(id)
+	sim.runCompletionHooks(id)
 }
 
-func (w *simulation) stepWorker(k *fake.Worker) {
-	if k.Machine.Gone {
+func (sim *simulation) stepWorker(worker *fake.Worker) {
+	if worker.Machine.Gone {
 		return
 	}
-	k.Advance(w.now)
-	if k.Partitioned || !k.HeartbeatDue(w.now) {
+	worker.Advance(sim.now)
+	if worker.Partitioned || !worker.HeartbeatDue(sim.now) {
 		return
 	}
-	k.HeartbeatSent(w.now, w.cfg.HeartbeatInterval)
-	session := k.AgentEpoch
-	node := w.nodes[k.Controller]
-	body := wire.Encode(k.BuildHeartbeat())
-	if w.rng.Float64() < w.duplicateHeartbeatShare {
-		copyTo := w.nodes[w.rng.IntN(len(w.nodes))]
-		w.after(micros.Micros(w.rng.Int64N(int64(w.maxCopyDelay))), func() {
-			w.sendRequest(copyTo, Request{Method: "POST", Path: "/hello", Body: body}, micros.Second, func(Respond) {})
+	worker.HeartbeatSent(sim.now, sim.cfg.HeartbeatInterval)
+	session := worker.AgentEpoch
+	node := sim.nodes[worker.Controller]
+	body := wire.Encode(worker.BuildHeartbeat())
+	if sim.rng.Float64() < sim.duplicateHeartbeatShare {
+		copyTo := sim.nodes[sim.rng.IntN(len(sim.nodes))]
+		sim.after(micros.Micros(sim.rng.Int64N(int64(sim.maxCopyDelay))), func() {
+			sim.sendRequest(copyTo, Request{Method: "POST", Path: "/hello", Body: body}, micros.Second, func(Respond) {})
 		})
 	}
-	if w.duplicateHeartbeat(k, body) || k.HeartbeatsBlocked || node.workersUnreachable || w.partitioned(w.nodeZone(k.Controller), k.Machine.Zone) || w.rng.Float64() < w.lossRate {
-		w.after(4*micros.Second, func() { k.HandleHeartbeatResponse(w.now, 0, nil, session, w.nodeOf, len(w.nodes)) })
+	if sim.duplicateHeartbeat(worker, body) || worker.HeartbeatsBlocked || node.workersUnreachable || sim.zonesPartitioned(sim.nodeZone(worker.Controller), worker.Machine.Zone) || sim.rng.Float64() < sim.lossRate {
+		sim.after(4*micros.Second, func() { worker.HandleHeartbeatResponse(sim.now, 0, nil, session, sim.nodeIndex, len(sim.nodes)) })
 		return
 	}
-	w.sendRequest(node, Request{Method: "POST", Path: "/hello", Body: body}, 4*micros.Second, func(r Respond) {
-		if k.InboundBlocked {
-			w.after(4*micros.Second, func() { k.HandleHeartbeatResponse(w.now, 0, nil, session, w.nodeOf, len(w.nodes)) })
+	sim.sendRequest(node, Request{Method: "POST", Path: "/hello", Body: body}, 4*micros.Second, func(response Respond) {
+		if worker.InboundBlocked {
+			sim.after(4*micros.Second, func() { worker.HandleHeartbeatResponse(sim.now, 0, nil, session, sim.nodeIndex, len(sim.nodes)) })
 			return
 		}
-		if k.Partitioned || k.Hung || k.Machine.Gone {
-			r = Respond{}
+		if worker.Partitioned || worker.Hung || worker.Machine.Gone {
+			response = Respond{}
 		}
-		k.HandleHeartbeatResponse(w.now, r.Status, r.Body, session, w.nodeOf, len(w.nodes))
+		worker.HandleHeartbeatResponse(sim.now, response.Status, response.Body, session, sim.nodeIndex, len(sim.nodes))
 	})
 }
--- a/controller/users_requests_test.go
+++ b/controller/users_requests_test.go
@@ -14,17 +14,17 @@
 )
 
 // sendUnusualRequests sends one odd request after the other.
-func (w *simulation) sendUnusualRequests() {
-	users := &w.users
-	if w.now > users.unusualRequestsUntil {
+func (sim *simulation) sendUnusualRequests() {
+	users := &sim.users
+	if sim.now > users.unusualRequestsUntil {
 		return
 	}
-	w.after(200*micros.Millisecond, w.sendUnusualRequests)
+	sim.after(200*micros.Millisecond, sim.sendUnusualRequests)
 	users.unusualRequestsSent++
-	to, sent := users.rng.IntN(len(w.nodes)), w.now
+	to, sent := users.rng.IntN(len(sim.nodes)), sim.now
 	pick := func(is func(id string) bool) string {
 		var ids []string
-		for _, id := range ordered.Keys(w.accepted) {
+		for _, id := range ordered.Keys(sim.accepted) {
 			if is(id) {
 				ids = append(ids, id)
 			}
@@ -36,56 +36,56 @@
 	}
 	switch users.unusualRequestsSent % 5 {
 	case 0: // an unfinished job again
-		if id := pick(func(id string) bool { return w.reportedTerminal[id] == "" }); id != "" {
-			w.user(to, "POST", "/api/jobs", w.bodies[id], func(r Respond) { w.checkResponse(id, r, sent) })
+		if id := pick(func(id string) bool { return sim.reportedTerminal[id] == "" }); id != "" {
+			sim.sendUserRequest(to, "POST", "/api/jobs", sim.submissions[id], func(response Respond) { sim.checkResponse(id, response, sent) })
 		}
 	case 1: // a cancellation of one that is done, or was cancelled
-		if id := pick(func(id string) bool { return w.reportedTerminal[id] != "" }); id != "" {
-			w.user(to, "POST", "/api/jobs/"+id+"/cancel", nil, func(r Respond) { w.checkResponse(id, r, sent) })
+		if id := pick(func(id string) bool { return sim.reportedTerminal[id] != "" }); id != "" {
+			sim.sendUserRequest(to, "POST", "/api/jobs/"+id+"/cancel", nil, func(response Respond) { sim.checkResponse(id, response, sent) })
 		}
 	case 2: // a job that nobody submitted
 		id := "req-99" + jobName(users.unusualRequestsSent)[len("req-00"):]
 		path := "/api/jobs/" + id
-		w.user(to, "GET", path, nil, func(r Respond) { w.checkResponse(id, r, sent) })
-		w.user(to, "POST", path+"/cancel", nil, func(r Respond) { w.checkResponse(id, r, sent) })
+		sim.sendUserRequest(to, "GET", path, nil, func(response Respond) { sim.checkResponse(id, response, sent) })
+		sim.sendUserRequest(to, "POST", path+"/cancel", nil, func(response Respond) { sim.checkResponse(id, response, sent) })
 	case 3:
-		w.sendInvalidJob(to, w.malformedJob(users.unusualRequestsSent/5), 400)
+		sim.sendInvalidJob(to, sim.malformedJob(users.unusualRequestsSent/5), 400)
 	case 4:
-		w.sendInvalidJob(to, w.unrunnableJob(users.unusualRequestsSent/5), 422)
+		sim.sendInvalidJob(to, sim.unrunnableJob(users.unusualRequestsSent/5), 422)
 	}
 }
 
 // sendInvalidJob submits a job that must be refused for good: as malformed (400) at once whatever
 // else happens, as one that never runs (422) unless the node cannot decide.
-func (w *simulation) sendInvalidJob(to int, b invalidJob, want int) {
-	users := &w.users
+func (sim *simulation) sendInvalidJob(to int, b invalidJob, want int) {
+	users := &sim.users
 	users.mustRefuse[b.id] = b.reason
-	w.user(to, "POST", "/api/jobs", b.body, func(r Respond) {
-		undecided := r.Status == 0 || want == 422 && (r.Status == 503 || r.Status == 429)
-		if r.Status != want && !undecided {
-			w.reportViolation("accepted_bad: a submission must be answered %d, is answered %d: %s", want, r.Status, b.reason)
+	sim.sendUserRequest(to, "POST", "/api/jobs", b.body, func(response Respond) {
+		undecided := response.Status == 0 || want == 422 && (response.Status == 503 || response.Status == 429)
+		if response.Status != want && !undecided {
+			sim.reportViolation("accepted_bad: a submission must be answered %d, is answered %d: %s", want, response.Status, b.reason)
 		}
-		sent := w.now
-		w.user(to, "GET", "/api/jobs/"+b.id, nil, func(r Respond) { w.checkResponse(b.id, r, sent) })
+		sent := sim.now
+		sim.sendUserRequest(to, "GET", "/api/jobs/"+b.id, nil, func(response Respond) { sim.checkResponse(b.id, response, sent) })
 	})
 }
 
 // validJobFields are those of a job that could run; the odd ones differ in one.
-func (w *simulation) validJobFields(id string) map[string]any {
-	j := &sched.Job{
-		ID: id, Class: "work", Team: w.cfg.Teams[0].Name, Priority: sched.Normal, Tasks: 2,
+func (sim *simulation) validJobFields(id string) map[string]any {
+	job := &sched.Job{
+		ID: id, Class: "work", Team: sim.cfg.Teams[0].Name, Priority: sched.Normal, Tasks: 2,
 		Need: sched.NewResources(1, 0, 1), Image: "img", ImageGB: 1, Estimate: 10 * micros.Second,
 	}
 	fields := map[string]any{}
-	if err := wire.Decode(wire.Encode(wire.FromJob(j)), &fields); err != nil {
+	if err := wire.Decode(wire.Encode(wire.FromJob(job)), &fields); err != nil {
 		panic(err) // it was encoded just now
 	}
 	return fields
 }
 
-func (w *simulation) malformedJob(n int) invalidJob {
+func (sim *simulation) malformedJob(n int) invalidJob {
 	id := jobName(980000 + n)
-	fields := w.validJobFields(id)
+	fields := sim.validJobFields(id)
 	needed := []string{
 		"ref", "queue", "desk", "shape", "urgency", "legs", "cpus", "cards", "memGb", "bundle", "sizeGb",
 		"samePlace", "apart", "loaners", "expectS", "snapshotS", "stowS",
@@ -111,16 +111,16 @@
 	}
 }
 
-func (w *simulation) unrunnableJob(n int) invalidJob {
+func (sim *simulation) unrunnableJob(n int) invalidJob {
 	id := jobName(990000 + n)
-	fields := w.validJobFields(id)
+	fields := sim.validJobFields(id)
 	set := func(why string, pairs ...any) invalidJob {
 		for i := 0; i < len(pairs); i += 2 {
 			fields[pairs[i].(string)] = pairs[i+1]
 		}
 		return invalidJob{id, why, wire.Encode(fields)}
 	}
-	limit := w.cfg.Teams[0].QuotaLimit.CPUs()
+	limit := sim.cfg.Teams[0].QuotaLimit.CPUs()
 	switch n % 6 {
 	case 0:
 		return set("no such team", "desk", "green")
@@ -141,38 +141,38 @@
 }
 
 // runUserCommand plays the commands of this file; ok is false for any other.
-func runUserCommand(t *testing.T, w *simulation, d *datadriven.TestData) (out string, ok bool) {
-	users := &w.users
+func runUserCommand(t *testing.T, sim *simulation, d *datadriven.TestData) (out string, ok bool) {
+	users := &sim.users
 	span := func() micros.Micros { return argSeconds(t, d, "for", simulationHorizon.Seconds()) }
 	switch d.Cmd {
 	case "close-looks":
-		users.consistencyChecksUntil, users.cancelShare = w.now+span(), argNumber(t, d, "cancels", 0)
+		users.consistencyChecksUntil, users.cancelShare = sim.now+span(), argNumber(t, d, "cancels", 0)
 	case "cancel-at-end":
 		users.cancelAtEndShare = argNumber(t, d, "share", 1)
-		w.after(span(), func() { users.cancelAtEndShare = 0 })
+		sim.after(span(), func() { users.cancelAtEndShare = 0 })
 	case "odd-requests":
-		users.unusualRequestsUntil = w.now + span()
-		w.sendUnusualRequests()
+		users.unusualRequestsUntil = sim.now + span()
+		sim.sendUnusualRequests()
 	case "burst":
 		rate, share := argNumber(t, d, "rate", 4), argNumber(t, d, "cancelled", 0)
 		for i := range int(rate * span().Seconds()) {
 			id := jobName(arg(t, d, "from", 1) + i)
-			w.after(micros.FromSeconds(float64(i)/rate), func() {
+			sim.after(micros.FromSeconds(float64(i)/rate), func() {
 				one := *d
 				if users.rng.Float64() < share {
 					users.cancelAfter[id] = micros.Micros(users.rng.Int64N(int64(10 * micros.Second)))
 				}
-				runSubmitCommand(t, w, &one, id)
+				runSubmitCommand(t, sim, &one, id)
 			})
 		}
 	case "types-without": // a machine type is no longer offered
 		name := arg(t, d, "name", "big")
-		w.cloud.Types = slices.DeleteFunc(slices.Clone(w.cloud.Types), func(m wire.MachineType) bool { return m.Name == name })
+		sim.cloud.Types = slices.DeleteFunc(slices.Clone(sim.cloud.Types), func(m wire.MachineType) bool { return m.Name == name })
 	case "end-of-day":
-		if w.faultsEndedAt == 0 {
+		if sim.faultsEndedAt == 0 {
 			d.Fatalf(t, "a day ends after calm")
 		}
-		w.checkCompletion()
+		sim.checkCompletion()
 	default:
 		return "", false
 	}
--- a/controller/users_test.go
+++ b/controller/users_test.go
@@ -61,130 +61,130 @@
 
 // checkRefusal sees that a user who is refused is told when to come again, and at once if
 // there is too much.
-func (w *simulation) checkRefusal(r Request, resp Respond, took micros.Micros) {
-	if r.Peer || !strings.HasPrefix(r.Path, "/api/jobs") || resp.Status != 429 && resp.Status != 503 {
+func (sim *simulation) checkRefusal(request Request, response Respond, took micros.Micros) {
+	if request.Peer || !strings.HasPrefix(request.Path, "/api/jobs") || response.Status != 429 && response.Status != 503 {
 		return
 	}
-	w.users.refusals[resp.Status]++
-	if resp.RetryAfter < 1 {
-		w.reportViolation("refused: %s %s is answered %d without Retry-After", r.Method, r.Path, resp.Status)
+	sim.users.refusals[response.Status]++
+	if response.RetryAfter < 1 {
+		sim.reportViolation("refused: %s %s is answered %d without Retry-After", request.Method, request.Path, response.Status)
 	}
-	if resp.Status == 429 && took > maxRefusalLatency {
-		w.reportViolation("refused: %s %s is answered 429 after %v", r.Method, r.Path, took)
+	if response.Status == 429 && took > maxRefusalLatency {
+		sim.reportViolation("refused: %s %s is answered 429 after %v", request.Method, request.Path, took)
 	}
 }
 
 // checkResponse holds what a user is told against what was told before the question was sent.
 // Questions that cross may be answered in any order; two final states never differ.
-func (w *simulation) checkResponse(id string, r Respond, sent micros.Micros) {
-	switch r.Status {
+func (sim *simulation) checkResponse(id string, response Respond, sent micros.Micros) {
+	switch response.Status {
 	case wire.StatusNotFound, wire.StatusBadRequest, wire.StatusUnprocessable:
-		if at, known := w.users.acceptedAt[id]; known && at <= sent {
-			w.reportViolation("forgotten: %s is answered %d", id, r.Status)
+		if at, known := sim.users.acceptedAt[id]; known && at <= sent {
+			sim.reportViolation("forgotten: %s is answered %d", id, response.Status)
 		}
-		w.checkRefused(id, r.Status, sent)
+		sim.checkDependencyRefusal(id, response.Status, sent)
 	case wire.StatusOK, wire.StatusAccepted:
-		w.checkAcceptedResponse(id, r.Body, sent)
+		sim.checkAcceptedResponse(id, response.Body, sent)
 	}
 }
 
 // checkAcceptedResponse checks an answer by which a job was accepted.
-func (w *simulation) checkAcceptedResponse(id string, body []byte, sent micros.Micros) {
-	users := &w.users
+func (sim *simulation) checkAcceptedResponse(id string, body []byte, sent micros.Micros) {
+	users := &sim.users
 	if why := users.mustRefuse[id]; why != "" {
-		w.reportViolation("accepted_bad: %s is accepted: %s", id, why)
+		sim.reportViolation("accepted_bad: %s is accepted: %s", id, why)
 		return
 	}
-	j := w.submitted[id]
-	if j == nil {
-		w.reportViolation("invented: %s", id)
+	job := sim.submitted[id]
+	if job == nil {
+		sim.reportViolation("invented: %s", id)
 		return
 	}
-	if why := w.neverFits(j); why != "" && !w.accepted[id] {
-		w.reportViolation("accepted_bad: %s is accepted: %s", id, why)
+	if why := sim.rejectionReason(job); why != "" && !sim.accepted[id] {
+		sim.reportViolation("accepted_bad: %s is accepted: %s", id, why)
 	}
 	users.responseCount[id]++
-	w.accepted[id], w.lastAnsweredAt[id] = true, w.now
-	var st wire.JobState
-	if wire.Decode(body, &st) != nil || st.ID != id {
-		w.reportViolation("answer: that for %s cannot be read", id)
+	sim.accepted[id], sim.lastAnsweredAt[id] = true, sim.now
+	var state wire.JobState
+	if wire.Decode(body, &state) != nil || state.ID != id {
+		sim.reportViolation("answer: that for %s cannot be read", id)
 		return
 	}
-	w.checkDependencyStatus(id, st.Status)
-	w.checkState(j, st.Status, sent)
+	sim.checkDependencyStatus(id, state.Status)
+	sim.checkState(job, state.Status, sent)
 }
 
 // checkState checks the state of a job that a user is told.
-func (w *simulation) checkState(j *sched.Job, status wire.JobPhase, sent micros.Micros) {
-	users, id := &w.users, j.ID
+func (sim *simulation) checkState(job *sched.Job, status wire.JobPhase, sent micros.Micros) {
+	users, id := &sim.users, job.ID
 	final := status == wire.JobDone || status == wire.JobCancelled
-	if was, ok := w.reportedTerminal[id]; ok && was != status && (final || users.terminalSeenAt[id] <= sent) {
-		w.reportViolation("went_back: %s was %s, is %s", id, was, status)
+	if was, ok := sim.reportedTerminal[id]; ok && was != status && (final || users.terminalSeenAt[id] <= sent) {
+		sim.reportViolation("went_back: %s was %s, is %s", id, was, status)
 	}
-	fresh := w.reportedTerminal[id] == "" && final
+	fresh := sim.reportedTerminal[id] == "" && final
 	if _, ok := users.acceptedAt[id]; !ok {
-		users.acceptedAt[id], fresh = w.now, true
+		users.acceptedAt[id], fresh = sim.now, true
 		if in, ok := users.cancelAfter[id]; ok {
-			w.after(in, func() { w.cancel(id, users.rng.IntN(len(w.nodes))) })
+			sim.after(in, func() { sim.cancel(id, users.rng.IntN(len(sim.nodes))) })
 		}
 	}
 	if final {
-		w.checkTerminalState(j, status)
+		sim.checkTerminalState(job, status)
 	}
 	if fresh {
-		w.checkConsistency(id)
+		sim.checkConsistency(id)
 	}
 }
 
 // checkTerminalState checks that a job has ended as its user is told, and notes that.
-func (w *simulation) checkTerminalState(j *sched.Job, status wire.JobPhase) {
-	id := j.ID
+func (sim *simulation) checkTerminalState(job *sched.Job, status wire.JobPhase) {
+	id := job.ID
 	if status == wire.JobDone {
-		w.checkTasksDone(j)
+		sim.checkTasksDone(job)
 	} else {
-		if !w.mayBeCancelled(id) {
-			w.reportViolation("went_back: %s was not cancelled by its user, nor was a job that it needs", id)
+		if !sim.mayBeCancelled(id) {
+			sim.reportViolation("went_back: %s was not cancelled by its user, nor was a job that it needs", id)
 		}
-		if _, ok := w.cancelled[id]; !ok {
-			w.cancelled[id] = w.now
+		if _, ok := sim.acknowledgedCancellations[id]; !ok {
+			sim.acknowledgedCancellations[id] = sim.now
 		}
 	}
-	if w.reportedTerminal[id] == "" {
-		w.reportedTerminal[id], w.users.terminalSeenAt[id] = status, w.now
+	if sim.reportedTerminal[id] == "" {
+		sim.reportedTerminal[id], sim.users.terminalSeenAt[id] = status, sim.now
 	}
 }
 
 // checkTasksDone checks that all tasks of a job were done that is said to be.
-func (w *simulation) checkTasksDone(j *sched.Job) {
-	for i := range j.Tasks {
-		if !w.done[wire.TaskName(j.ID, i)] {
-			w.reportViolation("not_done: %s without task %d", j.ID, i)
+func (sim *simulation) checkTasksDone(job *sched.Job) {
+	for i := range job.Tasks {
+		if !sim.completedTasks[wire.TaskName(job.ID, i)] {
+			sim.reportViolation("not_done: %s without task %d", job.ID, i)
 			return
 		}
 	}
 }
 
-// neverFits tells why a job must not be accepted, or "".
-func (w *simulation) neverFits(j *sched.Job) string {
-	i := slices.IndexFunc(w.cfg.Teams, func(t config.Team) bool { return t.Name == j.Team })
+// rejectionReason tells why a job must not be accepted, or "".
+func (sim *simulation) rejectionReason(job *sched.Job) string {
+	i := slices.IndexFunc(sim.cfg.Teams, func(team config.Team) bool { return team.Name == job.Team })
 	if i < 0 {
 		return "no such team"
 	}
-	need := j.Need.CPUs()
-	if j.Gang {
-		need *= float64(j.Tasks)
+	need := job.Need.CPUs()
+	if job.Gang {
+		need *= float64(job.Tasks)
 	}
-	if limit := w.cfg.Teams[i].QuotaLimit; limit.CPU > 0 && need > limit.CPUs() {
+	if limit := sim.cfg.Teams[i].QuotaLimit; limit.CPU > 0 && need > limit.CPUs() {
 		return "more than the team's limit"
 	}
-	if j.Tasks < 1 || j.Tasks > 100000 {
+	if job.Tasks < 1 || job.Tasks > 100000 {
 		return "so many tasks are not allowed"
 	}
-	for _, t := range w.cloud.Types {
-		if j.Need.CPUs() > t.CPUs || w.infos[j.ID].Mem > t.MemGB {
+	for _, machineType := range sim.cloud.Types {
+		if job.Need.CPUs() > machineType.CPUs || sim.taskInfos[job.ID].Mem > machineType.MemGB {
 			continue
 		}
-		if slices.ContainsFunc(t.Zones, func(z string) bool { return j.Allows(t.Name, z, false) }) {
+		if slices.ContainsFunc(machineType.Zones, func(z string) bool { return job.Allows(machineType.Name, z, false) }) {
 			return ""
 		}
 	}
@@ -193,50 +193,50 @@
 
 // checkConsistency asks all nodes again and again about what a user was just told, and repeats
 // the submission at each.
-func (w *simulation) checkConsistency(id string) {
-	users := &w.users
-	if w.now > users.consistencyChecksUntil {
+func (sim *simulation) checkConsistency(id string) {
+	users := &sim.users
+	if sim.now > users.consistencyChecksUntil {
 		return
 	}
-	if w.reportedTerminal[id] == "" && users.rng.Float64() < users.cancelShare {
-		w.cancel(id, users.rng.IntN(len(w.nodes)))
+	if sim.reportedTerminal[id] == "" && users.rng.Float64() < users.cancelShare {
+		sim.cancel(id, users.rng.IntN(len(sim.nodes)))
 	}
 	for _, d := range consistencyCheckDelays {
-		w.after(d, func() { w.queryAllNodes(id) })
+		sim.after(d, func() { sim.queryAllNodes(id) })
 	}
 }
 
 // queryAllNodes asks all nodes about a job and repeats its submission at each.
-func (w *simulation) queryAllNodes(id string) {
-	sent := w.now
-	see := func(r Respond) {
-		if r.Status == 200 {
-			w.users.consistencyChecks++
+func (sim *simulation) queryAllNodes(id string) {
+	sent := sim.now
+	see := func(response Respond) {
+		if response.Status == 200 {
+			sim.users.consistencyChecks++
 		}
-		w.checkResponse(id, r, sent)
+		sim.checkResponse(id, response, sent)
 	}
-	for i := range w.nodes {
-		w.user(i, "GET", "/api/jobs/"+id, nil, see)
-		w.user(i, "POST", "/api/jobs", w.bodies[id], see)
+	for i := range sim.nodes {
+		sim.sendUserRequest(i, "GET", "/api/jobs/"+id, nil, see)
+		sim.sendUserRequest(i, "POST", "/api/jobs", sim.submissions[id], see)
 	}
 }
 
 // JobEnded is called when a task completes: some users cancel, ask and submit again at the
 // very moment at which the last one does.
-func (w *simulation) jobEnded(id string) {
-	users := &w.users
-	if users.cancelAtEndShare == 0 || w.cancelRequested[id] {
+func (sim *simulation) cancelCompletedJob(id string) {
+	users := &sim.users
+	if users.cancelAtEndShare == 0 || sim.cancelRequested[id] {
 		return
 	}
-	for i := range w.submitted[id].Tasks {
-		if !w.done[wire.TaskName(id, i)] {
+	for i := range sim.submitted[id].Tasks {
+		if !sim.completedTasks[wire.TaskName(id, i)] {
 			return
 		}
 	}
 	if users.rng.Float64() < users.cancelAtEndShare {
 		users.cancelledAtEnd++
-		w.cancel(id, users.rng.IntN(len(w.nodes)))
-		w.queryAllNodes(id)
+		sim.cancel(id, users.rng.IntN(len(sim.nodes)))
+		sim.queryAllNodes(id)
 	}
 }
 
@@ -282,43 +282,43 @@
 	{"bundle", false},
 }
 
-// jobStarted counts starts after a user was told of the cancellation.
-func (w *simulation) jobStarted(id string) {
-	if _, ok := w.cancelled[id]; ok {
-		w.users.startsAfterCancel++
+// countStartAfterCancellation counts starts after a user was told of the cancellation.
+func (sim *simulation) countStartAfterCancellation(id string) {
+	if _, ok := sim.acknowledgedCancellations[id]; ok {
+		sim.users.startsAfterCancel++
 	}
 }
 
 // checkSchedulingDelay sees that once troubles are over no job waits for long while a machine that
 // fits has room and its team is under its limit.
-func (w *simulation) checkSchedulingDelay() {
-	users := &w.users
-	if w.faultsEndedAt == 0 || w.now < users.nextSchedulingCheck {
+func (sim *simulation) checkSchedulingDelay() {
+	users := &sim.users
+	if sim.faultsEndedAt == 0 || sim.now < users.nextSchedulingCheck {
 		return
 	}
-	users.nextSchedulingCheck = w.now + micros.Second
-	for _, id := range ordered.Keys(w.accepted) {
-		if !w.isSchedulable(id) {
+	users.nextSchedulingCheck = sim.now + micros.Second
+	for _, id := range ordered.Keys(sim.accepted) {
+		if !sim.isSchedulable(id) {
 			delete(users.schedulableSince, id)
 			continue
 		}
 		since, ok := users.schedulableSince[id]
 		if !ok {
-			users.schedulableSince[id] = w.now
-		} else if w.now-since > maxSchedulableWait {
-			w.reportViolation("waits: %s has waited since %v beside room for it", id, since-micros.Hour)
+			users.schedulableSince[id] = sim.now
+		} else if sim.now-since > maxSchedulableWait {
+			sim.reportViolation("waits: %s has waited since %v beside room for it", id, since-micros.Hour)
 		}
 	}
 }
 
-func (w *simulation) isSchedulable(id string) bool {
-	j, info := w.submitted[id], w.infos[id]
-	if w.reportedTerminal[id] != "" || w.cancelRequested[id] || info.Fails || w.onMachines(id) > 0 || w.isBlocked(id) {
+func (sim *simulation) isSchedulable(id string) bool {
+	job, info := sim.submitted[id], sim.taskInfos[id]
+	if sim.reportedTerminal[id] != "" || sim.cancelRequested[id] || info.Fails || sim.runningTasks(id) > 0 || sim.hasUnreportedDependency(id) {
 		return false
 	}
 	left := 0
-	for i := range j.Tasks {
-		if !w.done[wire.TaskName(id, i)] {
+	for i := range job.Tasks {
+		if !sim.completedTasks[wire.TaskName(id, i)] {
 			left++
 		}
 	}
@@ -326,30 +326,30 @@
 		return false
 	}
 	need := 1
-	if j.Gang {
-		need = j.Tasks
+	if job.Gang {
+		need = job.Tasks
 	}
-	team := w.cfg.Teams[slices.IndexFunc(w.cfg.Teams, func(t config.Team) bool { return t.Name == j.Team })]
+	team := sim.cfg.Teams[slices.IndexFunc(sim.cfg.Teams, func(team config.Team) bool { return team.Name == job.Team })]
 	used := 0.0
-	for task := range w.running {
-		if other, _, _ := wire.SplitTaskName(task); w.submitted[other].Team == j.Team {
-			used += w.infos[other].CPU
+	for task := range sim.runningOn {
+		if other, _, _ := wire.SplitTaskName(task); sim.submitted[other].Team == job.Team {
+			used += sim.taskInfos[other].CPU
 		}
 	}
 	if limit := team.QuotaLimit.CPUs(); limit > 0 && used+float64(need)*info.CPU > limit+1e-6 {
 		return false
 	}
 	byZone := map[string]int{}
-	for _, k := range w.workers {
-		if k.Machine.Gone || k.Hung || k.Partitioned || k.InboundBlocked || k.FailsTasks || k.PreemptionNotice != nil || !j.Allows(k.Machine.Type, k.Machine.Zone, k.Machine.Spot) {
+	for _, worker := range sim.workers {
+		if worker.Machine.Gone || worker.Hung || worker.Partitioned || worker.InboundBlocked || worker.FailsTasks || worker.PreemptionNotice != nil || !job.Allows(worker.Machine.Type, worker.Machine.Zone, worker.Machine.Spot) {
 			continue
 		}
-		byZone[k.Machine.Zone] += freeTaskSlots(k, info)
+		byZone[worker.Machine.Zone] += freeTaskSlots(worker, info)
 	}
 	room := 0
 	for _, n := range byZone {
-		n = min(n, j.ZoneCap())
-		if j.OneZone {
+		n = min(n, job.ZoneCap())
+		if job.OneZone {
 			room = max(room, n)
 		} else {
 			room += n
@@ -359,11 +359,11 @@
 }
 
 // freeTaskSlots counts the tasks of a kind for which a worker has room.
-func freeTaskSlots(k *fake.Worker, info fake.TaskInfo) int {
-	cpu, mem := k.CPU, k.Mem
-	for name, t := range k.Tasks {
+func freeTaskSlots(worker *fake.Worker, info fake.TaskInfo) int {
+	cpu, mem := worker.CPU, worker.Mem
+	for name, t := range worker.Tasks {
 		if t.Phase != wire.PhaseExited {
-			i, _ := k.Info(name)
+			i, _ := worker.Info(name)
 			cpu, mem = cpu-i.CPU, mem-i.Mem
 		}
 	}
