--- a/controller/faults_response_delay_test.go
+++ b/controller/faults_response_delay_test.go
@@ -6,8 +6,6 @@
 	"strconv"
 	"testing"
 
-	"github.com/cockroachdb/datadriven"
-
 	"tamarindlead/internal/fake"
 	"tamarindlead/micros"
 )
@@ -52,26 +50,20 @@
 	}
 }
 
-// parseArgs takes the arguments of a command: share=0.3 ms=300 exact for=60 node=0.
-func (r *responseDelay) parseArgs(t *testing.T, d *datadriven.TestData, during func(func())) {
-	r.share = argNumber(t, d, "share", 0.3)
-	r.maxDelay = micros.FromMillis(argNumber(t, d, "ms", 300))
-	r.fixed = d.HasArg("exact")
-	r.node = arg(t, d, "node", allNodes)
-	during(func() { r.share = 0 })
+// configure applies the arguments of a command, such as share=0.3 ms=300 exact for=60 node=0.
+func (d *responseDelay) configure(c *command) {
+	c.t.Helper()
+	d.share = c.number("share", 0.3)
+	d.maxDelay = micros.FromMillis(c.number("ms", 300))
+	d.fixed = c.HasArg("exact")
+	d.node = c.integer("node", allNodes)
+	c.revertLater(func() { d.share = 0 })
 }
 
-// runResponseDelayCommand plays the commands of this file; false for any other.
-func runResponseDelayCommand(t *testing.T, sim *simulation, d *datadriven.TestData, during func(func())) bool {
-	switch d.Cmd {
-	case "uneven-state":
-		sim.kvFaults.kvResponseDelay.parseArgs(t, d, during)
-	case "uneven-peers":
-		sim.kvFaults.peerResponseDelay.parseArgs(t, d, during)
-	default:
-		return false
-	}
-	return true
+// responseDelayCommands hold responses back.
+var responseDelayCommands = commandTable{
+	"uneven-state": silent(func(c *command) { c.sim.kvFaults.kvResponseDelay.configure(c) }),
+	"uneven-peers": silent(func(c *command) { c.sim.kvFaults.peerResponseDelay.configure(c) }),
 }
 
 // applyResponseDelayFromEnv lets answers be uneven in any scenario: SCENARIO_UNEVEN=0.3 holds back that
--- a/controller/faults_state_test.go
+++ b/controller/faults_state_test.go
@@ -3,9 +3,7 @@
 import (
 	"math/rand/v2"
 	"strings"
-	"testing"
 
-	"github.com/cockroachdb/datadriven"
 	"google.golang.org/protobuf/proto"
 
 	"tamarindlead/internal/fake"
@@ -99,29 +97,33 @@
 	return faults.rng.Float64() < faults.peerLossRate
 }
 
-// runKVFaultCommand plays the commands of this file; ok is false for any other.
-func runKVFaultCommand(t *testing.T, sim *simulation, d *datadriven.TestData, node func() *simNode, during func(func())) (out string, ok bool) {
-	faults := &sim.kvFaults
-	switch d.Cmd {
-	case "late-writes":
-		faults.lateTransactionRate, faults.responseLostOnly = argNumber(t, d, "share", 1), d.HasArg("at-once")
-		during(func() { faults.lateTransactionRate = 0 })
-	case "slow-state":
-		faults.responseDelay = micros.FromMillis(argNumber(t, d, "ms", 1000))
-		during(func() { faults.responseDelay = 0 })
-	case "lose-peer-messages":
-		faults.peerLossRate, faults.peerHeartbeatsSpared = argNumber(t, d, "share", 1), d.HasArg("spare-beats")
-		faults.peerResponsesOnly = d.HasArg("answers")
-		during(func() { faults.peerLossRate = 0 })
-	case "cancel-jobs":
-		// Users cancel a row of jobs, beginning at one node.
-		to, every := node().index, argSeconds(t, d, "every", 0)
-		for i := range arg(t, d, "count", 1) {
-			id := jobName(arg(t, d, "from", 1) + i)
-			sim.after(micros.Micros(i)*every, func() { sim.cancel(id, to) })
+// kvFaultCommands cause faults between the controllers and the state service, and among the
+// controllers.
+var kvFaultCommands = commandTable{
+	"late-writes": silent(func(c *command) {
+		faults := &c.sim.kvFaults
+		faults.lateTransactionRate, faults.responseLostOnly = c.number("share", 1), c.HasArg("at-once")
+		c.revertLater(func() { faults.lateTransactionRate = 0 })
+	}),
+	"slow-state": silent(func(c *command) {
+		c.sim.kvFaults.responseDelay = micros.FromMillis(c.number("ms", 1000))
+		c.revertLater(func() { c.sim.kvFaults.responseDelay = 0 })
+	}),
+	"lose-peer-messages": silent(func(c *command) {
+		faults := &c.sim.kvFaults
+		faults.peerLossRate, faults.peerHeartbeatsSpared = c.number("share", 1), c.HasArg("spare-beats")
+		faults.peerResponsesOnly = c.HasArg("answers")
+		c.revertLater(func() { faults.peerLossRate = 0 })
+	}),
+	"cancel-jobs": silent(func(c *command) { // users cancel jobs one after the other, beginning at one node
+		to, every := c.node().index, c.seconds("every", 0)
+		for i, id := range c.jobIDs(1) {
+			c.sim.after(micros.Micros(i)*every, func() { c.sim.cancel(id, to) })
 		}
-	default:
-		return "", false
-	}
-	return "", true
+	}),
+}
+
+// delayedResponses returns how many responses were held back.
+func (faults *kvFaults) delayedResponses() int {
+	return faults.kvResponseDelay.delayedCount + faults.peerResponseDelay.delayedCount
 }
--- a/controller/faults_workers_test.go
+++ b/controller/faults_workers_test.go
@@ -4,12 +4,9 @@
 	"cmp"
 	"slices"
 	"strings"
-	"testing"
 
 	"tamarindlead/internal/ordered"
 
-	"github.com/cockroachdb/datadriven"
-
 	"tamarindlead/internal/fake"
 	"tamarindlead/internal/wire"
 	"tamarindlead/micros"
@@ -20,9 +17,9 @@
 	taskStagger            map[string]micros.Micros // by how much each task of a job takes longer than the one before
 	duplicateHeartbeatRate float64                  // of the reports, of which copies come late
 	replayToNextOwner      bool                     // the copies are kept for the next owner
-	replayHeartbeats       []savedHeartbeat         // those copies
+	replayHeartbeats       [][]byte                 // those copies
 	delayNextHeartbeatOf   []string                 // the next reports of these machines are held back
-	delayedHeartbeats      []savedHeartbeat         // until a new owner has acted
+	delayedHeartbeats      [][]byte                 // until a new owner has acted
 	capturedHeartbeats     [][]byte                 // reports that come again when asked for
 	commandDelayRate       float64                  // of the direct commands, held up on the way there or back
 	minCommandDelay        micros.Micros
@@ -33,8 +30,6 @@
 	activeOwners           map[int]any
 }
 
-type savedHeartbeat struct{ body []byte }
-
 const maxSavedHeartbeats = 64 // copies for the next owner
 
 // setTaskStagger has each task of a job take longer than the one before it.
@@ -62,7 +57,7 @@
 func (sim *simulation) duplicateHeartbeat(worker *fake.Worker, body []byte) bool {
 	if sim.duplicateHeartbeatRate > 0 && sim.rng.Float64() < sim.duplicateHeartbeatRate {
 		if sim.replayToNextOwner {
-			if sim.replayHeartbeats = append(sim.replayHeartbeats, savedHeartbeat{body}); len(sim.replayHeartbeats) > maxSavedHeartbeats {
+			if sim.replayHeartbeats = append(sim.replayHeartbeats, body); len(sim.replayHeartbeats) > maxSavedHeartbeats {
 				sim.replayHeartbeats = sim.replayHeartbeats[1:]
 			}
 		} else {
@@ -75,7 +70,7 @@
 		return false
 	}
 	sim.delayNextHeartbeatOf = slices.Delete(sim.delayNextHeartbeatOf, i, i+1)
-	sim.delayedHeartbeats = append(sim.delayedHeartbeats, savedHeartbeat{body})
+	sim.delayedHeartbeats = append(sim.delayedHeartbeats, body)
 	return true
 }
 
@@ -86,9 +81,9 @@
 		sim.owners, sim.activeOwners = map[int]any{}, map[int]any{}
 	}
 	copies := func() {
-		for _, r := range sim.replayHeartbeats {
+		for _, body := range sim.replayHeartbeats {
 			for i := range sim.nodes {
-				sim.sendHeartbeatCopy(i, r.body)
+				sim.sendHeartbeatCopy(i, body)
 			}
 		}
 	}
@@ -106,8 +101,8 @@
 			sim.activeOwners[i] = o
 			copies()
 			sim.replayHeartbeats = nil
-			for _, r := range sim.delayedHeartbeats {
-				sim.after(4*micros.Second, func() { sim.sendHeartbeatCopy(i, r.body) })
+			for _, body := range sim.delayedHeartbeats {
+				sim.after(4*micros.Second, func() { sim.sendHeartbeatCopy(i, body) })
 			}
 			sim.delayedHeartbeats = nil
 		}
@@ -151,85 +146,89 @@
 	sim.after(sim.randomDuration(sim.commitDelay/2, sim.commitDelay), do)
 }
 
-// selectMachines lists the machines that a command names by count, share or zone, those with the
-// most tasks first; nil: it names none so.
-func (sim *simulation) selectMachines(t *testing.T, d *datadriven.TestData) []string {
-	if !d.HasArg("count") && !d.HasArg("share") && !d.HasArg("zone") {
+// selectMachines returns the machines that a command selects by count, share or zone, those with
+// the most tasks first, or nil if it selects none that way.
+func (c *command) selectMachines() []string {
+	c.t.Helper()
+	if !c.HasArg("count") && !c.HasArg("share") && !c.HasArg("zone") {
 		return nil
 	}
 	var names []string
-	for _, n := range sim.workerNames() {
-		machine := sim.workers[n].Machine
-		if !machine.Gone && (!d.HasArg("zone") || machine.Zone == arg(t, d, "zone", "")) {
-			names = append(names, n)
+	for _, name := range c.sim.workerNames() {
+		machine := c.sim.workers[name].Machine
+		if !machine.Gone && (!c.HasArg("zone") || machine.Zone == c.text("zone", "")) {
+			names = append(names, name)
 		}
 	}
 	slices.SortStableFunc(names, func(a, b string) int {
-		return -cmp.Compare(len(sim.workers[a].Tasks), len(sim.workers[b].Tasks))
+		return -cmp.Compare(len(c.sim.workers[a].Tasks), len(c.sim.workers[b].Tasks))
 	})
 	n := len(names)
-	if d.HasArg("share") {
-		n = int(argNumber(t, d, "share", 1)*float64(n) + 0.5)
+	if c.HasArg("share") {
+		n = int(c.number("share", 1)*float64(n) + 0.5)
 	}
-	n = min(n, arg(t, d, "count", n))
+	n = min(n, c.integer("count", n))
 	if n == 0 {
-		d.Fatalf(t, "no such machine")
+		c.fail("no such machine")
 	}
 	return names[:n]
 }
 
-// withoutSelectors is a command's arguments without those of chosen.
-func withoutSelectors(d *datadriven.TestData) []datadriven.CmdArg {
-	return slices.DeleteFunc(slices.Clone(d.CmdArgs), func(a datadriven.CmdArg) bool {
-		return a.Key == "count" || a.Key == "share" || a.Key == "zone"
-	})
-}
-
-// runWorkerFaultCommand executes a scenario's command of these troubles; false: it is none.
-func runWorkerFaultCommand(t *testing.T, sim *simulation, d *datadriven.TestData, during func(func())) bool {
-	switch d.Cmd {
-	case "late-reports":
-		sim.duplicateHeartbeatRate, sim.replayToNextOwner = argNumber(t, d, "share", 0), d.HasArg("for-next")
-		during(func() { sim.duplicateHeartbeatRate = 0 })
-	case "hold-report":
-		sim.delayNextHeartbeatOf = append(sim.delayNextHeartbeatOf, arg(t, d, "machine", sim.workerNames()[0]))
-	case "capture-reports":
-		sim.capturedHeartbeats = nil
-		for _, n := range sim.workerNames() {
-			sim.capturedHeartbeats = append(sim.capturedHeartbeats, wire.Encode(sim.workers[n].BuildHeartbeat()))
+// workerFaultCommands cause faults of heartbeats, direct commands, machines and leaders.
+var workerFaultCommands = commandTable{
+	"late-reports": silent(func(c *command) {
+		c.sim.duplicateHeartbeatRate, c.sim.replayToNextOwner = c.number("share", 0), c.HasArg("for-next")
+		c.revertLater(func() { c.sim.duplicateHeartbeatRate = 0 })
+	}),
+	"hold-report": silent(func(c *command) {
+		c.sim.delayNextHeartbeatOf = append(c.sim.delayNextHeartbeatOf, c.text("machine", c.sim.workerNames()[0]))
+	}),
+	"capture-reports": silent(func(c *command) {
+		c.sim.capturedHeartbeats = nil
+		for _, name := range c.sim.workerNames() {
+			c.sim.capturedHeartbeats = append(c.sim.capturedHeartbeats, wire.Encode(c.sim.workers[name].BuildHeartbeat()))
 		}
-	case "replay-reports": // at all nodes, again and again
-		for at := micros.Micros(0); at < argSeconds(t, d, "for", 10); at += 50 * micros.Millisecond {
-			sim.after(at, func() {
-				for _, body := range sim.capturedHeartbeats {
-					for i := range sim.nodes {
-						sim.sendHeartbeatCopy(i, body)
-					}
-				}
-			})
+	}),
+	"replay-reports": silent(func(c *command) {
+		for at := micros.Micros(0); at < c.seconds("for", 10); at += replayInterval {
+			c.sim.after(at, c.sim.replayCapturedHeartbeats)
 		}
-	case "slow-commands":
-		sim.commandDelayRate, sim.delayRequestOnly = argNumber(t, d, "share", 1), d.HasArg("there")
-		sim.minCommandDelay, sim.commandDelay = argSeconds(t, d, "from", 1), argSeconds(t, d, "by", 8)
-		during(func() { sim.commandDelayRate = 0 })
-	case "slow-writes":
-		sim.commitDelay = argSeconds(t, d, "s", 0)
-		during(func() { sim.commitDelay = 0 })
-	case "fast-boot":
-		sim.cloud.BootTime = func(micros.Micros) micros.Micros { return sim.randomDuration(micros.Second/2, 2*micros.Second) }
-		during(func() { sim.cloud.BootTime = nil })
-	case "cancel-now":
-		sim.cancelDuringFaults(arg(t, d, "count", 1), argSeconds(t, d, "hang", 0), d.HasArg("cut"))
-	case "change-leader":
-		times := arg(t, d, "times", 10)
-		every := argSeconds(t, d, "within", 120) / micros.Micros(times)
+	}),
+	"slow-commands": silent(func(c *command) {
+		c.sim.commandDelayRate, c.sim.delayRequestOnly = c.number("share", 1), c.HasArg("there")
+		c.sim.minCommandDelay, c.sim.commandDelay = c.seconds("from", 1), c.seconds("by", 8)
+		c.revertLater(func() { c.sim.commandDelayRate = 0 })
+	}),
+	"slow-writes": silent(func(c *command) {
+		c.sim.commitDelay = c.seconds("s", 0)
+		c.revertLater(func() { c.sim.commitDelay = 0 })
+	}),
+	"fast-boot": silent(func(c *command) {
+		c.sim.cloud.BootTime = func(micros.Micros) micros.Micros { return c.sim.randomDuration(micros.Second/2, 2*micros.Second) }
+		c.revertLater(func() { c.sim.cloud.BootTime = nil })
+	}),
+	"cancel-now": silent(func(c *command) {
+		c.sim.cancelDuringFaults(c.integer("count", 1), c.seconds("hang", 0), c.HasArg("cut"))
+	}),
+	"change-leader": silent(func(c *command) {
+		times := c.integer("times", 10)
+		every := c.seconds("within", 120) / micros.Micros(times)
 		for i := range times {
-			sim.after(every*micros.Micros(i)+sim.randomDuration(0, every/4), func() { sim.changeLeader(i, every) })
+			c.sim.after(every*micros.Micros(i)+c.sim.randomDuration(0, every/4), func() { c.sim.changeLeader(i, every) })
+		}
+	}),
+}
+
+// replayInterval is the time between two replays of captured heartbeats.
+const replayInterval = 50 * micros.Millisecond
+
+// replayCapturedHeartbeats sends the captured heartbeats to all nodes.
+func (sim *simulation) replayCapturedHeartbeats() {
+	for _, body := range sim.capturedHeartbeats {
+		for i := range sim.nodes {
+			sim.sendHeartbeatCopy(i, body)
 		}
-	default:
-		return false
 	}
-	return true
 }
 
 // maxHungMachines is how many machines of cancelled jobs hang.
--- a/controller/production_test.go
+++ b/controller/production_test.go
@@ -14,8 +14,6 @@
 	"sync"
 	"testing"
 
-	"github.com/cockroachdb/datadriven"
-
 	"tamarindlead/config"
 	"tamarindlead/micros"
 )
@@ -43,37 +41,27 @@
 
 var productionLine = regexp.MustCompile(`(?m)^production = "([0-9a-f]{40})"$`)
 
-// runProductionCommand plays the commands of this file; ok is false for any other.
-func runProductionCommand(t *testing.T, sim *simulation, d *datadriven.TestData, node func() *simNode) (out string, ok bool) {
-	down := argSeconds(t, d, "for", restartDelay.Seconds())
-	switch d.Cmd {
-	case "upgrade": // a node ends and returns with the present version
-		n := node()
-		n.version = currentVersion
-		sim.crash(n, down)
-	case "downgrade":
-		n := node()
-		n.version = productionVersion
-		sim.crash(n, down)
-	case "downgrade-all": // all end at once and return with the version in production
-		for _, node := range sim.nodes {
-			node.version = productionVersion
-			sim.crash(node, down)
-		}
-	case "upgrade-all":
-		for _, node := range sim.nodes {
-			node.version = currentVersion
-			sim.crash(node, down)
-		}
-	case "leader-version":
-		if i := sim.leader(); i >= 0 {
-			return sim.nodes[i].version.String(), true
+// productionCommands upgrade and downgrade nodes.
+var productionCommands = commandTable{
+	"upgrade":       silent(func(c *command) { c.replaceVersion(currentVersion, c.node()) }),
+	"downgrade":     silent(func(c *command) { c.replaceVersion(productionVersion, c.node()) }),
+	"upgrade-all":   silent(func(c *command) { c.replaceVersion(currentVersion, c.sim.nodes...) }),
+	"downgrade-all": silent(func(c *command) { c.replaceVersion(productionVersion, c.sim.nodes...) }),
+	"leader-version": func(c *command) string {
+		if i := c.sim.leader(); i >= 0 {
+			return c.sim.nodes[i].version.String()
 		}
-		return "nobody leads", true
-	default:
-		return "", false
+		return "nobody leads"
+	},
+}
+
+// replaceVersion stops nodes at once and restarts them with another version.
+func (c *command) replaceVersion(to version, nodes ...*simNode) {
+	c.t.Helper()
+	for _, node := range nodes {
+		node.version = to
+		c.sim.crash(node, c.downtime())
 	}
-	return "", true
 }
 
 // startWithProduction has the world's first nodes begin with the version in production.
--- /dev/null
+++ b/controller/scenario_commands_test.go
@@ -0,0 +1,159 @@
+package controller
+
+import (
+	"fmt"
+	"strings"
+	"testing"
+
+	"github.com/cockroachdb/datadriven"
+
+	"tamarindlead/micros"
+)
+
+// command is a command of a scenario file together with the simulation it acts on.
+type command struct {
+	*datadriven.TestData
+	t   *testing.T
+	sim *simulation
+}
+
+// commandTable maps the names of commands to their handlers, which return what the scenario
+// prints.
+type commandTable map[string]func(c *command) string
+
+// scenarioCommands holds the commands of all scenario files.
+var scenarioCommands = mergeCommands(
+	timeCommands, jobCommands, queryCommands, nodeCommands, machineCommands, kvFaultCommands,
+	responseDelayCommands, userCommands, pipelineCommands, productionCommands, workerFaultCommands,
+)
+
+func mergeCommands(tables ...commandTable) commandTable {
+	merged := commandTable{}
+	for _, table := range tables {
+		for name, execute := range table {
+			if merged[name] != nil {
+				panic("two commands are named " + name)
+			}
+			merged[name] = execute
+		}
+	}
+	return merged
+}
+
+// silent returns the handler of a command that prints nothing.
+func silent(execute func(c *command)) func(c *command) string {
+	return func(c *command) string {
+		execute(c)
+		return ""
+	}
+}
+
+// arg returns the argument of a command with the given key, or def if the command has none.
+func arg[T any](t *testing.T, d *datadriven.TestData, key string, def T) T {
+	t.Helper()
+	if d.HasArg(key) {
+		d.ScanArgs(t, key, &def)
+	}
+	return def
+}
+
+func argSeconds(t *testing.T, d *datadriven.TestData, key string, def float64) micros.Micros {
+	t.Helper()
+	text := arg(t, d, key, fmt.Sprint(def))
+	var v float64
+	if _, err := fmt.Sscan(text, &v); err != nil {
+		d.Fatalf(t, "%s: %v", key, err)
+	}
+	return micros.FromSeconds(v)
+}
+
+func argNumber(t *testing.T, d *datadriven.TestData, key string, def float64) float64 {
+	t.Helper()
+	return argSeconds(t, d, key, def).Seconds()
+}
+
+func (c *command) integer(key string, def int) int {
+	c.t.Helper()
+	return arg(c.t, c.TestData, key, def)
+}
+
+func (c *command) text(key, def string) string {
+	c.t.Helper()
+	return arg(c.t, c.TestData, key, def)
+}
+
+func (c *command) number(key string, def float64) float64 {
+	c.t.Helper()
+	return argNumber(c.t, c.TestData, key, def)
+}
+
+func (c *command) seconds(key string, def float64) micros.Micros {
+	c.t.Helper()
+	return argSeconds(c.t, c.TestData, key, def)
+}
+
+// jobID returns the job that the command names.
+func (c *command) jobID() string {
+	c.t.Helper()
+	return c.text("job", jobName(1))
+}
+
+// jobIDs returns the jobs from= to from+count-1.
+func (c *command) jobIDs(defaultCount int) []string {
+	c.t.Helper()
+	var ids []string
+	for i := range c.integer("count", defaultCount) {
+		ids = append(ids, jobName(c.integer("from", 1)+i))
+	}
+	return ids
+}
+
+// to returns the index of the node that the command sends its request to.
+func (c *command) to() int {
+	c.t.Helper()
+	return c.integer("to", 0)
+}
+
+// fail fails the test at the command's position.
+func (c *command) fail(format string, args ...any) {
+	c.t.Helper()
+	c.Fatalf(c.t, format, args...)
+}
+
+// revertLater reverts a fault after the time given by "for"; without it the fault stays.
+func (c *command) revertLater(revert func()) {
+	c.t.Helper()
+	if c.HasArg("for") {
+		c.sim.after(c.seconds("for", 0), revert)
+	}
+}
+
+// runUntil runs the simulation in steps until a condition holds, for at most the time given by
+// "s".
+func (c *command) runUntil(defaultSeconds float64, step micros.Micros, reached func() bool) {
+	c.t.Helper()
+	for end := c.sim.now + c.seconds("s", defaultSeconds); c.sim.now < end && !reached(); {
+		c.sim.run(step)
+	}
+}
+
+// timeCommands let simulated time pass.
+var timeCommands = commandTable{
+	"run": silent(func(c *command) { c.sim.run(c.seconds("s", 1)) }),
+	"until-done": func(c *command) string {
+		c.runUntil(300, micros.Second, func() bool { return len(unfinishedJobs(c.sim)) == 0 })
+		if left := unfinishedJobs(c.sim); len(left) > 0 {
+			return "not done: " + strings.Join(left, " ")
+		}
+		return "done"
+	},
+	"until-began": func(c *command) string {
+		started := func() bool { return c.sim.startedAt[c.jobID()] != 0 }
+		c.runUntil(240, micros.Second, started)
+		if !started() {
+			return "not begun"
+		}
+		return "begun"
+	},
+	"calm": silent(func(c *command) { c.sim.faultsEndedAt = c.sim.now }),
+}
--- a/controller/scenario_figures_test.go
+++ b/controller/scenario_figures_test.go
@@ -2,101 +2,116 @@
 
 import (
 	"fmt"
-	"testing"
-
-	"github.com/cockroachdb/datadriven"
 
 	"tamarindlead/internal/wire"
 )
 
-// This file prints what a scenario looks at.
+// queryCommands print the state of the simulation.
+var queryCommands = commandTable{
+	"up":      func(c *command) string { return c.sim.requestStatus(c.t, c.node(), "/up") },
+	"ask":     func(c *command) string { return c.sim.requestStatus(c.t, c.node(), "/api/jobs/"+c.jobID()) },
+	"damaged": func(c *command) string { return c.sim.sendUndecodableMessages(c.node()) },
+	"status": func(c *command) string {
+		if status, ok := c.sim.reportedTerminal[c.jobID()]; ok {
+			return string(status)
+		}
+		return "open"
+	},
+	"began-by": func(c *command) string {
+		limit := c.seconds("s", 240)
+		return c.atLeast(func(id string) bool {
+			startedAt := c.sim.startedAt[id]
+			return startedAt != 0 && startedAt-c.sim.eligibleSince(id) <= limit
+		})
+	},
+	"done-of": func(c *command) string {
+		return c.atLeast(func(id string) bool { return c.sim.reportedTerminal[id] == wire.JobDone })
+	},
+	"accepted": func(c *command) string {
+		return c.atLeast(func(id string) bool { return c.sim.accepted[id] })
+	},
+	"numbers-left": func(c *command) string {
+		core := c.node().core
+		return fmt.Sprint(!core.numbers.nearlyExhausted(core.node.RecordVersion()))
+	},
+	"count":  (*command).count,
+	"leader": func(c *command) string { return fmt.Sprint(c.sim.leader() >= 0) },
+}
 
-// runQueryCommand plays the commands that print something; ok is false for any other.
-func runQueryCommand(t *testing.T, sim *simulation, d *datadriven.TestData, node func() *simNode) (out string, ok bool) {
-	switch id := jobArg(t, d); d.Cmd {
-	case "up":
-		return sim.requestStatus(t, node(), "/up"), true
-	case "ask":
-		return sim.requestStatus(t, node(), "/api/jobs/"+id), true
-	case "damaged":
-		return sim.sendUndecodableMessages(node()), true
-	case "status":
-		if s, ok := sim.reportedTerminal[id]; ok {
-			return string(s), true
+// atLeast prints "true" if a condition holds for at least as many jobs as "least" demands, and
+// their number otherwise.
+func (c *command) atLeast(holds func(id string) bool) string {
+	c.t.Helper()
+	n := 0
+	for _, id := range c.jobIDs(10) {
+		if holds(id) {
+			n++
 		}
-		return "open", true
-	case "began-by":
-		limit := argSeconds(t, d, "s", 240)
-		return countAtLeast(t, d, func(id string) bool {
-			return sim.startedAt[id] != 0 && sim.startedAt[id]-sim.eligibleSince(id) <= limit
-		}), true
-	case "done-of":
-		return countAtLeast(t, d, func(id string) bool { return sim.reportedTerminal[id] == wire.JobDone }), true
-	case "accepted":
-		return countAtLeast(t, d, func(id string) bool { return sim.accepted[id] }), true
-	case "numbers-left":
-		owner := node().core
-		return fmt.Sprint(!owner.numbers.nearlyExhausted(owner.node.RecordVersion())), true
-	case "count":
-		return runCountCommand(t, sim, d), true
-	case "leader":
-		return fmt.Sprint(sim.leader() >= 0), true
 	}
-	return "", false
+	if n >= c.integer("least", 1) {
+		return "true"
+	}
+	return fmt.Sprint(n)
 }
 
-// runCountCommand prints a figure of the world.
-func runCountCommand(t *testing.T, sim *simulation, d *datadriven.TestData) string {
-	switch what := arg(t, d, "what", "running"); what {
-	case "running":
-		return fmt.Sprint(len(sim.runningOn))
-	case "held":
-		return fmt.Sprint(len(sim.delayedHeartbeats) + len(sim.delayNextHeartbeatOf))
-	case "cancelled-running":
-		return fmt.Sprint(sim.countCancelledRunning())
-	case "starts":
-		return fmt.Sprint(sim.startedTasks)
-	case "stopped", "error":
-		return fmt.Sprint(sim.exitsByCause[what])
-	case "machines":
-		n := 0
-		for _, machine := range sim.cloud.Machines {
-			if !machine.Gone {
-				n++
-			}
-		}
-		return fmt.Sprint(n)
-	case "rented":
-		return fmt.Sprint(len(sim.cloud.Machines))
-	case "told-cancelled": // jobs whose users were told so
-		return fmt.Sprint(len(sim.acknowledgedCancellations))
-	case "starts-after-cancel":
-		return fmt.Sprint(sim.users.startsAfterCancel)
-	case "cancelled-at-end":
-		return fmt.Sprint(sim.users.cancelledAtEnd)
-	case "looks", "odd-requests", "late-writes", "lost-answers", "held-answers", "answers", "refused-429", "refused-503": // how often a meeting came about
-		n := map[string]int{
-			"looks":        sim.users.consistencyChecks,
-			"odd-requests": sim.users.unusualRequestsSent,
-			"late-writes":  sim.kvFaults.lateTransactionsApplied,
-			"lost-answers": sim.kvFaults.lostResponses,
-			"held-answers": sim.kvFaults.kvResponseDelay.delayedCount + sim.kvFaults.peerResponseDelay.delayedCount,
-			"answers":      sim.users.responseCount[arg(t, d, "job", "")],
-			"refused-429":  sim.users.refusals[wire.StatusTooManyRequests],
-			"refused-503":  sim.users.refusals[wire.StatusUnavailable],
-		}[what]
-		if least := arg(t, d, "least", 0); least > 0 && n >= least {
-			return "enough"
+// count prints a figure of the simulation. For some of them a scenario may demand a least value
+// instead, so that it does not depend on the exact one.
+func (c *command) count() string {
+	c.t.Helper()
+	what := c.text("what", "running")
+	if figure := figures[what]; figure != nil {
+		return fmt.Sprint(figure(c))
+	}
+	if what == "records-above" { // a size, in the form in which the limits count it
+		return c.sim.countRecordsAbove(c.text("prefix", ""), c.integer("bytes", 0), c.integer("least", 0))
+	}
+	figure := figuresWithMinimum[what]
+	if figure == nil {
+		c.fail("unknown figure %s", what)
+	}
+	n := figure(c)
+	if least := c.integer("least", 0); least > 0 && n >= least {
+		return "enough"
+	}
+	return fmt.Sprint(n)
+}
+
+// figures are printed as they are.
+var figures = map[string]func(c *command) int{
+	"running":             func(c *command) int { return len(c.sim.runningOn) },
+	"held":                func(c *command) int { return len(c.sim.delayedHeartbeats) + len(c.sim.delayNextHeartbeatOf) },
+	"cancelled-running":   func(c *command) int { return c.sim.countCancelledRunning() },
+	"starts":              func(c *command) int { return c.sim.startedTasks },
+	"stopped":             func(c *command) int { return c.sim.exitsByCause["stopped"] },
+	"error":               func(c *command) int { return c.sim.exitsByCause["error"] },
+	"machines":            func(c *command) int { return c.sim.countMachines() },
+	"rented":              func(c *command) int { return len(c.sim.cloud.Machines) },
+	"told-cancelled":      func(c *command) int { return len(c.sim.acknowledgedCancellations) },
+	"starts-after-cancel": func(c *command) int { return c.sim.users.startsAfterCancel },
+	"cancelled-at-end":    func(c *command) int { return c.sim.users.cancelledAtEnd },
+	"limited":             func(c *command) int { return c.sim.kvStore.Throttled },
+	"records":             func(c *command) int { return len(c.sim.kvStore.Keys(c.text("prefix", ""))) },
+}
+
+// figuresWithMinimum count how often a condition that a scenario aims at occurred.
+var figuresWithMinimum = map[string]func(c *command) int{
+	"looks":        func(c *command) int { return c.sim.users.consistencyChecks },
+	"odd-requests": func(c *command) int { return c.sim.users.unusualRequestsSent },
+	"late-writes":  func(c *command) int { return c.sim.kvFaults.lateTransactionsApplied },
+	"lost-answers": func(c *command) int { return c.sim.kvFaults.lostResponses },
+	"held-answers": func(c *command) int { return c.sim.kvFaults.delayedResponses() },
+	"answers":      func(c *command) int { return c.sim.users.responseCount[c.text("job", "")] },
+	"refused-429":  func(c *command) int { return c.sim.users.refusals[wire.StatusTooManyRequests] },
+	"refused-503":  func(c *command) int { return c.sim.users.refusals[wire.StatusUnavailable] },
+}
+
+// countMachines counts the machines that were not terminated.
+func (sim *simulation) countMachines() int {
+	n := 0
+	for _, machine := range sim.cloud.Machines {
+		if !machine.Gone {
+			n++
 		}
-		return fmt.Sprint(n)
-	case "limited":
-		return fmt.Sprint(sim.kvStore.Throttled)
-	case "records-above": // a size, in the form in which the limits count it
-		return sim.countRecordsAbove(arg(t, d, "prefix", ""), arg(t, d, "bytes", 0), arg(t, d, "least", 0))
-	case "records":
-		return fmt.Sprint(len(sim.kvStore.Keys(arg(t, d, "prefix", ""))))
-	default:
-		d.Fatalf(t, "unknown figure %s", what)
 	}
-	return ""
+	return n
 }
--- a/controller/scenario_jobs_test.go
+++ b/controller/scenario_jobs_test.go
@@ -2,77 +2,77 @@
 
 import (
 	"fmt"
-	"testing"
-
-	"tamarindlead/internal/ordered"
 
 	"github.com/cockroachdb/datadriven"
 
 	"tamarindlead/internal/fake"
+	"tamarindlead/internal/ordered"
 	"tamarindlead/internal/wire"
 	"tamarindlead/micros"
 	"tamarindlead/sched"
 )
 
-// This file plays what users do with jobs.
-
-// jobArg is the job that a command names.
-func jobArg(t *testing.T, d *datadriven.TestData) string { return arg(t, d, "job", "req-000001") }
-
-// runJobCommand plays the commands of users; ok is false for any other.
-func runJobCommand(t *testing.T, sim *simulation, d *datadriven.TestData) (out string, ok bool) {
-	switch d.Cmd {
-	case "submit":
-		return runSubmitCommand(t, sim, d, jobArg(t, d)), true
-	case "jobs":
-		submitMany(t, sim, d)
-	case "again":
-		sim.submit(jobArg(t, d), arg(t, d, "to", 0))
-	case "cancel":
-		sim.cancel(jobArg(t, d), arg(t, d, "to", 0))
-	default:
-		return "", false
-	}
-	return "", true
+// jobCommands submit and cancel jobs as users do.
+var jobCommands = commandTable{
+	"submit": func(c *command) string { return c.submit(c.jobID()) },
+	"jobs":   silent((*command).submitMany),
+	"again":  silent(func(c *command) { c.sim.submit(c.jobID(), c.to()) }),
+	"cancel": silent(func(c *command) { c.sim.cancel(c.jobID(), c.to()) }),
 }
 
-// submitMany submits a row of jobs; the teams may take turns.
-func submitMany(t *testing.T, sim *simulation, d *datadriven.TestData) {
-	for i := range arg(t, d, "count", 10) {
-		one := *d
-		if n := arg(t, d, "over", 0); n > 0 {
-			one.CmdArgs = append([]datadriven.CmdArg{{Key: "team", Vals: []string{teamName(i % n)}}}, d.CmdArgs...)
+// submitMany submits jobs with successive names; with "over", the teams take turns.
+func (c *command) submitMany() {
+	c.t.Helper()
+	for i, id := range c.jobIDs(10) {
+		one := c
+		if teams := c.integer("over", 0); teams > 0 {
+			one = c.withArgs(append([]datadriven.CmdArg{{Key: "team", Vals: []string{teamName(i % teams)}}}, c.CmdArgs...))
 		}
-		runSubmitCommand(t, sim, &one, fmt.Sprintf("req-%06d", arg(t, d, "from", 1)+i))
+		one.submit(id)
 	}
 }
 
-// countAtLeast tells whether something holds for enough of a row of jobs.
-func countAtLeast(t *testing.T, d *datadriven.TestData, holds func(id string) bool) string {
-	from, n := arg(t, d, "from", 1), 0
-	for i := range arg(t, d, "count", 10) {
-		if holds(fmt.Sprintf("req-%06d", from+i)) {
-			n++
-		}
-	}
-	if n >= arg(t, d, "least", 1) {
-		return "true"
+// withArgs returns the command with other arguments.
+func (c *command) withArgs(args []datadriven.CmdArg) *command {
+	data := *c.TestData
+	data.CmdArgs = args
+	return &command{TestData: &data, t: c.t, sim: c.sim}
+}
+
+// submit submits the job that the arguments describe. It prints something only with "check".
+func (c *command) submit(id string) string {
+	c.t.Helper()
+	sim := c.sim
+	c.addJob(id)
+	dependent := len(sim.pipelines.dependencies[id]) > 0
+	switch {
+	case c.HasArg("check"):
+		return c.submitAndWait(id)
+	case dependent && !c.HasArg("at-once"):
+		sim.submitAfterDependencies(id, c.to(), c.HasArg("over"))
+	default:
+		sim.submit(id, c.to())
+		sim.after(2*micros.Second, func() { sim.poll(id, 0) })
 	}
-	return fmt.Sprint(n)
+	return ""
 }
 
-func runSubmitCommand(t *testing.T, sim *simulation, d *datadriven.TestData, id string) string {
-	run := argSeconds(t, d, "run", 10)
+// addJob makes the job that the arguments describe known to the simulation.
+func (c *command) addJob(id string) {
+	c.t.Helper()
+	sim := c.sim
+	duration := c.seconds("run", 10)
 	job := &sched.Job{
-		ID: id, Class: arg(t, d, "class", "work"), Team: arg(t, d, "team", "red"),
-		Gang: d.HasArg("gang"), Priority: sched.Priority(arg(t, d, "priority", 1)),
-		Tasks: arg(t, d, "tasks", 1),
-		Need:  sched.NewResources(argNumber(t, d, "cpus", 2), 0, argNumber(t, d, "mem", 2)),
-		Image: "img", ImageGB: 1, OneZone: d.HasArg("one-zone"), Spread: d.HasArg("spread"), Spot: d.HasArg("spot"),
-		Estimate: argSeconds(t, d, "estimate", run.Seconds()), CheckpointInterval: argSeconds(t, d, "checkpoint", 0), CheckpointDuration: argSeconds(t, d, "save", 0),
-		Zone: arg(t, d, "zone", ""), Deadline: argSeconds(t, d, "due", 0),
+		ID: id, Class: c.text("class", "work"), Team: c.text("team", "red"),
+		Gang: c.HasArg("gang"), Priority: sched.Priority(c.integer("priority", 1)),
+		Tasks: c.integer("tasks", 1),
+		Need:  sched.NewResources(c.number("cpus", 2), 0, c.number("mem", 2)),
+		Image: "img", ImageGB: 1, OneZone: c.HasArg("one-zone"), Spread: c.HasArg("spread"), Spot: c.HasArg("spot"),
+		Estimate:           c.seconds("estimate", duration.Seconds()),
+		CheckpointInterval: c.seconds("checkpoint", 0), CheckpointDuration: c.seconds("save", 0),
+		Zone: c.text("zone", ""), Deadline: c.seconds("due", 0),
 	}
-	for i := range arg(t, d, "types", 0) { // so many names of types, of which one is on offer
+	for i := range c.integer("types", 0) { // only the first of these machine types is offered
 		job.Types = append(job.Types, fmt.Sprintf("type-of-machine-%04d", i))
 	}
 	if job.Types != nil {
@@ -81,39 +81,37 @@
 	sim.submitted[id], sim.submittedAt[id] = job, sim.now
 	sim.submissions[id] = wire.Encode(wire.FromJob(job))
 	sim.taskInfos[id] = fake.TaskInfo{
-		CPU: job.Need.CPUs(), Mem: argNumber(t, d, "mem", 2), Run: run, Fetch: micros.Second, Save: job.CheckpointDuration,
-		Saves: job.CheckpointInterval > 0, Gang: job.Gang, Tasks: job.Tasks, Fails: d.HasArg("fails"),
+		CPU: job.Need.CPUs(), Mem: c.number("mem", 2), Run: duration, Fetch: micros.Second, Save: job.CheckpointDuration,
+		Saves: job.CheckpointInterval > 0, Gang: job.Gang, Tasks: job.Tasks, Fails: c.HasArg("fails"),
 	}
-	sim.setTaskStagger(id, argSeconds(t, d, "apart", 0))
-	sim.setDependencies(id, dependenciesArg(t, d))
-	if d.HasArg("check") {
-		status, state := -1, ""
-		sent := sim.now
-		sim.sendUserRequest(arg(t, d, "to", 0), "POST", "/api/jobs", sim.submissions[id], func(response Respond) {
-			sim.checkResponse(id, response, sent)
-			status, state = response.Status, responseState(response)
-		})
-		for end := sim.now + 6*micros.Second; status < 0 && sim.now < end; {
-			sim.run(simulationStep)
-		}
-		if sim.accepted[id] && len(sim.pipelines.dependencies[id]) > 0 {
-			sim.poll(id, 0)
-		}
-		if d.HasArg("state") {
-			return fmt.Sprint(status, " ", state)
-		}
-		return fmt.Sprint(status)
+	sim.setTaskStagger(id, c.seconds("apart", 0))
+	sim.setDependencies(id, c.dependencies())
+}
+
+// submitAndWait submits a job and prints the status of the response and, with "state", the job's
+// state in it.
+func (c *command) submitAndWait(id string) string {
+	c.t.Helper()
+	sim := c.sim
+	status, state := -1, ""
+	sent := sim.now
+	sim.sendUserRequest(c.to(), "POST", "/api/jobs", sim.submissions[id], func(response Respond) {
+		sim.checkResponse(id, response, sent)
+		status, state = response.Status, responseState(response)
+	})
+	for end := sim.now + 6*micros.Second; status < 0 && sim.now < end; {
+		sim.run(simulationStep)
 	}
-	if len(sim.pipelines.dependencies[id]) > 0 && !d.HasArg("at-once") {
-		sim.submitAfterDependencies(id, arg(t, d, "to", 0), d.HasArg("over"))
-		return ""
+	if sim.accepted[id] && len(sim.pipelines.dependencies[id]) > 0 {
+		sim.poll(id, 0)
 	}
-	sim.submit(id, arg(t, d, "to", 0))
-	sim.after(2*micros.Second, func() { sim.poll(id, 0) })
-	return ""
+	if c.HasArg("state") {
+		return fmt.Sprint(status, " ", state)
+	}
+	return fmt.Sprint(status)
 }
 
-// unfinishedJobs lists accepted or submitted jobs whose users were told no final state.
+// unfinishedJobs returns the submitted jobs of which no terminal state was reported to a user.
 func unfinishedJobs(sim *simulation) []string {
 	var left []string
 	for _, id := range ordered.Keys(sim.submitted) {
--- a/controller/scenario_machines_test.go
+++ b/controller/scenario_machines_test.go
@@ -1,84 +1,91 @@
 package controller
 
-import (
-	"slices"
-	"testing"
+import "tamarindlead/micros"
 
-	"github.com/cockroachdb/datadriven"
-
-	"tamarindlead/micros"
-)
-
-// This file plays what befalls machines and the cloud.
+// machineCommands cause faults of machines and of the cloud.
+var machineCommands = commandTable{
+	"machine": silent(func(c *command) {
+		for _, name := range c.targetMachines() {
+			c.failMachine(name)
+		}
+	}),
+	"cloud-down": silent(func(c *command) {
+		c.sim.cloud.Unavailable = true
+		c.revertLater(func() { c.sim.cloud.Unavailable = false })
+	}),
+	"never-up": silent(func(c *command) { c.sim.cloud.FailedBoots = c.integer("count", 1) }),
+}
 
-// runMachineCommand plays the commands of this file; false for any other.
-func runMachineCommand(t *testing.T, sim *simulation, d *datadriven.TestData, during func(func())) bool {
-	switch d.Cmd {
-	case "machine":
-		runMachineFaultCommand(t, sim, d, during)
-	case "cloud-down":
-		sim.cloud.Unavailable = true
-		during(func() { sim.cloud.Unavailable = false })
-	case "never-up":
-		sim.cloud.FailedBoots = arg(t, d, "count", 1)
+// targetMachines returns the machines that a command selects by count, share, zone or name.
+func (c *command) targetMachines() []string {
+	c.t.Helper()
+	if selected := c.selectMachines(); selected != nil {
+		return selected
+	}
+	names := c.sim.workerNames()
+	switch name := c.text("name", names[0]); name {
+	case "all":
+		return names
+	case "busiest":
+		return []string{c.busiestMachine(names)}
 	default:
-		return false
+		return []string{name}
 	}
-	return true
 }
 
-func runMachineFaultCommand(t *testing.T, sim *simulation, d *datadriven.TestData, during func(func())) {
-	names := sim.workerNames()
-	if chosen := sim.selectMachines(t, d); chosen != nil {
-		names = chosen
-		one := *d
-		one.CmdArgs = append(withoutSelectors(d), datadriven.CmdArg{Key: "name", Vals: []string{"all"}})
-		d = &one
-	}
-	which := arg(t, d, "name", names[0])
-	if which == "all" {
-		for _, n := range names {
-			one := *d
-			one.CmdArgs = append([]datadriven.CmdArg{{Key: "name", Vals: []string{n}}}, slices.DeleteFunc(slices.Clone(d.CmdArgs), func(a datadriven.CmdArg) bool { return a.Key == "name" })...)
-			runMachineFaultCommand(t, sim, &one, during)
+// busiestMachine returns the machine with the most tasks, the first of them if there are several.
+func (c *command) busiestMachine(names []string) string {
+	c.t.Helper()
+	busiest, most := "", -1
+	for _, name := range names {
+		worker := c.sim.workers[name]
+		if !worker.Machine.Gone && len(worker.Tasks) > most {
+			busiest, most = name, len(worker.Tasks)
 		}
-		return
 	}
-	if which == "busiest" {
-		for _, n := range names {
-			if !sim.workers[n].Machine.Gone && (which == "busiest" || len(sim.workers[n].Tasks) > len(sim.workers[which].Tasks)) {
-				which = n
-			}
-		}
+	if busiest == "" {
+		c.fail("no such machine")
+	}
+	return busiest
+}
+
+// failMachine causes the fault that the arguments name at one machine.
+func (c *command) failMachine(name string) {
+	c.t.Helper()
+	sim, worker := c.sim, c.sim.workers[name]
+	reclaim := func() {
+		sim.cloud.Reclaim(name)
+		sim.forgetDeletedMachines()
 	}
-	worker := sim.workers[which]
 	switch {
-	case d.HasArg("die"):
+	case c.HasArg("die"):
 		worker.Hung = true
-		sim.after(40*micros.Second, func() { worker.Machine.Gone = true; sim.forgetDeletedMachines() })
-	case d.HasArg("hang"):
+		sim.after(40*micros.Second, func() {
+			worker.Machine.Gone = true
+			sim.forgetDeletedMachines()
+		})
+	case c.HasArg("hang"):
 		worker.Hung = true
-		during(func() { worker.Hung = false })
-	case d.HasArg("cut"):
+		c.revertLater(func() { worker.Hung = false })
+	case c.HasArg("cut"):
 		worker.Partitioned = true
-		during(func() { worker.Partitioned = false })
-	case d.HasArg("deaf"):
+		c.revertLater(func() { worker.Partitioned = false })
+	case c.HasArg("deaf"):
 		worker.InboundBlocked = true
-		during(func() { worker.InboundBlocked = false })
-	case d.HasArg("mute"):
+		c.revertLater(func() { worker.InboundBlocked = false })
+	case c.HasArg("mute"):
 		worker.HeartbeatsBlocked = true
-		during(func() { worker.HeartbeatsBlocked = false })
-	case d.HasArg("sick"):
+		c.revertLater(func() { worker.HeartbeatsBlocked = false })
+	case c.HasArg("sick"):
 		worker.FailsTasks = true
-		during(func() { worker.FailsTasks = false })
-	case d.HasArg("taken"):
-		sim.cloud.Reclaim(which)
-		sim.forgetDeletedMachines()
-	case d.HasArg("notice"):
-		left := argNumber(t, d, "notice", 20)
+		c.revertLater(func() { worker.FailsTasks = false })
+	case c.HasArg("taken"):
+		reclaim()
+	case c.HasArg("notice"):
+		left := c.number("notice", 20)
 		worker.PreemptionNotice, worker.Changed = &left, true
-		sim.after(micros.FromSeconds(left), func() { sim.cloud.Reclaim(which); sim.forgetDeletedMachines() })
+		sim.after(micros.FromSeconds(left), reclaim)
 	default:
-		d.Fatalf(t, "what happens to the machine?")
+		c.fail("what happens to the machine?")
 	}
 }
--- a/controller/scenario_nodes_test.go
+++ b/controller/scenario_nodes_test.go
@@ -4,80 +4,94 @@
 	"fmt"
 	"testing"
 
-	"github.com/cockroachdb/datadriven"
-
 	"tamarindlead/internal/wire"
 	"tamarindlead/micros"
 )
 
-// This file plays what befalls controllers, and asks them.
-
-// nodeArg is the node that a command names: by its number, as the leader, or as another.
-func nodeArg(t *testing.T, sim *simulation, d *datadriven.TestData) *simNode {
-	switch text := arg(t, d, "node", "leader"); text {
+// node returns the node that a command names: by its index, as the leader, or as another one.
+func (c *command) node() *simNode {
+	c.t.Helper()
+	switch text := c.text("node", "leader"); text {
 	case "leader":
-		i := sim.leader()
+		i := c.sim.leader()
 		if i < 0 {
-			d.Fatalf(t, "nobody leads")
+			c.fail("nobody leads")
 		}
-		return sim.nodes[i]
+		return c.sim.nodes[i]
 	case "other":
-		return sim.nodes[(sim.leader()+1)%len(sim.nodes)]
+		return c.sim.nodes[(c.sim.leader()+1)%len(c.sim.nodes)]
 	default:
 		var i int
 		if _, err := fmt.Sscan(text, &i); err != nil {
-			d.Fatalf(t, "node=%s: %v", text, err)
+			c.fail("node=%s: %v", text, err)
 		}
-		return sim.nodes[i]
+		return c.sim.nodes[i]
 	}
 }
 
-// runNodeCommand plays the commands that befall controllers; false for any other.
-func runNodeCommand(t *testing.T, sim *simulation, d *datadriven.TestData, node func() *simNode, during func(func())) bool {
-	away := func() micros.Micros { return argSeconds(t, d, "for", restartDelay.Seconds()) }
-	switch d.Cmd {
-	case "crash":
-		sim.crash(node(), away())
-	case "crash-all":
-		for _, node := range sim.nodes {
-			sim.crash(node, away())
+// downtime returns how long a crashed node stays down.
+func (c *command) downtime() micros.Micros {
+	c.t.Helper()
+	return c.seconds("for", restartDelay.Seconds())
+}
+
+// nodeCommands cause faults of controllers, of their network and of the state service.
+var nodeCommands = commandTable{
+	"crash": silent(func(c *command) { c.sim.crash(c.node(), c.downtime()) }),
+	"crash-all": silent(func(c *command) {
+		for _, node := range c.sim.nodes {
+			c.sim.crash(node, c.downtime())
 		}
-	case "cut-node":
-		n := node()
-		n.partitioned, n.delaysOutbound = true, d.HasArg("hold")
-		during(func() { n.partitioned = false })
-	case "cut-zone":
-		sim.partitionedZone = arg(t, d, "zone", "b")
-		during(func() { sim.partitionedZone = "" })
-	case "deafen-node":
-		n := node()
-		n.workersUnreachable = true
-		during(func() { n.workersUnreachable = false })
-	case "refuse-node":
-		n := nodeName(node().index)
-		sim.kvStore.RefusedCallers[n] = true
-		during(func() { delete(sim.kvStore.RefusedCallers, n) })
-	case "isolate-node":
-		n := node()
-		n.onlyWorkersReachable = true
-		during(func() { n.onlyWorkersReachable = false })
-	case "state-down":
-		sim.kvStore.Unavailable = true
-		during(func() { sim.kvStore.Unavailable = false })
-	case "state-compact":
-		sim.kvStore.CompactHistory = true
-	case "late-copies":
-		sim.duplicateHeartbeatShare, sim.maxCopyDelay = argNumber(t, d, "share", 0), argSeconds(t, d, "by", 20)
-	case "faults":
-		sim.lossRate, sim.lateRequestRate, sim.duplicateRequestRate = argNumber(t, d, "loss", 0), argNumber(t, d, "late", 0), argNumber(t, d, "dup", 0)
-	case "numbers-low": // the owner has given out nearly all numbers of its record's version
-		owner := node().core
-		owner.numbers.next(owner.node.RecordVersion())
-		owner.numbers.sequence = maxSequence - sequenceMargin
-	default:
-		return false
-	}
-	return true
+	}),
+	"cut-node": silent(func(c *command) {
+		node := c.node()
+		node.partitioned, node.delaysOutbound = true, c.HasArg("hold")
+		c.revertLater(func() { node.partitioned = false })
+	}),
+	"cut-zone": silent(func(c *command) {
+		c.sim.partitionedZone = c.text("zone", "b")
+		c.revertLater(func() { c.sim.partitionedZone = "" })
+	}),
+	"deafen-node": silent(func(c *command) {
+		node := c.node()
+		node.workersUnreachable = true
+		c.revertLater(func() { node.workersUnreachable = false })
+	}),
+	"refuse-node": silent(func(c *command) {
+		name := nodeName(c.node().index)
+		c.sim.kvStore.RefusedCallers[name] = true
+		c.revertLater(func() { delete(c.sim.kvStore.RefusedCallers, name) })
+	}),
+	"isolate-node": silent(func(c *command) {
+		node := c.node()
+		node.onlyWorkersReachable = true
+		c.revertLater(func() { node.onlyWorkersReachable = false })
+	}),
+	"state-down": silent(func(c *command) {
+		c.sim.kvStore.Unavailable = true
+		c.revertLater(func() { c.sim.kvStore.Unavailable = false })
+	}),
+	"state-compact": silent(func(c *command) { c.sim.kvStore.CompactHistory = true }),
+	"late-copies": silent(func(c *command) {
+		c.sim.duplicateHeartbeatShare, c.sim.maxCopyDelay = c.number("share", 0), c.seconds("by", 20)
+	}),
+	"faults":      silent((*command).setMessageFaults),
+	"numbers-low": silent((*command).exhaustNumbers),
+}
+
+// setMessageFaults sets which shares of the messages are lost, late or duplicated.
+func (c *command) setMessageFaults() {
+	c.t.Helper()
+	sim := c.sim
+	sim.lossRate, sim.lateRequestRate, sim.duplicateRequestRate = c.number("loss", 0), c.number("late", 0), c.number("dup", 0)
+}
+
+// exhaustNumbers has a node use up nearly all numbers of its record's version.
+func (c *command) exhaustNumbers() {
+	c.t.Helper()
+	core := c.node().core
+	core.numbers.next(core.node.RecordVersion())
+	core.numbers.sequence = maxSequence - sequenceMargin
 }
 
 // requestStatus asks a node and returns the status of its answer.
--- a/controller/scenario_pipelines_test.go
+++ b/controller/scenario_pipelines_test.go
@@ -4,7 +4,6 @@
 	"fmt"
 	"slices"
 	"strings"
-	"testing"
 
 	"tamarindlead/internal/ordered"
 
@@ -14,39 +13,47 @@
 	"tamarindlead/micros"
 )
 
-// dependenciesArg reads a list of jobs such as (req-000001,req-000004..req-000009).
-func dependenciesArg(t *testing.T, d *datadriven.TestData) []string {
+// dependencies returns the jobs that a command lists, as in (req-000001,req-000004..req-000009).
+func (c *command) dependencies() []string {
+	c.t.Helper()
 	var ids []string
-	for _, a := range d.CmdArgs {
+	for _, a := range c.CmdArgs {
 		if a.Key != "awaits" {
 			continue
 		}
 		for _, v := range a.Vals {
-			from, to, isRange := strings.Cut(v, "..")
-			if !isRange {
-				ids = append(ids, v)
-				continue
-			}
-			var first, last int
-			if _, err := fmt.Sscanf(from+" "+to, "req-%d req-%d", &first, &last); err != nil || last < first {
-				d.Fatalf(t, "awaits: %s is no range of jobs", v)
-			}
-			for i := first; i <= last; i++ {
-				ids = append(ids, jobName(i))
-			}
+			ids = append(ids, c.expandJobRange(v)...)
 		}
 	}
 	return ids
 }
 
-// withDependencies is a command's arguments with other jobs to wait for.
-func withDependencies(d *datadriven.TestData, ids ...string) *datadriven.TestData {
-	one := *d
-	one.CmdArgs = slices.DeleteFunc(slices.Clone(d.CmdArgs), func(a datadriven.CmdArg) bool { return a.Key == "awaits" })
+// expandJobRange returns the jobs of a range such as req-000004..req-000009; any other text
+// stands for itself.
+func (c *command) expandJobRange(text string) []string {
+	c.t.Helper()
+	from, to, isRange := strings.Cut(text, "..")
+	if !isRange {
+		return []string{text}
+	}
+	var first, last int
+	if _, err := fmt.Sscanf(from+" "+to, "req-%d req-%d", &first, &last); err != nil || last < first {
+		c.fail("awaits: %s is no range of jobs", text)
+	}
+	var ids []string
+	for i := first; i <= last; i++ {
+		ids = append(ids, jobName(i))
+	}
+	return ids
+}
+
+// withDependencies returns the command with other dependencies.
+func (c *command) withDependencies(ids ...string) *command {
+	args := slices.DeleteFunc(slices.Clone(c.CmdArgs), func(a datadriven.CmdArg) bool { return a.Key == "awaits" })
 	if len(ids) > 0 {
-		one.CmdArgs = append(one.CmdArgs, datadriven.CmdArg{Key: "awaits", Vals: ids})
+		args = append(args, datadriven.CmdArg{Key: "awaits", Vals: ids})
 	}
-	return &one
+	return c.withArgs(args)
 }
 
 // responseState is the state in an answer, or its status if it tells none.
@@ -108,114 +115,136 @@
 	return strings.Join(out, "\n")
 }
 
-// jobRange lists the jobs from= to from+count-1.
-func jobRange(t *testing.T, d *datadriven.TestData) []string {
-	var ids []string
-	for i := range arg(t, d, "count", 1) {
-		ids = append(ids, jobName(arg(t, d, "from", 1)+i))
-	}
-	return ids
+// pipelineCommands submit, cancel and watch jobs with dependencies.
+var pipelineCommands = commandTable{
+	"chain": silent(func(c *command) { // each job depends on the previous one
+		dependencies := c.dependencies()
+		for _, id := range c.jobIDs(1) {
+			c.withDependencies(dependencies...).submit(id)
+			dependencies = []string{id}
+		}
+	}),
+	"fan": silent(func(c *command) { // all jobs have the same dependencies
+		for _, id := range c.jobIDs(1) {
+			c.submit(id)
+		}
+	}),
+	"repeat": func(c *command) string { // a duplicate submission
+		id := c.jobID()
+		response := c.sim.requestAndWait(c.to(), "POST", "/api/jobs", id, c.sim.submissions[id])
+		return fmt.Sprintf("%d %s", response.Status, responseState(response))
+	},
+	"cancel-answer": func(c *command) string {
+		id := c.jobID()
+		c.sim.cancelRequested[id] = true
+		return responseState(c.sim.requestAndWait(c.to(), "POST", "/api/jobs/"+id+"/cancel", id, nil))
+	},
+	"cancel-at-done": silent((*command).cancelAtCompletion),
+	"crash-at-done":  silent((*command).crashAtCompletion),
+	"until-ended": func(c *command) string { // all tasks of the job completed, reported or not
+		completed := func() bool { return c.sim.allTasksDone(c.jobID()) }
+		c.runUntil(240, simulationStep, completed)
+		if !completed() {
+			return "not ended"
+		}
+		return "ended"
+	},
+	"until-recorded": func(c *command) string { // the job's terminal state is recorded, reported or not
+		id := c.jobID()
+		c.runUntil(240, simulationStep, func() bool { return c.sim.recordedTerminalState(id) != "" })
+		return string(c.sim.recordedTerminalState(id))
+	},
+	"until-told": func(c *command) string {
+		id := c.jobID()
+		c.runUntil(240, simulationStep, func() bool { return c.sim.reportedTerminal[id] != "" })
+		return c.sim.reportedState(id)
+	},
+	"state": func(c *command) string {
+		id := c.jobID()
+		return responseState(c.sim.requestAndWait(c.node().index, "GET", "/api/jobs/"+id, id, nil))
+	},
+	"ask-all": (*command).queryAllNodes,
+	"watch-jobs": silent(func(c *command) {
+		c.sim.watchJobs(c.jobIDs(1), c.seconds("every", 1), c.sim.now+c.seconds("for", 60))
+	}),
+	"told": (*command).countReportedStates,
+	"bad-awaits": func(c *command) string {
+		return c.sim.sendInvalidDependencies(c.to(), c.integer("from", 970000), c.jobID())
+	},
+	"began-before": func(c *command) string { // the first task of one job started before that of another
+		first, second := c.sim.startedAt[c.jobID()], c.sim.startedAt[c.text("of", "")]
+		return fmt.Sprint(first > 0 && (second == 0 || first < second))
+	},
+	"waited": func(c *command) string { // a user saw the job queued while it was blocked
+		return fmt.Sprint(c.sim.pipelines.queuedResponses[c.jobID()] > 0)
+	},
 }
 
-// runPipelineCommand plays the commands of this file; ok is false for any other.
-func runPipelineCommand(t *testing.T, sim *simulation, d *datadriven.TestData, node func() *simNode) (out string, ok bool) {
-	pipelines := &sim.pipelines
-	id := arg(t, d, "job", "req-000001")
-	path := "/api/jobs/" + id
-	switch d.Cmd {
-	case "chain": // each job waits for the one before it
-		before := dependenciesArg(t, d)
-		for _, id := range jobRange(t, d) {
-			runSubmitCommand(t, sim, withDependencies(d, before...), id)
-			before = []string{id}
-		}
-	case "fan": // all wait for the same
-		for _, id := range jobRange(t, d) {
-			runSubmitCommand(t, sim, d, id)
-		}
-	case "repeat": // the submission again, and its answer
-		response := sim.requestAndWait(arg(t, d, "to", 0), "POST", "/api/jobs", id, sim.submissions[id])
-		return fmt.Sprintf("%d %s", response.Status, responseState(response)), true
-	case "cancel-answer":
-		sim.cancelRequested[id] = true
-		return responseState(sim.requestAndWait(arg(t, d, "to", 0), "POST", path+"/cancel", id, nil)), true
-	case "cancel-at-done": // a job is cancelled at the moment at which another's last task completes, or soon after
-		of, in := arg(t, d, "of", id), argSeconds(t, d, "in", 0)
-		pipelines.onDone[of] = append(pipelines.onDone[of], func() {
-			sim.after(in, func() { sim.cancel(id, pipelines.rng.IntN(len(sim.nodes))) })
-		})
-	case "crash-at-done": // the leader, or all
-		in, away := argSeconds(t, d, "in", 0), argSeconds(t, d, "for", restartDelay.Seconds())
-		pipelines.onDone[id] = append(pipelines.onDone[id], func() {
-			sim.after(in, func() {
-				for i, node := range sim.nodes {
-					if d.HasArg("all") || i == sim.leader() {
-						sim.crash(node, away)
-					}
-				}
-			})
-		})
-	case "until-ended": // all tasks of a job completed, whoever knows of it
-		for end := sim.now + argSeconds(t, d, "s", 240); sim.now < end && !sim.allTasksDone(id); {
-			sim.run(simulationStep)
-		}
-		if !sim.allTasksDone(id) {
-			return "not ended", true
-		}
-		return "ended", true
-	case "until-recorded": // a job's final state, whoever was told
-		for end := sim.now + argSeconds(t, d, "s", 240); sim.now < end && sim.recordedTerminalState(id) == ""; {
-			sim.run(simulationStep)
-		}
-		return string(sim.recordedTerminalState(id)), true
-	case "until-told":
-		for end := sim.now + argSeconds(t, d, "s", 240); sim.now < end && sim.reportedTerminal[id] == ""; {
-			sim.run(simulationStep)
-		}
-		if sim.reportedTerminal[id] == "" {
-			return "open", true
-		}
-		return string(sim.reportedTerminal[id]), true
-	case "state":
-		return responseState(sim.requestAndWait(node().index, "GET", path, id, nil)), true
-	case "ask-all":
-		states := make([]string, len(sim.nodes))
-		open, sent := len(states), sim.now
-		for i := range sim.nodes {
-			sim.sendUserRequest(i, "GET", path, nil, func(response Respond) {
-				sim.checkResponse(id, response, sent)
-				states[i], open = responseState(response), open-1
-			})
-		}
-		for open > 0 {
-			sim.run(simulationStep)
-		}
-		return strings.Join(states, " "), true
-	case "watch-jobs":
-		sim.watchJobs(jobRange(t, d), argSeconds(t, d, "every", 1), sim.now+argSeconds(t, d, "for", 60))
-	case "told":
-		n := map[string]int{}
-		for _, id := range jobRange(t, d) {
-			s := string(sim.reportedTerminal[id])
-			if s == "" {
-				s = "open"
+// cancelAtCompletion has a user cancel a job when the last task of another one completes, or some
+// time after that.
+func (c *command) cancelAtCompletion() {
+	c.t.Helper()
+	sim, pipelines := c.sim, &c.sim.pipelines
+	id, delay := c.jobID(), c.seconds("in", 0)
+	other := c.text("of", id)
+	pipelines.onDone[other] = append(pipelines.onDone[other], func() {
+		sim.after(delay, func() { sim.cancel(id, pipelines.rng.IntN(len(sim.nodes))) })
+	})
+}
+
+// crashAtCompletion has the leader, or all nodes, crash when the last task of a job completes, or
+// some time after that.
+func (c *command) crashAtCompletion() {
+	c.t.Helper()
+	sim, pipelines := c.sim, &c.sim.pipelines
+	id, delay, downtime := c.jobID(), c.seconds("in", 0), c.downtime()
+	crash := func() {
+		for i, node := range sim.nodes {
+			if c.HasArg("all") || i == sim.leader() {
+				sim.crash(node, downtime)
 			}
-			n[s]++
 		}
-		var lines []string
-		for _, s := range ordered.Keys(n) {
-			lines = append(lines, fmt.Sprintf("%d %s", n[s], s))
-		}
-		return strings.Join(lines, ", "), true
-	case "bad-awaits":
-		return sim.sendInvalidDependencies(arg(t, d, "to", 0), arg(t, d, "from", 970000), id), true
-	case "began-before": // the first task of a job started before that of another
-		of := arg(t, d, "of", "")
-		return fmt.Sprint(sim.startedAt[id] > 0 && (sim.startedAt[of] == 0 || sim.startedAt[id] < sim.startedAt[of])), true
-	case "waited": // a user saw the job queued while it waited
-		return fmt.Sprint(pipelines.queuedResponses[id] > 0), true
-	default:
-		return "", false
-	}
-	return "", true
+	}
+	pipelines.onDone[id] = append(pipelines.onDone[id], func() { sim.after(delay, crash) })
+}
+
+// queryAllNodes asks all nodes about a job at once and prints the states in their responses.
+func (c *command) queryAllNodes() string {
+	c.t.Helper()
+	sim, id := c.sim, c.jobID()
+	states := make([]string, len(sim.nodes))
+	open, sent := len(states), sim.now
+	for i := range sim.nodes {
+		sim.sendUserRequest(i, "GET", "/api/jobs/"+id, nil, func(response Respond) {
+			sim.checkResponse(id, response, sent)
+			states[i] = responseState(response)
+			open--
+		})
+	}
+	for open > 0 {
+		sim.run(simulationStep)
+	}
+	return strings.Join(states, " ")
+}
+
+// reportedState returns the terminal state of a job that was reported to a user, or "open".
+func (sim *simulation) reportedState(id string) string {
+	if status, ok := sim.reportedTerminal[id]; ok {
+		return string(status)
+	}
+	return "open"
+}
+
+// countReportedStates prints how many jobs were reported in which state.
+func (c *command) countReportedStates() string {
+	c.t.Helper()
+	counts := map[string]int{}
+	for _, id := range c.jobIDs(1) {
+		counts[c.sim.reportedState(id)]++
+	}
+	var lines []string
+	for _, state := range ordered.Keys(counts) {
+		lines = append(lines, fmt.Sprintf("%d %s", counts[state], state))
+	}
+	return strings.Join(lines, ", ")
 }
--- a/controller/users_requests_test.go
+++ b/controller/users_requests_test.go
@@ -2,12 +2,9 @@
 
 import (
 	"slices"
-	"testing"
 
 	"tamarindlead/internal/ordered"
 
-	"github.com/cockroachdb/datadriven"
-
 	"tamarindlead/internal/wire"
 	"tamarindlead/micros"
 	"tamarindlead/sched"
@@ -140,41 +137,51 @@
 	}
 }
 
-// runUserCommand plays the commands of this file; ok is false for any other.
-func runUserCommand(t *testing.T, sim *simulation, d *datadriven.TestData) (out string, ok bool) {
-	users := &sim.users
-	span := func() micros.Micros { return argSeconds(t, d, "for", simulationHorizon.Seconds()) }
-	switch d.Cmd {
-	case "close-looks":
-		users.consistencyChecksUntil, users.cancelShare = sim.now+span(), argNumber(t, d, "cancels", 0)
-	case "cancel-at-end":
-		users.cancelAtEndShare = argNumber(t, d, "share", 1)
-		sim.after(span(), func() { users.cancelAtEndShare = 0 })
-	case "odd-requests":
-		users.unusualRequestsUntil = sim.now + span()
-		sim.sendUnusualRequests()
-	case "burst":
-		rate, share := argNumber(t, d, "rate", 4), argNumber(t, d, "cancelled", 0)
-		for i := range int(rate * span().Seconds()) {
-			id := jobName(arg(t, d, "from", 1) + i)
-			sim.after(micros.FromSeconds(float64(i)/rate), func() {
-				one := *d
-				if users.rng.Float64() < share {
-					users.cancelAfter[id] = micros.Micros(users.rng.Int64N(int64(10 * micros.Second)))
-				}
-				runSubmitCommand(t, sim, &one, id)
-			})
-		}
-	case "types-without": // a machine type is no longer offered
-		name := arg(t, d, "name", "big")
-		sim.cloud.Types = slices.DeleteFunc(slices.Clone(sim.cloud.Types), func(m wire.MachineType) bool { return m.Name == name })
-	case "end-of-day":
-		if sim.faultsEndedAt == 0 {
-			d.Fatalf(t, "a day ends after calm")
+// userCommands cause what users do beyond submitting, asking and cancelling once.
+var userCommands = commandTable{
+	"close-looks": silent(func(c *command) {
+		c.sim.users.consistencyChecksUntil, c.sim.users.cancelShare = c.sim.now+c.span(), c.number("cancels", 0)
+	}),
+	"cancel-at-end": silent(func(c *command) {
+		c.sim.users.cancelAtEndShare = c.number("share", 1)
+		c.sim.after(c.span(), func() { c.sim.users.cancelAtEndShare = 0 })
+	}),
+	"odd-requests": silent(func(c *command) {
+		c.sim.users.unusualRequestsUntil = c.sim.now + c.span()
+		c.sim.sendUnusualRequests()
+	}),
+	"burst": silent((*command).submitBurst),
+	"types-without": silent(func(c *command) { // a machine type is no longer offered
+		name := c.text("name", "big")
+		c.sim.cloud.Types = slices.DeleteFunc(slices.Clone(c.sim.cloud.Types), func(machineType wire.MachineType) bool { return machineType.Name == name })
+	}),
+	"end-of-day": silent(func(c *command) {
+		if c.sim.faultsEndedAt == 0 {
+			c.fail("a day ends after calm")
 		}
-		sim.checkCompletion()
-	default:
-		return "", false
+		c.sim.checkCompletion()
+	}),
+}
+
+// span returns for how long a command's users act: by default to the end of the scenario.
+func (c *command) span() micros.Micros {
+	c.t.Helper()
+	return c.seconds("for", simulationHorizon.Seconds())
+}
+
+// submitBurst submits jobs at a constant rate, a share of which is cancelled soon after it was
+// accepted.
+func (c *command) submitBurst() {
+	c.t.Helper()
+	users := &c.sim.users
+	rate, share := c.number("rate", 4), c.number("cancelled", 0)
+	for i := range int(rate * c.span().Seconds()) {
+		id := jobName(c.integer("from", 1) + i)
+		c.sim.after(micros.FromSeconds(float64(i)/rate), func() {
+			if users.rng.Float64() < share {
+				users.cancelAfter[id] = micros.Micros(users.rng.Int64N(int64(10 * micros.Second)))
+			}
+			c.submit(id)
+		})
 	}
-	return "", true
 }
