--- a/controller/dump_test.go
+++ b/controller/dump_test.go
@@ -15,51 +15,54 @@
 	"tamarindlead/sched"
 )
 
-// dump is a world at one moment, with nodes of the version in production: its records, what
-// its machines ran and its users knew, and messages between siblings up to then. For each
-// record and message it holds what that version reads in it. production/README.md tells how
-// the dumps are made.
+// dump is a simulation at one moment, with nodes of the version in production: its records, what
+// its machines ran and its users knew, and peer messages up to then. For each record and message
+// it holds what that version reads in it. production/README.md describes how the dumps are made.
+// Tags keep the names that fields have in the recorded dumps.
 type dump struct {
-	Commit   string
-	Settings config.Settings
-	Now      micros.Micros
-	Revision uint64
-	Records  []fake.Record
-	Readings []string
-	Messages [][]byte
-	Said     []string // what is read in those
-	Types    []wire.MachineType
-	Capacity map[string]int
-	Grants   map[string][]string
-	Rented   int
-	Machines []dumpMachine
-	Jobs     []dumpJob
-	Done     []string // tasks
+	Commit          string
+	Settings        config.Settings
+	Now             micros.Micros
+	Revision        uint64
+	Records         []fake.Record
+	DecodedRecords  []string `cbor:"Readings"` // by the version in production
+	Messages        [][]byte
+	DecodedMessages []string `cbor:"Said"` // by the version in production
+	Types           []wire.MachineType
+	Capacity        map[string]int
+	Grants          map[string][]string
+	Rented          int
+	Machines        []dumpMachine
+	Jobs            []dumpJob
+	Done            []string // tasks
 }
 
 type dumpMachine struct {
 	fake.CloudMachine
-	Worker, Hung        bool
-	Session, Seq, Token uint64
-	Tasks               []dumpTask
+	Worker       bool
+	Hung         bool
+	AgentEpoch   uint64 `cbor:"Session"`
+	HeartbeatSeq uint64 `cbor:"Seq"`
+	FencingToken uint64 `cbor:"Token"`
+	Tasks        []dumpTask
 }
 
 type dumpTask struct {
-	Name    string
-	Attempt uint64
-	Phase   wire.TaskPhase
-	Cause   wire.ExitCause
-	Saved   bool
-	Left    micros.Micros
+	Name           string
+	Attempt        uint64
+	Phase          wire.TaskPhase
+	Cause          wire.ExitCause
+	Checkpointed   bool          `cbor:"Saved"`
+	PhaseRemaining micros.Micros `cbor:"Left"`
 }
 
 type dumpJob struct {
-	Job       sched.Job
-	Info      fake.TaskInfo
-	Accepted  bool
-	WantsEnd  bool
-	Told      wire.JobPhase
-	Cancelled micros.Micros
+	Job              sched.Job
+	Info             fake.TaskInfo
+	Accepted         bool
+	CancelRequested  bool          `cbor:"WantsEnd"`
+	ReportedTerminal wire.JobPhase `cbor:"Told"`
+	CancelledAt      micros.Micros `cbor:"Cancelled"`
 }
 
 // notifyPeerMessage passes on what a node said to another.
@@ -72,7 +75,7 @@
 // dumpLease is how long the leases of the nodes of a dump last still.
 const dumpLease = 2 * micros.Second
 
-// loadSimulation makes a world that goes on from a dump; its users ask for their jobs.
+// loadSimulation returns a simulation that continues from a dump; its users ask for their jobs.
 func loadSimulation(d *dump) *simulation {
 	cfg := d.Settings
 	sim := newSimulation(1, &cfg)
@@ -83,49 +86,59 @@
 	for _, task := range d.Done {
 		sim.completedTasks[task] = true
 	}
-	for _, j := range d.Jobs {
-		job := j.Job
-		id := job.ID
-		sim.submitted[id], sim.taskInfos[id], sim.submissions[id] = &job, j.Info, wire.Encode(wire.FromJob(&job))
-		sim.submittedAt[id], sim.cancelRequested[id] = sim.now, j.WantsEnd
-		if j.Accepted {
-			sim.accepted[id], sim.users.acceptedAt[id] = true, sim.now
-		}
-		if j.Told != "" {
-			sim.reportedTerminal[id], sim.users.terminalSeenAt[id] = j.Told, sim.now
-		}
-		if j.Cancelled > 0 {
-			sim.acknowledgedCancellations[id] = j.Cancelled
-		}
-		if j.WantsEnd && j.Told == "" {
-			sim.cancel(id, 0)
-		}
-		if !j.Accepted {
-			sim.submit(id, 0)
-		}
-		sim.after(micros.Second, func() { sim.poll(id, 0) })
-	}
-	for _, m := range d.Machines {
-		machine := m.CloudMachine
-		machine.Endpoint = fake.Endpoint(machine.Name) // dumps do not hold it
-		sim.cloud.Machines[machine.Name] = &machine
-		if !m.Worker {
-			continue
-		}
-		worker := sim.bootWorker(&machine, sim.machineType(machine.Type))
-		worker.Hung, worker.AgentEpoch, worker.HeartbeatSeq, worker.FencingToken = m.Hung, m.Session, m.Seq, m.Token
-		for _, t := range m.Tasks {
-			task := &fake.Task{Name: t.Name, Attempt: t.Attempt, Phase: t.Phase, Cause: t.Cause, Checkpointed: t.Saved}
-			task.SetPhaseRemaining(sim.now, t.Left)
-			worker.Tasks[t.Name] = task
-			if t.Phase != wire.PhaseExited && !machine.Gone {
-				sim.runningOn[t.Name] = machine.Name
-			}
-		}
+	for i := range d.Jobs {
+		sim.loadJob(&d.Jobs[i])
+	}
+	for i := range d.Machines {
+		sim.loadMachine(&d.Machines[i])
 	}
 	return sim
 }
 
+// loadJob restores what users know of a job and has them go on asking.
+func (sim *simulation) loadJob(saved *dumpJob) {
+	job := saved.Job
+	id := job.ID
+	sim.submitted[id], sim.taskInfos[id], sim.submissions[id] = &job, saved.Info, wire.Encode(wire.FromJob(&job))
+	sim.submittedAt[id], sim.cancelRequested[id] = sim.now, saved.CancelRequested
+	if saved.Accepted {
+		sim.accepted[id], sim.users.acceptedAt[id] = true, sim.now
+	}
+	if saved.ReportedTerminal != "" {
+		sim.reportedTerminal[id], sim.users.terminalSeenAt[id] = saved.ReportedTerminal, sim.now
+	}
+	if saved.CancelledAt > 0 {
+		sim.acknowledgedCancellations[id] = saved.CancelledAt
+	}
+	if saved.CancelRequested && saved.ReportedTerminal == "" {
+		sim.cancel(id, 0)
+	}
+	if !saved.Accepted {
+		sim.submit(id, 0)
+	}
+	sim.after(micros.Second, func() { sim.poll(id, 0) })
+}
+
+// loadMachine restores a machine and the worker that ran on it, if any.
+func (sim *simulation) loadMachine(saved *dumpMachine) {
+	machine := saved.CloudMachine
+	machine.Endpoint = fake.Endpoint(machine.Name) // dumps do not hold it
+	sim.cloud.Machines[machine.Name] = &machine
+	if !saved.Worker {
+		return
+	}
+	worker := sim.bootWorker(&machine, sim.machineType(machine.Type))
+	worker.Hung, worker.AgentEpoch, worker.HeartbeatSeq, worker.FencingToken = saved.Hung, saved.AgentEpoch, saved.HeartbeatSeq, saved.FencingToken
+	for _, t := range saved.Tasks {
+		task := &fake.Task{Name: t.Name, Attempt: t.Attempt, Phase: t.Phase, Cause: t.Cause, Checkpointed: t.Checkpointed}
+		task.SetPhaseRemaining(sim.now, t.PhaseRemaining)
+		worker.Tasks[t.Name] = task
+		if t.Phase != wire.PhaseExited && !machine.Gone {
+			sim.runningOn[t.Name] = machine.Name
+		}
+	}
+}
+
 // readDumps reads the dumps of the version in production.
 func readDumps(t *testing.T) map[string]*dump {
 	t.Helper()
@@ -165,13 +178,13 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			for i, r := range d.Records {
-				if got := decodedText(r.Key, r.Value); got != withoutDefaults(d.Readings[i]) {
-					t.Errorf("%s is read as\n%s\nin production as\n%s", r.Key, got, d.Readings[i])
+				if got := decodedText(r.Key, r.Value); got != withoutDefaults(d.DecodedRecords[i]) {
+					t.Errorf("%s is read as\n%s\nin production as\n%s", r.Key, got, d.DecodedRecords[i])
 				}
 			}
 			for i, m := range d.Messages {
-				if got := decodedMessage(m); got != d.Said[i] {
-					t.Errorf("a message is read as\n%s\nin production as\n%s", got, d.Said[i])
+				if got := decodedMessage(m); got != d.DecodedMessages[i] {
+					t.Errorf("a message is read as\n%s\nin production as\n%s", got, d.DecodedMessages[i])
 				}
 			}
 			runToCompletion(t, loadSimulation(d))
@@ -239,9 +252,9 @@
 	for _, d := range readDumps(t) {
 		for i, r := range d.Records {
 			seen[recordKind(r.Key)] = true
-			condemned = condemned || strings.Contains(d.Readings[i], `"condemned":true`)
+			condemned = condemned || strings.Contains(d.DecodedRecords[i], `"condemned":true`)
 		}
-		said += strings.Join(d.Said, "\n")
+		said += strings.Join(d.DecodedMessages, "\n")
 	}
 	for _, k := range recordKinds {
 		if !seen[k] {
--- a/controller/dump_write_test.go
+++ b/controller/dump_write_test.go
@@ -43,7 +43,7 @@
 		d := sim.writeDump()
 		d.Commit, d.Messages = commit, bodies
 		for _, m := range bodies {
-			d.Said = append(d.Said, sim.production.decodeMessage(m))
+			d.DecodedMessages = append(d.DecodedMessages, sim.production.decodeMessage(m))
 		}
 		if err := os.WriteFile("production/"+name+".cbor", record.Compress(wire.Encode(toProduction(d))), 0o644); err != nil {
 			t.Fatal(err)
@@ -62,12 +62,12 @@
 	d.Records, d.Revision = sim.kvStore.Records()
 	d.Grants, d.Rented = sim.cloud.ScaleOutGrants()
 	for _, r := range d.Records {
-		d.Readings = append(d.Readings, sim.production.decodeRecord(r.Key, r.Value))
+		d.DecodedRecords = append(d.DecodedRecords, sim.production.decodeRecord(r.Key, r.Value))
 	}
 	for _, name := range sim.cloud.MachineNames() {
 		m := dumpMachine{CloudMachine: *sim.cloud.Machines[name]}
 		if worker := sim.workers[name]; worker != nil {
-			m.Worker, m.Hung, m.Session, m.Seq, m.Token = true, worker.Hung, worker.AgentEpoch, worker.HeartbeatSeq, worker.FencingToken
+			m.Worker, m.Hung, m.AgentEpoch, m.HeartbeatSeq, m.FencingToken = true, worker.Hung, worker.AgentEpoch, worker.HeartbeatSeq, worker.FencingToken
 			for _, n := range ordered.Keys(worker.Tasks) {
 				t := worker.Tasks[n]
 				m.Tasks = append(m.Tasks, dumpTask{t.Name, t.Attempt, t.Phase, t.Cause, t.Checkpointed, t.PhaseRemaining(sim.now)})
--- a/controller/fault_pairs_jobs_test.go
+++ b/controller/fault_pairs_jobs_test.go
@@ -11,26 +11,19 @@
 	"tamarindlead/sched"
 )
 
-// generateJob draws a job, when it comes, and whether and when it is cancelled: often between
-// the beginnings of two troubles.
+// cancellationPlan is when a generated job is cancelled.
+type cancellationPlan struct {
+	at           micros.Micros // 0: not at a given time
+	onAcceptance bool
+}
+
+// generateJob draws a job, when it is submitted, and whether and when it is cancelled: often
+// between the starts of two faults.
 func (run *faultPairRun) generateJob(i int, first, second micros.Micros) {
 	rng, sim := run.rng, run.sim
-	id := fmt.Sprintf("req-%06d", i)
-	job := &sched.Job{
-		ID: id, Class: "work", Team: []string{"red", "blue"}[rng.IntN(2)], Priority: sched.Priority(rng.IntN(4)),
-		Tasks: 1, Need: sched.NewResources(2, 0, 2), Image: "img", ImageGB: 1, Spot: rng.IntN(3) == 0,
-	}
-	mem := 2.0
+	job := run.generateJobShape(jobName(i))
 	duration := run.randomSeconds(3, 20)
-	switch kind := rng.IntN(10); {
-	case kind < 3: // one task
-	case kind < 7:
-		job.Tasks = 2 + rng.IntN(14)
-	default:
-		job.Gang, job.Tasks = true, 2+rng.IntN(4)
-		mem = 4
-		job.Need = sched.NewResources(4, 0, mem)
-	}
+	mem := run.generateTasks(job)
 	job.OneZone = rng.IntN(4) == 0
 	job.Spread = !job.OneZone && rng.IntN(4) == 0
 	if rng.IntN(2) == 0 {
@@ -40,21 +33,9 @@
 	if rng.IntN(2) == 0 {
 		at = run.randomSeconds(0, 50)
 	}
-	cancelAt, atOnce := micros.Micros(0), false
+	var cancellation cancellationPlan
 	if rng.IntN(3) == 0 {
-		kind := rng.IntN(5)
-		if run.secondIsKVOutage {
-			kind = rng.IntN(10)
-		}
-		switch kind {
-		case 0:
-			cancelAt = at + run.randomSeconds(1, 60)
-		case 1:
-			atOnce = true // the moment it is accepted
-		default: // while it runs, when troubles meet
-			at = run.randomSeconds(0, 6)
-			cancelAt = first - micros.Second + run.randomSeconds(0, (second-first).Seconds()+2)
-		}
+		at, cancellation = run.generateCancellation(at, first, second)
 		if rng.IntN(4) > 0 {
 			duration = run.randomSeconds(60, 200)
 		}
@@ -62,104 +43,181 @@
 		duration = run.randomSeconds(30, 60)
 	}
 	job.Estimate = micros.FromSeconds(duration.Seconds() * (0.5 + rng.Float64()))
-	sim.submitted[id] = job
-	sim.submissions[id] = wire.Encode(wire.FromJob(job))
-	sim.taskInfos[id] = fake.TaskInfo{
+	sim.submitted[job.ID] = job
+	sim.submissions[job.ID] = wire.Encode(wire.FromJob(job))
+	sim.taskInfos[job.ID] = fake.TaskInfo{
 		CPU: job.Need.CPUs(), Mem: mem, Run: duration, Fetch: micros.Second, Save: job.CheckpointDuration,
 		Saves: job.CheckpointInterval > 0, Gang: job.Gang, Tasks: job.Tasks,
 	}
-	text := fmt.Sprintf("%s at %v: %d tasks of %v, priority %d, team %s", id, at, job.Tasks, duration, job.Priority, job.Team)
-	for _, f := range []struct {
+	run.logf("%s", describeJob(job, at, duration, cancellation))
+	if cancellation.at > 0 {
+		sim.after(cancellation.at, func() { run.cancel(job.ID) })
+	}
+	sim.after(at, func() {
+		sim.submittedAt[job.ID] = sim.now
+		run.submit(job.ID, cancellation.onAcceptance)
+	})
+	sim.after(at+2*micros.Second, func() { run.poll(job.ID) })
+}
+
+// generateJobShape draws a job's team, priority and whether it may run on spot machines.
+func (run *faultPairRun) generateJobShape(id string) *sched.Job {
+	return &sched.Job{
+		ID: id, Class: "work", Team: run.randomTeam(), Priority: sched.Priority(run.rng.IntN(4)),
+		Tasks: 1, Need: sched.NewResources(2, 0, 2), Image: "img", ImageGB: 1, Spot: run.rng.IntN(3) == 0,
+	}
+}
+
+func (run *faultPairRun) randomTeam() string { return []string{"red", "blue"}[run.rng.IntN(2)] }
+
+// generateTasks draws whether a job has one task, several or a gang of them, and returns the
+// memory that each needs.
+func (run *faultPairRun) generateTasks(job *sched.Job) (mem float64) {
+	switch kind := run.rng.IntN(10); {
+	case kind < 3: // one task
+	case kind < 7:
+		job.Tasks = 2 + run.rng.IntN(14)
+	default:
+		job.Gang, job.Tasks = true, 2+run.rng.IntN(4)
+		job.Need = sched.NewResources(4, 0, 4)
+		return 4
+	}
+	return 2
+}
+
+// generateCancellation draws when a job that is submitted at a given time is cancelled; it may be
+// submitted earlier for that.
+func (run *faultPairRun) generateCancellation(at, first, second micros.Micros) (micros.Micros, cancellationPlan) {
+	kinds := 5
+	if run.secondIsKVOutage {
+		// The draw is made all the same, so that a seed gives the same run.
+		run.rng.IntN(kinds)
+		kinds = 10
+	}
+	switch run.rng.IntN(kinds) {
+	case 0:
+		return at, cancellationPlan{at: at + run.randomSeconds(1, 60)}
+	case 1:
+		return at, cancellationPlan{onAcceptance: true}
+	default: // while it runs, when the faults overlap
+		at = run.randomSeconds(0, 6)
+		return at, cancellationPlan{at: first - micros.Second + run.randomSeconds(0, (second-first).Seconds()+2)}
+	}
+}
+
+// describeJob returns the line of the run's log about a job.
+func describeJob(job *sched.Job, at, duration micros.Micros, cancellation cancellationPlan) string {
+	text := fmt.Sprintf("%s at %v: %d tasks of %v, priority %d, team %s", job.ID, at, job.Tasks, duration, job.Priority, job.Team)
+	for _, property := range []struct {
 		set  bool
 		name string
-	}{{job.Gang, "gang"}, {job.OneZone, "one zone"}, {job.Spread, "spread"}, {job.Spot, "spot"}, {job.CheckpointInterval > 0, "saves"}, {atOnce, "cancelled at once"}} {
-		if f.set {
-			text += ", " + f.name
+	}{
+		{job.Gang, "gang"},
+		{job.OneZone, "one zone"},
+		{job.Spread, "spread"},
+		{job.Spot, "spot"},
+		{job.CheckpointInterval > 0, "saves"},
+		{cancellation.onAcceptance, "cancelled at once"},
+	} {
+		if property.set {
+			text += ", " + property.name
 		}
 	}
-	if cancelAt > 0 {
-		text += fmt.Sprintf(", cancelled at %v", cancelAt)
-		sim.after(cancelAt, func() { run.cancel(id) })
+	if cancellation.at > 0 {
+		text += fmt.Sprintf(", cancelled at %v", cancellation.at)
 	}
-	run.logf("%s", text)
-	sim.after(at, func() { sim.submittedAt[id] = sim.now; run.submit(id, atOnce) })
-	sim.after(at+2*micros.Second, func() { run.poll(id) })
+	return text
 }
 
 // checkSchedulingDelay finds jobs that have waited for long although there was room for them all
 // the while.
 func (run *faultPairRun) checkSchedulingDelay() {
 	sim := run.sim
-	used := map[string]float64{}
-	on := map[string][]string{} // job -> zones of its tasks
-	for task, name := range sim.runningOn {
-		id, _, _ := wire.SplitTaskName(task)
-		used[sim.submitted[id].Team] += sim.taskInfos[id].CPU
-		on[id] = append(on[id], sim.cloud.Machines[name].Zone)
-	}
+	used := sim.usedCPUs()
+	zones := sim.zonesOfRunningTasks()
 	seen := map[string]bool{}
 	for _, id := range run.openJobs() {
-		job := sim.submitted[id]
-		pending := job.Tasks - len(on[id])
-		for i := range job.Tasks {
-			if sim.completedTasks[wire.TaskName(id, i)] {
-				pending--
-			}
+		if run.mayStartTasks(id, len(zones[id]), used) {
+			run.checkSchedulableJob(seen, id, zones[id])
 		}
-		team, _ := sim.cfg.Team(job.Team)
-		if !sim.accepted[id] || sim.cancelRequested[id] || sim.hasUnreportedDependency(id) || pending <= 0 || job.Gang && len(on[id]) > 0 {
-			continue
+	}
+	maps.DeleteFunc(run.fitsSince, func(key string, _ micros.Micros) bool { return !seen[key] })
+}
+
+// zonesOfRunningTasks returns the zones of the running tasks of each job.
+func (sim *simulation) zonesOfRunningTasks() map[string][]string {
+	zones := map[string][]string{}
+	for task, name := range sim.runningOn {
+		id, _, _ := wire.SplitTaskName(task)
+		zones[id] = append(zones[id], sim.cloud.Machines[name].Zone)
+	}
+	return zones
+}
+
+// mayStartTasks reports whether a job has tasks to start and its team's limit admits them.
+func (run *faultPairRun) mayStartTasks(id string, runningTasks int, used map[string]float64) bool {
+	sim := run.sim
+	job := sim.submitted[id]
+	pending := sim.remainingTasks(job) - runningTasks
+	if !sim.accepted[id] || sim.cancelRequested[id] || sim.hasUnreportedDependency(id) || pending <= 0 || job.Gang && runningTasks > 0 {
+		return false
+	}
+	need := job.Need.CPUs()
+	if job.Gang {
+		need *= float64(job.Tasks)
+	}
+	team, ok := sim.cfg.Team(job.Team)
+	return !ok || team.QuotaLimit.CPU == 0 || used[job.Team]+need <= team.QuotaLimit.CPUs()+1e-6
+}
+
+// checkSchedulableJob records on which machines a job fits, given the zones of its running tasks,
+// and reports it if it has fitted for too long.
+func (run *faultPairRun) checkSchedulableJob(seen map[string]bool, id string, zones []string) {
+	job := run.sim.submitted[id]
+	room, roomInZone := 0, map[string]int{}
+	for _, name := range run.sim.workerNames() {
+		worker := run.sim.workers[name]
+		zone := worker.Machine.Zone
+		fits := run.tasksThatFit(worker, job)
+		if job.OneZone && len(zones) > 0 && zones[0] != zone {
+			fits = 0
 		}
-		need := job.Need.CPUs()
-		if job.Gang {
-			need *= float64(job.Tasks)
+		if job.Spread {
+			fits = min(fits, job.ZoneCap()-countEqual(zones, zone)-roomInZone[zone])
 		}
-		if team.QuotaLimit.CPU > 0 && used[job.Team]+need > team.QuotaLimit.CPUs()+1e-6 {
+		if fits <= 0 {
 			continue
 		}
-		room, inZone := 0, map[string]int{}
-		for _, name := range sim.workerNames() {
-			worker := sim.workers[name]
-			n := run.tasksThatFit(worker, job)
-			if job.OneZone && len(on[id]) > 0 && on[id][0] != worker.Machine.Zone {
-				n = 0
-			}
-			if job.Spread {
-				held := 0
-				for _, z := range on[id] {
-					if z == worker.Machine.Zone {
-						held++
-					}
-				}
-				n = min(n, job.ZoneCap()-held-inZone[worker.Machine.Zone])
-			}
-			if n <= 0 {
-				continue
-			}
-			inZone[worker.Machine.Zone] += n
-			room += n
-			if !job.Gang {
-				run.recordSchedulableWait(seen, id, name)
-			}
-		}
-		if job.OneZone {
-			room = slices.Max(append(slices.Collect(maps.Values(inZone)), 0))
+		roomInZone[zone] += fits
+		room += fits
+		if !job.Gang {
+			run.recordSchedulableWait(seen, id, name)
 		}
-		if job.Gang && room >= job.Tasks {
-			run.recordSchedulableWait(seen, id, "")
+	}
+	if job.OneZone {
+		room = slices.Max(append(slices.Collect(maps.Values(roomInZone)), 0))
+	}
+	if job.Gang && room >= job.Tasks {
+		run.recordSchedulableWait(seen, id, "")
+	}
+}
+
+func countEqual(list []string, text string) int {
+	n := 0
+	for _, other := range list {
+		if other == text {
+			n++
 		}
 	}
-	maps.DeleteFunc(run.fitsSince, func(key string, _ micros.Micros) bool { return !seen[key] })
+	return n
 }
 
-// tasksThatFit tells how many tasks of a job fit on a machine now.
+// tasksThatFit returns how many tasks of a job fit on a machine now.
 func (run *faultPairRun) tasksThatFit(worker *fake.Worker, job *sched.Job) int {
-	sim := run.sim
-	machine := worker.Machine
-	if machine.Gone || worker.Hung || worker.Partitioned || worker.InboundBlocked || worker.FailsTasks || worker.PreemptionNotice != nil || !job.Allows(machine.Type, machine.Zone, machine.Spot) {
+	if !canRunTasks(worker, job) {
 		return 0
 	}
-	return freeTaskSlots(worker, sim.taskInfos[job.ID])
+	return freeTaskSlots(worker, run.sim.taskInfos[job.ID])
 }
 
 func (run *faultPairRun) recordSchedulableWait(seen map[string]bool, id, name string) {
--- a/controller/fault_pairs_pipelines_test.go
+++ b/controller/fault_pairs_pipelines_test.go
@@ -10,93 +10,125 @@
 	"tamarindlead/sched"
 )
 
-// generatePipelines adds pipelines to a drawn run: chains, diamonds and fans, some with a job
-// cancelled as the troubles meet, some whose last job comes when the others are over.
+// pipelinesStream is the random stream of generated pipelines, so that runs without them stay as
+// they are.
+const pipelinesStream = 5
+
+// pipelineGenerator draws the pipelines of a run.
+type pipelineGenerator struct {
+	run           *faultPairRun
+	rng           *rand.Rand
+	first, second micros.Micros // when the faults start
+	nextJob       int
+}
+
+// pipeline is a generated pipeline.
+type pipeline struct {
+	shape string
+	at    micros.Micros // its jobs are submitted from then on
+	jobs  []string
+}
+
+// generatePipelines adds pipelines to a run: chains, diamonds and fans, some with a job that is
+// cancelled while the faults overlap, some whose last job is submitted when the others have ended.
 func (run *faultPairRun) generatePipelines(seed uint64, first, second micros.Micros) {
-	rng := rand.New(rand.NewPCG(seed, 5))
-	seconds := func(from, to float64) micros.Micros { return micros.FromSeconds(from + rng.Float64()*(to-from)) }
-	next := 100
-	for range 2 + rng.IntN(3) {
-		at := seconds(0, 25)
-		var made []string
-		add := func(awaits ...string) string {
-			id := jobName(next)
-			next++
-			made = append(made, id)
-			run.generateStage(rng, id, at, awaits)
-			return id
+	g := &pipelineGenerator{run: run, rng: rand.New(rand.NewPCG(seed, pipelinesStream)), first: first, second: second, nextJob: 100}
+	for range 2 + g.rng.IntN(3) {
+		p := &pipeline{at: g.randomSeconds(0, 25)}
+		g.generateJobs(p)
+		text := fmt.Sprintf("%s %s..%s from %v", p.shape, p.jobs[0], p.jobs[len(p.jobs)-1], p.at)
+		for range g.rng.IntN(3) {
+			text += g.generateCancellation(p)
+		}
+		run.logf("%s", text)
+	}
+	run.generateInvalidDependencies(g.rng)
+}
+
+func (g *pipelineGenerator) randomSeconds(from, to float64) micros.Micros {
+	return micros.FromSeconds(from + g.rng.Float64()*(to-from))
+}
+
+// addJob adds a job to a pipeline and returns its name.
+func (g *pipelineGenerator) addJob(p *pipeline, dependencies ...string) string {
+	id := jobName(g.nextJob)
+	g.nextJob++
+	p.jobs = append(p.jobs, id)
+	g.run.generateStage(g.rng, id, p.at, dependencies)
+	return id
+}
+
+// generateJobs draws the shape of a pipeline and its jobs.
+func (g *pipelineGenerator) generateJobs(p *pipeline) {
+	switch n := 2 + g.rng.IntN(5); g.rng.IntN(4) {
+	case 0:
+		p.shape = "chain"
+		last := g.addJob(p)
+		for range n {
+			last = g.addJob(p, last)
 		}
-		shape := ""
-		switch n := 2 + rng.IntN(5); rng.IntN(4) {
-		case 0:
-			shape = "chain"
-			last := add()
-			for range n {
-				last = add(last)
-			}
-		case 1:
-			shape = "diamond"
-			root := add()
-			var middle []string
-			for range 2 + rng.IntN(2) {
-				middle = append(middle, add(root))
-			}
-			add(append([]string{root}, middle...)...)
-		case 2:
-			shape = "fan out"
-			root := add()
-			for range 2 * n {
-				add(root)
-			}
-		case 3:
-			shape = "fan in"
-			var roots []string
-			for range n {
-				roots = append(roots, add())
-			}
-			add(add(roots...))
+	case 1:
+		p.shape = "diamond"
+		root := g.addJob(p)
+		var middle []string
+		for range 2 + g.rng.IntN(2) {
+			middle = append(middle, g.addJob(p, root))
 		}
-		text := fmt.Sprintf("%s %s..%s from %v", shape, made[0], made[len(made)-1], at)
-		for range rng.IntN(3) { // cancelled: often the root, often as troubles meet
-			id := made[0]
-			if rng.IntN(3) == 0 {
-				id = made[rng.IntN(len(made))]
-			}
-			when := first - micros.Second + seconds(0, (second-first).Seconds()+3)
-			switch rng.IntN(4) {
-			case 0:
-				when = at + seconds(0, 60)
-			case 1: // as it ends
-				text += fmt.Sprintf(", %s cancelled as it ends", id)
-				run.sim.pipelines.onDone[id] = append(run.sim.pipelines.onDone[id], func() { run.cancel(id) })
-				continue
-			}
-			text += fmt.Sprintf(", %s cancelled at %v", id, when)
-			run.sim.after(when, func() { run.cancel(id) })
+		g.addJob(p, append([]string{root}, middle...)...)
+	case 2:
+		p.shape = "fan out"
+		root := g.addJob(p)
+		for range 2 * n {
+			g.addJob(p, root)
 		}
-		run.logf("%s", text)
+	case 3:
+		p.shape = "fan in"
+		var roots []string
+		for range n {
+			roots = append(roots, g.addJob(p))
+		}
+		g.addJob(p, g.addJob(p, roots...))
+	}
+}
+
+// generateCancellation draws which job of a pipeline is cancelled and when, often the first one
+// and often while the faults overlap, and returns its part of the log line.
+func (g *pipelineGenerator) generateCancellation(p *pipeline) string {
+	sim := g.run.sim
+	id := p.jobs[0]
+	if g.rng.IntN(3) == 0 {
+		id = p.jobs[g.rng.IntN(len(p.jobs))]
+	}
+	when := g.first - micros.Second + g.randomSeconds(0, (g.second-g.first).Seconds()+3)
+	switch g.rng.IntN(4) {
+	case 0:
+		when = p.at + g.randomSeconds(0, 60)
+	case 1:
+		sim.pipelines.onDone[id] = append(sim.pipelines.onDone[id], func() { g.run.cancel(id) })
+		return fmt.Sprintf(", %s cancelled as it ends", id)
 	}
-	run.generateInvalidDependencies(rng)
+	sim.after(when, func() { g.run.cancel(id) })
+	return fmt.Sprintf(", %s cancelled at %v", id, when)
 }
 
 // generateInvalidDependencies submits a job that awaits one that nobody submitted, and one whose list cannot
 // be read, in the middle of the troubles.
 func (run *faultPairRun) generateInvalidDependencies(rng *rand.Rand) {
 	sim := run.sim
-	for i, awaits := range []any{[]string{"req-000100", "req-000950"}, []any{"req-000100", nil}} {
+	for i, dependencies := range []any{[]string{"req-000100", "req-000950"}, []any{"req-000100", nil}} {
 		id := jobName(910 + i)
 		job := &sched.Job{ID: id, Class: "stage", Team: "red", Tasks: 1, Need: sched.NewResources(1, 0, 1), Image: "img", ImageGB: 1}
 		run.expectedRefusals[id] = []int{422, 400}[i]
-		sim.submitted[id], sim.submissions[id] = job, withDependencyField(wire.Encode(wire.FromJob(job)), awaits)
+		sim.submitted[id], sim.submissions[id] = job, withDependencyField(wire.Encode(wire.FromJob(job)), dependencies)
 		sim.after(faultPairsLeadTime+micros.FromSeconds(30*rng.Float64()), func() { sim.submittedAt[id] = sim.now; run.submit(id, false) })
 	}
 }
 
 // generateStage draws one job of a pipeline.
-func (run *faultPairRun) generateStage(rng *rand.Rand, id string, at micros.Micros, awaits []string) {
+func (run *faultPairRun) generateStage(rng *rand.Rand, id string, at micros.Micros, dependencies []string) {
 	sim := run.sim
 	duration := micros.FromSeconds(2 + rng.Float64()*10)
-	if len(awaits) == 0 && rng.IntN(3) == 0 {
+	if len(dependencies) == 0 && rng.IntN(3) == 0 {
 		duration = micros.FromSeconds(20 + rng.Float64()*40)
 	}
 	job := &sched.Job{
@@ -115,13 +147,13 @@
 	sim.taskInfos[id] = fake.TaskInfo{
 		CPU: 1, Mem: 1, Run: duration, Fetch: micros.Second, Save: job.CheckpointDuration, Saves: job.CheckpointInterval > 0, Gang: job.Gang, Tasks: job.Tasks,
 	}
-	sim.setDependencies(id, awaits)
+	sim.setDependencies(id, dependencies)
 	when := sim.whenAccepted
-	if len(awaits) > 0 && rng.IntN(6) == 0 {
+	if len(dependencies) > 0 && rng.IntN(6) == 0 {
 		when = sim.whenTerminal
 	}
 	sim.after(at, func() {
-		when(awaits, func() {
+		when(dependencies, func() {
 			sim.submittedAt[id] = sim.now
 			run.submit(id, false)
 			sim.after(2*micros.Second, func() { run.poll(id) })
--- a/controller/fault_pairs_test.go
+++ b/controller/fault_pairs_test.go
@@ -11,7 +11,6 @@
 	"tamarindlead/internal/ordered"
 
 	"tamarindlead/config"
-	"tamarindlead/internal/wire"
 	"tamarindlead/micros"
 	"tamarindlead/sched"
 )
@@ -118,35 +117,17 @@
 	rng := run.rng
 	zones := []string{"a", "b", "c"}[:2+rng.IntN(2)]
 	nodes := 3 + 2*rng.IntN(2)
-	cfg := &config.Settings{
-		Zone: "a", KVAddr: "state", CloudAddr: "cloud", Zones: zones,
-		Siblings: make([]config.Sibling, nodes-1),
-		Teams: []config.Team{
-			{Name: "red", GuaranteedQuota: sched.NewResources(float64(8*rng.IntN(3)), 0, 0), QuotaLimit: sched.NewResources(float64(24+8*rng.IntN(3)), 0, 0)},
-			{Name: "blue", GuaranteedQuota: sched.NewResources(float64(8*rng.IntN(3)), 0, 0), QuotaLimit: sched.NewResources([]float64{0, 24, 32}[rng.IntN(3)], 0, 0)},
-		},
-		HeartbeatInterval: 3 * micros.Second, WorkerLease: 15 * micros.Second, GangStartTimeout: 30 * micros.Second,
-		GangFailureTimeout: 5 * micros.Second, CancellationDeadline: 45 * micros.Second,
-		Sockets: 400, KVRequestRate: 150, KVWriteRate: 40,
-		MaxValueBytes: 8 << 10, MaxTransactionOps: 12, CloudRequestRate: 5, CloudListLag: 6 * micros.Second,
-		Tuning: config.DefaultTuning(),
-	}
+	cfg := simulationSettings(nodes, zones,
+		config.Team{Name: "red", GuaranteedQuota: sched.NewResources(float64(8*rng.IntN(3)), 0, 0), QuotaLimit: sched.NewResources(float64(24+8*rng.IntN(3)), 0, 0)},
+		config.Team{Name: "blue", GuaranteedQuota: sched.NewResources(float64(8*rng.IntN(3)), 0, 0), QuotaLimit: sched.NewResources([]float64{0, 24, 32}[rng.IntN(3)], 0, 0)},
+	)
 	cfg.Tuning.SpreadTeams = rng.IntN(2) == 0
-	run.sim = newSimulation(seed, cfg)
-	sim := run.sim
+	sim := newSimulation(seed, cfg)
+	run.sim = sim
 	sim.cloud.Now = sim.now
 	boot := []float64{1, 10}[rng.IntN(2)]
-	sim.cloud.Types = []wire.MachineType{
-		{Name: "small", CPUs: 8, MemGB: 32, CacheGB: 50, FetchGBPerS: 1, HourlyPrice: 1, SpotPrice: 0.3, BootS: boot, Zones: zones},
-		{Name: "big", CPUs: 32, MemGB: 128, CacheGB: 50, FetchGBPerS: 1, HourlyPrice: 4, SpotPrice: 1.2, BootS: boot * 1.5, Zones: zones},
-	}
 	spots := 2 * rng.IntN(2)
-	for _, typ := range []string{"small", "big"} {
-		for _, z := range zones {
-			sim.cloud.Capacity[typ+" "+z+" false"] = 4
-			sim.cloud.Capacity[typ+" "+z+" true"] = spots
-		}
-	}
+	sim.offerMachineTypes(boot, boot*1.5, zones, zones, 4, spots)
 	machines := 3 + rng.IntN(5)
 	for i := range machines {
 		sim.cloud.Add("small", zones[i%len(zones)], false, 0)
@@ -165,15 +146,31 @@
 	return micros.FromSeconds(from + run.rng.Float64()*(to-from))
 }
 
+// play generates the run, plays its faults and checks that the service recovers from them.
 func (run *faultPairRun) play() {
 	sim := run.sim
+	run.generate()
+	for run.activeFaults > 0 && len(sim.violations) == 0 {
+		sim.run(micros.Second)
+	}
+	sim.kvFaults.kvResponseDelay.share, sim.kvFaults.peerResponseDelay.share = 0, 0
+	sim.faultsEndedAt = sim.now
+	run.logf("troubles are over")
+	run.awaitCompletion()
+	if len(sim.violations) == 0 {
+		run.awaitResponses()
+	}
+}
+
+// generate draws the jobs, faults and response delays of the run.
+func (run *faultPairRun) generate() {
 	first := faultPairsLeadTime + run.randomSeconds(0, 15)
 	second := first + run.randomSeconds(0, 3)
 	if run.rng.IntN(4) == 0 {
 		second = first + run.randomSeconds(3, 25)
 	}
-	kinds := run.generateFaults()
-	run.secondIsKVOutage = len(kinds) > 1 && kinds[1].kvOutage
+	faults := run.generateFaults()
+	run.secondIsKVOutage = len(faults) > 1 && faults[1].kvOutage
 	for i := range 10 + run.rng.IntN(6) {
 		run.generateJob(i+1, first, second)
 	}
@@ -181,17 +178,16 @@
 		run.generatePipelines(run.seed, first, second)
 	}
 	run.generateInvalidJobs()
-	for i, when := range []micros.Micros{first, second, second + run.randomSeconds(0, 12)}[:len(kinds)] {
+	for i, when := range []micros.Micros{first, second, second + run.randomSeconds(0, 12)}[:len(faults)] {
 		run.activeFaults++
-		sim.after(when, func() { run.startFault(kinds[i]) })
+		run.sim.after(when, func() { run.startFault(faults[i]) })
 	}
 	run.generateResponseDelays()
-	for run.activeFaults > 0 && len(sim.violations) == 0 {
-		sim.run(micros.Second)
-	}
-	sim.kvFaults.kvResponseDelay.share, sim.kvFaults.peerResponseDelay.share = 0, 0
-	sim.faultsEndedAt = sim.now
-	run.logf("troubles are over")
+}
+
+// awaitCompletion runs until all jobs have a terminal state, which must be so in time.
+func (run *faultPairRun) awaitCompletion() {
+	sim := run.sim
 	for end := sim.now + completionDeadline; sim.now < end && len(run.openJobs()) > 0 && len(sim.violations) == 0; {
 		sim.run(micros.Second)
 		run.checkSchedulingDelay()
@@ -199,11 +195,12 @@
 	if left := run.openJobs(); len(left) > 0 && len(sim.violations) == 0 {
 		sim.reportViolation("not served %v after the troubles: %s", completionDeadline, strings.Join(left, " "))
 	}
-	if len(sim.violations) > 0 {
-		return
-	}
-	// All stays known, at all nodes, well within 75 s of the troubles' end: a node that has
-	// just started tells of no cancellation for a while.
+}
+
+// awaitResponses checks that all nodes know all jobs well within 75 s of the faults' end: a node
+// that has just started acknowledges no cancellation for a while.
+func (run *faultPairRun) awaitResponses() {
+	sim := run.sim
 	for end := sim.now + maxUnknownTime; ; {
 		missing := run.unansweredJobs()
 		if len(missing) == 0 {
--- a/controller/fault_pairs_users_test.go
+++ b/controller/fault_pairs_users_test.go
@@ -146,15 +146,12 @@
 		return
 	}
 	for _, id := range run.openJobs() {
-		last := !seen[id]
-		for i := range sim.submitted[id].Tasks {
-			last = last && sim.completedTasks[wire.TaskName(id, i)]
+		if seen[id] || !sim.allTasksDone(id) {
+			continue
 		}
-		if last {
-			seen[id] = true
-			if run.rng.IntN(2) == 0 {
-				run.cancel(id)
-			}
+		seen[id] = true
+		if run.rng.IntN(2) == 0 {
+			run.cancel(id)
 		}
 	}
 	sim.after(simulationStep, func() { run.cancelFinishingJobs(over, seen) })
--- a/controller/faults_workers_test.go
+++ b/controller/faults_workers_test.go
@@ -117,23 +117,21 @@
 	}
 	wait := sim.randomDuration(sim.minCommandDelay, sim.commandDelay)
 	if sim.delayRequestOnly || sim.rng.IntN(2) == 0 {
-		worker := sim.workers[strings.TrimPrefix(call.Addr, "worker:")]
+		worker := sim.workers[strings.TrimPrefix(call.Addr, workerAddrPrefix)]
 		sim.after(wait, func() { sim.executeWhenResumed(worker, call, answer) })
 		return nil
 	}
 	return func(response fake.Response) { sim.after(wait, func() { answer(response) }) }
 }
 
-// executeWhenResumed executes a command that was held up on its way, once the machine goes on.
-func (sim *simulation) executeWhenResumed(worker *fake.Worker, call Call, answer func(fake.Response)) {
+// executeWhenResumed executes a delayed command once the machine is reachable again.
+func (sim *simulation) executeWhenResumed(worker *fake.Worker, call Call, respond func(fake.Response)) {
 	switch {
 	case worker.Machine.Gone:
 	case worker.Hung || worker.Partitioned:
-		sim.after(simulationStep, func() { sim.executeWhenResumed(worker, call, answer) })
-	case call.Target == "/inspect":
-		answer(fake.Response{Status: 200, Body: wire.Encode(worker.BuildHeartbeat())})
+		sim.after(simulationStep, func() { sim.executeWhenResumed(worker, call, respond) })
 	default:
-		answer(worker.ExecuteDirect(sim.now, call.Body))
+		respond(sim.executeAtWorker(worker, call))
 	}
 }
 
--- a/controller/pipelines_test.go
+++ b/controller/pipelines_test.go
@@ -67,18 +67,10 @@
 	return wire.Encode(fields)
 }
 
-// allTasksDone tells whether all tasks of a job have completed.
+// allTasksDone reports whether all tasks of a job have completed.
 func (sim *simulation) allTasksDone(id string) bool {
 	job := sim.submitted[id]
-	if job == nil {
-		return false
-	}
-	for i := range job.Tasks {
-		if !sim.completedTasks[wire.TaskName(id, i)] {
-			return false
-		}
-	}
-	return true
+	return job != nil && sim.remainingTasks(job) == 0
 }
 
 // recordedTerminalState is the final state that the state service keeps of a job, or "".
--- a/controller/scenario_setup_test.go
+++ b/controller/scenario_setup_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"slices"
 	"testing"
 
 	"github.com/cockroachdb/datadriven"
@@ -13,10 +12,30 @@
 	"tamarindlead/sched"
 )
 
-// This file makes the worlds of scenarios.
-
-// newScenarioSimulation makes zones, two machine types and a few machines.
+// newScenarioSimulation returns a simulation as a scenario describes it: its limits, zones, teams,
+// two machine types and a few machines.
 func newScenarioSimulation(t *testing.T, d *datadriven.TestData) *simulation {
+	t.Helper()
+	cfg := scenarioSettings(t, d)
+	sim := newSimulation(scenarioSeed(t, d), cfg)
+	sim.nextLimits = parseNextLimits(t, d)
+	sim.applyResponseDelayFromEnv(t)
+	sim.cloud.Now = sim.now
+	bigZones := cfg.Zones[arg(t, d, "no-big-in", 0):] // the first zones may lack the big type
+	sim.offerMachineTypes(10, 15, cfg.Zones, bigZones, arg(t, d, "capacity", 10), arg(t, d, "spots", 0))
+	for i := range arg(t, d, "machines", 4) {
+		sim.cloud.Add(arg(t, d, "type", "small"), cfg.Zones[i%len(cfg.Zones)], false, 0)
+	}
+	sim.lossRate, sim.lateRequestRate, sim.duplicateRequestRate = argNumber(t, d, "loss", 0), argNumber(t, d, "late", 0), argNumber(t, d, "dup", 0)
+	if nodes := arg(t, d, "production", -1); nodes >= 0 {
+		sim.startWithProduction(t, nodes)
+	}
+	return sim
+}
+
+// scenarioSettings returns the settings of a scenario's nodes.
+func scenarioSettings(t *testing.T, d *datadriven.TestData) *config.Settings {
+	t.Helper()
 	team := func(name string) config.Team {
 		return config.Team{
 			Name:            name,
@@ -25,48 +44,61 @@
 		}
 	}
 	zones := []string{"a", "b", "c"}[:arg(t, d, "zones", 2)]
-	cfg := &config.Settings{
-		Zone: "a", KVAddr: "state", CloudAddr: "cloud", Zones: zones,
-		Siblings:          make([]config.Sibling, arg(t, d, "nodes", 3)-1),
-		Teams:             []config.Team{team("red"), team("blue")},
-		HeartbeatInterval: argSeconds(t, d, "report", 3), WorkerLease: argSeconds(t, d, "lease", 15), GangStartTimeout: 30 * micros.Second,
-		GangFailureTimeout: 5 * micros.Second, CancellationDeadline: argSeconds(t, d, "cancel", 45),
-		Sockets:       arg(t, d, "sockets", 400),
-		KVRequestRate: argNumber(t, d, "rps", 150), KVWriteRate: argNumber(t, d, "writes", 40),
-		MaxValueBytes: arg(t, d, "value", 8<<10), MaxTransactionOps: arg(t, d, "ops", 12), CloudRequestRate: 5, CloudListLag: 6 * micros.Second,
-		Tuning: config.DefaultTuning(),
-	}
+	cfg := simulationSettings(arg(t, d, "nodes", 3), zones, team("red"), team("blue"))
 	for i := range arg(t, d, "teams", 0) {
 		cfg.Teams = append(cfg.Teams, team(teamName(i)))
 	}
+	cfg.HeartbeatInterval = argSeconds(t, d, "report", cfg.HeartbeatInterval.Seconds())
+	cfg.WorkerLease = argSeconds(t, d, "lease", cfg.WorkerLease.Seconds())
+	cfg.CancellationDeadline = argSeconds(t, d, "cancel", cfg.CancellationDeadline.Seconds())
+	cfg.Sockets = arg(t, d, "sockets", cfg.Sockets)
+	cfg.KVRequestRate = argNumber(t, d, "rps", cfg.KVRequestRate)
+	cfg.KVWriteRate = argNumber(t, d, "writes", cfg.KVWriteRate)
+	cfg.MaxValueBytes = arg(t, d, "value", cfg.MaxValueBytes)
+	cfg.MaxTransactionOps = arg(t, d, "ops", cfg.MaxTransactionOps)
 	cfg.Tuning.MaxMachines = arg(t, d, "most", 0)
 	cfg.Tuning.SpreadTeams = d.HasArg("spread")
-	sim := newSimulation(scenarioSeed(t, d), cfg)
-	sim.nextLimits = parseNextLimits(t, d)
-	sim.applyResponseDelayFromEnv(t)
-	sim.cloud.Now = sim.now
-	bigZones := zones[arg(t, d, "no-big-in", 0):] // the first zones may lack the big type
+	return cfg
+}
+
+// simulationSettings returns the settings that simulations have in common.
+func simulationSettings(nodes int, zones []string, teams ...config.Team) *config.Settings {
+	return &config.Settings{
+		Zone:                 "a",
+		KVAddr:               "state",
+		CloudAddr:            "cloud",
+		Zones:                zones,
+		Siblings:             make([]config.Sibling, nodes-1),
+		Teams:                teams,
+		HeartbeatInterval:    3 * micros.Second,
+		WorkerLease:          15 * micros.Second,
+		GangStartTimeout:     30 * micros.Second,
+		GangFailureTimeout:   5 * micros.Second,
+		CancellationDeadline: 45 * micros.Second,
+		Sockets:              400,
+		KVRequestRate:        150,
+		KVWriteRate:          40,
+		MaxValueBytes:        8 << 10,
+		MaxTransactionOps:    12,
+		CloudRequestRate:     5,
+		CloudListLag:         6 * micros.Second,
+		Tuning:               config.DefaultTuning(),
+	}
+}
+
+// offerMachineTypes has the cloud offer a small and a big machine type, with a capacity of each in
+// each of its zones.
+func (sim *simulation) offerMachineTypes(smallBootS, bigBootS float64, smallZones, bigZones []string, onDemand, spot int) {
 	sim.cloud.Types = []wire.MachineType{
-		{Name: "small", CPUs: 8, MemGB: 32, CacheGB: 50, FetchGBPerS: 1, HourlyPrice: 1, SpotPrice: 0.3, BootS: 10, Zones: zones},
-		{Name: "big", CPUs: 32, MemGB: 128, CacheGB: 50, FetchGBPerS: 1, HourlyPrice: 4, SpotPrice: 1.2, BootS: 15, Zones: bigZones},
+		{Name: "small", CPUs: 8, MemGB: 32, CacheGB: 50, FetchGBPerS: 1, HourlyPrice: 1, SpotPrice: 0.3, BootS: smallBootS, Zones: smallZones},
+		{Name: "big", CPUs: 32, MemGB: 128, CacheGB: 50, FetchGBPerS: 1, HourlyPrice: 4, SpotPrice: 1.2, BootS: bigBootS, Zones: bigZones},
 	}
-	for _, typ := range []string{"small", "big"} {
-		for _, z := range zones {
-			if typ == "big" && !slices.Contains(bigZones, z) {
-				continue
-			}
-			sim.cloud.Capacity[typ+" "+z+" false"] = arg(t, d, "capacity", 10)
-			sim.cloud.Capacity[typ+" "+z+" true"] = arg(t, d, "spots", 0)
+	for _, machineType := range sim.cloud.Types {
+		for _, zone := range machineType.Zones {
+			sim.cloud.Capacity[machineType.Name+" "+zone+" false"] = onDemand
+			sim.cloud.Capacity[machineType.Name+" "+zone+" true"] = spot
 		}
 	}
-	for i := range arg(t, d, "machines", 4) {
-		sim.cloud.Add(arg(t, d, "type", "small"), zones[i%len(zones)], false, 0)
-	}
-	sim.lossRate, sim.lateRequestRate, sim.duplicateRequestRate = argNumber(t, d, "loss", 0), argNumber(t, d, "late", 0), argNumber(t, d, "dup", 0)
-	if n := arg(t, d, "production", -1); n >= 0 { // so many nodes begin with that version
-		sim.startWithProduction(t, n)
-	}
-	return sim
 }
 
 func jobName(i int) string { return fmt.Sprintf("req-%06d", i) }
--- a/controller/simulation_network_test.go
+++ b/controller/simulation_network_test.go
@@ -103,49 +103,55 @@
 	sim.after(timeout, func() { finish(Respond{}) })
 }
 
-func (sim *simulation) startCall(node *simNode, life int, c Call) {
-	answered := false
+// startCall plays an outbound call of a node from its request to its response or timeout.
+func (sim *simulation) startCall(node *simNode, incarnation int, call Call) {
 	if node.openCalls++; node.openCalls > sim.cfg.Sockets/4 {
 		sim.reportViolation("sockets: node %d has %d calls under way", node.index, node.openCalls)
 	}
-	finish := func(response fake.Response, sent bool) {
-		if answered || node.incarnation != life {
+	finished := false
+	finish := func(response fake.Response) {
+		if finished || node.incarnation != incarnation {
 			return
 		}
-		answered = true
+		finished = true
 		node.openCalls--
-		sim.handleEvent(node, CallDone{ID: c.ID, Status: response.Status, Body: response.Body, Sent: sent})
+		sim.handleEvent(node, CallDone{ID: call.ID, Status: response.Status, Body: response.Body, Sent: true})
 	}
-	sim.after(c.Timeout, func() { finish(fake.Response{}, true) })
-	back := func(response fake.Response) {
+	sim.after(call.Timeout, func() { finish(fake.Response{}) })
+	respond := func(response fake.Response) {
 		if sim.rng.Float64() < sim.lossRate {
 			return
 		}
 		sim.after(sim.randomLatency(), func() {
 			if !node.partitioned {
-				finish(response, true)
+				finish(response)
 			}
 		})
 	}
-	execute := func(answer func(fake.Response)) { sim.executeCall(node, c, answer) }
-	watch := strings.HasPrefix(c.Target, "/changes")
-	sim.after(sim.randomLatency(), func() {
-		p := sim.rng.Float64()
-		switch {
-		case node.partitioned && node.delaysOutbound:
-			sim.afterPartition(node, func() { execute(func(fake.Response) {}) })
-		case node.partitioned || p < sim.lossRate:
-		case p < sim.lossRate+sim.lateRequestRate && !watch:
-			delay := 2*micros.Second + micros.Micros(sim.rng.Int64N(int64(20*micros.Second)))
-			sim.after(delay, func() { execute(func(fake.Response) {}) })
-		case p < sim.lossRate+sim.lateRequestRate+sim.duplicateRequestRate && !watch:
-			delay := 2*micros.Second + micros.Micros(sim.rng.Int64N(int64(20*micros.Second)))
-			sim.after(delay, func() { execute(func(fake.Response) {}) })
-			execute(back)
-		default:
-			execute(back)
-		}
-	})
+	sim.after(sim.randomLatency(), func() { sim.deliverCall(node, call, respond) })
+}
+
+// deliverCall executes a call at its target, unless the network loses, delays or duplicates it.
+func (sim *simulation) deliverCall(node *simNode, call Call, respond func(fake.Response)) {
+	executeUnanswered := func() { sim.executeCall(node, call, func(fake.Response) {}) }
+	executeLate := func() {
+		delay := 2*micros.Second + micros.Micros(sim.rng.Int64N(int64(20*micros.Second)))
+		sim.after(delay, executeUnanswered)
+	}
+	watch := strings.HasPrefix(call.Target, "/changes")
+	p := sim.rng.Float64()
+	switch {
+	case node.partitioned && node.delaysOutbound:
+		sim.afterPartition(node, executeUnanswered)
+	case node.partitioned || p < sim.lossRate:
+	case p < sim.lossRate+sim.lateRequestRate && !watch:
+		executeLate()
+	case p < sim.lossRate+sim.lateRequestRate+sim.duplicateRequestRate && !watch:
+		executeLate()
+		sim.executeCall(node, call, respond)
+	default:
+		sim.executeCall(node, call, respond)
+	}
 }
 
 // afterPartition does something once a node has its network back.
@@ -157,63 +163,105 @@
 	do()
 }
 
-func (sim *simulation) executeCall(node *simNode, call Call, answer func(fake.Response)) {
-	peer := strings.HasPrefix(call.Addr, "peer:")
-	if peer {
-		i, _ := strconv.Atoi(strings.TrimPrefix(call.Addr, "peer:"))
-		peer = node.onlyWorkersReachable || sim.nodes[i].onlyWorkersReachable || sim.dropPeerMessage(call, false) || sim.zonesPartitioned(sim.nodeZone(node.index), sim.nodeZone(i))
-	}
-	outside := call.Addr == sim.cfg.KVAddr || call.Addr == sim.cfg.CloudAddr
+// Addresses of controllers and workers start with these prefixes.
+const (
+	peerAddrPrefix   = "peer:"
+	workerAddrPrefix = "worker:"
+)
+
+// executeCall executes a call at its target, unless a fault keeps it from getting there.
+func (sim *simulation) executeCall(node *simNode, call Call, respond func(fake.Response)) {
 	switch {
-	case peer, node.onlyWorkersReachable && call.Addr == sim.cfg.KVAddr, outside && sim.zonesPartitioned(sim.nodeZone(node.index), ""): // lost
+	case strings.HasPrefix(call.Addr, peerAddrPrefix):
+		sim.executePeerCall(node, call, respond)
 	case call.Addr == sim.cfg.KVAddr:
-		sim.afterCommitDelay(call, func() { sim.callKVStore(node, call, answer) })
-	case call.Addr == sim.cfg.CloudAddr:
-		sim.cloud.Now = sim.now
-		answer(sim.cloud.Handle(call.Method, call.Target, call.Body))
-		sim.forgetDeletedMachines()
-	case strings.HasPrefix(call.Addr, "peer:"):
-		i, _ := strconv.Atoi(strings.TrimPrefix(call.Addr, "peer:"))
-		to := sim.nodes[i]
-		sim.notifyPeerMessage(call.Body)
-		answer = sim.kvFaults.peerResponseDelay.delayResponse(sim, node, answer)
-		sim.sendRequest(to, Request{Peer: true, Method: call.Method, Path: call.Target, Body: call.Body}, call.Timeout, func(response Respond) {
-			sim.notifyPeerMessage(response.Body)
-			if response.Status != 0 && !sim.dropPeerMessage(call, true) {
-				answer(fake.Response{Status: response.Status, Body: response.Body})
-			}
-		})
-	default:
-		worker := sim.workers[strings.TrimPrefix(call.Addr, "worker:")]
-		if worker == nil || worker.Machine.Gone || worker.Partitioned || worker.InboundBlocked || node.workersUnreachable || sim.zonesPartitioned(sim.nodeZone(node.index), worker.Machine.Zone) {
-			return
-		}
-		if worker.Hung { // it executes when it continues
-			sim.after(simulationStep, func() { sim.executeCall(node, call, answer) })
-			return
+		if !node.onlyWorkersReachable && !sim.zonesPartitioned(sim.nodeZone(node.index), "") {
+			sim.afterCommitDelay(call, func() { sim.callKVStore(node, call, respond) })
 		}
-		if answer = sim.delayCommand(call, answer); answer == nil {
-			return
+	case call.Addr == sim.cfg.CloudAddr:
+		if !sim.zonesPartitioned(sim.nodeZone(node.index), "") {
+			sim.cloud.Now = sim.now
+			respond(sim.cloud.Handle(call.Method, call.Target, call.Body))
+			sim.forgetDeletedMachines()
 		}
-		if call.Target == "/inspect" {
-			answer(fake.Response{Status: 200, Body: wire.Encode(worker.BuildHeartbeat())})
-			return
+	default:
+		sim.executeWorkerCall(node, call, respond)
+	}
+}
+
+// executePeerCall passes a call on to another controller.
+func (sim *simulation) executePeerCall(node *simNode, call Call, respond func(fake.Response)) {
+	i, err := strconv.Atoi(strings.TrimPrefix(call.Addr, peerAddrPrefix))
+	if err != nil {
+		panic(err) // start makes these addresses
+	}
+	peer := sim.nodes[i]
+	if node.onlyWorkersReachable || peer.onlyWorkersReachable || sim.dropPeerMessage(call, false) ||
+		sim.zonesPartitioned(sim.nodeZone(node.index), sim.nodeZone(i)) {
+		return
+	}
+	sim.notifyPeerMessage(call.Body)
+	respond = sim.kvFaults.peerResponseDelay.delayResponse(sim, node, respond)
+	request := Request{Peer: true, Method: call.Method, Path: call.Target, Body: call.Body}
+	sim.sendRequest(peer, request, call.Timeout, func(response Respond) {
+		sim.notifyPeerMessage(response.Body)
+		if response.Status != 0 && !sim.dropPeerMessage(call, true) {
+			respond(fake.Response{Status: response.Status, Body: response.Body})
 		}
-		answer(worker.ExecuteDirect(sim.now, call.Body))
+	})
+}
+
+// executeWorkerCall executes a direct command at a worker; a hung worker does so once it continues.
+func (sim *simulation) executeWorkerCall(node *simNode, call Call, respond func(fake.Response)) {
+	worker := sim.workers[strings.TrimPrefix(call.Addr, workerAddrPrefix)]
+	if worker == nil || worker.Machine.Gone || worker.Partitioned || worker.InboundBlocked || node.workersUnreachable ||
+		sim.zonesPartitioned(sim.nodeZone(node.index), worker.Machine.Zone) {
+		return
+	}
+	if worker.Hung {
+		sim.after(simulationStep, func() { sim.executeWorkerCall(node, call, respond) })
+		return
+	}
+	if respond = sim.delayCommand(call, respond); respond != nil {
+		respond(sim.executeAtWorker(worker, call))
 	}
 }
 
-func (sim *simulation) executeKV(node *simNode, call Call, since micros.Micros, answer func(fake.Response)) {
-	wait := micros.Micros(0)
-	if u, err := url.ParseRequestURI(call.Target); err == nil {
-		ms, _ := strconv.ParseFloat(u.Query().Get("waitMs"), 64)
-		wait = micros.FromMillis(ms)
+// executeAtWorker returns a worker's response to a direct command.
+func (sim *simulation) executeAtWorker(worker *fake.Worker, call Call) fake.Response {
+	if call.Target == "/inspect" {
+		return fake.Response{Status: 200, Body: wire.Encode(worker.BuildHeartbeat())}
 	}
+	return worker.ExecuteDirect(sim.now, call.Body)
+}
+
+// executeKV executes a call of the state service. A watch without changes is answered once it has
+// waited for as long as it asks for.
+func (sim *simulation) executeKV(node *simNode, call Call, since micros.Micros, respond func(fake.Response)) {
 	sim.kvStore.Now = sim.now
-	response, ok := sim.kvStore.Handle(nodeName(node.index), call.Method, call.Target, call.Body, sim.now-since >= wait)
+	waited := sim.now-since >= sim.watchTimeout(call)
+	response, ok := sim.kvStore.Handle(nodeName(node.index), call.Method, call.Target, call.Body, waited)
 	if ok {
-		answer(response)
+		respond(response)
 		return
 	}
-	sim.after(simulationStep, func() { sim.executeKV(node, call, since, answer) })
+	sim.after(simulationStep, func() { sim.executeKV(node, call, since, respond) })
+}
+
+// watchTimeout returns for how long a call waits for changes.
+func (sim *simulation) watchTimeout(call Call) micros.Micros {
+	target, err := url.ParseRequestURI(call.Target)
+	if err != nil {
+		sim.reportViolation("call: target %q: %v", call.Target, err)
+		return 0
+	}
+	text := target.Query().Get("waitMs")
+	if text == "" {
+		return 0
+	}
+	ms, err := strconv.ParseFloat(text, 64)
+	if err != nil {
+		sim.reportViolation("call: waitMs=%q: %v", text, err)
+	}
+	return micros.FromMillis(ms)
 }
--- a/controller/simulation_test.go
+++ b/controller/simulation_test.go
@@ -126,7 +126,7 @@
 	cfg.Siblings = nil
 	for i := range sim.nodes {
 		if i != node.index {
-			cfg.Siblings = append(cfg.Siblings, config.Sibling{Node: nodeName(i), Zone: sim.nodeZone(i), Endpoint: "peer:" + strconv.Itoa(i)})
+			cfg.Siblings = append(cfg.Siblings, config.Sibling{Node: nodeName(i), Zone: sim.nodeZone(i), Endpoint: peerAddrPrefix + strconv.Itoa(i)})
 		}
 	}
 	out := io.Discard
@@ -199,10 +199,9 @@
 }
 
 func (sim *simulation) checkRules() {
-	used := map[string]float64{}
+	used := sim.usedCPUs()
 	for task := range sim.runningOn {
 		id, _, _ := wire.SplitTaskName(task)
-		used[sim.submitted[id].Team] += sim.taskInfos[id].CPU
 		if at, ok := sim.acknowledgedCancellations[id]; ok && sim.now > at+sim.cfg.CancellationDeadline {
 			sim.reportViolation("ran_cancelled: %s is still on %s", task, sim.runningOn[task])
 		}
--- a/controller/users_test.go
+++ b/controller/users_test.go
@@ -221,18 +221,13 @@
 	}
 }
 
-// JobEnded is called when a task completes: some users cancel, ask and submit again at the
-// very moment at which the last one does.
+// cancelCompletedJob is called when a task completes: some users cancel, ask and submit again at
+// the very moment at which a job's last task does.
 func (sim *simulation) cancelCompletedJob(id string) {
 	users := &sim.users
-	if users.cancelAtEndShare == 0 || sim.cancelRequested[id] {
+	if users.cancelAtEndShare == 0 || sim.cancelRequested[id] || !sim.allTasksDone(id) {
 		return
 	}
-	for i := range sim.submitted[id].Tasks {
-		if !sim.completedTasks[wire.TaskName(id, i)] {
-			return
-		}
-	}
 	if users.rng.Float64() < users.cancelAtEndShare {
 		users.cancelledAtEnd++
 		sim.cancel(id, users.rng.IntN(len(sim.nodes)))
@@ -311,18 +306,14 @@
 	}
 }
 
+// isSchedulable reports whether a job that has started nothing fits on the machines and into its
+// team's limit.
 func (sim *simulation) isSchedulable(id string) bool {
 	job, info := sim.submitted[id], sim.taskInfos[id]
 	if sim.reportedTerminal[id] != "" || sim.cancelRequested[id] || info.Fails || sim.runningTasks(id) > 0 || sim.hasUnreportedDependency(id) {
 		return false
 	}
-	left := 0
-	for i := range job.Tasks {
-		if !sim.completedTasks[wire.TaskName(id, i)] {
-			left++
-		}
-	}
-	if left == 0 {
+	if sim.remainingTasks(job) == 0 {
 		return false
 	}
 	need := 1
@@ -330,21 +321,20 @@
 		need = job.Tasks
 	}
 	team := sim.cfg.Teams[slices.IndexFunc(sim.cfg.Teams, func(team config.Team) bool { return team.Name == job.Team })]
-	used := 0.0
-	for task := range sim.runningOn {
-		if other, _, _ := wire.SplitTaskName(task); sim.submitted[other].Team == job.Team {
-			used += sim.taskInfos[other].CPU
-		}
-	}
+	used := sim.usedCPUs()[job.Team]
 	if limit := team.QuotaLimit.CPUs(); limit > 0 && used+float64(need)*info.CPU > limit+1e-6 {
 		return false
 	}
+	return sim.roomFor(job) >= need
+}
+
+// roomFor returns how many tasks of a job fit on the machines, were none of them running.
+func (sim *simulation) roomFor(job *sched.Job) int {
 	byZone := map[string]int{}
 	for _, worker := range sim.workers {
-		if worker.Machine.Gone || worker.Hung || worker.Partitioned || worker.InboundBlocked || worker.FailsTasks || worker.PreemptionNotice != nil || !job.Allows(worker.Machine.Type, worker.Machine.Zone, worker.Machine.Spot) {
-			continue
+		if canRunTasks(worker, job) {
+			byZone[worker.Machine.Zone] += freeTaskSlots(worker, sim.taskInfos[job.ID])
 		}
-		byZone[worker.Machine.Zone] += freeTaskSlots(worker, info)
 	}
 	room := 0
 	for _, n := range byZone {
@@ -355,7 +345,35 @@
 			room += n
 		}
 	}
-	return room >= need
+	return room
+}
+
+// remainingTasks returns how many tasks of a job have not completed.
+func (sim *simulation) remainingTasks(job *sched.Job) int {
+	n := 0
+	for i := range job.Tasks {
+		if !sim.completedTasks[wire.TaskName(job.ID, i)] {
+			n++
+		}
+	}
+	return n
+}
+
+// usedCPUs returns the processors that the running tasks of each team use.
+func (sim *simulation) usedCPUs() map[string]float64 {
+	used := map[string]float64{}
+	for task := range sim.runningOn {
+		id, _, _ := wire.SplitTaskName(task)
+		used[sim.submitted[id].Team] += sim.taskInfos[id].CPU
+	}
+	return used
+}
+
+// canRunTasks reports whether a healthy machine is of a kind that a job allows.
+func canRunTasks(worker *fake.Worker, job *sched.Job) bool {
+	machine := worker.Machine
+	healthy := !machine.Gone && !worker.Hung && !worker.Partitioned && !worker.InboundBlocked && !worker.FailsTasks && worker.PreemptionNotice == nil
+	return healthy && job.Allows(machine.Type, machine.Zone, machine.Spot)
 }
 
 // freeTaskSlots counts the tasks of a kind for which a worker has room.
