--- a/controller/incompatible_test.go
+++ b/controller/incompatible_test.go
@@ -17,8 +17,8 @@
 	"tamarindlead/sched"
 )
 
-// recordFields are the fields of all records: the kind of record, then the way to the field.
-// Fields of what a block squeezes have numbers; "*" stands for the entries of a list.
+// recordFields are the fields of all records: the kind of record, then the path to the field.
+// Fields of the packed data of a block have numbers; "*" matches all entries of a list.
 var recordFields = []string{
 	"c/leader n", "c/leader i",
 	"c/n/ i",
@@ -68,8 +68,11 @@
 	}
 }
 
-// A way of making a field incompatible takes what holds it.
-var recordMutations = map[string]func(holder any, field string) (any, bool){
+// fieldMutation makes a field of a decoded map or list incompatible. It returns the changed map or
+// list, and false if that has no such field.
+type fieldMutation func(holder any, field string) (any, bool)
+
+var recordMutations = map[string]fieldMutation{
 	"renamed": func(holder any, field string) (any, bool) {
 		m, ok := holder.(map[any]any)
 		if !ok {
@@ -114,7 +117,7 @@
 }
 
 // mutateRecord changes the field at the end of a path in a decoded value.
-func mutateRecord(v any, path []string, how func(any, string) (any, bool)) (any, bool) {
+func mutateRecord(v any, path []string, mutation fieldMutation) (any, bool) {
 	if text, is := v.(string); is { // a block's data
 		raw, err := base64.RawStdEncoding.DecodeString(text)
 		if err == nil {
@@ -124,23 +127,23 @@
 		if err != nil || wire.Decode(raw, &d) != nil {
 			return nil, false
 		}
-		d, ok := mutateRecord(d, path, how)
+		d, ok := mutateRecord(d, path, mutation)
 		return base64.RawStdEncoding.EncodeToString(record.Compress(wire.Encode(d))), ok
 	}
 	if len(path) == 1 {
-		return how(v, path[0])
+		return mutation(v, path[0])
 	}
 	changed := false
 	switch h := v.(type) {
 	case map[any]any:
-		h[path[0]], changed = mutateRecord(h[path[0]], path[1:], how)
+		h[path[0]], changed = mutateRecord(h[path[0]], path[1:], mutation)
 		return h, changed
 	case []any:
 		for i := range h {
 			if path[0] != "*" && path[0] != fmt.Sprint(i) {
 				continue
 			}
-			x, ok := mutateRecord(h[i], path[1:], how)
+			x, ok := mutateRecord(h[i], path[1:], mutation)
 			if ok {
 				h[i], changed = x, true
 			}
@@ -150,11 +153,20 @@
 	return nil, false
 }
 
-// TestIncompatibleFieldsAreDetected makes each field of each record and message incompatible and sees
-// that the comparison of TestProductionReads and TestProductionRecords reports it: that what
-// the version in production reads then differs from what was meant.
+// TestIncompatibleFieldsAreDetected makes each field of each record and message incompatible and
+// checks that the comparison of TestProductionReads and TestProductionRecords reports it: that
+// what the version in production reads differs then from what was meant.
 func TestIncompatibleFieldsAreDetected(t *testing.T) {
 	process := startProduction(t)
+	t.Run("records", func(t *testing.T) { testIncompatibleRecords(t, process) })
+	t.Run("messages", func(t *testing.T) { testIncompatibleMessages(t, process) })
+	if process.err != nil {
+		t.Fatal(process.err)
+	}
+}
+
+func testIncompatibleRecords(t *testing.T, process *productionProcess) {
+	t.Helper()
 	records := fullRecords()
 	for key, value := range records {
 		if own, old := decodedText(key, value), process.decodeRecord(key, value); own != old {
@@ -163,66 +175,89 @@
 	}
 	tried := 0
 	for _, field := range recordFields {
-		kind, rest, _ := strings.Cut(field, " ")
-		for name, how := range recordMutations {
+		kind, path, _ := strings.Cut(field, " ")
+		for name, mutation := range recordMutations {
 			for key, value := range records {
 				if recordKind(key) != kind {
 					continue
 				}
-				var v any
-				if err := wire.Decode(value, &v); err != nil {
-					t.Fatal(err)
-				}
-				v, ok := mutateRecord(v, strings.Fields(rest), how)
-				if !ok {
-					if name != "renamed" {
-						t.Errorf("%s is not there to be %s", field, name)
-					}
-					continue
-				}
-				tried++
-				changed := wire.Encode(v)
-				if process.decodeRecord(key, changed) == decodedText(key, value) {
-					t.Errorf("%s %s is not seen in production", field, name)
-				}
-				if decodedText(key, changed) == decodedText(key, value) {
-					t.Errorf("%s %s is not seen by the present version", field, name)
+				changed, ok := mutateEncodedRecord(t, value, strings.Fields(path), mutation)
+				if ok {
+					tried++
+					checkRecordMutation(t, process, key, value, changed, field+" "+name)
+				} else if name != "renamed" {
+					t.Errorf("%s is not there to be %s", field, name)
 				}
 			}
 		}
 	}
-	messages := 0
-	body := (&peer.Message{}).ProtoReflect().Descriptor().Fields()
-	for i := range body.Len() {
-		f := body.Get(i)
-		m := &peer.Message{From: "n1"}
-		if f.Message() != nil {
-			fillMessage(m.ProtoReflect().Mutable(f).Message())
-		}
-		data, err := proto.Marshal(m)
-		if err != nil {
-			t.Fatal(err)
-		}
+	t.Logf("%d changes of records", tried)
+}
+
+// mutateEncodedRecord changes the field at the end of a path in an encoded record.
+func mutateEncodedRecord(t *testing.T, value []byte, path []string, mutation fieldMutation) ([]byte, bool) {
+	t.Helper()
+	var decoded any
+	if err := wire.Decode(value, &decoded); err != nil {
+		t.Fatal(err)
+	}
+	decoded, ok := mutateRecord(decoded, path, mutation)
+	if !ok {
+		return nil, false
+	}
+	return wire.Encode(decoded), true
+}
+
+// checkRecordMutation checks that both versions read something else in a changed record.
+func checkRecordMutation(t *testing.T, process *productionProcess, key string, value, changed []byte, description string) {
+	t.Helper()
+	meant := decodedText(key, value)
+	if process.decodeRecord(key, changed) == meant {
+		t.Errorf("%s is not seen in production", description)
+	}
+	if decodedText(key, changed) == meant {
+		t.Errorf("%s is not seen by the present version", description)
+	}
+}
+
+func testIncompatibleMessages(t *testing.T, process *productionProcess) {
+	t.Helper()
+	tried := 0
+	fields := (&peer.Message{}).ProtoReflect().Descriptor().Fields()
+	for i := range fields.Len() {
+		field := fields.Get(i)
+		data := fullMessage(t, field)
 		if own, old := decodedMessage(data), process.decodeMessage(data); own != old {
 			t.Errorf("a message means\n%s\nand in production\n%s", own, old)
 		}
-		for _, path := range fieldPaths(f) {
-			for name, how := range wireMutations {
-				changed, ok := mutateWire(data, path, how)
+		for _, path := range fieldPaths(field) {
+			for name, mutation := range wireMutations {
+				changed, ok := mutateWire(data, path, mutation)
 				if !ok {
 					t.Errorf("%v is not there to be %s", path, name)
 				}
-				messages++
+				tried++
 				if process.decodeMessage(changed) == decodedMessage(data) {
-					t.Errorf("%v of %s %s is not seen in production", path, f.Name(), name)
+					t.Errorf("%v of %s %s is not seen in production", path, field.Name(), name)
 				}
 			}
 		}
 	}
-	t.Logf("%d changes of records, %d of messages", tried, messages)
-	if process.err != nil {
-		t.Fatal(process.err)
+	t.Logf("%d changes of messages", tried)
+}
+
+// fullMessage returns an encoded peer message with one field of its body set in full.
+func fullMessage(t *testing.T, field protoreflect.FieldDescriptor) []byte {
+	t.Helper()
+	message := &peer.Message{From: "n1"}
+	if field.Message() != nil {
+		fillMessage(message.ProtoReflect().Mutable(field).Message())
 	}
+	data, err := proto.Marshal(message)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return data
 }
 
 // fillMessage sets all fields of a message.
@@ -275,8 +310,10 @@
 	return paths
 }
 
-// wireMutations make an encoded field incompatible.
-var wireMutations = map[string]func(n protowire.Number, typ protowire.Type, value []byte) []byte{
+// wireMutation returns an incompatible encoding of a field.
+type wireMutation func(n protowire.Number, typ protowire.Type, value []byte) []byte
+
+var wireMutations = map[string]wireMutation{
 	"renumbered": func(n protowire.Number, typ protowire.Type, value []byte) []byte {
 		return append(protowire.AppendTag(nil, n+100, typ), value...)
 	},
@@ -286,20 +323,27 @@
 	},
 }
 
-func mutateWire(data []byte, path []protowire.Number, how func(protowire.Number, protowire.Type, []byte) []byte) (out []byte, changed bool) {
+// mutateWire changes the field at the end of a path of field numbers in an encoded message.
+func mutateWire(data []byte, path []protowire.Number, mutation wireMutation) (out []byte, changed bool) {
 	for len(data) > 0 {
-		n, typ, size := protowire.ConsumeTag(data)
-		whole := size + max(0, protowire.ConsumeFieldValue(n, typ, data[size:]))
-		tag, value := data[:size], data[size:whole]
-		data = data[whole:]
+		number, typ, tagSize := protowire.ConsumeTag(data)
+		valueSize := protowire.ConsumeFieldValue(number, typ, data[max(0, tagSize):])
+		if tagSize < 0 || valueSize < 0 {
+			panic("a message of this file cannot be parsed")
+		}
+		tag, value := data[:tagSize], data[tagSize:tagSize+valueSize]
+		data = data[tagSize+valueSize:]
 		switch {
-		case n != path[0]:
+		case number != path[0]:
 			out = append(append(out, tag...), value...)
 		case len(path) == 1:
-			out, changed = append(out, how(n, typ, value)...), true
+			out, changed = append(out, mutation(number, typ, value)...), true
 		default:
-			inner, _ := protowire.ConsumeBytes(value)
-			inner, changed = mutateWire(inner, path[1:], how)
+			inner, size := protowire.ConsumeBytes(value)
+			if size < 0 {
+				panic("a field with fields of its own is not encoded as one")
+			}
+			inner, changed = mutateWire(inner, path[1:], mutation)
 			out = protowire.AppendBytes(append(out, tag...), inner)
 		}
 	}
