--- /dev/null
+++ b/controller/faults_heartbeats_test.go
@@ -0,0 +1,84 @@
+package controller
+
+import (
+	"slices"
+
+	"tamarindlead/internal/fake"
+	"tamarindlead/micros"
+)
+
+const maxSavedHeartbeats = 64 // copies for the next owner
+
+// sendHeartbeatCopy brings a worker's report to a node; nobody waits for the answer.
+func (sim *simulation) sendHeartbeatCopy(node int, body []byte) {
+	sim.sendRequest(sim.nodes[node], Request{Method: "POST", Path: PathHeartbeat, Body: body}, micros.Second, func(Respond) {})
+}
+
+// duplicateHeartbeat makes the copies of a report that come later. It returns true if the report
+// itself does not arrive now.
+func (sim *simulation) duplicateHeartbeat(worker *fake.Worker, body []byte) bool {
+	if sim.duplicateHeartbeatRate > 0 && sim.rng.Float64() < sim.duplicateHeartbeatRate {
+		if sim.replayToNextOwner {
+			if sim.replayHeartbeats = append(sim.replayHeartbeats, body); len(sim.replayHeartbeats) > maxSavedHeartbeats {
+				sim.replayHeartbeats = sim.replayHeartbeats[1:]
+			}
+		} else {
+			to := sim.rng.IntN(len(sim.nodes))
+			sim.after(sim.randomDuration(2*micros.Second, 2*sim.cfg.WorkerLease), func() { sim.sendHeartbeatCopy(to, body) })
+		}
+	}
+	i := slices.Index(sim.delayNextHeartbeatOf, worker.Machine.Name)
+	if i < 0 {
+		return false
+	}
+	sim.delayNextHeartbeatOf = slices.Delete(sim.delayNextHeartbeatOf, i, i+1)
+	sim.delayedHeartbeats = append(sim.delayedHeartbeats, body)
+	return true
+}
+
+// replayToNewOwners delivers what was kept for a new owner: copies to every controller as it begins
+// and again as it becomes active, a report that was held back once it has acted.
+func (sim *simulation) replayToNewOwners() {
+	if sim.owners == nil {
+		sim.owners, sim.activeOwners = map[int]any{}, map[int]any{}
+	}
+	copies := func() {
+		for _, body := range sim.replayHeartbeats {
+			for i := range sim.nodes {
+				sim.sendHeartbeatCopy(i, body)
+			}
+		}
+	}
+	for i, node := range sim.nodes {
+		o, active := node.ownership()
+		if o == nil {
+			sim.owners[i], sim.activeOwners[i] = nil, nil
+			continue
+		}
+		if sim.owners[i] != o {
+			sim.owners[i] = o
+			copies()
+		}
+		if active && sim.activeOwners[i] != o {
+			sim.activeOwners[i] = o
+			copies()
+			sim.replayHeartbeats = nil
+			for _, body := range sim.delayedHeartbeats {
+				sim.after(4*micros.Second, func() { sim.sendHeartbeatCopy(i, body) })
+			}
+			sim.delayedHeartbeats = nil
+		}
+	}
+}
+
+// replayInterval is the time between two replays of captured heartbeats.
+const replayInterval = 50 * micros.Millisecond
+
+// replayCapturedHeartbeats sends the captured heartbeats to all nodes.
+func (sim *simulation) replayCapturedHeartbeats() {
+	for _, body := range sim.capturedHeartbeats {
+		for i := range sim.nodes {
+			sim.sendHeartbeatCopy(i, body)
+		}
+	}
+}
--- a/controller/faults_workers_test.go
+++ b/controller/faults_workers_test.go
@@ -5,8 +5,6 @@
 	"slices"
 	"strings"
 
-	"tamarindlead/internal/ordered"
-
 	"tamarindlead/internal/fake"
 	"tamarindlead/internal/wire"
 	"tamarindlead/micros"
@@ -30,8 +28,6 @@
 	activeOwners           map[int]any
 }
 
-const maxSavedHeartbeats = 64 // copies for the next owner
-
 // setTaskStagger has each task of a job take longer than the one before it.
 func (sim *simulation) setTaskStagger(id string, step micros.Micros) {
 	if step > 0 {
@@ -47,68 +43,6 @@
 	return low + micros.Micros(sim.rng.Int64N(int64(max(1, high-low))))
 }
 
-// sendHeartbeatCopy brings a worker's report to a node; nobody waits for the answer.
-func (sim *simulation) sendHeartbeatCopy(node int, body []byte) {
-	sim.sendRequest(sim.nodes[node], Request{Method: "POST", Path: PathHeartbeat, Body: body}, micros.Second, func(Respond) {})
-}
-
-// duplicateHeartbeat makes the copies of a report that come later. It returns true if the report
-// itself does not arrive now.
-func (sim *simulation) duplicateHeartbeat(worker *fake.Worker, body []byte) bool {
-	if sim.duplicateHeartbeatRate > 0 && sim.rng.Float64() < sim.duplicateHeartbeatRate {
-		if sim.replayToNextOwner {
-			if sim.replayHeartbeats = append(sim.replayHeartbeats, body); len(sim.replayHeartbeats) > maxSavedHeartbeats {
-				sim.replayHeartbeats = sim.replayHeartbeats[1:]
-			}
-		} else {
-			to := sim.rng.IntN(len(sim.nodes))
-			sim.after(sim.randomDuration(2*micros.Second, 2*sim.cfg.WorkerLease), func() { sim.sendHeartbeatCopy(to, body) })
-		}
-	}
-	i := slices.Index(sim.delayNextHeartbeatOf, worker.Machine.Name)
-	if i < 0 {
-		return false
-	}
-	sim.delayNextHeartbeatOf = slices.Delete(sim.delayNextHeartbeatOf, i, i+1)
-	sim.delayedHeartbeats = append(sim.delayedHeartbeats, body)
-	return true
-}
-
-// replayToNewOwners delivers what was kept for a new owner: copies to every controller as it begins
-// and again as it becomes active, a report that was held back once it has acted.
-func (sim *simulation) replayToNewOwners() {
-	if sim.owners == nil {
-		sim.owners, sim.activeOwners = map[int]any{}, map[int]any{}
-	}
-	copies := func() {
-		for _, body := range sim.replayHeartbeats {
-			for i := range sim.nodes {
-				sim.sendHeartbeatCopy(i, body)
-			}
-		}
-	}
-	for i, node := range sim.nodes {
-		o, active := node.ownership()
-		if o == nil {
-			sim.owners[i], sim.activeOwners[i] = nil, nil
-			continue
-		}
-		if sim.owners[i] != o {
-			sim.owners[i] = o
-			copies()
-		}
-		if active && sim.activeOwners[i] != o {
-			sim.activeOwners[i] = o
-			copies()
-			sim.replayHeartbeats = nil
-			for _, body := range sim.delayedHeartbeats {
-				sim.after(4*micros.Second, func() { sim.sendHeartbeatCopy(i, body) })
-			}
-			sim.delayedHeartbeats = nil
-		}
-	}
-}
-
 // delayCommand holds up a direct command, or its answer. It returns how to answer, or nil if the
 // command comes later.
 func (sim *simulation) delayCommand(call Call, answer func(fake.Response)) func(fake.Response) {
@@ -216,84 +150,3 @@
 		}
 	}),
 }
-
-// replayInterval is the time between two replays of captured heartbeats.
-const replayInterval = 50 * micros.Millisecond
-
-// replayCapturedHeartbeats sends the captured heartbeats to all nodes.
-func (sim *simulation) replayCapturedHeartbeats() {
-	for _, body := range sim.capturedHeartbeats {
-		for i := range sim.nodes {
-			sim.sendHeartbeatCopy(i, body)
-		}
-	}
-}
-
-// maxHungMachines is how many machines of cancelled jobs hang.
-const maxHungMachines = 8
-
-// cancelDuringFaults has users cancel running jobs within a fifth of a second; some of their machines
-// hang, or are cut off.
-func (sim *simulation) cancelDuringFaults(count int, hang micros.Micros, cut bool) {
-	var jobs []string
-	for task := range sim.runningOn {
-		if id, _, _ := wire.SplitTaskName(task); !sim.cancelRequested[id] && !slices.Contains(jobs, id) {
-			jobs = append(jobs, id)
-		}
-	}
-	slices.Sort(jobs)
-	jobs = jobs[:min(count, len(jobs))]
-	hung := map[string]bool{}
-	for _, task := range ordered.Keys(sim.runningOn) {
-		id, _, _ := wire.SplitTaskName(task)
-		name := sim.runningOn[task]
-		if hang == 0 || !slices.Contains(jobs, id) || hung[name] || len(hung) == maxHungMachines {
-			continue
-		}
-		hung[name] = true
-		worker := sim.workers[name]
-		if cut {
-			worker.Partitioned = true
-			sim.after(hang, func() { worker.Partitioned = false })
-			continue
-		}
-		worker.Hung = true
-		sim.after(hang, func() { worker.Hung = false })
-	}
-	for _, id := range jobs {
-		sim.after(sim.randomDuration(0, micros.Second/5), func() { sim.cancel(id, sim.rng.IntN(len(sim.nodes))) })
-	}
-}
-
-// changeLeader takes the lead from whoever has it: it ends for a moment or for longer, or is
-// cut off, or loses the state service and its siblings, in turn.
-func (sim *simulation) changeLeader(turn int, every micros.Micros) {
-	i := sim.leader()
-	if i < 0 {
-		return
-	}
-	node := sim.nodes[i]
-	switch turn % 4 {
-	case 0:
-		sim.crash(node, micros.Second/5)
-	case 1:
-		node.partitioned, node.delaysOutbound = true, true
-		sim.after(every*3/4, func() { node.partitioned = false })
-	case 2:
-		node.onlyWorkersReachable = true
-		sim.after(every*3/4, func() { node.onlyWorkersReachable = false })
-	case 3:
-		sim.crash(node, every/2)
-	}
-}
-
-// countCancelledRunning counts the tasks on machines whose users were told that they are cancelled.
-func (sim *simulation) countCancelledRunning() int {
-	n := 0
-	for task := range sim.runningOn {
-		if id, _, _ := wire.SplitTaskName(task); sim.acknowledgedCancellations[id] > 0 {
-			n++
-		}
-	}
-	return n
-}
--- /dev/null
+++ b/controller/production_records_test.go
@@ -0,0 +1,213 @@
+package controller
+
+import (
+	"slices"
+	"strings"
+	"testing"
+
+	"tamarindlead/internal/fake"
+	"tamarindlead/internal/record"
+	"tamarindlead/internal/wire"
+	"tamarindlead/micros"
+	"tamarindlead/sched"
+)
+
+// TestProductionRecords has the present version read what the one in production wrote, and
+// go on from there: all jobs end, and the rules hold.
+func TestProductionRecords(t *testing.T) {
+	for name, d := range readDumps(t) {
+		t.Run(name, func(t *testing.T) {
+			t.Parallel()
+			for i, r := range d.Records {
+				if got := decodedText(r.Key, r.Value); got != withoutDefaults(d.DecodedRecords[i]) {
+					t.Errorf("%s is read as\n%s\nin production as\n%s", r.Key, got, d.DecodedRecords[i])
+				}
+			}
+			for i, m := range d.Messages {
+				if got := decodedMessage(m); got != d.DecodedMessages[i] {
+					t.Errorf("a message is read as\n%s\nin production as\n%s", got, d.DecodedMessages[i])
+				}
+			}
+			runToCompletion(t, loadSimulation(d))
+			sim := loadSimulation(d) // and with the smaller limits at once
+			sim.nextLimits = nextLimits{on: true, value: 1 << 10, ops: 5, writes: 15, rps: 150}
+			sim.kvStore.MaxValueBytes, sim.kvStore.MaxOps, sim.kvStore.WriteRate, sim.kvStore.RequestRate = 1<<10, 5, 15, 150
+			runToCompletion(t, sim)
+		})
+	}
+}
+
+// runToCompletion plays until all jobs have ended.
+func runToCompletion(t *testing.T, sim *simulation) {
+	t.Helper()
+	for end := sim.now + 300*micros.Second; sim.now < end && len(unfinishedJobs(sim)) > 0 && len(sim.violations) == 0; {
+		sim.run(micros.Second)
+	}
+	if len(sim.violations) > 0 {
+		t.Errorf("rules broken:\n%s", strings.Join(sim.violations, "\n"))
+	}
+	if left := unfinishedJobs(sim); len(left) > 0 {
+		t.Errorf("not done: %s", strings.Join(left, " "))
+	}
+}
+
+// TestProductionOwnerEnds goes on from the dumps with the owner of the production version
+// still alive, which leads until it ends; the others are new.
+func TestProductionOwnerEnds(t *testing.T) {
+	for name, d := range readDumps(t) {
+		t.Run(name, func(t *testing.T) {
+			t.Parallel()
+			sim := loadSimulation(d)
+			sim.startWithProduction(t, 1)
+			for _, node := range sim.nodes[1:] { // so that the old one leads first
+				node.downUntil = sim.now + 6*micros.Second
+			}
+			sim.run(12 * micros.Second)
+			if sim.leader() != 0 {
+				t.Fatal("the node of the production version does not lead")
+			}
+			sim.nodes[0].version = currentVersion
+			sim.crash(sim.nodes[0], restartDelay)
+			runToCompletion(t, sim)
+		})
+	}
+}
+
+// recordKind is the part of a key that tells what is recorded.
+func recordKind(key string) string {
+	for _, p := range []string{record.MemberPrefix, record.TeamPrefix, record.BlockPrefix, record.ActiveJobPrefix, record.TerminalStatePrefix, record.CompletionSegmentPrefix, record.ScaleOutRequestPrefix, record.ReservationPrefix} {
+		if strings.HasPrefix(key, p) {
+			return p
+		}
+	}
+	return key
+}
+
+// kinds that a world of each version must have written, so that nothing goes unchecked.
+var recordKinds = []string{record.LeaderKey, record.MachineTypesKey, record.MemberPrefix, record.TeamPrefix, record.BlockPrefix, record.ActiveJobPrefix, record.TerminalStatePrefix, record.CompletionSegmentPrefix, record.ScaleOutRequestPrefix, record.ReservationPrefix}
+
+// TestDumpsCoverAllKinds sees that the dumps hold every kind of record and message.
+func TestDumpsCoverAllKinds(t *testing.T) {
+	seen, said := map[string]bool{}, ""
+	condemned := false
+	for _, d := range readDumps(t) {
+		for i, r := range d.Records {
+			seen[recordKind(r.Key)] = true
+			condemned = condemned || strings.Contains(d.DecodedRecords[i], `"condemned":true`)
+		}
+		said += strings.Join(d.DecodedMessages, "\n")
+	}
+	for _, k := range recordKinds {
+		if !seen[k] {
+			t.Errorf("no record %s", k)
+		}
+	}
+	if !condemned {
+		t.Error("no condemned machine")
+	}
+	for _, m := range messageKinds {
+		if !strings.Contains(said, `"`+m+`":`) {
+			t.Errorf("no message %s", m)
+		}
+	}
+}
+
+var messageKinds = []string{"beat", "storeCall", "storeReply", "jobEnded", "want", "given"}
+
+// differences collects what two versions read differently.
+type differences struct {
+	process   *productionProcess
+	compared  map[string]bool
+	kinds     map[string]bool
+	differing []string
+}
+
+func (diffs *differences) record(key string, value []byte) {
+	text := key + " " + string(value)
+	if diffs.compared[text] {
+		return
+	}
+	diffs.compared[text], diffs.kinds[recordKind(key)] = true, true
+	diffs.compare(key, decodedText(key, value), diffs.process.decodeRecord(key, value))
+}
+
+func (diffs *differences) message(body []byte) {
+	if diffs.compared[string(body)] {
+		return
+	}
+	diffs.compared[string(body)] = true
+	own := decodedMessage(body)
+	for _, m := range messageKinds {
+		if strings.Contains(own, `"`+m+`":`) {
+			diffs.kinds[m] = true
+		}
+	}
+	diffs.compare("a message", own, diffs.process.decodeMessage(body))
+}
+
+func (diffs *differences) compare(what, own, old string) {
+	if own != old || strings.HasPrefix(own, "error") {
+		diffs.differing = append(diffs.differing, what+" means\n"+own+"\nand in production\n"+old)
+	}
+}
+
+// TestProductionReads has the version in production read all that the present one writes and
+// says while plain jobs are all that there is: each record and message must mean to it what
+// it means to us.
+func TestProductionReads(t *testing.T) {
+	diffs := &differences{process: startProduction(t), compared: map[string]bool{}, kinds: map[string]bool{}}
+	runDumpScript(t, func(sim *simulation) {
+		sim.kvStore.OnPut = func(key string, value []byte, _ uint64) { diffs.record(key, value) }
+		sim.onMessage = diffs.message
+	}, nil)
+	if len(diffs.differing) > 0 {
+		t.Errorf("%d differences, the first:\n%s", len(diffs.differing), diffs.differing[0])
+	}
+	for _, k := range slices.Concat(recordKinds, messageKinds) {
+		if !diffs.kinds[k] {
+			t.Errorf("no %s was written", k)
+		}
+	}
+}
+
+// TestBlockedJobInProduction is what the version in production does with a job that waits
+// for others, should a node go back to it all the same: its description is kept where that
+// version does not look, so it starts nothing, goes on calling the job queued, and accepts it
+// no second time.
+func TestBlockedJobInProduction(t *testing.T) {
+	d := readDumps(t)["begun"]
+	id := "req-000099"
+	job := sched.Job{ID: id, Class: "work", Team: "red", Tasks: 2, Need: sched.NewResources(1, 0, 1), Image: "img", ImageGB: 1, Estimate: micros.Second}
+	value := wire.Encode(map[string]any{"w": wire.FromJob(&job), "at": int64(d.Now)})
+	d.Records = append(d.Records, fake.Record{Key: record.ActiveJobKey(id), Value: value, Version: d.Revision + 1})
+	d.Revision++
+	d.Jobs = append(d.Jobs, dumpJob{Job: job, Info: fake.TaskInfo{CPU: 1, Mem: 1, Run: micros.Second, Fetch: micros.Second, Tasks: 2}, Accepted: true})
+	sim := loadSimulation(d)
+	sim.startWithProduction(t, len(sim.nodes))
+	if old := sim.production.decodeRecord(record.ActiveJobKey(id), value); !strings.HasPrefix(old, "error") {
+		t.Errorf("the version in production reads %s", old)
+	}
+	sim.run(60 * micros.Second)
+	statuses := map[string]int{}
+	for i := range sim.nodes {
+		for _, request := range []Request{{Method: "GET", Path: "/api/jobs/" + id}, {Method: "POST", Path: "/api/jobs", Body: sim.submissions[id]}} {
+			sim.sendRequest(sim.nodes[i], request, 5*micros.Second, func(a Respond) {
+				var state wire.JobState
+				if wire.Decode(a.Body, &state) != nil {
+					state.Status = "unreadable"
+				}
+				statuses[strings.Join([]string{request.Method, string(state.Status)}, " ")]++
+			})
+		}
+	}
+	sim.run(6 * micros.Second)
+	if statuses["GET queued"] != len(sim.nodes) || statuses["POST queued"] != len(sim.nodes) {
+		t.Errorf("answers: %v", statuses)
+	}
+	if sim.startedAt[id] != 0 || sim.runningOn[wire.TaskName(id, 0)] != "" || sim.completedTasks[wire.TaskName(id, 0)] {
+		t.Error("it has started")
+	}
+	if len(sim.violations) > 0 {
+		t.Errorf("rules broken:\n%s", strings.Join(sim.violations, "\n"))
+	}
+}
--- /dev/null
+++ b/controller/users_responses_test.go
@@ -0,0 +1,143 @@
+package controller
+
+import (
+	"slices"
+	"strings"
+
+	"tamarindlead/config"
+	"tamarindlead/internal/wire"
+	"tamarindlead/micros"
+	"tamarindlead/sched"
+)
+
+// checkRefusal sees that a user who is refused is told when to come again, and at once if
+// there is too much.
+func (sim *simulation) checkRefusal(request Request, response Respond, took micros.Micros) {
+	if request.Peer || !strings.HasPrefix(request.Path, "/api/jobs") || response.Status != 429 && response.Status != 503 {
+		return
+	}
+	sim.users.refusals[response.Status]++
+	if response.RetryAfter < 1 {
+		sim.reportViolation("refused: %s %s is answered %d without Retry-After", request.Method, request.Path, response.Status)
+	}
+	if response.Status == 429 && took > maxRefusalLatency {
+		sim.reportViolation("refused: %s %s is answered 429 after %v", request.Method, request.Path, took)
+	}
+}
+
+// checkResponse holds what a user is told against what was told before the question was sent.
+// Questions that cross may be answered in any order; two final states never differ.
+func (sim *simulation) checkResponse(id string, response Respond, sent micros.Micros) {
+	switch response.Status {
+	case wire.StatusNotFound, wire.StatusBadRequest, wire.StatusUnprocessable:
+		if at, known := sim.users.acceptedAt[id]; known && at <= sent {
+			sim.reportViolation("forgotten: %s is answered %d", id, response.Status)
+		}
+		sim.checkDependencyRefusal(id, response.Status, sent)
+	case wire.StatusOK, wire.StatusAccepted:
+		sim.checkAcceptedResponse(id, response.Body, sent)
+	}
+}
+
+// checkAcceptedResponse checks an answer by which a job was accepted.
+func (sim *simulation) checkAcceptedResponse(id string, body []byte, sent micros.Micros) {
+	users := &sim.users
+	if why := users.mustRefuse[id]; why != "" {
+		sim.reportViolation("accepted_bad: %s is accepted: %s", id, why)
+		return
+	}
+	job := sim.submitted[id]
+	if job == nil {
+		sim.reportViolation("invented: %s", id)
+		return
+	}
+	if why := sim.rejectionReason(job); why != "" && !sim.accepted[id] {
+		sim.reportViolation("accepted_bad: %s is accepted: %s", id, why)
+	}
+	users.responseCount[id]++
+	sim.accepted[id], sim.lastAnsweredAt[id] = true, sim.now
+	var state wire.JobState
+	if wire.Decode(body, &state) != nil || state.ID != id {
+		sim.reportViolation("answer: that for %s cannot be read", id)
+		return
+	}
+	sim.checkDependencyStatus(id, state.Status)
+	sim.checkState(job, state.Status, sent)
+}
+
+// checkState checks the state of a job that a user is told.
+func (sim *simulation) checkState(job *sched.Job, status wire.JobPhase, sent micros.Micros) {
+	users, id := &sim.users, job.ID
+	final := status == wire.JobDone || status == wire.JobCancelled
+	if was, ok := sim.reportedTerminal[id]; ok && was != status && (final || users.terminalSeenAt[id] <= sent) {
+		sim.reportViolation("went_back: %s was %s, is %s", id, was, status)
+	}
+	fresh := sim.reportedTerminal[id] == "" && final
+	if _, ok := users.acceptedAt[id]; !ok {
+		users.acceptedAt[id], fresh = sim.now, true
+		if in, ok := users.cancelAfter[id]; ok {
+			sim.after(in, func() { sim.cancel(id, users.rng.IntN(len(sim.nodes))) })
+		}
+	}
+	if final {
+		sim.checkTerminalState(job, status)
+	}
+	if fresh {
+		sim.checkConsistency(id)
+	}
+}
+
+// checkTerminalState checks that a job has ended as its user is told, and notes that.
+func (sim *simulation) checkTerminalState(job *sched.Job, status wire.JobPhase) {
+	id := job.ID
+	if status == wire.JobDone {
+		sim.checkTasksDone(job)
+	} else {
+		if !sim.mayBeCancelled(id) {
+			sim.reportViolation("went_back: %s was not cancelled by its user, nor was a job that it needs", id)
+		}
+		if _, ok := sim.acknowledgedCancellations[id]; !ok {
+			sim.acknowledgedCancellations[id] = sim.now
+		}
+	}
+	if sim.reportedTerminal[id] == "" {
+		sim.reportedTerminal[id], sim.users.terminalSeenAt[id] = status, sim.now
+	}
+}
+
+// checkTasksDone checks that all tasks of a job were done that is said to be.
+func (sim *simulation) checkTasksDone(job *sched.Job) {
+	for i := range job.Tasks {
+		if !sim.completedTasks[wire.TaskName(job.ID, i)] {
+			sim.reportViolation("not_done: %s without task %d", job.ID, i)
+			return
+		}
+	}
+}
+
+// rejectionReason tells why a job must not be accepted, or "".
+func (sim *simulation) rejectionReason(job *sched.Job) string {
+	i := slices.IndexFunc(sim.cfg.Teams, func(team config.Team) bool { return team.Name == job.Team })
+	if i < 0 {
+		return "no such team"
+	}
+	need := job.Need.CPUs()
+	if job.Gang {
+		need *= float64(job.Tasks)
+	}
+	if limit := sim.cfg.Teams[i].QuotaLimit; limit.CPU > 0 && need > limit.CPUs() {
+		return "more than the team's limit"
+	}
+	if job.Tasks < 1 || job.Tasks > 100000 {
+		return "so many tasks are not allowed"
+	}
+	for _, machineType := range sim.cloud.Types {
+		if job.Need.CPUs() > machineType.CPUs || sim.taskInfos[job.ID].Mem > machineType.MemGB {
+			continue
+		}
+		if slices.ContainsFunc(machineType.Zones, func(z string) bool { return job.Allows(machineType.Name, z, false) }) {
+			return ""
+		}
+	}
+	return "a task fits no machine type"
+}
