--- a/controller/dump_play_test.go
+++ b/controller/dump_play_test.go
@@ -10,8 +10,9 @@
 	"tamarindlead/micros"
 )
 
-// runDumpScript plays production/script.txt: with nodes of the version in production where
-// save takes the dumps, else with present ones. begin sees each world before it plays.
+// runDumpScript plays production/script.txt: with nodes of the version in production if save takes
+// the dumps, with nodes of the present version otherwise. begin is called with each simulation
+// before it runs.
 func runDumpScript(t *testing.T, begin func(sim *simulation), save func(sim *simulation, name string)) {
 	t.Helper()
 	var sim *simulation
@@ -45,7 +46,7 @@
 	})
 }
 
-// runUntilRecord plays until there is a record with a prefix in which a text is read.
+// runUntilRecord runs until a record whose key has a prefix contains a text once decoded.
 func (sim *simulation) runUntilRecord(prefix, text string) string {
 	for end := sim.now + 60*micros.Second; sim.now < end; sim.run(simulationStep) {
 		for _, k := range sim.kvStore.Keys(prefix) {
--- a/controller/dump_test.go
+++ b/controller/dump_test.go
@@ -64,14 +64,14 @@
 	CancelledAt      micros.Micros `cbor:"Cancelled"`
 }
 
-// notifyPeerMessage passes on what a node said to another.
+// notifyPeerMessage passes a peer message to the test's callback, if any.
 func (sim *simulation) notifyPeerMessage(body []byte) {
 	if sim.onMessage != nil && len(body) > 0 {
 		sim.onMessage(body)
 	}
 }
 
-// dumpLease is how long the leases of the nodes of a dump last still.
+// dumpLease is how long the leases of a dump's nodes remain valid.
 const dumpLease = 2 * micros.Second
 
 // loadSimulation returns a simulation that continues from a dump; its users ask for their jobs.
--- a/controller/dump_write_test.go
+++ b/controller/dump_write_test.go
@@ -56,7 +56,7 @@
 	})
 }
 
-// writeDump takes a dump; the messages come from elsewhere.
+// writeDump returns a dump of the simulation without its messages, which the caller collects.
 func (sim *simulation) writeDump() *dump {
 	d := &dump{Settings: *sim.cfg, Now: sim.now, Types: sim.cloud.Types, Capacity: sim.cloud.Capacity, Done: ordered.Keys(sim.completedTasks)}
 	d.Records, d.Revision = sim.kvStore.Records()
--- a/controller/effects_test.go
+++ b/controller/effects_test.go
@@ -18,8 +18,8 @@
 )
 
 // TestRecordedEffects plays scenarios and compares all events and effects of the nodes with
-// those that were recorded: a refactoring must not change any of them. A change of behaviour
-// does, and then records them anew, in the commit that makes it:
+// the recorded ones: a refactoring must not change any of them. A commit that changes behaviour
+// records them anew:
 //
 //	go test ./controller -run TestRecordedEffects -rewrite
 func TestRecordedEffects(t *testing.T) {
@@ -31,7 +31,7 @@
 	})
 }
 
-// TestRecordedEffectsDiffer shows that the comparison notices each kind of difference.
+// TestRecordedEffectsDiffer checks that the digest differs for each kind of difference.
 func TestRecordedEffectsDiffer(t *testing.T) {
 	base := []Effect{Call{ID: 1, Addr: "state", Method: "GET", Target: "/kv/types", Timeout: 5, MaxBody: 6}, Respond{ID: 2, Status: 200, Body: []byte("x")}}
 	digest := func(ev Event, effects []Effect) string {
@@ -65,7 +65,7 @@
 	}
 }
 
-// runRecorded plays a scenario and digests what its nodes took and returned.
+// runRecorded plays a scenario and returns a digest of its nodes' events and effects.
 func runRecorded(t *testing.T, scenario string) *effectDigest {
 	record := newEffectDigest()
 	runScenario(t, filepath.Join("testdata", scenario+".txt"), func(*datadriven.TestData) {}, func(sim *simulation) {
@@ -76,11 +76,11 @@
 	return record
 }
 
-// digestInterval is how much simulated time one line of a record covers: the first line that
-// differs tells about when the behaviour does.
+// digestInterval is the simulated time that one line of a record covers: the first line that
+// differs shows about when the behaviour does.
 const digestInterval = 10 * micros.Second
 
-// effectDigest digests events and effects. Each line holds the digest of all up to its time.
+// effectDigest hashes events and effects. Each line holds the hash of all up to its time.
 type effectDigest struct {
 	hash       hash.Hash64
 	events     int
@@ -123,12 +123,12 @@
 // writef adds formatted text to the digest.
 func (record *effectDigest) writef(format string, args ...any) {
 	if _, err := fmt.Fprintf(record.hash, format, args...); err != nil {
-		panic(err) // a hash takes everything
+		panic(err) // writing to a hash never fails
 	}
 }
 
-// canonical orders the keys of maps in a CBOR body, since their order on the wire means nothing,
-// also in one that a message between controllers carries. A body of another form stays as it is.
+// canonical sorts the keys of maps in a CBOR body, whose order on the wire is random, also in a body
+// that a peer message carries. Any other body is returned unchanged.
 func canonical(body []byte) []byte {
 	var value any
 	if cbor.Unmarshal(body, &value) == nil {
--- a/controller/fault_pairs_faults_test.go
+++ b/controller/fault_pairs_faults_test.go
@@ -7,8 +7,8 @@
 	"tamarindlead/micros"
 )
 
-// pairFault is a kind of trouble. It begins, tells about itself, and how long it lasts
-// and how it ends.
+// pairFault is a kind of fault. start causes it and returns a description, its duration and, unless
+// nothing is to be reverted, the function that ends it.
 type pairFault struct {
 	name     string
 	start    func(run *faultPairRun) (about string, lasts micros.Micros, end func())
@@ -26,7 +26,7 @@
 	})
 }
 
-// newNodeFault is one that befalls a node.
+// newNodeFault returns a fault of one node that lasts between two durations in seconds.
 func newNodeFault(name string, from, to float64, set func(sim *simulation, node *simNode, on bool)) pairFault {
 	return pairFault{name: name, start: func(run *faultPairRun) (string, micros.Micros, func()) {
 		node := run.pickNode()
@@ -35,7 +35,7 @@
 	}}
 }
 
-// newMachineFault is one that befalls machines.
+// newMachineFault returns a fault of some machines.
 func newMachineFault(name string, from, to float64, set func(worker *fake.Worker, on bool)) pairFault {
 	return pairFault{name: name, start: func(run *faultPairRun) (string, micros.Micros, func()) {
 		list := run.pickMachines()
@@ -52,7 +52,7 @@
 	}}
 }
 
-// newClusterFault is one that befalls all.
+// newClusterFault returns a fault of the whole cluster.
 func newClusterFault(name string, from, to float64, set func(sim *simulation, on bool)) pairFault {
 	return pairFault{name: name, start: func(run *faultPairRun) (string, micros.Micros, func()) {
 		set(run.sim, true)
@@ -60,14 +60,14 @@
 	}}
 }
 
-// newKVOutage lets the state service refuse everybody.
+// newKVOutage returns an outage of the state service.
 func newKVOutage(name string, from, to float64) pairFault {
 	t := newClusterFault(name, from, to, func(sim *simulation, on bool) { sim.kvStore.Unavailable = on })
 	t.kvOutage = true
 	return t
 }
 
-// crashTime is how long a crashed node stays away.
+// crashTime draws how long a crashed node stays down.
 func (run *faultPairRun) crashTime() micros.Micros {
 	return []micros.Micros{micros.Second / 5, restartDelay, 10 * micros.Second}[run.rng.IntN(3)]
 }
@@ -131,7 +131,7 @@
 		}
 	}),
 	newKVOutage("state service down", 5, 15),
-	newKVOutage("state service down for long", 50, 70), // longer than CancelIn
+	newKVOutage("state service down for long", 50, 70), // longer than the cancellation deadline
 	newClusterFault("state service slow", 15, 40, func(sim *simulation, on bool) {
 		sim.kvFaults.responseDelay = 0
 		if on {
--- a/controller/fault_pairs_generate_test.go
+++ b/controller/fault_pairs_generate_test.go
@@ -10,9 +10,9 @@
 	"tamarindlead/micros"
 )
 
-// generateFaults draws two troubles or three, none twice. In a third of the runs the state
-// service goes down second: what a user was told just before must reach the others all the
-// same.
+// generateFaults draws two or three different faults. In a third of the runs the second one is an
+// outage of the state service: what was acknowledged to a user just before must reach the other
+// nodes all the same.
 func (run *faultPairRun) generateFaults() []pairFault {
 	n := 2
 	if run.rng.IntN(3) == 0 {
@@ -31,12 +31,8 @@
 	return kinds
 }
 
-// responseDelayStream is the source of what generateResponseDelays draws, so that the troubles of a seed stay
-// the same.
-const responseDelayStream = 9
-
-// generateResponseDelays lets some answers of the state service, or of other controllers, or both come
-// late in three of four runs, until the troubles are over.
+// generateResponseDelays delays some responses of the state service, of other controllers or of both
+// in three of four runs, until the faults have ended.
 func (run *faultPairRun) generateResponseDelays() {
 	rng := rand.New(rand.NewPCG(run.seed, responseDelayStream))
 	kind := rng.IntN(4)
@@ -53,7 +49,7 @@
 	}
 }
 
-// pickNode picks a node: mostly one that owns, and of those the owner of a job that is to be
+// pickNode draws a node: mostly one that owns teams, preferably that of a job that is being
 // cancelled.
 func (run *faultPairRun) pickNode() *simNode {
 	sim := run.sim
@@ -83,7 +79,7 @@
 	return pick[run.rng.IntN(len(pick))]
 }
 
-// pickMachines picks machines: mostly those of jobs that are cancelled or are to be.
+// pickMachines draws machines: mostly those that run jobs whose cancellation was requested.
 func (run *faultPairRun) pickMachines() []*fake.Worker {
 	sim := run.sim
 	var all, likely []*fake.Worker
--- a/controller/fault_pairs_jobs_test.go
+++ b/controller/fault_pairs_jobs_test.go
@@ -11,7 +11,7 @@
 	"tamarindlead/sched"
 )
 
-// cancellationPlan is when a generated job is cancelled.
+// cancellationPlan describes when a generated job is cancelled, if at all.
 type cancellationPlan struct {
 	at           micros.Micros // 0: not at a given time
 	onAcceptance bool
@@ -90,7 +90,7 @@
 func (run *faultPairRun) generateCancellation(at, first, second micros.Micros) (micros.Micros, cancellationPlan) {
 	kinds := 5
 	if run.secondIsKVOutage {
-		// The draw is made all the same, so that a seed gives the same run.
+		// This draw is not used; it keeps the runs of the seeds as they are.
 		run.rng.IntN(kinds)
 		kinds = 10
 	}
@@ -129,8 +129,8 @@
 	return text
 }
 
-// checkSchedulingDelay finds jobs that have waited for long although there was room for them all
-// the while.
+// checkSchedulingDelay reports jobs that have been pending for too long although they fitted all the
+// while.
 func (run *faultPairRun) checkSchedulingDelay() {
 	sim := run.sim
 	used := sim.usedCPUs()
@@ -231,7 +231,7 @@
 	}
 }
 
-// generateSmallJob draws a job of one task that comes after some time.
+// generateSmallJob draws a job of one task that is submitted after some time.
 func (run *faultPairRun) generateSmallJob(i int, in micros.Micros) {
 	sim, id := run.sim, fmt.Sprintf("req-%06d", i)
 	job := &sched.Job{
--- a/controller/fault_pairs_pipelines_test.go
+++ b/controller/fault_pairs_pipelines_test.go
@@ -10,10 +10,6 @@
 	"tamarindlead/sched"
 )
 
-// pipelinesStream is the random stream of generated pipelines, so that runs without them stay as
-// they are.
-const pipelinesStream = 5
-
 // pipelineGenerator draws the pipelines of a run.
 type pipelineGenerator struct {
 	run           *faultPairRun
@@ -111,8 +107,8 @@
 	return fmt.Sprintf(", %s cancelled at %v", id, when)
 }
 
-// generateInvalidDependencies submits a job that awaits one that nobody submitted, and one whose list cannot
-// be read, in the middle of the troubles.
+// generateInvalidDependencies submits, during the faults, a job that depends on one that nobody
+// submitted and one whose list of dependencies cannot be decoded.
 func (run *faultPairRun) generateInvalidDependencies(rng *rand.Rand) {
 	sim := run.sim
 	for i, dependencies := range []any{[]string{"req-000100", "req-000950"}, []any{"req-000100", nil}} {
@@ -124,7 +120,7 @@
 	}
 }
 
-// generateStage draws one job of a pipeline.
+// generateStage draws a job of a pipeline.
 func (run *faultPairRun) generateStage(rng *rand.Rand, id string, at micros.Micros, dependencies []string) {
 	sim := run.sim
 	duration := micros.FromSeconds(2 + rng.Float64()*10)
--- a/controller/fault_pairs_test.go
+++ b/controller/fault_pairs_test.go
@@ -15,46 +15,23 @@
 	"tamarindlead/sched"
 )
 
-// faultPairSeeds are played always. More are played on demand: PAIRS=200 plays the seeds 1 to
-// 200, PAIRS=300-400 these, PAIRS_SEED=7 one, whose log SCENARIO_LOG=1 shows.
+// faultPairSeeds are always played. More are played on demand: PAIRS=200 plays the seeds 1 to
+// 200, PAIRS=300-400 those from 300 to 400, PAIRS_SEED=7 one, whose log SCENARIO_LOG=1 shows.
 var faultPairSeeds = []uint64{
 	1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16, 17, 18,
 	19, 20, 21, 22, 23, 24, 25, 26, 27, 29, 30, 31,
 }
 
-// TestFaultPairs draws a world, its jobs and two or three troubles that meet, from a seed each,
-// and plays them. The world checks the rules at every step.
+// TestFaultPairs plays simulations whose settings, jobs and two or three overlapping faults are
+// drawn from a seed each. The simulation checks the rules at every step.
 func TestFaultPairs(t *testing.T) {
-	seeds := faultPairSeeds
-	if text := os.Getenv("PAIRS"); text != "" {
-		from, to, isRange := strings.Cut(text, "-")
-		if !isRange {
-			from, to = "1", from
-		}
-		first, err1 := strconv.ParseUint(from, 10, 64)
-		last, err2 := strconv.ParseUint(to, 10, 64)
-		if err1 != nil || err2 != nil || last < first {
-			t.Fatalf("PAIRS=%s: want a number or from-to", text)
-		}
-		seeds = nil
-		for s := first; s <= last; s++ {
-			seeds = append(seeds, s)
-		}
-	}
-	if text := os.Getenv("PAIRS_SEED"); text != "" {
-		s, err := strconv.ParseUint(text, 10, 64)
-		if err != nil {
-			t.Fatalf("PAIRS_SEED: %v", err)
-		}
-		seeds = []uint64{s}
-	}
-	for _, seed := range seeds {
+	for _, seed := range seedsToPlay(t) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
 			run := newFaultPairRun(seed)
 			run.play()
 			if len(run.sim.violations) > 0 {
-				t.Errorf("rules broken:\n%s\n\nplayed:\n%s\n\nagain: PAIRS_SEED=%d SCENARIO_LOG=1 go test ./controller -run TestPairs",
+				t.Errorf("rules broken:\n%s\n\nplayed:\n%s\n\nagain: PAIRS_SEED=%d SCENARIO_LOG=1 go test ./controller -run TestFaultPairs",
 					strings.Join(run.sim.violations, "\n"), strings.Join(run.playedLog, "\n"), seed)
 			} else if testing.Verbose() {
 				t.Logf("%s\n%s", strings.Join(run.playedLog, "\n"), run.summary())
@@ -63,12 +40,45 @@
 	}
 }
 
+// seedsToPlay returns the seeds that the environment asks for, or the fixed ones.
+func seedsToPlay(t *testing.T) []uint64 {
+	t.Helper()
+	if text := os.Getenv("PAIRS_SEED"); text != "" {
+		seed, err := strconv.ParseUint(text, 10, 64)
+		if err != nil {
+			t.Fatalf("PAIRS_SEED: %v", err)
+		}
+		return []uint64{seed}
+	}
+	text := os.Getenv("PAIRS")
+	if text == "" {
+		return faultPairSeeds
+	}
+	from, to, isRange := strings.Cut(text, "-")
+	if !isRange {
+		from, to = "1", from
+	}
+	first, err := strconv.ParseUint(from, 10, 64)
+	if err != nil {
+		t.Fatalf("PAIRS=%s: want a number or from-to: %v", text, err)
+	}
+	last, err := strconv.ParseUint(to, 10, 64)
+	if err != nil || last < first {
+		t.Fatalf("PAIRS=%s: want a number or from-to: %v", text, err)
+	}
+	var seeds []uint64
+	for seed := first; seed <= last; seed++ {
+		seeds = append(seeds, seed)
+	}
+	return seeds
+}
+
 // upgradeSeeds are played by TestUpgradeFaultPairs.
 var upgradeSeeds = []uint64{1, 2, 3, 4, 5, 6, 7, 8}
 
-// TestUpgradeFaultPairs plays drawn troubles while the running service is upgraded: all nodes
-// begin with the version in production and return one by one with the present one. A node
-// that ends before its turn comes back old.
+// TestUpgradeFaultPairs plays generated faults during a rolling upgrade: all nodes start with the
+// version in production and restart one by one with the present one. A node that crashes before
+// its turn restarts with the old version.
 func TestUpgradeFaultPairs(t *testing.T) {
 	for _, seed := range upgradeSeeds {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -91,29 +101,29 @@
 	}
 }
 
-// faultPairRun is one drawn run.
+// faultPairRun is a generated run.
 type faultPairRun struct {
 	seed                 uint64
 	sim                  *simulation
-	rng                  *rand.Rand // draws; the world has its own
-	playedLog            []string   // what is played
+	rng                  *rand.Rand // the simulation has its own
+	playedLog            []string   // describes the run if it fails
 	expectedRefusals     map[string]int
-	onCancelAcknowledged func(id string) // called once, when a cancellation is told
+	onCancelAcknowledged func(id string) // called once, when a cancellation is acknowledged
 	fitsSince            map[string]micros.Micros
-	activeFaults         int  // under way or to come
-	secondIsKVOutage     bool // the state service goes down second
-	withoutDependencies  bool // no job waits for others: nothing new is asked of an old version
+	activeFaults         int  // not ended yet
+	secondIsKVOutage     bool // the second fault is an outage of the state service
+	withoutDependencies  bool // the version in production does not know dependencies
 }
 
 const (
-	faultPairsLeadTime = 12 * micros.Second  // troubles begin after this
-	maxUnknownTime     = 25 * micros.Second  // and asked about for no longer than this
-	completionDeadline = 300 * micros.Second // once troubles are over, all jobs are over within this
-	maxSchedulingDelay = 90 * micros.Second  // and none waits for so long while there is room
+	faultPairsLeadTime = 12 * micros.Second  // the first fault starts after this
+	maxUnknownTime     = 25 * micros.Second  // after the faults, all nodes know all jobs within this
+	completionDeadline = 300 * micros.Second // after the faults, all jobs reach a terminal state within this
+	maxSchedulingDelay = 90 * micros.Second  // after the faults, no job that fits waits for longer
 )
 
 func newFaultPairRun(seed uint64) *faultPairRun {
-	run := &faultPairRun{seed: seed, rng: rand.New(rand.NewPCG(seed, 2)), expectedRefusals: map[string]int{}, fitsSince: map[string]micros.Micros{}}
+	run := &faultPairRun{seed: seed, rng: rand.New(rand.NewPCG(seed, faultPairStream)), expectedRefusals: map[string]int{}, fitsSince: map[string]micros.Micros{}}
 	rng := run.rng
 	zones := []string{"a", "b", "c"}[:2+rng.IntN(2)]
 	nodes := 3 + 2*rng.IntN(2)
@@ -137,7 +147,7 @@
 	return run
 }
 
-// logf adds to what is printed of a failing run; later the time comes first.
+// logf adds a line with the simulated time to the log that is printed if the run fails.
 func (run *faultPairRun) logf(format string, args ...any) {
 	run.playedLog = append(run.playedLog, fmt.Sprintf("%v: ", run.sim.now-micros.Hour)+fmt.Sprintf(format, args...))
 }
@@ -185,7 +195,7 @@
 	run.generateResponseDelays()
 }
 
-// awaitCompletion runs until all jobs have a terminal state, which must be so in time.
+// awaitCompletion runs until all jobs have a terminal state, and reports those that take too long.
 func (run *faultPairRun) awaitCompletion() {
 	sim := run.sim
 	for end := sim.now + completionDeadline; sim.now < end && len(run.openJobs()) > 0 && len(sim.violations) == 0; {
@@ -213,7 +223,7 @@
 	}
 }
 
-// unansweredJobs asks all nodes about all accepted jobs, and lists those that have no answer.
+// unansweredJobs asks all nodes about all accepted jobs and returns those that a node did not know.
 func (run *faultPairRun) unansweredJobs() []string {
 	sim := run.sim
 	open := map[string]bool{}
@@ -233,7 +243,7 @@
 	return ordered.Keys(open)
 }
 
-// openJobs lists the jobs whose users were told no final state, but for those that are refused.
+// openJobs returns the valid jobs of which no terminal state was reported to a user.
 func (run *faultPairRun) openJobs() []string {
 	var left []string
 	for _, id := range unfinishedJobs(run.sim) {
--- a/controller/fault_pairs_users_test.go
+++ b/controller/fault_pairs_users_test.go
@@ -8,8 +8,8 @@
 	"tamarindlead/sched"
 )
 
-// generateInvalidJobs submits jobs that can never run or lack a field in the middle of the troubles:
-// they may be refused for the moment or for good, in their way, and never accepted.
+// generateInvalidJobs submits, during the faults, jobs that can never run or lack a field: they may
+// be refused for the moment or for good, with the status of their kind, but never accepted.
 func (run *faultPairRun) generateInvalidJobs() {
 	sim := run.sim
 	for i, status := range []int{422, 422, 400} {
@@ -29,20 +29,20 @@
 	}
 }
 
-// sendJobRequest sends a user's request about a job and checks the answer.
+// sendJobRequest sends a user's request about a job and checks the response.
 func (run *faultPairRun) sendJobRequest(node int, method, id, end string, done func(Respond)) {
 	sim := run.sim
 	path, body := "/api/jobs/"+id+end, []byte(nil)
 	if method == "POST" && end == "" {
 		path, body = "/api/jobs", sim.submissions[id]
 	}
-	told, accepted, sent := sim.reportedTerminal[id], sim.accepted[id], sim.now
+	reported, accepted, sent := sim.reportedTerminal[id], sim.accepted[id], sim.now
 	sim.sendUserRequest(node, method, path, body, func(response Respond) {
 		run.checkResponse(id, response, sent, accepted)
 		if sim.accepted[id] && !accepted {
 			run.queryAllNodes(id)
 		}
-		if sim.reportedTerminal[id] != "" && told == "" {
+		if sim.reportedTerminal[id] != "" && reported == "" {
 			run.queryAllNodes(id)
 		}
 		done(response)
@@ -69,8 +69,8 @@
 	}
 }
 
-// queryAllNodes asks all nodes, again and again, and repeats the submission, right after a
-// job was accepted or ended.
+// queryAllNodes asks all nodes repeatedly, and sends a duplicate submission, right after a job was
+// accepted or reached a terminal state.
 func (run *faultPairRun) queryAllNodes(id string) {
 	sim := run.sim
 	for _, ms := range []int{0, 3, 15, 70, 400, 3000} {
@@ -108,7 +108,7 @@
 	})
 }
 
-// cancel asks for the end of a job until it is confirmed.
+// cancel requests the cancellation of a job until it is acknowledged.
 func (run *faultPairRun) cancel(id string) {
 	sim := run.sim
 	if sim.reportedTerminal[id] != "" {
@@ -139,7 +139,7 @@
 	})
 }
 
-// cancelFinishingJobs cancels half of the jobs that end, at the moment of their end.
+// cancelFinishingJobs cancels half of the jobs at the moment of their completion.
 func (run *faultPairRun) cancelFinishingJobs(over micros.Micros, seen map[string]bool) {
 	sim := run.sim
 	if sim.now >= over {
--- a/controller/faults_heartbeats_test.go
+++ b/controller/faults_heartbeats_test.go
@@ -7,15 +7,16 @@
 	"tamarindlead/micros"
 )
 
-const maxSavedHeartbeats = 64 // copies for the next owner
+// maxSavedHeartbeats limits the copies that are kept for the next owner.
+const maxSavedHeartbeats = 64
 
-// sendHeartbeatCopy brings a worker's report to a node; nobody waits for the answer.
+// sendHeartbeatCopy sends a worker's heartbeat to a node and ignores the response.
 func (sim *simulation) sendHeartbeatCopy(node int, body []byte) {
 	sim.sendRequest(sim.nodes[node], Request{Method: "POST", Path: PathHeartbeat, Body: body}, micros.Second, func(Respond) {})
 }
 
-// duplicateHeartbeat makes the copies of a report that come later. It returns true if the report
-// itself does not arrive now.
+// duplicateHeartbeat schedules the copies of a heartbeat that arrive later, and reports whether the
+// heartbeat itself is held back.
 func (sim *simulation) duplicateHeartbeat(worker *fake.Worker, body []byte) bool {
 	if sim.duplicateHeartbeatRate > 0 && sim.rng.Float64() < sim.duplicateHeartbeatRate {
 		if sim.replayToNextOwner {
@@ -36,8 +37,8 @@
 	return true
 }
 
-// replayToNewOwners delivers what was kept for a new owner: copies to every controller as it begins
-// and again as it becomes active, a report that was held back once it has acted.
+// replayToNewOwners delivers the heartbeats that were kept for a new owner: copies to every
+// controller when it starts and again when it becomes active, delayed ones some time after that.
 func (sim *simulation) replayToNewOwners() {
 	if sim.owners == nil {
 		sim.owners, sim.activeOwners = map[int]any{}, map[int]any{}
--- a/controller/faults_leaders_test.go
+++ b/controller/faults_leaders_test.go
@@ -8,8 +8,8 @@
 	"tamarindlead/micros"
 )
 
-// changeLeader takes the lead from whoever has it: it ends for a moment or for longer, or is
-// cut off, or loses the state service and its siblings, in turn.
+// changeLeader makes the leader lose its role: in turn it crashes briefly, is partitioned, loses the
+// state service and its siblings, or crashes for longer.
 func (sim *simulation) changeLeader(turn int, every micros.Micros) {
 	i := sim.leader()
 	if i < 0 {
@@ -30,11 +30,11 @@
 	}
 }
 
-// maxHungMachines is how many machines of cancelled jobs hang.
+// maxHungMachines limits how many machines of cancelled jobs hang.
 const maxHungMachines = 8
 
-// cancelDuringFaults has users cancel running jobs within a fifth of a second; some of their machines
-// hang, or are cut off.
+// cancelDuringFaults has users cancel running jobs within a fifth of a second, while some of their
+// machines hang or are partitioned.
 func (sim *simulation) cancelDuringFaults(count int, hang micros.Micros, cut bool) {
 	var jobs []string
 	for task := range sim.runningOn {
@@ -66,7 +66,7 @@
 	}
 }
 
-// countCancelledRunning counts the tasks on machines whose users were told that they are cancelled.
+// countCancelledRunning returns how many tasks run whose cancellation was acknowledged.
 func (sim *simulation) countCancelledRunning() int {
 	n := 0
 	for task := range sim.runningOn {
--- a/controller/faults_response_delay_test.go
+++ b/controller/faults_response_delay_test.go
@@ -10,32 +10,27 @@
 	"tamarindlead/micros"
 )
 
-// responseDelay holds some answers back, each for a time of its own, so that an answer to one
-// node may overtake an older answer to another. It draws from a source of its own, so that
-// scenarios without it stay as they are.
+// responseDelay delays some responses, each by a time of its own, so that a response to one node may
+// overtake an older response to another. It has its own random stream, so that scenarios without it
+// stay as they are.
 type responseDelay struct {
 	rng          *rand.Rand
-	share        float64       // of the answers that are held back
-	maxDelay     micros.Micros // the longest that one is
-	fixed        bool          // each is held for just so long
-	node         int           // whose answers are, or allNodes
-	delayedCount int           // how many were
+	share        float64       // of the responses that are delayed
+	maxDelay     micros.Micros // of one response
+	fixed        bool          // each response is delayed by maxDelay
+	node         int           // whose responses are delayed, or allNodes
+	delayedCount int           // responses delayed so far
 }
 
-// allNodes tells that a fault befalls the answers to all nodes.
+// allNodes selects the responses to all nodes.
 const allNodes = -1
 
-// Sources of random numbers of the two kinds of answers.
-const (
-	kvDelayStream   = 7
-	peerDelayStream = 8
-)
-
 func newResponseDelay(seed, stream uint64) responseDelay {
 	return responseDelay{rng: rand.New(rand.NewPCG(seed, stream)), node: allNodes}
 }
 
-// delayResponse returns an answer that is held back if its turn comes.
+// delayResponse returns answer, or a function that calls it later if the response is drawn to be
+// delayed.
 func (d *responseDelay) delayResponse(sim *simulation, node *simNode, answer func(fake.Response)) func(fake.Response) {
 	if d.share == 0 || d.node != allNodes && d.node != node.index || d.rng.Float64() >= d.share {
 		return answer
@@ -60,14 +55,14 @@
 	c.revertLater(func() { d.share = 0 })
 }
 
-// responseDelayCommands hold responses back.
+// responseDelayCommands delay responses.
 var responseDelayCommands = commandTable{
 	"uneven-state": silent(func(c *command) { c.sim.kvFaults.kvResponseDelay.configure(c) }),
 	"uneven-peers": silent(func(c *command) { c.sim.kvFaults.peerResponseDelay.configure(c) }),
 }
 
-// applyResponseDelayFromEnv lets answers be uneven in any scenario: SCENARIO_UNEVEN=0.3 holds back that
-// share of the answers of the state service.
+// applyResponseDelayFromEnv delays responses in any scenario: SCENARIO_UNEVEN=0.3 delays that share
+// of the responses of the state service.
 func (sim *simulation) applyResponseDelayFromEnv(t *testing.T) {
 	text := os.Getenv("SCENARIO_UNEVEN")
 	if text == "" {
--- a/controller/faults_state_test.go
+++ b/controller/faults_state_test.go
@@ -11,45 +11,44 @@
 	"tamarindlead/micros"
 )
 
-// kvFaults are troubles between the controllers and the state service, and among the
-// controllers. They draw from a row of their own, so that scenarios without them stay as
-// they are.
+// kvFaults are faults between the controllers and the state service, and among the controllers.
+// They have their own random stream, so that scenarios without them stay as they are.
 type kvFaults struct {
 	rng                     *rand.Rand
-	lateTransactionRate     float64       // of the transactions: no answer, carried out late
-	responseLostOnly        bool          // carried out at once, only the answer is lost
-	responseDelay           micros.Micros // the state service answers after so long
-	peerLossRate            float64       // of the messages between controllers: lost
-	peerResponsesOnly       bool          // only the answers to them are
-	peerHeartbeatsSpared    bool          // but not what they say once a second, nor what they pass on
-	lateTransactionsApplied int           // transactions that were carried out late and held
-	lostResponses           int           // transactions that were carried out, their answer lost
+	lateTransactionRate     float64       // share of the transactions that are applied late, without a response
+	responseLostOnly        bool          // they are applied at once, only their response is lost
+	responseDelay           micros.Micros // of the state service, for calls other than watches
+	peerLossRate            float64       // share of the peer messages that are lost
+	peerResponsesOnly       bool          // only responses are lost
+	peerHeartbeatsSpared    bool          // neither peer heartbeats nor forwarded store calls are lost
+	lateTransactionsApplied int           // transactions that were applied late and succeeded
+	lostResponses           int           // transactions that succeeded without a response
 
-	kvResponseDelay   responseDelay // of the answers of the state service
-	peerResponseDelay responseDelay // of those of other controllers
+	kvResponseDelay   responseDelay // of the responses of the state service
+	peerResponseDelay responseDelay // of the responses of other controllers
 }
 
 func newKVFaults(seed uint64) kvFaults {
 	return kvFaults{
-		rng:               rand.New(rand.NewPCG(seed, 2)),
+		rng:               rand.New(rand.NewPCG(seed, kvFaultStream)),
 		kvResponseDelay:   newResponseDelay(seed, kvDelayStream),
 		peerResponseDelay: newResponseDelay(seed, peerDelayStream),
 	}
 }
 
-// Transactions without an answer are carried out within these times.
+// Transactions without a response are applied within these times.
 const (
 	minLateWrite = 2 * micros.Second
 	maxLateWrite = 12 * micros.Second
 )
 
-// callKVStore brings a call to the state service, with the troubles of the moment.
+// callKVStore executes a call at the state service, with the present faults.
 func (sim *simulation) callKVStore(node *simNode, call Call, answer func(fake.Response)) {
 	faults := &sim.kvFaults
-	whole := faults.kvResponseDelay.delayResponse(sim, node, answer)
+	delayed := faults.kvResponseDelay.delayResponse(sim, node, answer)
 	answer = func(response fake.Response) {
-		if !node.onlyWorkersReachable { // the cut holds answers too, those of open watches among them
-			whole(response)
+		if !node.onlyWorkersReachable { // responses are lost too, those of open watches included
+			delayed(response)
 		}
 	}
 	deliver := func(answer func(fake.Response)) { sim.executeKV(node, call, sim.now, answer) }
@@ -82,7 +81,7 @@
 	return 0
 }
 
-// dropPeerMessage draws whether a message between controllers, or the answer to it, gets lost.
+// dropPeerMessage draws whether a peer message, or the response to it, is lost.
 func (sim *simulation) dropPeerMessage(call Call, answer bool) bool {
 	faults := &sim.kvFaults
 	if faults.peerLossRate == 0 || faults.peerResponsesOnly != answer {
@@ -123,7 +122,7 @@
 	}),
 }
 
-// delayedResponses returns how many responses were held back.
+// delayedResponses returns how many responses were delayed.
 func (faults *kvFaults) delayedResponses() int {
 	return faults.kvResponseDelay.delayedCount + faults.peerResponseDelay.delayedCount
 }
--- a/controller/faults_workers_test.go
+++ b/controller/faults_workers_test.go
@@ -10,25 +10,25 @@
 	"tamarindlead/micros"
 )
 
-// workerFaults are troubles of reports, direct commands, machines and leaders.
+// workerFaults are faults of heartbeats, direct commands, machines and leaders.
 type workerFaults struct {
-	taskStagger            map[string]micros.Micros // by how much each task of a job takes longer than the one before
-	duplicateHeartbeatRate float64                  // of the reports, of which copies come late
-	replayToNextOwner      bool                     // the copies are kept for the next owner
-	replayHeartbeats       [][]byte                 // those copies
-	delayNextHeartbeatOf   []string                 // the next reports of these machines are held back
-	delayedHeartbeats      [][]byte                 // until a new owner has acted
-	capturedHeartbeats     [][]byte                 // reports that come again when asked for
-	commandDelayRate       float64                  // of the direct commands, held up on the way there or back
+	taskStagger            map[string]micros.Micros // by how much each task of a job takes longer than the previous one
+	duplicateHeartbeatRate float64                  // share of the heartbeats of which copies arrive late
+	replayToNextOwner      bool                     // the copies are kept for the next owner instead
+	replayHeartbeats       [][]byte                 // copies for the next owner
+	delayNextHeartbeatOf   []string                 // the next heartbeats of these machines are delayed
+	delayedHeartbeats      [][]byte                 // until some time after the next owner becomes active
+	capturedHeartbeats     [][]byte                 // heartbeats that a scenario replays
+	commandDelayRate       float64                  // share of the direct commands whose request or response is delayed
 	minCommandDelay        micros.Micros
 	commandDelay           micros.Micros
-	delayRequestOnly       bool          // only on the way there
+	delayRequestOnly       bool          // no responses
 	commitDelay            micros.Micros // of commits
-	owners                 map[int]any
-	activeOwners           map[int]any
+	owners                 map[int]any   // ownership of each node in the last step
+	activeOwners           map[int]any   // the same, once it is active
 }
 
-// setTaskStagger has each task of a job take longer than the one before it.
+// setTaskStagger has each task of a job take longer than the previous one.
 func (sim *simulation) setTaskStagger(id string, step micros.Micros) {
 	if step > 0 {
 		if sim.taskStagger == nil {
@@ -38,13 +38,13 @@
 	}
 }
 
-// randomDuration draws a time.
+// randomDuration draws a duration.
 func (sim *simulation) randomDuration(low, high micros.Micros) micros.Micros {
 	return low + micros.Micros(sim.rng.Int64N(int64(max(1, high-low))))
 }
 
-// delayCommand holds up a direct command, or its answer. It returns how to answer, or nil if the
-// command comes later.
+// delayCommand delays a direct command or its response, if it is drawn to. It returns the function
+// that answers the command, or nil if the command itself is delayed.
 func (sim *simulation) delayCommand(call Call, answer func(fake.Response)) func(fake.Response) {
 	if sim.commandDelayRate == 0 || sim.rng.Float64() >= sim.commandDelayRate {
 		return answer
@@ -69,7 +69,7 @@
 	}
 }
 
-// afterCommitDelay executes a commit later while commits lag.
+// afterCommitDelay calls do, after the present delay if the call is a commit.
 func (sim *simulation) afterCommitDelay(call Call, do func()) {
 	if sim.commitDelay == 0 || call.Target != "/commit" {
 		do()
--- a/controller/incompatible_messages_test.go
+++ b/controller/incompatible_messages_test.go
@@ -59,7 +59,7 @@
 	}
 }
 
-// fieldPaths lists a field and all fields in it, as rows of numbers.
+// fieldPaths returns the paths, as field numbers, of a field and of all fields in it.
 func fieldPaths(f protoreflect.FieldDescriptor) [][]protowire.Number {
 	paths := [][]protowire.Number{{f.Number()}}
 	if f.Message() == nil {
--- a/controller/incompatible_records_test.go
+++ b/controller/incompatible_records_test.go
@@ -22,7 +22,7 @@
 	"a/ j expectS", "a/ j snapshotS", "a/ j stowS", "a/ j dueS",
 	"f/ s", "f/ at",
 	"m/ o", "m/ d",
-	"m/ d 0", "m/ d 1", "m/ d 2", "m/ d 3", "m/ d 4", // base, since, kinds, jobs, machines
+	"m/ d 0", "m/ d 1", "m/ d 2", "m/ d 3", "m/ d 4", // bases, machine types, jobs, machines
 	"m/ d 2 * 0", "m/ d 2 * 1", "m/ d 2 * 2", // type, zone, spot
 	"m/ d 3 * 0", "m/ d 3 * 1", "m/ d 3 * 2", "m/ d 3 * 3", "m/ d 3 * 4", "m/ d 3 * 5", // job, team, tasks, sizes
 	"m/ d 4 * 0", "m/ d 4 * 1", "m/ d 4 * 2", "m/ d 4 * 3", "m/ d 4 * 4", "m/ d 4 * 5", "m/ d 4 * 6", // a machine
@@ -69,7 +69,7 @@
 	"renamed": func(holder any, field string) (any, bool) {
 		m, ok := holder.(map[any]any)
 		if !ok {
-			return nil, false // entries without names
+			return nil, false // a list has no names
 		}
 		v, found := m[field]
 		delete(m, field)
@@ -111,7 +111,7 @@
 
 // mutateRecord changes the field at the end of a path in a decoded value.
 func mutateRecord(v any, path []string, mutation fieldMutation) (any, bool) {
-	if text, is := v.(string); is { // a block's data
+	if text, is := v.(string); is { // the packed data of a block
 		raw, err := base64.RawStdEncoding.DecodeString(text)
 		if err == nil {
 			raw, err = record.Decompress(raw)
--- a/controller/pipelines_rules_test.go
+++ b/controller/pipelines_rules_test.go
@@ -9,29 +9,27 @@
 	"tamarindlead/micros"
 )
 
-// hasUnreportedDependency tells whether users were not told yet of all jobs that a job awaits that
-// they are done.
+// hasUnreportedDependency reports whether a dependency of a job was not reported to be done yet.
 func (sim *simulation) hasUnreportedDependency(id string) bool {
 	return slices.ContainsFunc(sim.pipelines.dependencies[id], func(other string) bool { return sim.reportedTerminal[other] != wire.JobDone })
 }
 
-// mayBeCancelled tells whether a job may be called cancelled: its user asked for it, or a
-// job that it needs was cancelled by its user.
+// mayBeCancelled reports whether a job may be reported as cancelled: its user requested it, or an
+// upstream job was cancelled at the request of its user.
 func (sim *simulation) mayBeCancelled(id string) bool {
 	return sim.cancelRequested[id] || slices.ContainsFunc(sim.pipelines.ancestors[id], func(a string) bool {
 		return sim.cancelRequested[a] && sim.recordedTerminalState(a) == wire.JobCancelled
 	})
 }
 
-// hasFailedDependency tells whether a job cannot be expected to be done, since one that it needs
-// cannot.
+// hasFailedDependency reports whether a job cannot complete because an upstream job cannot.
 func (sim *simulation) hasFailedDependency(id string) bool {
 	return slices.ContainsFunc(sim.pipelines.ancestors[id], func(a string) bool {
 		return sim.reportedTerminal[a] != wire.JobDone && (sim.cancelRequested[a] || sim.taskInfos[a].Fails)
 	})
 }
 
-// checkStartAfterDependencies holds a start against the jobs that the task's job awaits.
+// checkStartAfterDependencies checks that a task starts after all dependencies of its job are done.
 func (sim *simulation) checkStartAfterDependencies(task, id string) {
 	pipelines := &sim.pipelines
 	for _, other := range pipelines.dependencies[id] {
@@ -50,7 +48,7 @@
 	}
 }
 
-// checkCancelledAncestors finds tasks on machines long after a job that they need was cancelled.
+// checkCancelledAncestors reports a task that still runs long after an upstream job was cancelled.
 func (sim *simulation) checkCancelledAncestors(task, id string) {
 	for _, a := range sim.pipelines.ancestors[id] {
 		if at, ok := sim.acknowledgedCancellations[a]; ok && sim.now > at+sim.cfg.CancellationDeadline {
@@ -59,8 +57,8 @@
 	}
 }
 
-// checkDependencyRefusal sees that a job is refused for good because of those that it awaits only if
-// one of them was not accepted before the question.
+// checkDependencyRefusal checks that a job is refused for good because of its dependencies only if
+// one of them was not accepted before the request.
 func (sim *simulation) checkDependencyRefusal(id string, status int, sent micros.Micros) {
 	awaits := sim.pipelines.dependencies[id]
 	if len(awaits) == 0 || status == 404 || sim.rejectionReason(sim.submitted[id]) != "" {
@@ -74,7 +72,7 @@
 	sim.reportViolation("refused: %s is answered %d although all jobs that it awaits were accepted", id, status)
 }
 
-// checkDependencyStatus holds what a user is told of a job against the jobs that it needs.
+// checkDependencyStatus checks a reported state of a job against the states of its upstream jobs.
 func (sim *simulation) checkDependencyStatus(id string, status wire.JobPhase) {
 	pipelines := &sim.pipelines
 	if len(pipelines.dependencies[id]) == 0 {
@@ -105,8 +103,8 @@
 	}
 }
 
-// checkPipelinesCompleted sees at a day's end that jobs after others are done, or run, or still have
-// to wait for one that runs.
+// checkPipelinesCompleted checks at the end of a day that jobs with dependencies are done, run, or
+// still depend on a job that runs.
 func (sim *simulation) checkPipelinesCompleted() {
 	goesOn := func(id string) bool { return sim.reportedTerminal[id] == wire.JobDone || sim.runningTasks(id) > 0 }
 	for _, id := range ordered.Keys(sim.pipelines.dependencies) {
--- a/controller/pipelines_test.go
+++ b/controller/pipelines_test.go
@@ -11,27 +11,27 @@
 	"tamarindlead/micros"
 )
 
-// pipelineState are the jobs that wait for others. They draw from a row of their own, so that
-// scenarios without them stay as they are.
+// pipelineState is what the simulation knows of jobs with dependencies. It has its own random stream,
+// so that scenarios without them stay as they are.
 type pipelineState struct {
 	rng             *rand.Rand
-	dependencies    map[string][]string      // those that a job names
-	ancestors       map[string][]string      // those that it needs, directly or through others
-	onDone          map[string][]func()      // what happens as a job's last task completes
-	dependentStarts int                      // tasks that waited for others and started
-	queuedResponses map[string]int           // how often a job was told to be queued while it waited
+	dependencies    map[string][]string      // that a job names
+	ancestors       map[string][]string      // all upstream jobs of a job
+	onDone          map[string][]func()      // called when a job's last task completes
+	dependentStarts int                      // started tasks of jobs with dependencies
+	queuedResponses map[string]int           // how often a job was reported as queued while it was blocked
 	completedAt     map[string]micros.Micros // when a job's last task completed
 }
 
 func newPipelineState(seed uint64) pipelineState {
 	return pipelineState{
-		rng: rand.New(rand.NewPCG(seed, 4)), dependencies: map[string][]string{}, ancestors: map[string][]string{},
+		rng: rand.New(rand.NewPCG(seed, dependencyStream)), dependencies: map[string][]string{}, ancestors: map[string][]string{},
 		onDone: map[string][]func(){}, queuedResponses: map[string]int{}, completedAt: map[string]micros.Micros{},
 	}
 }
 
-// setDependencies has a job wait for others, and writes them into its submission. The jobs
-// awaited are known before. "null" and "none" stand for no list and an empty one.
+// setDependencies sets the dependencies of a job, which must be known already, and adds them to its
+// submission. "null" stands for a null list and "none" for an empty one.
 func (sim *simulation) setDependencies(id string, awaits []string) {
 	if len(awaits) == 0 {
 		return
@@ -61,7 +61,7 @@
 func withDependencyField(body []byte, value any) []byte {
 	fields := map[string]any{}
 	if err := wire.Decode(body, &fields); err != nil {
-		panic(err) // the body is one of these tests
+		panic(err) // the body was encoded by a test
 	}
 	fields["awaits"] = value
 	return wire.Encode(fields)
@@ -73,7 +73,7 @@
 	return job != nil && sim.remainingTasks(job) == 0
 }
 
-// recordedTerminalState is the final state that the state service keeps of a job, or "".
+// recordedTerminalState returns the recorded terminal state of a job, or "".
 func (sim *simulation) recordedTerminalState(id string) wire.JobPhase {
 	value, ok := sim.kvStore.Get(record.TerminalStatePrefix + id)
 	if !ok {
@@ -88,7 +88,7 @@
 	return f.Status
 }
 
-// TaskDone does what is to happen at the moment at which a job's last task completes.
+// runCompletionHooks calls the functions that wait for the completion of a job's last task.
 func (sim *simulation) runCompletionHooks(id string) {
 	pipelines := &sim.pipelines
 	if _, ok := pipelines.completedAt[id]; ok || !sim.allTasksDone(id) {
@@ -101,8 +101,8 @@
 	delete(pipelines.onDone, id)
 }
 
-// eligibleSince is the moment from which a job's times count: when it was submitted, or the last job
-// that it needs ended.
+// eligibleSince returns the time from which a job's waiting time counts: when it was submitted or its
+// last dependency completed.
 func (sim *simulation) eligibleSince(id string) micros.Micros {
 	at := sim.submittedAt[id]
 	for _, other := range sim.pipelines.dependencies[id] {
@@ -111,8 +111,7 @@
 	return at
 }
 
-// whenAccepted does something as soon as the users of all these jobs were told that they are
-// accepted.
+// whenAccepted calls do as soon as all these jobs were reported as accepted.
 func (sim *simulation) whenAccepted(ids []string, do func()) {
 	if slices.ContainsFunc(ids, func(id string) bool { return !sim.accepted[id] }) {
 		sim.after(simulationStep, func() { sim.whenAccepted(ids, do) })
@@ -121,8 +120,7 @@
 	do()
 }
 
-// whenTerminal does something as soon as the users of all these jobs were told that they are
-// over.
+// whenTerminal calls do as soon as a terminal state of all these jobs was reported.
 func (sim *simulation) whenTerminal(ids []string, do func()) {
 	if slices.ContainsFunc(ids, func(id string) bool { return sim.reportedTerminal[id] == "" }) {
 		sim.after(simulationStep, func() { sim.whenTerminal(ids, do) })
@@ -131,8 +129,8 @@
 	do()
 }
 
-// submitAfterDependencies submits a job as soon as those that it awaits are accepted, or over, and
-// polls it.
+// submitAfterDependencies submits a job as soon as its dependencies are accepted or, with over, have
+// a terminal state, and polls it.
 func (sim *simulation) submitAfterDependencies(id string, to int, over bool) {
 	when := sim.whenAccepted
 	if over {
@@ -145,7 +143,8 @@
 	})
 }
 
-// invalidDependencies are lists of jobs to wait for that must be refused, and how; 0: accepted.
+// invalidDependencies are lists of dependencies that must be refused, with the status that is
+// expected.
 var invalidDependencies = []struct {
 	name  string
 	value func(id, known string) any
--- a/controller/production_build_test.go
+++ b/controller/production_build_test.go
@@ -14,10 +14,14 @@
 	"testing"
 )
 
-// productionProgram is the program, built once in a run of the tests.
+// The version in production is the commit that deploy/service.toml names. Tests build it from the
+// repository's history, together with production/_node, and run it as a program: the cores of both
+// versions run in one simulation, and each decodes what the other wrote.
+
+// productionProgram returns the path of the program, which is built once in a run of the tests.
 var productionProgram = sync.OnceValues(buildProductionProgram)
 
-// productionBuildDir holds what buildProductionProgram makes; TestMain deletes it.
+// productionBuildDir is where buildProductionProgram builds; TestMain deletes it.
 var productionBuildDir string
 
 func TestMain(m *testing.M) {
@@ -33,7 +37,7 @@
 
 var productionLine = regexp.MustCompile(`(?m)^production = "([0-9a-f]{40})"$`)
 
-// productionCommit is what deploy/service.toml names.
+// productionCommit returns the commit that deploy/service.toml names.
 func productionCommit() (string, error) {
 	text, err := os.ReadFile("../deploy/service.toml")
 	if err != nil {
@@ -46,6 +50,7 @@
 	return string(found[1]), nil
 }
 
+// buildProductionProgram builds the program from the tree of the version in production.
 func buildProductionProgram() (string, error) {
 	commit, err := productionCommit()
 	if err != nil {
@@ -62,17 +67,11 @@
 	if err := unpackTree(tree, archive); err != nil {
 		return "", err
 	}
-	for from, to := range map[string]string{"main.go": "cmd/node/main.go", "read.go": "controller/read.go"} {
-		data, err := os.ReadFile(filepath.Join("production/_node", from))
-		if err == nil {
-			err = os.MkdirAll(filepath.Dir(filepath.Join(tree, to)), 0o755)
-		}
-		if err == nil {
-			err = os.WriteFile(filepath.Join(tree, to), data, 0o644)
-		}
-		if err != nil {
-			return "", err
-		}
+	if err := copyFile(filepath.Join(tree, "cmd/node/main.go"), "production/_node/main.go"); err != nil {
+		return "", err
+	}
+	if err := copyFile(filepath.Join(tree, "controller/read.go"), "production/_node/read.go"); err != nil {
+		return "", err
 	}
 	program := filepath.Join(productionBuildDir, "node")
 	build := exec.Command("go", "build", "-trimpath", "-o", program, "./cmd/node")
@@ -83,6 +82,23 @@
 	return program, nil
 }
 
+func copyFile(to, from string) error {
+	data, err := os.ReadFile(from)
+	if err != nil {
+		return err
+	}
+	return writeFile(to, data)
+}
+
+// writeFile writes a file and creates its directory if needed.
+func writeFile(path string, data []byte) error {
+	if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
+		return err
+	}
+	return os.WriteFile(path, data, 0o644)
+}
+
+// unpackTree unpacks the regular files of a tar archive into a directory.
 func unpackTree(dir string, archive []byte) error {
 	for r := tar.NewReader(bytes.NewReader(archive)); ; {
 		h, err := r.Next()
@@ -95,15 +111,11 @@
 		if h.Typeflag != tar.TypeReg || !filepath.IsLocal(h.Name) {
 			continue
 		}
-		path := filepath.Join(dir, h.Name)
-		if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
-			return err
-		}
 		data, err := io.ReadAll(r)
 		if err != nil {
 			return err
 		}
-		if err := os.WriteFile(path, data, 0o644); err != nil {
+		if err := writeFile(filepath.Join(dir, h.Name), data); err != nil {
 			return err
 		}
 	}
--- a/controller/production_decode_test.go
+++ b/controller/production_decode_test.go
@@ -14,10 +14,10 @@
 	"tamarindlead/internal/wire"
 )
 
-// What this version reads in records and messages, to be compared with what the version in
-// production reads (production/_node/read.go).
+// This file decodes records and messages as this version does, to be compared with what the version
+// in production decodes (production/_node/read.go).
 
-// decodedText tells what this version reads in a record.
+// decodedText returns what this version decodes from a record.
 func decodedText(key string, value []byte) string {
 	text, err := readRecord(key, value)
 	if err != nil {
@@ -26,8 +26,8 @@
 	return withoutDefaults(text)
 }
 
-// withoutDefaults leaves out what is not set, so that a field which only one version knows makes no
-// difference as long as it is not used.
+// withoutDefaults removes unset fields, so that a field that only one version knows makes no
+// difference while it is not used.
 func withoutDefaults(text string) string {
 	var v any
 	d := json.NewDecoder(strings.NewReader(text))
@@ -175,7 +175,7 @@
 	return string(text), err
 }
 
-// decodedMessage tells what this version reads in a message between siblings.
+// decodedMessage returns what this version decodes from a peer message.
 func decodedMessage(body []byte) string {
 	var m peer.Message
 	if err := proto.Unmarshal(body, &m); err != nil {
@@ -185,7 +185,7 @@
 	if err != nil {
 		return "error: " + err.Error()
 	}
-	var out bytes.Buffer // its white space is not always the same
+	var out bytes.Buffer // protojson varies its white space
 	if err := json.Compact(&out, text); err != nil {
 		return "error: " + err.Error()
 	}
--- a/controller/production_names_test.go
+++ b/controller/production_names_test.go
@@ -147,8 +147,8 @@
 	return nil
 }
 
-// copyRenamed copies a value to the corresponding type of the other version; renaming tells
-// whether that is the one in production.
+// copyRenamed copies a value to the corresponding type of the other version: that in production if
+// renaming is set.
 func copyRenamed(to, from reflect.Value, renaming bool) {
 	if to.Type() == from.Type() {
 		to.Set(from)
--- a/controller/production_nodes_test.go
+++ b/controller/production_nodes_test.go
@@ -43,7 +43,7 @@
 	return out
 }
 
-// version is which version of the controller a node runs.
+// version is the version of the controller that a node runs.
 type version int
 
 const (
--- a/controller/production_records_test.go
+++ b/controller/production_records_test.go
@@ -12,8 +12,8 @@
 	"tamarindlead/sched"
 )
 
-// TestProductionRecords has the present version read what the one in production wrote, and
-// go on from there: all jobs end, and the rules hold.
+// TestProductionRecords has the present version decode what the one in production wrote, and
+// continue from there: all jobs reach a terminal state without a violated rule.
 func TestProductionRecords(t *testing.T) {
 	for name, d := range readDumps(t) {
 		t.Run(name, func(t *testing.T) {
@@ -29,7 +29,7 @@
 				}
 			}
 			runToCompletion(t, loadSimulation(d))
-			sim := loadSimulation(d) // and with the smaller limits at once
+			sim := loadSimulation(d) // with smaller limits
 			sim.nextLimits = nextLimits{on: true, value: 1 << 10, ops: 5, writes: 15, rps: 150}
 			sim.kvStore.MaxValueBytes, sim.kvStore.MaxOps, sim.kvStore.WriteRate, sim.kvStore.RequestRate = 1<<10, 5, 15, 150
 			runToCompletion(t, sim)
@@ -37,7 +37,7 @@
 	}
 }
 
-// runToCompletion plays until all jobs have ended.
+// runToCompletion runs until all jobs have a terminal state, and checks that none violates a rule.
 func runToCompletion(t *testing.T, sim *simulation) {
 	t.Helper()
 	for end := sim.now + 300*micros.Second; sim.now < end && len(unfinishedJobs(sim)) > 0 && len(sim.violations) == 0; {
@@ -51,15 +51,15 @@
 	}
 }
 
-// TestProductionOwnerEnds goes on from the dumps with the owner of the production version
-// still alive, which leads until it ends; the others are new.
+// TestProductionOwnerEnds continues from the dumps with an owner of the version in production, which
+// leads until it crashes; the other nodes are of the present version.
 func TestProductionOwnerEnds(t *testing.T) {
 	for name, d := range readDumps(t) {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			sim := loadSimulation(d)
 			sim.startWithProduction(t, 1)
-			for _, node := range sim.nodes[1:] { // so that the old one leads first
+			for _, node := range sim.nodes[1:] { // so that the first node leads
 				node.downUntil = sim.now + 6*micros.Second
 			}
 			sim.run(12 * micros.Second)
@@ -73,7 +73,7 @@
 	}
 }
 
-// recordKind is the part of a key that tells what is recorded.
+// recordKind returns the prefix of a key that identifies the kind of record.
 func recordKind(key string) string {
 	for _, p := range []string{record.MemberPrefix, record.TeamPrefix, record.BlockPrefix, record.ActiveJobPrefix, record.TerminalStatePrefix, record.CompletionSegmentPrefix, record.ScaleOutRequestPrefix, record.ReservationPrefix} {
 		if strings.HasPrefix(key, p) {
@@ -83,10 +83,11 @@
 	return key
 }
 
-// kinds that a world of each version must have written, so that nothing goes unchecked.
+// recordKinds are the kinds of records that each version must have written, so that none goes
+// unchecked.
 var recordKinds = []string{record.LeaderKey, record.MachineTypesKey, record.MemberPrefix, record.TeamPrefix, record.BlockPrefix, record.ActiveJobPrefix, record.TerminalStatePrefix, record.CompletionSegmentPrefix, record.ScaleOutRequestPrefix, record.ReservationPrefix}
 
-// TestDumpsCoverAllKinds sees that the dumps hold every kind of record and message.
+// TestDumpsCoverAllKinds checks that the dumps hold every kind of record and message.
 func TestDumpsCoverAllKinds(t *testing.T) {
 	seen, said := map[string]bool{}, ""
 	condemned := false
@@ -114,7 +115,7 @@
 
 var messageKinds = []string{"beat", "storeCall", "storeReply", "jobEnded", "want", "given"}
 
-// differences collects what two versions read differently.
+// differences collects the records and messages that two versions decode differently.
 type differences struct {
 	process   *productionProcess
 	compared  map[string]bool
@@ -151,9 +152,8 @@
 	}
 }
 
-// TestProductionReads has the version in production read all that the present one writes and
-// says while plain jobs are all that there is: each record and message must mean to it what
-// it means to us.
+// TestProductionReads has the version in production decode all records and messages that the present
+// one writes while no job has dependencies: both must decode the same.
 func TestProductionReads(t *testing.T) {
 	diffs := &differences{process: startProduction(t), compared: map[string]bool{}, kinds: map[string]bool{}}
 	runDumpScript(t, func(sim *simulation) {
@@ -170,10 +170,9 @@
 	}
 }
 
-// TestBlockedJobInProduction is what the version in production does with a job that waits
-// for others, should a node go back to it all the same: its description is kept where that
-// version does not look, so it starts nothing, goes on calling the job queued, and accepts it
-// no second time.
+// TestBlockedJobInProduction checks what the version in production does with a blocked job, should a
+// node be downgraded all the same: the job's description is recorded where that version does not
+// look, so it starts nothing, reports the job as queued and does not accept it a second time.
 func TestBlockedJobInProduction(t *testing.T) {
 	d := readDumps(t)["begun"]
 	id := "req-000099"
--- a/controller/production_test.go
+++ b/controller/production_test.go
@@ -11,10 +11,6 @@
 	"tamarindlead/micros"
 )
 
-// The version in production is the commit that deploy/service.toml names. Tests build it
-// from the repository's history, together with production/_node, and run it as a program:
-// so both versions' cores play in one world, and each reads what the other wrote.
-
 // productionCommands upgrade and downgrade nodes.
 var productionCommands = commandTable{
 	"upgrade":       silent(func(c *command) { c.replaceVersion(currentVersion, c.node()) }),
@@ -38,7 +34,7 @@
 	}
 }
 
-// startWithProduction has the world's first nodes begin with the version in production.
+// startWithProduction has the first nodes start with the version in production.
 func (sim *simulation) startWithProduction(t *testing.T, nodes int) {
 	sim.production = startProduction(t)
 	for _, node := range sim.nodes[:nodes] {
@@ -46,14 +42,14 @@
 	}
 }
 
-// productionProcess is the running program.
+// productionProcess is the running program of the version in production.
 type productionProcess struct {
 	out *gob.Encoder
 	in  *gob.Decoder
-	err error // it has ended
+	err error // set once the program has ended
 }
 
-// The program's Ask, Answer and Effect (production/_node/main.go).
+// These are Ask, Answer and Effect of the program (production/_node/main.go).
 type (
 	productionRequest struct {
 		Node     int
@@ -118,12 +114,12 @@
 	return response
 }
 
-// decodeRecord tells what the production version reads in a record.
+// decodeRecord returns what the version in production decodes from a record.
 func (process *productionProcess) decodeRecord(key string, value []byte) string {
 	return withoutDefaults(process.exchange(productionRequest{Read: true, Key: key, Value: value}).Text)
 }
 
-// decodeMessage is the same for a message between siblings.
+// decodeMessage returns what the version in production decodes from a peer message.
 func (process *productionProcess) decodeMessage(body []byte) string {
 	return process.exchange(productionRequest{Message: true, Value: body}).Text
 }
--- a/controller/scenario_nodes_test.go
+++ b/controller/scenario_nodes_test.go
@@ -94,7 +94,7 @@
 	core.numbers.sequence = maxSequence - sequenceMargin
 }
 
-// requestStatus asks a node and returns the status of its answer.
+// requestStatus sends a GET request to a node and returns the status of its response.
 func (sim *simulation) requestStatus(t *testing.T, node *simNode, path string) string {
 	t.Helper()
 	status, since, took := -1, sim.now, micros.Micros(0)
@@ -110,7 +110,8 @@
 	return fmt.Sprint(status)
 }
 
-// sendUndecodableMessages sends a node messages that cannot be read, and tells how they are answered.
+// sendUndecodableMessages sends messages that cannot be decoded to a node, and returns how many were
+// answered with which status.
 func (sim *simulation) sendUndecodableMessages(node *simNode) string {
 	seen := map[int]int{}
 	for i, body := range [][]byte{nil, {0xff}, {0xa1, 0x61}, []byte("hello"), wire.Encode([]int{1}), wire.Encode(map[string]any{"berth": 7, "shift": "x"})} {
--- a/controller/scenario_pipelines_test.go
+++ b/controller/scenario_pipelines_test.go
@@ -56,7 +56,7 @@
 	return c.withArgs(args)
 }
 
-// responseState is the state in an answer, or its status if it tells none.
+// responseState returns the job state in a response, or its status if it has none.
 func responseState(response Respond) string {
 	var state wire.JobState
 	if (response.Status == 200 || response.Status == 201) && wire.Decode(response.Body, &state) == nil {
@@ -65,7 +65,7 @@
 	return fmt.Sprint(response.Status)
 }
 
-// requestAndWait sends a user's request about a job and runs until it is answered.
+// requestAndWait sends a user's request about a job and runs until the response arrives.
 func (sim *simulation) requestAndWait(node int, method, path, id string, body []byte) Respond {
 	var got *Respond
 	sent := sim.now
@@ -82,7 +82,7 @@
 	return *got
 }
 
-// watchJobs asks all nodes about jobs again and again.
+// watchJobs asks all nodes about jobs at an interval.
 func (sim *simulation) watchJobs(ids []string, every, until micros.Micros) {
 	if sim.now > until {
 		return
@@ -99,7 +99,8 @@
 	sim.after(every, func() { sim.watchJobs(ids, every, until) })
 }
 
-// sendInvalidDependencies submits jobs with such lists at a node and tells how they are answered.
+// sendInvalidDependencies submits jobs with invalid dependencies to a node and returns the statuses
+// of the responses.
 func (sim *simulation) sendInvalidDependencies(to, first int, known string) string {
 	var out []string
 	for i, b := range invalidDependencies {
--- a/controller/scenario_seeds_test.go
+++ b/controller/scenario_seeds_test.go
@@ -11,19 +11,19 @@
 	"github.com/cockroachdb/datadriven"
 )
 
-// seededScenarios are the scenarios of which TestScenarioSeeds plays several seeds: what they
-// guard against depends on which answer overtakes which.
+// seededScenarios are the scenarios of which TestScenarioSeeds plays several seeds: what they guard
+// against depends on which response overtakes which.
 var seededScenarios = []string{"uneven_looks", "uneven_first_accept", "uneven_peers"}
 
-// fixedScenarioSeeds is how many seeds are played always. More are played on demand:
+// fixedScenarioSeeds is how many seeds are always played. More are played on demand:
 // SCENARIO_SEEDS=200 plays the seeds 1 to 200 of them, and with SCENARIOS=close_looks,boot_dead of
 // these scenarios instead.
 const fixedScenarioSeeds = 3
 
-// seedOverride is a command that newer worlds of a scenario take their seed from.
+// seedOverride is the argument that overrides the seed of a scenario.
 const seedOverride = "seed-override"
 
-// scenarioSeed is the seed of a scenario's world.
+// scenarioSeed returns the seed of a scenario's simulation.
 func scenarioSeed(t *testing.T, d *datadriven.TestData) uint64 {
 	if d.HasArg(seedOverride) {
 		return uint64(arg(t, d, seedOverride, 1))
@@ -31,8 +31,8 @@
 	return uint64(arg(t, d, "seed", 1))
 }
 
-// TestScenarioSeeds plays scenarios with other seeds than their own. The rules must hold with
-// each, and what the scenario prints must be the same.
+// TestScenarioSeeds plays scenarios with other seeds than their own. The rules must hold with each,
+// and the scenario must print the same.
 func TestScenarioSeeds(t *testing.T) {
 	scenarios, seeds := seededScenarios, fixedScenarioSeeds
 	if text := os.Getenv("SCENARIOS"); text != "" {
@@ -54,7 +54,7 @@
 	}
 }
 
-// runWithSeed plays a scenario in a world with the given seed.
+// runWithSeed plays a scenario with the given seed.
 func runWithSeed(t *testing.T, scenario string, seed int) {
 	override := datadriven.CmdArg{Key: seedOverride, Vals: []string{strconv.Itoa(seed)}}
 	prepare := func(d *datadriven.TestData) { d.CmdArgs = append(d.CmdArgs, override) }
--- a/controller/simulation_network_test.go
+++ b/controller/simulation_network_test.go
@@ -36,8 +36,8 @@
 	return x
 }
 
-// zonesPartitioned tells that a cut lies between two zones; "" is where state service, cloud and
-// users are.
+// zonesPartitioned reports whether two zones are partitioned from each other; "" stands for where the
+// state service, the cloud and the users are.
 func (sim *simulation) zonesPartitioned(a, b string) bool {
 	return sim.partitionedZone != "" && (a == sim.partitionedZone) != (b == sim.partitionedZone)
 }
@@ -73,7 +73,8 @@
 	}
 }
 
-// sendRequest sends a request to a node and hands over its response; status 0: none.
+// sendRequest sends a request to a node and calls done with the response, whose status is 0 if there
+// is none in time.
 func (sim *simulation) sendRequest(node *simNode, request Request, timeout micros.Micros, done func(Respond)) {
 	answered := false
 	finish := func(response Respond) {
@@ -154,7 +155,7 @@
 	}
 }
 
-// afterPartition does something once a node has its network back.
+// afterPartition calls do once a node is no longer partitioned.
 func (sim *simulation) afterPartition(node *simNode, do func()) {
 	if node.partitioned {
 		sim.after(simulationStep, func() { sim.afterPartition(node, do) })
--- a/controller/simulation_nodes_test.go
+++ b/controller/simulation_nodes_test.go
@@ -15,32 +15,32 @@
 
 type simNode struct {
 	index                int
-	core                 *Core           // nil while it is of the version in production
+	core                 *Core           // nil while the node runs the version in production
 	productionCore       *productionCore // nil otherwise
-	version              version         // with which it starts
+	version              version         // of the next start
 	incarnation          int
 	downUntil            micros.Micros
 	up                   bool
-	partitioned          bool // no network at all
-	delaysOutbound       bool // and what it sends meanwhile is delivered afterwards
-	workersUnreachable   bool // workers and node do not reach each other
-	onlyWorkersReachable bool // reaches workers, but neither state service nor siblings
+	partitioned          bool // from everything
+	delaysOutbound       bool // calls of a partitioned node are delivered afterwards
+	workersUnreachable   bool // in both directions
+	onlyWorkersReachable bool // neither the state service nor siblings are
 	nextTimer            micros.Micros
 	pending              map[uint64]func(Respond)
 	nextID               uint64
-	openCalls            int // outbound calls of this life
+	openCalls            int // of this incarnation
 }
 
 func nodeName(i int) string { return fmt.Sprintf("n%d", i) }
 
-// nodeZone is where a node is: the zones take turns.
+// nodeZone returns the zone of a node: nodes are spread over the zones in turn.
 func (sim *simulation) nodeZone(i int) string { return sim.cfg.Zones[i%len(sim.cfg.Zones)] }
 
 func (sim *simulation) start(node *simNode) {
 	cfg := *sim.cfg
 	cfg.Zone = sim.nodeZone(node.index)
 	cfg.Node = nodeName(node.index)
-	if node.version != productionVersion { // that version does not know of them
+	if node.version != productionVersion { // which does not know these limits
 		sim.nextLimits.apply(&cfg)
 	}
 	cfg.Siblings = nil
@@ -64,7 +64,7 @@
 	node.core = New(&cfg, sim.rng.Uint64(), log, sim.now, sim.now)
 }
 
-// replaceLogTime puts the world's time into its log.
+// replaceLogTime replaces the time of log lines by the simulated time.
 func (sim *simulation) replaceLogTime(_ []string, a slog.Attr) slog.Attr {
 	if a.Key == slog.TimeKey {
 		return slog.String(a.Key, fmt.Sprint(sim.now-micros.Hour))
@@ -89,7 +89,7 @@
 	return 0, false
 }
 
-// leader finds the node that leads, or -1.
+// leader returns the index of the node that owns teams, or -1.
 func (sim *simulation) leader() int {
 	return slices.IndexFunc(sim.nodes, func(node *simNode) bool { by, _ := node.ownership(); return by != nil })
 }
@@ -101,7 +101,8 @@
 	return node.core.Handle(sim.now, sim.now, ev)
 }
 
-// ownership tells whether the node owns teams, and by what; nil: it does not.
+// ownership returns a value that identifies the node's present ownership of teams, nil if it owns
+// none, and whether it is active.
 func (node *simNode) ownership() (by any, active bool) {
 	switch {
 	case !node.up:
--- a/controller/simulation_rules_test.go
+++ b/controller/simulation_rules_test.go
@@ -24,7 +24,7 @@
 	if sim.kvStore.OversizedTransactions > 0 {
 		sim.reportViolation("limits: a commit was too large")
 	}
-	// Once troubles are over, a job about which no question is answered is forgotten.
+	// After the faults, a job is forgotten if no request about it is answered.
 	for id := range sim.accepted {
 		if sim.faultsEndedAt > 0 && sim.reportedTerminal[id] == "" && sim.now-max(sim.lastAnsweredAt[id], sim.faultsEndedAt) > maxUnansweredTime {
 			sim.reportViolation("forgotten: nobody answers about %s", id)
@@ -35,7 +35,7 @@
 	sim.violations = sim.violations[:min(len(sim.violations), 10)]
 }
 
-// checkInvariants sees that no node reports a violation of its own invariants.
+// checkInvariants checks that no node reports a violation of its own invariants.
 func (sim *simulation) checkInvariants() {
 	for _, node := range sim.nodes {
 		if node.up && node.core != nil && node.core.Violations() > 0 {
--- a/controller/simulation_scheduling_test.go
+++ b/controller/simulation_scheduling_test.go
@@ -12,8 +12,8 @@
 	"tamarindlead/sched"
 )
 
-// checkSchedulingDelay sees that once troubles are over no job waits for long while a machine that
-// fits has room and its team is under its limit.
+// checkSchedulingDelay checks that after the faults no job is pending for long while it fits on a
+// machine and into its team's limit.
 func (sim *simulation) checkSchedulingDelay() {
 	users := &sim.users
 	if sim.faultsEndedAt == 0 || sim.now < users.nextSchedulingCheck {
@@ -56,7 +56,7 @@
 	return sim.roomFor(job) >= need
 }
 
-// roomFor returns how many tasks of a job fit on the machines, were none of them running.
+// roomFor returns how many tasks of a job of which none runs yet fit on the machines.
 func (sim *simulation) roomFor(job *sched.Job) int {
 	byZone := map[string]int{}
 	for _, worker := range sim.workers {
@@ -104,7 +104,7 @@
 	return healthy && job.Allows(machine.Type, machine.Zone, machine.Spot)
 }
 
-// freeTaskSlots counts the tasks of a kind for which a worker has room.
+// freeTaskSlots returns how many more tasks of a kind fit on a worker.
 func freeTaskSlots(worker *fake.Worker, info fake.TaskInfo) int {
 	cpu, mem := worker.CPU, worker.Mem
 	for name, t := range worker.Tasks {
--- a/controller/simulation_test.go
+++ b/controller/simulation_test.go
@@ -11,68 +11,116 @@
 	"tamarindlead/sched"
 )
 
-// simulation plays controllers against the stand-ins on a simulated clock, and checks the
-// rules of the protocol all the while.
+// simulation runs controllers against fakes of the state service, the cloud and the workers on a
+// simulated clock, and checks the rules of the service at every step.
 type simulation struct {
-	now                     micros.Micros
-	rng                     *rand.Rand
-	cfg                     *config.Settings
-	nodes                   []*simNode
-	kvStore                 *fake.KVStore
-	cloud                   *fake.Cloud
-	fleet                   *fake.Fleet
-	workers                 map[string]*fake.Worker // of the fleet
-	events                  eventQueue
-	eventSeq                int
-	lossRate                float64 // a message gets lost
-	lateRequestRate         float64 // a request is executed long after it was given up
-	duplicateRequestRate    float64 // a request is executed twice, the second time late
-	duplicateHeartbeatShare float64 // a copy of a report comes late
-	maxCopyDelay            micros.Micros
-	partitionedZone         string        // a zone that is cut off from everything else
-	faultsEndedAt           micros.Micros // troubles are over since then, 0: not yet
+	now           micros.Micros
+	rng           *rand.Rand
+	cfg           *config.Settings
+	nodes         []*simNode
+	kvStore       *fake.KVStore
+	cloud         *fake.Cloud
+	fleet         *fake.Fleet
+	workers       map[string]*fake.Worker // those of the fleet
+	events        eventQueue
+	eventSeq      int
+	faultsEndedAt micros.Micros // 0 while faults go on
+	violations    []string
+
+	jobLedger
+	taskLedger
+	messageFaults
+	workerFaults
+	kvFaults   kvFaults
+	users      userLoad
+	pipelines  pipelineState
+	nextLimits nextLimits
 
+	production *productionProcess // runs the nodes of the version in production
+	onMessage  func(body []byte)  // called with each peer message
+	onEffects  func(node *simNode, ev Event, effects []Effect)
+}
+
+// jobLedger is what the simulation's users know of their jobs, by job.
+type jobLedger struct {
 	taskInfos                 map[string]fake.TaskInfo
 	submitted                 map[string]*sched.Job
-	submittedAt               map[string]micros.Micros // when they were
-	submissions               map[string][]byte
-	reportedTerminal          map[string]wire.JobPhase // final state that a user was told
+	submittedAt               map[string]micros.Micros
+	submissions               map[string][]byte // encoded
 	accepted                  map[string]bool
-	acknowledgedCancellations map[string]micros.Micros
 	cancelRequested           map[string]bool
-	completedTasks            map[string]bool // task -> completed
-	runningOn                 map[string]string
-	violations                []string
-	startedTasks              int
-	exitsByCause              map[string]int           // by cause
-	lastAnsweredAt            map[string]micros.Micros // when a question for a job was answered last
+	acknowledgedCancellations map[string]micros.Micros
+	reportedTerminal          map[string]wire.JobPhase // first terminal state that was reported to a user
+	lastAnsweredAt            map[string]micros.Micros // when a request about a job was answered last
 	startedAt                 map[string]micros.Micros // when a job's first task, or its whole gang, started
-	kvFaults                  kvFaults
-	users                     userLoad
-	pipelines                 pipelineState
+}
 
-	production *productionProcess // runs the nodes of that version
-	onMessage  func(body []byte)  // is shown what siblings say
-	onEffects  func(node *simNode, ev Event, effects []Effect)
+func newJobLedger() jobLedger {
+	return jobLedger{
+		taskInfos:                 map[string]fake.TaskInfo{},
+		submitted:                 map[string]*sched.Job{},
+		submittedAt:               map[string]micros.Micros{},
+		submissions:               map[string][]byte{},
+		accepted:                  map[string]bool{},
+		cancelRequested:           map[string]bool{},
+		acknowledgedCancellations: map[string]micros.Micros{},
+		reportedTerminal:          map[string]wire.JobPhase{},
+		lastAnsweredAt:            map[string]micros.Micros{},
+		startedAt:                 map[string]micros.Micros{},
+	}
+}
 
-	workerFaults
-	nextLimits nextLimits
+// taskLedger is what happened to the tasks on the machines.
+type taskLedger struct {
+	completedTasks map[string]bool   // those of the fleet
+	runningOn      map[string]string // machine by task
+	startedTasks   int
+	exitsByCause   map[string]int
+}
+
+// messageFaults are faults of the network.
+type messageFaults struct {
+	lossRate                float64 // share of the messages that are lost
+	lateRequestRate         float64 // share of the requests that are executed long after their timeout
+	duplicateRequestRate    float64 // share of the requests that are executed twice, the second time late
+	duplicateHeartbeatShare float64 // share of the heartbeats of which a copy arrives late
+	maxCopyDelay            micros.Micros
+	partitionedZone         string // partitioned from everything else
 }
 
+// The random streams of a seed. Each purpose has its own, so that its draws do not change those
+// of the others. Only kvFaultStream and faultPairStream are the same: another number would change
+// the runs of all seeds.
+const (
+	simulationStream = 1
+	kvFaultStream    = 2
+	faultPairStream  = 2
+	usersStream      = 3
+	dependencyStream = 4
+	pipelinesStream  = 5
+	kvDelayStream    = 7
+	peerDelayStream  = 8
+	// responseDelayStream generates the response delays of a fault pair run.
+	responseDelayStream = 9
+)
+
 const (
 	simulationStep = 10 * micros.Millisecond
-	restartDelay   = 4 * micros.Second // a crashed node returns after this
+	restartDelay   = 4 * micros.Second // a crashed node restarts after this
 )
 
 func newSimulation(seed uint64, cfg *config.Settings) *simulation {
 	sim := &simulation{
-		now: micros.Hour, rng: rand.New(rand.NewPCG(seed, 1)), cfg: cfg,
-		kvStore: fake.NewKVStore(), cloud: fake.NewCloud(),
-		taskInfos: map[string]fake.TaskInfo{}, submitted: map[string]*sched.Job{}, submittedAt: map[string]micros.Micros{}, submissions: map[string][]byte{},
-		reportedTerminal: map[string]wire.JobPhase{}, accepted: map[string]bool{}, acknowledgedCancellations: map[string]micros.Micros{},
-		cancelRequested: map[string]bool{}, runningOn: map[string]string{},
-		kvFaults: newKVFaults(seed), users: newUserLoad(seed), pipelines: newPipelineState(seed),
-		exitsByCause: map[string]int{}, lastAnsweredAt: map[string]micros.Micros{}, startedAt: map[string]micros.Micros{},
+		now:        micros.Hour,
+		rng:        rand.New(rand.NewPCG(seed, simulationStream)),
+		cfg:        cfg,
+		kvStore:    fake.NewKVStore(),
+		cloud:      fake.NewCloud(),
+		jobLedger:  newJobLedger(),
+		taskLedger: taskLedger{runningOn: map[string]string{}, exitsByCause: map[string]int{}},
+		kvFaults:   newKVFaults(seed),
+		users:      newUserLoad(seed),
+		pipelines:  newPipelineState(seed),
 	}
 	sim.fleet = fake.NewFleet(fake.FleetTimeouts{Lease: cfg.WorkerLease, GangPeerTimeout: cfg.GangFailureTimeout, GangWaitTimeout: cfg.GangStartTimeout})
 	sim.fleet.Info, sim.fleet.OnStart, sim.fleet.OnExit, sim.fleet.OnDone = sim.taskInfo, sim.onTaskStart, sim.onTaskExit, sim.onTaskCompleted
--- a/controller/simulation_users_test.go
+++ b/controller/simulation_users_test.go
@@ -4,7 +4,7 @@
 	"tamarindlead/micros"
 )
 
-// sendUserRequest sends a user's request to a node and checks the answer against the rules.
+// sendUserRequest sends a user's request to a node and calls done with the response.
 func (sim *simulation) sendUserRequest(node int, method, path string, body []byte, done func(Respond)) {
 	if sim.zonesPartitioned(sim.nodeZone(node), "") {
 		sim.after(500*micros.Millisecond, func() { done(Respond{}) })
@@ -13,7 +13,7 @@
 	sim.sendRequest(sim.nodes[node], Request{Method: method, Path: path, Body: body}, 5*micros.Second, done)
 }
 
-// submit sends a job and keeps asking as a user would.
+// submit submits a job and retries at the next node until it is accepted or refused for good.
 func (sim *simulation) submit(id string, node int) {
 	sent := sim.now
 	sim.sendUserRequest(node, "POST", "/api/jobs", sim.submissions[id], func(response Respond) {
@@ -35,7 +35,7 @@
 	})
 }
 
-// poll asks for a job now and then until it is over.
+// poll asks for a job at an interval until its terminal state is reported.
 func (sim *simulation) poll(id string, node int) {
 	sent := sim.now
 	sim.sendRequest(sim.nodes[node], Request{Method: "GET", Path: "/api/jobs/" + id}, 2*micros.Second, func(response Respond) {
--- a/controller/simulation_workers_test.go
+++ b/controller/simulation_workers_test.go
@@ -7,7 +7,7 @@
 	"tamarindlead/micros"
 )
 
-// forgetDeletedMachines drops what ran on machines that were deleted.
+// forgetDeletedMachines removes the running tasks of terminated machines.
 func (sim *simulation) forgetDeletedMachines() {
 	for task, name := range sim.runningOn {
 		if sim.cloud.Machines[name].Gone {
@@ -80,7 +80,7 @@
 	}
 }
 
-// runningTasks counts the tasks of a job that are on machines.
+// runningTasks returns how many tasks of a job run.
 func (sim *simulation) runningTasks(id string) int {
 	n := 0
 	for task := range sim.runningOn {
--- a/controller/users_completion_test.go
+++ b/controller/users_completion_test.go
@@ -9,12 +9,10 @@
 	"tamarindlead/sched"
 )
 
-// This file checks at the end of a day whom the service has served.
-
-// completionGroup counts how many jobs of a group there are, and how many were served.
+// completionGroup counts the jobs of a group and those that were served.
 type completionGroup struct{ total, served int }
 
-// completionGroups counts jobs by the name of a group.
+// completionGroups counts jobs by group.
 type completionGroups map[string]*completionGroup
 
 func (g completionGroups) add(name string, served bool) {
@@ -27,9 +25,9 @@
 	}
 }
 
-// checkCompletion checks what must hold when a day is over, for all jobs that their users did not
-// cancel: each is done or answered about, of each class, each team and the largest jobs of
-// a class at least half is served, and the largest began in time.
+// checkCompletion checks what must hold at the end of a day for all jobs that their users did not
+// cancel: requests about each are answered, at least half of each class, of each team and of the
+// largest jobs of each class are served, and the largest started in time.
 func (sim *simulation) checkCompletion() {
 	groups := completionGroups{}
 	ids := sim.jobsToServe()
@@ -55,7 +53,7 @@
 	}
 }
 
-// jobsToServe lists the jobs that should be served.
+// jobsToServe returns the jobs that can be expected to be served.
 func (sim *simulation) jobsToServe() []string {
 	var ids []string
 	for _, id := range ordered.Keys(sim.submitted) {
@@ -67,10 +65,10 @@
 	return ids
 }
 
-// jobCPUs is a job's size, in processors.
+// jobCPUs returns the number of processors that all tasks of a job need.
 func jobCPUs(job *sched.Job) float64 { return job.Need.CPUs() * float64(job.Tasks) }
 
-// sizesByClass returns the sizes of jobs, in order, for each class.
+// sizesByClass returns the sorted sizes of the jobs of each class.
 func (sim *simulation) sizesByClass(ids []string) map[string][]float64 {
 	sizes := map[string][]float64{}
 	for _, id := range ids {
@@ -83,14 +81,14 @@
 	return sizes
 }
 
-// isAmongLargest tells whether a job is one of the largest of its class, by the class's sizes in
-// order, if those are much larger than the median.
+// isAmongLargest reports whether a job is one of the largest of its class, given the sorted sizes of
+// the class, and those are much larger than the median.
 func isAmongLargest(job *sched.Job, sizes []float64) bool {
 	most, median := sizes[len(sizes)-1], sizes[len(sizes)/2]
 	return jobCPUs(job) >= 0.9*most && most > 1.5*median
 }
 
-// checkStartDeadline checks when one of the largest jobs began.
+// checkStartDeadline checks that one of the largest jobs started in time.
 func (sim *simulation) checkStartDeadline(id string) {
 	began, ok := sim.startedAt[id]
 	if !ok {
--- a/controller/users_invalid_jobs_test.go
+++ b/controller/users_invalid_jobs_test.go
@@ -50,8 +50,8 @@
 	{"bundle", false},
 }
 
-// sendInvalidJob submits a job that must be refused for good: as malformed (400) at once whatever
-// else happens, as one that never runs (422) unless the node cannot decide.
+// sendInvalidJob submits a job that must be refused for good: with 400 in any case if it is malformed,
+// with 422 if it can never run, unless the node cannot decide that.
 func (sim *simulation) sendInvalidJob(to int, b invalidJob, want int) {
 	users := &sim.users
 	users.mustRefuse[b.id] = b.reason
@@ -65,7 +65,7 @@
 	})
 }
 
-// validJobFields are those of a job that could run; the odd ones differ in one.
+// validJobFields returns the encoded fields of a job that could run; the invalid ones differ in one.
 func (sim *simulation) validJobFields(id string) map[string]any {
 	job := &sched.Job{
 		ID: id, Class: "work", Team: sim.cfg.Teams[0].Name, Priority: sched.Normal, Tasks: 2,
--- a/controller/users_requests_test.go
+++ b/controller/users_requests_test.go
@@ -9,7 +9,7 @@
 	"tamarindlead/micros"
 )
 
-// sendUnusualRequests sends one odd request after the other.
+// sendUnusualRequests sends unusual requests of five kinds in turn.
 func (sim *simulation) sendUnusualRequests() {
 	users := &sim.users
 	if sim.now > users.unusualRequestsUntil {
@@ -31,15 +31,15 @@
 		return ids[users.rng.IntN(len(ids))]
 	}
 	switch users.unusualRequestsSent % 5 {
-	case 0: // an unfinished job again
+	case 0: // a duplicate submission of an unfinished job
 		if id := pick(func(id string) bool { return sim.reportedTerminal[id] == "" }); id != "" {
 			sim.sendUserRequest(to, "POST", "/api/jobs", sim.submissions[id], func(response Respond) { sim.checkResponse(id, response, sent) })
 		}
-	case 1: // a cancellation of one that is done, or was cancelled
+	case 1: // a cancellation of a job in a terminal state
 		if id := pick(func(id string) bool { return sim.reportedTerminal[id] != "" }); id != "" {
 			sim.sendUserRequest(to, "POST", "/api/jobs/"+id+"/cancel", nil, func(response Respond) { sim.checkResponse(id, response, sent) })
 		}
-	case 2: // a job that nobody submitted
+	case 2: // a job that was never submitted
 		id := "req-99" + jobName(users.unusualRequestsSent)[len("req-00"):]
 		path := "/api/jobs/" + id
 		sim.sendUserRequest(to, "GET", path, nil, func(response Respond) { sim.checkResponse(id, response, sent) })
--- a/controller/users_responses_test.go
+++ b/controller/users_responses_test.go
@@ -10,8 +10,7 @@
 	"tamarindlead/sched"
 )
 
-// checkRefusal sees that a user who is refused is told when to come again, and at once if
-// there is too much.
+// checkRefusal checks that a refusal has a Retry-After, and that throttling is immediate.
 func (sim *simulation) checkRefusal(request Request, response Respond, took micros.Micros) {
 	if request.Peer || !strings.HasPrefix(request.Path, "/api/jobs") || response.Status != 429 && response.Status != 503 {
 		return
@@ -25,8 +24,8 @@
 	}
 }
 
-// checkResponse holds what a user is told against what was told before the question was sent.
-// Questions that cross may be answered in any order; two final states never differ.
+// checkResponse checks a response against those that arrived before its request was sent. Concurrent
+// requests may be answered in any order, but two terminal states never differ.
 func (sim *simulation) checkResponse(id string, response Respond, sent micros.Micros) {
 	switch response.Status {
 	case wire.StatusNotFound, wire.StatusBadRequest, wire.StatusUnprocessable:
@@ -39,7 +38,7 @@
 	}
 }
 
-// checkAcceptedResponse checks an answer by which a job was accepted.
+// checkAcceptedResponse checks a response that shows that a job was accepted.
 func (sim *simulation) checkAcceptedResponse(id string, body []byte, sent micros.Micros) {
 	users := &sim.users
 	if why := users.mustRefuse[id]; why != "" {
@@ -65,7 +64,7 @@
 	sim.checkState(job, state.Status, sent)
 }
 
-// checkState checks the state of a job that a user is told.
+// checkState checks a state of a job that is reported to a user.
 func (sim *simulation) checkState(job *sched.Job, status wire.JobPhase, sent micros.Micros) {
 	users, id := &sim.users, job.ID
 	final := status == wire.JobDone || status == wire.JobCancelled
@@ -87,7 +86,7 @@
 	}
 }
 
-// checkTerminalState checks that a job has ended as its user is told, and notes that.
+// checkTerminalState checks that a job has the terminal state that is reported, and records it.
 func (sim *simulation) checkTerminalState(job *sched.Job, status wire.JobPhase) {
 	id := job.ID
 	if status == wire.JobDone {
@@ -105,7 +104,7 @@
 	}
 }
 
-// checkTasksDone checks that all tasks of a job were done that is said to be.
+// checkTasksDone checks that all tasks of a job that is reported as done have completed.
 func (sim *simulation) checkTasksDone(job *sched.Job) {
 	for i := range job.Tasks {
 		if !sim.completedTasks[wire.TaskName(job.ID, i)] {
@@ -115,7 +114,7 @@
 	}
 }
 
-// rejectionReason tells why a job must not be accepted, or "".
+// rejectionReason returns why a job must not be accepted, or "".
 func (sim *simulation) rejectionReason(job *sched.Job) string {
 	i := slices.IndexFunc(sim.cfg.Teams, func(team config.Team) bool { return team.Name == job.Team })
 	if i < 0 {
--- a/controller/users_test.go
+++ b/controller/users_test.go
@@ -6,52 +6,52 @@
 	"tamarindlead/micros"
 )
 
-// userLoad is what users do beyond submitting, asking and cancelling once, and what they were
-// told when. It draws from a row of its own, so that scenarios without it stay as they are.
+// userLoad is what users do beyond submitting, asking and cancelling once, and when what was reported
+// to them. It has its own random stream, so that scenarios without it stay as they are.
 type userLoad struct {
 	rng                    *rand.Rand
-	consistencyChecksUntil micros.Micros            // until then users ask closely
-	consistencyChecks      int                      // how many of these were answered
-	unusualRequestsUntil   micros.Micros            // until then odd requests are sent
-	unusualRequestsSent    int                      // how many were
-	cancelShare            float64                  // this share of what they saw accepted is cancelled at once
-	cancelAtEndShare       float64                  // this share of the jobs that end is cancelled at that moment
-	cancelledAtEnd         int                      // how many were
-	cancelAfter            map[string]micros.Micros // jobs that are cancelled so long after they were accepted
-	startsAfterCancel      int                      // starts after a confirmed cancellation
-	mustRefuse             map[string]string        // jobs that must not be accepted, and why
-	acceptedAt             map[string]micros.Micros // when users were first told that a job is accepted
-	terminalSeenAt         map[string]micros.Micros // when users were first told a job's final state
-	responseCount          map[string]int           // answers about each job in which it was known
+	consistencyChecksUntil micros.Micros // users check responses at all nodes until then
+	consistencyChecks      int           // answered requests of these checks
+	unusualRequestsUntil   micros.Micros // sent until then
+	unusualRequestsSent    int
+	cancelShare            float64                  // share of the accepted jobs that are cancelled at once
+	cancelAtEndShare       float64                  // share of the jobs that are cancelled when they complete
+	cancelledAtEnd         int                      // jobs that were cancelled when they completed
+	cancelAfter            map[string]micros.Micros // jobs that are cancelled some time after their acceptance
+	startsAfterCancel      int                      // starts after an acknowledged cancellation
+	mustRefuse             map[string]string        // why these jobs must not be accepted
+	acceptedAt             map[string]micros.Micros // when a job's acceptance was first reported
+	terminalSeenAt         map[string]micros.Micros // when a job's terminal state was first reported
+	responseCount          map[string]int           // responses about a job in which it was known
 	refusals               map[int]int              // by status
-	schedulableSince       map[string]micros.Micros // since when a job waits though there is room
+	schedulableSince       map[string]micros.Micros // since when a pending job fits
 	nextSchedulingCheck    micros.Micros
 }
 
 func newUserLoad(seed uint64) userLoad {
 	return userLoad{
-		rng: rand.New(rand.NewPCG(seed, 3)), refusals: map[int]int{}, responseCount: map[string]int{}, mustRefuse: map[string]string{},
+		rng: rand.New(rand.NewPCG(seed, usersStream)), refusals: map[int]int{}, responseCount: map[string]int{}, mustRefuse: map[string]string{},
 		acceptedAt: map[string]micros.Micros{}, terminalSeenAt: map[string]micros.Micros{},
 		cancelAfter: map[string]micros.Micros{}, schedulableSince: map[string]micros.Micros{},
 	}
 }
 
 const (
-	maxRefusalLatency   = 100 * micros.Millisecond // too much is answered at once
-	maxUnansweredTime   = 75 * micros.Second       // a job about which nobody answers is forgotten
-	maxSchedulableWait  = 90 * micros.Second       // a job must not wait for so long beside room
-	largestJobsDeadline = 240 * micros.Second      // the largest jobs begin within this
+	maxRefusalLatency   = 100 * micros.Millisecond // throttling is immediate
+	maxUnansweredTime   = 75 * micros.Second       // a job is forgotten if no request is answered for so long
+	maxSchedulableWait  = 90 * micros.Second       // no job that fits is pending for longer
+	largestJobsDeadline = 240 * micros.Second      // the largest jobs start within this
 )
 
-// consistencyCheckDelays is when users look closely at what they were told.
+// consistencyCheckDelays are the delays after which a report to a user is checked at all nodes.
 var consistencyCheckDelays = []micros.Micros{
 	0, 2 * micros.Millisecond, 5 * micros.Millisecond, 10 * micros.Millisecond,
 
 	30 * micros.Millisecond, 100 * micros.Millisecond, 300 * micros.Millisecond,
 }
 
-// checkConsistency asks all nodes again and again about what a user was just told, and repeats
-// the submission at each.
+// checkConsistency repeatedly asks all nodes about a job whose state was just reported, and repeats
+// its submission.
 func (sim *simulation) checkConsistency(id string) {
 	users := &sim.users
 	if sim.now > users.consistencyChecksUntil {
@@ -65,7 +65,7 @@
 	}
 }
 
-// queryAllNodes asks all nodes about a job and repeats its submission at each.
+// queryAllNodes asks all nodes about a job and sends each a duplicate submission.
 func (sim *simulation) queryAllNodes(id string) {
 	sent := sim.now
 	see := func(response Respond) {
@@ -80,8 +80,8 @@
 	}
 }
 
-// cancelCompletedJob is called when a task completes: some users cancel, ask and submit again at
-// the very moment at which a job's last task does.
+// cancelCompletedJob is called when a task completes: some users cancel, ask for and resubmit a job
+// at the moment at which its last task completes.
 func (sim *simulation) cancelCompletedJob(id string) {
 	users := &sim.users
 	if users.cancelAtEndShare == 0 || sim.cancelRequested[id] || !sim.allTasksDone(id) {
@@ -94,7 +94,7 @@
 	}
 }
 
-// countStartAfterCancellation counts starts after a user was told of the cancellation.
+// countStartAfterCancellation counts the start of a task after an acknowledged cancellation.
 func (sim *simulation) countStartAfterCancellation(id string) {
 	if _, ok := sim.acknowledgedCancellations[id]; ok {
 		sim.users.startsAfterCancel++
