--- a/controller/fault_pairs_jobs_test.go
+++ b/controller/fault_pairs_jobs_test.go
@@ -11,180 +11,238 @@
 	"tamarindlead/sched"
 )
 
-// generateJob draws a job, when it comes, and whether and when it is cancelled: often between
-// the beginnings of two troubles.
-func (p *faultPairRun) generateJob(i int, first, second micros.Micros) {
-	r, w := p.rng, p.w
-	id := fmt.Sprintf("req-%06d", i)
-	j := &sched.Job{
-		ID: id, Class: "work", Team: []string{"red", "blue"}[r.IntN(2)], Priority: sched.Priority(r.IntN(4)),
-		Tasks: 1, Need: sched.NewResources(2, 0, 2), Image: "img", ImageGB: 1, Spot: r.IntN(3) == 0,
-	}
-	mem := 2.0
-	run := p.seconds(3, 20)
-	switch kind := r.IntN(10); {
+// cancellationPlan describes when a generated job is cancelled, if at all.
+type cancellationPlan struct {
+	at           micros.Micros // 0: not at a given time
+	onAcceptance bool
+}
+
+// generateJob draws a job, when it is submitted, and whether and when it is cancelled: often
+// between the starts of two faults.
+func (run *faultPairRun) generateJob(i int, first, second micros.Micros) {
+	rng, sim := run.rng, run.sim
+	job := run.generateJobShape(jobName(i))
+	duration := run.randomSeconds(3, 20)
+	mem := run.generateTasks(job)
+	job.OneZone = rng.IntN(4) == 0
+	job.Spread = !job.OneZone && rng.IntN(4) == 0
+	if rng.IntN(2) == 0 {
+		job.CheckpointInterval, job.CheckpointDuration = 5*micros.Second, 2*micros.Second
+	}
+	at := run.randomSeconds(0, 10)
+	if rng.IntN(2) == 0 {
+		at = run.randomSeconds(0, 50)
+	}
+	var cancellation cancellationPlan
+	if rng.IntN(3) == 0 {
+		at, cancellation = run.generateCancellation(at, first, second)
+		if rng.IntN(4) > 0 {
+			duration = run.randomSeconds(60, 200)
+		}
+	} else if rng.IntN(6) == 0 {
+		duration = run.randomSeconds(30, 60)
+	}
+	job.Estimate = micros.FromSeconds(duration.Seconds() * (0.5 + rng.Float64()))
+	sim.submitted[job.ID] = job
+	sim.submissions[job.ID] = wire.Encode(wire.FromJob(job))
+	sim.taskInfos[job.ID] = fake.TaskInfo{
+		CPU: job.Need.CPUs(), Mem: mem, Run: duration, Fetch: micros.Second, Save: job.CheckpointDuration,
+		Saves: job.CheckpointInterval > 0, Gang: job.Gang, Tasks: job.Tasks,
+	}
+	run.logf("%s", describeJob(job, at, duration, cancellation))
+	if cancellation.at > 0 {
+		sim.after(cancellation.at, func() { run.cancel(job.ID) })
+	}
+	sim.after(at, func() {
+		sim.submittedAt[job.ID] = sim.now
+		run.submit(job.ID, cancellation.onAcceptance)
+	})
+	sim.after(at+2*micros.Second, func() { run.poll(job.ID) })
+}
+
+// generateJobShape draws a job's team, priority and whether it may run on spot machines.
+func (run *faultPairRun) generateJobShape(id string) *sched.Job {
+	return &sched.Job{
+		ID: id, Class: "work", Team: run.randomTeam(), Priority: sched.Priority(run.rng.IntN(4)),
+		Tasks: 1, Need: sched.NewResources(2, 0, 2), Image: "img", ImageGB: 1, Spot: run.rng.IntN(3) == 0,
+	}
+}
+
+func (run *faultPairRun) randomTeam() string { return []string{"red", "blue"}[run.rng.IntN(2)] }
+
+// generateTasks draws whether a job has one task, several or a gang of them, and returns the
+// memory that each needs.
+func (run *faultPairRun) generateTasks(job *sched.Job) (mem float64) {
+	switch kind := run.rng.IntN(10); {
 	case kind < 3: // one task
 	case kind < 7:
-		j.Tasks = 2 + r.IntN(14)
+		job.Tasks = 2 + run.rng.IntN(14)
 	default:
-		j.Gang, j.Tasks = true, 2+r.IntN(4)
-		mem = 4
-		j.Need = sched.NewResources(4, 0, mem)
-	}
-	j.OneZone = r.IntN(4) == 0
-	j.Spread = !j.OneZone && r.IntN(4) == 0
-	if r.IntN(2) == 0 {
-		j.CheckpointInterval, j.CheckpointDuration = 5*micros.Second, 2*micros.Second
-	}
-	at := p.seconds(0, 10)
-	if r.IntN(2) == 0 {
-		at = p.seconds(0, 50)
-	}
-	cancelAt, atOnce := micros.Micros(0), false
-	if r.IntN(3) == 0 {
-		kind := r.IntN(5)
-		if p.outageSecond {
-			kind = r.IntN(10)
-		}
-		switch kind {
-		case 0:
-			cancelAt = at + p.seconds(1, 60)
-		case 1:
-			atOnce = true // the moment it is accepted
-		default: // while it runs, when troubles meet
-			at = p.seconds(0, 6)
-			cancelAt = first - micros.Second + p.seconds(0, (second-first).Seconds()+2)
-		}
-		if r.IntN(4) > 0 {
-			run = p.seconds(60, 200)
-		}
-	} else if r.IntN(6) == 0 {
-		run = p.seconds(30, 60)
-	}
-	j.Estimate = micros.FromSeconds(run.Seconds() * (0.5 + r.Float64()))
-	w.submitted[id] = j
-	w.bodies[id] = wire.Encode(wire.FromJob(j))
-	w.infos[id] = fake.TaskInfo{
-		CPU: j.Need.CPUs(), Mem: mem, Run: run, Fetch: micros.Second, Save: j.CheckpointDuration,
-		Saves: j.CheckpointInterval > 0, Gang: j.Gang, Tasks: j.Tasks,
-	}
-	text := fmt.Sprintf("%s at %v: %d tasks of %v, priority %d, team %s", id, at, j.Tasks, run, j.Priority, j.Team)
-	for _, f := range []struct {
+		job.Gang, job.Tasks = true, 2+run.rng.IntN(4)
+		job.Need = sched.NewResources(4, 0, 4)
+		return 4
+	}
+	return 2
+}
+
+// generateCancellation draws when a job that is submitted at a given time is cancelled; it may be
+// submitted earlier for that.
+func (run *faultPairRun) generateCancellation(at, first, second micros.Micros) (micros.Micros, cancellationPlan) {
+	kinds := 5
+	if run.secondIsKVOutage {
+		// This draw is not used; it keeps the runs of the seeds as they are.
+		run.rng.IntN(kinds)
+		kinds = 10
+	}
+	switch run.rng.IntN(kinds) {
+	case 0:
+		return at, cancellationPlan{at: at + run.randomSeconds(1, 60)}
+	case 1:
+		return at, cancellationPlan{onAcceptance: true}
+	default: // while it runs, when the faults overlap
+		at = run.randomSeconds(0, 6)
+		return at, cancellationPlan{at: first - micros.Second + run.randomSeconds(0, (second-first).Seconds()+2)}
+	}
+}
+
+// describeJob returns the line of the run's log about a job.
+func describeJob(job *sched.Job, at, duration micros.Micros, cancellation cancellationPlan) string {
+	text := fmt.Sprintf("%s at %v: %d tasks of %v, priority %d, team %s", job.ID, at, job.Tasks, duration, job.Priority, job.Team)
+	for _, property := range []struct {
 		set  bool
 		name string
-	}{{j.Gang, "gang"}, {j.OneZone, "one zone"}, {j.Spread, "spread"}, {j.Spot, "spot"}, {j.CheckpointInterval > 0, "saves"}, {atOnce, "cancelled at once"}} {
-		if f.set {
-			text += ", " + f.name
+	}{
+		{job.Gang, "gang"},
+		{job.OneZone, "one zone"},
+		{job.Spread, "spread"},
+		{job.Spot, "spot"},
+		{job.CheckpointInterval > 0, "saves"},
+		{cancellation.onAcceptance, "cancelled at once"},
+	} {
+		if property.set {
+			text += ", " + property.name
 		}
 	}
-	if cancelAt > 0 {
-		text += fmt.Sprintf(", cancelled at %v", cancelAt)
-		w.after(cancelAt, func() { p.cancel(id) })
+	if cancellation.at > 0 {
+		text += fmt.Sprintf(", cancelled at %v", cancellation.at)
 	}
-	p.logf("%s", text)
-	w.after(at, func() { w.submittedAt[id] = w.now; p.submit(id, atOnce) })
-	w.after(at+2*micros.Second, func() { p.poll(id) })
+	return text
 }
 
-// checkSchedulingDelay finds jobs that have waited for long although there was room for them all
-// the while.
-func (p *faultPairRun) checkSchedulingDelay() {
-	w := p.w
-	used := map[string]float64{}
-	on := map[string][]string{} // job -> zones of its tasks
-	for task, name := range w.running {
-		id, _, _ := wire.SplitTaskName(task)
-		used[w.submitted[id].Team] += w.infos[id].CPU
-		on[id] = append(on[id], w.cloud.Machines[name].Zone)
-	}
+// checkSchedulingDelay reports jobs that have been pending for too long although they fitted all the
+// while.
+func (run *faultPairRun) checkSchedulingDelay() {
+	sim := run.sim
+	used := sim.usedCPUs()
+	zones := sim.zonesOfRunningTasks()
 	seen := map[string]bool{}
-	for _, id := range p.openJobs() {
-		j := w.submitted[id]
-		pending := j.Tasks - len(on[id])
-		for i := range j.Tasks {
-			if w.done[wire.TaskName(id, i)] {
-				pending--
-			}
+	for _, id := range run.openJobs() {
+		if run.mayStartTasks(id, len(zones[id]), used) {
+			run.checkSchedulableJob(seen, id, zones[id])
 		}
-		team, _ := w.cfg.Team(j.Team)
-		if !w.accepted[id] || w.cancelRequested[id] || w.isBlocked(id) || pending <= 0 || j.Gang && len(on[id]) > 0 {
-			continue
+	}
+	maps.DeleteFunc(run.fitsSince, func(key string, _ micros.Micros) bool { return !seen[key] })
+}
+
+// zonesOfRunningTasks returns the zones of the running tasks of each job.
+func (sim *simulation) zonesOfRunningTasks() map[string][]string {
+	zones := map[string][]string{}
+	for task, name := range sim.runningOn {
+		id, _, _ := wire.SplitTaskName(task)
+		zones[id] = append(zones[id], sim.cloud.Machines[name].Zone)
+	}
+	return zones
+}
+
+// mayStartTasks reports whether a job has tasks to start and its team's limit admits them.
+func (run *faultPairRun) mayStartTasks(id string, runningTasks int, used map[string]float64) bool {
+	sim := run.sim
+	job := sim.submitted[id]
+	pending := sim.remainingTasks(job) - runningTasks
+	if !sim.accepted[id] || sim.cancelRequested[id] || sim.hasUnreportedDependency(id) || pending <= 0 || job.Gang && runningTasks > 0 {
+		return false
+	}
+	need := job.Need.CPUs()
+	if job.Gang {
+		need *= float64(job.Tasks)
+	}
+	team, ok := sim.cfg.Team(job.Team)
+	return !ok || team.QuotaLimit.CPU == 0 || used[job.Team]+need <= team.QuotaLimit.CPUs()+1e-6
+}
+
+// checkSchedulableJob records on which machines a job fits, given the zones of its running tasks,
+// and reports it if it has fitted for too long.
+func (run *faultPairRun) checkSchedulableJob(seen map[string]bool, id string, zones []string) {
+	job := run.sim.submitted[id]
+	room, roomInZone := 0, map[string]int{}
+	for _, name := range run.sim.workerNames() {
+		worker := run.sim.workers[name]
+		zone := worker.Machine.Zone
+		fits := run.tasksThatFit(worker, job)
+		if job.OneZone && len(zones) > 0 && zones[0] != zone {
+			fits = 0
 		}
-		need := j.Need.CPUs()
-		if j.Gang {
-			need *= float64(j.Tasks)
+		if job.Spread {
+			fits = min(fits, job.ZoneCap()-countEqual(zones, zone)-roomInZone[zone])
 		}
-		if team.QuotaLimit.CPU > 0 && used[j.Team]+need > team.QuotaLimit.CPUs()+1e-6 {
+		if fits <= 0 {
 			continue
 		}
-		room, inZone := 0, map[string]int{}
-		for _, name := range w.workerNames() {
-			k := w.workers[name]
-			n := p.tasksThatFit(k, j)
-			if j.OneZone && len(on[id]) > 0 && on[id][0] != k.Machine.Zone {
-				n = 0
-			}
-			if j.Spread {
-				held := 0
-				for _, z := range on[id] {
-					if z == k.Machine.Zone {
-						held++
-					}
-				}
-				n = min(n, j.ZoneCap()-held-inZone[k.Machine.Zone])
-			}
-			if n <= 0 {
-				continue
-			}
-			inZone[k.Machine.Zone] += n
-			room += n
-			if !j.Gang {
-				p.recordSchedulableWait(seen, id, name)
-			}
-		}
-		if j.OneZone {
-			room = slices.Max(append(slices.Collect(maps.Values(inZone)), 0))
+		roomInZone[zone] += fits
+		room += fits
+		if !job.Gang {
+			run.recordSchedulableWait(seen, id, name)
 		}
-		if j.Gang && room >= j.Tasks {
-			p.recordSchedulableWait(seen, id, "")
+	}
+	if job.OneZone {
+		room = slices.Max(append(slices.Collect(maps.Values(roomInZone)), 0))
+	}
+	if job.Gang && room >= job.Tasks {
+		run.recordSchedulableWait(seen, id, "")
+	}
+}
+
+func countEqual(list []string, text string) int {
+	n := 0
+	for _, other := range list {
+		if other == text {
+			n++
 		}
 	}
-	maps.DeleteFunc(p.fitsSince, func(key string, _ micros.Micros) bool { return !seen[key] })
+	return n
 }
 
-// tasksThatFit tells how many tasks of a job fit on a machine now.
-func (p *faultPairRun) tasksThatFit(k *fake.Worker, j *sched.Job) int {
-	w := p.w
-	m := k.Machine
-	if m.Gone || k.Hung || k.Partitioned || k.InboundBlocked || k.FailsTasks || k.PreemptionNotice != nil || !j.Allows(m.Type, m.Zone, m.Spot) {
+// tasksThatFit returns how many tasks of a job fit on a machine now.
+func (run *faultPairRun) tasksThatFit(worker *fake.Worker, job *sched.Job) int {
+	if !canRunTasks(worker, job) {
 		return 0
 	}
-	return freeTaskSlots(k, w.infos[j.ID])
+	return freeTaskSlots(worker, run.sim.taskInfos[job.ID])
 }
 
-func (p *faultPairRun) recordSchedulableWait(seen map[string]bool, id, name string) {
+func (run *faultPairRun) recordSchedulableWait(seen map[string]bool, id, name string) {
 	key := id + " " + name
 	seen[key] = true
-	if _, ok := p.fitsSince[key]; !ok {
-		p.fitsSince[key] = p.w.now
+	if _, ok := run.fitsSince[key]; !ok {
+		run.fitsSince[key] = run.sim.now
 	}
-	if p.w.now-p.fitsSince[key] > maxSchedulingDelay {
-		p.w.reportViolation("left waiting: %s, with room for it on %q", id, name)
+	if run.sim.now-run.fitsSince[key] > maxSchedulingDelay {
+		run.sim.reportViolation("left waiting: %s, with room for it on %q", id, name)
 	}
 }
 
-// generateSmallJob draws a job of one task that comes after some time.
-func (p *faultPairRun) generateSmallJob(i int, in micros.Micros) {
-	w, id := p.w, fmt.Sprintf("req-%06d", i)
-	j := &sched.Job{
-		ID: id, Class: "small", Team: []string{"red", "blue"}[p.rng.IntN(2)], Priority: sched.Priority(p.rng.IntN(4)),
+// generateSmallJob draws a job of one task that is submitted after some time.
+func (run *faultPairRun) generateSmallJob(i int, in micros.Micros) {
+	sim, id := run.sim, fmt.Sprintf("req-%06d", i)
+	job := &sched.Job{
+		ID: id, Class: "small", Team: []string{"red", "blue"}[run.rng.IntN(2)], Priority: sched.Priority(run.rng.IntN(4)),
 		Tasks: 1, Need: sched.NewResources(1, 0, 1), Image: "img", ImageGB: 1, Estimate: 3 * micros.Second,
 	}
-	w.submitted[id], w.bodies[id] = j, wire.Encode(wire.FromJob(j))
-	w.infos[id] = fake.TaskInfo{CPU: 1, Mem: 1, Run: p.seconds(1, 5), Fetch: micros.Second, Tasks: 1}
-	w.after(in, func() { w.submittedAt[id] = w.now; p.submit(id, false) })
-	w.after(in+2*micros.Second, func() { p.poll(id) })
-	if p.rng.IntN(4) == 0 {
-		w.after(in+p.seconds(0, 6), func() { p.cancel(id) })
+	sim.submitted[id], sim.submissions[id] = job, wire.Encode(wire.FromJob(job))
+	sim.taskInfos[id] = fake.TaskInfo{CPU: 1, Mem: 1, Run: run.randomSeconds(1, 5), Fetch: micros.Second, Tasks: 1}
+	sim.after(in, func() { sim.submittedAt[id] = sim.now; run.submit(id, false) })
+	sim.after(in+2*micros.Second, func() { run.poll(id) })
+	if run.rng.IntN(4) == 0 {
+		sim.after(in+run.randomSeconds(0, 6), func() { run.cancel(id) })
 	}
 }
--- a/controller/faults_workers_test.go
+++ b/controller/faults_workers_test.go
@@ -4,299 +4,149 @@
 	"cmp"
 	"slices"
 	"strings"
-	"testing"
-
-	"tamarindlead/internal/ordered"
-
-	"github.com/cockroachdb/datadriven"
 
 	"tamarindlead/internal/fake"
 	"tamarindlead/internal/wire"
 	"tamarindlead/micros"
 )
 
-// workerFaults are troubles of reports, direct commands, machines and leaders.
+// workerFaults are faults of heartbeats, direct commands, machines and leaders.
 type workerFaults struct {
-	taskStagger            map[string]micros.Micros // by how much each task of a job takes longer than the one before
-	duplicateHeartbeatRate float64                  // of the reports, of which copies come late
-	replayToNextOwner      bool                     // the copies are kept for the next owner
-	replayHeartbeats       []savedHeartbeat         // those copies
-	delayNextOf            []string                 // the next reports of these machines are held back
-	delayedHeartbeats      []savedHeartbeat         // until a new owner has acted
-	capturedHeartbeats     [][]byte                 // reports that come again when asked for
-	commandDelayRate       float64                  // of the direct commands, held up on the way there or back
+	taskStagger            map[string]micros.Micros // by how much each task of a job takes longer than the previous one
+	duplicateHeartbeatRate float64                  // share of the heartbeats of which copies arrive late
+	replayToNextOwner      bool                     // the copies are kept for the next owner instead
+	replayHeartbeats       [][]byte                 // copies for the next owner
+	delayNextHeartbeatOf   []string                 // the next heartbeats of these machines are delayed
+	delayedHeartbeats      [][]byte                 // until some time after the next owner becomes active
+	capturedHeartbeats     [][]byte                 // heartbeats that a scenario replays
+	commandDelayRate       float64                  // share of the direct commands whose request or response is delayed
 	minCommandDelay        micros.Micros
 	commandDelay           micros.Micros
-	delayRequestOnly       bool          // only on the way there
+	delayRequestOnly       bool          // no responses
 	commitDelay            micros.Micros // of commits
-	owners                 map[int]any
-	acting                 map[int]any
+	owners                 map[int]any   // ownership of each node in the last step
+	activeOwners           map[int]any   // the same, once it is active
 }
 
-type savedHeartbeat struct{ body []byte }
-
-const maxSavedHeartbeats = 64 // copies for the next owner
-
-// setTaskStagger has each task of a job take longer than the one before it.
-func (w *simulation) setTaskStagger(id string, step micros.Micros) {
+// setTaskStagger has each task of a job take longer than the previous one.
+func (sim *simulation) setTaskStagger(id string, step micros.Micros) {
 	if step > 0 {
-		if w.taskStagger == nil {
-			w.taskStagger = map[string]micros.Micros{}
-		}
-		w.taskStagger[id] = step
-	}
-}
-
-// randomDuration draws a time.
-func (w *simulation) randomDuration(low, high micros.Micros) micros.Micros {
-	return low + micros.Micros(w.rng.Int64N(int64(max(1, high-low))))
-}
-
-// deliverHeartbeat brings a worker's report to a node; nobody waits for the answer.
-func (w *simulation) deliverHeartbeat(node int, body []byte) {
-	w.sendRequest(w.nodes[node], Request{Method: "POST", Path: PathHeartbeat, Body: body}, micros.Second, func(Respond) {})
-}
-
-// duplicateHeartbeat makes the copies of a report that come later. It returns true if the report
-// itself does not arrive now.
-func (w *simulation) duplicateHeartbeat(k *fake.Worker, body []byte) bool {
-	if w.duplicateHeartbeatRate > 0 && w.rng.Float64() < w.duplicateHeartbeatRate {
-		if w.replayToNextOwner {
-			if w.replayHeartbeats = append(w.replayHeartbeats, savedHeartbeat{body}); len(w.replayHeartbeats) > maxSavedHeartbeats {
-				w.replayHeartbeats = w.replayHeartbeats[1:]
-			}
-		} else {
-			to := w.rng.IntN(len(w.nodes))
-			w.after(w.randomDuration(2*micros.Second, 2*w.cfg.WorkerLease), func() { w.deliverHeartbeat(to, body) })
+		if sim.taskStagger == nil {
+			sim.taskStagger = map[string]micros.Micros{}
 		}
+		sim.taskStagger[id] = step
 	}
-	i := slices.Index(w.delayNextOf, k.Machine.Name)
-	if i < 0 {
-		return false
-	}
-	w.delayNextOf = slices.Delete(w.delayNextOf, i, i+1)
-	w.delayedHeartbeats = append(w.delayedHeartbeats, savedHeartbeat{body})
-	return true
 }
 
-// replayToLeader delivers what was kept for a new owner: copies to every controller as it begins
-// and again as it becomes active, a report that was held back once it has acted.
-func (w *simulation) replayToLeader() {
-	if w.owners == nil {
-		w.owners, w.acting = map[int]any{}, map[int]any{}
-	}
-	copies := func() {
-		for _, r := range w.replayHeartbeats {
-			for i := range w.nodes {
-				w.deliverHeartbeat(i, r.body)
-			}
-		}
-	}
-	for i, n := range w.nodes {
-		o, active := n.ownership()
-		if o == nil {
-			w.owners[i], w.acting[i] = nil, nil
-			continue
-		}
-		if w.owners[i] != o {
-			w.owners[i] = o
-			copies()
-		}
-		if active && w.acting[i] != o {
-			w.acting[i] = o
-			copies()
-			w.replayHeartbeats = nil
-			for _, r := range w.delayedHeartbeats {
-				w.after(4*micros.Second, func() { w.deliverHeartbeat(i, r.body) })
-			}
-			w.delayedHeartbeats = nil
-		}
-	}
+// randomDuration draws a duration.
+func (sim *simulation) randomDuration(low, high micros.Micros) micros.Micros {
+	return low + micros.Micros(sim.rng.Int64N(int64(max(1, high-low))))
 }
 
-// delayCommand holds up a direct command, or its answer. It returns how to answer, or nil if the
-// command comes later.
-func (w *simulation) delayCommand(c Call, answer func(fake.Response)) func(fake.Response) {
-	if w.commandDelayRate == 0 || w.rng.Float64() >= w.commandDelayRate {
+// delayCommand delays a direct command or its response, if it is drawn to. It returns the function
+// that answers the command, or nil if the command itself is delayed.
+func (sim *simulation) delayCommand(call Call, answer func(fake.Response)) func(fake.Response) {
+	if sim.commandDelayRate == 0 || sim.rng.Float64() >= sim.commandDelayRate {
 		return answer
 	}
-	wait := w.randomDuration(w.minCommandDelay, w.commandDelay)
-	if w.delayRequestOnly || w.rng.IntN(2) == 0 {
-		k := w.workers[strings.TrimPrefix(c.Addr, "worker:")]
-		w.after(wait, func() { w.executeWhenResumed(k, c, answer) })
+	wait := sim.randomDuration(sim.minCommandDelay, sim.commandDelay)
+	if sim.delayRequestOnly || sim.rng.IntN(2) == 0 {
+		worker := sim.workers[strings.TrimPrefix(call.Addr, workerAddrPrefix)]
+		sim.after(wait, func() { sim.executeWhenResumed(worker, call, answer) })
 		return nil
 	}
-	return func(r fake.Response) { w.after(wait, func() { answer(r) }) }
+	return func(response fake.Response) { sim.after(wait, func() { answer(response) }) }
 }
 
-// executeWhenResumed executes a command that was held up on its way, once the machine goes on.
-func (w *simulation) executeWhenResumed(k *fake.Worker, c Call, answer func(fake.Response)) {
+// executeWhenResumed executes a delayed command once the machine is reachable again.
+func (sim *simulation) executeWhenResumed(worker *fake.Worker, call Call, respond func(fake.Response)) {
 	switch {
-	case k.Machine.Gone:
-	case k.Hung || k.Partitioned:
-		w.after(simulationStep, func() { w.executeWhenResumed(k, c, answer) })
-	case c.Target == "/inspect":
-		answer(fake.Response{Status: 200, Body: wire.Encode(k.BuildHeartbeat())})
+	case worker.Machine.Gone:
+	case worker.Hung || worker.Partitioned:
+		sim.after(simulationStep, func() { sim.executeWhenResumed(worker, call, respond) })
 	default:
-		answer(k.ExecuteDirect(w.now, c.Body))
+		respond(sim.executeAtWorker(worker, call))
 	}
 }
 
-// afterCommitDelay executes a commit later while commits lag.
-func (w *simulation) afterCommitDelay(c Call, do func()) {
-	if w.commitDelay == 0 || c.Target != "/commit" {
+// afterCommitDelay calls do, after the present delay if the call is a commit.
+func (sim *simulation) afterCommitDelay(call Call, do func()) {
+	if sim.commitDelay == 0 || call.Target != "/commit" {
 		do()
 		return
 	}
-	w.after(w.randomDuration(w.commitDelay/2, w.commitDelay), do)
+	sim.after(sim.randomDuration(sim.commitDelay/2, sim.commitDelay), do)
 }
 
-// selectMachines lists the machines that a command names by count, share or zone, those with the
-// most tasks first; nil: it names none so.
-func (w *simulation) selectMachines(t *testing.T, d *datadriven.TestData) []string {
-	if !d.HasArg("count") && !d.HasArg("share") && !d.HasArg("zone") {
+// selectMachines returns the machines that a command selects by count, share or zone, those with
+// the most tasks first, or nil if it selects none that way.
+func (c *command) selectMachines() []string {
+	c.t.Helper()
+	if !c.HasArg("count") && !c.HasArg("share") && !c.HasArg("zone") {
 		return nil
 	}
 	var names []string
-	for _, n := range w.workerNames() {
-		m := w.workers[n].Machine
-		if !m.Gone && (!d.HasArg("zone") || m.Zone == arg(t, d, "zone", "")) {
-			names = append(names, n)
+	for _, name := range c.sim.workerNames() {
+		machine := c.sim.workers[name].Machine
+		if !machine.Gone && (!c.HasArg("zone") || machine.Zone == c.text("zone", "")) {
+			names = append(names, name)
 		}
 	}
 	slices.SortStableFunc(names, func(a, b string) int {
-		return -cmp.Compare(len(w.workers[a].Tasks), len(w.workers[b].Tasks))
+		return -cmp.Compare(len(c.sim.workers[a].Tasks), len(c.sim.workers[b].Tasks))
 	})
 	n := len(names)
-	if d.HasArg("share") {
-		n = int(argNumber(t, d, "share", 1)*float64(n) + 0.5)
+	if c.HasArg("share") {
+		n = int(c.number("share", 1)*float64(n) + 0.5)
 	}
-	n = min(n, arg(t, d, "count", n))
+	n = min(n, c.integer("count", n))
 	if n == 0 {
-		d.Fatalf(t, "no such machine")
+		c.fail("no such machine")
 	}
 	return names[:n]
 }
 
-// withoutSelectors is a command's arguments without those of chosen.
-func withoutSelectors(d *datadriven.TestData) []datadriven.CmdArg {
-	return slices.DeleteFunc(slices.Clone(d.CmdArgs), func(a datadriven.CmdArg) bool {
-		return a.Key == "count" || a.Key == "share" || a.Key == "zone"
-	})
-}
-
-// runWorkerFaultCommand executes a scenario's command of these troubles; false: it is none.
-func runWorkerFaultCommand(t *testing.T, w *simulation, d *datadriven.TestData, during func(func())) bool {
-	switch d.Cmd {
-	case "late-reports":
-		w.duplicateHeartbeatRate, w.replayToNextOwner = argNumber(t, d, "share", 0), d.HasArg("for-next")
-		during(func() { w.duplicateHeartbeatRate = 0 })
-	case "hold-report":
-		w.delayNextOf = append(w.delayNextOf, arg(t, d, "machine", w.workerNames()[0]))
-	case "capture-reports":
-		w.capturedHeartbeats = nil
-		for _, n := range w.workerNames() {
-			w.capturedHeartbeats = append(w.capturedHeartbeats, wire.Encode(w.workers[n].BuildHeartbeat()))
+// workerFaultCommands cause faults of heartbeats, direct commands, machines and leaders.
+var workerFaultCommands = commandTable{
+	"late-reports": silent(func(c *command) {
+		c.sim.duplicateHeartbeatRate, c.sim.replayToNextOwner = c.number("share", 0), c.HasArg("for-next")
+		c.revertLater(func() { c.sim.duplicateHeartbeatRate = 0 })
+	}),
+	"hold-report": silent(func(c *command) {
+		c.sim.delayNextHeartbeatOf = append(c.sim.delayNextHeartbeatOf, c.text("machine", c.sim.workerNames()[0]))
+	}),
+	"capture-reports": silent(func(c *command) {
+		c.sim.capturedHeartbeats = nil
+		for _, name := range c.sim.workerNames() {
+			c.sim.capturedHeartbeats = append(c.sim.capturedHeartbeats, wire.Encode(c.sim.workers[name].BuildHeartbeat()))
 		}
-	case "replay-reports": // at all nodes, again and again
-		for at := micros.Micros(0); at < argSeconds(t, d, "for", 10); at += 50 * micros.Millisecond {
-			w.after(at, func() {
-				for _, body := range w.capturedHeartbeats {
-					for i := range w.nodes {
-						w.deliverHeartbeat(i, body)
-					}
-				}
-			})
+	}),
+	"replay-reports": silent(func(c *command) {
+		for at := micros.Micros(0); at < c.seconds("for", 10); at += replayInterval {
+			c.sim.after(at, c.sim.replayCapturedHeartbeats)
 		}
-	case "slow-commands":
-		w.commandDelayRate, w.delayRequestOnly = argNumber(t, d, "share", 1), d.HasArg("there")
-		w.minCommandDelay, w.commandDelay = argSeconds(t, d, "from", 1), argSeconds(t, d, "by", 8)
-		during(func() { w.commandDelayRate = 0 })
-	case "slow-writes":
-		w.commitDelay = argSeconds(t, d, "s", 0)
-		during(func() { w.commitDelay = 0 })
-	case "fast-boot":
-		w.cloud.BootTime = func(micros.Micros) micros.Micros { return w.randomDuration(micros.Second/2, 2*micros.Second) }
-		during(func() { w.cloud.BootTime = nil })
-	case "cancel-now":
-		w.cancelDuringFaults(arg(t, d, "count", 1), argSeconds(t, d, "hang", 0), d.HasArg("cut"))
-	case "change-leader":
-		times := arg(t, d, "times", 10)
-		every := argSeconds(t, d, "within", 120) / micros.Micros(times)
+	}),
+	"slow-commands": silent(func(c *command) {
+		c.sim.commandDelayRate, c.sim.delayRequestOnly = c.number("share", 1), c.HasArg("there")
+		c.sim.minCommandDelay, c.sim.commandDelay = c.seconds("from", 1), c.seconds("by", 8)
+		c.revertLater(func() { c.sim.commandDelayRate = 0 })
+	}),
+	"slow-writes": silent(func(c *command) {
+		c.sim.commitDelay = c.seconds("s", 0)
+		c.revertLater(func() { c.sim.commitDelay = 0 })
+	}),
+	"fast-boot": silent(func(c *command) {
+		c.sim.cloud.BootTime = func(micros.Micros) micros.Micros { return c.sim.randomDuration(micros.Second/2, 2*micros.Second) }
+		c.revertLater(func() { c.sim.cloud.BootTime = nil })
+	}),
+	"cancel-now": silent(func(c *command) {
+		c.sim.cancelDuringFaults(c.integer("count", 1), c.seconds("hang", 0), c.HasArg("cut"))
+	}),
+	"change-leader": silent(func(c *command) {
+		times := c.integer("times", 10)
+		every := c.seconds("within", 120) / micros.Micros(times)
 		for i := range times {
-			w.after(every*micros.Micros(i)+w.randomDuration(0, every/4), func() { w.changeLeader(i, every) })
+			c.sim.after(every*micros.Micros(i)+c.sim.randomDuration(0, every/4), func() { c.sim.changeLeader(i, every) })
 		}
-	default:
-		return false
-	}
-	return true
-}
-
-// maxHungMachines is how many machines of cancelled jobs hang.
-const maxHungMachines = 8
-
-// cancelDuringFaults has users cancel running jobs within a fifth of a second; some of their machines
-// hang, or are cut off.
-func (w *simulation) cancelDuringFaults(count int, hang micros.Micros, cut bool) {
-	var jobs []string
-	for task := range w.running {
-		if id, _, _ := wire.SplitTaskName(task); !w.cancelRequested[id] && !slices.Contains(jobs, id) {
-			jobs = append(jobs, id)
-		}
-	}
-	slices.Sort(jobs)
-	jobs = jobs[:min(count, len(jobs))]
-	hung := map[string]bool{}
-	for _, task := range ordered.Keys(w.running) {
-		id, _, _ := wire.SplitTaskName(task)
-		name := w.running[task]
-		if hang == 0 || !slices.Contains(jobs, id) || hung[name] || len(hung) == maxHungMachines {
-			continue
-		}
-		hung[name] = true
-		k := w.workers[name]
-		if cut {
-			k.Partitioned = true
-			w.after(hang, func() { k.Partitioned = false })
-			continue
-		}
-		k.Hung = true
-		w.after(hang, func() { k.Hung = false })
-	}
-	for _, id := range jobs {
-		w.after(w.randomDuration(0, micros.Second/5), func() { w.cancel(id, w.rng.IntN(len(w.nodes))) })
-	}
-}
-
-// changeLeader takes the lead from whoever has it: it ends for a moment or for longer, or is
-// cut off, or loses the state service and its siblings, in turn.
-func (w *simulation) changeLeader(turn int, every micros.Micros) {
-	i := w.leader()
-	if i < 0 {
-		return
-	}
-	n := w.nodes[i]
-	switch turn % 4 {
-	case 0:
-		w.crash(n, micros.Second/5)
-	case 1:
-		n.partitioned, n.delaysOutbound = true, true
-		w.after(every*3/4, func() { n.partitioned = false })
-	case 2:
-		n.onlyWorkersReachable = true
-		w.after(every*3/4, func() { n.onlyWorkersReachable = false })
-	case 3:
-		w.crash(n, every/2)
-	}
-}
-
-// countCancelledRunning counts the tasks on machines whose users were told that they are cancelled.
-func (w *simulation) countCancelledRunning() int {
-	n := 0
-	for task := range w.running {
-		if id, _, _ := wire.SplitTaskName(task); w.cancelled[id] > 0 {
-			n++
-		}
-	}
-	return n
+	}),
 }
--- a/controller/scenario_nodes_test.go
+++ b/controller/scenario_nodes_test.go
@@ -4,91 +4,105 @@
 	"fmt"
 	"testing"
 
-	"github.com/cockroachdb/datadriven"
-
 	"tamarindlead/internal/wire"
 	"tamarindlead/micros"
 )
 
-// This file plays what befalls controllers, and asks them.
-
-// nodeArg is the node that a command names: by its number, as the leader, or as another.
-func nodeArg(t *testing.T, w *simulation, d *datadriven.TestData) *simNode {
-	switch text := arg(t, d, "node", "leader"); text {
+// node returns the node that a command names: by its index, as the leader, or as another one.
+func (c *command) node() *simNode {
+	c.t.Helper()
+	switch text := c.text("node", "leader"); text {
 	case "leader":
-		i := w.leader()
+		i := c.sim.leader()
 		if i < 0 {
-			d.Fatalf(t, "nobody leads")
+			c.fail("nobody leads")
 		}
-		return w.nodes[i]
+		return c.sim.nodes[i]
 	case "other":
-		return w.nodes[(w.leader()+1)%len(w.nodes)]
+		return c.sim.nodes[(c.sim.leader()+1)%len(c.sim.nodes)]
 	default:
 		var i int
 		if _, err := fmt.Sscan(text, &i); err != nil {
-			d.Fatalf(t, "node=%s: %v", text, err)
+			c.fail("node=%s: %v", text, err)
 		}
-		return w.nodes[i]
+		return c.sim.nodes[i]
 	}
 }
 
-// runNodeCommand plays the commands that befall controllers; false for any other.
-func runNodeCommand(t *testing.T, w *simulation, d *datadriven.TestData, node func() *simNode, during func(func())) bool {
-	away := func() micros.Micros { return argSeconds(t, d, "for", restartDelay.Seconds()) }
-	switch d.Cmd {
-	case "crash":
-		w.crash(node(), away())
-	case "crash-all":
-		for _, n := range w.nodes {
-			w.crash(n, away())
+// downtime returns how long a crashed node stays down.
+func (c *command) downtime() micros.Micros {
+	c.t.Helper()
+	return c.seconds("for", restartDelay.Seconds())
+}
+
+// nodeCommands cause faults of controllers, of their network and of the state service.
+var nodeCommands = commandTable{
+	"crash": silent(func(c *command) { c.sim.crash(c.node(), c.downtime()) }),
+	"crash-all": silent(func(c *command) {
+		for _, node := range c.sim.nodes {
+			c.sim.crash(node, c.downtime())
 		}
-	case "cut-node":
-		n := node()
-		n.partitioned, n.delaysOutbound = true, d.HasArg("hold")
-		during(func() { n.partitioned = false })
-	case "cut-zone":
-		w.partitionedZone = arg(t, d, "zone", "b")
-		during(func() { w.partitionedZone = "" })
-	case "deafen-node":
-		n := node()
-		n.workersUnreachable = true
-		during(func() { n.workersUnreachable = false })
-	case "refuse-node":
-		n := nodeName(node().index)
-		w.kvStore.RefusedCallers[n] = true
-		during(func() { delete(w.kvStore.RefusedCallers, n) })
-	case "isolate-node":
-		n := node()
-		n.onlyWorkersReachable = true
-		during(func() { n.onlyWorkersReachable = false })
-	case "state-down":
-		w.kvStore.Unavailable = true
-		during(func() { w.kvStore.Unavailable = false })
-	case "state-compact":
-		w.kvStore.CompactHistory = true
-	case "late-copies":
-		w.duplicateHeartbeatShare, w.maxCopyDelay = argNumber(t, d, "share", 0), argSeconds(t, d, "by", 20)
-	case "faults":
-		w.lossRate, w.lateRequestRate, w.duplicateRequestRate = argNumber(t, d, "loss", 0), argNumber(t, d, "late", 0), argNumber(t, d, "dup", 0)
-	case "numbers-low": // the owner has given out nearly all numbers of its record's version
-		owner := node().core
-		owner.numbers.next(owner.node.RecordVersion())
-		owner.numbers.sequence = maxSequence - sequenceMargin
-	default:
-		return false
-	}
-	return true
+	}),
+	"cut-node": silent(func(c *command) {
+		node := c.node()
+		node.partitioned, node.delaysOutbound = true, c.HasArg("hold")
+		c.revertLater(func() { node.partitioned = false })
+	}),
+	"cut-zone": silent(func(c *command) {
+		c.sim.partitionedZone = c.text("zone", "b")
+		c.revertLater(func() { c.sim.partitionedZone = "" })
+	}),
+	"deafen-node": silent(func(c *command) {
+		node := c.node()
+		node.workersUnreachable = true
+		c.revertLater(func() { node.workersUnreachable = false })
+	}),
+	"refuse-node": silent(func(c *command) {
+		name := nodeName(c.node().index)
+		c.sim.kvStore.RefusedCallers[name] = true
+		c.revertLater(func() { delete(c.sim.kvStore.RefusedCallers, name) })
+	}),
+	"isolate-node": silent(func(c *command) {
+		node := c.node()
+		node.onlyWorkersReachable = true
+		c.revertLater(func() { node.onlyWorkersReachable = false })
+	}),
+	"state-down": silent(func(c *command) {
+		c.sim.kvStore.Unavailable = true
+		c.revertLater(func() { c.sim.kvStore.Unavailable = false })
+	}),
+	"state-compact": silent(func(c *command) { c.sim.kvStore.CompactHistory = true }),
+	"late-copies": silent(func(c *command) {
+		c.sim.duplicateHeartbeatShare, c.sim.maxCopyDelay = c.number("share", 0), c.seconds("by", 20)
+	}),
+	"faults":      silent((*command).setMessageFaults),
+	"numbers-low": silent((*command).exhaustNumbers),
+}
+
+// setMessageFaults sets which shares of the messages are lost, late or duplicated.
+func (c *command) setMessageFaults() {
+	c.t.Helper()
+	sim := c.sim
+	sim.lossRate, sim.lateRequestRate, sim.duplicateRequestRate = c.number("loss", 0), c.number("late", 0), c.number("dup", 0)
+}
+
+// exhaustNumbers has a node use up nearly all numbers of its record's version.
+func (c *command) exhaustNumbers() {
+	c.t.Helper()
+	core := c.node().core
+	core.numbers.next(core.node.RecordVersion())
+	core.numbers.sequence = maxSequence - sequenceMargin
 }
 
-// get asks a node and returns the status of its answer.
-func (w *simulation) get(t *testing.T, n *simNode, path string) string {
+// requestStatus sends a GET request to a node and returns the status of its response.
+func (sim *simulation) requestStatus(t *testing.T, node *simNode, path string) string {
 	t.Helper()
-	status, since, took := -1, w.now, micros.Micros(0)
-	w.sendRequest(n, Request{Method: "GET", Path: path}, 5*micros.Second, func(r Respond) {
-		status, took = r.Status, w.now-since
+	status, since, took := -1, sim.now, micros.Micros(0)
+	sim.sendRequest(node, Request{Method: "GET", Path: path}, 5*micros.Second, func(response Respond) {
+		status, took = response.Status, sim.now-since
 	})
 	for status < 0 {
-		w.run(simulationStep)
+		sim.run(simulationStep)
 	}
 	if took > 500*micros.Millisecond {
 		return fmt.Sprintf("%d late", status)
@@ -96,18 +110,19 @@
 	return fmt.Sprint(status)
 }
 
-// sendUndecodableMessages sends a node messages that cannot be read, and tells how they are answered.
-func (w *simulation) sendUndecodableMessages(n *simNode) string {
+// sendUndecodableMessages sends messages that cannot be decoded to a node, and returns how many were
+// answered with which status.
+func (sim *simulation) sendUndecodableMessages(node *simNode) string {
 	seen := map[int]int{}
 	for i, body := range [][]byte{nil, {0xff}, {0xa1, 0x61}, []byte("hello"), wire.Encode([]int{1}), wire.Encode(map[string]any{"berth": 7, "shift": "x"})} {
-		for _, r := range []Request{
+		for _, request := range []Request{
 			{Method: "POST", Path: "/hello", Body: body},
 			{Method: "POST", Path: "/api/jobs", Body: body},
 			{Peer: true, Method: "POST", Path: "/peer", Body: append([]byte{byte(i)}, body...)},
 		} {
-			w.sendRequest(n, r, micros.Second, func(r Respond) { seen[r.Status]++ })
+			sim.sendRequest(node, request, micros.Second, func(response Respond) { seen[response.Status]++ })
 		}
 	}
-	w.run(2 * micros.Second)
+	sim.run(2 * micros.Second)
 	return fmt.Sprint(seen)
 }
--- a/controller/users_requests_test.go
+++ b/controller/users_requests_test.go
@@ -2,29 +2,25 @@
 
 import (
 	"slices"
-	"testing"
 
 	"tamarindlead/internal/ordered"
 
-	"github.com/cockroachdb/datadriven"
-
 	"tamarindlead/internal/wire"
 	"tamarindlead/micros"
-	"tamarindlead/sched"
 )
 
-// sendUnusualRequests sends one odd request after the other.
-func (w *simulation) sendUnusualRequests() {
-	users := &w.users
-	if w.now > users.unusualRequestsUntil {
+// sendUnusualRequests sends unusual requests of five kinds in turn.
+func (sim *simulation) sendUnusualRequests() {
+	users := &sim.users
+	if sim.now > users.unusualRequestsUntil {
 		return
 	}
-	w.after(200*micros.Millisecond, w.sendUnusualRequests)
+	sim.after(200*micros.Millisecond, sim.sendUnusualRequests)
 	users.unusualRequestsSent++
-	to, sent := users.rng.IntN(len(w.nodes)), w.now
+	to, sent := users.rng.IntN(len(sim.nodes)), sim.now
 	pick := func(is func(id string) bool) string {
 		var ids []string
-		for _, id := range ordered.Keys(w.accepted) {
+		for _, id := range ordered.Keys(sim.accepted) {
 			if is(id) {
 				ids = append(ids, id)
 			}
@@ -35,146 +31,71 @@
 		return ids[users.rng.IntN(len(ids))]
 	}
 	switch users.unusualRequestsSent % 5 {
-	case 0: // an unfinished job again
-		if id := pick(func(id string) bool { return w.reportedTerminal[id] == "" }); id != "" {
-			w.user(to, "POST", "/api/jobs", w.bodies[id], func(r Respond) { w.checkResponse(id, r, sent) })
+	case 0: // a duplicate submission of an unfinished job
+		if id := pick(func(id string) bool { return sim.reportedTerminal[id] == "" }); id != "" {
+			sim.sendUserRequest(to, "POST", "/api/jobs", sim.submissions[id], func(response Respond) { sim.checkResponse(id, response, sent) })
 		}
-	case 1: // a cancellation of one that is done, or was cancelled
-		if id := pick(func(id string) bool { return w.reportedTerminal[id] != "" }); id != "" {
-			w.user(to, "POST", "/api/jobs/"+id+"/cancel", nil, func(r Respond) { w.checkResponse(id, r, sent) })
+	case 1: // a cancellation of a job in a terminal state
+		if id := pick(func(id string) bool { return sim.reportedTerminal[id] != "" }); id != "" {
+			sim.sendUserRequest(to, "POST", "/api/jobs/"+id+"/cancel", nil, func(response Respond) { sim.checkResponse(id, response, sent) })
 		}
-	case 2: // a job that nobody submitted
+	case 2: // a job that was never submitted
 		id := "req-99" + jobName(users.unusualRequestsSent)[len("req-00"):]
 		path := "/api/jobs/" + id
-		w.user(to, "GET", path, nil, func(r Respond) { w.checkResponse(id, r, sent) })
-		w.user(to, "POST", path+"/cancel", nil, func(r Respond) { w.checkResponse(id, r, sent) })
+		sim.sendUserRequest(to, "GET", path, nil, func(response Respond) { sim.checkResponse(id, response, sent) })
+		sim.sendUserRequest(to, "POST", path+"/cancel", nil, func(response Respond) { sim.checkResponse(id, response, sent) })
 	case 3:
-		w.sendInvalidJob(to, w.malformedJob(users.unusualRequestsSent/5), 400)
+		sim.sendInvalidJob(to, sim.malformedJob(users.unusualRequestsSent/5), 400)
 	case 4:
-		w.sendInvalidJob(to, w.unrunnableJob(users.unusualRequestsSent/5), 422)
+		sim.sendInvalidJob(to, sim.unrunnableJob(users.unusualRequestsSent/5), 422)
 	}
 }
 
-// sendInvalidJob submits a job that must be refused for good: as malformed (400) at once whatever
-// else happens, as one that never runs (422) unless the node cannot decide.
-func (w *simulation) sendInvalidJob(to int, b invalidJob, want int) {
-	users := &w.users
-	users.mustRefuse[b.id] = b.reason
-	w.user(to, "POST", "/api/jobs", b.body, func(r Respond) {
-		undecided := r.Status == 0 || want == 422 && (r.Status == 503 || r.Status == 429)
-		if r.Status != want && !undecided {
-			w.reportViolation("accepted_bad: a submission must be answered %d, is answered %d: %s", want, r.Status, b.reason)
+// userCommands cause what users do beyond submitting, asking and cancelling once.
+var userCommands = commandTable{
+	"close-looks": silent(func(c *command) {
+		c.sim.users.consistencyChecksUntil, c.sim.users.cancelShare = c.sim.now+c.span(), c.number("cancels", 0)
+	}),
+	"cancel-at-end": silent(func(c *command) {
+		c.sim.users.cancelAtEndShare = c.number("share", 1)
+		c.sim.after(c.span(), func() { c.sim.users.cancelAtEndShare = 0 })
+	}),
+	"odd-requests": silent(func(c *command) {
+		c.sim.users.unusualRequestsUntil = c.sim.now + c.span()
+		c.sim.sendUnusualRequests()
+	}),
+	"burst": silent((*command).submitBurst),
+	"types-without": silent(func(c *command) { // a machine type is no longer offered
+		name := c.text("name", "big")
+		c.sim.cloud.Types = slices.DeleteFunc(slices.Clone(c.sim.cloud.Types), func(machineType wire.MachineType) bool { return machineType.Name == name })
+	}),
+	"end-of-day": silent(func(c *command) {
+		if c.sim.faultsEndedAt == 0 {
+			c.fail("a day ends after calm")
 		}
-		sent := w.now
-		w.user(to, "GET", "/api/jobs/"+b.id, nil, func(r Respond) { w.checkResponse(b.id, r, sent) })
-	})
-}
-
-// validJobFields are those of a job that could run; the odd ones differ in one.
-func (w *simulation) validJobFields(id string) map[string]any {
-	j := &sched.Job{
-		ID: id, Class: "work", Team: w.cfg.Teams[0].Name, Priority: sched.Normal, Tasks: 2,
-		Need: sched.NewResources(1, 0, 1), Image: "img", ImageGB: 1, Estimate: 10 * micros.Second,
-	}
-	fields := map[string]any{}
-	if err := wire.Decode(wire.Encode(wire.FromJob(j)), &fields); err != nil {
-		panic(err) // it was encoded just now
-	}
-	return fields
-}
-
-func (w *simulation) malformedJob(n int) invalidJob {
-	id := jobName(980000 + n)
-	fields := w.validJobFields(id)
-	needed := []string{
-		"ref", "queue", "desk", "shape", "urgency", "legs", "cpus", "cards", "memGb", "bundle", "sizeGb",
-		"samePlace", "apart", "loaners", "expectS", "snapshotS", "stowS",
-	}
-	switch i := n % (len(needed) + len(invalidValues) + 4); {
-	case i < len(needed):
-		delete(fields, needed[i])
-		return invalidJob{id, needed[i] + " is missing", wire.Encode(fields)}
-	case i < len(needed)+len(invalidValues):
-		b := invalidValues[i-len(needed)]
-		fields[b.field] = b.value
-		return invalidJob{id, b.field + " is invalid", wire.Encode(fields)}
-	case i == len(needed)+len(invalidValues):
-		fields["ref"] = "job-7"
-		return invalidJob{"job-7", "ref is invalid", wire.Encode(fields)}
-	case i == len(needed)+len(invalidValues)+1:
-		return invalidJob{id, "not CBOR", []byte{0xff, 0x00}}
-	case i == len(needed)+len(invalidValues)+2:
-		return invalidJob{id, "a list", wire.Encode([]any{fields})}
-	default:
-		body := wire.Encode(fields)
-		return invalidJob{id, "cut short", body[:len(body)-3]}
-	}
+		c.sim.checkCompletion()
+	}),
 }
 
-func (w *simulation) unrunnableJob(n int) invalidJob {
-	id := jobName(990000 + n)
-	fields := w.validJobFields(id)
-	set := func(why string, pairs ...any) invalidJob {
-		for i := 0; i < len(pairs); i += 2 {
-			fields[pairs[i].(string)] = pairs[i+1]
-		}
-		return invalidJob{id, why, wire.Encode(fields)}
-	}
-	limit := w.cfg.Teams[0].QuotaLimit.CPUs()
-	switch n % 6 {
-	case 0:
-		return set("no such team", "desk", "green")
-	case 1:
-		return set("too many cpus for any machine", "cpus", 64.0)
-	case 2:
-		return set("too much memory for any machine", "memGb", 4096.0)
-	case 3:
-		return set("no such machine type", "builds", []string{"none"})
-	case 4:
-		return set("cards that no machine has", "cards", 1.0)
-	default:
-		if limit == 0 {
-			return set("no machine type allowed", "builds", []string{})
-		}
-		return set("a gang above the limit", "shape", "group", "legs", 1+int(limit/2), "cpus", 2.0)
-	}
+// span returns for how long a command's users act: by default to the end of the scenario.
+func (c *command) span() micros.Micros {
+	c.t.Helper()
+	return c.seconds("for", simulationHorizon.Seconds())
 }
 
-// runUserCommand plays the commands of this file; ok is false for any other.
-func runUserCommand(t *testing.T, w *simulation, d *datadriven.TestData) (out string, ok bool) {
-	users := &w.users
-	span := func() micros.Micros { return argSeconds(t, d, "for", simulationHorizon.Seconds()) }
-	switch d.Cmd {
-	case "close-looks":
-		users.consistencyChecksUntil, users.cancelShare = w.now+span(), argNumber(t, d, "cancels", 0)
-	case "cancel-at-end":
-		users.cancelAtEndShare = argNumber(t, d, "share", 1)
-		w.after(span(), func() { users.cancelAtEndShare = 0 })
-	case "odd-requests":
-		users.unusualRequestsUntil = w.now + span()
-		w.sendUnusualRequests()
-	case "burst":
-		rate, share := argNumber(t, d, "rate", 4), argNumber(t, d, "cancelled", 0)
-		for i := range int(rate * span().Seconds()) {
-			id := jobName(arg(t, d, "from", 1) + i)
-			w.after(micros.FromSeconds(float64(i)/rate), func() {
-				one := *d
-				if users.rng.Float64() < share {
-					users.cancelAfter[id] = micros.Micros(users.rng.Int64N(int64(10 * micros.Second)))
-				}
-				runSubmitCommand(t, w, &one, id)
-			})
-		}
-	case "types-without": // a machine type is no longer offered
-		name := arg(t, d, "name", "big")
-		w.cloud.Types = slices.DeleteFunc(slices.Clone(w.cloud.Types), func(m wire.MachineType) bool { return m.Name == name })
-	case "end-of-day":
-		if w.faultsEndedAt == 0 {
-			d.Fatalf(t, "a day ends after calm")
-		}
-		w.checkCompletion()
-	default:
-		return "", false
+// submitBurst submits jobs at a constant rate, a share of which is cancelled soon after it was
+// accepted.
+func (c *command) submitBurst() {
+	c.t.Helper()
+	users := &c.sim.users
+	rate, share := c.number("rate", 4), c.number("cancelled", 0)
+	for i := range int(rate * c.span().Seconds()) {
+		id := jobName(c.integer("from", 1) + i)
+		c.sim.after(micros.FromSeconds(float64(i)/rate), func() {
+			if users.rng.Float64() < share {
+				users.cancelAfter[id] = micros.Micros(users.rng.Int64N(int64(10 * micros.Second)))
+			}
+			c.submit(id)
+		})
 	}
-	return "", true
 }
