--- a/controller/bench_test.go
+++ b/controller/bench_test.go
@@ -130,7 +130,7 @@
 	o := benchOwner()
 	for b.Loop() {
 		o.SchedulingNeeded = true
-		o.schedule()
+		o.scheduler.Schedule()
 		b.StopTimer()
 		o.c.now += scheduler.MinPassInterval
 		for _, m := range o.SortedMachines {
--- a/controller/commit_adapter.go
+++ b/controller/commit_adapter.go
@@ -146,9 +146,3 @@
 
 // transaction is the type of an owner's transactions.
 type transaction = commit.Transaction
-
-func (o *owner) flush() { o.commits.Flush() }
-
-func (o *owner) newBlock(name string) *inventory.Block { return o.commits.NewBlock(name) }
-
-func (o *owner) ownsAllTeams() bool { return o.commits.OwnsAllTeams() }
--- a/controller/commit_test.go
+++ b/controller/commit_test.go
@@ -26,7 +26,7 @@
 func beginCommit(tb testing.TB, o *owner) {
 	tb.Helper()
 	o.commits.DeleteLater("obsolete")
-	if o.flush(); !o.commits.InFlight() {
+	if o.commits.Flush(); !o.commits.InFlight() {
 		tb.Fatal("no transaction was sent")
 	}
 }
@@ -36,7 +36,7 @@
 func commitNext(tb testing.TB, o *owner, revision uint64) []transactionWrite {
 	tb.Helper()
 	o.c.effects = nil
-	if o.flush(); !o.commits.InFlight() {
+	if o.commits.Flush(); !o.commits.InFlight() {
 		return nil
 	}
 	call, ok := o.c.effects[len(o.c.effects)-1].(Call)
--- a/controller/fleet_adapter.go
+++ b/controller/fleet_adapter.go
@@ -4,7 +4,6 @@
 	"tamarindlead/internal/autoscaler"
 	"tamarindlead/internal/fleet"
 	"tamarindlead/internal/inventory"
-	"tamarindlead/internal/kv"
 	"tamarindlead/internal/record"
 	"tamarindlead/internal/scheduler"
 	"tamarindlead/internal/wire"
@@ -59,10 +58,10 @@
 // NewAdoptedMachine gives the machine a block of its own while other owners exist: one may have
 // it without this owner's knowledge (see verifyAdopted).
 func (h fleetOwnership) NewAdoptedMachine(info inventory.MachineInfo) *inventory.Machine {
-	if h.o.ownsAllTeams() {
+	if h.o.commits.OwnsAllTeams() {
 		return h.o.newMachine(info)
 	}
-	return h.o.addMachine(h.o.newBlock(inventory.AdoptedPrefix+info.Name), info)
+	return h.o.addMachine(h.o.commits.NewBlock(inventory.AdoptedPrefix+info.Name), info)
 }
 
 // fleetCloud implements fleet.Cloud.
@@ -102,10 +101,7 @@
 	return fleet.MachineSize(m, o.c.types.List())
 }
 
-func (o *owner) recoverScaleOutRequests(entries []kv.Entry) {
-	o.fleet.RecoverScaleOutRequests(entries)
-}
-
+// markOwnedElsewhere remembers that another owner has a machine, until its heartbeats name it.
 func (o *owner) markOwnedElsewhere(machine string) {
 	o.fleet.MarkOwnedElsewhere(machine, o.c.now+ownedElsewhereRetention)
 }
--- a/controller/limits_test.go
+++ b/controller/limits_test.go
@@ -124,7 +124,7 @@
 	}
 	for range 20 {
 		o.SchedulingNeeded = true
-		o.schedule()
+		o.scheduler.Schedule()
 		before := countAttempts(o)
 		for _, w := range commitAll(t, o, 10) {
 			if n := blockSize(t, w); n > o.c.cfg.MaxValueBytes {
@@ -208,7 +208,7 @@
 		m.FencingToken, m.AgentEpoch, m.TokenConfirmed, m.LastHeartbeat, m.State = uint64(1000+i*4711), 1, true, o.c.now, inventory.MachineReady
 	}
 	o.SchedulingNeeded = true
-	o.schedule()
+	o.scheduler.Schedule()
 	if o.Assumed != machines*tasksEach {
 		t.Errorf("%d of %d tasks were placed", o.Assumed, machines*tasksEach)
 	}
--- a/controller/machine_requests.go
+++ b/controller/machine_requests.go
@@ -151,7 +151,7 @@
 // describeOwner adds to a heartbeat what peers must know of this owner.
 func (o *owner) describeOwner(heartbeat *peer.Beat) {
 	heartbeat.Jobs = o.jobCounts()
-	if o.ownsAllTeams() {
+	if o.commits.OwnsAllTeams() {
 		return // no other owner requests machines
 	}
 	for _, m := range o.SortedMachines {
--- a/controller/machine_transfers.go
+++ b/controller/machine_transfers.go
@@ -160,7 +160,7 @@
 
 // acceptTransfer takes over a machine. Its fencing token is the version of its new block.
 func (o *owner) acceptTransfer(blockName string, version uint64, data *record.BlockData) {
-	block := o.newBlock(blockName)
+	block := o.commits.NewBlock(blockName)
 	block.Version = version
 	o.recovery.RecoverMachine(block, data, &data.Machines[0])
 	m := block.Machines[0]
--- a/controller/owner.go
+++ b/controller/owner.go
@@ -81,9 +81,9 @@
 		o.recovery.Advance()
 	case ownerActive:
 		o.advanceBlockedJobs()
-		o.schedule()
-		o.flush()
-		o.dispatchQueuedMachines()
+		o.scheduler.Schedule()
+		o.commits.Flush()
+		o.workers.DispatchQueuedMachines()
 		o.fleet.TerminateMachines()
 	}
 }
@@ -104,8 +104,8 @@
 	o.recovery.ResolveJobs()
 	o.sweepParts()
 	o.fleet.CheckHealth()
-	o.inspectMachines()
-	o.tickReservations()
+	o.workers.InspectMachines()
+	o.scheduler.TickReservations()
 	o.fleet.TickCloudList()
 	o.fleet.TickAutoscaling()
 	o.fleet.RemoveExpired()
--- a/controller/owner_teams.go
+++ b/controller/owner_teams.go
@@ -28,7 +28,7 @@
 // ownsRecordsOf reports whether the records of an earlier owner belong to this one: its own, those of
 // owners whose successor it is, and, if it is the first owner, those of owners without a successor.
 func (o *owner) ownsRecordsOf(earlier record.OwnerID) bool {
-	if earlier == o.c.node.ID() || o.ownsAllTeams() {
+	if earlier == o.c.node.ID() || o.commits.OwnsAllTeams() {
 		return true
 	}
 	for _, team := range o.Teams {
--- a/controller/recovery_adapter.go
+++ b/controller/recovery_adapter.go
@@ -51,7 +51,7 @@
 }
 
 func (h recoveryHost) RecoverScaleOutRequests(entries []kv.Entry) {
-	h.o.recoverScaleOutRequests(entries)
+	h.o.fleet.RecoverScaleOutRequests(entries)
 }
 
 func (h recoveryHost) RecoverReservations(entries []kv.Entry) { h.o.recoverReservations(entries) }
--- a/controller/scheduler_adapter.go
+++ b/controller/scheduler_adapter.go
@@ -59,15 +59,11 @@
 
 func (h schedulerHost) UnblockPlacedJob(job string) *inventory.Job { return h.o.unblockPlacedJob(job) }
 
-func (o *owner) schedule() { o.scheduler.Schedule() }
-
-func (o *owner) tickReservations() { o.scheduler.TickReservations() }
-
 // recoverReservations recovers the reservations of an earlier owner. Records that are not used are
 // deleted unless another owner may need them.
 func (o *owner) recoverReservations(entries []kv.Entry) {
 	unused := o.scheduler.RecoverReservations(entries)
-	if o.ownsAllTeams() {
+	if o.commits.OwnsAllTeams() {
 		o.commits.DeleteLater(unused...)
 	}
 }
--- a/controller/workers_adapter.go
+++ b/controller/workers_adapter.go
@@ -73,7 +73,3 @@
 func (h workersHost) RecordSpotReclaimed(m *inventory.Machine) { h.o.scheduler.RecordSpotReclaimed(m) }
 
 // The methods below forward to the manager of workers for the owner's ticks.
-
-func (o *owner) dispatchQueuedMachines() { o.workers.DispatchQueuedMachines() }
-
-func (o *owner) inspectMachines() { o.workers.InspectMachines() }
