--- a/controller/bench_test.go
+++ b/controller/bench_test.go
@@ -12,8 +12,10 @@
 
 	"tamarindlead/config"
 	"tamarindlead/internal/cluster"
+	"tamarindlead/internal/frontend"
 	"tamarindlead/internal/kv"
 	"tamarindlead/internal/record"
+	"tamarindlead/internal/scheduler"
 	"tamarindlead/internal/wire"
 	"tamarindlead/micros"
 	"tamarindlead/sched"
@@ -44,7 +46,7 @@
 			o.AddAttempt(j, at%100, 7, m, inventory.AttemptLive).HeartbeatSeen = true
 		}
 	}
-	o.dispatchQueue = nil
+	o.workers.Reset()
 	return o
 }
 
@@ -110,7 +112,8 @@
 	for _, m := range o.SortedMachines {
 		bodies = append(bodies, benchHeartbeat(m, 1<<40))
 	}
-	o.SchedulingNeeded, o.committing = false, true // a commit is under way
+	o.SchedulingNeeded = false
+	beginCommit(b, o)
 	for i := 0; b.Loop(); i++ {
 		m := o.SortedMachines[i%benchMachines]
 		m.HeartbeatSeq = 0
@@ -126,9 +129,13 @@
 func BenchmarkPlace(b *testing.B) {
 	o := benchOwner()
 	for b.Loop() {
-		o.SchedulingNeeded, o.nextSchedulingPass = true, 0
+		o.SchedulingNeeded = true
 		o.schedule()
 		b.StopTimer()
+		o.c.now += scheduler.MinPassInterval
+		for _, m := range o.SortedMachines {
+			m.LastHeartbeat = o.c.now
+		}
 		n := 0
 		for _, j := range o.Queue {
 			for _, a := range j.SortedAttempts() {
@@ -148,7 +155,8 @@
 // BenchmarkTick passes the time to an owner with nothing else to do.
 func BenchmarkTick(b *testing.B) {
 	o := benchOwner()
-	o.SchedulingNeeded, o.committing = false, true
+	o.SchedulingNeeded = false
+	beginCommit(b, o)
 	for b.Loop() {
 		o.c.nextSlowTick = 0
 		o.c.Handle(o.c.now, o.c.now, Tick{})
@@ -162,12 +170,8 @@
 func BenchmarkFailover(b *testing.B) {
 	o := benchOwner()
 	var entries []kv.Entry
-	for _, bl := range o.blocks {
-		t := &transaction{preconditions: map[string]uint64{}}
-		o.writeBlock(t, bl, 16)
-		for _, w := range t.writes {
-			entries = append(entries, kv.Entry{Key: w.Put, Value: wire.Encode(w.Value), Version: 5})
-		}
+	for _, w := range commitAll(b, o, 5) {
+		entries = append(entries, kv.Entry{Key: w.Put, Value: w.Value, Version: 5})
 	}
 	for b.Loop() {
 		fresh := newOwner(o.c, o.c.node.OwnTeams())
@@ -186,15 +190,16 @@
 func BenchmarkLookup(b *testing.B) {
 	o := benchOwner()
 	c := o.c
-	o.SchedulingNeeded, o.committing = false, true
+	o.SchedulingNeeded = false
+	beginCommit(b, o)
 	var id uint64
 	for b.Loop() {
 		answered := 0
 		for i := range 50 {
 			id++
-			c.Handle(c.now, c.now, Request{ID: id, Method: "GET", Path: pathJobs + "/" + o.Queue[i].ID})
+			c.Handle(c.now, c.now, Request{ID: id, Method: "GET", Path: frontend.PathJobs + "/" + o.Queue[i].ID})
 		}
-		for _, e := range c.Handle(c.now+lookupBatchInterval, c.now, Tick{}) {
+		for _, e := range c.Handle(c.now+frontend.LookupBatchInterval, c.now, Tick{}) {
 			call, ok := e.(Call)
 			if !ok || call.Target != "/commit" {
 				continue
--- a/controller/blocked_jobs.go
+++ b/controller/blocked_jobs.go
@@ -1,7 +1,6 @@
 package controller
 
 import (
-	"slices"
 	"strings"
 
 	"tamarindlead/internal/inventory"
@@ -67,26 +66,8 @@
 	}
 }
 
-// advanceBlockedJobs reads what the waiting jobs need to go on: how awaited jobs ended, and
-// lists that are kept under several keys.
-func (o *owner) advanceBlockedJobs() {
-	resolution := &o.c.jobView.resolution
-	if resolution.reading || o.c.now < resolution.retryAt || o.c.store.Unavailable() {
-		return
-	}
-	if o.c.graph.HasUnresolvedJobs() {
-		o.c.resolveTerminalStates(nil)
-		return
-	}
-	if partial := o.c.graph.FirstIncomplete(); partial != nil {
-		resolution.retryAt = o.c.now + readRetryDelay
-		o.c.readDependencyParts(partial, func(ok bool) {
-			if ok {
-				resolution.retryAt = 0
-			}
-		})
-	}
-}
+// advanceBlockedJobs reads what blocked jobs need to proceed.
+func (o *owner) advanceBlockedJobs() { o.c.jobView.ResolveBlockedJobs() }
 
 // flushCascadedCancellations records jobs that are cancelled with one before them, a few with each
 // commit: nobody waits for it.
@@ -108,10 +89,10 @@
 // recordCascadedCancellation adds to a commit that a waiting job is cancelled with one before it.
 func (o *owner) recordCascadedCancellation(t *transaction, j *inventory.Job, root string) {
 	j.Writing = true
-	t.preconditions[record.ActiveJobKey(j.ID)] = j.Version
-	t.writes = append(t.writes, kv.Write{Delete: record.ActiveJobKey(j.ID)})
-	t.put(record.TerminalStateKey(j.ID), record.TerminalState{Status: record.StatusCancelled, FinishedAt: o.c.wallClock, CancelledDependency: root})
-	t.results = append(t.results, func(ok bool, _ uint64) {
+	t.Require(record.ActiveJobKey(j.ID), j.Version)
+	t.Delete(record.ActiveJobKey(j.ID))
+	t.Put(record.TerminalStateKey(j.ID), record.TerminalState{Status: record.StatusCancelled, FinishedAt: o.c.wallClock, CancelledDependency: root})
+	t.OnResult(func(ok bool, _ uint64) {
 		j.Writing = false
 		switch {
 		case o.BlockedJobs[j.ID] != j:
@@ -134,7 +115,7 @@
 // dropParts has the further keys of a job's list deleted: they serve while its record exists.
 func (o *owner) dropParts(j *inventory.Job) {
 	for i := range j.DependencyParts {
-		o.obsoleteKeys = append(o.obsoleteKeys, record.DependencyPartKey(j.ID, i))
+		o.commits.DeleteLater(record.DependencyPartKey(j.ID, i))
 	}
 	j.DependencyParts = 0
 }
@@ -145,7 +126,7 @@
 // recheckBlockedJob handles a waiting job's record that is not as it was: it was cancelled.
 func (o *owner) recheckBlockedJob(j *inventory.Job) {
 	j.RecordStale = true
-	o.c.refresh(func(ok bool) {
+	o.c.jobView.Refresh(func(ok bool) {
 		if o.superseded() || o.BlockedJobs[j.ID] != j {
 			return
 		}
@@ -181,7 +162,7 @@
 			o.partsSwept = false
 			return
 		}
-		o.c.refresh(func(ok bool) {
+		o.c.jobView.Refresh(func(ok bool) {
 			switch {
 			case o.superseded():
 			case !ok:
@@ -201,8 +182,8 @@
 func (o *owner) dropLeftoverParts(entries []kv.Entry) {
 	for _, e := range entries {
 		id, _, _ := strings.Cut(strings.TrimPrefix(e.Key, record.DependencyPartPrefix), "/")
-		if !o.c.graph.IsActive(id) && !slices.Contains(o.obsoleteKeys, e.Key) {
-			o.obsoleteKeys = append(o.obsoleteKeys, e.Key)
+		if !o.c.graph.IsActive(id) && !o.commits.IsObsolete(e.Key) {
+			o.commits.DeleteLater(e.Key)
 		}
 	}
 }
--- a/controller/cancellation_acks.go
+++ b/controller/cancellation_acks.go
@@ -29,7 +29,7 @@
 }
 
 func (h cancellationHost) MayAcknowledge(job string) {
-	h.c.terminalStates.remember(job, wire.JobCancelled)
+	h.c.jobView.TerminalStates().Remember(job, wire.JobCancelled)
 }
 
 func (h cancellationHost) SendAnnouncement(to, job string, acknowledged func(now micros.Micros)) {
@@ -44,7 +44,7 @@
 // announceCancellation calls done once it is certain whether users may be told that a job is
 // cancelled. An answer after the deadline is of no use to the caller.
 func (c *Core) announceCancellation(job string, deadline micros.Micros, done func(mayTell bool)) {
-	if c.terminalStates.of(job) != "" {
+	if c.jobView.TerminalStates().Of(job) != "" {
 		done(true)
 		return
 	}
@@ -53,7 +53,7 @@
 
 // cancellationsKnownUntil is the time up to which this node's reads show all cancellations.
 func (c *Core) cancellationsKnownUntil() micros.Micros {
-	until := c.jobView.cancellationsKnownUntil
+	until := c.jobView.CancellationsKnownUntil()
 	if c.owner != nil && c.owner.state == ownerActive {
 		until = max(until, c.owner.cancellationsKnownUntil)
 	}
--- a/controller/inventory_adapter.go
+++ b/controller/inventory_adapter.go
@@ -2,7 +2,7 @@
 
 import (
 	"tamarindlead/internal/inventory"
-	"tamarindlead/internal/wire"
+	"tamarindlead/internal/workers"
 	"tamarindlead/micros"
 	"tamarindlead/sched"
 )
@@ -15,17 +15,14 @@
 func (h inventoryHost) EntryChanged(m *inventory.Machine) { h.o.markDirty(m) }
 
 func (h inventoryHost) CompletionUnrecorded(j *inventory.Job, chunk int) {
-	h.o.segmentFor(j, chunk).MarkDirty(h.o.c.now)
+	h.o.commits.MarkChunkDirty(j, chunk)
 }
 
 func (h inventoryHost) CommandsNeeded(m *inventory.Machine) { h.o.queueDispatch(m) }
 
 // forgetMachine removes a machine whose record is gone, and refuses a heartbeat that waits for it.
 func (o *owner) forgetMachine(m *inventory.Machine) {
-	if m.PendingRequest != 0 {
-		o.c.refuse(m.PendingRequest, wire.StatusUnavailable, "machine was returned")
-		m.PendingRequest = 0
-	}
+	o.workers.RefusePendingHeartbeat(m, workers.RefusalTerminated)
 	o.RemoveMachine(m)
 }
 
--- a/controller/job_queue.go
+++ b/controller/job_queue.go
@@ -67,7 +67,7 @@
 		case r.Outcome != kv.OK:
 			o.retryWatch(after)
 			return
-		case !c.applyJobChanges(after, r):
+		case !c.jobView.ApplyWatchResult(after, r):
 			o.restartRecovery("the watch cannot be followed")
 			return
 		}
--- a/controller/machine_transfers.go
+++ b/controller/machine_transfers.go
@@ -6,6 +6,7 @@
 	"tamarindlead/internal/kv"
 	"tamarindlead/internal/peer"
 	"tamarindlead/internal/record"
+	"tamarindlead/internal/scheduler"
 	"tamarindlead/internal/wire"
 	"tamarindlead/micros"
 	"tamarindlead/sched"
@@ -49,7 +50,7 @@
 
 // reclaimMachines transfers machines on which tasks of teams above their guarantees are stopped.
 func (o *owner) reclaimMachines(job *sched.Job, newOwner record.OwnerID) {
-	plan := o.preemptionPlan(job, o.preemptionView(), sched.Reclaim, o.jobsWithinGuarantee())
+	plan := o.planReclaim(job)
 	if plan == nil {
 		return
 	}
@@ -58,7 +59,7 @@
 	for _, a := range plan.Placement {
 		o.startTransfer(o.Machines[a.Machine.Name], newOwner)
 	}
-	why := "room for " + job.ID
+	why := scheduler.PreemptionReason(job.ID)
 	o.stopBundledAttempts(plan.Victims, why)
 	for _, a := range plan.Placement {
 		o.evictLongTasks(o.Machines[a.Machine.Name], why)
@@ -69,7 +70,7 @@
 // empty: arrays' tasks that would keep it for long, as far as their teams' guarantees allow.
 func (o *owner) evictLongTasks(m *inventory.Machine, why string) {
 	for _, a := range m.SortedAttempts() {
-		if a.Job.Gang || a.State != inventory.AttemptLive || o.remainingRunTime(a) < minRemainingForPreemption {
+		if a.Job.Gang || a.State != inventory.AttemptLive || o.remainingRunTime(a) < scheduler.MinRemainingForPreemption {
 			continue
 		}
 		use := o.teamUsage(o.Teams[a.Job.Team])
@@ -107,17 +108,17 @@
 // writeTransfer writes the new owner of an empty machine, in a block of its own.
 func (o *owner) writeTransfer(t *transaction, m *inventory.Machine) {
 	newOwner := o.c.cluster.MemberPrecondition(m.TransferTo.Node())
-	t.preconditions[newOwner.Key] = newOwner.Version
+	t.Require(newOwner.Key, newOwner.Version)
 	data := &record.BlockData{
 		MachineTypes: []record.BlockMachineType{{Type: m.Type, Zone: m.Zone, Spot: m.Spot}},
 		Machines:     []record.BlockMachine{{Name: m.Name, Endpoint: m.Endpoint, LaunchedAt: int64(m.ProvisionedAt)}},
 	}
-	t.put(record.BlockKey(transferBlockName(m)), data.Block(m.TransferTo))
+	t.Put(record.BlockKey(transferBlockName(m)), data.Block(m.TransferTo))
 }
 
 // completeTransfer drops a machine whose new owner is recorded, and tells that owner.
 func (o *owner) completeTransfer(m *inventory.Machine) {
-	o.ownedElsewhere[m.Name] = o.c.now + ownedElsewhereRetention
+	o.markOwnedElsewhere(m.Name)
 	o.forgetMachine(m)
 	if p := o.c.peers[m.TransferTo.Node()]; p != nil {
 		given := &peer.Given{Block: transferBlockName(m)}
@@ -160,7 +161,7 @@
 	block.Version = version
 	o.recoverMachine(block, data, &data.Machines[0])
 	m := block.Machines[0]
-	delete(o.ownedElsewhere, m.Name)
+	o.fleet.ClearOwnedElsewhere(m.Name)
 	m.FencingToken, m.Dirty, m.Recovered, block.Dirty = version, false, true, false
 	m.TokenConfirmedAt = o.c.now
 	o.c.log.Info("machine received", "machine", m.Name, "type", m.Type, "zone", m.Zone)
--- a/controller/owner.go
+++ b/controller/owner.go
@@ -1,16 +1,17 @@
 package controller
 
 import (
-	"maps"
 	"slices"
 
 	"tamarindlead/internal/inventory"
 
 	"tamarindlead/internal/autoscaler"
 	"tamarindlead/internal/cluster"
-	"tamarindlead/internal/kv"
+	"tamarindlead/internal/commit"
+	"tamarindlead/internal/fleet"
 	"tamarindlead/internal/record"
-	"tamarindlead/internal/wire"
+	"tamarindlead/internal/scheduler"
+	"tamarindlead/internal/workers"
 	"tamarindlead/micros"
 )
 
@@ -39,8 +40,8 @@
 	cascadedCancellations []string
 	// unresolvedJobs are jobs that records name, of which it is not known how they ended.
 	unresolvedJobs []*inventory.Job
-	reservations   map[string]*reservation // by job
 	classes        *autoscaler.Classes
+	scheduler      *scheduler.Scheduler
 
 	// The watch of the jobs' records.
 	jobsListed    bool // the jobs were listed; changes since are taken
@@ -50,55 +51,29 @@
 	cancellationsKnownUntil micros.Micros
 
 	// Machines.
-	cloudListing       cloudList
-	scaleOutRequests   map[string]*scaleOutRequest
-	refusedOffers      map[autoscaler.Offer]micros.Micros // not asked for until then
-	recentlyTerminated map[string]micros.Micros           // machines that were returned, remembered until then
-	ownedElsewhere     map[string]micros.Micros           // machines that another owns, though no peer says so yet
-	unclaimedSince     map[string]micros.Micros           // listed machines that nobody claims, since when
-	partitionedSince   map[string]micros.Micros           // zones that are cut off, since when
-	terminating        bool                               // a request for that is under way
-	nextTermination    micros.Micros
-	nextAutoscaling    micros.Micros
-	nextScaleIn        micros.Micros
-	// nextMachineRequest and nextArrayRequest are when machines may be asked of other owners
-	// again, the latter for arrays.
+	fleet *fleet.Fleet
+	// nextMachineRequest is when machines may be requested of other owners again.
 	nextMachineRequest micros.Micros
-	nextArrayRequest   micros.Micros
 
-	// Commands to machines.
-	lastHeartbeat    micros.Micros // the latest report
-	dispatchQueue    []*inventory.Machine
-	commandsInFlight int // direct commands and questions to machines under way
+	// workers is the part that handles the heartbeats of machines and sends them commands.
+	workers *workers.Manager
 
-	// Scheduling passes, and the attempts that they have proposed.
-	nextSchedulingPass micros.Micros
-
-	// Commits.
-	blocks             []*inventory.Block
-	completionSegments []*inventory.CompletionSegment
-	committing         bool // a commit is under way
-	flushAt            micros.Micros
-	obsoleteKeys       []string      // keys that nobody reads any more
-	obsoleteDeletedAt  micros.Micros // when some of them were deleted last, or there were none
-	partsSwept         bool          // leftovers of long lists were looked for
-	partsSweepCursor   string        // the last key that was looked at
+	commits          *commit.Pipeline // writes the records
+	partsSwept       bool             // leftovers of long lists were looked for
+	partsSweepCursor string           // the last key that was looked at
 }
 
 // newOwner returns an owner of teams that has read no records yet.
 func newOwner(c *Core, teams map[string]cluster.Team) *owner {
 	o := &owner{
-		c: c, activeSince: c.now, lastHeartbeat: c.now,
-		scaleOutRequests:   map[string]*scaleOutRequest{},
-		reservations:       map[string]*reservation{},
-		recentlyTerminated: map[string]micros.Micros{},
-		refusedOffers:      map[autoscaler.Offer]micros.Micros{},
-		partitionedSince:   map[string]micros.Micros{},
-		classes:            autoscaler.NewClasses(),
-		ownedElsewhere:     map[string]micros.Micros{},
-		unclaimedSince:     map[string]micros.Micros{},
+		c: c, activeSince: c.now,
+		classes: autoscaler.NewClasses(),
 	}
 	o.Inventory = inventory.NewInventory(inventoryHost{o}, c.log)
+	o.commits = newCommitPipeline(o)
+	o.workers = workers.New(o.Inventory, c.cfg, c.log, workersHost{o})
+	o.scheduler = newScheduler(o)
+	o.fleet = newFleet(o)
 	for _, t := range c.cfg.Teams {
 		if v, ok := teams[t.Name]; ok {
 			o.Teams[t.Name] = &inventory.Team{Record: v, Team: t}
@@ -128,6 +103,10 @@
 // superseded tells callbacks of an owner that has been replaced to do nothing.
 func (o *owner) superseded() bool { return o.c.owner != o }
 
+// isActiveOwner reports whether this owner has recovered its records and, as far as this node knows,
+// was not replaced. Whether another node knows better is decided by fencing tokens and preconditions.
+func (o *owner) isActiveOwner() bool { return !o.superseded() && o.state == ownerActive }
+
 // setState is the one place where the state changes.
 func (o *owner) setState(s ownerState) {
 	leader, term := o.c.node.Leader()
@@ -137,16 +116,6 @@
 	o.state = s
 }
 
-// refusePendingHeartbeats answers the reports that wait, when this node stops owning.
-func (o *owner) refusePendingHeartbeats() {
-	for _, m := range o.SortedMachines {
-		if m.PendingRequest != 0 {
-			o.c.refuse(m.PendingRequest, wire.StatusUnavailable, "ownership lost")
-			m.PendingRequest = 0
-		}
-	}
-}
-
 // recoveryRestartDelay keeps an owner that reads all records again and again from using up the limits.
 const recoveryRestartDelay = 200 * micros.Millisecond
 
@@ -163,7 +132,7 @@
 	}
 	o.c.setOwner(newOwner(o.c, records))
 	o.c.owner.retryAt = o.c.now + recoveryRestartDelay
-	o.c.owner.lastHeartbeat = o.lastHeartbeat
+	o.c.owner.workers.SetLastHeartbeat(o.workers.LastHeartbeat())
 }
 
 // advance does what can be done now; it is called after every event.
@@ -178,7 +147,7 @@
 		o.schedule()
 		o.flush()
 		o.dispatchQueuedMachines()
-		o.terminateMachines()
+		o.fleet.TerminateMachines()
 	}
 }
 
@@ -197,14 +166,12 @@
 	}
 	o.readUnresolvedJobs()
 	o.sweepParts()
-	o.checkMachineHealth()
+	o.fleet.CheckHealth()
 	o.inspectMachines()
 	o.tickReservations()
-	o.tickCloudList()
-	o.tickAutoscaling()
-	for _, list := range []map[string]micros.Micros{o.recentlyTerminated, o.ownedElsewhere} {
-		maps.DeleteFunc(list, func(_ string, until micros.Micros) bool { return o.c.now > until })
-	}
+	o.fleet.TickCloudList()
+	o.fleet.TickAutoscaling()
+	o.fleet.RemoveExpired()
 }
 
 // minAllUnresponsiveTimeout is the shortest silence of all machines after which something is wrong.
@@ -238,17 +205,6 @@
 	return max(minAllUnresponsiveTimeout, o.c.cfg.HeartbeatInterval*5/4)
 }
 
-// preconditions builds a list of guards that always holds this node's own record: an owner
-// that has lost it can change nothing.
-func (o *owner) preconditions(more map[string]uint64) []kv.Precondition {
-	own := o.c.node.OwnPrecondition()
-	all := map[string]uint64{own.Key: own.Version}
-	for k, v := range more {
-		all[k] = v
-	}
-	return kv.SortedPreconditions(all)
-}
-
 // ownsRecordsOf tells whether the records of an owner are this one's to take: its own, those of
 // owners whose successor it is, and what no other owner takes.
 func (o *owner) ownsRecordsOf(earlier record.OwnerID) bool {
--- a/controller/priority_inheritance_test.go
+++ b/controller/priority_inheritance_test.go
@@ -59,7 +59,7 @@
 func (w *inheritanceTest) finish(id string, status wire.JobPhase) {
 	delete(w.jobs, id)
 	w.apply(kv.Change{Delete: record.ActiveJobKey(id)})
-	w.core.applyTerminalState(id, record.TerminalState{Status: record.Status(status), FinishedAt: 1})
+	w.core.jobView.ApplyTerminalState(id, record.TerminalState{Status: record.Status(status), FinishedAt: 1})
 }
 
 // check holds what the owner makes of a job against what is expected.
@@ -232,7 +232,7 @@
 		w := newInheritanceTest(t)
 		w.submit(stage(1, 0, 10, 0), w.core.wallClock)
 		w.submit(stage(2, 0, 25, due), w.core.wallClock, jobName(1))
-		g := w.owner.demands()[0]
+		g := w.owner.fleet.Demands()[0]
 		want := w.owner.maxWait(w.owner.Jobs[g.Representative.ID])
 		if due == 50 {
 			want = 15 * micros.Second // 50 s less both estimates
--- a/controller/recovery.go
+++ b/controller/recovery.go
@@ -31,9 +31,11 @@
 func (o *owner) reset() {
 	o.Reset()
 	o.jobsListed, o.cascadedCancellations = false, nil
-	o.blocks, o.completionSegments, o.dispatchQueue, o.unresolvedJobs = nil, nil, nil, nil
-	clear(o.scaleOutRequests)
-	clear(o.reservations)
+	o.commits.Reset()
+	o.unresolvedJobs = nil
+	o.workers.Reset()
+	o.fleet.Reset()
+	o.scheduler.ClearReservations()
 }
 
 // list reads the records with a prefix.
--- a/controller/status.go
+++ b/controller/status.go
@@ -17,10 +17,10 @@
 
 // counters are what the node did since they were last logged.
 type counters struct {
-	events, heartbeats, lookups, calls int
-	refused                            int // requests answered 429 or 503
-	dropped                            int // messages that could not be read
-	loggedAt                           micros.Micros
+	events, heartbeats, calls int
+	refused                   int // requests answered 429 or 503
+	dropped                   int // messages that could not be read
+	loggedAt                  micros.Micros
 }
 
 // tickStatus logs the counters, and at an owner what its machines do.
@@ -30,9 +30,9 @@
 		return
 	}
 	usage := c.store.TakeUsage()
-	c.log.Info("status", "events", n.events, "reports", n.heartbeats, "lookups", n.lookups, "calls", n.calls,
+	c.log.Info("status", "events", n.events, "reports", n.heartbeats, "lookups", c.frontend.TakeLookupCount(), "calls", n.calls,
 		"open_calls", len(c.calls), "store_requests", usage.Requests, "store_writes", usage.Writes, "refused", n.refused,
-		"dropped", n.dropped, "waiting", len(c.submissions.pending), "violations", c.violations)
+		"dropped", n.dropped, "waiting", c.frontend.PendingSubmissions(), "violations", c.violations)
 	*n = counters{loggedAt: c.now}
 	if c.owner != nil && c.owner.state == ownerActive {
 		c.owner.logStatus()
@@ -50,29 +50,29 @@
 	o.logWork()
 }
 
-// fleet counts the machines of one kind.
-type fleet struct {
+// machineCounts counts the machines of one kind.
+type machineCounts struct {
 	ready, idle, booting, leaving int
 	cpus, usedCPUs                float64 // of those that are up or leaving
 }
 
 // fleets counts an owner's machines, by type and by whether they are spot machines.
-func (o *owner) fleets() map[string]*fleet {
-	fleets := map[string]*fleet{}
+func (o *owner) fleets() map[string]*machineCounts {
+	fleets := map[string]*machineCounts{}
 	for _, m := range o.SortedMachines {
 		kind := m.Type
 		if m.Spot {
 			kind += " spot"
 		}
 		if fleets[kind] == nil {
-			fleets[kind] = &fleet{}
+			fleets[kind] = &machineCounts{}
 		}
 		fleets[kind].count(m)
 	}
 	return fleets
 }
 
-func (f *fleet) count(m *inventory.Machine) {
+func (f *machineCounts) count(m *inventory.Machine) {
 	switch m.State {
 	case inventory.MachineBooting:
 		f.booting++
@@ -105,6 +105,6 @@
 	}
 	lossesPerHour := o.c.spotRisk.PerSecond(o.c.cfg.Tuning.SpotLossesPerHour) * secondsPerHour
 	o.c.log.Info("work", "jobs", len(o.Queue), "waiting_jobs", jobs, "waiting_gangs", gangs, "waiting_tasks", tasks,
-		"awaiting_others", len(o.BlockedJobs), "proposed", o.Assumed, "blocks", len(o.blocks), "shards", len(o.completionSegments),
-		"holds", len(o.reservations), "spot_losses_per_h", math.Round(lossesPerHour*10)/10)
+		"awaiting_others", len(o.BlockedJobs), "proposed", o.Assumed, "blocks", len(o.commits.Blocks()), "shards", len(o.commits.Segments()),
+		"holds", o.scheduler.ReservationCount(), "spot_losses_per_h", math.Round(lossesPerHour*10)/10)
 }
--- /dev/null
+++ b/controller/workers_adapter_test.go
@@ -0,0 +1,55 @@
+package controller
+
+import (
+	"testing"
+
+	"tamarindlead/internal/inventory"
+
+	"tamarindlead/internal/cluster"
+	"tamarindlead/sched"
+)
+
+// activeOwner returns an active owner with a machine that it has claimed, and on it an attempt
+// whose place is recorded.
+func activeOwner() (*owner, *inventory.Attempt) {
+	core := newRespondingCore()
+	o := newOwner(core, map[string]cluster.Team{})
+	core.setOwner(o)
+	o.setState(ownerActive)
+	m := o.newMachine(inventory.MachineInfo{Name: "m-000001", Type: "small", Zone: "a", Endpoint: "worker:m-000001"})
+	m.State, m.FencingToken, m.TokenConfirmed, m.Recorded = inventory.MachineReady, 7, true, true
+	j := inventory.NewJob(&sched.Job{ID: "req-000001", Team: "red", Tasks: 1, Need: sched.NewResources(1, 0, 1)}, 5, 0)
+	o.Jobs[j.ID] = j
+	return o, o.AddAttempt(j, 0, 1, m, inventory.AttemptRecorded)
+}
+
+// TestWorkersHostState checks what the part that commands workers is given to decide on: only an
+// owner that has recovered its records and was not replaced is active, the cancellations of peers
+// are known, and violations are counted.
+func TestWorkersHostState(t *testing.T) {
+	for _, c := range []struct {
+		name               string
+		change             func(o *owner, a *inventory.Attempt)
+		active, superseded bool
+		jobEnded           bool
+	}{
+		{"active", func(*owner, *inventory.Attempt) {}, true, false, false},
+		{"its owner reads the records", func(o *owner, _ *inventory.Attempt) { o.state = ownerRecovering }, false, false, false},
+		{"its owner was replaced", func(o *owner, _ *inventory.Attempt) { o.c.owner = nil }, false, true, false},
+		{"a peer says that its job is cancelled", func(o *owner, a *inventory.Attempt) {
+			o.c.cancellations.MarkEnded(a.Job.ID, o.c.now)
+		}, true, false, true},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			o, a := activeOwner()
+			c.change(o, a)
+			h := workersHost{o}
+			if h.IsActive() != c.active || h.Superseded() != c.superseded || h.JobHasEnded(a.Job.ID) != c.jobEnded {
+				t.Errorf("active %t, superseded %t, job ended %t", h.IsActive(), h.Superseded(), h.JobHasEnded(a.Job.ID))
+			}
+			if h.ReportViolation("of the test"); o.c.Violations() != 1 {
+				t.Errorf("%d violations are counted", o.c.Violations())
+			}
+		})
+	}
+}
--- /dev/null
+++ b/internal/fleet/planning.go
@@ -0,0 +1,184 @@
+package fleet
+
+import (
+	"tamarindlead/internal/autoscaler"
+	"tamarindlead/internal/inventory"
+	"tamarindlead/internal/ordered"
+	"tamarindlead/micros"
+	"tamarindlead/sched"
+)
+
+const (
+	// autoscalingInterval is the time between two plans.
+	autoscalingInterval = micros.Second
+	// scaleInInterval is the least time between two plans that may drain machines: tasks of
+	// machines that were drained find other machines in between.
+	scaleInInterval = 2 * micros.Second
+	// arrayRequestInterval is the least time between two requests to other owners for arrays,
+	// which need machines less urgently than gangs.
+	arrayRequestInterval = 8 * micros.Second
+	// minConsolidationSaving is how much machine time the eviction of a drained machine's tasks
+	// must save.
+	minConsolidationSaving = 15 * micros.Second
+)
+
+// TickAutoscaling sends the scale-out requests that are recorded and, when it is due, plans
+// further ones and which machines to drain.
+func (f *Fleet) TickAutoscaling() {
+	f.refresh()
+	for _, name := range ordered.Keys(f.scaleOutRequests) {
+		if r := f.scaleOutRequests[name]; r.state == scaleOutRequested {
+			f.sendScaleOutRequest(r)
+		}
+	}
+	if f.now < f.nextAutoscaling || len(f.types) == 0 {
+		return
+	}
+	f.nextAutoscaling = f.now + autoscalingInterval
+	f.SchedulingNeeded = true // the back-off of a job ends without an event
+	f.jobs.RecordSpotUptime(autoscalingInterval)
+	f.removeExpiredClasses()
+	demands := f.demands()
+	planner := f.newPlanner(demands)
+	if planner.MayScaleIn {
+		f.nextScaleIn = f.now + scaleInInterval
+	}
+	f.applyPlan(planner.Plan(demands))
+}
+
+// removeExpiredClasses removes the statistics of classes that no job uses any more.
+func (f *Fleet) removeExpiredClasses() {
+	inUse := map[string]bool{}
+	for _, j := range f.Queue {
+		inUse[j.Class] = true
+	}
+	f.classes.RemoveExpired(f.now, inUse, f.catalog())
+}
+
+// Market returns what may be requested of the cloud now.
+func (f *Fleet) Market() autoscaler.Market {
+	f.refresh()
+	return f.market()
+}
+
+func (f *Fleet) market() autoscaler.Market {
+	return autoscaler.Market{Catalog: f.catalog(), Now: f.now, UnavailableUntil: f.refusedOffers, Partitioned: f.partitionedSince}
+}
+
+// catalog returns the machine types of the cloud.
+func (f *Fleet) catalog() autoscaler.Catalog {
+	return autoscaler.Catalog{Types: f.types, MaxTasks: inventory.MaxEntryTasks}
+}
+
+// newPlanner returns a planner that knows the machines and the scale-out requests.
+func (f *Fleet) newPlanner(demands []*autoscaler.Demand) *autoscaler.Planner {
+	p := &autoscaler.Planner{
+		Market: f.market(), Classes: f.classes, SLOs: f.settings.SLOs,
+		OpenScaleOuts: len(f.scaleOutRequests),
+		QueueTarget:   f.settings.Tuning.QueueTarget, IdleTimeout: f.settings.Tuning.IdleTimeout,
+		MaxMachines: f.settings.Tuning.MaxMachines,
+		MayScaleIn:  f.now >= f.nextScaleIn,
+	}
+	for _, name := range ordered.Keys(f.scaleOutRequests) {
+		if r := f.scaleOutRequests[name]; r.state < scaleOutGranted {
+			p.PendingScaleOuts = append(p.PendingScaleOuts, autoscaler.ScaleOut{Offer: r.offer, Number: r.machineCount})
+		}
+	}
+	hasGangs := false
+	for _, d := range demands {
+		hasGangs = hasGangs || d.Representative.Gang
+	}
+	for _, m := range f.SortedMachines {
+		p.Machines = append(p.Machines, f.describeMachine(m, hasGangs))
+	}
+	return p
+}
+
+// describeMachine describes a machine to the planner. The remaining busy time matters only if
+// there are gangs.
+func (f *Fleet) describeMachine(m *inventory.Machine, withBusyTime bool) *autoscaler.Machine {
+	d := &autoscaler.Machine{Name: m.Name, Offer: m.Offer()}
+	switch m.State {
+	case inventory.MachineBooting:
+		d.State = autoscaler.MachineBooting
+	case inventory.MachineReady:
+		d.State = autoscaler.MachineReady
+	default:
+		return d
+	}
+	d.Size, d.Used = MachineSize(m, f.types), m.Used
+	d.Age, d.IdleFor = f.wallClock-m.ProvisionedAt, f.now-m.IdleSince
+	d.Claimed, d.Busy = m.FencingToken != 0, len(m.Attempts) > 0
+	d.Reserved = f.jobs.IsReserved(m.Name)
+	d.OnlySlack = d.Busy && f.isScarce(m) && f.jobs.HasNoDependentTasks(m)
+	if withBusyTime {
+		d.BusyFor = f.jobs.RemainingBusyTime(m)
+	}
+	return d
+}
+
+// applyPlan carries out what the planner has decided.
+func (f *Fleet) applyPlan(plan autoscaler.Plan) {
+	for _, request := range plan.ScaleOutRequests {
+		f.requestScaleOut(request)
+	}
+	for _, shortage := range plan.Shortages {
+		f.requestMachinesForArray(shortage)
+	}
+	for _, drain := range plan.Drains {
+		m := f.Machines[drain.Machine]
+		f.SetMachineState(m, inventory.MachineDraining, drain.Reason.String())
+		if drain.Reason == autoscaler.DrainSurplus {
+			f.consolidate(m)
+		}
+	}
+}
+
+// requestMachinesForArray asks other owners for machines for an array, for which none can be
+// requested of the cloud.
+func (f *Fleet) requestMachinesForArray(shortage autoscaler.Shortage) {
+	if f.now < f.nextArrayRequest {
+		return
+	}
+	f.nextArrayRequest = f.now + arrayRequestInterval
+	f.jobs.RequestMachines(shortage.Job, shortage.Tasks)
+}
+
+// consolidate evicts the tasks of a drained machine if all of them can write checkpoints, and
+// would otherwise keep the machine busy for much longer than that takes.
+func (f *Fleet) consolidate(m *inventory.Machine) {
+	longest := micros.Micros(0)
+	for _, a := range m.Attempts {
+		if a.Job.Gang || a.Job.CheckpointInterval == 0 {
+			return
+		}
+		longest = max(longest, f.jobs.RemainingRunTime(a)-a.Job.CheckpointDuration)
+	}
+	if longest < minConsolidationSaving {
+		return
+	}
+	for _, a := range m.SortedAttempts() {
+		f.jobs.Evict(a, "machine is drained")
+	}
+}
+
+// isScarce reports whether some recent class of jobs fits no other type than the machine's.
+func (f *Fleet) isScarce(m *inventory.Machine) bool { return f.classes.Scarce(f.now, m.Type, m.Spot) }
+
+// MachineSize returns the size of a machine, and updates it by the machine types of the cloud.
+func MachineSize(m *inventory.Machine, types []sched.MachineType) sched.Resources {
+	if t := findType(types, m.Type); t != nil {
+		m.Size = t.Size
+	}
+	return m.Size
+}
+
+// findType returns the machine type with a name, or nil.
+func findType(types []sched.MachineType, name string) *sched.MachineType {
+	for i := range types {
+		if types[i].Name == name {
+			return &types[i]
+		}
+	}
+	return nil
+}
--- /dev/null
+++ b/internal/frontend/responses.go
@@ -0,0 +1,97 @@
+package frontend
+
+import (
+	"tamarindlead/internal/freshness"
+	"tamarindlead/internal/wire"
+	"tamarindlead/micros"
+)
+
+// userRequest is a user's request that has not been answered.
+type userRequest struct {
+	id         uint64
+	receivedAt micros.Micros
+}
+
+// responder answers users' requests. Every answer with the state of a job passes checkResponse,
+// whichever handler it comes from.
+type responder struct {
+	node   *node
+	writer ResponseWriter
+	debug  bool // the log takes debug messages
+}
+
+// mayRespond reports whether evidence about a job is recent enough for the answer to a request:
+// its read must have been sent after the request was received, and a job that is known to be
+// cancelled has no state that is not terminal. Where it is not, the job is looked up again.
+func (r *responder) mayRespond(request userRequest, job string, evidence freshness.Evidence) bool {
+	if evidence.Basis != freshness.TerminalState && r.node.Cancellations.HasEnded(job) {
+		return false
+	}
+	return evidence.Covers(request.receivedAt)
+}
+
+// checkResponse asserts mayRespond for an answer that is about to be sent. If it fails, the request
+// is refused, and the violation is logged and counted.
+func (r *responder) checkResponse(request userRequest, job, answer string, evidence freshness.Evidence) bool {
+	if r.mayRespond(request, job, evidence) {
+		if r.debug {
+			r.node.Log.Debug("job answered", "job", job, "answer", answer, "basis", evidence.Basis, "received_us", int64(request.receivedAt),
+				"read_sent_us", int64(evidence.SentAt), "via_peer", evidence.ViaPeer, "version", evidence.Version)
+		}
+		return true
+	}
+	r.node.Host.ReportViolation("stale answer about a job", "job", job, "request", request.id, "answer", answer, "basis", evidence.Basis,
+		"received_us", int64(request.receivedAt), "read_sent_us", int64(evidence.SentAt), "ended", r.node.Cancellations.HasEnded(job))
+	r.refuse(request, reasonKVUnresponsive)
+	return false
+}
+
+// respondSubmission answers a submission with the state of its job.
+func (r *responder) respondSubmission(request userRequest, httpStatus wire.Status, job string, phase wire.JobPhase, evidence freshness.Evidence) {
+	shown := r.node.userFacingStatus(job, phase).Status
+	if r.checkResponse(request, job, string(shown), evidence) {
+		r.writer.Respond(request.id, httpStatus, wire.JobState{ID: job, Status: shown})
+	}
+}
+
+// respondQuery answers a query with the state of a job and the counts of its tasks.
+func (r *responder) respondQuery(request userRequest, job string, result lookupResult) {
+	shown := r.node.userFacingStatus(job, result.phase)
+	if r.checkResponse(request, job, string(shown.Status), result.evidence) {
+		r.writer.Respond(request.id, wire.StatusOK, shown)
+	}
+}
+
+// respondCancellation answers a cancellation with the terminal state of its job.
+func (r *responder) respondCancellation(request userRequest, job string, phase wire.JobPhase) {
+	if r.checkResponse(request, job, string(phase), freshness.OfTerminalState()) {
+		r.writer.Respond(request.id, wire.StatusOK, wire.JobState{ID: job, Status: phase})
+	}
+}
+
+// rejectUnaccepted refuses a request for good, since its job was never accepted.
+func (r *responder) rejectUnaccepted(request userRequest, job string, refused *refusal, evidence freshness.Evidence) {
+	if r.checkResponse(request, job, string(refused.reason), evidence) {
+		r.reject(request, refused)
+	}
+}
+
+// respondHealthy answers a health check.
+func (r *responder) respondHealthy(request userRequest) {
+	r.writer.Respond(request.id, wire.StatusOK, nil)
+}
+
+// reject answers that a request will never be served.
+func (r *responder) reject(request userRequest, refused *refusal) {
+	r.writer.Respond(request.id, refused.status, wire.ErrorResponse{Error: string(refused.reason)})
+}
+
+// refuse answers that a request cannot be served now.
+func (r *responder) refuse(request userRequest, reason RefusalReason) {
+	r.writer.Refuse(request.id, wire.StatusUnavailable, reason)
+}
+
+// refuseOverload answers that there are too many requests of a kind.
+func (r *responder) refuseOverload(request userRequest, reason RefusalReason) {
+	r.writer.Refuse(request.id, wire.StatusTooManyRequests, reason)
+}
--- /dev/null
+++ b/internal/scheduler/slack.go
@@ -0,0 +1,68 @@
+package scheduler
+
+import (
+	"tamarindlead/internal/inventory"
+	"tamarindlead/sched"
+)
+
+// dependsOnMachineType reports whether a job's class fits one machine type only.
+func (s *Scheduler) dependsOnMachineType(j *inventory.Job) bool { return s.classes.SingleType(j.Class) }
+
+// HasNoDependentTasks reports whether no task on a machine is of a job that depends on the machine's
+// type.
+func (s *Scheduler) HasNoDependentTasks(m *inventory.Machine) bool {
+	for _, a := range m.Attempts {
+		if !a.ResourcesReleased && s.dependsOnMachineType(a.Job) {
+			return false
+		}
+	}
+	return true
+}
+
+// addSlack splits the machines that gangs use in the view: the part that no other task of a gang
+// could use is paid for in any case and never delays a gang, so that short tasks go there first.
+func (s *Scheduler) addSlack(view []*sched.Machine) []*sched.Machine {
+	needs := s.classes.LargestSingleTypeNeeds(s.host.Now())
+	if len(needs) == 0 {
+		return view
+	}
+	for _, v := range view {
+		need, ok := needs[v.Type]
+		if !ok || !v.Scarce || v.Slots <= 0 || v.Free.CPU <= 0 {
+			continue
+		}
+		slack, ok := s.freeSlack(s.inventory.Machines[v.Name], v, need)
+		if !ok {
+			continue
+		}
+		view = append(view, splitSlack(v, slack))
+	}
+	return view
+}
+
+// freeSlack returns the free part of a machine's slack if its gangs need that much for a task, and
+// whether there is any.
+func (s *Scheduler) freeSlack(m *inventory.Machine, v *sched.Machine, need sched.Resources) (sched.Resources, bool) {
+	slack := m.Slack(need)
+	if slack.CPU <= 0 || s.HasNoDependentTasks(m) || s.IsReserved(v.Name) {
+		return sched.Resources{}, false
+	}
+	for _, a := range m.Attempts {
+		if !a.ResourcesReleased && !s.dependsOnMachineType(a.Job) {
+			slack = slack.Sub(a.Job.Need)
+		}
+	}
+	slack = sched.Resources{CPU: min(slack.CPU, v.Free.CPU), GPU: min(slack.GPU, v.Free.GPU), Mem: min(slack.Mem, v.Free.Mem)}
+	return slack, slack.CPU > 0 && slack.Mem >= 0 && slack.GPU >= 0
+}
+
+// splitSlack moves slack of a machine in the view into a machine of its own, which only short tasks
+// use.
+func splitSlack(v *sched.Machine, slack sched.Resources) *sched.Machine {
+	part := *v
+	part.Free, part.Slack, part.Price = slack, true, 0
+	part.Scarce, part.ReservedForGangs, part.ReservedForJob = false, false, ""
+	part.Slots = v.Slots / 2
+	v.Free, v.Slots = v.Free.Sub(slack), v.Slots-part.Slots
+	return &part
+}
--- /dev/null
+++ b/internal/workers/commands.go
@@ -0,0 +1,72 @@
+package workers
+
+import (
+	"tamarindlead/internal/inventory"
+	"tamarindlead/internal/wire"
+	"tamarindlead/micros"
+)
+
+// reasonJobEnded is the reason for which attempts are stopped whose job has ended.
+const reasonJobEnded = "job has ended"
+
+// commands returns the commands that a machine needs after its last heartbeat, and marks the
+// attempts among them that are to be started as starting.
+func (w *Manager) commands(m *inventory.Machine) []wire.Command {
+	if !m.TokenConfirmed {
+		return nil // the response to its heartbeat gives it the token first
+	}
+	if !w.mayCommand(m, anyVerb) {
+		return nil
+	}
+	reported, commands := w.commandsForReportedTasks(m)
+	for _, a := range m.SortedAttempts() {
+		if a.State == inventory.AttemptStarting && a.Job.State == inventory.JobEnded {
+			w.inventory.StopAttempt(a, 0, reasonJobEnded)
+		}
+		switch {
+		case a.State == inventory.AttemptStopping && !a.HeartbeatSeen:
+			// Its start command may be in flight, so the stop must follow it.
+			commands = append(commands, stopCommand(a.TaskName(), a.Number, a.GracePeriod))
+		case a.State == inventory.AttemptRecorded && !reported[a.Key()] && a.MayStart() && w.maySendStart(a):
+			a.StartHeartbeatSeq = m.HeartbeatSeq
+			w.inventory.SetAttemptState(a, inventory.AttemptStarting)
+			commands = append(commands, wire.Command{Verb: wire.VerbStart, Task: a.TaskName(), Attempt: a.Number})
+		}
+	}
+	return commands
+}
+
+// commandsForReportedTasks returns the commands for the tasks in the machine's last heartbeat, and
+// the set of these tasks without those that the machine is commanded to forget.
+func (w *Manager) commandsForReportedTasks(m *inventory.Machine) (reported map[inventory.TaskKey]bool, commands []wire.Command) {
+	reported = make(map[inventory.TaskKey]bool, len(m.ReportedTasks))
+	commandsSettled := m.Fencing == inventory.FencingNone && !m.CommandsInFlight
+	for i := range m.ReportedTasks {
+		task := &m.ReportedTasks[i]
+		id, index, ok := wire.SplitTaskName(task.Task)
+		key := inventory.TaskKey{Job: id, Index: index}
+		reported[key] = ok
+		a := m.Attempts[key]
+		exited := task.Phase == wire.PhaseExited
+		switch {
+		case a != nil && a.Number == task.Attempt:
+			if a.State == inventory.AttemptStopping && !exited {
+				commands = append(commands, stopCommand(task.Task, task.Attempt, a.GracePeriod))
+			}
+		case !exited: // no attempt of this owner
+			commands = append(commands, stopCommand(task.Task, task.Attempt, 0))
+		case commandsSettled:
+			// The outcome of an attempt that is not recorded here any more is recorded
+			// elsewhere, so the machine may forget it, but not while a start command for it
+			// may be in flight.
+			commands = append(commands, wire.Command{Verb: wire.VerbForget, Task: task.Task, Attempt: task.Attempt})
+			reported[key] = false
+		}
+	}
+	return reported, commands
+}
+
+func stopCommand(task string, attempt uint64, gracePeriod micros.Micros) wire.Command {
+	seconds := gracePeriod.Seconds()
+	return wire.Command{Verb: wire.VerbStop, Task: task, Attempt: attempt, GraceS: &seconds}
+}
