--- a/controller/routes.go
+++ b/controller/routes.go
@@ -10,12 +10,11 @@
 // PathHeartbeat is the path of workers' heartbeats.
 const PathHeartbeat = wire.PathHeartbeat
 
-// routeRequest routes an inbound request to its handler: those of peers and workers are handled
-// here, those of users by the frontend.
+// routeRequest passes an inbound request to the handler for peers, workers or users.
 func (c *Core) routeRequest(r Request) {
 	switch {
 	case r.Peer:
-		c.handlePeerRequest(r)
+		c.peers.HandleRequest(r.ID, r.Method, r.Path, r.Body)
 	case r.Path != PathHeartbeat:
 		c.frontend.HandleRequest(frontend.Request{ID: r.ID, Method: r.Method, Path: r.Path, Body: r.Body})
 	case r.Method != http.MethodPost:
