--- a/controller/fault_pairs_test.go
+++ b/controller/fault_pairs_test.go
@@ -11,243 +11,250 @@
 	"tamarindlead/internal/ordered"
 
 	"tamarindlead/config"
-	"tamarindlead/internal/wire"
 	"tamarindlead/micros"
 	"tamarindlead/sched"
 )
 
-// faultPairSeeds are played always. More are played on demand: PAIRS=200 plays the seeds 1 to
-// 200, PAIRS=300-400 these, PAIRS_SEED=7 one, whose log SCENARIO_LOG=1 shows.
+// faultPairSeeds are always played. More are played on demand: PAIRS=200 plays the seeds 1 to
+// 200, PAIRS=300-400 those from 300 to 400, PAIRS_SEED=7 one, whose log SCENARIO_LOG=1 shows.
 var faultPairSeeds = []uint64{
 	1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16, 17, 18,
 	19, 20, 21, 22, 23, 24, 25, 26, 27, 29, 30, 31,
 }
 
-// TestFaultPairs draws a world, its jobs and two or three troubles that meet, from a seed each,
-// and plays them. The world checks the rules at every step.
+// TestFaultPairs plays simulations whose settings, jobs and two or three overlapping faults are
+// drawn from a seed each. The simulation checks the rules at every step.
 func TestFaultPairs(t *testing.T) {
-	seeds := faultPairSeeds
-	if text := os.Getenv("PAIRS"); text != "" {
-		from, to, isRange := strings.Cut(text, "-")
-		if !isRange {
-			from, to = "1", from
-		}
-		first, err1 := strconv.ParseUint(from, 10, 64)
-		last, err2 := strconv.ParseUint(to, 10, 64)
-		if err1 != nil || err2 != nil || last < first {
-			t.Fatalf("PAIRS=%s: want a number or from-to", text)
-		}
-		seeds = nil
-		for s := first; s <= last; s++ {
-			seeds = append(seeds, s)
-		}
+	for _, seed := range seedsToPlay(t) {
+		t.Run(fmt.Sprint(seed), func(t *testing.T) {
+			t.Parallel()
+			run := newFaultPairRun(seed)
+			run.play()
+			if len(run.sim.violations) > 0 {
+				t.Errorf("rules broken:\n%s\n\nplayed:\n%s\n\nagain: PAIRS_SEED=%d SCENARIO_LOG=1 go test ./controller -run TestFaultPairs",
+					strings.Join(run.sim.violations, "\n"), strings.Join(run.playedLog, "\n"), seed)
+			} else if testing.Verbose() {
+				t.Logf("%s\n%s", strings.Join(run.playedLog, "\n"), run.summary())
+			}
+		})
 	}
+}
+
+// seedsToPlay returns the seeds that the environment asks for, or the fixed ones.
+func seedsToPlay(t *testing.T) []uint64 {
+	t.Helper()
 	if text := os.Getenv("PAIRS_SEED"); text != "" {
-		s, err := strconv.ParseUint(text, 10, 64)
+		seed, err := strconv.ParseUint(text, 10, 64)
 		if err != nil {
 			t.Fatalf("PAIRS_SEED: %v", err)
 		}
-		seeds = []uint64{s}
+		return []uint64{seed}
 	}
-	for _, seed := range seeds {
-		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			t.Parallel()
-			p := newFaultPairRun(seed)
-			p.run()
-			if len(p.w.violations) > 0 {
-				t.Errorf("rules broken:\n%s\n\nplayed:\n%s\n\nagain: PAIRS_SEED=%d SCENARIO_LOG=1 go test ./controller -run TestPairs",
-					strings.Join(p.w.violations, "\n"), strings.Join(p.notes, "\n"), seed)
-			} else if testing.Verbose() {
-				t.Logf("%s\n%s", strings.Join(p.notes, "\n"), p.summary())
-			}
-		})
+	text := os.Getenv("PAIRS")
+	if text == "" {
+		return faultPairSeeds
+	}
+	from, to, isRange := strings.Cut(text, "-")
+	if !isRange {
+		from, to = "1", from
+	}
+	first, err := strconv.ParseUint(from, 10, 64)
+	if err != nil {
+		t.Fatalf("PAIRS=%s: want a number or from-to: %v", text, err)
+	}
+	last, err := strconv.ParseUint(to, 10, 64)
+	if err != nil || last < first {
+		t.Fatalf("PAIRS=%s: want a number or from-to: %v", text, err)
 	}
+	var seeds []uint64
+	for seed := first; seed <= last; seed++ {
+		seeds = append(seeds, seed)
+	}
+	return seeds
 }
 
 // upgradeSeeds are played by TestUpgradeFaultPairs.
 var upgradeSeeds = []uint64{1, 2, 3, 4, 5, 6, 7, 8}
 
-// TestUpgradeFaultPairs plays drawn troubles while the running service is upgraded: all nodes
-// begin with the version in production and return one by one with the present one. A node
-// that ends before its turn comes back old.
+// TestUpgradeFaultPairs plays generated faults during a rolling upgrade: all nodes start with the
+// version in production and restart one by one with the present one. A node that crashes before
+// its turn restarts with the old version.
 func TestUpgradeFaultPairs(t *testing.T) {
 	for _, seed := range upgradeSeeds {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			p := newFaultPairRun(seed)
-			p.noDependencies = true
-			w := p.w
-			w.startWithProduction(t, len(w.nodes))
-			for i, n := range w.nodes {
-				w.after(8*micros.Second+micros.Micros(i)*p.seconds(4, 8), func() {
-					n.version = currentVersion
-					w.crash(n, restartDelay)
+			run := newFaultPairRun(seed)
+			run.withoutDependencies = true
+			sim := run.sim
+			sim.startWithProduction(t, len(sim.nodes))
+			for i, node := range sim.nodes {
+				sim.after(8*micros.Second+micros.Micros(i)*run.randomSeconds(4, 8), func() {
+					node.version = currentVersion
+					sim.crash(node, restartDelay)
 				})
 			}
-			p.run()
-			if len(w.violations) > 0 {
-				t.Errorf("rules broken:\n%s\n\nplayed:\n%s", strings.Join(w.violations, "\n"), strings.Join(p.notes, "\n"))
+			run.play()
+			if len(sim.violations) > 0 {
+				t.Errorf("rules broken:\n%s\n\nplayed:\n%s", strings.Join(sim.violations, "\n"), strings.Join(run.playedLog, "\n"))
 			}
 		})
 	}
 }
 
-// faultPairRun is one drawn run.
+// faultPairRun is a generated run.
 type faultPairRun struct {
 	seed                 uint64
-	w                    *simulation
-	rng                  *rand.Rand // draws; the world has its own
-	notes                []string   // what is played
-	invalidJobs          map[string]int
-	onCancelAcknowledged func(id string) // called once, when a cancellation is told
+	sim                  *simulation
+	rng                  *rand.Rand // the simulation has its own
+	playedLog            []string   // describes the run if it fails
+	expectedRefusals     map[string]int
+	onCancelAcknowledged func(id string) // called once, when a cancellation is acknowledged
 	fitsSince            map[string]micros.Micros
-	openFaults           int  // under way or to come
-	outageSecond         bool // the state service goes down second
-	noDependencies       bool // no job waits for others: nothing new is asked of an old version
+	activeFaults         int  // not ended yet
+	secondIsKVOutage     bool // the second fault is an outage of the state service
+	withoutDependencies  bool // the version in production does not know dependencies
 }
 
 const (
-	faultPairsLeadTime = 12 * micros.Second  // troubles begin after this
-	maxUnknownTime     = 25 * micros.Second  // and asked about for no longer than this
-	completionDeadline = 300 * micros.Second // once troubles are over, all jobs are over within this
-	maxSchedulingDelay = 90 * micros.Second  // and none waits for so long while there is room
+	faultPairsLeadTime = 12 * micros.Second  // the first fault starts after this
+	maxUnknownTime     = 25 * micros.Second  // after the faults, all nodes know all jobs within this
+	completionDeadline = 300 * micros.Second // after the faults, all jobs reach a terminal state within this
+	maxSchedulingDelay = 90 * micros.Second  // after the faults, no job that fits waits for longer
 )
 
 func newFaultPairRun(seed uint64) *faultPairRun {
-	p := &faultPairRun{seed: seed, rng: rand.New(rand.NewPCG(seed, 2)), invalidJobs: map[string]int{}, fitsSince: map[string]micros.Micros{}}
-	r := p.rng
-	zones := []string{"a", "b", "c"}[:2+r.IntN(2)]
-	nodes := 3 + 2*r.IntN(2)
-	cfg := &config.Settings{
-		Zone: "a", KVAddr: "state", CloudAddr: "cloud", Zones: zones,
-		Siblings: make([]config.Sibling, nodes-1),
-		Teams: []config.Team{
-			{Name: "red", GuaranteedQuota: sched.NewResources(float64(8*r.IntN(3)), 0, 0), QuotaLimit: sched.NewResources(float64(24+8*r.IntN(3)), 0, 0)},
-			{Name: "blue", GuaranteedQuota: sched.NewResources(float64(8*r.IntN(3)), 0, 0), QuotaLimit: sched.NewResources([]float64{0, 24, 32}[r.IntN(3)], 0, 0)},
-		},
-		HeartbeatInterval: 3 * micros.Second, WorkerLease: 15 * micros.Second, GangStartTimeout: 30 * micros.Second,
-		GangFailureTimeout: 5 * micros.Second, CancellationDeadline: 45 * micros.Second,
-		Sockets: 400, KVRequestRate: 150, KVWriteRate: 40,
-		MaxValueBytes: 8 << 10, MaxTransactionOps: 12, CloudRequestRate: 5, CloudListLag: 6 * micros.Second,
-		Tuning: config.DefaultTuning(),
-	}
-	cfg.Tuning.SpreadTeams = r.IntN(2) == 0
-	p.w = newSimulation(seed, cfg)
-	w := p.w
-	w.cloud.Now = w.now
-	boot := []float64{1, 10}[r.IntN(2)]
-	w.cloud.Types = []wire.MachineType{
-		{Name: "small", CPUs: 8, MemGB: 32, CacheGB: 50, FetchGBPerS: 1, HourlyPrice: 1, SpotPrice: 0.3, BootS: boot, Zones: zones},
-		{Name: "big", CPUs: 32, MemGB: 128, CacheGB: 50, FetchGBPerS: 1, HourlyPrice: 4, SpotPrice: 1.2, BootS: boot * 1.5, Zones: zones},
-	}
-	spots := 2 * r.IntN(2)
-	for _, typ := range []string{"small", "big"} {
-		for _, z := range zones {
-			w.cloud.Capacity[typ+" "+z+" false"] = 4
-			w.cloud.Capacity[typ+" "+z+" true"] = spots
-		}
-	}
-	machines := 3 + r.IntN(5)
+	run := &faultPairRun{seed: seed, rng: rand.New(rand.NewPCG(seed, faultPairStream)), expectedRefusals: map[string]int{}, fitsSince: map[string]micros.Micros{}}
+	rng := run.rng
+	zones := []string{"a", "b", "c"}[:2+rng.IntN(2)]
+	nodes := 3 + 2*rng.IntN(2)
+	cfg := simulationSettings(nodes, zones,
+		config.Team{Name: "red", GuaranteedQuota: sched.NewResources(float64(8*rng.IntN(3)), 0, 0), QuotaLimit: sched.NewResources(float64(24+8*rng.IntN(3)), 0, 0)},
+		config.Team{Name: "blue", GuaranteedQuota: sched.NewResources(float64(8*rng.IntN(3)), 0, 0), QuotaLimit: sched.NewResources([]float64{0, 24, 32}[rng.IntN(3)], 0, 0)},
+	)
+	cfg.Tuning.SpreadTeams = rng.IntN(2) == 0
+	sim := newSimulation(seed, cfg)
+	run.sim = sim
+	sim.cloud.Now = sim.now
+	boot := []float64{1, 10}[rng.IntN(2)]
+	spots := 2 * rng.IntN(2)
+	sim.offerMachineTypes(boot, boot*1.5, zones, zones, 4, spots)
+	machines := 3 + rng.IntN(5)
 	for i := range machines {
-		w.cloud.Add("small", zones[i%len(zones)], false, 0)
+		sim.cloud.Add("small", zones[i%len(zones)], false, 0)
 	}
-	p.logf("%d nodes, %d zones, %d machines, spot %d, boot %g s, spread %t, limits %g and %g, guarantees %g and %g", nodes, len(zones), machines, spots, boot,
+	run.logf("%d nodes, %d zones, %d machines, spot %d, boot %g s, spread %t, limits %g and %g, guarantees %g and %g", nodes, len(zones), machines, spots, boot,
 		cfg.Tuning.SpreadTeams, cfg.Teams[0].QuotaLimit.CPUs(), cfg.Teams[1].QuotaLimit.CPUs(), cfg.Teams[0].GuaranteedQuota.CPUs(), cfg.Teams[1].GuaranteedQuota.CPUs())
-	return p
+	return run
+}
+
+// logf adds a line with the simulated time to the log that is printed if the run fails.
+func (run *faultPairRun) logf(format string, args ...any) {
+	run.playedLog = append(run.playedLog, fmt.Sprintf("%v: ", run.sim.now-micros.Hour)+fmt.Sprintf(format, args...))
 }
 
-// logf adds to what is printed of a failing run; later the time comes first.
-func (p *faultPairRun) logf(format string, args ...any) {
-	p.notes = append(p.notes, fmt.Sprintf("%v: ", p.w.now-micros.Hour)+fmt.Sprintf(format, args...))
+func (run *faultPairRun) randomSeconds(from, to float64) micros.Micros {
+	return micros.FromSeconds(from + run.rng.Float64()*(to-from))
+}
+
+// play generates the run, plays its faults and checks that the service recovers from them.
+func (run *faultPairRun) play() {
+	sim := run.sim
+	run.generate()
+	for run.activeFaults > 0 && len(sim.violations) == 0 {
+		sim.run(micros.Second)
+	}
+	sim.kvFaults.kvResponseDelay.share, sim.kvFaults.peerResponseDelay.share = 0, 0
+	sim.faultsEndedAt = sim.now
+	run.logf("troubles are over")
+	run.awaitCompletion()
+	if len(sim.violations) == 0 {
+		run.awaitResponses()
+	}
 }
 
-func (p *faultPairRun) seconds(from, to float64) micros.Micros {
-	return micros.FromSeconds(from + p.rng.Float64()*(to-from))
+// generate draws the jobs, faults and response delays of the run.
+func (run *faultPairRun) generate() {
+	first := faultPairsLeadTime + run.randomSeconds(0, 15)
+	second := first + run.randomSeconds(0, 3)
+	if run.rng.IntN(4) == 0 {
+		second = first + run.randomSeconds(3, 25)
+	}
+	faults := run.generateFaults()
+	run.secondIsKVOutage = len(faults) > 1 && faults[1].kvOutage
+	for i := range 10 + run.rng.IntN(6) {
+		run.generateJob(i+1, first, second)
+	}
+	if run.seed%3 == 0 && !run.withoutDependencies {
+		run.generatePipelines(run.seed, first, second)
+	}
+	run.generateInvalidJobs()
+	for i, when := range []micros.Micros{first, second, second + run.randomSeconds(0, 12)}[:len(faults)] {
+		run.activeFaults++
+		run.sim.after(when, func() { run.startFault(faults[i]) })
+	}
+	run.generateResponseDelays()
+}
+
+// awaitCompletion runs until all jobs have a terminal state, and reports those that take too long.
+func (run *faultPairRun) awaitCompletion() {
+	sim := run.sim
+	for end := sim.now + completionDeadline; sim.now < end && len(run.openJobs()) > 0 && len(sim.violations) == 0; {
+		sim.run(micros.Second)
+		run.checkSchedulingDelay()
+	}
+	if left := run.openJobs(); len(left) > 0 && len(sim.violations) == 0 {
+		sim.reportViolation("not served %v after the troubles: %s", completionDeadline, strings.Join(left, " "))
+	}
 }
 
-func (p *faultPairRun) run() {
-	w := p.w
-	first := faultPairsLeadTime + p.seconds(0, 15)
-	second := first + p.seconds(0, 3)
-	if p.rng.IntN(4) == 0 {
-		second = first + p.seconds(3, 25)
-	}
-	kinds := p.generateFaults()
-	p.outageSecond = len(kinds) > 1 && kinds[1].outage
-	for i := range 10 + p.rng.IntN(6) {
-		p.generateJob(i+1, first, second)
-	}
-	if p.seed%3 == 0 && !p.noDependencies {
-		p.generatePipelines(p.seed, first, second)
-	}
-	p.generateInvalidJobs()
-	for i, when := range []micros.Micros{first, second, second + p.seconds(0, 12)}[:len(kinds)] {
-		p.openFaults++
-		w.after(when, func() { p.begin(kinds[i]) })
-	}
-	p.generateResponseDelays()
-	for p.openFaults > 0 && len(w.violations) == 0 {
-		w.run(micros.Second)
-	}
-	w.kvFaults.kvResponseDelay.share, w.kvFaults.peerResponseDelay.share = 0, 0
-	w.faultsEndedAt = w.now
-	p.logf("troubles are over")
-	for end := w.now + completionDeadline; w.now < end && len(p.openJobs()) > 0 && len(w.violations) == 0; {
-		w.run(micros.Second)
-		p.checkSchedulingDelay()
-	}
-	if left := p.openJobs(); len(left) > 0 && len(w.violations) == 0 {
-		w.reportViolation("not served %v after the troubles: %s", completionDeadline, strings.Join(left, " "))
-	}
-	if len(w.violations) > 0 {
-		return
-	}
-	// All stays known, at all nodes, well within 75 s of the troubles' end: a node that has
-	// just started tells of no cancellation for a while.
-	for end := w.now + maxUnknownTime; ; {
-		missing := p.unansweredJobs()
+// awaitResponses checks that all nodes know all jobs well within 75 s of the faults' end: a node
+// that has just started acknowledges no cancellation for a while.
+func (run *faultPairRun) awaitResponses() {
+	sim := run.sim
+	for end := sim.now + maxUnknownTime; ; {
+		missing := run.unansweredJobs()
 		if len(missing) == 0 {
 			return
 		}
-		if w.now >= end || len(w.violations) > 0 {
-			w.reportViolation("forgotten: %v after the troubles these have no answer: %s", w.now-w.faultsEndedAt, strings.Join(missing, " "))
+		if sim.now >= end || len(sim.violations) > 0 {
+			sim.reportViolation("forgotten: %v after the troubles these have no answer: %s", sim.now-sim.faultsEndedAt, strings.Join(missing, " "))
 			return
 		}
 	}
 }
 
-// unansweredJobs asks all nodes about all accepted jobs, and lists those that have no answer.
-func (p *faultPairRun) unansweredJobs() []string {
-	w := p.w
+// unansweredJobs asks all nodes about all accepted jobs and returns those that a node did not know.
+func (run *faultPairRun) unansweredJobs() []string {
+	sim := run.sim
 	open := map[string]bool{}
-	for _, id := range ordered.Keys(w.accepted) {
-		for n := range w.nodes {
+	for _, id := range ordered.Keys(sim.accepted) {
+		for n := range sim.nodes {
 			key := fmt.Sprintf("%s at %s", id, nodeName(n))
 			open[key] = true
-			p.request(n, "GET", id, "", func(r Respond) {
-				if r.Status == 200 {
+			run.sendJobRequest(n, "GET", id, "", func(response Respond) {
+				if response.Status == 200 {
 					delete(open, key)
 				}
 			})
-			w.run(2 * simulationStep)
+			sim.run(2 * simulationStep)
 		}
 	}
-	w.run(3 * micros.Second)
+	sim.run(3 * micros.Second)
 	return ordered.Keys(open)
 }
 
-// openJobs lists the jobs whose users were told no final state, but for those that are refused.
-func (p *faultPairRun) openJobs() []string {
+// openJobs returns the valid jobs of which no terminal state was reported to a user.
+func (run *faultPairRun) openJobs() []string {
 	var left []string
-	for _, id := range unfinished(p.w) {
-		if p.invalidJobs[id] == 0 {
+	for _, id := range unfinishedJobs(run.sim) {
+		if run.expectedRefusals[id] == 0 {
 			left = append(left, id)
 		}
 	}
 	return left
 }
 
-func (p *faultPairRun) summary() string {
-	w := p.w
-	return fmt.Sprintf("%v: %d starts, %d after a confirmed cancellation, %d jobs, %d cancelled", w.now-micros.Hour, w.starts, w.users.startsAfterCancel, len(w.submitted), len(w.cancelled))
+func (run *faultPairRun) summary() string {
+	sim := run.sim
+	return fmt.Sprintf("%v: %d starts, %d after a confirmed cancellation, %d jobs, %d cancelled", sim.now-micros.Hour, sim.startedTasks, sim.users.startsAfterCancel, len(sim.submitted), len(sim.acknowledgedCancellations))
 }
--- a/controller/faults_response_delay_test.go
+++ b/controller/faults_response_delay_test.go
@@ -6,77 +6,64 @@
 	"strconv"
 	"testing"
 
-	"github.com/cockroachdb/datadriven"
-
 	"tamarindlead/internal/fake"
 	"tamarindlead/micros"
 )
 
-// responseDelay holds some answers back, each for a time of its own, so that an answer to one
-// node may overtake an older answer to another. It draws from a source of its own, so that
-// scenarios without it stay as they are.
+// responseDelay delays some responses, each by a time of its own, so that a response to one node may
+// overtake an older response to another. It has its own random stream, so that scenarios without it
+// stay as they are.
 type responseDelay struct {
 	rng          *rand.Rand
-	share        float64       // of the answers that are held back
-	maxDelay     micros.Micros // the longest that one is
-	fixed        bool          // each is held for just so long
-	node         int           // whose answers are, or allNodes
-	delayedCount int           // how many were
+	share        float64       // of the responses that are delayed
+	maxDelay     micros.Micros // of one response
+	fixed        bool          // each response is delayed by maxDelay
+	node         int           // whose responses are delayed, or allNodes
+	delayedCount int           // responses delayed so far
 }
 
-// allNodes tells that a fault befalls the answers to all nodes.
+// allNodes selects the responses to all nodes.
 const allNodes = -1
 
-// Sources of random numbers of the two kinds of answers.
-const (
-	kvDelayStream   = 7
-	peerDelayStream = 8
-)
-
 func newResponseDelay(seed, stream uint64) responseDelay {
 	return responseDelay{rng: rand.New(rand.NewPCG(seed, stream)), node: allNodes}
 }
 
-// delayResponse returns an answer that is held back if its turn comes.
-func (u *responseDelay) delayResponse(w *simulation, n *simNode, answer func(fake.Response)) func(fake.Response) {
-	if u.share == 0 || u.node != allNodes && u.node != n.index || u.rng.Float64() >= u.share {
+// delayResponse returns answer, or a function that calls it later if the response is drawn to be
+// delayed.
+func (d *responseDelay) delayResponse(sim *simulation, node *simNode, answer func(fake.Response)) func(fake.Response) {
+	if d.share == 0 || d.node != allNodes && d.node != node.index || d.rng.Float64() >= d.share {
 		return answer
 	}
-	delay := u.maxDelay
-	if !u.fixed {
-		delay = micros.Micros(u.rng.Int64N(int64(u.maxDelay)))
+	delay := d.maxDelay
+	if !d.fixed {
+		delay = micros.Micros(d.rng.Int64N(int64(d.maxDelay)))
 	}
-	return func(r fake.Response) {
-		u.delayedCount++
-		w.after(delay, func() { answer(r) })
+	return func(response fake.Response) {
+		d.delayedCount++
+		sim.after(delay, func() { answer(response) })
 	}
 }
 
-// parseArgs takes the arguments of a command: share=0.3 ms=300 exact for=60 node=0.
-func (u *responseDelay) parseArgs(t *testing.T, d *datadriven.TestData, during func(func())) {
-	u.share = argNumber(t, d, "share", 0.3)
-	u.maxDelay = micros.FromMillis(argNumber(t, d, "ms", 300))
-	u.fixed = d.HasArg("exact")
-	u.node = arg(t, d, "node", allNodes)
-	during(func() { u.share = 0 })
+// configure applies the arguments of a command, such as share=0.3 ms=300 exact for=60 node=0.
+func (d *responseDelay) configure(c *command) {
+	c.t.Helper()
+	d.share = c.number("share", 0.3)
+	d.maxDelay = micros.FromMillis(c.number("ms", 300))
+	d.fixed = c.HasArg("exact")
+	d.node = c.integer("node", allNodes)
+	c.revertLater(func() { d.share = 0 })
 }
 
-// runResponseDelayCommand plays the commands of this file; false for any other.
-func runResponseDelayCommand(t *testing.T, w *simulation, d *datadriven.TestData, during func(func())) bool {
-	switch d.Cmd {
-	case "uneven-state":
-		w.kvFaults.kvResponseDelay.parseArgs(t, d, during)
-	case "uneven-peers":
-		w.kvFaults.peerResponseDelay.parseArgs(t, d, during)
-	default:
-		return false
-	}
-	return true
+// responseDelayCommands delay responses.
+var responseDelayCommands = commandTable{
+	"uneven-state": silent(func(c *command) { c.sim.kvFaults.kvResponseDelay.configure(c) }),
+	"uneven-peers": silent(func(c *command) { c.sim.kvFaults.peerResponseDelay.configure(c) }),
 }
 
-// applyResponseDelayFromEnv lets answers be uneven in any scenario: SCENARIO_UNEVEN=0.3 holds back that
-// share of the answers of the state service.
-func (w *simulation) applyResponseDelayFromEnv(t *testing.T) {
+// applyResponseDelayFromEnv delays responses in any scenario: SCENARIO_UNEVEN=0.3 delays that share
+// of the responses of the state service.
+func (sim *simulation) applyResponseDelayFromEnv(t *testing.T) {
 	text := os.Getenv("SCENARIO_UNEVEN")
 	if text == "" {
 		return
@@ -85,5 +72,5 @@
 	if err != nil || share < 0 || share > 1 {
 		t.Fatalf("SCENARIO_UNEVEN=%s: want a share from 0 to 1", text)
 	}
-	w.kvFaults.kvResponseDelay.share, w.kvFaults.kvResponseDelay.maxDelay = share, 300*micros.Millisecond
+	sim.kvFaults.kvResponseDelay.share, sim.kvFaults.kvResponseDelay.maxDelay = share, 300*micros.Millisecond
 }
--- a/controller/faults_state_test.go
+++ b/controller/faults_state_test.go
@@ -3,9 +3,7 @@
 import (
 	"math/rand/v2"
 	"strings"
-	"testing"
 
-	"github.com/cockroachdb/datadriven"
 	"google.golang.org/protobuf/proto"
 
 	"tamarindlead/internal/fake"
@@ -13,115 +11,118 @@
 	"tamarindlead/micros"
 )
 
-// kvFaults are troubles between the controllers and the state service, and among the
-// controllers. They draw from a row of their own, so that scenarios without them stay as
-// they are.
+// kvFaults are faults between the controllers and the state service, and among the controllers.
+// They have their own random stream, so that scenarios without them stay as they are.
 type kvFaults struct {
-	rng                  *rand.Rand
-	lateTransactionRate  float64       // of the transactions: no answer, carried out late
-	responseLostOnly     bool          // carried out at once, only the answer is lost
-	responseDelay        micros.Micros // the state service answers after so long
-	peerLossRate         float64       // of the messages between controllers: lost
-	peerResponsesOnly    bool          // only the answers to them are
-	peerHeartbeatsSpared bool          // but not what they say once a second, nor what they pass on
-	lateApplied          int           // transactions that were carried out late and held
-	lostResponses        int           // transactions that were carried out, their answer lost
+	rng                     *rand.Rand
+	lateTransactionRate     float64       // share of the transactions that are applied late, without a response
+	responseLostOnly        bool          // they are applied at once, only their response is lost
+	responseDelay           micros.Micros // of the state service, for calls other than watches
+	peerLossRate            float64       // share of the peer messages that are lost
+	peerResponsesOnly       bool          // only responses are lost
+	peerHeartbeatsSpared    bool          // neither peer heartbeats nor forwarded store calls are lost
+	lateTransactionsApplied int           // transactions that were applied late and succeeded
+	lostResponses           int           // transactions that succeeded without a response
 
-	kvResponseDelay   responseDelay // of the answers of the state service
-	peerResponseDelay responseDelay // of those of other controllers
+	kvResponseDelay   responseDelay // of the responses of the state service
+	peerResponseDelay responseDelay // of the responses of other controllers
 }
 
 func newKVFaults(seed uint64) kvFaults {
 	return kvFaults{
-		rng:               rand.New(rand.NewPCG(seed, 2)),
+		rng:               rand.New(rand.NewPCG(seed, kvFaultStream)),
 		kvResponseDelay:   newResponseDelay(seed, kvDelayStream),
 		peerResponseDelay: newResponseDelay(seed, peerDelayStream),
 	}
 }
 
-// Transactions without an answer are carried out within these times.
+// Transactions without a response are applied within these times.
 const (
 	minLateWrite = 2 * micros.Second
 	maxLateWrite = 12 * micros.Second
 )
 
-// callKVStore brings a call to the state service, with the troubles of the moment.
-func (w *simulation) callKVStore(n *simNode, c Call, answer func(fake.Response)) {
-	f := &w.kvFaults
-	whole := f.kvResponseDelay.delayResponse(w, n, answer)
-	answer = func(r fake.Response) {
-		if !n.onlyWorkersReachable { // the cut holds answers too, those of open watches among them
-			whole(r)
+// callKVStore executes a call at the state service, with the present faults.
+func (sim *simulation) callKVStore(node *simNode, call Call, answer func(fake.Response)) {
+	faults := &sim.kvFaults
+	delayed := faults.kvResponseDelay.delayResponse(sim, node, answer)
+	answer = func(response fake.Response) {
+		if !node.onlyWorkersReachable { // responses are lost too, those of open watches included
+			delayed(response)
 		}
 	}
-	deliver := func(answer func(fake.Response)) { w.executeKV(n, c, w.now, answer) }
-	commit := strings.HasPrefix(c.Target, "/commit")
-	if commit && f.lateTransactionRate > 0 && f.rng.Float64() < f.lateTransactionRate {
-		if f.responseLostOnly {
-			deliver(func(r fake.Response) { f.lostResponses += held(r) })
+	deliver := func(answer func(fake.Response)) { sim.executeKV(node, call, sim.now, answer) }
+	commit := strings.HasPrefix(call.Target, "/commit")
+	if commit && faults.lateTransactionRate > 0 && faults.rng.Float64() < faults.lateTransactionRate {
+		if faults.responseLostOnly {
+			deliver(func(response fake.Response) { faults.lostResponses += committedCount(response) })
 			return
 		}
 		span := int64(maxLateWrite - minLateWrite)
-		w.after(minLateWrite+micros.Micros(f.rng.Int64N(span)), func() {
-			deliver(func(r fake.Response) { f.lateApplied += held(r) })
+		sim.after(minLateWrite+micros.Micros(faults.rng.Int64N(span)), func() {
+			deliver(func(response fake.Response) { faults.lateTransactionsApplied += committedCount(response) })
 		})
 		return
 	}
-	if f.responseDelay > 0 && !strings.HasPrefix(c.Target, "/changes") {
-		half := f.responseDelay / 2
-		w.after(half, func() {
-			deliver(func(r fake.Response) { w.after(half, func() { answer(r) }) })
+	if faults.responseDelay > 0 && !strings.HasPrefix(call.Target, "/changes") {
+		half := faults.responseDelay / 2
+		sim.after(half, func() {
+			deliver(func(response fake.Response) { sim.after(half, func() { answer(response) }) })
 		})
 		return
 	}
 	deliver(answer)
 }
 
-func held(r fake.Response) int {
-	if r.Status == 200 {
+func committedCount(response fake.Response) int {
+	if response.Status == 200 {
 		return 1
 	}
 	return 0
 }
 
-// dropPeerMessage draws whether a message between controllers, or the answer to it, gets lost.
-func (w *simulation) dropPeerMessage(c Call, answer bool) bool {
-	f := &w.kvFaults
-	if f.peerLossRate == 0 || f.peerResponsesOnly != answer {
+// dropPeerMessage draws whether a peer message, or the response to it, is lost.
+func (sim *simulation) dropPeerMessage(call Call, answer bool) bool {
+	faults := &sim.kvFaults
+	if faults.peerLossRate == 0 || faults.peerResponsesOnly != answer {
 		return false
 	}
-	if f.peerHeartbeatsSpared {
+	if faults.peerHeartbeatsSpared {
 		var m peer.Message
-		if proto.Unmarshal(c.Body, &m) == nil && (m.GetBeat() != nil || m.GetStoreCall() != nil) {
+		if proto.Unmarshal(call.Body, &m) == nil && (m.GetBeat() != nil || m.GetStoreCall() != nil) {
 			return false
 		}
 	}
-	return f.rng.Float64() < f.peerLossRate
+	return faults.rng.Float64() < faults.peerLossRate
 }
 
-// runKVFaultCommand plays the commands of this file; ok is false for any other.
-func runKVFaultCommand(t *testing.T, w *simulation, d *datadriven.TestData, node func() *simNode, during func(func())) (out string, ok bool) {
-	f := &w.kvFaults
-	switch d.Cmd {
-	case "late-writes":
-		f.lateTransactionRate, f.responseLostOnly = argNumber(t, d, "share", 1), d.HasArg("at-once")
-		during(func() { f.lateTransactionRate = 0 })
-	case "slow-state":
-		f.responseDelay = micros.FromMillis(argNumber(t, d, "ms", 1000))
-		during(func() { f.responseDelay = 0 })
-	case "lose-peer-messages":
-		f.peerLossRate, f.peerHeartbeatsSpared = argNumber(t, d, "share", 1), d.HasArg("spare-beats")
-		f.peerResponsesOnly = d.HasArg("answers")
-		during(func() { f.peerLossRate = 0 })
-	case "cancel-jobs":
-		// Users cancel a row of jobs, beginning at one node.
-		to, every := node().index, argSeconds(t, d, "every", 0)
-		for i := range arg(t, d, "count", 1) {
-			id := jobName(arg(t, d, "from", 1) + i)
-			w.after(micros.Micros(i)*every, func() { w.cancel(id, to) })
+// kvFaultCommands cause faults between the controllers and the state service, and among the
+// controllers.
+var kvFaultCommands = commandTable{
+	"late-writes": silent(func(c *command) {
+		faults := &c.sim.kvFaults
+		faults.lateTransactionRate, faults.responseLostOnly = c.number("share", 1), c.HasArg("at-once")
+		c.revertLater(func() { faults.lateTransactionRate = 0 })
+	}),
+	"slow-state": silent(func(c *command) {
+		c.sim.kvFaults.responseDelay = micros.FromMillis(c.number("ms", 1000))
+		c.revertLater(func() { c.sim.kvFaults.responseDelay = 0 })
+	}),
+	"lose-peer-messages": silent(func(c *command) {
+		faults := &c.sim.kvFaults
+		faults.peerLossRate, faults.peerHeartbeatsSpared = c.number("share", 1), c.HasArg("spare-beats")
+		faults.peerResponsesOnly = c.HasArg("answers")
+		c.revertLater(func() { faults.peerLossRate = 0 })
+	}),
+	"cancel-jobs": silent(func(c *command) { // users cancel jobs one after the other, beginning at one node
+		to, every := c.node().index, c.seconds("every", 0)
+		for i, id := range c.jobIDs(1) {
+			c.sim.after(micros.Micros(i)*every, func() { c.sim.cancel(id, to) })
 		}
-	default:
-		return "", false
-	}
-	return "", true
+	}),
+}
+
+// delayedResponses returns how many responses were delayed.
+func (faults *kvFaults) delayedResponses() int {
+	return faults.kvResponseDelay.delayedCount + faults.peerResponseDelay.delayedCount
 }
--- a/controller/job_queue.go
+++ b/controller/job_queue.go
@@ -77,7 +77,7 @@
 
 // retryWatch makes a slow tick watch again after a pause.
 func (o *owner) retryWatch(after uint64) {
-	o.watchRevision, o.watchDown, o.retryAt = after, true, o.c.now+readRetryDelay
+	o.watchRevision, o.watchDown, o.watchRetryAt = after, true, o.c.now+readRetryDelay
 }
 
 // handleJobRemoved handles the removal of a job's record: by this owner's own transaction, or by a
--- a/controller/machine_transfers.go
+++ b/controller/machine_transfers.go
@@ -162,7 +162,7 @@
 func (o *owner) acceptTransfer(blockName string, version uint64, data *record.BlockData) {
 	block := o.newBlock(blockName)
 	block.Version = version
-	o.recoverMachine(block, data, &data.Machines[0])
+	o.recovery.RecoverMachine(block, data, &data.Machines[0])
 	m := block.Machines[0]
 	o.fleet.ClearOwnedElsewhere(m.Name)
 	m.FencingToken, m.Dirty, m.Recovered, block.Dirty = version, false, true, false
--- a/controller/scenario_machines_test.go
+++ b/controller/scenario_machines_test.go
@@ -1,84 +1,91 @@
 package controller
 
-import (
-	"slices"
-	"testing"
+import "tamarindlead/micros"
 
-	"github.com/cockroachdb/datadriven"
-
-	"tamarindlead/micros"
-)
-
-// This file plays what befalls machines and the cloud.
+// machineCommands cause faults of machines and of the cloud.
+var machineCommands = commandTable{
+	"machine": silent(func(c *command) {
+		for _, name := range c.targetMachines() {
+			c.failMachine(name)
+		}
+	}),
+	"cloud-down": silent(func(c *command) {
+		c.sim.cloud.Unavailable = true
+		c.revertLater(func() { c.sim.cloud.Unavailable = false })
+	}),
+	"never-up": silent(func(c *command) { c.sim.cloud.FailedBoots = c.integer("count", 1) }),
+}
 
-// runMachineCommand plays the commands of this file; false for any other.
-func runMachineCommand(t *testing.T, w *simulation, d *datadriven.TestData, during func(func())) bool {
-	switch d.Cmd {
-	case "machine":
-		runMachineFaultCommand(t, w, d, during)
-	case "cloud-down":
-		w.cloud.Unavailable = true
-		during(func() { w.cloud.Unavailable = false })
-	case "never-up":
-		w.cloud.FailedBoots = arg(t, d, "count", 1)
+// targetMachines returns the machines that a command selects by count, share, zone or name.
+func (c *command) targetMachines() []string {
+	c.t.Helper()
+	if selected := c.selectMachines(); selected != nil {
+		return selected
+	}
+	names := c.sim.workerNames()
+	switch name := c.text("name", names[0]); name {
+	case "all":
+		return names
+	case "busiest":
+		return []string{c.busiestMachine(names)}
 	default:
-		return false
+		return []string{name}
 	}
-	return true
 }
 
-func runMachineFaultCommand(t *testing.T, w *simulation, d *datadriven.TestData, during func(func())) {
-	names := w.workerNames()
-	if chosen := w.selectMachines(t, d); chosen != nil {
-		names = chosen
-		one := *d
-		one.CmdArgs = append(withoutSelectors(d), datadriven.CmdArg{Key: "name", Vals: []string{"all"}})
-		d = &one
-	}
-	which := arg(t, d, "name", names[0])
-	if which == "all" {
-		for _, n := range names {
-			one := *d
-			one.CmdArgs = append([]datadriven.CmdArg{{Key: "name", Vals: []string{n}}}, slices.DeleteFunc(slices.Clone(d.CmdArgs), func(a datadriven.CmdArg) bool { return a.Key == "name" })...)
-			runMachineFaultCommand(t, w, &one, during)
+// busiestMachine returns the machine with the most tasks, the first of them if there are several.
+func (c *command) busiestMachine(names []string) string {
+	c.t.Helper()
+	busiest, most := "", -1
+	for _, name := range names {
+		worker := c.sim.workers[name]
+		if !worker.Machine.Gone && len(worker.Tasks) > most {
+			busiest, most = name, len(worker.Tasks)
 		}
-		return
 	}
-	if which == "busiest" {
-		for _, n := range names {
-			if !w.workers[n].Machine.Gone && (which == "busiest" || len(w.workers[n].Tasks) > len(w.workers[which].Tasks)) {
-				which = n
-			}
-		}
+	if busiest == "" {
+		c.fail("no such machine")
+	}
+	return busiest
+}
+
+// failMachine causes the fault that the arguments name at one machine.
+func (c *command) failMachine(name string) {
+	c.t.Helper()
+	sim, worker := c.sim, c.sim.workers[name]
+	reclaim := func() {
+		sim.cloud.Reclaim(name)
+		sim.forgetDeletedMachines()
 	}
-	k := w.workers[which]
 	switch {
-	case d.HasArg("die"):
-		k.Hung = true
-		w.after(40*micros.Second, func() { k.Machine.Gone = true; w.forgetDeletedMachines() })
-	case d.HasArg("hang"):
-		k.Hung = true
-		during(func() { k.Hung = false })
-	case d.HasArg("cut"):
-		k.Partitioned = true
-		during(func() { k.Partitioned = false })
-	case d.HasArg("deaf"):
-		k.InboundBlocked = true
-		during(func() { k.InboundBlocked = false })
-	case d.HasArg("mute"):
-		k.HeartbeatsBlocked = true
-		during(func() { k.HeartbeatsBlocked = false })
-	case d.HasArg("sick"):
-		k.FailsTasks = true
-		during(func() { k.FailsTasks = false })
-	case d.HasArg("taken"):
-		w.cloud.Reclaim(which)
-		w.forgetDeletedMachines()
-	case d.HasArg("notice"):
-		left := argNumber(t, d, "notice", 20)
-		k.PreemptionNotice, k.Changed = &left, true
-		w.after(micros.FromSeconds(left), func() { w.cloud.Reclaim(which); w.forgetDeletedMachines() })
+	case c.HasArg("die"):
+		worker.Hung = true
+		sim.after(40*micros.Second, func() {
+			worker.Machine.Gone = true
+			sim.forgetDeletedMachines()
+		})
+	case c.HasArg("hang"):
+		worker.Hung = true
+		c.revertLater(func() { worker.Hung = false })
+	case c.HasArg("cut"):
+		worker.Partitioned = true
+		c.revertLater(func() { worker.Partitioned = false })
+	case c.HasArg("deaf"):
+		worker.InboundBlocked = true
+		c.revertLater(func() { worker.InboundBlocked = false })
+	case c.HasArg("mute"):
+		worker.HeartbeatsBlocked = true
+		c.revertLater(func() { worker.HeartbeatsBlocked = false })
+	case c.HasArg("sick"):
+		worker.FailsTasks = true
+		c.revertLater(func() { worker.FailsTasks = false })
+	case c.HasArg("taken"):
+		reclaim()
+	case c.HasArg("notice"):
+		left := c.number("notice", 20)
+		worker.PreemptionNotice, worker.Changed = &left, true
+		sim.after(micros.FromSeconds(left), reclaim)
 	default:
-		d.Fatalf(t, "what happens to the machine?")
+		c.fail("what happens to the machine?")
 	}
 }
--- a/controller/scenario_pipelines_test.go
+++ b/controller/scenario_pipelines_test.go
@@ -4,7 +4,6 @@
 	"fmt"
 	"slices"
 	"strings"
-	"testing"
 
 	"tamarindlead/internal/ordered"
 
@@ -14,60 +13,68 @@
 	"tamarindlead/micros"
 )
 
-// dependenciesArg reads a list of jobs such as (req-000001,req-000004..req-000009).
-func dependenciesArg(t *testing.T, d *datadriven.TestData) []string {
+// dependencies returns the jobs that a command lists, as in (req-000001,req-000004..req-000009).
+func (c *command) dependencies() []string {
+	c.t.Helper()
 	var ids []string
-	for _, a := range d.CmdArgs {
+	for _, a := range c.CmdArgs {
 		if a.Key != "awaits" {
 			continue
 		}
 		for _, v := range a.Vals {
-			from, to, isRange := strings.Cut(v, "..")
-			if !isRange {
-				ids = append(ids, v)
-				continue
-			}
-			var first, last int
-			if _, err := fmt.Sscanf(from+" "+to, "req-%d req-%d", &first, &last); err != nil || last < first {
-				d.Fatalf(t, "awaits: %s is no range of jobs", v)
-			}
-			for i := first; i <= last; i++ {
-				ids = append(ids, jobName(i))
-			}
+			ids = append(ids, c.expandJobRange(v)...)
 		}
 	}
 	return ids
 }
 
-// withDependencies is a command's arguments with other jobs to wait for.
-func withDependencies(d *datadriven.TestData, ids ...string) *datadriven.TestData {
-	one := *d
-	one.CmdArgs = slices.DeleteFunc(slices.Clone(d.CmdArgs), func(a datadriven.CmdArg) bool { return a.Key == "awaits" })
+// expandJobRange returns the jobs of a range such as req-000004..req-000009; any other text
+// stands for itself.
+func (c *command) expandJobRange(text string) []string {
+	c.t.Helper()
+	from, to, isRange := strings.Cut(text, "..")
+	if !isRange {
+		return []string{text}
+	}
+	var first, last int
+	if _, err := fmt.Sscanf(from+" "+to, "req-%d req-%d", &first, &last); err != nil || last < first {
+		c.fail("awaits: %s is no range of jobs", text)
+	}
+	var ids []string
+	for i := first; i <= last; i++ {
+		ids = append(ids, jobName(i))
+	}
+	return ids
+}
+
+// withDependencies returns the command with other dependencies.
+func (c *command) withDependencies(ids ...string) *command {
+	args := slices.DeleteFunc(slices.Clone(c.CmdArgs), func(a datadriven.CmdArg) bool { return a.Key == "awaits" })
 	if len(ids) > 0 {
-		one.CmdArgs = append(one.CmdArgs, datadriven.CmdArg{Key: "awaits", Vals: ids})
+		args = append(args, datadriven.CmdArg{Key: "awaits", Vals: ids})
 	}
-	return &one
+	return c.withArgs(args)
 }
 
-// responseState is the state in an answer, or its status if it tells none.
-func responseState(r Respond) string {
-	var st wire.JobState
-	if (r.Status == 200 || r.Status == 201) && wire.Decode(r.Body, &st) == nil {
-		return string(st.Status)
+// responseState returns the job state in a response, or its status if it has none.
+func responseState(response Respond) string {
+	var state wire.JobState
+	if (response.Status == 200 || response.Status == 201) && wire.Decode(response.Body, &state) == nil {
+		return string(state.Status)
 	}
-	return fmt.Sprint(r.Status)
+	return fmt.Sprint(response.Status)
 }
 
-// requestAndWait sends a user's request about a job and runs until it is answered.
-func (w *simulation) requestAndWait(node int, method, path, id string, body []byte) Respond {
+// requestAndWait sends a user's request about a job and runs until the response arrives.
+func (sim *simulation) requestAndWait(node int, method, path, id string, body []byte) Respond {
 	var got *Respond
-	sent := w.now
-	w.user(node, method, path, body, func(r Respond) {
-		w.checkResponse(id, r, sent)
-		got = &r
+	sent := sim.now
+	sim.sendUserRequest(node, method, path, body, func(response Respond) {
+		sim.checkResponse(id, response, sent)
+		got = &response
 	})
-	for end := w.now + 6*micros.Second; got == nil && w.now < end; {
-		w.run(simulationStep)
+	for end := sim.now + 6*micros.Second; got == nil && sim.now < end; {
+		sim.run(simulationStep)
 	}
 	if got == nil {
 		return Respond{}
@@ -75,147 +82,170 @@
 	return *got
 }
 
-// watchJobs asks all nodes about jobs again and again.
-func (w *simulation) watchJobs(ids []string, every, until micros.Micros) {
-	if w.now > until {
+// watchJobs asks all nodes about jobs at an interval.
+func (sim *simulation) watchJobs(ids []string, every, until micros.Micros) {
+	if sim.now > until {
 		return
 	}
-	sent := w.now
+	sent := sim.now
 	for _, id := range ids {
-		if !w.accepted[id] {
+		if !sim.accepted[id] {
 			continue
 		}
-		for n := range w.nodes {
-			w.user(n, "GET", "/api/jobs/"+id, nil, func(r Respond) { w.checkResponse(id, r, sent) })
+		for n := range sim.nodes {
+			sim.sendUserRequest(n, "GET", "/api/jobs/"+id, nil, func(response Respond) { sim.checkResponse(id, response, sent) })
 		}
 	}
-	w.after(every, func() { w.watchJobs(ids, every, until) })
+	sim.after(every, func() { sim.watchJobs(ids, every, until) })
 }
 
-// sendInvalidDependencies submits jobs with such lists at a node and tells how they are answered.
-func (w *simulation) sendInvalidDependencies(to, first int, known string) string {
+// sendInvalidDependencies submits jobs with invalid dependencies to a node and returns the statuses
+// of the responses.
+func (sim *simulation) sendInvalidDependencies(to, first int, known string) string {
 	var out []string
 	for i, b := range invalidDependencies {
 		id := jobName(first + i)
-		w.users.mustRefuse[id] = "awaits: " + b.name
-		body := withAwaits(wire.Encode(w.validJobFields(id)), b.value(id, known))
-		r := w.requestAndWait(to, "POST", "/api/jobs", id, body)
-		if b.want == 400 && r.Status != 400 {
-			w.reportViolation("accepted_bad: awaits of the form %s is answered %d", b.name, r.Status)
+		sim.users.mustRefuse[id] = "awaits: " + b.name
+		body := withDependencyField(wire.Encode(sim.validJobFields(id)), b.value(id, known))
+		response := sim.requestAndWait(to, "POST", "/api/jobs", id, body)
+		if b.want == 400 && response.Status != 400 {
+			sim.reportViolation("accepted_bad: awaits of the form %s is answered %d", b.name, response.Status)
 		}
-		out = append(out, fmt.Sprintf("%s %d", b.name, r.Status))
+		out = append(out, fmt.Sprintf("%s %d", b.name, response.Status))
 	}
 	return strings.Join(out, "\n")
 }
 
-// jobRange lists the jobs from= to from+count-1.
-func jobRange(t *testing.T, d *datadriven.TestData) []string {
-	var ids []string
-	for i := range arg(t, d, "count", 1) {
-		ids = append(ids, jobName(arg(t, d, "from", 1)+i))
-	}
-	return ids
+// pipelineCommands submit, cancel and watch jobs with dependencies.
+var pipelineCommands = commandTable{
+	"chain": silent(func(c *command) { // each job depends on the previous one
+		dependencies := c.dependencies()
+		for _, id := range c.jobIDs(1) {
+			c.withDependencies(dependencies...).submit(id)
+			dependencies = []string{id}
+		}
+	}),
+	"fan": silent(func(c *command) { // all jobs have the same dependencies
+		for _, id := range c.jobIDs(1) {
+			c.submit(id)
+		}
+	}),
+	"repeat": func(c *command) string { // a duplicate submission
+		id := c.jobID()
+		response := c.sim.requestAndWait(c.to(), "POST", "/api/jobs", id, c.sim.submissions[id])
+		return fmt.Sprintf("%d %s", response.Status, responseState(response))
+	},
+	"cancel-answer": func(c *command) string {
+		id := c.jobID()
+		c.sim.cancelRequested[id] = true
+		return responseState(c.sim.requestAndWait(c.to(), "POST", "/api/jobs/"+id+"/cancel", id, nil))
+	},
+	"cancel-at-done": silent((*command).cancelAtCompletion),
+	"crash-at-done":  silent((*command).crashAtCompletion),
+	"until-ended": func(c *command) string { // all tasks of the job completed, reported or not
+		completed := func() bool { return c.sim.allTasksDone(c.jobID()) }
+		c.runUntil(240, simulationStep, completed)
+		if !completed() {
+			return "not ended"
+		}
+		return "ended"
+	},
+	"until-recorded": func(c *command) string { // the job's terminal state is recorded, reported or not
+		id := c.jobID()
+		c.runUntil(240, simulationStep, func() bool { return c.sim.recordedTerminalState(id) != "" })
+		return string(c.sim.recordedTerminalState(id))
+	},
+	"until-told": func(c *command) string {
+		id := c.jobID()
+		c.runUntil(240, simulationStep, func() bool { return c.sim.reportedTerminal[id] != "" })
+		return c.sim.reportedState(id)
+	},
+	"state": func(c *command) string {
+		id := c.jobID()
+		return responseState(c.sim.requestAndWait(c.node().index, "GET", "/api/jobs/"+id, id, nil))
+	},
+	"ask-all": (*command).queryAllNodes,
+	"watch-jobs": silent(func(c *command) {
+		c.sim.watchJobs(c.jobIDs(1), c.seconds("every", 1), c.sim.now+c.seconds("for", 60))
+	}),
+	"told": (*command).countReportedStates,
+	"bad-awaits": func(c *command) string {
+		return c.sim.sendInvalidDependencies(c.to(), c.integer("from", 970000), c.jobID())
+	},
+	"began-before": func(c *command) string { // the first task of one job started before that of another
+		first, second := c.sim.startedAt[c.jobID()], c.sim.startedAt[c.text("of", "")]
+		return fmt.Sprint(first > 0 && (second == 0 || first < second))
+	},
+	"waited": func(c *command) string { // a user saw the job queued while it was blocked
+		return fmt.Sprint(c.sim.pipelines.queuedResponses[c.jobID()] > 0)
+	},
 }
 
-// runPipelineCommand plays the commands of this file; ok is false for any other.
-func runPipelineCommand(t *testing.T, w *simulation, d *datadriven.TestData, node func() *simNode) (out string, ok bool) {
-	p := &w.pipelines
-	id := arg(t, d, "job", "req-000001")
-	path := "/api/jobs/" + id
-	switch d.Cmd {
-	case "chain": // each job waits for the one before it
-		before := dependenciesArg(t, d)
-		for _, id := range jobRange(t, d) {
-			runSubmitCommand(t, w, withDependencies(d, before...), id)
-			before = []string{id}
-		}
-	case "fan": // all wait for the same
-		for _, id := range jobRange(t, d) {
-			runSubmitCommand(t, w, d, id)
-		}
-	case "repeat": // the submission again, and its answer
-		r := w.requestAndWait(arg(t, d, "to", 0), "POST", "/api/jobs", id, w.bodies[id])
-		return fmt.Sprintf("%d %s", r.Status, responseState(r)), true
-	case "cancel-answer":
-		w.cancelRequested[id] = true
-		return responseState(w.requestAndWait(arg(t, d, "to", 0), "POST", path+"/cancel", id, nil)), true
-	case "cancel-at-done": // a job is cancelled at the moment at which another's last task completes, or soon after
-		of, in := arg(t, d, "of", id), argSeconds(t, d, "in", 0)
-		p.onDone[of] = append(p.onDone[of], func() {
-			w.after(in, func() { w.cancel(id, p.rng.IntN(len(w.nodes))) })
-		})
-	case "crash-at-done": // the leader, or all
-		in, away := argSeconds(t, d, "in", 0), argSeconds(t, d, "for", restartDelay.Seconds())
-		p.onDone[id] = append(p.onDone[id], func() {
-			w.after(in, func() {
-				for i, n := range w.nodes {
-					if d.HasArg("all") || i == w.leader() {
-						w.crash(n, away)
-					}
-				}
-			})
-		})
-	case "until-ended": // all tasks of a job completed, whoever knows of it
-		for end := w.now + argSeconds(t, d, "s", 240); w.now < end && !w.allTasksDone(id); {
-			w.run(simulationStep)
-		}
-		if !w.allTasksDone(id) {
-			return "not ended", true
-		}
-		return "ended", true
-	case "until-recorded": // a job's final state, whoever was told
-		for end := w.now + argSeconds(t, d, "s", 240); w.now < end && w.recordedTerminalState(id) == ""; {
-			w.run(simulationStep)
-		}
-		return string(w.recordedTerminalState(id)), true
-	case "until-told":
-		for end := w.now + argSeconds(t, d, "s", 240); w.now < end && w.reportedTerminal[id] == ""; {
-			w.run(simulationStep)
-		}
-		if w.reportedTerminal[id] == "" {
-			return "open", true
-		}
-		return string(w.reportedTerminal[id]), true
-	case "state":
-		return responseState(w.requestAndWait(node().index, "GET", path, id, nil)), true
-	case "ask-all":
-		states := make([]string, len(w.nodes))
-		open, sent := len(states), w.now
-		for i := range w.nodes {
-			w.user(i, "GET", path, nil, func(r Respond) {
-				w.checkResponse(id, r, sent)
-				states[i], open = responseState(r), open-1
-			})
-		}
-		for open > 0 {
-			w.run(simulationStep)
-		}
-		return strings.Join(states, " "), true
-	case "watch-jobs":
-		w.watchJobs(jobRange(t, d), argSeconds(t, d, "every", 1), w.now+argSeconds(t, d, "for", 60))
-	case "told":
-		n := map[string]int{}
-		for _, id := range jobRange(t, d) {
-			s := string(w.reportedTerminal[id])
-			if s == "" {
-				s = "open"
+// cancelAtCompletion has a user cancel a job when the last task of another one completes, or some
+// time after that.
+func (c *command) cancelAtCompletion() {
+	c.t.Helper()
+	sim, pipelines := c.sim, &c.sim.pipelines
+	id, delay := c.jobID(), c.seconds("in", 0)
+	other := c.text("of", id)
+	pipelines.onDone[other] = append(pipelines.onDone[other], func() {
+		sim.after(delay, func() { sim.cancel(id, pipelines.rng.IntN(len(sim.nodes))) })
+	})
+}
+
+// crashAtCompletion has the leader, or all nodes, crash when the last task of a job completes, or
+// some time after that.
+func (c *command) crashAtCompletion() {
+	c.t.Helper()
+	sim, pipelines := c.sim, &c.sim.pipelines
+	id, delay, downtime := c.jobID(), c.seconds("in", 0), c.downtime()
+	crash := func() {
+		for i, node := range sim.nodes {
+			if c.HasArg("all") || i == sim.leader() {
+				sim.crash(node, downtime)
 			}
-			n[s]++
-		}
-		var lines []string
-		for _, s := range ordered.Keys(n) {
-			lines = append(lines, fmt.Sprintf("%d %s", n[s], s))
 		}
-		return strings.Join(lines, ", "), true
-	case "bad-awaits":
-		return w.sendInvalidDependencies(arg(t, d, "to", 0), arg(t, d, "from", 970000), id), true
-	case "began-before": // the first task of a job started before that of another
-		of := arg(t, d, "of", "")
-		return fmt.Sprint(w.startedAt[id] > 0 && (w.startedAt[of] == 0 || w.startedAt[id] < w.startedAt[of])), true
-	case "waited": // a user saw the job queued while it waited
-		return fmt.Sprint(p.queuedResponses[id] > 0), true
-	default:
-		return "", false
-	}
-	return "", true
+	}
+	pipelines.onDone[id] = append(pipelines.onDone[id], func() { sim.after(delay, crash) })
+}
+
+// queryAllNodes asks all nodes about a job at once and prints the states in their responses.
+func (c *command) queryAllNodes() string {
+	c.t.Helper()
+	sim, id := c.sim, c.jobID()
+	states := make([]string, len(sim.nodes))
+	open, sent := len(states), sim.now
+	for i := range sim.nodes {
+		sim.sendUserRequest(i, "GET", "/api/jobs/"+id, nil, func(response Respond) {
+			sim.checkResponse(id, response, sent)
+			states[i] = responseState(response)
+			open--
+		})
+	}
+	for open > 0 {
+		sim.run(simulationStep)
+	}
+	return strings.Join(states, " ")
+}
+
+// reportedState returns the terminal state of a job that was reported to a user, or "open".
+func (sim *simulation) reportedState(id string) string {
+	if status, ok := sim.reportedTerminal[id]; ok {
+		return string(status)
+	}
+	return "open"
+}
+
+// countReportedStates prints how many jobs were reported in which state.
+func (c *command) countReportedStates() string {
+	c.t.Helper()
+	counts := map[string]int{}
+	for _, id := range c.jobIDs(1) {
+		counts[c.sim.reportedState(id)]++
+	}
+	var lines []string
+	for _, state := range ordered.Keys(counts) {
+		lines = append(lines, fmt.Sprintf("%d %s", counts[state], state))
+	}
+	return strings.Join(lines, ", ")
 }
--- a/controller/simulation_network_test.go
+++ b/controller/simulation_network_test.go
@@ -19,201 +19,250 @@
 
 type eventQueue []simulatedEvent
 
-func (d eventQueue) Len() int { return len(d) }
+func (q eventQueue) Len() int { return len(q) }
 
-func (d eventQueue) Less(i, j int) bool {
-	return d[i].at < d[j].at || d[i].at == d[j].at && d[i].seq < d[j].seq
+func (q eventQueue) Less(i, j int) bool {
+	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].seq < q[j].seq
 }
 
-func (d eventQueue) Swap(i, j int) { d[i], d[j] = d[j], d[i] }
+func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
 
-func (d *eventQueue) Push(x any) { *d = append(*d, x.(simulatedEvent)) }
+func (q *eventQueue) Push(x any) { *q = append(*q, x.(simulatedEvent)) }
 
-func (d *eventQueue) Pop() any {
-	old := *d
+func (q *eventQueue) Pop() any {
+	old := *q
 	x := old[len(old)-1]
-	*d = old[:len(old)-1]
+	*q = old[:len(old)-1]
 	return x
 }
 
-// partitioned tells that a cut lies between two zones; "" is where state service, cloud and
-// users are.
-func (w *simulation) partitioned(a, b string) bool {
-	return w.partitionedZone != "" && (a == w.partitionedZone) != (b == w.partitionedZone)
+// zonesPartitioned reports whether two zones are partitioned from each other; "" stands for where the
+// state service, the cloud and the users are.
+func (sim *simulation) zonesPartitioned(a, b string) bool {
+	return sim.partitionedZone != "" && (a == sim.partitionedZone) != (b == sim.partitionedZone)
 }
 
-func (w *simulation) after(d micros.Micros, do func()) {
-	w.seq++
-	heap.Push(&w.queue, simulatedEvent{w.now + d, w.seq, do})
+func (sim *simulation) after(d micros.Micros, do func()) {
+	sim.eventSeq++
+	heap.Push(&sim.events, simulatedEvent{sim.now + d, sim.eventSeq, do})
 }
 
-func (w *simulation) latency() micros.Micros {
-	return micros.Millisecond + micros.Micros(w.rng.Int64N(int64(4*micros.Millisecond)))
+func (sim *simulation) randomLatency() micros.Micros {
+	return micros.Millisecond + micros.Micros(sim.rng.Int64N(int64(4*micros.Millisecond)))
 }
 
-func (w *simulation) handleEvent(n *simNode, ev Event) {
-	if !n.up {
+func (sim *simulation) handleEvent(node *simNode, ev Event) {
+	if !node.up {
 		return
 	}
-	life := n.incarnation
-	effects := n.handle(w, ev)
-	if w.onEffects != nil {
-		w.onEffects(n, ev, effects)
+	life := node.incarnation
+	effects := node.handle(sim, ev)
+	if sim.onEffects != nil {
+		sim.onEffects(node, ev, effects)
 	}
 	for _, e := range effects {
 		switch e := e.(type) {
 		case Respond:
-			if answer := n.pending[e.ID]; answer != nil {
-				delete(n.pending, e.ID)
+			if answer := node.pending[e.ID]; answer != nil {
+				delete(node.pending, e.ID)
 				answer(e)
 			}
 		case Call:
-			w.call(n, life, e)
+			sim.startCall(node, life, e)
 		}
 	}
 }
 
-// sendRequest sends a request to a node and hands over its response; status 0: none.
-func (w *simulation) sendRequest(n *simNode, r Request, timeout micros.Micros, done func(Respond)) {
+// sendRequest sends a request to a node and calls done with the response, whose status is 0 if there
+// is none in time.
+func (sim *simulation) sendRequest(node *simNode, request Request, timeout micros.Micros, done func(Respond)) {
 	answered := false
-	finish := func(resp Respond) {
+	finish := func(response Respond) {
 		if !answered {
 			answered = true
-			done(resp)
+			done(response)
 		}
 	}
-	w.after(w.latency(), func() {
-		if !n.up || n.partitioned {
-			w.after(0, func() { finish(Respond{}) })
+	sim.after(sim.randomLatency(), func() {
+		if !node.up || node.partitioned {
+			sim.after(0, func() { finish(Respond{}) })
 			return
 		}
-		n.nextID++
-		r.ID = n.nextID
-		life, came := n.incarnation, w.now
-		n.pending[r.ID] = func(resp Respond) {
-			w.checkRefusal(r, resp, w.now-came)
-			w.after(w.latency(), func() {
-				if !n.partitioned && (life == n.incarnation || resp.Status == 0) {
-					finish(resp)
+		node.nextID++
+		request.ID = node.nextID
+		life, came := node.incarnation, sim.now
+		node.pending[request.ID] = func(response Respond) {
+			sim.checkRefusal(request, response, sim.now-came)
+			sim.after(sim.randomLatency(), func() {
+				if !node.partitioned && (life == node.incarnation || response.Status == 0) {
+					finish(response)
 				}
 			})
 		}
-		w.handleEvent(n, r)
+		sim.handleEvent(node, request)
 	})
-	w.after(timeout, func() { finish(Respond{}) })
+	sim.after(timeout, func() { finish(Respond{}) })
 }
 
-func (w *simulation) call(n *simNode, life int, c Call) {
-	answered := false
-	if n.openCalls++; n.openCalls > w.cfg.Sockets/4 {
-		w.reportViolation("sockets: node %d has %d calls under way", n.index, n.openCalls)
+// startCall plays an outbound call of a node from its request to its response or timeout.
+func (sim *simulation) startCall(node *simNode, incarnation int, call Call) {
+	if node.openCalls++; node.openCalls > sim.cfg.Sockets/4 {
+		sim.reportViolation("sockets: node %d has %d calls under way", node.index, node.openCalls)
 	}
-	finish := func(r fake.Response, sent bool) {
-		if answered || n.incarnation != life {
+	finished := false
+	finish := func(response fake.Response) {
+		if finished || node.incarnation != incarnation {
 			return
 		}
-		answered = true
-		n.openCalls--
-		w.handleEvent(n, CallDone{ID: c.ID, Status: r.Status, Body: r.Body, Sent: sent})
+		finished = true
+		node.openCalls--
+		sim.handleEvent(node, CallDone{ID: call.ID, Status: response.Status, Body: response.Body, Sent: true})
 	}
-	w.after(c.Timeout, func() { finish(fake.Response{}, true) })
-	back := func(r fake.Response) {
-		if w.rng.Float64() < w.lossRate {
+	sim.after(call.Timeout, func() { finish(fake.Response{}) })
+	respond := func(response fake.Response) {
+		if sim.rng.Float64() < sim.lossRate {
 			return
 		}
-		w.after(w.latency(), func() {
-			if !n.partitioned {
-				finish(r, true)
+		sim.after(sim.randomLatency(), func() {
+			if !node.partitioned {
+				finish(response)
 			}
 		})
 	}
-	execute := func(answer func(fake.Response)) { w.execute(n, c, answer) }
-	watch := strings.HasPrefix(c.Target, "/changes")
-	w.after(w.latency(), func() {
-		p := w.rng.Float64()
-		switch {
-		case n.partitioned && n.delaysOutbound:
-			w.afterPartition(n, func() { execute(func(fake.Response) {}) })
-		case n.partitioned || p < w.lossRate:
-		case p < w.lossRate+w.lateRequestRate && !watch:
-			delay := 2*micros.Second + micros.Micros(w.rng.Int64N(int64(20*micros.Second)))
-			w.after(delay, func() { execute(func(fake.Response) {}) })
-		case p < w.lossRate+w.lateRequestRate+w.duplicateRequestRate && !watch:
-			delay := 2*micros.Second + micros.Micros(w.rng.Int64N(int64(20*micros.Second)))
-			w.after(delay, func() { execute(func(fake.Response) {}) })
-			execute(back)
-		default:
-			execute(back)
-		}
-	})
+	sim.after(sim.randomLatency(), func() { sim.deliverCall(node, call, respond) })
 }
 
-// afterPartition does something once a node has its network back.
-func (w *simulation) afterPartition(n *simNode, do func()) {
-	if n.partitioned {
-		w.after(simulationStep, func() { w.afterPartition(n, do) })
+// deliverCall executes a call at its target, unless the network loses, delays or duplicates it.
+func (sim *simulation) deliverCall(node *simNode, call Call, respond func(fake.Response)) {
+	executeUnanswered := func() { sim.executeCall(node, call, func(fake.Response) {}) }
+	executeLate := func() {
+		delay := 2*micros.Second + micros.Micros(sim.rng.Int64N(int64(20*micros.Second)))
+		sim.after(delay, executeUnanswered)
+	}
+	watch := strings.HasPrefix(call.Target, "/changes")
+	p := sim.rng.Float64()
+	switch {
+	case node.partitioned && node.delaysOutbound:
+		sim.afterPartition(node, executeUnanswered)
+	case node.partitioned || p < sim.lossRate:
+	case p < sim.lossRate+sim.lateRequestRate && !watch:
+		executeLate()
+	case p < sim.lossRate+sim.lateRequestRate+sim.duplicateRequestRate && !watch:
+		executeLate()
+		sim.executeCall(node, call, respond)
+	default:
+		sim.executeCall(node, call, respond)
+	}
+}
+
+// afterPartition calls do once a node is no longer partitioned.
+func (sim *simulation) afterPartition(node *simNode, do func()) {
+	if node.partitioned {
+		sim.after(simulationStep, func() { sim.afterPartition(node, do) })
 		return
 	}
 	do()
 }
 
-func (w *simulation) execute(n *simNode, c Call, answer func(fake.Response)) {
-	peer := strings.HasPrefix(c.Addr, "peer:")
-	if peer {
-		i, _ := strconv.Atoi(strings.TrimPrefix(c.Addr, "peer:"))
-		peer = n.onlyWorkersReachable || w.nodes[i].onlyWorkersReachable || w.dropPeerMessage(c, false) || w.partitioned(w.nodeZone(n.index), w.nodeZone(i))
-	}
-	outside := c.Addr == w.cfg.KVAddr || c.Addr == w.cfg.CloudAddr
+// Addresses of controllers and workers start with these prefixes.
+const (
+	peerAddrPrefix   = "peer:"
+	workerAddrPrefix = "worker:"
+)
+
+// executeCall executes a call at its target, unless a fault keeps it from getting there.
+func (sim *simulation) executeCall(node *simNode, call Call, respond func(fake.Response)) {
 	switch {
-	case peer, n.onlyWorkersReachable && c.Addr == w.cfg.KVAddr, outside && w.partitioned(w.nodeZone(n.index), ""): // lost
-	case c.Addr == w.cfg.KVAddr:
-		w.afterCommitDelay(c, func() { w.callKVStore(n, c, answer) })
-	case c.Addr == w.cfg.CloudAddr:
-		w.cloud.Now = w.now
-		answer(w.cloud.Handle(c.Method, c.Target, c.Body))
-		w.forgetDeletedMachines()
-	case strings.HasPrefix(c.Addr, "peer:"):
-		i, _ := strconv.Atoi(strings.TrimPrefix(c.Addr, "peer:"))
-		to := w.nodes[i]
-		w.recordPeerMessage(c.Body)
-		answer = w.kvFaults.peerResponseDelay.delayResponse(w, n, answer)
-		w.sendRequest(to, Request{Peer: true, Method: c.Method, Path: c.Target, Body: c.Body}, c.Timeout, func(r Respond) {
-			w.recordPeerMessage(r.Body)
-			if r.Status != 0 && !w.dropPeerMessage(c, true) {
-				answer(fake.Response{Status: r.Status, Body: r.Body})
-			}
-		})
-	default:
-		k := w.workers[strings.TrimPrefix(c.Addr, "worker:")]
-		if k == nil || k.Machine.Gone || k.Partitioned || k.InboundBlocked || n.workersUnreachable || w.partitioned(w.nodeZone(n.index), k.Machine.Zone) {
-			return
+	case strings.HasPrefix(call.Addr, peerAddrPrefix):
+		sim.executePeerCall(node, call, respond)
+	case call.Addr == sim.cfg.KVAddr:
+		if !node.onlyWorkersReachable && !sim.zonesPartitioned(sim.nodeZone(node.index), "") {
+			sim.afterCommitDelay(call, func() { sim.callKVStore(node, call, respond) })
 		}
-		if k.Hung { // it executes when it continues
-			w.after(simulationStep, func() { w.execute(n, c, answer) })
-			return
-		}
-		if answer = w.delayCommand(c, answer); answer == nil {
-			return
+	case call.Addr == sim.cfg.CloudAddr:
+		if !sim.zonesPartitioned(sim.nodeZone(node.index), "") {
+			sim.cloud.Now = sim.now
+			respond(sim.cloud.Handle(call.Method, call.Target, call.Body))
+			sim.forgetDeletedMachines()
 		}
-		if c.Target == "/inspect" {
-			answer(fake.Response{Status: 200, Body: wire.Encode(k.BuildHeartbeat())})
-			return
+	default:
+		sim.executeWorkerCall(node, call, respond)
+	}
+}
+
+// executePeerCall passes a call on to another controller.
+func (sim *simulation) executePeerCall(node *simNode, call Call, respond func(fake.Response)) {
+	i, err := strconv.Atoi(strings.TrimPrefix(call.Addr, peerAddrPrefix))
+	if err != nil {
+		panic(err) // start makes these addresses
+	}
+	peer := sim.nodes[i]
+	if node.onlyWorkersReachable || peer.onlyWorkersReachable || sim.dropPeerMessage(call, false) ||
+		sim.zonesPartitioned(sim.nodeZone(node.index), sim.nodeZone(i)) {
+		return
+	}
+	sim.notifyPeerMessage(call.Body)
+	respond = sim.kvFaults.peerResponseDelay.delayResponse(sim, node, respond)
+	request := Request{Peer: true, Method: call.Method, Path: call.Target, Body: call.Body}
+	sim.sendRequest(peer, request, call.Timeout, func(response Respond) {
+		sim.notifyPeerMessage(response.Body)
+		if response.Status != 0 && !sim.dropPeerMessage(call, true) {
+			respond(fake.Response{Status: response.Status, Body: response.Body})
 		}
-		answer(k.ExecuteDirect(w.now, c.Body))
+	})
+}
+
+// executeWorkerCall executes a direct command at a worker; a hung worker does so once it continues.
+func (sim *simulation) executeWorkerCall(node *simNode, call Call, respond func(fake.Response)) {
+	worker := sim.workers[strings.TrimPrefix(call.Addr, workerAddrPrefix)]
+	if worker == nil || worker.Machine.Gone || worker.Partitioned || worker.InboundBlocked || node.workersUnreachable ||
+		sim.zonesPartitioned(sim.nodeZone(node.index), worker.Machine.Zone) {
+		return
+	}
+	if worker.Hung {
+		sim.after(simulationStep, func() { sim.executeWorkerCall(node, call, respond) })
+		return
+	}
+	if respond = sim.delayCommand(call, respond); respond != nil {
+		respond(sim.executeAtWorker(worker, call))
 	}
 }
 
-func (w *simulation) executeKV(n *simNode, c Call, since micros.Micros, answer func(fake.Response)) {
-	wait := micros.Micros(0)
-	if u, err := url.ParseRequestURI(c.Target); err == nil {
-		ms, _ := strconv.ParseFloat(u.Query().Get("waitMs"), 64)
-		wait = micros.FromMillis(ms)
+// executeAtWorker returns a worker's response to a direct command.
+func (sim *simulation) executeAtWorker(worker *fake.Worker, call Call) fake.Response {
+	if call.Target == "/inspect" {
+		return fake.Response{Status: 200, Body: wire.Encode(worker.BuildHeartbeat())}
 	}
-	w.kvStore.Now = w.now
-	r, ok := w.kvStore.Handle(nodeName(n.index), c.Method, c.Target, c.Body, w.now-since >= wait)
+	return worker.ExecuteDirect(sim.now, call.Body)
+}
+
+// executeKV executes a call of the state service. A watch without changes is answered once it has
+// waited for as long as it asks for.
+func (sim *simulation) executeKV(node *simNode, call Call, since micros.Micros, respond func(fake.Response)) {
+	sim.kvStore.Now = sim.now
+	waited := sim.now-since >= sim.watchTimeout(call)
+	response, ok := sim.kvStore.Handle(nodeName(node.index), call.Method, call.Target, call.Body, waited)
 	if ok {
-		answer(r)
+		respond(response)
 		return
 	}
-	w.after(simulationStep, func() { w.executeKV(n, c, since, answer) })
+	sim.after(simulationStep, func() { sim.executeKV(node, call, since, respond) })
+}
+
+// watchTimeout returns for how long a call waits for changes.
+func (sim *simulation) watchTimeout(call Call) micros.Micros {
+	target, err := url.ParseRequestURI(call.Target)
+	if err != nil {
+		sim.reportViolation("call: target %q: %v", call.Target, err)
+		return 0
+	}
+	text := target.Query().Get("waitMs")
+	if text == "" {
+		return 0
+	}
+	ms, err := strconv.ParseFloat(text, 64)
+	if err != nil {
+		sim.reportViolation("call: waitMs=%q: %v", text, err)
+	}
+	return micros.FromMillis(ms)
 }
