--- a/config/properties.go
+++ b/config/properties.go
@@ -46,22 +46,22 @@
 // tuningProperties are all keys of the operators' file. Their descriptions are those of
 // docs/operating.md.
 var tuningProperties = map[string]property{
-	"leader.ttl_s":          {"life of the leader's lease", seconds(func(t *Tuning) *micros.Micros { return &t.LeaderTTL }, 1, 60)},
-	"machine.silent_s":      {"silence after which a machine is given up", seconds(func(t *Tuning) *micros.Micros { return &t.HeartbeatTimeout }, 2, 600)},
-	"machine.takeover_s":    {"added to machine.silent_s after a takeover", seconds(func(t *Tuning) *micros.Micros { return &t.FailoverGrace }, 0, 600)},
-	keyPartitionTimeout:     {"the same for a machine with a gang whose whole zone is silent", seconds(func(t *Tuning) *micros.Micros { return &t.PartitionTimeout }, 0, 3600)},
-	"machine.idle_s":        {"idle time after which a machine is returned", seconds(func(t *Tuning) *micros.Micros { return &t.IdleTimeout }, 0, 3600)},
-	"machine.boot_patience": {"times the nominal boot time until a machine is given up", number(func(t *Tuning) *float64 { return &t.BootTimeoutFactor }, 1, 20)},
-	keyQuarantineThreshold:  {"failures in a row after which a machine is drained", count(func(t *Tuning) *int { return &t.QuarantineThreshold }, 1, 100)},
-	keyMaxMachines:          {"most machines rented at once, 0 for no bound", count(func(t *Tuning) *int { return &t.MaxMachines }, 0, 100000)},
-	"rental.queue_target_s": {"waiting work that justifies no further machine", seconds(func(t *Tuning) *micros.Micros { return &t.QueueTarget }, 0, 3600)},
-	"rental.retry_s":        {"pause after a refusal for want of capacity", seconds(func(t *Tuning) *micros.Micros { return &t.ScaleOutRetryDelay }, 1, 600)},
-	"jobs.starve_s":         {"wait after which a job that has not begun comes first", seconds(func(t *Tuning) *micros.Micros { return &t.StarvationTimeout }, 1, 86400)},
-	"spot.losses_per_h":     {"losses of a spot machine an hour, until enough are seen", number(func(t *Tuning) *float64 { return &t.SpotLossesPerHour }, 0, 1000)},
-	"teams.spread":          {"spread the teams over all controllers instead of gathering them", boolean(func(t *Tuning) *bool { return &t.SpreadTeams })},
-	"preempt.hold_s":        {"how long freed machines are held after the last stop", seconds(func(t *Tuning) *micros.Micros { return &t.ReservationTimeout }, 1, 600)},
-	"preempt.domains":       {"domains tried for one gang at a time", count(func(t *Tuning) *int { return &t.MaxDomains }, 1, 100)},
-	"preempt.roi_threshold": {"ROIs that differ by less count as equal", number(func(t *Tuning) *float64 { return &t.ROIThreshold }, 0, 1)},
+	"leader.ttl_s":          {"time to live of the leader's lease", seconds(func(t *Tuning) *micros.Micros { return &t.LeaderTTL }, 1, 60)},
+	"machine.silent_s":      {"time without a heartbeat after which a machine is terminated", seconds(func(t *Tuning) *micros.Micros { return &t.HeartbeatTimeout }, 2, 600)},
+	"machine.takeover_s":    {"added to machine.silent_s after a failover", seconds(func(t *Tuning) *micros.Micros { return &t.FailoverGrace }, 0, 600)},
+	keyPartitionTimeout:     {"the same for a machine with a gang whose whole zone is unresponsive", seconds(func(t *Tuning) *micros.Micros { return &t.PartitionTimeout }, 0, 3600)},
+	"machine.idle_s":        {"idle time after which a machine is drained and terminated", seconds(func(t *Tuning) *micros.Micros { return &t.IdleTimeout }, 0, 3600)},
+	"machine.boot_patience": {"multiple of the nominal boot time after which a booting machine is terminated", number(func(t *Tuning) *float64 { return &t.BootTimeoutFactor }, 1, 20)},
+	keyQuarantineThreshold:  {"task failures in a row after which a machine is drained", count(func(t *Tuning) *int { return &t.QuarantineThreshold }, 1, 100)},
+	keyMaxMachines:          {"maximum number of machines at a time, 0 for no bound", count(func(t *Tuning) *int { return &t.MaxMachines }, 0, 100000)},
+	"rental.queue_target_s": {"queueing delay that justifies no further machine", seconds(func(t *Tuning) *micros.Micros { return &t.QueueTarget }, 0, 3600)},
+	"rental.retry_s":        {"delay after the cloud has refused an offer for lack of capacity", seconds(func(t *Tuning) *micros.Micros { return &t.ScaleOutRetryDelay }, 1, 600)},
+	"jobs.starve_s":         {"queueing delay after which a job that has not started is placed first", seconds(func(t *Tuning) *micros.Micros { return &t.StarvationTimeout }, 1, 86400)},
+	"spot.losses_per_h":     {"expected losses of a spot machine per hour, until enough were observed", number(func(t *Tuning) *float64 { return &t.SpotLossesPerHour }, 0, 1000)},
+	"teams.spread":          {"assign teams to all controllers instead of one", boolean(func(t *Tuning) *bool { return &t.SpreadTeams })},
+	"preempt.hold_s":        {"how long preempted machines stay reserved for a gang after the last victim has stopped", seconds(func(t *Tuning) *micros.Micros { return &t.ReservationTimeout }, 1, 600)},
+	"preempt.domains":       {"number of domains in which preemption for one gang is planned at a time", count(func(t *Tuning) *int { return &t.MaxDomains }, 1, 100)},
+	"preempt.roi_threshold": {"difference below which two ROIs count as equal", number(func(t *Tuning) *float64 { return &t.ROIThreshold }, 0, 1)},
 }
 
 // seconds returns a setter of durations in decimal seconds within bounds.
--- a/controller/doc.go
+++ b/controller/doc.go
@@ -4,7 +4,7 @@
 //
 // What is left here: events, effects, timers and outbound calls (events.go, core.go, timers.go); the
 // routing of requests (routes.go); which workers reach this node (worker_heartbeats.go); the owner of
-// teams with its recovery (owner.go, recovery*.go); its queue and its blocked jobs (job_queue.go,
+// teams, which consists of the parts below (owner*.go); its queue and its blocked jobs (job_queue.go,
 // blocked_jobs.go); the transfer of machines between owners (machine_requests.go,
 // machine_transfers.go); status lines and violated invariants (status.go, invariants.go); and one
 // file for each package that is connected with the others (*_adapter.go, kv_host.go, membership.go,
@@ -15,6 +15,7 @@
 // of the node, peers the messages between controllers, kv the client of the key-value store, budget
 // its rate limits, cancellation the acknowledgement of cancellations, machinetypes the table of
 // machine types. An owner consists of inventory (jobs, attempts, machines and their states), commit (the
-// writes of its records), workers (heartbeats and commands of machines), scheduler (the scheduling
-// cycle) and fleet (health of machines, the cloud, autoscaling).
+// writes of its records), recovery (reading all records after a failover), workers (heartbeats and
+// commands of machines), scheduler (the scheduling cycle) and fleet (health of machines, the cloud,
+// autoscaling).
 package controller
