--- a/controller/limits_test.go
+++ b/controller/limits_test.go
@@ -57,16 +57,16 @@
 }
 
 // runLimitCommand plays the commands of this file; false for any other.
-func runLimitCommand(t *testing.T, w *simulation, d *datadriven.TestData) bool {
+func runLimitCommand(t *testing.T, sim *simulation, d *datadriven.TestData) bool {
 	switch d.Cmd {
 	case "state-limits":
 		// The state service has other limits from now on.
-		s := w.kvStore
+		s := sim.kvStore
 		s.MaxValueBytes, s.MaxOps = arg(t, d, "value", s.MaxValueBytes), arg(t, d, "ops", s.MaxOps)
 		s.WriteRate, s.RequestRate = argNumber(t, d, "writes", s.WriteRate), argNumber(t, d, "rps", s.RequestRate)
 	case "settings":
 		// Nodes that start from now on have the settings with the limits to come.
-		w.nextLimits.on = d.HasArg("next")
+		sim.nextLimits.on = d.HasArg("next")
 	default:
 		return false
 	}
@@ -74,10 +74,10 @@
 }
 
 // countRecordsAbove counts the records that are larger than a size.
-func (w *simulation) countRecordsAbove(prefix string, bytes, least int) string {
+func (sim *simulation) countRecordsAbove(prefix string, bytes, least int) string {
 	n := 0
-	for _, k := range w.kvStore.Keys(prefix) {
-		if v, _ := w.kvStore.Get(k); fake.JSONSize(v) > bytes {
+	for _, k := range sim.kvStore.Keys(prefix) {
+		if v, _ := sim.kvStore.Get(k); fake.JSONSize(v) > bytes {
 			n++
 		}
 	}
