--- a/controller/cancellation_acks.go
+++ b/controller/cancellation_acks.go
@@ -20,19 +20,19 @@
 // cancellationHost implements cancellation.Host.
 type cancellationHost struct{ c *Core }
 
-func (h cancellationHost) JobEnded(job string) {
+func (h cancellationHost) HandleCancelled(job string) {
 	h.c.graph.ForgetVersion(job)
 	if h.c.owner != nil {
 		h.c.owner.handleJobRemoved(job, h.c.now)
 	}
 }
 
-func (h cancellationHost) MayAcknowledge(job string) {
+func (h cancellationHost) HandleAcknowledgeable(job string) {
 	h.c.jobView.TerminalStates().Remember(job, wire.JobCancelled)
 }
 
 func (h cancellationHost) SendAnnouncement(to, job string, acknowledged func(now micros.Micros)) {
-	h.c.peers.AnnounceEnded(to, job, func() { acknowledged(h.c.now) })
+	h.c.peers.AnnounceCancelled(to, job, func() { acknowledged(h.c.now) })
 }
 
 // announceCancellation calls done once it is certain whether the cancellation of a job may be
--- a/controller/core.go
+++ b/controller/core.go
@@ -151,7 +151,7 @@
 	c.node.Tick(c.now)
 	c.jobView.Tick()
 	c.tickStatus()
-	c.cancellations.PruneEnded(c.now)
+	c.cancellations.PruneCancelled(c.now)
 	if c.owner != nil {
 		c.owner.slowTick()
 	}
--- a/controller/frontend_adapter.go
+++ b/controller/frontend_adapter.go
@@ -52,7 +52,9 @@
 // frontendCancellations gives the frontend access to the tracker of cancellations.
 type frontendCancellations struct{ c *Core }
 
-func (t frontendCancellations) HasEnded(job string) bool { return t.c.cancellations.HasEnded(job) }
+func (t frontendCancellations) IsCancelled(job string) bool {
+	return t.c.cancellations.IsCancelled(job)
+}
 
 func (t frontendCancellations) Announce(job string, deadline micros.Micros, done func(mayAcknowledge bool)) {
 	t.c.announceCancellation(job, deadline, done)
--- a/controller/job_queue.go
+++ b/controller/job_queue.go
@@ -16,7 +16,7 @@
 // recoverJob adds an accepted job by its record, unless the job is known or of another owner's team.
 func (o *owner) recoverJob(key string, value []byte, version uint64) {
 	id := strings.TrimPrefix(key, record.ActiveJobPrefix)
-	if o.Jobs[id] != nil || o.BlockedJobs[id] != nil || o.c.cancellations.HasEnded(id) {
+	if o.Jobs[id] != nil || o.BlockedJobs[id] != nil || o.c.cancellations.IsCancelled(id) {
 		return
 	}
 	var job record.Job
--- a/controller/peers_adapter.go
+++ b/controller/peers_adapter.go
@@ -56,7 +56,7 @@
 
 func (h peersHost) RelayToKV(request uint64, call *peer.StoreCall) { h.c.relayToKV(request, call) }
 
-func (h peersHost) HandleJobEnded(job string) { h.c.cancellations.MarkEnded(job, h.c.now) }
+func (h peersHost) HandleJobCancelled(job string) { h.c.cancellations.MarkCancelled(job, h.c.now) }
 
 func (h peersHost) HandleMachineRequest(request *peer.Want) { h.c.handleMachineRequest(request) }
 
--- a/controller/worker_heartbeats.go
+++ b/controller/worker_heartbeats.go
@@ -98,5 +98,5 @@
 	if !ok {
 		return false
 	}
-	return task.Phase == wire.PhaseExited || c.graph.Version(job) != 0 && !c.cancellations.HasEnded(job)
+	return task.Phase == wire.PhaseExited || c.graph.Version(job) != 0 && !c.cancellations.IsCancelled(job)
 }
--- a/controller/workers_adapter.go
+++ b/controller/workers_adapter.go
@@ -58,7 +58,7 @@
 
 func (h workersHost) MayRenewLease() bool { return h.o.c.mayRenewLease() }
 
-func (h workersHost) JobHasEnded(job string) bool { return h.o.c.cancellations.HasEnded(job) }
+func (h workersHost) JobIsCancelled(job string) bool { return h.o.c.cancellations.IsCancelled(job) }
 
 func (h workersHost) CancellationOverdue(m *inventory.Machine) bool {
 	return h.o.fleet.CancellationOverdue(m, fleet.OverdueDecommissionFraction, h.o.c.now)
--- a/controller/workers_adapter_test.go
+++ b/controller/workers_adapter_test.go
@@ -37,15 +37,15 @@
 		{"its owner reads the records", func(o *owner, _ *inventory.Attempt) { o.state = ownerRecovering }, false, false, false},
 		{"its owner was replaced", func(o *owner, _ *inventory.Attempt) { o.c.owner = nil }, false, true, false},
 		{"a peer says that its job is cancelled", func(o *owner, a *inventory.Attempt) {
-			o.c.cancellations.MarkEnded(a.Job.ID, o.c.now)
+			o.c.cancellations.MarkCancelled(a.Job.ID, o.c.now)
 		}, true, false, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			o, a := activeOwner()
 			c.change(o, a)
 			h := workersHost{o}
-			if h.IsActive() != c.active || h.Superseded() != c.superseded || h.JobHasEnded(a.Job.ID) != c.jobEnded {
-				t.Errorf("active %t, superseded %t, job ended %t", h.IsActive(), h.Superseded(), h.JobHasEnded(a.Job.ID))
+			if h.IsActive() != c.active || h.Superseded() != c.superseded || h.JobIsCancelled(a.Job.ID) != c.jobEnded {
+				t.Errorf("active %t, superseded %t, job ended %t", h.IsActive(), h.Superseded(), h.JobIsCancelled(a.Job.ID))
 			}
 			if h.ReportViolation("of the test"); o.c.Violations() != 1 {
 				t.Errorf("%d violations are counted", o.c.Violations())
--- a/internal/cancellation/announcement.go
+++ b/internal/cancellation/announcement.go
@@ -36,7 +36,7 @@
 			done(false)
 			return
 		}
-		t.MarkEnded(job, now)
+		t.MarkCancelled(job, now)
 		a = &announcement{job: job, since: now, acknowledged: map[string]bool{}}
 		t.announcements[job] = a
 	}
@@ -53,11 +53,11 @@
 	if t.announcements[a.job] != a {
 		return // complete
 	}
-	complete := t.isComplete(a, now)
+	complete := t.mayAcknowledge(a, now)
 	if complete {
 		delete(t.announcements, a.job)
 		t.recordUnacknowledged(a, now)
-		t.host.MayAcknowledge(a.job)
+		t.host.HandleAcknowledgeable(a.job)
 	}
 	t.answerRequests(a, complete, now)
 	if !complete && now >= a.nextSend {
@@ -65,8 +65,8 @@
 	}
 }
 
-// isComplete reports whether the cancellation may be acknowledged to users.
-func (t *Tracker) isComplete(a *announcement, now micros.Micros) bool {
+// mayAcknowledge reports whether the cancellation may be acknowledged to users.
+func (t *Tracker) mayAcknowledge(a *announcement, now micros.Micros) bool {
 	if now < t.withholdUntil {
 		return false
 	}
--- a/internal/cancellation/heartbeat.go
+++ b/internal/cancellation/heartbeat.go
@@ -34,7 +34,7 @@
 func (t *Tracker) HandlePeerHeartbeat(peer string, cancelled, acknowledged []string, now micros.Micros) {
 	t.peers[peer].announcedByPeer = cancelled
 	for _, job := range cancelled {
-		t.MarkEnded(job, now)
+		t.MarkCancelled(job, now)
 	}
 	for _, job := range acknowledged {
 		if a := t.announcements[job]; a != nil {
--- a/internal/cancellation/simulation_test.go
+++ b/internal/cancellation/simulation_test.go
@@ -105,11 +105,11 @@
 	n.tracker = New(Settings{Peers: peers, Lease: lease, CancelWithin: cancelWithin}, n, n.clock())
 }
 
-// JobEnded implements Host.
-func (n *node) JobEnded(job string) { n.knows[job] = true }
+// HandleCancelled implements Host.
+func (n *node) HandleCancelled(job string) { n.knows[job] = true }
 
-// MayAcknowledge implements Host.
-func (n *node) MayAcknowledge(job string) {
+// HandleAcknowledgeable implements Host.
+func (n *node) HandleAcknowledgeable(job string) {
 	if _, ok := n.cluster.acknowledged[job]; !ok {
 		n.cluster.acknowledged[job] = n.cluster.now
 	}
@@ -119,7 +119,7 @@
 func (n *node) SendAnnouncement(peer, job string, acknowledged func(now micros.Micros)) {
 	tracker := n.tracker
 	n.call(peer, func(to *node) func() {
-		to.tracker.MarkEnded(job, to.clock())
+		to.tracker.MarkCancelled(job, to.clock())
 		return func() {
 			if n.tracker == tracker {
 				acknowledged(n.clock())
--- a/internal/cancellation/tracker.go
+++ b/internal/cancellation/tracker.go
@@ -16,7 +16,7 @@
 // Neither rule depends on which node owns a job: an owner that was replaced without noticing,
 // and a node in a partitioned zone, are under the same bound.
 //
-// The package owns the state of announcements, grants and ended jobs. It has no clock and does
+// The package owns the state of announcements, grants and cancelled jobs. It has no clock and does
 // no I/O: the caller passes the time in, and the Host sends messages. It must not know of teams,
 // owners or placement.
 package cancellation
@@ -37,21 +37,21 @@
 	// driftFraction bounds the difference between the rates of two clocks: one part in
 	// driftFraction.
 	driftFraction = 500
-	// endedRetention is how long an ended job is remembered; a read that was sent before the
-	// job ended is answered by then.
-	endedRetention = 2 * micros.Minute
+	// cancelledRetention is how long a cancelled job is remembered; a read that was sent before the
+	// job was cancelled is answered by then.
+	cancelledRetention = 2 * micros.Minute
 	// never is later than any time.
 	never = micros.Micros(1 << 62)
 )
 
 // Host is the node that a Tracker works for.
 type Host interface {
-	// JobEnded is called when the node learns that a job has ended: its tasks must be stopped,
+	// HandleCancelled is called when the node learns that a job is cancelled: its tasks must be stopped,
 	// and a record of it that was read before is obsolete.
-	JobEnded(job string)
-	// MayAcknowledge is called once the cancellation of a job may be acknowledged to users,
+	HandleCancelled(job string)
+	// HandleAcknowledgeable is called once the cancellation of a job may be acknowledged to users,
 	// before the requests that are pending for it are answered.
-	MayAcknowledge(job string)
+	HandleAcknowledgeable(job string)
 	// SendAnnouncement sends a peer the announcement that a job is cancelled, and calls
 	// acknowledged with the time if the peer answers.
 	SendAnnouncement(peer, job string, acknowledged func(now micros.Micros))
@@ -87,7 +87,7 @@
 	host          Host
 	peers         map[string]*peer
 	announcements map[string]*announcement // by job
-	ended         map[string]micros.Micros // ended jobs, and when this node learned of it
+	cancelled     map[string]micros.Micros // cancelled jobs, and when this node learned of it
 	// withholdUntil is when the grants of an earlier incarnation have expired at the latest.
 	withholdUntil micros.Micros
 }
@@ -99,7 +99,7 @@
 		host:          host,
 		peers:         map[string]*peer{},
 		announcements: map[string]*announcement{},
-		ended:         map[string]micros.Micros{},
+		cancelled:     map[string]micros.Micros{},
 	}
 	for _, name := range settings.Peers {
 		t.peers[name] = &peer{name: name, userAcknowledgedWithoutPeer: now}
@@ -117,23 +117,24 @@
 	}
 }
 
-// MarkEnded records that a job has ended, as a peer's announcement or a read showed.
-func (t *Tracker) MarkEnded(job string, now micros.Micros) {
-	t.ended[job] = now
-	t.host.JobEnded(job)
+// MarkCancelled records that a job is cancelled, as this node's own transaction, a peer's announcement or
+// a read has shown.
+func (t *Tracker) MarkCancelled(job string, now micros.Micros) {
+	t.cancelled[job] = now
+	t.host.HandleCancelled(job)
 }
 
-// HasEnded reports whether a job is known to have ended, whatever an older read shows.
-func (t *Tracker) HasEnded(job string) bool {
-	_, ended := t.ended[job]
-	return ended
+// IsCancelled reports whether a job is known to be cancelled, whatever an older read shows.
+func (t *Tracker) IsCancelled(job string) bool {
+	_, cancelled := t.cancelled[job]
+	return cancelled
 }
 
-// PruneEnded removes ended jobs once no read from before their end can still be answered.
-func (t *Tracker) PruneEnded(now micros.Micros) {
-	for job, since := range t.ended {
-		if now-since > endedRetention {
-			delete(t.ended, job)
+// PruneCancelled removes jobs once no read from before their cancellation can still be answered.
+func (t *Tracker) PruneCancelled(now micros.Micros) {
+	for job, since := range t.cancelled {
+		if now-since > cancelledRetention {
+			delete(t.cancelled, job)
 		}
 	}
 }
--- a/internal/cancellation/tracker_test.go
+++ b/internal/cancellation/tracker_test.go
@@ -21,17 +21,19 @@
 
 // recorder is a Host that records the calls to it.
 type recorder struct {
-	ended          []string
+	cancelled      []string
 	mayAcknowledge []string
 	sent           []string                  // "peer job"
 	responses      []func(now micros.Micros) // of the peers, in the order of sent
 }
 
-// JobEnded implements Host.
-func (r *recorder) JobEnded(job string) { r.ended = append(r.ended, job) }
+// HandleCancelled implements Host.
+func (r *recorder) HandleCancelled(job string) { r.cancelled = append(r.cancelled, job) }
 
-// MayAcknowledge implements Host.
-func (r *recorder) MayAcknowledge(job string) { r.mayAcknowledge = append(r.mayAcknowledge, job) }
+// HandleAcknowledgeable implements Host.
+func (r *recorder) HandleAcknowledgeable(job string) {
+	r.mayAcknowledge = append(r.mayAcknowledge, job)
+}
 
 // SendAnnouncement implements Host.
 func (r *recorder) SendAnnouncement(peer, job string, acknowledged func(now micros.Micros)) {
@@ -160,7 +162,7 @@
 	if got != (answer{1, false}) || !tracker.Pending() {
 		t.Fatalf("after the deadline: %+v", got)
 	}
-	if !slices.Equal(host.ended, []string{"j"}) || !tracker.HasEnded("j") {
+	if !slices.Equal(host.cancelled, []string{"j"}) || !tracker.IsCancelled("j") {
 		t.Fatal("the end of the job is not recorded exactly once")
 	}
 }
@@ -176,7 +178,7 @@
 	}
 	receiver, host := newTracker("a")
 	receiver.HandlePeerHeartbeat("a", tracker.Unacknowledged("b"), nil, now)
-	if !slices.Equal(host.ended, []string{"j"}) || !receiver.HasEnded("j") {
+	if !slices.Equal(host.cancelled, []string{"j"}) || !receiver.IsCancelled("j") {
 		t.Fatal("the receiver does not record the end of the job")
 	}
 	tracker.HandlePeerHeartbeat("b", nil, receiver.PendingAcknowledgements("a"), now+micros.Second)
@@ -219,11 +221,11 @@
 	if n := len(tracker.Unacknowledged("b")); n != maxInHeartbeat {
 		t.Fatalf("a heartbeat lists %d jobs", n)
 	}
-	tracker.PruneEnded(now + endedRetention)
-	if !tracker.HasEnded("0") {
+	tracker.PruneCancelled(now + cancelledRetention)
+	if !tracker.IsCancelled("0") {
 		t.Fatal("pruned too early")
 	}
-	if tracker.PruneEnded(now + endedRetention + 1); tracker.HasEnded("0") {
+	if tracker.PruneCancelled(now + cancelledRetention + 1); tracker.IsCancelled("0") {
 		t.Fatal("never pruned")
 	}
 }
--- a/internal/frontend/doc.go
+++ b/internal/frontend/doc.go
@@ -4,7 +4,7 @@
 // It owns the requests that have not been answered yet, the queue of submissions that have not
 // been committed and the queue of lookups. It is deterministic: it has no clock, network or
 // goroutine, and works on a node through the interfaces of Services. It must not know of
-// machines, placement, workers or other controllers.
+// machines, placement and workers, nor how other controllers are reached.
 //
 // Where a decision is made:
 //
--- a/internal/frontend/fixture_test.go
+++ b/internal/frontend/fixture_test.go
@@ -68,7 +68,7 @@
 	dependencyCheck func(jobview.DependencyResult)
 	refreshes       []func(ok bool)
 	terminal        map[string]wire.JobPhase
-	ended           map[string]bool
+	cancelled       map[string]bool
 	announcements   []func(mayAcknowledge bool)
 	ownedVersions   map[string]uint64
 	ownedCounts     map[string]TaskCounts
@@ -81,7 +81,7 @@
 		t: t, time: micros.Hour, writes: 12,
 		types:    []sched.MachineType{{Name: "mid", Size: sched.NewResources(28, 0, 112), Zones: []string{"a"}}},
 		graph:    &fakeGraph{synced: true, versions: map[string]uint64{}, blocked: map[string]*dag.BlockedJob{}},
-		terminal: map[string]wire.JobPhase{}, ended: map[string]bool{}, ownedVersions: map[string]uint64{},
+		terminal: map[string]wire.JobPhase{}, cancelled: map[string]bool{}, ownedVersions: map[string]uint64{},
 		ownedCounts: map[string]TaskCounts{}, peerCounts: map[string]TaskCounts{},
 	}
 	settings := &config.Settings{
@@ -216,8 +216,8 @@
 	f.dependencyCheck = done
 }
 
-// HasEnded implements Cancellations.
-func (f *fixture) HasEnded(job string) bool { return f.ended[job] }
+// IsCancelled implements Cancellations.
+func (f *fixture) IsCancelled(job string) bool { return f.cancelled[job] }
 
 // Announce implements Cancellations.
 func (f *fixture) Announce(_ string, _ micros.Micros, done func(mayAcknowledge bool)) {
--- a/internal/frontend/lookups.go
+++ b/internal/frontend/lookups.go
@@ -134,7 +134,7 @@
 	switch phase := q.node.TerminalStates.Of(l.job); {
 	case phase != "": // acknowledged since the read was sent
 		result = terminalResult(phase)
-	case result.outcome != lookupFailed && !result.isTerminal() && q.node.Cancellations.HasEnded(l.job):
+	case result.outcome != lookupFailed && !result.isTerminal() && q.node.Cancellations.IsCancelled(l.job):
 		q.retry(l) // cancelled since the read was sent
 		return
 	}
--- a/internal/frontend/lookups_test.go
+++ b/internal/frontend/lookups_test.go
@@ -63,7 +63,7 @@
 		{"cancelled since the read was sent", func(f *fixture) {
 			f.query()
 			f.flush()
-			f.ended[testJobID] = true
+			f.cancelled[testJobID] = true
 			f.answer(activeTarget, kv.OK, activeEntry())
 			f.graph.ForgetVersion(testJobID)
 			f.flush()
--- a/internal/frontend/responses.go
+++ b/internal/frontend/responses.go
@@ -24,7 +24,7 @@
 // its read must have been sent after the request was received, and a job that is known to be
 // cancelled has no state that is not terminal. Where it is not, the job is looked up again.
 func (r *responder) mayRespond(request userRequest, job string, evidence freshness.Evidence) bool {
-	if evidence.Basis != freshness.TerminalState && r.node.Cancellations.HasEnded(job) {
+	if evidence.Basis != freshness.TerminalState && r.node.Cancellations.IsCancelled(job) {
 		return false
 	}
 	return evidence.Covers(request.receivedAt)
@@ -41,7 +41,7 @@
 		return true
 	}
 	r.node.Host.ReportViolation("stale answer about a job", "job", job, "request", request.id, "answer", answer, "basis", evidence.Basis,
-		"received_us", int64(request.receivedAt), "read_sent_us", int64(evidence.SentAt), "ended", r.node.Cancellations.HasEnded(job))
+		"received_us", int64(request.receivedAt), "read_sent_us", int64(evidence.SentAt), "ended", r.node.Cancellations.IsCancelled(job))
 	r.refuse(request, reasonKVUnresponsive)
 	return false
 }
--- a/internal/frontend/responses_test.go
+++ b/internal/frontend/responses_test.go
@@ -30,7 +30,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			f := newFixture(t)
-			f.ended[job] = c.ended
+			f.cancelled[job] = c.ended
 			f.frontend.responder.respondQuery(userRequest{id: 1, receivedAt: 100}, job, c.result)
 			if status := f.onlyResponse().status; status != c.status || f.violations != c.violations {
 				t.Errorf("answered %d with %d violations, want %d and %d", status, f.violations, c.status, c.violations)
--- a/internal/frontend/services.go
+++ b/internal/frontend/services.go
@@ -107,9 +107,9 @@
 
 // Cancellations holds which jobs are cancelled and which cancellations may be acknowledged to users.
 type Cancellations interface {
-	// HasEnded reports whether the node knows that a job has been cancelled, even if that
+	// IsCancelled reports whether the node knows that a job has been cancelled, even if that
 	// may not be acknowledged to users yet.
-	HasEnded(job string) bool
+	IsCancelled(job string) bool
 	// Announce calls done once it is certain whether the cancellation of a job may be
 	// acknowledged to users. An answer after the deadline is of no use to the caller.
 	Announce(job string, deadline micros.Micros, done func(mayAcknowledge bool))
--- a/internal/peers/host.go
+++ b/internal/peers/host.go
@@ -40,8 +40,8 @@
 type MessageHandler interface {
 	// RelayToKV sends a peer's request to the key-value store and responds with the result.
 	RelayToKV(request uint64, call *peer.StoreCall)
-	// HandleJobEnded handles the announcement of a cancelled job.
-	HandleJobEnded(job string)
+	// HandleJobCancelled handles the announcement of a cancelled job.
+	HandleJobCancelled(job string)
 	// HandleMachineRequest handles an owner's request for machines.
 	HandleMachineRequest(request *peer.Want)
 	// HandleTransfer handles the notification that a block transfers a machine to this node.
--- a/internal/peers/messages.go
+++ b/internal/peers/messages.go
@@ -24,9 +24,9 @@
 	}
 }
 
-// AnnounceEnded announces a cancelled job to a peer and calls acknowledged once the peer has
+// AnnounceCancelled announces a cancelled job to a peer and calls acknowledged once the peer has
 // acknowledged it.
-func (p *Peers) AnnounceEnded(to, job string, acknowledged func()) {
+func (p *Peers) AnnounceCancelled(to, job string, acknowledged func()) {
 	message := &peer.Message{Body: &peer.Message_JobEnded{JobEnded: &peer.JobEnded{Id: job}}}
 	p.call(p.byName[to], message, messageTimeout, maxMessageBytes, func(response *peer.Message, _ bool) {
 		if response != nil {
@@ -90,7 +90,7 @@
 		p.host.RelayToKV(request, body.StoreCall)
 		return
 	case *peer.Message_JobEnded:
-		p.host.HandleJobEnded(body.JobEnded.Id)
+		p.host.HandleJobCancelled(body.JobEnded.Id)
 	case *peer.Message_Want:
 		p.host.HandleMachineRequest(body.Want)
 	case *peer.Message_Given:
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -60,7 +60,7 @@
 	h.kvRequests = append(h.kvRequests, request)
 }
 
-func (h *fakeHost) HandleJobEnded(job string) { h.handled = append(h.handled, "ended "+job) }
+func (h *fakeHost) HandleJobCancelled(job string) { h.handled = append(h.handled, "ended "+job) }
 
 func (h *fakeHost) HandleMachineRequest(request *peer.Want) {
 	h.handled = append(h.handled, "machines for "+request.Job)
@@ -293,7 +293,7 @@
 					t.Errorf("reply %v, sent %v; want %v, %v", got, sent, c.replied, c.sent)
 				}
 			})
-			p.AnnounceEnded("n2", "j", func() { acknowledged = true })
+			p.AnnounceCancelled("n2", "j", func() { acknowledged = true })
 			if len(host.calls) != 2 || host.calls[0].MaxResponse != 9 || host.calls[1].Address != "a2" {
 				t.Fatalf("calls %+v", host.calls)
 			}
--- a/internal/workers/assertions.go
+++ b/internal/workers/assertions.go
@@ -26,7 +26,7 @@
 // maySendStart asserts that an attempt may be started: its placement is recorded, and its job is not
 // known to have ended.
 func (w *Manager) maySendStart(a *inventory.Attempt) bool {
-	jobEnded := w.host.JobHasEnded(a.Job.ID)
+	jobEnded := w.host.JobIsCancelled(a.Job.ID)
 	if a.State == inventory.AttemptRecorded && a.Machine.Recorded && !jobEnded {
 		return w.mayCommand(a.Machine, wire.VerbStart)
 	}
--- a/internal/workers/assertions_test.go
+++ b/internal/workers/assertions_test.go
@@ -23,7 +23,7 @@
 		}, 0, 1},
 		{"owner recovers its records", func(h *fakeHost, _ *inventory.Machine, _ *inventory.Attempt) { h.active = false }, 0, 1},
 		{"owner was replaced", func(h *fakeHost, _ *inventory.Machine, _ *inventory.Attempt) { h.superseded = true }, 0, 1},
-		{"a peer announced that its job is cancelled", func(h *fakeHost, _ *inventory.Machine, a *inventory.Attempt) { h.endedJobs[a.Job.ID] = true }, 0, 1},
+		{"a peer announced that its job is cancelled", func(h *fakeHost, _ *inventory.Machine, a *inventory.Attempt) { h.cancelledJobs[a.Job.ID] = true }, 0, 1},
 		{"not recorded yet", func(_ *fakeHost, _ *inventory.Machine, a *inventory.Attempt) { a.State = inventory.AttemptAssumed }, 0, 0},
 		{"the machine has not confirmed the token", func(_ *fakeHost, m *inventory.Machine, _ *inventory.Attempt) { m.TokenConfirmed = false }, 0, 0},
 	} {
--- a/internal/workers/host.go
+++ b/internal/workers/host.go
@@ -47,8 +47,8 @@
 	Adopt(info inventory.MachineInfo) *inventory.Machine
 	// MayRenewLease reports whether responses may renew the leases of workers.
 	MayRenewLease() bool
-	// JobHasEnded reports whether a job is known to have been cancelled.
-	JobHasEnded(job string) bool
+	// JobIsCancelled reports whether a job is known to have been cancelled.
+	JobIsCancelled(job string) bool
 	// CancellationOverdue reports whether a task of a cancelled job has been on the machine
 	// for so long that the machine must be decommissioned unless it responds.
 	CancellationOverdue(m *inventory.Machine) bool
--- a/internal/workers/host_test.go
+++ b/internal/workers/host_test.go
@@ -22,7 +22,7 @@
 	claimants          map[string]string
 	ownedElsewhere     map[string]bool
 	recentlyTerminated map[string]bool
-	endedJobs          map[string]bool
+	cancelledJobs      map[string]bool
 	overdue            map[string]bool
 	estimatedRunTime   micros.Micros
 
@@ -86,8 +86,8 @@
 	return h.manager.inventory.AddMachine(&inventory.Block{}, info, sched.NewResources(8, 0, 8))
 }
 
-func (h *fakeHost) MayRenewLease() bool         { return h.mayRenewLease }
-func (h *fakeHost) JobHasEnded(job string) bool { return h.endedJobs[job] }
+func (h *fakeHost) MayRenewLease() bool            { return h.mayRenewLease }
+func (h *fakeHost) JobIsCancelled(job string) bool { return h.cancelledJobs[job] }
 
 func (h *fakeHost) CancellationOverdue(m *inventory.Machine) bool { return h.overdue[m.Name] }
 
@@ -110,7 +110,7 @@
 	h := &fakeHost{
 		now: micros.Hour, activeSince: micros.Hour, active: true, mayRenewLease: true,
 		claimants: map[string]string{}, ownedElsewhere: map[string]bool{}, recentlyTerminated: map[string]bool{},
-		endedJobs: map[string]bool{}, overdue: map[string]bool{}, estimatedRunTime: 100 * micros.Second,
+		cancelledJobs: map[string]bool{}, overdue: map[string]bool{}, estimatedRunTime: 100 * micros.Second,
 	}
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	settings := &config.Settings{Sockets: 64, Tuning: config.DefaultTuning()}
