--- a/internal/fleet/health.go
+++ b/internal/fleet/health.go
@@ -62,7 +62,7 @@
 		switch {
 		case m.State == inventory.MachineDecommissioning:
 			f.TerminationNeeded = f.TerminationNeeded || f.cancellationOverdue(m, overdueTerminateFraction)
-		case hasBooted(m):
+		case m.ExpectsHeartbeat():
 			f.decommission(m, f.checkRunning(m, node))
 		case m.State == inventory.MachineBooting:
 			f.decommission(m, f.checkBooting(m))
@@ -146,18 +146,11 @@
 	return NotDecommissioned
 }
 
-// hasBooted reports whether a machine should send heartbeats. A machine that had work before a
-// failover was up.
-func hasBooted(m *inventory.Machine) bool {
-	return m.State >= inventory.MachineReady && m.State <= inventory.MachineTransferring ||
-		m.State == inventory.MachineBooting && m.Recovered && len(m.Attempts) > 0
-}
-
 // isUnreachable reports whether a machine's heartbeats arrive while nothing reaches the machine:
 // it has not confirmed its fencing token for long. Its tasks continue until its lease ends; then
 // it is idle, and still paid for.
 func (f *Fleet) isUnreachable(m *inventory.Machine) bool {
-	return m.FencingToken != 0 && m.State >= inventory.MachineReady && m.State <= inventory.MachineTransferring && !m.TokenConfirmed &&
+	return m.FencingToken != 0 && m.State.IsUp() && !m.TokenConfirmed &&
 		f.now-m.TokenConfirmedAt > f.settings.HeartbeatTimeout()+f.heartbeatTolerance()
 }
 
--- a/internal/fleet/partitions.go
+++ b/internal/fleet/partitions.go
@@ -57,7 +57,7 @@
 			zones[m.Zone] = zone
 		}
 		switch {
-		case !hasBooted(m):
+		case !m.ExpectsHeartbeat():
 		case f.now-m.LastHeartbeat > tolerance:
 			zone.unresponsive++
 		case m.AgentEpoch != 0:
--- a/internal/inventory/machine.go
+++ b/internal/inventory/machine.go
@@ -48,6 +48,9 @@
 	return fmt.Sprintf("MachineState(%d)", int(s))
 }
 
+// IsUp reports whether a machine in this state has booted, and its termination is not decided.
+func (s MachineState) IsUp() bool { return s >= MachineReady && s <= MachineTransferring }
+
 // FencingState is the state of fencing a machine. A command that was sent directly and not
 // answered may still be executed until the machine has seen a higher fencing token or has begun a
 // new agent epoch.
@@ -251,13 +254,7 @@
 // ExpectsHeartbeat reports whether missing heartbeats of the machine count: not while it boots. After
 // a failover, a machine with tasks is known to have booted.
 func (m *Machine) ExpectsHeartbeat() bool {
-	switch {
-	case m.State >= MachineDecommissioning:
-		return false
-	case m.State == MachineBooting:
-		return m.Recovered && len(m.Attempts) > 0
-	}
-	return true
+	return m.State.IsUp() || m.State == MachineBooting && m.Recovered && len(m.Attempts) > 0
 }
 
 // Slack returns what is left of the machine once it is filled with tasks of one size.
