--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -129,9 +129,8 @@
 	unclaimedSince     map[string]micros.Micros // listed machines that no owner claims
 	partitionedSince   map[string]micros.Micros // zones behind a network partition
 
-	scaleOutRequests map[string]*scaleOutRequest
-	refusedOffers    map[autoscaler.Offer]micros.Micros // not requested until then
-	terminating      bool                               // a termination request is in flight
+	scaleOuts        *scaleOuts
+	terminating      bool // a termination request is in flight
 	nextTermination  micros.Micros
 	nextAutoscaling  micros.Micros
 	nextScaleIn      micros.Micros
@@ -147,8 +146,7 @@
 		ownedElsewhere:     map[string]micros.Micros{},
 		unclaimedSince:     map[string]micros.Micros{},
 		partitionedSince:   map[string]micros.Micros{},
-		scaleOutRequests:   map[string]*scaleOutRequest{},
-		refusedOffers:      map[autoscaler.Offer]micros.Micros{},
+		scaleOuts:          newScaleOuts(c),
 	}
 }
 
@@ -158,4 +156,4 @@
 }
 
 // Reset drops the scale-out requests, before the records are recovered.
-func (f *Fleet) Reset() { clear(f.scaleOutRequests) }
+func (f *Fleet) Reset() { clear(f.scaleOuts.requests) }
--- a/internal/fleet/planning.go
+++ b/internal/fleet/planning.go
@@ -26,11 +26,7 @@
 // further ones and which machines to drain.
 func (f *Fleet) TickAutoscaling() {
 	f.refresh()
-	for _, name := range ordered.Keys(f.scaleOutRequests) {
-		if r := f.scaleOutRequests[name]; r.state == scaleOutRequested {
-			f.sendScaleOutRequest(r)
-		}
-	}
+	f.scaleOuts.sendRequests()
 	if f.now < f.nextAutoscaling || len(f.types) == 0 {
 		return
 	}
@@ -62,7 +58,7 @@
 }
 
 func (f *Fleet) market() autoscaler.Market {
-	return autoscaler.Market{Catalog: f.catalog(), Now: f.now, UnavailableUntil: f.refusedOffers, Partitioned: f.partitionedSince}
+	return autoscaler.Market{Catalog: f.catalog(), Now: f.now, UnavailableUntil: f.scaleOuts.refusedOffers, Partitioned: f.partitionedSince}
 }
 
 // catalog returns the machine types of the cloud.
@@ -74,13 +70,13 @@
 func (f *Fleet) newPlanner(demands []*autoscaler.Demand) *autoscaler.Planner {
 	p := &autoscaler.Planner{
 		Market: f.market(), Classes: f.classes, SLOs: f.settings.SLOs,
-		OpenScaleOuts: len(f.scaleOutRequests),
+		OpenScaleOuts: len(f.scaleOuts.requests),
 		QueueTarget:   f.settings.Tuning.QueueTarget, IdleTimeout: f.settings.Tuning.IdleTimeout,
 		MaxMachines: f.settings.Tuning.MaxMachines,
 		MayScaleIn:  f.now >= f.nextScaleIn,
 	}
-	for _, name := range ordered.Keys(f.scaleOutRequests) {
-		if r := f.scaleOutRequests[name]; r.state < scaleOutGranted {
+	for _, name := range ordered.Keys(f.scaleOuts.requests) {
+		if r := f.scaleOuts.requests[name]; r.state < scaleOutGranted {
 			p.PendingScaleOuts = append(p.PendingScaleOuts, autoscaler.ScaleOut{Offer: r.offer, Number: r.machineCount})
 		}
 	}
@@ -120,7 +116,7 @@
 // applyPlan carries out what the planner has decided.
 func (f *Fleet) applyPlan(plan autoscaler.Plan) {
 	for _, request := range plan.ScaleOutRequests {
-		f.requestScaleOut(request)
+		f.scaleOuts.add(request)
 	}
 	for _, shortage := range plan.Shortages {
 		f.requestMachinesForArray(shortage)
--- a/internal/fleet/scale_out.go
+++ b/internal/fleet/scale_out.go
@@ -2,9 +2,11 @@
 
 import (
 	"fmt"
+	"log/slog"
 	"net/http"
 	"strings"
 
+	"tamarindlead/config"
 	"tamarindlead/internal/autoscaler"
 	"tamarindlead/internal/inventory"
 	"tamarindlead/internal/kv"
@@ -61,6 +63,28 @@
 	machines     []string      // granted by the cloud
 }
 
+// scaleOuts holds the scale-out requests of an owner, and the offers that the cloud has refused.
+type scaleOuts struct {
+	inventory *inventory.Inventory
+	settings  *config.Settings
+	log       *slog.Logger
+	host      Host
+	ownership Ownership
+	cloud     Cloud
+
+	requests      map[string]*scaleOutRequest
+	refusedOffers map[autoscaler.Offer]micros.Micros // not requested until then
+}
+
+func newScaleOuts(c Config) *scaleOuts {
+	return &scaleOuts{
+		inventory: c.Inventory, settings: c.Settings, log: c.Log,
+		host: c.Host, ownership: c.Ownership, cloud: c.Cloud,
+		requests:      map[string]*scaleOutRequest{},
+		refusedOffers: map[autoscaler.Offer]micros.Micros{},
+	}
+}
+
 // Transaction collects writes that are committed together.
 type Transaction interface {
 	// Put writes a record.
@@ -72,27 +96,36 @@
 	OnResult(done func(committed bool, revision uint64))
 }
 
-// setScaleOutState is the one place where a scale-out request changes its state.
-func (f *Fleet) setScaleOutState(r *scaleOutRequest, s scaleOutState) {
-	f.log.Info("scale-out state changed", "name", r.name, "type", r.offer.Type, "zone", r.offer.Zone, "spot", r.offer.Spot,
-		"number", r.machineCount, "from", r.state.String(), "to", s.String(), "machines", len(r.machines))
-	r.state = s
-}
-
 // RecoverScaleOutRequests takes over the scale-out requests of an earlier owner, which are sent
 // again.
-func (f *Fleet) RecoverScaleOutRequests(entries []kv.Entry) {
+func (f *Fleet) RecoverScaleOutRequests(entries []kv.Entry) { f.scaleOuts.recoverRequests(entries) }
+
+// FlushScaleOutRequests records the names of scale-out requests before they are sent, and deletes
+// the records of those that are done, until the transaction is full.
+func (f *Fleet) FlushScaleOutRequests(t Transaction, full func() bool) {
+	f.scaleOuts.flushRequests(t, full)
+}
+
+// setState is the one place where a scale-out request changes its state.
+func (s *scaleOuts) setState(r *scaleOutRequest, state scaleOutState) {
+	s.log.Info("scale-out state changed", "name", r.name, "type", r.offer.Type, "zone", r.offer.Zone, "spot", r.offer.Spot,
+		"number", r.machineCount, "from", r.state.String(), "to", state.String(), "machines", len(r.machines))
+	r.state = state
+}
+
+// recoverRequests adds the recorded requests of this owner and of those whose records it takes over.
+func (s *scaleOuts) recoverRequests(entries []kv.Entry) {
 	for _, e := range entries {
 		var recorded record.ScaleOutRequest
 		if err := wire.Decode(e.Value, &recorded); err != nil {
-			f.log.Error("record cannot be decoded", "key", e.Key, "error", err)
+			s.log.Error("record cannot be decoded", "key", e.Key, "error", err)
 			continue
 		}
-		if !f.ownership.OwnsRecordsOf(recorded.Owner) {
+		if !s.ownership.OwnsRecordsOf(recorded.Owner) {
 			continue
 		}
 		name := strings.TrimPrefix(e.Key, record.ScaleOutRequestPrefix)
-		f.scaleOutRequests[name] = &scaleOutRequest{
+		s.requests[name] = &scaleOutRequest{
 			name:         name,
 			offer:        autoscaler.Offer{Type: recorded.Type, Zone: recorded.Zone, Spot: recorded.Spot},
 			machineCount: recorded.Count,
@@ -101,13 +134,12 @@
 	}
 }
 
-// FlushScaleOutRequests records the names of scale-out requests before they are sent, and deletes
-// the records of those that are done, until the transaction is full.
-func (f *Fleet) FlushScaleOutRequests(t Transaction, full func() bool) {
-	for _, name := range ordered.Keys(f.scaleOutRequests) {
-		r := f.scaleOutRequests[name]
-		if r.state == scaleOutGranted && f.allMachinesClaimed(r) {
-			f.setScaleOutState(r, scaleOutDone)
+// flushRequests writes and deletes records in the order of the requests' names.
+func (s *scaleOuts) flushRequests(t Transaction, full func() bool) {
+	for _, name := range ordered.Keys(s.requests) {
+		r := s.requests[name]
+		if r.state == scaleOutGranted && s.allMachinesClaimed(r) {
+			s.setState(r, scaleOutDone)
 		}
 		if r.writing || r.state != scaleOutPlanned && r.state != scaleOutDone {
 			continue
@@ -115,19 +147,19 @@
 		if full() {
 			return
 		}
-		f.flushScaleOutRequest(t, r)
+		s.flushRequest(t, r)
 	}
 }
 
-// flushScaleOutRequest writes or deletes the record of a scale-out request.
-func (f *Fleet) flushScaleOutRequest(t Transaction, r *scaleOutRequest) {
+// flushRequest writes or deletes the record of a scale-out request.
+func (s *scaleOuts) flushRequest(t Transaction, r *scaleOutRequest) {
 	r.writing = true
 	key := record.ScaleOutRequestKey(r.name)
 	if r.state == scaleOutDone {
 		t.Delete(key)
 	} else {
 		t.Put(key, record.ScaleOutRequest{
-			Owner: f.ownership.ID(), Type: r.offer.Type, Zone: r.offer.Zone, Spot: r.offer.Spot, Count: r.machineCount,
+			Owner: s.ownership.ID(), Type: r.offer.Type, Zone: r.offer.Zone, Spot: r.offer.Spot, Count: r.machineCount,
 		})
 	}
 	t.OnResult(func(committed bool, _ uint64) {
@@ -135,26 +167,26 @@
 		switch {
 		case !committed:
 		case r.state == scaleOutDone:
-			delete(f.scaleOutRequests, r.name)
+			delete(s.requests, r.name)
 		default:
-			f.setScaleOutState(r, scaleOutRequested)
+			s.setState(r, scaleOutRequested)
 		}
 	})
 }
 
-// requestScaleOut adds a scale-out request.
-func (f *Fleet) requestScaleOut(request autoscaler.ScaleOutRequest) {
-	name := scaleOutNamePrefix + record.FormatNumber(f.host.NextNumber())
+// add adds a scale-out request, whose name must be recorded before it is sent.
+func (s *scaleOuts) add(request autoscaler.ScaleOutRequest) {
+	name := scaleOutNamePrefix + record.FormatNumber(s.host.NextNumber())
 	offer := request.Offer
-	f.scaleOutRequests[name] = &scaleOutRequest{name: name, offer: offer, machineCount: request.Number}
-	f.log.Info("scale-out planned", "name", name, "type", offer.Type, "zone", offer.Zone,
+	s.requests[name] = &scaleOutRequest{name: name, offer: offer, machineCount: request.Number}
+	s.log.Info("scale-out planned", "name", name, "type", offer.Type, "zone", offer.Zone,
 		"spot", offer.Spot, "number", request.Number, "class", request.Job.Class, "short_cpus", request.ShortCPUs)
 }
 
 // allMachinesClaimed reports whether all machines of a scale-out request are recorded.
-func (f *Fleet) allMachinesClaimed(r *scaleOutRequest) bool {
+func (s *scaleOuts) allMachinesClaimed(r *scaleOutRequest) bool {
 	for _, name := range r.machines {
-		if m := f.Machines[name]; m != nil && m.FencingToken == 0 {
+		if m := s.inventory.Machines[name]; m != nil && m.FencingToken == 0 {
 			return false
 		}
 	}
@@ -162,70 +194,78 @@
 }
 
 // mayRequestScaleOut asserts that a scale-out request may be sent to the cloud: its name is recorded.
-func (f *Fleet) mayRequestScaleOut(r *scaleOutRequest) bool {
-	if f.host.IsActive() && r.state == scaleOutRequested {
+func (s *scaleOuts) mayRequestScaleOut(r *scaleOutRequest) bool {
+	if s.host.IsActive() && r.state == scaleOutRequested {
 		return true
 	}
-	f.host.ReportViolation("a scale-out request without a record", "name", r.name, "state", r.state.String())
+	s.host.ReportViolation("a scale-out request without a record", "name", r.name, "state", r.state.String())
 	return false
 }
 
-// sendScaleOutRequest sends a scale-out request to the cloud.
-func (f *Fleet) sendScaleOutRequest(r *scaleOutRequest) {
-	if r.inFlight || f.now < r.nextAttempt || !f.mayRequestScaleOut(r) || !f.cloud.Allow() {
+// sendRequests sends the scale-out requests that are recorded and not yet granted.
+func (s *scaleOuts) sendRequests() {
+	for _, name := range ordered.Keys(s.requests) {
+		if r := s.requests[name]; r.state == scaleOutRequested {
+			s.send(r)
+		}
+	}
+}
+
+// send sends a scale-out request to the cloud.
+func (s *scaleOuts) send(r *scaleOutRequest) {
+	if r.inFlight || s.host.Now() < r.nextAttempt || !s.mayRequestScaleOut(r) || !s.cloud.Allow() {
 		return
 	}
 	r.inFlight = true
 	body := wire.ScaleOutRequest{RequestID: r.name, Type: r.offer.Type, Zone: r.offer.Zone, Spot: r.offer.Spot, Number: r.machineCount}
-	f.cloud.Call(http.MethodPost, wire.PathRentals, body, func(status wire.Status, body []byte) {
-		if f.host.Superseded() {
+	s.cloud.Call(http.MethodPost, wire.PathRentals, body, func(status wire.Status, body []byte) {
+		if s.host.Superseded() {
 			return
 		}
-		f.refresh()
-		r.inFlight, r.nextAttempt = false, f.now+cloudRetryDelay
-		f.handleScaleOutResponse(r, status, body)
+		r.inFlight, r.nextAttempt = false, s.host.Now()+cloudRetryDelay
+		s.handleResponse(r, status, body)
 	})
 }
 
-// handleScaleOutResponse handles the cloud's response to a scale-out request. After any other
-// response, or none, the request is sent again.
-func (f *Fleet) handleScaleOutResponse(r *scaleOutRequest, status wire.Status, body []byte) {
+// handleResponse handles the cloud's response to a scale-out request. After any other response, or
+// none, the request is sent again.
+func (s *scaleOuts) handleResponse(r *scaleOutRequest, status wire.Status, body []byte) {
 	var granted wire.MachineNames
 	var refused wire.ErrorResponse
 	switch {
 	case status == wire.StatusOK && wire.Decode(body, &granted) == nil:
-		f.handleScaleOutGranted(r, granted.Machines)
+		s.handleGranted(r, granted.Machines)
 	case status == wire.StatusUnavailable && wire.Decode(body, &refused) == nil && refused.Error == errorNoCapacity:
-		f.handleScaleOutRefused(r)
+		s.handleRefused(r)
 	case status == wire.StatusBadRequest:
-		f.log.Error("scale-out request refused as malformed", "name", r.name)
-		f.handleScaleOutRefused(r)
+		s.log.Error("scale-out request refused as malformed", "name", r.name)
+		s.handleRefused(r)
 	}
 }
 
-// handleScaleOutGranted adds the machines that the cloud has granted. If they are fewer than
-// requested, the cloud has no more.
-func (f *Fleet) handleScaleOutGranted(r *scaleOutRequest, names []string) {
+// handleGranted adds the machines that the cloud has granted. If they are fewer than requested,
+// the cloud has no more.
+func (s *scaleOuts) handleGranted(r *scaleOutRequest, names []string) {
 	r.machines = names
 	for _, name := range names {
-		if f.Machines[name] == nil {
-			m := f.ownership.NewMachine(inventory.MachineInfo{Name: name, Type: r.offer.Type, Zone: r.offer.Zone, Spot: r.offer.Spot})
-			m.ProvisionedAt = f.wallClock
+		if s.inventory.Machines[name] == nil {
+			m := s.ownership.NewMachine(inventory.MachineInfo{Name: name, Type: r.offer.Type, Zone: r.offer.Zone, Spot: r.offer.Spot})
+			m.ProvisionedAt = s.host.WallClock()
 		}
 	}
 	if len(names) < r.machineCount {
-		f.backOffOffer(r.offer)
+		s.backOffOffer(r.offer)
 	}
-	f.setScaleOutState(r, scaleOutGranted)
+	s.setState(r, scaleOutGranted)
 }
 
-// handleScaleOutRefused ends a scale-out request that the cloud cannot grant.
-func (f *Fleet) handleScaleOutRefused(r *scaleOutRequest) {
-	f.backOffOffer(r.offer)
-	f.setScaleOutState(r, scaleOutDone)
+// handleRefused ends a scale-out request that the cloud cannot grant.
+func (s *scaleOuts) handleRefused(r *scaleOutRequest) {
+	s.backOffOffer(r.offer)
+	s.setState(r, scaleOutDone)
 }
 
 // backOffOffer keeps an offer from being requested until the cloud may have machines again.
-func (f *Fleet) backOffOffer(offer autoscaler.Offer) {
-	f.refusedOffers[offer] = f.now + f.settings.Tuning.ScaleOutRetryDelay
+func (s *scaleOuts) backOffOffer(offer autoscaler.Offer) {
+	s.refusedOffers[offer] = s.host.Now() + s.settings.Tuning.ScaleOutRetryDelay
 }
--- a/internal/fleet/scale_out_test.go
+++ b/internal/fleet/scale_out_test.go
@@ -36,7 +36,7 @@
 		t.Run(state.String(), func(t *testing.T) {
 			f, host := newTestFleet(t)
 			r := &scaleOutRequest{name: "h-1", offer: autoscaler.Offer{Type: "small", Zone: "a"}, machineCount: 1, state: state}
-			if got := f.mayRequestScaleOut(r); got != want || len(host.violations) != expectedViolations(!want) {
+			if got := f.scaleOuts.mayRequestScaleOut(r); got != want || len(host.violations) != expectedViolations(!want) {
 				t.Errorf("allowed %t with violations %q", got, host.violations)
 			}
 		})
@@ -60,7 +60,7 @@
 	f, host := newTestFleet(t)
 	host.now = micros.Second
 	offer := autoscaler.Offer{Type: "small", Zone: "a"}
-	f.requestScaleOut(autoscaler.ScaleOutRequest{
+	f.scaleOuts.add(autoscaler.ScaleOutRequest{
 		ScaleOut: autoscaler.ScaleOut{Offer: offer, Number: 2}, Job: &sched.Job{Class: "c"},
 	})
 	f.TickAutoscaling()
@@ -82,14 +82,14 @@
 	if m == nil || m.ProvisionedAt != host.now {
 		t.Fatalf("machine %+v, want it provisioned at %v", m, host.now)
 	}
-	if want := host.now + f.settings.Tuning.ScaleOutRetryDelay; f.refusedOffers[offer] != want {
-		t.Errorf("the offer of which there are no more is refused until %v, want %v", f.refusedOffers[offer], want)
+	if want := host.now + f.settings.Tuning.ScaleOutRetryDelay; f.scaleOuts.refusedOffers[offer] != want {
+		t.Errorf("the offer of which there are no more is refused until %v, want %v", f.scaleOuts.refusedOffers[offer], want)
 	}
 	flush(t, f, true, 0, 0) // the machine is not claimed yet
 	m.FencingToken = 7
 	flush(t, f, true, 0, 1)
-	if len(f.scaleOutRequests) != 0 || len(host.violations) != 0 {
-		t.Errorf("%d requests are left, with violations %q", len(f.scaleOutRequests), host.violations)
+	if len(f.scaleOuts.requests) != 0 || len(host.violations) != 0 {
+		t.Errorf("%d requests are left, with violations %q", len(f.scaleOuts.requests), host.violations)
 	}
 }
 
@@ -107,10 +107,10 @@
 			f, host := newTestFleet(t)
 			offer := autoscaler.Offer{Type: "small", Zone: "a"}
 			r := &scaleOutRequest{name: "h-1", offer: offer, machineCount: 1, state: scaleOutRequested}
-			f.scaleOutRequests[r.name] = r
+			f.scaleOuts.requests[r.name] = r
 			f.TickAutoscaling()
 			host.respond(t, wire.PathRentals, response.status, response.body)
-			if until := f.refusedOffers[offer]; r.state != scaleOutDone || until != f.settings.Tuning.ScaleOutRetryDelay {
+			if until := f.scaleOuts.refusedOffers[offer]; r.state != scaleOutDone || until != f.settings.Tuning.ScaleOutRetryDelay {
 				t.Errorf("the request is %v, the offer refused until %v", r.state, until)
 			}
 			flush(t, f, true, 0, 1)
@@ -121,11 +121,11 @@
 // TestSupersededIgnoresResponses checks that a fleet whose owner was replaced ignores the cloud.
 func TestSupersededIgnoresResponses(t *testing.T) {
 	f, host := newTestFleet(t)
-	f.scaleOutRequests["h-1"] = &scaleOutRequest{name: "h-1", machineCount: 1, state: scaleOutRequested}
+	f.scaleOuts.requests["h-1"] = &scaleOutRequest{name: "h-1", machineCount: 1, state: scaleOutRequested}
 	f.TickAutoscaling()
 	host.superseded = true
 	host.respond(t, wire.PathRentals, wire.StatusOK, wire.MachineNames{Machines: []string{"m-000001"}})
-	if len(f.Machines) != 0 || f.scaleOutRequests["h-1"].state != scaleOutRequested {
+	if len(f.Machines) != 0 || f.scaleOuts.requests["h-1"].state != scaleOutRequested {
 		t.Error("the response was applied")
 	}
 }
