--- a/internal/fleet/scale_out.go
+++ b/internal/fleet/scale_out.go
@@ -108,8 +108,8 @@
 
 // setState is the one place where a scale-out request changes its state.
 func (s *scaleOuts) setState(r *scaleOutRequest, state scaleOutState) {
-	s.log.Info("scale-out state changed", "name", r.name, "type", r.offer.Type, "zone", r.offer.Zone, "spot", r.offer.Spot,
-		"number", r.machineCount, "from", r.state.String(), "to", state.String(), "machines", len(r.machines))
+	s.log.Info("scale-out state changed", "scale_out", r.name, "type", r.offer.Type, "zone", r.offer.Zone, "spot", r.offer.Spot,
+		"requested", r.machineCount, "from", r.state.String(), "to", state.String(), "granted", len(r.machines))
 	r.state = state
 }
 
@@ -118,7 +118,7 @@
 	for _, e := range entries {
 		var recorded record.ScaleOutRequest
 		if err := wire.Decode(e.Value, &recorded); err != nil {
-			s.log.Error("record cannot be decoded", "key", e.Key, "error", err)
+			s.log.Error("record cannot be read", "key", e.Key, "error", err)
 			continue
 		}
 		if !s.ownership.OwnsRecordsOf(recorded.Owner) {
@@ -179,8 +179,8 @@
 	name := scaleOutNamePrefix + record.FormatNumber(s.host.NextNumber())
 	offer := request.Offer
 	s.requests[name] = &scaleOutRequest{name: name, offer: offer, machineCount: request.Number}
-	s.log.Info("scale-out planned", "name", name, "type", offer.Type, "zone", offer.Zone,
-		"spot", offer.Spot, "number", request.Number, "class", request.Job.Class, "short_cpus", request.ShortCPUs)
+	s.log.Info("scale-out planned", "scale_out", name, "type", offer.Type, "zone", offer.Zone,
+		"spot", offer.Spot, "requested", request.Number, "class", request.Job.Class, "short_cpus", request.ShortCPUs)
 }
 
 // allMachinesClaimed reports whether all machines of a scale-out request are recorded.
@@ -198,7 +198,7 @@
 	if s.host.IsActive() && r.state == scaleOutRequested {
 		return true
 	}
-	s.host.ReportViolation("a scale-out request without a record", "name", r.name, "state", r.state.String())
+	s.host.ReportViolation("a scale-out request without a record", "scale_out", r.name, "scale_out_state", r.state.String())
 	return false
 }
 
@@ -238,7 +238,7 @@
 	case status == wire.StatusUnavailable && wire.Decode(body, &refused) == nil && refused.Error == errorNoCapacity:
 		s.handleRefused(r)
 	case status == wire.StatusBadRequest:
-		s.log.Error("scale-out request refused as malformed", "name", r.name)
+		s.log.Error("scale-out request refused as malformed", "scale_out", r.name)
 		s.handleRefused(r)
 	}
 }
