--- a/internal/fleet/health.go
+++ b/internal/fleet/health.go
@@ -7,7 +7,8 @@
 
 // Bounds beyond which a machine, or this node, counts as faulty.
 const (
-	// maxMissedHeartbeats is how many heartbeats in a row may be missing without any meaning.
+	// maxMissedHeartbeats is how many heartbeats in a row may be missing before the machine may
+	// count as unresponsive: a few are lost or delayed in normal operation.
 	maxMissedHeartbeats = 2
 	// maxMissedListings is how many readings of the cloud's list in a row must lack a machine.
 	maxMissedListings = 2
@@ -25,19 +26,19 @@
 	// defaultBootTime is the boot time of machines whose type is not known.
 	defaultBootTime = micros.Minute
 	// inspectTimeout is how long a machine has to answer an inspection after a failover, when
-	// there is no time for more: each of several leaders in a row would wait anew.
+	// there is no time for more: after several failovers in a row, each owner waits that long.
 	inspectTimeout = 3 * micros.Second
 )
 
 const (
 	// OverdueDecommissionFraction is the fraction of the cancellation deadline after which an
-	// unresponsive machine with a task of a cancelled job is decommissioned, whatever else it
-	// runs and however recent the failover is.
+	// unresponsive machine with a task of a cancelled job is decommissioned, regardless of its
+	// other tasks and of the time since the failover.
 	OverdueDecommissionFraction = 0.5
 	// overdueTerminateFraction is the fraction after which the cloud is asked to terminate the
 	// machine even if the decision cannot be recorded: the key-value store may be unavailable
-	// for longer. Should that request be executed late, under another owner, the machine is
-	// lost as any machine may be.
+	// for longer. If the cloud executes the request only after a failover, the next owner
+	// detects the loss of the machine by its missing heartbeats or by the cloud's list.
 	overdueTerminateFraction = 0.6
 )
 
@@ -176,7 +177,8 @@
 	return false
 }
 
-// heartbeatTolerance returns for how long missing heartbeats have no meaning.
+// heartbeatTolerance returns how long a machine may send no heartbeat and still count as
+// responsive.
 func (f *Fleet) heartbeatTolerance() micros.Micros {
 	return maxMissedHeartbeats * f.settings.HeartbeatInterval
 }
