--- a/controller/commit_adapter.go
+++ b/controller/commit_adapter.go
@@ -139,8 +139,6 @@
 	o.receiveTransfer(block)
 }
 
-// The rest of this file forwards calls of the owner's other parts to its commit pipeline.
-
 // maxCommitBytes is the largest body of a transaction.
 const maxCommitBytes = commit.MaxTransactionBytes
 
--- a/controller/fleet_adapter.go
+++ b/controller/fleet_adapter.go
@@ -11,8 +11,8 @@
 	"tamarindlead/sched"
 )
 
-// This file connects package fleet with its owner, and forwards to it under the names that the
-// other parts of the owner use.
+// This file connects package fleet with its owner, and holds what other parts of the owner use of
+// machines and their types.
 
 // newFleet returns the fleet of an owner.
 func newFleet(o *owner) *fleet.Fleet {
--- a/controller/workers_adapter.go
+++ b/controller/workers_adapter.go
@@ -71,5 +71,3 @@
 }
 
 func (h workersHost) RecordSpotReclaimed(m *inventory.Machine) { h.o.scheduler.RecordSpotReclaimed(m) }
-
-// The methods below forward to the manager of workers for the owner's ticks.
--- a/internal/machinetypes/table.go
+++ b/internal/machinetypes/table.go
@@ -106,7 +106,8 @@
 	})
 }
 
-// record writes the cloud's response to the key-value store, once while this node runs as an owner.
+// record writes the cloud's response to the key-value store, once per process, the
+// first time that this node owns teams.
 func (t *Table) record(response wire.MachineTypes) {
 	if !t.host.OwnsTeams() || t.recorded || kv.EncodedSizeBound(response) > t.maxValueBytes {
 		return
