--- a/internal/frontend/admission.go
+++ b/internal/frontend/admission.go
@@ -62,7 +62,7 @@
 	return n.checkPlaceable(job)
 }
 
-// exceedsRecordLimits reports whether the records of a job exceed the limits of the state service.
+// exceedsRecordLimits reports whether the records of a job exceed the limits of the key-value store.
 func (n *node) exceedsRecordLimits(writes []kv.Write, size int) bool {
 	return len(writes) > n.Settings.MaxTransactionOps || size > n.MaxTransactionBytes ||
 		kv.EncodedSizeBound(writes[0].Value) > n.Settings.MaxValueBytes
--- a/internal/frontend/node.go
+++ b/internal/frontend/node.go
@@ -33,7 +33,7 @@
 	return n.Graph.Version(job)
 }
 
-// evidenceNow returns the evidence of a request to the state service that is sent now.
+// evidenceNow returns the evidence of a request to the key-value store that is sent now.
 func (n *node) evidenceNow(basis freshness.Basis) freshness.Evidence {
 	return freshness.Evidence{Basis: basis, SentAt: n.now(), ViaPeer: n.KV.UsesPeerRoute()}
 }
--- a/internal/frontend/services.go
+++ b/internal/frontend/services.go
@@ -29,7 +29,7 @@
 	Now() micros.Micros
 	// WallClock returns the time of day of the present event, which records hold.
 	WallClock() micros.Micros
-	// IsIsolated reports whether the node reaches neither the state service nor any peer.
+	// IsIsolated reports whether the node reaches neither the key-value store nor any peer.
 	IsIsolated() bool
 	// MachineTypes returns the machine types on offer, none while they are unknown.
 	MachineTypes() []sched.MachineType
@@ -46,19 +46,19 @@
 	Refuse(request uint64, status wire.Status, reason RefusalReason)
 }
 
-// KVClient is the client of the state service.
+// KVClient is the client of the key-value store.
 type KVClient interface {
 	// Do sends a request once the budget allows.
 	Do(purpose budget.Purpose, request kv.Request, done func(kv.Result))
 	// Get reads a key.
 	Get(purpose budget.Purpose, key string, done func(kv.Outcome, kv.Entry))
-	// Unavailable reports whether the state service is out of reach.
+	// Unavailable reports whether the key-value store is out of reach.
 	Unavailable() bool
 	// UsesPeerRoute reports whether calls pass through a peer.
 	UsesPeerRoute() bool
 }
 
-// Budget is this node's part of the state service's rate limits.
+// Budget is this node's part of the key-value store's rate limits.
 type Budget interface {
 	// MayRequest reports whether a request may be sent now.
 	MayRequest(purpose budget.Purpose, now micros.Micros) bool
