--- a/controller/machine_requests.go
+++ b/controller/machine_requests.go
@@ -92,7 +92,7 @@
 	c.sendMachineRequest(source, request)
 }
 
-// chooseTransferSource returns the node that shall transfer machines, or "".
+// chooseTransferSource returns the node that is to transfer machines, or "".
 func (c *Core) chooseTransferSource(request *peer.Want) string {
 	job := requestedJob(request)
 	chosen, maxExcess := "", 0.0
--- a/internal/commit/obsolete_keys.go
+++ b/internal/commit/obsolete_keys.go
@@ -65,8 +65,8 @@
 	})
 }
 
-// dropEmptySegments removes segments without chunks. Their keys are never used again, so they can be
-// deleted at leisure.
+// dropEmptySegments removes segments without chunks. Their keys are never used again, so their
+// deletion is not urgent.
 func (p *Pipeline) dropEmptySegments() {
 	p.segments = slices.DeleteFunc(p.segments, func(s *inventory.CompletionSegment) bool {
 		if !s.IsRemovable() {
--- a/internal/commit/pipeline.go
+++ b/internal/commit/pipeline.go
@@ -23,7 +23,7 @@
 	// Superseded reports whether another owner has replaced this one, so that callbacks must
 	// do nothing.
 	Superseded() bool
-	// NextNumber returns a number that is unique for ever, for the name of a record.
+	// NextNumber returns a number that was never used before, for the name of a record.
 	NextNumber() uint64
 	// TypicalTasks returns how many tasks a machine of a type is likely to run, or 0 if that
 	// is not known.
--- a/internal/frontend/submissions.go
+++ b/internal/frontend/submissions.go
@@ -8,7 +8,7 @@
 )
 
 // maxPendingSubmissions bounds the submissions that are pending or whose dependencies are being
-// checked. Those beyond it are refused at once, so that the waiting happens with the users.
+// checked. Those beyond it are refused at once: users retry, and no longer queue grows here.
 const maxPendingSubmissions = 128
 
 // SubmissionTimeout is the time after which a submission or cancellation is given up.
--- a/internal/scheduler/reservations.go
+++ b/internal/scheduler/reservations.go
@@ -146,14 +146,14 @@
 	case r.state == reservationStopping && now > r.expiresAt:
 		s.setReservationState(r, reservationReleased, "resources not freed in time")
 	case r.state == reservationReady && j.GangState == inventory.GangNone && now > r.expiresAt:
-		// Each preemption in vain doubles the pause before the next.
+		// Each preemption after which the gang did not start doubles the pause before the next.
 		j.NextPreemptionAt = now + s.settings.Tuning.ReservationTimeout<<min(j.FailedPreemptions, maxBackoffDoublings)
 		j.FailedPreemptions++
 		s.setReservationState(r, reservationReleased, "gang not started in time")
 	}
 }
 
-// lostMachine reports whether some machine of a reservation can't be used any more.
+// lostMachine reports whether some machine of a reservation can no longer be used.
 func (s *Scheduler) lostMachine(r *reservation) bool {
 	for name := range r.machines {
 		if m := s.inventory.Machines[name]; m == nil || m.State != inventory.MachineReady {
--- a/internal/workers/eviction.go
+++ b/internal/workers/eviction.go
@@ -44,10 +44,10 @@
 	}
 }
 
-// mayCompleteWithin reports whether an attempt goes on running on a machine that is reclaimed after
+// mayCompleteWithin reports whether an attempt keeps running on a machine that is reclaimed after
 // the given time. One that is not expected to complete is evicted at once: it is checkpointed if
-// possible and restarts elsewhere the sooner. But one without checkpoints that has run for at least
-// that time goes on, since it may complete earlier than estimated and would lose much.
+// possible and restarts elsewhere earlier. But one without checkpoints that has run for at least
+// that time keeps running, since it may complete earlier than estimated and would lose much.
 func (w *Manager) mayCompleteWithin(a *inventory.Attempt, timeLeft micros.Micros) bool {
 	atStake := micros.Micros(0)
 	if a.RunningSince != 0 && a.Job.CheckpointInterval == 0 {
