--- a/controller/numbers.go
+++ b/controller/numbers.go
@@ -13,7 +13,8 @@
 	sequenceMargin = 1 << 16
 )
 
-// numberGenerator generates numbers.
+// numberGenerator must be kept across restarts of the recovery: a new one would repeat the numbers of
+// the revision.
 type numberGenerator struct {
 	revision uint64 // of the member record with which the sequence began
 	sequence uint64
--- a/internal/commit/block_result.go
+++ b/internal/commit/block_result.go
@@ -2,7 +2,8 @@
 
 import "tamarindlead/internal/inventory"
 
-// finish handles the result of the transaction.
+// finish applies what depends on the record only if the transaction was committed. Otherwise the
+// block is as dirty as before.
 func (w *blockWrite) finish(committed bool, revision uint64) {
 	w.block.Writing = false
 	if !committed {
@@ -23,7 +24,7 @@
 	w.pipeline.removeEmptyBlock(w.block)
 }
 
-// rollBack marks everything dirty again.
+// rollBack marks all machines dirty, so that nothing of the failed transaction is lost.
 func (w *blockWrite) rollBack() {
 	b := w.block
 	b.MarkDirty(w.pipeline.host.Now())
--- a/internal/commit/result.go
+++ b/internal/commit/result.go
@@ -19,7 +19,8 @@
 	resent       sendAttempt = true
 )
 
-// send sends a transaction.
+// send adds the preconditions of the owner to every sending, also of the same transaction again: a
+// node whose member record has changed commits nothing.
 func (p *Pipeline) send(t *Transaction, purpose budget.Purpose, attempt sendAttempt) {
 	p.store.Do(purpose, kv.Transaction(p.Preconditions(t.preconditions), t.writes), func(r kv.Result) {
 		if !p.host.Superseded() {
--- a/internal/inventory/inventory_jobs.go
+++ b/internal/inventory/inventory_jobs.go
@@ -7,7 +7,7 @@
 	"tamarindlead/micros"
 )
 
-// SetJobState changes the state of a job.
+// SetJobState changes the state of a job. Every change goes through it, so that all are logged.
 func (inv *Inventory) SetJobState(j *Job, s JobState) {
 	if j.State != s {
 		inv.log.Debug("job state changed", "job", j.ID, "from", j.State.String(), "to", s.String())
@@ -15,7 +15,8 @@
 	}
 }
 
-// SetGangState changes the state of a gang's current attempt.
+// SetGangState changes the state of a gang's current attempt. Every change goes through it, so that
+// all are logged.
 func (inv *Inventory) SetGangState(j *Job, s GangState) {
 	if j.GangState != s {
 		inv.log.Debug("gang state changed", "job", j.ID, "from", j.GangState.String(), "to", s.String())
--- a/internal/recovery/recovery.go
+++ b/internal/recovery/recovery.go
@@ -144,13 +144,13 @@
 	})
 }
 
-// handleJobs recovers the active jobs.
+// handleJobs comes first, since completion segments and blocks name jobs.
 func (r *run) handleJobs(entries []kv.Entry, revision uint64) {
 	r.host.RecoverJobs(entries, revision, r.startedAt)
 	r.list(record.CompletionSegmentPrefix, r.handleSegments)
 }
 
-// handleSegments recovers the completed tasks of the jobs.
+// handleSegments comes before the blocks, so that no attempt of a completed task is recovered.
 func (r *run) handleSegments(entries []kv.Entry, _ uint64) {
 	r.RecoverSegments(entries)
 	r.list(record.BlockPrefix, r.handleBlocks)
@@ -162,13 +162,11 @@
 	r.list(record.ScaleOutRequestPrefix, r.handleScaleOutRequests)
 }
 
-// handleScaleOutRequests recovers the scale-out requests.
 func (r *run) handleScaleOutRequests(entries []kv.Entry, _ uint64) {
 	r.host.RecoverScaleOutRequests(entries)
 	r.list(record.ReservationPrefix, r.handleReservations)
 }
 
-// handleReservations recovers the reservations and the blocks, and completes the recovery.
 func (r *run) handleReservations(entries []kv.Entry, _ uint64) {
 	r.host.RecoverReservations(entries)
 	r.RecoverBlocks(r.blocks)
