--- a/internal/inventory/doc.go
+++ b/internal/inventory/doc.go
@@ -3,6 +3,6 @@
 // which keeps counts and usage consistent and reports through Host what must follow: a record to
 // write, commands to send.
 //
-// It makes no decisions: the scheduler places tasks, and the owner's other parts command and
+// It makes no decisions except the order of the queue: the scheduler places tasks, and the owner's other parts command and
 // terminate machines. It has no clock, no network and no goroutine.
 package inventory
--- a/internal/scheduler/doc.go
+++ b/internal/scheduler/doc.go
@@ -8,6 +8,7 @@
 // the package owns; jobs, attempts and machines belong to package inventory, the statistics of job
 // classes to package autoscaler.
 //
-// The package knows nothing of records and blocks other than those of reservations, of commands to
-// workers or of the cloud: it reaches them through Host. It has no clock, network or goroutine.
+// Of records, the package knows those of reservations and how much space a machine's block has left.
+// It sends no commands to workers and no requests to the cloud: it reaches both through Host. It has
+// no clock, network or goroutine.
 package scheduler
--- a/internal/workers/doc.go
+++ b/internal/workers/doc.go
@@ -4,7 +4,8 @@
 // queue of direct commands, the inspection of machines after a failover, the consequences of task
 // exits and failures, evictions, and the time of the last heartbeat of any worker.
 //
-// It writes no records and gives up no machine: it changes states in the inventory, which tells the
-// other parts of the owner what must be written, and reaches them through Host. It knows neither
-// peers nor the cloud, and has no clock, no network and no goroutine.
+// It writes no records and terminates no machine, though it drains machines: it changes states in the
+// inventory, which reports to the other parts of the owner what must be written, and reaches them
+// through Host. It sends nothing to peers or the cloud; Host names the peer to which a worker is
+// redirected. It has no clock, no network and no goroutine.
 package workers
