--- a/internal/inventory/machine.go
+++ b/internal/inventory/machine.go
@@ -110,8 +110,8 @@
 	Fencing      FencingState
 	// Verifying is set while an adopted machine may turn out to be another owner's.
 	Verifying bool
-	// Recovered is set if the machine was another owner's: it is ready, or has been booting since
-	// an unknown time.
+	// Recovered is set if the machine was recovered from records, of another owner or of this
+	// node before its recovery restarted: it is ready, or has been booting since an unknown time.
 	Recovered bool
 }
 
--- a/internal/workers/inspection.go
+++ b/internal/workers/inspection.go
@@ -14,8 +14,8 @@
 	inspectionBatchSize = 4
 )
 
-// InspectMachines requests heartbeats from a few machines that were recovered from another owner's
-// records and have sent none. Most workers find this node by themselves, and requests to all
+// InspectMachines requests heartbeats from a few machines that were recovered from records, another
+// owner's or this node's own, and have sent none. Most workers find this node by themselves, and requests to all
 // machines at once would delay their heartbeats.
 func (w *Manager) InspectMachines() {
 	if w.callLimitReached() {
