--- a/internal/commit/pipeline.go
+++ b/internal/commit/pipeline.go
@@ -136,5 +136,5 @@
 // InFlight reports whether the result of a transaction is awaited.
 func (p *Pipeline) InFlight() bool { return p.inFlight }
 
-// Postpone delays the next transaction, after a read that must be repeated first.
+// Postpone delays the next transaction, after a read that failed.
 func (p *Pipeline) Postpone() { p.nextFlush = p.host.Now() + retryDelay }
