--- a/controller/commit_adapter.go
+++ b/controller/commit_adapter.go
@@ -73,7 +73,7 @@
 type commitTransfers struct{ o *owner }
 
 func (t commitTransfers) Successor(m *inventory.Machine) (kv.Precondition, bool) {
-	if !t.o.canTransfer(m) {
+	if !t.o.confirmOrCancelTransfer(m) {
 		return kv.Precondition{}, false
 	}
 	return t.o.c.cluster.MemberPrecondition(m.TransferTo.Node()), true
--- a/controller/machine_transfers.go
+++ b/controller/machine_transfers.go
@@ -95,8 +95,9 @@
 	o.SetMachineState(m, inventory.MachineTransferring, "transfer to "+string(newOwner))
 }
 
-// canTransfer reports whether the new owner of a machine is live. If it is not, the machine stays.
-func (o *owner) canTransfer(m *inventory.Machine) bool {
+// confirmOrCancelTransfer reports whether the new owner of a machine is live. If it is not, the
+// transfer is cancelled and the machine stays.
+func (o *owner) confirmOrCancelTransfer(m *inventory.Machine) bool {
 	if o.c.cluster.IsLive(m.TransferTo) {
 		return true
 	}
