--- a/controller/machine_transfers.go
+++ b/controller/machine_transfers.go
@@ -89,7 +89,7 @@
 		o.c.now-m.IdleSince > minIdleBeforeTransfer
 }
 
-// startTransfer has no task placed on a machine any more. The machine is transferred once it is empty.
+// startTransfer stops the placement of tasks on a machine, which is transferred once it is empty.
 func (o *owner) startTransfer(m *inventory.Machine, newOwner record.OwnerID) {
 	m.TransferTo = newOwner
 	o.SetMachineState(m, inventory.MachineTransferring, "transfer to "+string(newOwner))
--- a/internal/commit/block_split.go
+++ b/internal/commit/block_split.go
@@ -41,8 +41,8 @@
 	}
 }
 
-// retireOversized handles one machine whose entry exceeds the value limit, from the time of a higher
-// limit. Its tasks end with their lease, since nobody can claim the machine; then the machine is
+// retireOversized handles one machine whose entry exceeds the value limit because it was written
+// when the limit was higher. Its tasks end with their lease, since nobody can claim the machine; then the machine is
 // terminated. Its record stays until then, so that nobody starts these tasks elsewhere.
 func (p *Pipeline) retireOversized(b *inventory.Block, size int) {
 	m := b.Machines[0]
--- a/internal/commit/completion_segments.go
+++ b/internal/commit/completion_segments.go
@@ -57,8 +57,8 @@
 	to.AddSource(from)
 }
 
-// EmptyOversizedSegments moves all chunks out of segments from the time of a higher value limit,
-// which could never be written again. They are deleted once the other segments are written.
+// EmptyOversizedSegments moves all chunks out of segments that were written when the value limit
+// was higher, and could never be written again. They are deleted once the other segments are written.
 func (p *Pipeline) EmptyOversizedSegments() {
 	for _, s := range slices.Clone(p.segments) {
 		if s.Bytes <= p.maxSegmentBytes() {
--- a/internal/commit/obsolete_keys.go
+++ b/internal/commit/obsolete_keys.go
@@ -10,7 +10,7 @@
 )
 
 // obsoleteKeyMaxWait is how long obsolete keys wait for a moment without other writes. After that,
-// one of them is deleted in each such time.
+// one of them is deleted each time this period passes.
 const obsoleteKeyMaxWait = 5 * micros.Second
 
 // DeleteLater schedules the deletion of keys that nobody reads any more, for when writes are
--- a/internal/frontend/queries.go
+++ b/internal/frontend/queries.go
@@ -36,7 +36,8 @@
 }
 
 // taskCounts returns the numbers of a job's tasks by the node's own records, or else by what
-// peers report; an earlier owner may still report what it knew.
+// peers report. Theirs may be those of an earlier owner and out of date; besides the counts, only the
+// choice between queued and running depends on them.
 func (n *node) taskCounts(job string) TaskCounts {
 	if counts, owned := n.Owner.TaskCounts(job); owned {
 		return counts
--- a/internal/frontend/responses.go
+++ b/internal/frontend/responses.go
@@ -22,7 +22,8 @@
 
 // mayRespond reports whether evidence about a job is recent enough for the answer to a request:
 // its read must have been sent after the request was received, and a job that is known to be
-// cancelled has no state that is not terminal. Where it is not, the job is looked up again.
+// cancelled has no state that is not terminal. If it is not, a submission's job is looked
+// up again, and other answers are refused by checkResponse.
 func (r *responder) mayRespond(request userRequest, job string, evidence freshness.Evidence) bool {
 	if evidence.Basis != freshness.TerminalState && r.node.Cancellations.IsCancelled(job) {
 		return false
--- a/internal/scheduler/placement_view.go
+++ b/internal/scheduler/placement_view.go
@@ -57,8 +57,8 @@
 	return view
 }
 
-// limitSlots lowers the task slots of machines that share a block with those just assigned, by what
-// the block's record has still room for.
+// limitSlots lowers the task slots of machines that share a block with those just assigned, to what
+// the block's record still has room for.
 func (s *Scheduler) limitSlots(view []*sched.Machine, assignments []sched.Assignment) {
 	clear(s.freeBytes)
 	for _, assignment := range assignments {
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -44,8 +44,8 @@
 	UnblockPlacedJob(job string) *inventory.Job
 }
 
-// MachineFuncs are the functions of other parts of the owner that a pass calls for each of thousands
-// of machines or attempts. They are bound once and called directly, unlike the methods of Host.
+// MachineFuncs are the functions of other parts of the owner that a pass calls for each machine or
+// attempt. They are bound once, when the scheduler is created.
 type MachineFuncs struct {
 	// FreeSlots returns how many more tasks the machine's entry in its block can take. It
 	// caches the free bytes of blocks in freeBytes.
