--- a/internal/jobview/doc.go
+++ b/internal/jobview/doc.go
@@ -1,5 +1,5 @@
-// Package jobview maintains a node's view of the active jobs and answers how jobs stand that
-// others depend on.
+// Package jobview maintains a node's view of the active jobs and reports the states of jobs
+// that others depend on.
 //
 // It owns the graph of the active jobs (package dag) with the watch that feeds it at a node that
 // owns no teams, the refreshes that bring it up to date for a question, the resolution of
