--- a/internal/scheduler/assume.go
+++ b/internal/scheduler/assume.go
@@ -66,7 +66,7 @@
 	s.inventory.SetGangState(j, inventory.GangStarting)
 	j.EverPlaced = true
 	s.log.Info("gang placed", "job", j.ID, "class", j.Class, "tasks", j.Tasks, "min_on_demand", j.MinOnDemandTasks,
-		"since_accepted_s", math.Round((s.host.WallClock() - j.ReadyAt).Seconds()))
+		"queued_s", math.Round((s.host.WallClock() - j.ReadyAt).Seconds()))
 	for _, a := range j.Attempts {
 		s.host.CommandsNeeded(a.Machine)
 	}
