--- a/controller/status.go
+++ b/controller/status.go
@@ -44,7 +44,7 @@
 	counts := o.machineCounts()
 	for _, name := range ordered.Keys(counts) {
 		n := counts[name]
-		o.c.log.Info("fleet", "machine_type", name, "ready", n.ready, "idle", n.idle, "booting", n.booting, "leaving", n.leaving,
+		o.c.log.Info("fleet", "type", name, "ready", n.ready, "idle", n.idle, "booting", n.booting, "leaving", n.leaving,
 			"cpus", int(n.cpus), "used_cpus", int(n.usedCPUs))
 	}
 }
--- a/internal/frontend/responses.go
+++ b/internal/frontend/responses.go
@@ -42,7 +42,7 @@
 		return true
 	}
 	r.node.Host.ReportViolation("stale answer about a job", "job", job, "request", request.id, "answer", answer, "basis", evidence.Basis,
-		"received_us", int64(request.receivedAt), "read_sent_us", int64(evidence.SentAt), "ended", r.node.Cancellations.IsCancelled(job))
+		"received_us", int64(request.receivedAt), "read_sent_us", int64(evidence.SentAt), "cancelled", r.node.Cancellations.IsCancelled(job))
 	r.refuse(request, reasonKVUnresponsive)
 	return false
 }
--- a/internal/recovery/blocks.go
+++ b/internal/recovery/blocks.go
@@ -68,7 +68,7 @@
 	}
 	tasks, err := data.Unpack(entry)
 	if err != nil {
-		r.log.Error("record cannot be read", "machine", entry.Name, "error", err)
+		r.log.Error("record cannot be read", "key", record.BlockKey(b.Name), "machine", entry.Name, "error", err)
 	}
 	for _, task := range tasks {
 		r.recoverAttempt(m, &data.Jobs[task.Job], task)
--- a/internal/recovery/completion_segments.go
+++ b/internal/recovery/completion_segments.go
@@ -54,14 +54,14 @@
 	} else {
 		s.AddChunk(j, chunk)
 	}
-	r.recoverCompletions(j, chunk, bits)
+	r.recoverCompletions(s, j, chunk, bits)
 }
 
-// recoverCompletions adds the completed tasks of a chunk.
-func (r *Recovery) recoverCompletions(j *inventory.Job, chunk int, bits string) {
+// recoverCompletions adds the completed tasks of a chunk of a segment.
+func (r *Recovery) recoverCompletions(s *inventory.CompletionSegment, j *inventory.Job, chunk int, bits string) {
 	j.AllocateTaskStates()
 	if err := j.Completed.MergeChunk(chunk, bits); err != nil {
-		r.log.Error("record cannot be read", "job", j.ID, "chunk", chunk, "error", err)
+		r.log.Error("record cannot be read", "key", s.Key(), "job", j.ID, "chunk", chunk, "error", err)
 		return
 	}
 	for i := chunk * record.TasksPerChunk; i < min((chunk+1)*record.TasksPerChunk, j.Tasks); i++ {
--- a/internal/scheduler/preemption.go
+++ b/internal/scheduler/preemption.go
@@ -54,7 +54,7 @@
 	stops := 0
 	for _, b := range plan.Victims {
 		stops += len(b.Tasks)
-		s.log.Info("preemption victim", "job", b.Victim.Job, "team", b.Victim.Team, "safe", b.Safe, "tasks", len(b.Tasks), "for", j.ID)
+		s.log.Info("preemption victim", "job", b.Victim.Job, "team", b.Victim.Team, "safe", b.Safe, "tasks", len(b.Tasks), "preemptor", j.ID)
 	}
 	s.log.Info("preemption planned", "job", j.ID, "class", j.Class, "mode", plan.Mode.String(), "domain", plan.Domain,
 		"machines", len(plan.Placement), "stops", stops)
--- a/internal/workers/assertions.go
+++ b/internal/workers/assertions.go
@@ -26,11 +26,11 @@
 // maySendStart asserts that an attempt may be started: its placement is recorded, and its job is not
 // known to have ended.
 func (w *Manager) maySendStart(a *inventory.Attempt) bool {
-	jobEnded := w.host.JobIsCancelled(a.Job.ID)
-	if a.State == inventory.AttemptRecorded && a.Machine.Recorded && !jobEnded {
+	cancelled := w.host.JobIsCancelled(a.Job.ID)
+	if a.State == inventory.AttemptRecorded && a.Machine.Recorded && !cancelled {
 		return w.mayCommand(a.Machine, wire.VerbStart)
 	}
 	w.host.ReportViolation("start without a recorded placement", "task", a.TaskName(), "attempt", a.Number,
-		"machine", a.Machine.Name, "state", a.State.String(), "recorded", a.Machine.Recorded, "job_ended", jobEnded)
+		"machine", a.Machine.Name, "attempt_state", a.State.String(), "recorded", a.Machine.Recorded, "job_cancelled", cancelled)
 	return false
 }
