--- a/controller/machine_transfers.go
+++ b/controller/machine_transfers.go
@@ -56,8 +56,7 @@
 	if plan == nil {
 		return
 	}
-	o.c.log.Info("preemption planned", "job", job.ID, "mode", plan.Mode.String(), "domain", plan.Domain,
-		"machines", len(plan.Placement), "owner", newOwner)
+	o.scheduler.LogPreemptionPlan(job, plan, "owner", newOwner)
 	for _, a := range plan.Placement {
 		o.startTransfer(o.Machines[a.Machine.Name], newOwner)
 	}
--- a/internal/scheduler/preemption.go
+++ b/internal/scheduler/preemption.go
@@ -36,7 +36,8 @@
 		return false // its record would never be accepted
 	}
 	s.reservations[j.ID] = r
-	s.logPreemptionPlan(j, plan)
+	s.logVictims(j, plan)
+	s.LogPreemptionPlan(j.Job, plan)
 	return true
 }
 
@@ -49,15 +50,25 @@
 	return r
 }
 
-// logPreemptionPlan logs a preemption plan and its victims.
-func (s *Scheduler) logPreemptionPlan(j *inventory.Job, plan *sched.PreemptionPlan) {
+// logVictims logs the victims of a preemption plan. The key safe is set for surplus tasks, which may be
+// stopped one by one; the tasks of any other victim are stopped together.
+func (s *Scheduler) logVictims(j *inventory.Job, plan *sched.PreemptionPlan) {
+	for _, b := range plan.Victims {
+		s.log.Info("preemption victim", "job", b.Victim.Job, "team", b.Victim.Team, "safe", b.Safe, "tasks", len(b.Tasks), "preemptor", j.ID)
+	}
+}
+
+// LogPreemptionPlan logs a preemption plan for a job, with further keys of the caller.
+func (s *Scheduler) LogPreemptionPlan(job *sched.Job, plan *sched.PreemptionPlan, args ...any) {
 	stops := 0
 	for _, b := range plan.Victims {
 		stops += len(b.Tasks)
-		s.log.Info("preemption victim", "job", b.Victim.Job, "team", b.Victim.Team, "safe", b.Safe, "tasks", len(b.Tasks), "preemptor", j.ID)
 	}
-	s.log.Info("preemption planned", "job", j.ID, "class", j.Class, "mode", plan.Mode.String(), "domain", plan.Domain,
-		"machines", len(plan.Placement), "stops", stops)
+	common := []any{
+		"job", job.ID, "class", job.Class, "mode", plan.Mode.String(), "domain", plan.Domain,
+		"machines", len(plan.Placement), "stops", stops,
+	}
+	s.log.Info("preemption planned", append(common, args...)...)
 }
 
 // planPreemption plans which tasks are stopped for a gang: of its own team, or else, if the gang is
