--- a/internal/inventory/attempt.go
+++ b/internal/inventory/attempt.go
@@ -72,6 +72,9 @@
 	ResourcesReleased bool
 }
 
+// ReasonJobEnded is the reason for which what an ended job still uses is stopped or released.
+const ReasonJobEnded = "job has ended"
+
 // TaskKey identifies a task.
 type TaskKey struct {
 	Job   string
--- a/internal/recovery/blocks.go
+++ b/internal/recovery/blocks.go
@@ -94,7 +94,7 @@
 		r.inv.SetGangState(j, inventory.GangStarting)
 	}
 	if j.State == inventory.JobEnded {
-		r.inv.StopAttempt(a, 0, "job has ended")
+		r.inv.StopAttempt(a, 0, inventory.ReasonJobEnded)
 	}
 }
 
--- a/internal/scheduler/assume.go
+++ b/internal/scheduler/assume.go
@@ -43,7 +43,7 @@
 	j.EverPlaced = j.EverPlaced || !j.Gang
 	s.host.CommandsNeeded(a.Machine)
 	if j.State != inventory.JobActive {
-		s.inventory.StopAttempt(a, 0, "job has ended")
+		s.inventory.StopAttempt(a, 0, inventory.ReasonJobEnded)
 		return
 	}
 	if j.Gang && j.GangState == inventory.GangPlacing && !hasAssumedAttempts(j) {
--- a/internal/scheduler/reservations.go
+++ b/internal/scheduler/reservations.go
@@ -120,6 +120,16 @@
 	return sum
 }
 
+// Reasons for changes of a reservation's state, beside inventory.ReasonJobEnded.
+const (
+	reasonRecorded         = "recorded"
+	reasonVictimsStopped   = "victims stopped"
+	reasonGangStarted      = "gang started"
+	reasonMachineLost      = "machine lost"
+	reasonNotFreedInTime   = "resources not freed in time"
+	reasonNotStartedInTime = "gang not started in time"
+)
+
 // TickReservations advances the states of reservations.
 func (s *Scheduler) TickReservations() {
 	for _, id := range ordered.Keys(s.reservations) {
@@ -134,22 +144,22 @@
 	now := s.host.Now()
 	switch {
 	case j == nil || j.State != inventory.JobActive:
-		s.setReservationState(r, reservationReleased, "job ended")
+		s.setReservationState(r, reservationReleased, inventory.ReasonJobEnded)
 	case s.lostMachine(r):
-		s.setReservationState(r, reservationReleased, "machine lost")
+		s.setReservationState(r, reservationReleased, reasonMachineLost)
 	case j.GangState == inventory.GangStarting && allRunning(j):
 		j.FailedPreemptions = 0
-		s.setReservationState(r, reservationReleased, "gang started")
+		s.setReservationState(r, reservationReleased, reasonGangStarted)
 	case r.state == reservationStopping && s.resourcesFree(r):
-		s.setReservationState(r, reservationReady, "victims stopped")
+		s.setReservationState(r, reservationReady, reasonVictimsStopped)
 		s.inventory.SchedulingNeeded = true
 	case r.state == reservationStopping && now > r.expiresAt:
-		s.setReservationState(r, reservationReleased, "resources not freed in time")
+		s.setReservationState(r, reservationReleased, reasonNotFreedInTime)
 	case r.state == reservationReady && j.GangState == inventory.GangNone && now > r.expiresAt:
 		// Each preemption after which the gang did not start doubles the pause before the next.
 		j.NextPreemptionAt = now + s.settings.Tuning.ReservationTimeout<<min(j.FailedPreemptions, maxBackoffDoublings)
 		j.FailedPreemptions++
-		s.setReservationState(r, reservationReleased, "gang not started in time")
+		s.setReservationState(r, reservationReleased, reasonNotStartedInTime)
 	}
 }
 
@@ -202,7 +212,7 @@
 	for _, id := range ordered.Keys(s.reservations) {
 		r := s.reservations[id]
 		if r.state == reservationPlanned && s.inventory.Jobs[id] == nil {
-			s.setReservationState(r, reservationReleased, "job ended")
+			s.setReservationState(r, reservationReleased, inventory.ReasonJobEnded)
 		}
 		if r.writing || r.state != reservationPlanned && r.state != reservationReleased {
 			continue
@@ -232,7 +242,7 @@
 			delete(s.reservations, r.job)
 			s.inventory.SchedulingNeeded = true
 		case r.state == reservationPlanned:
-			s.setReservationState(r, reservationStopping, "recorded")
+			s.setReservationState(r, reservationStopping, reasonRecorded)
 			s.EvictVictims(r.victims, PreemptionReason(r.job))
 			r.victims = nil
 		}
--- a/internal/scheduler/victims.go
+++ b/internal/scheduler/victims.go
@@ -87,7 +87,7 @@
 }
 
 // PreemptionReason returns the reason with which victims of a job are stopped.
-func PreemptionReason(job string) string { return "room for " + job }
+func PreemptionReason(job string) string { return "preempted for " + job }
 
 // EvictVictims starts the stops of a preemption plan, for the tasks that are still where they were.
 func (s *Scheduler) EvictVictims(bundles []sched.Bundle, reason string) {
--- a/internal/workers/commands.go
+++ b/internal/workers/commands.go
@@ -6,9 +6,6 @@
 	"tamarindlead/micros"
 )
 
-// reasonJobEnded is the reason for which attempts are stopped whose job has ended.
-const reasonJobEnded = "job has ended"
-
 // commands returns the commands that a machine needs after its last heartbeat, and marks the
 // attempts among them that are to be started as starting.
 func (w *Manager) commands(m *inventory.Machine) []wire.Command {
@@ -21,7 +18,7 @@
 	reported, commands := w.commandsForReportedTasks(m)
 	for _, a := range m.SortedAttempts() {
 		if a.State == inventory.AttemptStarting && a.Job.State == inventory.JobEnded {
-			w.inventory.StopAttempt(a, 0, reasonJobEnded)
+			w.inventory.StopAttempt(a, 0, inventory.ReasonJobEnded)
 		}
 		switch {
 		case a.State == inventory.AttemptStopping && !a.HeartbeatSeen:
