--- a/internal/inventory/attempt.go
+++ b/internal/inventory/attempt.go
@@ -87,6 +87,9 @@
 // TaskName returns the name of the attempt's task on the wire.
 func (a *Attempt) TaskName() string { return wire.TaskName(a.Job.ID, a.Index) }
 
+// IsRunning reports whether the attempt is live and its task was last reported as running.
+func (a *Attempt) IsRunning() bool { return a.State == AttemptLive && a.Phase == wire.PhaseRunning }
+
 // MayStart reports whether the attempt may be started. The tasks of a gang may start only once all
 // their attempts are recorded.
 func (a *Attempt) MayStart() bool {
--- a/internal/scheduler/assume.go
+++ b/internal/scheduler/assume.go
@@ -46,21 +46,11 @@
 		s.inventory.StopAttempt(a, 0, inventory.ReasonJobEnded)
 		return
 	}
-	if j.Gang && j.GangState == inventory.GangPlacing && !hasAssumedAttempts(j) {
+	if j.Gang && j.GangState == inventory.GangPlacing && j.Assumed == 0 {
 		s.startGang(j)
 	}
 }
 
-// hasAssumedAttempts reports whether attempts of a job are not recorded yet.
-func hasAssumedAttempts(j *inventory.Job) bool {
-	for _, a := range j.Attempts {
-		if a.State == inventory.AttemptAssumed {
-			return true
-		}
-	}
-	return false
-}
-
 // startGang starts a gang, all attempts of which are recorded.
 func (s *Scheduler) startGang(j *inventory.Job) {
 	s.inventory.SetGangState(j, inventory.GangStarting)
--- a/internal/scheduler/reservations.go
+++ b/internal/scheduler/reservations.go
@@ -187,7 +187,7 @@
 // allRunning reports whether a job has attempts and all of them run.
 func allRunning(j *inventory.Job) bool {
 	for _, a := range j.Attempts {
-		if a.State != inventory.AttemptLive || a.Phase != wire.PhaseRunning {
+		if !a.IsRunning() {
 			return false
 		}
 	}
--- a/internal/workers/reconciliation.go
+++ b/internal/workers/reconciliation.go
@@ -51,7 +51,7 @@
 	case task.Phase == wire.PhaseRunning && a.RunningSince == 0:
 		a.RunningSince = w.host.Now()
 	}
-	a.SetCountedRunning(a.State == inventory.AttemptLive && task.Phase == wire.PhaseRunning)
+	a.SetCountedRunning(a.IsRunning())
 }
 
 // reconcileMissing handles the attempts that are certainly not on their machine, since the heartbeat
