--- a/controller/core.go
+++ b/controller/core.go
@@ -177,7 +177,7 @@
 const retryAfterSeconds = 1
 
 // refuse responds that a request cannot be handled now and may be sent again.
-func (c *Core) refuse(id uint64, status wire.Status, reason frontend.RefusalReason) {
+func (c *Core) refuse(id uint64, status wire.Status, reason wire.RefusalReason) {
 	c.counters.refused++
 	c.effects = append(c.effects, Respond{
 		ID: id, Status: status, Body: wire.Encode(wire.ErrorResponse{Error: string(reason)}), RetryAfter: retryAfterSeconds,
--- a/controller/frontend_adapter.go
+++ b/controller/frontend_adapter.go
@@ -45,7 +45,7 @@
 	r.c.respond(request, status, body)
 }
 
-func (r frontendResponses) Refuse(request uint64, status wire.Status, reason frontend.RefusalReason) {
+func (r frontendResponses) Refuse(request uint64, status wire.Status, reason wire.RefusalReason) {
 	r.c.refuse(request, status, reason)
 }
 
--- a/controller/workers_adapter.go
+++ b/controller/workers_adapter.go
@@ -2,7 +2,6 @@
 
 import (
 	"tamarindlead/internal/fleet"
-	"tamarindlead/internal/frontend"
 	"tamarindlead/internal/inventory"
 	"tamarindlead/internal/wire"
 	"tamarindlead/internal/workers"
@@ -20,8 +19,8 @@
 	h.o.c.respond(request, status, body)
 }
 
-func (h workersHost) Refuse(request uint64, reason workers.RefusalReason) {
-	h.o.c.refuse(request, wire.StatusUnavailable, frontend.RefusalReason(reason))
+func (h workersHost) Refuse(request uint64, reason wire.RefusalReason) {
+	h.o.c.refuse(request, wire.StatusUnavailable, reason)
 }
 
 func (h workersHost) Call(call workers.Call, done func(workers.Response)) {
--- a/internal/frontend/cancellations.go
+++ b/internal/frontend/cancellations.go
@@ -119,4 +119,4 @@
 	c.responder.respondCancellation(c.request, c.job, phase)
 }
 
-func (c *cancellation) refuse(reason RefusalReason) { c.responder.refuse(c.request, reason) }
+func (c *cancellation) refuse(reason wire.RefusalReason) { c.responder.refuse(c.request, reason) }
--- a/internal/frontend/cancellations_test.go
+++ b/internal/frontend/cancellations_test.go
@@ -32,7 +32,7 @@
 		name   string
 		play   func(f *fixture)
 		status wire.Status
-		reason RefusalReason
+		reason wire.RefusalReason
 	}{
 		{"known to have ended", func(f *fixture) {
 			f.terminal[testJobID] = wire.JobDone
--- a/internal/frontend/fixture_test.go
+++ b/internal/frontend/fixture_test.go
@@ -107,7 +107,7 @@
 }
 
 // checkResponse checks that one response was sent, its status, and its reason if it refuses.
-func (f *fixture) checkResponse(status wire.Status, reason RefusalReason) {
+func (f *fixture) checkResponse(status wire.Status, reason wire.RefusalReason) {
 	f.t.Helper()
 	got := f.onlyResponse()
 	if got.status != status || got.reason() != string(reason) {
@@ -170,7 +170,7 @@
 }
 
 // Refuse implements ResponseWriter.
-func (f *fixture) Refuse(request uint64, status wire.Status, reason RefusalReason) {
+func (f *fixture) Refuse(request uint64, status wire.Status, reason wire.RefusalReason) {
 	f.responses = append(f.responses, response{request, status, wire.ErrorResponse{Error: string(reason)}, true})
 }
 
--- a/internal/frontend/responses.go
+++ b/internal/frontend/responses.go
@@ -88,11 +88,11 @@
 }
 
 // refuse answers that a request cannot be served now.
-func (r *responder) refuse(request userRequest, reason RefusalReason) {
+func (r *responder) refuse(request userRequest, reason wire.RefusalReason) {
 	r.writer.Refuse(request.id, wire.StatusUnavailable, reason)
 }
 
 // refuseOverload answers that there are too many requests of a kind.
-func (r *responder) refuseOverload(request userRequest, reason RefusalReason) {
+func (r *responder) refuseOverload(request userRequest, reason wire.RefusalReason) {
 	r.writer.Refuse(request.id, wire.StatusTooManyRequests, reason)
 }
--- a/internal/frontend/routes_test.go
+++ b/internal/frontend/routes_test.go
@@ -12,7 +12,7 @@
 		name, method, path string
 		isolated           bool
 		status             wire.Status
-		reason             RefusalReason
+		reason             wire.RefusalReason
 	}{
 		{"health", "GET", "/up", false, wire.StatusOK, ""},
 		{"health of an isolated node", "GET", "/up", true, wire.StatusUnavailable, "reaches neither the state service nor a peer"},
@@ -25,7 +25,7 @@
 		{"query without a job", "GET", "/api/jobs/", false, wire.StatusNotFound, "no such job"},
 		{"query of an invalid job", "GET", "/api/jobs/a b", false, wire.StatusNotFound, "no such job"},
 		{"cancellation of an invalid job", "POST", "/api/jobs/a b/cancel", false, wire.StatusNotFound, "no such job"},
-		{"malformed submission", "POST", "/api/jobs", false, wire.StatusBadRequest, RefusalReason(wire.ErrNotMap.Error())},
+		{"malformed submission", "POST", "/api/jobs", false, wire.StatusBadRequest, wire.RefusalReason(wire.ErrNotMap.Error())},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			f := newFixture(t)
--- a/internal/frontend/services.go
+++ b/internal/frontend/services.go
@@ -43,7 +43,7 @@
 	// Respond answers a request, with a body unless it is nil.
 	Respond(request uint64, status wire.Status, body any)
 	// Refuse answers that a request cannot be served now and may be sent again.
-	Refuse(request uint64, status wire.Status, reason RefusalReason)
+	Refuse(request uint64, status wire.Status, reason wire.RefusalReason)
 }
 
 // KVClient is the client of the key-value store.
--- a/internal/frontend/submissions.go
+++ b/internal/frontend/submissions.go
@@ -118,6 +118,6 @@
 }
 
 // refuse ends a submission that cannot be recorded now.
-func (s *submissionQueue) refuse(sub *submission, reason RefusalReason) {
+func (s *submissionQueue) refuse(sub *submission, reason wire.RefusalReason) {
 	s.finish(sub, func(r userRequest) { s.responder.refuse(r, reason) })
 }
--- a/internal/frontend/submissions_test.go
+++ b/internal/frontend/submissions_test.go
@@ -32,7 +32,7 @@
 		name   string
 		play   func(f *fixture)
 		status wire.Status
-		reason RefusalReason
+		reason wire.RefusalReason
 	}{
 		{"accepted", func(f *fixture) {
 			f.submit(newSmallJob())
@@ -120,7 +120,7 @@
 		name   string
 		change func(job *sched.Job)
 		status wire.Status
-		reason RefusalReason
+		reason wire.RefusalReason
 	}{
 		{"unknown team", func(job *sched.Job) { job.Team = "blue" }, wire.StatusUnprocessable, "unknown team"},
 		{"too large for any type", func(job *sched.Job) { job.Need = sched.NewResources(1, 0, 200) }, wire.StatusUnprocessable, "a task fits no allowed machine type"},
@@ -147,7 +147,7 @@
 		name   string
 		play   func(f *fixture, job *sched.Job)
 		status wire.Status
-		reason RefusalReason
+		reason wire.RefusalReason
 	}{
 		{"open", func(f *fixture, job *sched.Job) {
 			f.submit(job)
--- a/internal/wire/codec.go
+++ b/internal/wire/codec.go
@@ -63,6 +63,9 @@
 // Error returns the field and the problem.
 func (e *FieldError) Error() string { return e.Field + ": " + e.Problem }
 
+// RefusalReason is the text by which a user or worker learns why a request is refused.
+type RefusalReason string
+
 // ErrorResponse is the response to a refused request.
 type ErrorResponse struct {
 	Error string `cbor:"error"`
--- a/internal/workers/heartbeats.go
+++ b/internal/workers/heartbeats.go
@@ -85,7 +85,7 @@
 }
 
 // RefusePendingHeartbeat refuses a machine's pending heartbeat, if there is one.
-func (w *Manager) RefusePendingHeartbeat(m *inventory.Machine, reason RefusalReason) {
+func (w *Manager) RefusePendingHeartbeat(m *inventory.Machine, reason wire.RefusalReason) {
 	if m.PendingRequest == 0 {
 		return
 	}
--- a/internal/workers/heartbeats_test.go
+++ b/internal/workers/heartbeats_test.go
@@ -22,7 +22,7 @@
 // TestHandleHeartbeat checks how a heartbeat is responded to by the state of the owner and of the
 // machine. The texts of refusals are part of the protocol.
 func TestHandleHeartbeat(t *testing.T) {
-	refused := func(text RefusalReason) []fakeResponse {
+	refused := func(text wire.RefusalReason) []fakeResponse {
 		return []fakeResponse{{request: 1, status: wire.StatusUnavailable, refusal: text}}
 	}
 	redirected := func(node string) []fakeResponse {
--- a/internal/workers/host.go
+++ b/internal/workers/host.go
@@ -20,7 +20,7 @@
 	// Respond responds to a heartbeat.
 	Respond(request uint64, status wire.Status, body any)
 	// Refuse refuses a heartbeat for now; the worker sends another one later.
-	Refuse(request uint64, reason RefusalReason)
+	Refuse(request uint64, reason wire.RefusalReason)
 	// Call sends a request to a worker and calls done with the response.
 	Call(call Call, done func(Response))
 	// ReportViolation reports that an invariant does not hold, with attributes to log.
--- a/internal/workers/host_test.go
+++ b/internal/workers/host_test.go
@@ -41,7 +41,7 @@
 	request uint64
 	status  wire.Status
 	body    any
-	refusal RefusalReason
+	refusal wire.RefusalReason
 }
 
 // fakeCall is a call that was made.
@@ -56,7 +56,7 @@
 	h.responses = append(h.responses, fakeResponse{request: request, status: status, body: body})
 }
 
-func (h *fakeHost) Refuse(request uint64, reason RefusalReason) {
+func (h *fakeHost) Refuse(request uint64, reason wire.RefusalReason) {
 	h.responses = append(h.responses, fakeResponse{request: request, status: wire.StatusUnavailable, refusal: reason})
 }
 
