--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -108,9 +108,7 @@
 	return s.classes.CorrectedEstimate(j.Class, j.Estimate)
 }
 
-// IsScarce reports whether some recent class of jobs fits no other machine type than the machine's.
-func (s *Scheduler) IsScarce(m *inventory.Machine) bool { return s.isScarce(m, s.host.Now()) }
-
+// isScarce reports whether some recent class of jobs fits no other machine type than the machine's.
 func (s *Scheduler) isScarce(m *inventory.Machine, now micros.Micros) bool {
 	return s.classes.Scarce(now, m.Type, m.Spot)
 }
