--- a/internal/commit/flush.go
+++ b/internal/commit/flush.go
@@ -39,7 +39,7 @@
 		return
 	}
 	p.inFlight = true
-	p.send(t, purpose, firstAttempt)
+	p.send(t, purpose, firstTransmission)
 }
 
 // fill adds at most maxWrites writes to a transaction. The order is that of urgency.
--- a/internal/commit/result.go
+++ b/internal/commit/result.go
@@ -10,32 +10,32 @@
 	"tamarindlead/internal/record"
 )
 
-// sendAttempt distinguishes the first sending of a transaction from later ones, when the transaction
+// transmission distinguishes the first sending of a transaction from later ones, when the transaction
 // may have been committed already.
-type sendAttempt bool
+type transmission bool
 
 const (
-	firstAttempt sendAttempt = false
-	resent       sendAttempt = true
+	firstTransmission transmission = false
+	retransmission    transmission = true
 )
 
 // send adds the preconditions of the owner to every sending, also of the same transaction again: a
 // node whose member record has changed commits nothing.
-func (p *Pipeline) send(t *Transaction, purpose budget.Purpose, attempt sendAttempt) {
+func (p *Pipeline) send(t *Transaction, purpose budget.Purpose, sent transmission) {
 	p.store.Do(purpose, kv.Transaction(p.Preconditions(t.preconditions), t.writes), func(r kv.Result) {
 		if !p.host.Superseded() {
-			p.handleResult(t, purpose, attempt, r)
+			p.handleResult(t, purpose, sent, r)
 		}
 	})
 }
 
 // handleResult handles the result of a transaction.
-func (p *Pipeline) handleResult(t *Transaction, purpose budget.Purpose, attempt sendAttempt, r kv.Result) {
+func (p *Pipeline) handleResult(t *Transaction, purpose budget.Purpose, sent transmission, r kv.Result) {
 	switch r.Outcome {
 	case kv.OK:
 		p.handleCommitted(t, r)
 	case kv.PreconditionFailed:
-		p.handlePreconditionFailed(t, attempt, r)
+		p.handlePreconditionFailed(t, sent, r)
 	case kv.Unknown:
 		// It may still be committed: nothing else may be decided before the same transaction
 		// has been committed or refused by its preconditions.
@@ -46,7 +46,7 @@
 		p.finish(t, false, 0)
 		p.nextFlush = p.host.Now() + invalidRequestDelay
 	default:
-		if attempt == resent {
+		if sent == retransmission {
 			p.resend(t, purpose)
 			return
 		}
@@ -71,7 +71,7 @@
 func (p *Pipeline) resend(t *Transaction, purpose budget.Purpose) {
 	p.host.After(retryDelay, func() {
 		if !p.host.Superseded() {
-			p.send(t, purpose, resent)
+			p.send(t, purpose, retransmission)
 		}
 	})
 }
@@ -83,8 +83,8 @@
 }
 
 // handlePreconditionFailed handles a transaction whose preconditions did not hold.
-func (p *Pipeline) handlePreconditionFailed(t *Transaction, attempt sendAttempt, r kv.Result) {
-	if attempt == resent {
+func (p *Pipeline) handlePreconditionFailed(t *Transaction, sent transmission, r kv.Result) {
+	if sent == retransmission {
 		p.host.RestartRecovery("a transaction without response was committed, or another node wrote")
 		return
 	}
