--- a/controller/job_queue.go
+++ b/controller/job_queue.go
@@ -45,7 +45,7 @@
 func (o *owner) enqueue(j *inventory.Job) {
 	j.IdleSince = o.c.now
 	o.Jobs[j.ID] = j
-	o.scheduler.InheritPriority(j)
+	o.scheduler.ApplyInheritance(j)
 	o.QueueJob(j)
 	o.classes.RecordSubmission(o.c.now, j.Job, o.c.catalog())
 	o.SchedulingNeeded = true
--- a/controller/job_view.go
+++ b/controller/job_view.go
@@ -67,7 +67,7 @@
 		return
 	}
 	if j := o.Jobs[id]; j != nil && j.State != inventory.JobEnded {
-		o.scheduler.InheritPriority(j)
+		o.scheduler.ApplyInheritance(j)
 	}
 }
 
--- a/internal/frontend/cancellations.go
+++ b/internal/frontend/cancellations.go
@@ -26,7 +26,7 @@
 // is, and the response holds its terminal state.
 func (f *Frontend) handleCancellation(request userRequest, job string) {
 	if !wire.ValidJobID(job) {
-		f.responder.reject(request, noSuchJob())
+		f.responder.respondRefusal(request, noSuchJob())
 		return
 	}
 	if phase := f.node.TerminalStates.Of(job); phase != "" {
--- a/internal/frontend/responses.go
+++ b/internal/frontend/responses.go
@@ -73,7 +73,7 @@
 // rejectUnaccepted refuses a request for good, since its job was never accepted.
 func (r *responder) rejectUnaccepted(request userRequest, job string, refused *refusal, evidence freshness.Evidence) {
 	if r.checkResponse(request, job, string(refused.reason), evidence) {
-		r.reject(request, refused)
+		r.respondRefusal(request, refused)
 	}
 }
 
@@ -82,8 +82,8 @@
 	r.writer.Respond(request.id, wire.StatusOK, nil)
 }
 
-// reject answers that a request will never be served.
-func (r *responder) reject(request userRequest, refused *refusal) {
+// respondRefusal answers that a request will never be served.
+func (r *responder) respondRefusal(request userRequest, refused *refusal) {
 	r.writer.Respond(request.id, refused.status, wire.ErrorResponse{Error: string(refused.reason)})
 }
 
--- a/internal/scheduler/fixture_test.go
+++ b/internal/scheduler/fixture_test.go
@@ -132,7 +132,7 @@
 	j := inventory.NewJob(spec, uint64(len(f.inventory.Jobs)+1), accepted)
 	j.IdleSince = f.fake.now
 	f.inventory.Jobs[j.ID] = j
-	f.InheritPriority(j)
+	f.ApplyInheritance(j)
 	f.inventory.QueueJob(j)
 	f.classes.RecordSubmission(f.fake.now, spec, f.fake.Catalog())
 	f.inventory.SchedulingNeeded = true
--- a/internal/scheduler/preemption.go
+++ b/internal/scheduler/preemption.go
@@ -23,11 +23,11 @@
 	if !j.Gang || now < j.NextPreemptionAt || s.scaleOutSuffices(j) || s.machinesBootSoon(j) {
 		return false
 	}
-	covered := s.JobsWithinGuarantee()
-	plan := s.planPreemption(j, covered)
+	guaranteed := s.JobsWithinGuarantee()
+	plan := s.planPreemption(j, guaranteed)
 	if plan == nil {
 		j.NextPreemptionAt = now + preemptionRetryDelay
-		s.host.RequestMachines(j.Job, j.Tasks, covered[j])
+		s.host.RequestMachines(j.Job, j.Tasks, guaranteed[j])
 		return false
 	}
 	r := newReservation(j, plan)
@@ -74,11 +74,11 @@
 // planPreemption plans which tasks are stopped for a gang: of its own team, or else, if the gang is
 // within its team's guaranteed quota, of teams that use more than theirs. It returns nil if there is
 // no acceptable plan.
-func (s *Scheduler) planPreemption(j *inventory.Job, covered map[*inventory.Job]bool) *sched.PreemptionPlan {
+func (s *Scheduler) planPreemption(j *inventory.Job, guaranteed map[*inventory.Job]bool) *sched.PreemptionPlan {
 	machines := s.preemptionView()
-	plan := s.planForMode(j.Job, machines, sched.Preempt, covered)
-	if plan == nil && covered[j] {
-		plan = s.planForMode(j.Job, machines, sched.Reclaim, covered)
+	plan := s.planForMode(j.Job, machines, sched.Preempt, guaranteed)
+	if plan == nil && guaranteed[j] {
+		plan = s.planForMode(j.Job, machines, sched.Reclaim, guaranteed)
 	}
 	return plan
 }
@@ -90,8 +90,8 @@
 }
 
 // planForMode returns the cheapest preemption plan of a mode, or nil.
-func (s *Scheduler) planForMode(j *sched.Job, machines []*sched.Machine, mode sched.PreemptionMode, covered map[*inventory.Job]bool) *sched.PreemptionPlan {
-	victims := s.victims(j, mode, covered)
+func (s *Scheduler) planForMode(j *sched.Job, machines []*sched.Machine, mode sched.PreemptionMode, guaranteed map[*inventory.Job]bool) *sched.PreemptionPlan {
+	victims := s.victims(j, mode, guaranteed)
 	if len(victims) == 0 {
 		return nil
 	}
--- a/internal/scheduler/queue_order.go
+++ b/internal/scheduler/queue_order.go
@@ -23,7 +23,7 @@
 // priority, those within their teams' guaranteed quotas come first, which need not wait for other
 // teams; then those with urgent deadlines; then the earliest.
 func (s *Scheduler) schedulingOrder() []*inventory.Job {
-	covered, wallClock := s.JobsWithinGuarantee(), s.host.WallClock()
+	guaranteed, wallClock := s.JobsWithinGuarantee(), s.host.WallClock()
 	list := slices.Clone(s.inventory.Queue)
 	slices.SortStableFunc(list, func(a, b *inventory.Job) int {
 		x, y := s.isStarving(a, wallClock), s.isStarving(b, wallClock)
@@ -32,8 +32,8 @@
 			return compareTrueFirst(x)
 		case x:
 			return cmp.Compare(a.ReadyAt, b.ReadyAt)
-		case a.Priority == b.Priority && covered[a] != covered[b]:
-			return compareTrueFirst(covered[a])
+		case a.Priority == b.Priority && guaranteed[a] != guaranteed[b]:
+			return compareTrueFirst(guaranteed[a])
 		case a.Priority == b.Priority:
 			return cmp.Or(s.compareUrgency(a, b, wallClock), inventory.CompareQueueOrder(a, b))
 		}
@@ -97,9 +97,9 @@
 	return min(s.ClassWaitTarget(j), max(minQueueingDelay, s.deadlineSlack(j, s.host.WallClock())))
 }
 
-// InheritPriority updates a job's priority and deadline by what it inherits from its downstream
+// ApplyInheritance updates a job's priority and deadline by what it inherits from its downstream
 // jobs, and its position in the queue.
-func (s *Scheduler) InheritPriority(j *inventory.Job) {
+func (s *Scheduler) ApplyInheritance(j *inventory.Job) {
 	inherited, inPipeline := s.host.Inherited(j.ID)
 	priority, deadline := max(j.SubmittedPriority, inherited.Priority), micros.Micros(0)
 	if inPipeline { // deadlines count in pipelines only
--- a/internal/scheduler/queue_order_test.go
+++ b/internal/scheduler/queue_order_test.go
@@ -71,20 +71,20 @@
 	}
 }
 
-// TestInheritPriority guards against a job whose position in the queue differs from its priority, and
+// TestApplyInheritance guards against a job whose position in the queue differs from its priority, and
 // against deadlines that count outside pipelines.
-func TestInheritPriority(t *testing.T) {
+func TestApplyInheritance(t *testing.T) {
 	f := newFixture(t)
 	first, second := f.addOrderedJob(1, sched.Low, 2*micros.Second), f.addOrderedJob(2, sched.Low, micros.Second)
 	second.Deadline = micros.Minute
-	f.InheritPriority(second)
+	f.ApplyInheritance(second)
 	if second.EffectiveDeadline != 0 {
 		t.Errorf("the deadline counts outside a pipeline: %v", second.EffectiveDeadline)
 	}
 	f.inventory.SchedulingNeeded = false
 	latest := f.fake.now + 40*micros.Second
 	f.fake.inherited[second.ID] = dag.Inheritance{Priority: sched.High, LatestFinish: latest}
-	f.InheritPriority(second)
+	f.ApplyInheritance(second)
 	if second.Priority != sched.High || second.EffectiveDeadline != latest || !f.inventory.SchedulingNeeded {
 		t.Errorf("inherited are priority %v and deadline %v", second.Priority, second.EffectiveDeadline)
 	}
@@ -95,7 +95,7 @@
 		t.Errorf("a job with 40 s left and an estimate of 30 s may wait %v", delay)
 	}
 	delete(f.fake.inherited, second.ID)
-	f.InheritPriority(second)
+	f.ApplyInheritance(second)
 	if second.Priority != sched.Low || second.EffectiveDeadline != 0 || f.inventory.Queue[0] != first {
 		t.Errorf("kept are priority %v and deadline %v", second.Priority, second.EffectiveDeadline)
 	}
--- a/internal/scheduler/quota.go
+++ b/internal/scheduler/quota.go
@@ -64,7 +64,7 @@
 func (s *Scheduler) JobsWithinGuarantee() map[*inventory.Job]bool {
 	list := slices.Clone(s.inventory.Queue)
 	slices.SortStableFunc(list, func(a, b *inventory.Job) int { return cmp.Compare(a.ReadyAt, b.ReadyAt) })
-	covered, sums := map[*inventory.Job]bool{}, map[string]sched.Resources{}
+	guaranteed, sums := map[*inventory.Job]bool{}, map[string]sched.Resources{}
 	for _, j := range list {
 		t := s.inventory.Teams[j.Team]
 		if t == nil || j.State != inventory.JobActive || t.GuaranteedQuota.CPU == 0 && t.GuaranteedQuota.GPU == 0 {
@@ -72,7 +72,7 @@
 		}
 		sum := sums[j.Team].Add(j.Need.Times(j.Tasks - j.CompletedCount))
 		sums[j.Team] = sum
-		covered[j] = sum.CPU <= t.GuaranteedQuota.CPU && (sum.GPU <= t.GuaranteedQuota.GPU || j.Need.GPU == 0)
+		guaranteed[j] = sum.CPU <= t.GuaranteedQuota.CPU && (sum.GPU <= t.GuaranteedQuota.GPU || j.Need.GPU == 0)
 	}
-	return covered
+	return guaranteed
 }
--- a/internal/scheduler/victims.go
+++ b/internal/scheduler/victims.go
@@ -25,12 +25,12 @@
 }
 
 // victims returns the jobs of which tasks may be preempted for j, with these tasks.
-func (s *Scheduler) victims(j *sched.Job, mode sched.PreemptionMode, covered map[*inventory.Job]bool) []*sched.Victim {
+func (s *Scheduler) victims(j *sched.Job, mode sched.PreemptionMode, guaranteed map[*inventory.Job]bool) []*sched.Victim {
 	now := s.host.Now()
 	var list []*sched.Victim
 	for _, id := range ordered.Keys(s.inventory.Jobs) {
 		candidate := s.inventory.Jobs[id]
-		if candidate.Job == j || !mayPreempt(candidate, j, mode, covered) || s.HasReservation(id) {
+		if candidate.Job == j || !mayPreempt(candidate, j, mode, guaranteed) || s.HasReservation(id) {
 			continue
 		}
 		if victim := newVictim(candidate, now); victim.ReadyTasks > 0 {
@@ -42,7 +42,7 @@
 
 // mayPreempt reports whether tasks of a candidate may be preempted for j. Jobs within another team's
 // guaranteed quota are not reclaimed; what that team runs beyond it are its later jobs.
-func mayPreempt(candidate *inventory.Job, j *sched.Job, mode sched.PreemptionMode, covered map[*inventory.Job]bool) bool {
+func mayPreempt(candidate *inventory.Job, j *sched.Job, mode sched.PreemptionMode, guaranteed map[*inventory.Job]bool) bool {
 	if candidate.State != inventory.JobActive || candidate.GangState == inventory.GangStopping || candidate.GangState == inventory.GangPlacing {
 		return false
 	}
@@ -51,7 +51,7 @@
 	case sched.Preempt:
 		return sameTeam && candidate.Priority < j.Priority
 	case sched.Reclaim:
-		return !sameTeam && !covered[candidate]
+		return !sameTeam && !guaranteed[candidate]
 	}
 	return true
 }
--- a/internal/workers/heartbeats.go
+++ b/internal/workers/heartbeats.go
@@ -20,7 +20,7 @@
 	}
 	m := w.inventory.Machines[heartbeat.Machine]
 	if m == nil {
-		if w.rejectUnknownMachine(request, heartbeat.Machine) {
+		if w.redirectOrRefuseUnknown(request, heartbeat.Machine) {
 			return
 		}
 		m = w.host.Adopt(inventory.MachineInfo{
@@ -38,14 +38,14 @@
 	}
 }
 
-// rejectUnknownMachine redirects or refuses the heartbeat of a machine that is not in the inventory
+// redirectOrRefuseUnknown redirects or refuses the heartbeat of a machine that is not in the inventory
 // and must not be adopted. It reports whether it did.
-func (w *Manager) rejectUnknownMachine(request uint64, machine string) bool {
+func (w *Manager) redirectOrRefuseUnknown(request uint64, machine string) bool {
 	claimant := w.host.Claimant(machine)
 	switch {
-	case claimant != "" || w.host.OwnedElsewhere(machine):
+	case claimant != "" || w.host.IsOwnedElsewhere(machine):
 		w.host.Respond(request, wire.StatusMisdirected, wire.Redirect{HeartbeatNode: claimant})
-	case w.host.RecentlyTerminated(machine):
+	case w.host.IsRecentlyTerminated(machine):
 		w.host.Refuse(request, RefusalTerminated)
 	default:
 		return false
--- a/internal/workers/host.go
+++ b/internal/workers/host.go
@@ -39,10 +39,10 @@
 	RestartRecovery(reason string)
 	// Claimant returns the peer that claims a machine, or "".
 	Claimant(machine string) string
-	// OwnedElsewhere reports whether another owner's record has the machine.
-	OwnedElsewhere(machine string) bool
-	// RecentlyTerminated reports whether the machine was terminated a short time ago.
-	RecentlyTerminated(machine string) bool
+	// IsOwnedElsewhere reports whether another owner's record has the machine.
+	IsOwnedElsewhere(machine string) bool
+	// IsRecentlyTerminated reports whether the machine was terminated a short time ago.
+	IsRecentlyTerminated(machine string) bool
 	// Adopt adds a machine that sends heartbeats but has no record.
 	Adopt(info inventory.MachineInfo) *inventory.Machine
 	// MayRenewLease reports whether responses may renew the leases of workers.
--- a/internal/workers/host_test.go
+++ b/internal/workers/host_test.go
@@ -77,9 +77,9 @@
 	h.superseded = true
 }
 
-func (h *fakeHost) Claimant(machine string) string         { return h.claimants[machine] }
-func (h *fakeHost) OwnedElsewhere(machine string) bool     { return h.ownedElsewhere[machine] }
-func (h *fakeHost) RecentlyTerminated(machine string) bool { return h.recentlyTerminated[machine] }
+func (h *fakeHost) Claimant(machine string) string           { return h.claimants[machine] }
+func (h *fakeHost) IsOwnedElsewhere(machine string) bool     { return h.ownedElsewhere[machine] }
+func (h *fakeHost) IsRecentlyTerminated(machine string) bool { return h.recentlyTerminated[machine] }
 
 func (h *fakeHost) Adopt(info inventory.MachineInfo) *inventory.Machine {
 	h.adopted = append(h.adopted, info.Name)
