--- a/controller/owner.go
+++ b/controller/owner.go
@@ -57,7 +57,7 @@
 		c: c, activeSince: c.now,
 		classes: autoscaler.NewClasses(),
 	}
-	o.Inventory = inventory.NewInventory(inventoryHost{o}, c.log)
+	o.Inventory = inventory.New(inventoryHost{o}, c.log)
 	o.commits = newCommitPipeline(o)
 	o.workers = workers.New(o.Inventory, c.cfg, c.log, workersHost{o})
 	o.scheduler = newScheduler(o)
--- a/internal/commit/fixtures_test.go
+++ b/internal/commit/fixtures_test.go
@@ -51,7 +51,7 @@
 	}
 	o := &testOwner{now: micros.Hour, wallClock: micros.Hour, typicalTasks: 14}
 	log := slog.New(slog.DiscardHandler)
-	inv := inventory.NewInventory(o, log)
+	inv := inventory.New(o, log)
 	inv.Teams["red"] = &inventory.Team{Record: cluster.Team{Version: 1}, Team: settings.Teams[0]}
 	o.Pipeline = New(Dependencies{
 		Settings: settings, Log: log, Store: o, Member: o, Inventory: inv, Host: o, Transfers: o,
--- a/internal/fleet/host_test.go
+++ b/internal/fleet/host_test.go
@@ -115,7 +115,7 @@
 	t.Helper()
 	h := &fakeHost{types: []sched.MachineType{{Name: "small", Size: sched.NewResources(4, 0, 16), Boot: 40 * micros.Second}}}
 	log := slog.New(logHandler{h})
-	h.inventory = inventory.NewInventory(h, log)
+	h.inventory = inventory.New(h, log)
 	settings := &config.Settings{
 		Node: "n0", Zones: []string{"a"}, HeartbeatInterval: 3 * micros.Second, WorkerLease: 15 * micros.Second,
 		CancellationDeadline: 45 * micros.Second, CloudListLag: 5 * micros.Second, Tuning: config.DefaultTuning(),
--- a/internal/inventory/fixtures_test.go
+++ b/internal/inventory/fixtures_test.go
@@ -34,7 +34,7 @@
 func newTestInventory(t *testing.T) (*Inventory, *recordingHost, *Machine) {
 	t.Helper()
 	host := &recordingHost{now: micros.Hour}
-	inv := NewInventory(host, slog.New(slog.DiscardHandler))
+	inv := New(host, slog.New(slog.DiscardHandler))
 	inv.Teams["red"] = &Team{}
 	m := inv.AddMachine(&Block{Name: "b"}, MachineInfo{Name: "m-1", Type: "mid", Zone: "a"}, sched.NewResources(28, 0, 112))
 	inv.SetMachineState(m, MachineReady, "test")
--- a/internal/inventory/inventory.go
+++ b/internal/inventory/inventory.go
@@ -45,8 +45,8 @@
 	TerminationNeeded bool
 }
 
-// NewInventory returns an inventory without jobs and machines.
-func NewInventory(host Host, log *slog.Logger) *Inventory {
+// New returns an inventory without jobs and machines.
+func New(host Host, log *slog.Logger) *Inventory {
 	return &Inventory{
 		host: host, log: log, debug: log.Enabled(context.Background(), slog.LevelDebug),
 		Teams: map[string]*Team{}, Jobs: map[string]*Job{}, BlockedJobs: map[string]*Job{}, Machines: map[string]*Machine{},
--- a/internal/recovery/fixtures_test.go
+++ b/internal/recovery/fixtures_test.go
@@ -50,7 +50,7 @@
 func newTestOwner(t *testing.T) *testOwner {
 	t.Helper()
 	o := &testOwner{now: micros.Hour, wallClock: 1000 * micros.Hour}
-	inv := inventory.NewInventory(o, slog.New(slog.DiscardHandler))
+	inv := inventory.New(o, slog.New(slog.DiscardHandler))
 	inv.Teams["red"] = &inventory.Team{}
 	o.Recovery = New(Dependencies{
 		Host: o, Pipeline: o, Store: o, Inventory: inv, Log: slog.New(slog.DiscardHandler), RetryDelay: retryDelay,
--- a/internal/recovery/recovery.go
+++ b/internal/recovery/recovery.go
@@ -118,8 +118,8 @@
 	r.reading = true
 	r.host.Reset()
 	r.unresolvedJobs = nil
-	run := &run{Recovery: r, startedAt: r.host.Now()}
-	run.list(record.ActiveJobPrefix, run.handleJobs)
+	current := &run{Recovery: r, startedAt: r.host.Now()}
+	current.list(record.ActiveJobPrefix, current.handleJobs)
 }
 
 // run is one reading of all records. It ends with the first read that fails.
--- a/internal/scheduler/fixture_test.go
+++ b/internal/scheduler/fixture_test.go
@@ -98,7 +98,7 @@
 		inherited: map[string]dag.Inheritance{},
 	}
 	log := slog.New(slog.NewTextHandler(io.Discard, &slog.HandlerOptions{Level: slog.LevelError}))
-	host.inventory = inventory.NewInventory(host, log)
+	host.inventory = inventory.New(host, log)
 	host.inventory.Teams["red"] = &inventory.Team{Team: settings.Teams[0]}
 	s := New(Dependencies{
 		Host: host,
--- a/internal/workers/host_test.go
+++ b/internal/workers/host_test.go
@@ -114,7 +114,7 @@
 	}
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	settings := &config.Settings{Sockets: 64, Tuning: config.DefaultTuning()}
-	h.manager = New(inventory.NewInventory(fakeInventoryHost{h}, log), settings, log, h)
+	h.manager = New(inventory.New(fakeInventoryHost{h}, log), settings, log, h)
 	return h
 }
 
