--- a/controller/doc.go
+++ b/controller/doc.go
@@ -3,12 +3,12 @@
 // and no goroutine of its own, and neither have the packages that it connects.
 //
 // What is left here: events, effects, timers and outbound calls (events.go, core.go, timers.go); the
-// routing of requests (routes.go); which workers reach this node (worker_heartbeats.go); the owner of
-// teams, which consists of the parts below (owner*.go); its queue and its blocked jobs (job_queue.go,
-// blocked_jobs.go); the transfer of machines between owners (machine_requests.go,
-// machine_transfers.go); status lines and violated invariants (status.go, invariants.go); and one
-// file for each package that is connected with the others (*_adapter.go, kv_host.go, membership.go,
-// cancellation_acks.go, job_view.go, cloud_calls.go).
+// routing of requests (routes.go); numbers that are never used twice (numbers.go); which workers reach
+// this node (worker_heartbeats.go); the owner of teams, which consists of the parts below (owner*.go);
+// its queue and its blocked jobs (job_queue.go, blocked_jobs.go); the transfer of machines between
+// owners (machine_requests.go, machine_transfers.go); status lines and violated invariants (status.go,
+// invariants.go); and one file for each package that is connected with the others (*_adapter.go,
+// kv_host.go, membership.go, cancellation_acks.go, job_view.go, cloud_calls.go).
 //
 // The other concerns of a node have packages of their own, which never import this one: frontend
 // handles users' requests, jobview follows the active jobs, cluster is the membership and leadership
--- a/controller/workers_adapter.go
+++ b/controller/workers_adapter.go
@@ -45,7 +45,9 @@
 
 func (h workersHost) Claimant(machine string) string { return h.o.c.claimant(machine) }
 
-func (h workersHost) IsOwnedElsewhere(machine string) bool { return h.o.fleet.IsOwnedElsewhere(machine) }
+func (h workersHost) IsOwnedElsewhere(machine string) bool {
+	return h.o.fleet.IsOwnedElsewhere(machine)
+}
 
 func (h workersHost) IsRecentlyTerminated(machine string) bool {
 	return h.o.fleet.IsRecentlyTerminated(machine)
