--- a/controller/commit_adapter.go
+++ b/controller/commit_adapter.go
@@ -73,7 +73,7 @@
 type commitTransfers struct{ o *owner }
 
 func (t commitTransfers) Successor(m *inventory.Machine) (kv.Precondition, bool) {
-	if !t.o.canTransfer(m) {
+	if !t.o.confirmOrCancelTransfer(m) {
 		return kv.Precondition{}, false
 	}
 	return t.o.c.cluster.MemberPrecondition(m.TransferTo.Node()), true
@@ -139,8 +139,6 @@
 	o.receiveTransfer(block)
 }
 
-// The rest of this file forwards calls of the owner's other parts to its commit pipeline.
-
 // maxCommitBytes is the largest body of a transaction.
 const maxCommitBytes = commit.MaxTransactionBytes
 
--- a/internal/frontend/cancellations.go
+++ b/internal/frontend/cancellations.go
@@ -26,7 +26,7 @@
 // is, and the response holds its terminal state.
 func (f *Frontend) handleCancellation(request userRequest, job string) {
 	if !wire.ValidJobID(job) {
-		f.responder.reject(request, noSuchJob())
+		f.responder.respondRefusal(request, noSuchJob())
 		return
 	}
 	if phase := f.node.TerminalStates.Of(job); phase != "" {
@@ -119,4 +119,4 @@
 	c.responder.respondCancellation(c.request, c.job, phase)
 }
 
-func (c *cancellation) refuse(reason RefusalReason) { c.responder.refuse(c.request, reason) }
+func (c *cancellation) refuse(reason wire.RefusalReason) { c.responder.refuse(c.request, reason) }
--- a/internal/scheduler/assume.go
+++ b/internal/scheduler/assume.go
@@ -43,30 +43,20 @@
 	j.EverPlaced = j.EverPlaced || !j.Gang
 	s.host.CommandsNeeded(a.Machine)
 	if j.State != inventory.JobActive {
-		s.inventory.StopAttempt(a, 0, "job has ended")
+		s.inventory.StopAttempt(a, 0, inventory.ReasonJobEnded)
 		return
 	}
-	if j.Gang && j.GangState == inventory.GangPlacing && !hasAssumedAttempts(j) {
+	if j.Gang && j.GangState == inventory.GangPlacing && j.Assumed == 0 {
 		s.startGang(j)
 	}
 }
 
-// hasAssumedAttempts reports whether attempts of a job are not recorded yet.
-func hasAssumedAttempts(j *inventory.Job) bool {
-	for _, a := range j.Attempts {
-		if a.State == inventory.AttemptAssumed {
-			return true
-		}
-	}
-	return false
-}
-
 // startGang starts a gang, all attempts of which are recorded.
 func (s *Scheduler) startGang(j *inventory.Job) {
 	s.inventory.SetGangState(j, inventory.GangStarting)
 	j.EverPlaced = true
 	s.log.Info("gang placed", "job", j.ID, "class", j.Class, "tasks", j.Tasks, "min_on_demand", j.MinOnDemandTasks,
-		"since_accepted_s", math.Round((s.host.WallClock() - j.ReadyAt).Seconds()))
+		"queued_s", math.Round((s.host.WallClock() - j.ReadyAt).Seconds()))
 	for _, a := range j.Attempts {
 		s.host.CommandsNeeded(a.Machine)
 	}
