--- a/controller/machine_transfers.go
+++ b/controller/machine_transfers.go
@@ -56,8 +56,7 @@
 	if plan == nil {
 		return
 	}
-	o.c.log.Info("preemption planned", "job", job.ID, "mode", plan.Mode.String(), "domain", plan.Domain,
-		"machines", len(plan.Placement), "owner", newOwner)
+	o.scheduler.LogPreemptionPlan(job, plan, "owner", newOwner)
 	for _, a := range plan.Placement {
 		o.startTransfer(o.Machines[a.Machine.Name], newOwner)
 	}
@@ -89,14 +88,15 @@
 		o.c.now-m.IdleSince > minIdleBeforeTransfer
 }
 
-// startTransfer has no task placed on a machine any more. The machine is transferred once it is empty.
+// startTransfer stops the placement of tasks on a machine, which is transferred once it is empty.
 func (o *owner) startTransfer(m *inventory.Machine, newOwner record.OwnerID) {
 	m.TransferTo = newOwner
 	o.SetMachineState(m, inventory.MachineTransferring, "transfer to "+string(newOwner))
 }
 
-// canTransfer reports whether the new owner of a machine is live. If it is not, the machine stays.
-func (o *owner) canTransfer(m *inventory.Machine) bool {
+// confirmOrCancelTransfer reports whether the new owner of a machine is live. If it is not, the
+// transfer is cancelled and the machine stays.
+func (o *owner) confirmOrCancelTransfer(m *inventory.Machine) bool {
 	if o.c.cluster.IsLive(m.TransferTo) {
 		return true
 	}
--- a/internal/commit/pipeline.go
+++ b/internal/commit/pipeline.go
@@ -23,7 +23,7 @@
 	// Superseded reports whether another owner has replaced this one, so that callbacks must
 	// do nothing.
 	Superseded() bool
-	// NextNumber returns a number that is unique for ever, for the name of a record.
+	// NextNumber returns a number that was never used before, for the name of a record.
 	NextNumber() uint64
 	// TypicalTasks returns how many tasks a machine of a type is likely to run, or 0 if that
 	// is not known.
@@ -136,5 +136,5 @@
 // InFlight reports whether the result of a transaction is awaited.
 func (p *Pipeline) InFlight() bool { return p.inFlight }
 
-// Postpone delays the next transaction, after a read that must be repeated first.
+// Postpone delays the next transaction, after a read that failed.
 func (p *Pipeline) Postpone() { p.nextFlush = p.host.Now() + retryDelay }
--- a/internal/frontend/responses.go
+++ b/internal/frontend/responses.go
@@ -22,9 +22,10 @@
 
 // mayRespond reports whether evidence about a job is recent enough for the answer to a request:
 // its read must have been sent after the request was received, and a job that is known to be
-// cancelled has no state that is not terminal. Where it is not, the job is looked up again.
+// cancelled has no state that is not terminal. If it is not, a submission's job is looked
+// up again, and other answers are refused by checkResponse.
 func (r *responder) mayRespond(request userRequest, job string, evidence freshness.Evidence) bool {
-	if evidence.Basis != freshness.TerminalState && r.node.Cancellations.HasEnded(job) {
+	if evidence.Basis != freshness.TerminalState && r.node.Cancellations.IsCancelled(job) {
 		return false
 	}
 	return evidence.Covers(request.receivedAt)
@@ -41,7 +42,7 @@
 		return true
 	}
 	r.node.Host.ReportViolation("stale answer about a job", "job", job, "request", request.id, "answer", answer, "basis", evidence.Basis,
-		"received_us", int64(request.receivedAt), "read_sent_us", int64(evidence.SentAt), "ended", r.node.Cancellations.HasEnded(job))
+		"received_us", int64(request.receivedAt), "read_sent_us", int64(evidence.SentAt), "cancelled", r.node.Cancellations.IsCancelled(job))
 	r.refuse(request, reasonKVUnresponsive)
 	return false
 }
@@ -72,7 +73,7 @@
 // rejectUnaccepted refuses a request for good, since its job was never accepted.
 func (r *responder) rejectUnaccepted(request userRequest, job string, refused *refusal, evidence freshness.Evidence) {
 	if r.checkResponse(request, job, string(refused.reason), evidence) {
-		r.reject(request, refused)
+		r.respondRefusal(request, refused)
 	}
 }
 
@@ -81,17 +82,17 @@
 	r.writer.Respond(request.id, wire.StatusOK, nil)
 }
 
-// reject answers that a request will never be served.
-func (r *responder) reject(request userRequest, refused *refusal) {
+// respondRefusal answers that a request will never be served.
+func (r *responder) respondRefusal(request userRequest, refused *refusal) {
 	r.writer.Respond(request.id, refused.status, wire.ErrorResponse{Error: string(refused.reason)})
 }
 
 // refuse answers that a request cannot be served now.
-func (r *responder) refuse(request userRequest, reason RefusalReason) {
+func (r *responder) refuse(request userRequest, reason wire.RefusalReason) {
 	r.writer.Refuse(request.id, wire.StatusUnavailable, reason)
 }
 
 // refuseOverload answers that there are too many requests of a kind.
-func (r *responder) refuseOverload(request userRequest, reason RefusalReason) {
+func (r *responder) refuseOverload(request userRequest, reason wire.RefusalReason) {
 	r.writer.Refuse(request.id, wire.StatusTooManyRequests, reason)
 }
--- a/internal/frontend/services.go
+++ b/internal/frontend/services.go
@@ -29,7 +29,7 @@
 	Now() micros.Micros
 	// WallClock returns the time of day of the present event, which records hold.
 	WallClock() micros.Micros
-	// IsIsolated reports whether the node reaches neither the state service nor any peer.
+	// IsIsolated reports whether the node reaches neither the key-value store nor any peer.
 	IsIsolated() bool
 	// MachineTypes returns the machine types on offer, none while they are unknown.
 	MachineTypes() []sched.MachineType
@@ -43,22 +43,22 @@
 	// Respond answers a request, with a body unless it is nil.
 	Respond(request uint64, status wire.Status, body any)
 	// Refuse answers that a request cannot be served now and may be sent again.
-	Refuse(request uint64, status wire.Status, reason RefusalReason)
+	Refuse(request uint64, status wire.Status, reason wire.RefusalReason)
 }
 
-// KVClient is the client of the state service.
+// KVClient is the client of the key-value store.
 type KVClient interface {
 	// Do sends a request once the budget allows.
 	Do(purpose budget.Purpose, request kv.Request, done func(kv.Result))
 	// Get reads a key.
 	Get(purpose budget.Purpose, key string, done func(kv.Outcome, kv.Entry))
-	// Unavailable reports whether the state service is out of reach.
+	// Unavailable reports whether the key-value store is out of reach.
 	Unavailable() bool
 	// UsesPeerRoute reports whether calls pass through a peer.
 	UsesPeerRoute() bool
 }
 
-// Budget is this node's part of the state service's rate limits.
+// Budget is this node's part of the key-value store's rate limits.
 type Budget interface {
 	// MayRequest reports whether a request may be sent now.
 	MayRequest(purpose budget.Purpose, now micros.Micros) bool
@@ -107,9 +107,9 @@
 
 // Cancellations holds which jobs are cancelled and which cancellations may be acknowledged to users.
 type Cancellations interface {
-	// HasEnded reports whether the node knows that a job has been cancelled, even if that
+	// IsCancelled reports whether the node knows that a job has been cancelled, even if that
 	// may not be acknowledged to users yet.
-	HasEnded(job string) bool
+	IsCancelled(job string) bool
 	// Announce calls done once it is certain whether the cancellation of a job may be
 	// acknowledged to users. An answer after the deadline is of no use to the caller.
 	Announce(job string, deadline micros.Micros, done func(mayAcknowledge bool))
--- a/internal/frontend/submissions.go
+++ b/internal/frontend/submissions.go
@@ -8,7 +8,7 @@
 )
 
 // maxPendingSubmissions bounds the submissions that are pending or whose dependencies are being
-// checked. Those beyond it are refused at once, so that the waiting happens with the users.
+// checked. Those beyond it are refused at once: users retry, and no longer queue grows here.
 const maxPendingSubmissions = 128
 
 // SubmissionTimeout is the time after which a submission or cancellation is given up.
@@ -118,6 +118,6 @@
 }
 
 // refuse ends a submission that cannot be recorded now.
-func (s *submissionQueue) refuse(sub *submission, reason RefusalReason) {
+func (s *submissionQueue) refuse(sub *submission, reason wire.RefusalReason) {
 	s.finish(sub, func(r userRequest) { s.responder.refuse(r, reason) })
 }
--- a/internal/scheduler/fixture_test.go
+++ b/internal/scheduler/fixture_test.go
@@ -98,7 +98,7 @@
 		inherited: map[string]dag.Inheritance{},
 	}
 	log := slog.New(slog.NewTextHandler(io.Discard, &slog.HandlerOptions{Level: slog.LevelError}))
-	host.inventory = inventory.NewInventory(host, log)
+	host.inventory = inventory.New(host, log)
 	host.inventory.Teams["red"] = &inventory.Team{Team: settings.Teams[0]}
 	s := New(Dependencies{
 		Host: host,
@@ -132,7 +132,7 @@
 	j := inventory.NewJob(spec, uint64(len(f.inventory.Jobs)+1), accepted)
 	j.IdleSince = f.fake.now
 	f.inventory.Jobs[j.ID] = j
-	f.InheritPriority(j)
+	f.ApplyInheritance(j)
 	f.inventory.QueueJob(j)
 	f.classes.RecordSubmission(f.fake.now, spec, f.fake.Catalog())
 	f.inventory.SchedulingNeeded = true
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -44,8 +44,8 @@
 	UnblockPlacedJob(job string) *inventory.Job
 }
 
-// MachineFuncs are the functions of other parts of the owner that a pass calls for each of thousands
-// of machines or attempts. They are bound once and called directly, unlike the methods of Host.
+// MachineFuncs are the functions of other parts of the owner that a pass calls for each machine or
+// attempt. They are bound once, when the scheduler is created.
 type MachineFuncs struct {
 	// FreeSlots returns how many more tasks the machine's entry in its block can take. It
 	// caches the free bytes of blocks in freeBytes.
@@ -108,9 +108,7 @@
 	return s.classes.CorrectedEstimate(j.Class, j.Estimate)
 }
 
-// IsScarce reports whether some recent class of jobs fits no other machine type than the machine's.
-func (s *Scheduler) IsScarce(m *inventory.Machine) bool { return s.isScarce(m, s.host.Now()) }
-
+// isScarce reports whether some recent class of jobs fits no other machine type than the machine's.
 func (s *Scheduler) isScarce(m *inventory.Machine, now micros.Micros) bool {
 	return s.classes.Scarce(now, m.Type, m.Spot)
 }
