--- a/controller/workers_adapter.go
+++ b/controller/workers_adapter.go
@@ -2,7 +2,6 @@
 
 import (
 	"tamarindlead/internal/fleet"
-	"tamarindlead/internal/frontend"
 	"tamarindlead/internal/inventory"
 	"tamarindlead/internal/wire"
 	"tamarindlead/internal/workers"
@@ -20,8 +19,8 @@
 	h.o.c.respond(request, status, body)
 }
 
-func (h workersHost) Refuse(request uint64, reason workers.RefusalReason) {
-	h.o.c.refuse(request, wire.StatusUnavailable, frontend.RefusalReason(reason))
+func (h workersHost) Refuse(request uint64, reason wire.RefusalReason) {
+	h.o.c.refuse(request, wire.StatusUnavailable, reason)
 }
 
 func (h workersHost) Call(call workers.Call, done func(workers.Response)) {
@@ -46,9 +45,11 @@
 
 func (h workersHost) Claimant(machine string) string { return h.o.c.claimant(machine) }
 
-func (h workersHost) OwnedElsewhere(machine string) bool { return h.o.fleet.IsOwnedElsewhere(machine) }
+func (h workersHost) IsOwnedElsewhere(machine string) bool {
+	return h.o.fleet.IsOwnedElsewhere(machine)
+}
 
-func (h workersHost) RecentlyTerminated(machine string) bool {
+func (h workersHost) IsRecentlyTerminated(machine string) bool {
 	return h.o.fleet.IsRecentlyTerminated(machine)
 }
 
@@ -71,5 +72,3 @@
 }
 
 func (h workersHost) RecordSpotReclaimed(m *inventory.Machine) { h.o.scheduler.RecordSpotReclaimed(m) }
-
-// The methods below forward to the manager of workers for the owner's ticks.
--- a/internal/scheduler/preemption.go
+++ b/internal/scheduler/preemption.go
@@ -23,11 +23,11 @@
 	if !j.Gang || now < j.NextPreemptionAt || s.scaleOutSuffices(j) || s.machinesBootSoon(j) {
 		return false
 	}
-	covered := s.JobsWithinGuarantee()
-	plan := s.planPreemption(j, covered)
+	guaranteed := s.JobsWithinGuarantee()
+	plan := s.planPreemption(j, guaranteed)
 	if plan == nil {
 		j.NextPreemptionAt = now + preemptionRetryDelay
-		s.host.RequestMachines(j.Job, j.Tasks, covered[j])
+		s.host.RequestMachines(j.Job, j.Tasks, guaranteed[j])
 		return false
 	}
 	r := newReservation(j, plan)
@@ -36,7 +36,8 @@
 		return false // its record would never be accepted
 	}
 	s.reservations[j.ID] = r
-	s.logPreemptionPlan(j, plan)
+	s.logVictims(j, plan)
+	s.LogPreemptionPlan(j.Job, plan)
 	return true
 }
 
@@ -49,25 +50,35 @@
 	return r
 }
 
-// logPreemptionPlan logs a preemption plan and its victims.
-func (s *Scheduler) logPreemptionPlan(j *inventory.Job, plan *sched.PreemptionPlan) {
+// logVictims logs the victims of a preemption plan. The key safe is set for surplus tasks, which may be
+// stopped one by one; the tasks of any other victim are stopped together.
+func (s *Scheduler) logVictims(j *inventory.Job, plan *sched.PreemptionPlan) {
+	for _, b := range plan.Victims {
+		s.log.Info("preemption victim", "job", b.Victim.Job, "team", b.Victim.Team, "safe", b.Safe, "tasks", len(b.Tasks), "preemptor", j.ID)
+	}
+}
+
+// LogPreemptionPlan logs a preemption plan for a job, with further keys of the caller.
+func (s *Scheduler) LogPreemptionPlan(job *sched.Job, plan *sched.PreemptionPlan, args ...any) {
 	stops := 0
 	for _, b := range plan.Victims {
 		stops += len(b.Tasks)
-		s.log.Info("preemption victim", "job", b.Victim.Job, "team", b.Victim.Team, "safe", b.Safe, "tasks", len(b.Tasks), "for", j.ID)
 	}
-	s.log.Info("preemption planned", "job", j.ID, "class", j.Class, "mode", plan.Mode.String(), "domain", plan.Domain,
-		"machines", len(plan.Placement), "stops", stops)
+	common := []any{
+		"job", job.ID, "class", job.Class, "mode", plan.Mode.String(), "domain", plan.Domain,
+		"machines", len(plan.Placement), "stops", stops,
+	}
+	s.log.Info("preemption planned", append(common, args...)...)
 }
 
 // planPreemption plans which tasks are stopped for a gang: of its own team, or else, if the gang is
 // within its team's guaranteed quota, of teams that use more than theirs. It returns nil if there is
 // no acceptable plan.
-func (s *Scheduler) planPreemption(j *inventory.Job, covered map[*inventory.Job]bool) *sched.PreemptionPlan {
+func (s *Scheduler) planPreemption(j *inventory.Job, guaranteed map[*inventory.Job]bool) *sched.PreemptionPlan {
 	machines := s.preemptionView()
-	plan := s.planForMode(j.Job, machines, sched.Preempt, covered)
-	if plan == nil && covered[j] {
-		plan = s.planForMode(j.Job, machines, sched.Reclaim, covered)
+	plan := s.planForMode(j.Job, machines, sched.Preempt, guaranteed)
+	if plan == nil && guaranteed[j] {
+		plan = s.planForMode(j.Job, machines, sched.Reclaim, guaranteed)
 	}
 	return plan
 }
@@ -79,8 +90,8 @@
 }
 
 // planForMode returns the cheapest preemption plan of a mode, or nil.
-func (s *Scheduler) planForMode(j *sched.Job, machines []*sched.Machine, mode sched.PreemptionMode, covered map[*inventory.Job]bool) *sched.PreemptionPlan {
-	victims := s.victims(j, mode, covered)
+func (s *Scheduler) planForMode(j *sched.Job, machines []*sched.Machine, mode sched.PreemptionMode, guaranteed map[*inventory.Job]bool) *sched.PreemptionPlan {
+	victims := s.victims(j, mode, guaranteed)
 	if len(victims) == 0 {
 		return nil
 	}
--- a/internal/workers/host.go
+++ b/internal/workers/host.go
@@ -20,7 +20,7 @@
 	// Respond responds to a heartbeat.
 	Respond(request uint64, status wire.Status, body any)
 	// Refuse refuses a heartbeat for now; the worker sends another one later.
-	Refuse(request uint64, reason RefusalReason)
+	Refuse(request uint64, reason wire.RefusalReason)
 	// Call sends a request to a worker and calls done with the response.
 	Call(call Call, done func(Response))
 	// ReportViolation reports that an invariant does not hold, with attributes to log.
@@ -39,10 +39,10 @@
 	RestartRecovery(reason string)
 	// Claimant returns the peer that claims a machine, or "".
 	Claimant(machine string) string
-	// OwnedElsewhere reports whether another owner's record has the machine.
-	OwnedElsewhere(machine string) bool
-	// RecentlyTerminated reports whether the machine was terminated a short time ago.
-	RecentlyTerminated(machine string) bool
+	// IsOwnedElsewhere reports whether another owner's record has the machine.
+	IsOwnedElsewhere(machine string) bool
+	// IsRecentlyTerminated reports whether the machine was terminated a short time ago.
+	IsRecentlyTerminated(machine string) bool
 	// Adopt adds a machine that sends heartbeats but has no record.
 	Adopt(info inventory.MachineInfo) *inventory.Machine
 	// MayRenewLease reports whether responses may renew the leases of workers.
--- a/internal/workers/host_test.go
+++ b/internal/workers/host_test.go
@@ -41,7 +41,7 @@
 	request uint64
 	status  wire.Status
 	body    any
-	refusal RefusalReason
+	refusal wire.RefusalReason
 }
 
 // fakeCall is a call that was made.
@@ -56,7 +56,7 @@
 	h.responses = append(h.responses, fakeResponse{request: request, status: status, body: body})
 }
 
-func (h *fakeHost) Refuse(request uint64, reason RefusalReason) {
+func (h *fakeHost) Refuse(request uint64, reason wire.RefusalReason) {
 	h.responses = append(h.responses, fakeResponse{request: request, status: wire.StatusUnavailable, refusal: reason})
 }
 
@@ -77,9 +77,9 @@
 	h.superseded = true
 }
 
-func (h *fakeHost) Claimant(machine string) string         { return h.claimants[machine] }
-func (h *fakeHost) OwnedElsewhere(machine string) bool     { return h.ownedElsewhere[machine] }
-func (h *fakeHost) RecentlyTerminated(machine string) bool { return h.recentlyTerminated[machine] }
+func (h *fakeHost) Claimant(machine string) string           { return h.claimants[machine] }
+func (h *fakeHost) IsOwnedElsewhere(machine string) bool     { return h.ownedElsewhere[machine] }
+func (h *fakeHost) IsRecentlyTerminated(machine string) bool { return h.recentlyTerminated[machine] }
 
 func (h *fakeHost) Adopt(info inventory.MachineInfo) *inventory.Machine {
 	h.adopted = append(h.adopted, info.Name)
@@ -114,7 +114,7 @@
 	}
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	settings := &config.Settings{Sockets: 64, Tuning: config.DefaultTuning()}
-	h.manager = New(inventory.NewInventory(fakeInventoryHost{h}, log), settings, log, h)
+	h.manager = New(inventory.New(fakeInventoryHost{h}, log), settings, log, h)
 	return h
 }
 
