--- a/internal/frontend/doc.go
+++ b/internal/frontend/doc.go
@@ -16,7 +16,7 @@
 //     concern of the job's owner, which learns of it from the records and its peers
 //   - what state a job is in: lookups.go and lookup_batches.go queue the question,
 //     lookup_reads.go reads the records, lookup_dependencies.go derives the state of a blocked job
-//   - whether an answer is recent enough to be sent: responses.go, which every answer passes,
-//     with the rule itself in package freshness
+//   - whether an answer about a job is recent enough to be sent: responses.go, which every answer
+//     with the state of a job passes, with the rule itself in package freshness
 //   - why a request is refused: refusals.go
 package frontend
