--- a/controller/bench_test.go
+++ b/controller/bench_test.go
@@ -8,11 +8,10 @@
 	"strings"
 	"testing"
 
-	"tamarindlead/internal/inventory"
-
 	"tamarindlead/config"
 	"tamarindlead/internal/cluster"
 	"tamarindlead/internal/frontend"
+	"tamarindlead/internal/inventory"
 	"tamarindlead/internal/kv"
 	"tamarindlead/internal/record"
 	"tamarindlead/internal/scheduler"
--- a/controller/dump_write_test.go
+++ b/controller/dump_write_test.go
@@ -8,7 +8,6 @@
 	"testing"
 
 	"tamarindlead/internal/ordered"
-
 	"tamarindlead/internal/record"
 	"tamarindlead/internal/wire"
 )
--- a/controller/fault_pairs_test.go
+++ b/controller/fault_pairs_test.go
@@ -8,9 +8,8 @@
 	"strings"
 	"testing"
 
-	"tamarindlead/internal/ordered"
-
 	"tamarindlead/config"
+	"tamarindlead/internal/ordered"
 	"tamarindlead/micros"
 	"tamarindlead/sched"
 )
--- a/controller/limits_test.go
+++ b/controller/limits_test.go
@@ -5,12 +5,11 @@
 	"slices"
 	"testing"
 
-	"tamarindlead/internal/inventory"
-
 	"github.com/cockroachdb/datadriven"
 
 	"tamarindlead/config"
 	"tamarindlead/internal/fake"
+	"tamarindlead/internal/inventory"
 	"tamarindlead/internal/kv"
 	"tamarindlead/internal/record"
 	"tamarindlead/internal/scheduler"
--- a/controller/owner.go
+++ b/controller/owner.go
@@ -1,12 +1,11 @@
 package controller
 
 import (
-	"tamarindlead/internal/inventory"
-
 	"tamarindlead/internal/autoscaler"
 	"tamarindlead/internal/cluster"
 	"tamarindlead/internal/commit"
 	"tamarindlead/internal/fleet"
+	"tamarindlead/internal/inventory"
 	"tamarindlead/internal/recovery"
 	"tamarindlead/internal/scheduler"
 	"tamarindlead/internal/workers"
@@ -24,7 +23,6 @@
 	recovery    *recovery.Recovery
 	*inventory.Inventory
 
-	// Jobs.
 	// cascadedCancellations are blocked jobs that must be recorded as cancelled, since an upstream
 	// job was cancelled.
 	cascadedCancellations []string
@@ -39,7 +37,6 @@
 	// cancellationsKnownUntil is when the last watch with a response was sent.
 	cancellationsKnownUntil micros.Micros
 
-	// Machines.
 	fleet *fleet.Fleet
 	// nextMachineRequest is when machines may be requested of other owners again.
 	nextMachineRequest micros.Micros
--- a/controller/pipelines_test.go
+++ b/controller/pipelines_test.go
@@ -5,7 +5,6 @@
 	"slices"
 
 	"tamarindlead/internal/ordered"
-
 	"tamarindlead/internal/record"
 	"tamarindlead/internal/wire"
 	"tamarindlead/micros"
--- a/controller/priority_inheritance_test.go
+++ b/controller/priority_inheritance_test.go
@@ -5,11 +5,10 @@
 	"slices"
 	"testing"
 
-	"tamarindlead/internal/inventory"
-	"tamarindlead/internal/ordered"
-
 	"tamarindlead/internal/dag"
+	"tamarindlead/internal/inventory"
 	"tamarindlead/internal/kv"
+	"tamarindlead/internal/ordered"
 	"tamarindlead/internal/record"
 	"tamarindlead/internal/wire"
 	"tamarindlead/micros"
--- a/controller/scenario_pipelines_test.go
+++ b/controller/scenario_pipelines_test.go
@@ -5,10 +5,9 @@
 	"slices"
 	"strings"
 
-	"tamarindlead/internal/ordered"
-
 	"github.com/cockroachdb/datadriven"
 
+	"tamarindlead/internal/ordered"
 	"tamarindlead/internal/wire"
 	"tamarindlead/micros"
 )
--- a/controller/users_completion_test.go
+++ b/controller/users_completion_test.go
@@ -4,7 +4,6 @@
 	"slices"
 
 	"tamarindlead/internal/ordered"
-
 	"tamarindlead/internal/wire"
 	"tamarindlead/sched"
 )
--- a/controller/workers_adapter_test.go
+++ b/controller/workers_adapter_test.go
@@ -3,9 +3,8 @@
 import (
 	"testing"
 
-	"tamarindlead/internal/inventory"
-
 	"tamarindlead/internal/cluster"
+	"tamarindlead/internal/inventory"
 	"tamarindlead/sched"
 )
 
