--- a/internal/soaktest/server.go
+++ b/internal/soaktest/server.go
@@ -9,6 +9,8 @@
 	"net"
 	"net/http"
 	"sync"
+	"syscall"
+	"time"
 
 	"tamarindlead/internal/wire"
 )
@@ -61,7 +63,7 @@
 	if s.server != nil {
 		return nil
 	}
-	listener, err := net.Listen("tcp4", s.addr)
+	listener, err := listenWhenFree(s.addr)
 	if err != nil {
 		return fmt.Errorf("fake at %s: %w", s.addr, err)
 	}
@@ -73,6 +75,26 @@
 	return nil
 }
 
+// Bounds of the wait for an address that was closed a moment ago.
+const (
+	listenTimeout       = time.Second
+	listenRetryInterval = 2 * time.Millisecond
+)
+
+// listenWhenFree listens at an address, and retries for a short time while it is in use. A process that
+// another goroutine is starting holds a copy of each socket until it executes its program, so that an
+// address can still be in use just after its listener was closed.
+func listenWhenFree(addr string) (net.Listener, error) {
+	deadline := time.Now().Add(listenTimeout)
+	for {
+		listener, err := net.Listen("tcp4", addr)
+		if err == nil || !errors.Is(err, syscall.EADDRINUSE) || time.Now().After(deadline) {
+			return listener, err
+		}
+		time.Sleep(listenRetryInterval)
+	}
+}
+
 // stop closes all connections and refuses new ones.
 func (s *linkServer) stop() {
 	s.mu.Lock()
