--- a/internal/commit/adoption_test.go
+++ b/internal/commit/adoption_test.go
@@ -99,7 +99,7 @@
 	if data := o.flushBlock(t, m.Block.Name); len(data.Machines) != 0 {
 		t.Fatalf("the entry is written before the other blocks are read: %+v", data.Machines)
 	}
-	o.answer(t, kv.OK, kv.TransactionResult{Revision: 8})
+	o.respond(t, kv.OK, kv.TransactionResult{Revision: 8})
 	if m.Recorded {
 		t.Error("the machine counts as recorded")
 	}
@@ -108,7 +108,7 @@
 	if len(data.Machines) != 1 || data.Machines[0].Name != adoptedMachine || data.Machines[0].FencingToken != 8 {
 		t.Errorf("entries %+v, want one of %s with token 8", data.Machines, adoptedMachine)
 	}
-	o.answer(t, kv.OK, kv.TransactionResult{Revision: 9})
+	o.respond(t, kv.OK, kv.TransactionResult{Revision: 9})
 	if !m.Recorded || m.FencingToken != 8 || m.Block.Version != 9 || m.Block.Dirty {
 		t.Errorf("recorded %v, token %d, block %+v", m.Recorded, m.FencingToken, m.Block)
 	}
@@ -119,13 +119,13 @@
 func TestAdoptionIsNotRecordedUnverified(t *testing.T) {
 	o, m := newAdopter(t)
 	o.flushBlock(t, m.Block.Name)
-	o.answer(t, kv.OK, kv.TransactionResult{Revision: 8})
+	o.respond(t, kv.OK, kv.TransactionResult{Revision: 8})
 	read := o.nextCall(t)
 	o.inv.SetMachineState(m, inventory.MachineDecommissioning, "silent")
 	if data := o.flushBlock(t, m.Block.Name); len(data.Machines) != 0 {
 		t.Errorf("an unverified machine is recorded: %+v", data.Machines)
 	}
-	o.answer(t, kv.OK, kv.TransactionResult{Revision: 9})
+	o.respond(t, kv.OK, kv.TransactionResult{Revision: 9})
 	o.now += flushInterval
 	if o.Flush(); len(o.calls) > 0 {
 		t.Fatal("the block is written, or the others are read, again and again")
@@ -146,7 +146,7 @@
 	} {
 		o, m := newAdopter(t)
 		o.flushBlock(t, m.Block.Name)
-		o.answer(t, kv.OK, kv.TransactionResult{Revision: 8})
+		o.respond(t, kv.OK, kv.TransactionResult{Revision: 8})
 		o.nextCall(t).listed(kv.Listing{Entries: []kv.Entry{unreadable, blockOf("m-8")}}, nil)
 		if m.FencingToken != 0 || m.Verifying {
 			t.Fatalf("token %d, verifying %v", m.FencingToken, m.Verifying)
@@ -156,7 +156,7 @@
 		}
 		o.now += maxVerificationPause
 		o.flushBlock(t, m.Block.Name)
-		o.answer(t, kv.OK, kv.TransactionResult{Revision: 10})
+		o.respond(t, kv.OK, kv.TransactionResult{Revision: 10})
 		o.nextCall(t).listed(kv.Listing{Entries: []kv.Entry{blockOf("m-8")}}, nil)
 		if m.FencingToken != 10 {
 			t.Errorf("token %d after the blocks could be read", m.FencingToken)
@@ -186,7 +186,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			o, m := newAdopter(t)
 			o.flushBlock(t, m.Block.Name)
-			o.answer(t, kv.OK, kv.TransactionResult{Revision: 8})
+			o.respond(t, kv.OK, kv.TransactionResult{Revision: 8})
 			o.nextCall(t).listed(kv.Listing{Revision: 9, LastRevision: 11}, nil)
 			if m.FencingToken != 0 {
 				t.Fatal("claimed before the changes between the pages were read")
@@ -208,7 +208,7 @@
 func TestAdoptedWithTasksElsewhere(t *testing.T) {
 	o, m := newRecoveredAdopter(t)
 	o.flushBlock(t, m.Block.Name)
-	o.answer(t, kv.OK, kv.TransactionResult{Revision: 8})
+	o.respond(t, kv.OK, kv.TransactionResult{Revision: 8})
 	o.nextCall(t).listed(kv.Listing{Entries: []kv.Entry{blockOf(adoptedMachine)}}, nil)
 	if len(o.reactions) > 0 || len(m.Attempts) != 1 || o.IsObsolete(record.BlockKey(m.Block.Name)) {
 		t.Fatalf("reactions %q, %d attempts: the task is forgotten", o.reactions, len(m.Attempts))
@@ -217,7 +217,7 @@
 	if len(data.Machines) != 1 || !data.Machines[0].Decommissioning || len(data.Machines[0].Tasks) == 0 {
 		t.Fatalf("entries %+v, want one of a machine that is terminated, with its task", data.Machines)
 	}
-	o.answer(t, kv.OK, kv.TransactionResult{Revision: 9})
+	o.respond(t, kv.OK, kv.TransactionResult{Revision: 9})
 	if m.State != inventory.MachineTerminating || m.FencingToken != 0 {
 		t.Errorf("machine is %v, token %d", m.State, m.FencingToken)
 	}
@@ -230,7 +230,7 @@
 	if data := o.flushBlock(t, m.Block.Name); len(data.Machines) != 1 || len(data.Machines[0].Tasks) == 0 {
 		t.Fatalf("entries %+v: the recorded task is lost", data.Machines)
 	}
-	o.answer(t, kv.OK, kv.TransactionResult{Revision: 8})
+	o.respond(t, kv.OK, kv.TransactionResult{Revision: 8})
 	o.nextCall(t).listed(kv.Listing{}, errors.New("unavailable"))
 	if m.FencingToken != 0 || m.Verifying || !m.Block.Dirty {
 		t.Errorf("token %d, verifying %v, block %+v", m.FencingToken, m.Verifying, m.Block)
@@ -244,7 +244,7 @@
 	abandoned := func() *testOwner {
 		o, m := newAdopter(t)
 		o.flushBlock(t, m.Block.Name)
-		o.answer(t, kv.OK, kv.TransactionResult{Revision: 8})
+		o.respond(t, kv.OK, kv.TransactionResult{Revision: 8})
 		o.nextCall(t).listed(kv.Listing{Entries: []kv.Entry{blockOf(adoptedMachine)}}, nil)
 		o.now += flushInterval
 		return o
@@ -258,7 +258,7 @@
 	if got := o.calls[0].request.Body; !slices.Equal(got, want.Body) {
 		t.Errorf("sent %q, want %q", got, want.Body)
 	}
-	o.answer(t, kv.OK, kv.TransactionResult{Revision: 9})
+	o.respond(t, kv.OK, kv.TransactionResult{Revision: 9})
 	if o.HasBlock(key) {
 		t.Error("the block is kept")
 	}
@@ -284,12 +284,12 @@
 	o.now += flushInterval
 	o.Flush()
 	o.addMachine(o.AdoptedBlock(adoptedMachine), inventory.MachineInfo{Name: adoptedMachine, Type: "mid", Zone: "a"}, 0)
-	o.answer(t, kv.OK, kv.TransactionResult{Revision: 9})
+	o.respond(t, kv.OK, kv.TransactionResult{Revision: 9})
 	if b.Version != 0 {
 		t.Errorf("version %d of a record that is deleted", b.Version)
 	}
 	o.flushBlock(t, b.Name)
-	o.answer(t, kv.OK, kv.TransactionResult{Revision: 10})
+	o.respond(t, kv.OK, kv.TransactionResult{Revision: 10})
 	o.nextCall(t).listed(kv.Listing{}, nil)
 	if m := o.inv.Machines[adoptedMachine]; m == nil || m.FencingToken != 10 {
 		t.Errorf("machine %+v, reactions %q", m, o.reactions)
@@ -303,7 +303,7 @@
 func TestTwoAdopters(t *testing.T) {
 	o, m := newAdopter(t)
 	o.flushBlock(t, m.Block.Name)
-	o.answer(t, kv.PreconditionFailed, kv.TransactionResult{FailedPreconditions: []string{record.BlockKey(m.Block.Name)}})
+	o.respond(t, kv.PreconditionFailed, kv.TransactionResult{FailedPreconditions: []string{record.BlockKey(m.Block.Name)}})
 	if want := []string{"m-9 owned elsewhere in x-m-9"}; !slices.Equal(o.reactions, want) {
 		t.Fatalf("reactions %q, want %q", o.reactions, want)
 	}
@@ -319,7 +319,7 @@
 	o, m := newRecoveredAdopter(t)
 	key := record.BlockKey(m.Block.Name)
 	o.flushBlock(t, m.Block.Name)
-	o.answer(t, kv.PreconditionFailed, kv.TransactionResult{FailedPreconditions: []string{key}})
+	o.respond(t, kv.PreconditionFailed, kv.TransactionResult{FailedPreconditions: []string{key}})
 	if want := []string{"recovery restarted: an own record was changed: " + key}; !slices.Equal(o.reactions, want) {
 		t.Errorf("reactions %q, want %q", o.reactions, want)
 	}
--- a/internal/commit/block_split.go
+++ b/internal/commit/block_split.go
@@ -69,8 +69,8 @@
 	for i, m := range machines {
 		bytes := b.EntryBytes(m)
 		full := assignedBytes+bytes/2 > bytesPerPart*float64(targets)
-		lastChance := len(machines)-i <= parts-targets // each part gets a machine
-		if len(target.Machines) > 0 && targets < parts && (full || lastChance) {
+		oneMachinePerPart := len(machines)-i <= parts-targets // each part gets a machine
+		if len(target.Machines) > 0 && targets < parts && (full || oneMachinePerPart) {
 			target = p.newSplitBlock(b)
 			targets++
 		}
--- a/internal/commit/block_split_test.go
+++ b/internal/commit/block_split_test.go
@@ -12,9 +12,9 @@
 	"tamarindlead/micros"
 )
 
-// TestSplit guards against a block that outgrows the value limit: it would be refused for ever. The
+// TestBlockSplit guards against a block that outgrows the value limit: it would be refused for ever. The
 // entry of each of its machines must be in some record at every moment.
-func TestSplit(t *testing.T) {
+func TestBlockSplit(t *testing.T) {
 	o := newLargeOwner(t)
 	b := o.blocks[0]
 	o.settings.MaxValueBytes = 400
--- a/internal/commit/block_write.go
+++ b/internal/commit/block_write.go
@@ -41,8 +41,8 @@
 
 // addBlock adds a block's record to a transaction in which room writes are left. If the transaction
 // has no room for it, the block waits for the next one.
-func (p *Pipeline) addBlock(t *Transaction, b *inventory.Block, room int) {
-	w := p.newBlockWrite(b, room)
+func (p *Pipeline) addBlock(t *Transaction, b *inventory.Block, remainingWrites int) {
+	w := p.newBlockWrite(b, remainingWrites)
 	for _, m := range b.Machines {
 		w.addMachine(m)
 	}
@@ -52,22 +52,22 @@
 		p.handleOversized(b, value.Size(), w.assumed)
 		return
 	}
-	if !t.hasRoomFor(w.preconditions, value.Size(), p.settings.MaxTransactionOps) {
+	if !t.fits(w.preconditions, value.Size(), p.settings.MaxTransactionOps) {
 		return
 	}
 	w.addTo(t, value)
 }
 
 // newBlockWrite begins the write of a block, without entries.
-func (p *Pipeline) newBlockWrite(b *inventory.Block, room int) *blockWrite {
+func (p *Pipeline) newBlockWrite(b *inventory.Block, remainingWrites int) *blockWrite {
 	w := &blockWrite{
-		pipeline: p, block: b, maxTransfers: room - 1,
+		pipeline: p, block: b, maxTransfers: remainingWrites - 1,
 		data:          &record.BlockData{LaunchTimeBase: int64(p.host.WallClock()), AttemptBase: math.MaxUint64},
 		preconditions: map[string]uint64{record.BlockKey(b.Name): b.Version},
 		offerIndexes:  map[autoscaler.Offer]int{}, jobIndexes: map[string]int{},
 	}
 	if b.HasUnclaimed() {
-		p.requireOwnTeams(w.preconditions)
+		p.requireTeamOwnership(w.preconditions)
 	}
 	for _, m := range b.Machines {
 		for _, a := range m.Attempts {
@@ -78,9 +78,9 @@
 	return w
 }
 
-// hasRoomForPreconditions reports whether the write may have preconditions for these keys too. A
+// fitsPreconditions reports whether the write may have preconditions for these keys too. A
 // block that needs more is written in several steps.
-func (w *blockWrite) hasRoomForPreconditions(keys ...string) bool {
+func (w *blockWrite) fitsPreconditions(keys ...string) bool {
 	n := len(w.preconditions)
 	for _, key := range keys {
 		if _, ok := w.preconditions[key]; !ok {
@@ -105,7 +105,7 @@
 		return
 	}
 	adoptable := w.isAdoptableByOthers(m)
-	if adoptable && !w.hasRoomForPreconditions(record.BlockKey(inventory.AdoptedPrefix+m.Name)) {
+	if adoptable && !w.fitsPreconditions(record.BlockKey(inventory.AdoptedPrefix+m.Name)) {
 		return // its first claim comes with the next write
 	}
 	w.stored = append(w.stored, m)
@@ -129,7 +129,7 @@
 		return false
 	}
 	successor, live := w.pipeline.transfers.Successor(m)
-	if !live || !w.hasRoomForPreconditions(successor.Key) {
+	if !live || !w.fitsPreconditions(successor.Key) {
 		return false
 	}
 	w.preconditions[successor.Key] = successor.Version
@@ -174,7 +174,7 @@
 // owner.
 func (w *blockWrite) addAssumed(a *inventory.Attempt) bool {
 	jobKey, teamKey := record.ActiveJobKey(a.Job.ID), record.TeamKey(a.Job.Team)
-	if !w.hasRoomForPreconditions(jobKey, teamKey) {
+	if !w.fitsPreconditions(jobKey, teamKey) {
 		return false
 	}
 	w.preconditions[jobKey] = a.Job.Version
--- a/internal/commit/completion_segments.go
+++ b/internal/commit/completion_segments.go
@@ -24,7 +24,7 @@
 	if s := j.Segments[chunk]; s != nil {
 		return s
 	}
-	s := p.segmentWithRoom(j, chunk, nil)
+	s := p.segmentWithCapacity(j, chunk, nil)
 	s.AddChunk(j, chunk)
 	return s
 }
@@ -34,9 +34,9 @@
 	return p.settings.MaxValueBytes - inventory.SegmentSpareBytes
 }
 
-// segmentWithRoom returns a segment that can take a chunk, and adds one if there is none. It is
+// segmentWithCapacity returns a segment that can take a chunk, and adds one if there is none. It is
 // neither one that must not be written yet, nor the one that the chunk leaves.
-func (p *Pipeline) segmentWithRoom(j *inventory.Job, chunk int, from *inventory.CompletionSegment) *inventory.CompletionSegment {
+func (p *Pipeline) segmentWithCapacity(j *inventory.Job, chunk int, from *inventory.CompletionSegment) *inventory.CompletionSegment {
 	for _, s := range p.segments {
 		fits := s.Bytes+j.ChunkBytes(chunk) <= p.maxSegmentBytes()
 		if s != from && s.Team == j.Team && s.UnwrittenTargets == 0 && fits {
@@ -67,7 +67,7 @@
 		p.log.Info("completion segment exceeds the value limit", "segment", s.Key(), "bytes", s.Bytes, "chunks", len(s.Chunks))
 		for _, k := range s.SortedChunks() {
 			j := s.Chunks[k]
-			p.MoveChunk(s, p.segmentWithRoom(j, k.Chunk, s), j, k.Chunk)
+			p.MoveChunk(s, p.segmentWithCapacity(j, k.Chunk, s), j, k.Chunk)
 		}
 	}
 }
@@ -93,7 +93,7 @@
 func (p *Pipeline) addSegment(t *Transaction, s *inventory.CompletionSegment) {
 	preconditions := map[string]uint64{s.Key(): s.Version}
 	size := s.Bytes + inventory.SegmentFrameBytes
-	if !t.hasRoomFor(preconditions, size, p.settings.MaxTransactionOps) {
+	if !t.fits(preconditions, size, p.settings.MaxTransactionOps) {
 		return
 	}
 	maps.Copy(t.preconditions, preconditions)
--- a/internal/commit/fixtures_test.go
+++ b/internal/commit/fixtures_test.go
@@ -26,7 +26,7 @@
 	superseded     bool
 	lastNumber     uint64
 	typicalTasks   int
-	newOwnerLive   bool // of transferred machines
+	successorLive  bool // of transferred machines
 	// reactions are the calls of the host's methods that react to results.
 	reactions []string
 	timers    []func()
@@ -113,7 +113,7 @@
 // Transfers.
 
 func (o *testOwner) Successor(m *inventory.Machine) (kv.Precondition, bool) {
-	return kv.Precondition{Key: record.MemberKey(m.TransferTo.Node()), Version: 5}, o.newOwnerLive
+	return kv.Precondition{Key: record.MemberKey(m.TransferTo.Node()), Version: 5}, o.successorLive
 }
 
 func (o *testOwner) AddTo(t *Transaction, m *inventory.Machine) { t.Put("transfer/"+m.Name, m.Name) }
@@ -158,8 +158,8 @@
 	return c
 }
 
-// answer answers the oldest open transaction.
-func (o *testOwner) answer(tb testing.TB, outcome kv.Outcome, result kv.TransactionResult) {
+// respond answers the oldest open transaction.
+func (o *testOwner) respond(tb testing.TB, outcome kv.Outcome, result kv.TransactionResult) {
 	tb.Helper()
 	o.nextCall(tb).done(kv.Result{Outcome: outcome, Body: wire.Encode(result)})
 }
--- a/internal/commit/flush.go
+++ b/internal/commit/flush.go
@@ -44,22 +44,22 @@
 
 // fill adds at most maxWrites writes to a transaction. The order is that of urgency.
 func (p *Pipeline) fill(t *Transaction, maxWrites int) {
-	room := func() int { return maxWrites - len(t.writes) }
+	remainingWrites := func() int { return maxWrites - len(t.writes) }
 	full := func() bool {
-		return room() < 1 || t.valueBytes > MaxTransactionBytes/2 || len(t.preconditions) > 2*p.settings.MaxTransactionOps
+		return remainingWrites() < 1 || t.valueBytes > MaxTransactionBytes/2 || len(t.preconditions) > 2*p.settings.MaxTransactionOps
 	}
 	// Some changes take two writes.
-	fullForPair := func() bool { return room() < 2 || full() }
-	p.addClaims(t, room)
+	fullForPair := func() bool { return remainingWrites() < 2 || full() }
+	p.addClaims(t, remainingWrites)
 	p.addTerminalStates(t, fullForPair)
 	// No user waits for cascaded cancellations: they leave half to the rest, then take what
 	// remains.
 	half := maxWrites / 2
-	p.sources.CascadedCancellations(t, func() bool { return room() < 2+half || full() })
+	p.sources.CascadedCancellations(t, func() bool { return remainingWrites() < 2+half || full() })
 	p.sources.ScaleOutRequests(t, fullForPair)
 	p.sources.Reservations(t, full)
 	p.addOverdueDeletion(t, full)
-	p.addRecords(t, room)
+	p.addRecords(t, remainingWrites)
 	p.sources.CascadedCancellations(t, fullForPair)
 }
 
--- a/internal/commit/machine_claims.go
+++ b/internal/commit/machine_claims.go
@@ -10,10 +10,10 @@
 // machine.
 func (p *Pipeline) OwnsAllTeams() bool { return len(p.inv.Teams) == len(p.settings.Teams) }
 
-// requireOwnTeams adds the preconditions of machines' first claims: that this owner still has its
+// requireTeamOwnership adds the preconditions of machines' first claims: that this owner still has its
 // teams. No live owner loses a team, and each transaction requires this node's member record; so
 // if there are more teams than a transaction may have preconditions, some of them suffice.
-func (p *Pipeline) requireOwnTeams(preconditions map[string]uint64) {
+func (p *Pipeline) requireTeamOwnership(preconditions map[string]uint64) {
 	for i, name := range ordered.Keys(p.inv.Teams) {
 		if i == p.settings.MaxTransactionOps {
 			return
--- a/internal/commit/result_test.go
+++ b/internal/commit/result_test.go
@@ -25,7 +25,7 @@
 	if len(o.calls) != 1 || !o.InFlight() {
 		t.Fatalf("%d transactions in flight", len(o.calls))
 	}
-	o.answer(t, kv.OK, kv.TransactionResult{Revision: 8})
+	o.respond(t, kv.OK, kv.TransactionResult{Revision: 8})
 	if o.Flush(); o.InFlight() {
 		t.Fatal("the next transaction does not wait for the interval")
 	}
@@ -73,7 +73,7 @@
 				if !slices.Equal(o.calls[0].request.Body, first.Body) {
 					t.Error("another transaction is sent before the result of the first is known")
 				}
-				o.answer(t, outcome, kv.TransactionResult{Revision: 8})
+				o.respond(t, outcome, kv.TransactionResult{Revision: 8})
 			}
 			if written := b.Version == 8 && !b.Dirty && !b.Writing; written != test.written {
 				t.Errorf("written %v, want %v", written, test.written)
@@ -110,7 +110,7 @@
 	o.MarkDirty(b.Machines[0])
 	o.Flush()
 	o.superseded = true
-	o.answer(t, kv.OK, kv.TransactionResult{Revision: 8})
+	o.respond(t, kv.OK, kv.TransactionResult{Revision: 8})
 	if b.Version != 7 || !b.Writing {
 		t.Errorf("block %+v has changed", b)
 	}
@@ -138,7 +138,7 @@
 			m.FencingToken = 0
 			o.MarkDirty(m)
 			o.Flush()
-			o.answer(t, kv.PreconditionFailed, kv.TransactionResult{FailedPreconditions: test.failed})
+			o.respond(t, kv.PreconditionFailed, kv.TransactionResult{FailedPreconditions: test.failed})
 			if !slices.Equal(o.reactions, test.want) {
 				t.Errorf("reactions %q, want %q", o.reactions, test.want)
 			}
@@ -187,7 +187,7 @@
 		if !committed {
 			outcome, want = kv.Throttled, nil
 		}
-		o.answer(t, outcome, kv.TransactionResult{Revision: 8})
+		o.respond(t, outcome, kv.TransactionResult{Revision: 8})
 		if j.Writing || !slices.Equal(o.reactions, want) {
 			t.Errorf("%v: writing %v, reactions %q, want %q", outcome, j.Writing, o.reactions, want)
 		}
@@ -207,7 +207,7 @@
 		o.now += flushInterval
 		o.Flush()
 		writes := o.calls[0].request.WriteCount
-		o.answer(t, kv.OK, kv.TransactionResult{Revision: 8})
+		o.respond(t, kv.OK, kv.TransactionResult{Revision: 8})
 		return writes
 	}
 	if n := flushDirty(); n != 1 {
@@ -222,7 +222,7 @@
 	if c := o.calls[0]; c.purpose != budget.Cleanup || c.request.WriteCount != 2 {
 		t.Fatalf("%d writes for %v", c.request.WriteCount, c.purpose)
 	}
-	o.answer(t, kv.OK, kv.TransactionResult{Revision: 9})
+	o.respond(t, kv.OK, kv.TransactionResult{Revision: 9})
 	if len(o.obsoleteKeys) != 0 || o.InFlight() {
 		t.Errorf("%q are left", o.obsoleteKeys)
 	}
@@ -260,7 +260,7 @@
 			if c := o.calls[0]; c.purpose != budget.Ownership {
 				t.Errorf("the claim is sent for %v", c.purpose)
 			}
-			o.answer(t, kv.OK, kv.TransactionResult{Revision: 8})
+			o.respond(t, kv.OK, kv.TransactionResult{Revision: 8})
 			if !m.Verifying || m.FencingToken != 0 {
 				t.Fatal("the claim counts before it is verified")
 			}
@@ -283,7 +283,7 @@
 func TestTransfer(t *testing.T) {
 	for _, live := range []bool{true, false} {
 		o := newSmallOwner(t)
-		o.newOwnerLive = live
+		o.successorLive = live
 		m := o.inv.Machines["m-0"]
 		m.TransferTo = "n1"
 		o.inv.SetMachineState(m, inventory.MachineTransferring, "test")
@@ -295,7 +295,7 @@
 		if n := o.calls[0].request.WriteCount; n != writes {
 			t.Errorf("new owner live %v: %d writes", live, n)
 		}
-		o.answer(t, kv.OK, kv.TransactionResult{Revision: 8})
+		o.respond(t, kv.OK, kv.TransactionResult{Revision: 8})
 		if !slices.Equal(o.reactions, want) {
 			t.Errorf("new owner live %v: reactions %q", live, o.reactions)
 		}
--- a/internal/commit/transaction.go
+++ b/internal/commit/transaction.go
@@ -56,9 +56,9 @@
 	}
 }
 
-// hasRoomFor reports whether there is room for another write with its preconditions in a
+// fits reports whether there is room for another write with its preconditions in a
 // transaction of at most maxOps writes.
-func (t *Transaction) hasRoomFor(preconditions map[string]uint64, size, maxOps int) bool {
+func (t *Transaction) fits(preconditions map[string]uint64, size, maxOps int) bool {
 	n := len(t.preconditions) + 1 // this node's member record
 	for key := range preconditions {
 		if _, ok := t.preconditions[key]; !ok {
--- a/internal/commit/write_priority.go
+++ b/internal/commit/write_priority.go
@@ -31,7 +31,7 @@
 }
 
 // addClaims adds the blocks with machines that must be claimed, the most urgent first.
-func (p *Pipeline) addClaims(t *Transaction, room func() int) {
+func (p *Pipeline) addClaims(t *Transaction, remainingWrites func() int) {
 	now := p.host.Now()
 	var due []dueRecord
 	for _, b := range p.blocks {
@@ -39,11 +39,11 @@
 			due = append(due, dueRecord{block: b, urgency: blockUrgency(b, now)})
 		}
 	}
-	p.addDueRecords(t, due, room)
+	p.addDueRecords(t, due, remainingWrites)
 }
 
 // addRecords adds the blocks and segments that are due, the most urgent first.
-func (p *Pipeline) addRecords(t *Transaction, room func() int) {
+func (p *Pipeline) addRecords(t *Transaction, remainingWrites func() int) {
 	for _, b := range slices.Clone(p.blocks) {
 		p.mergeTransferred(b)
 	}
@@ -59,20 +59,20 @@
 			due = append(due, dueRecord{segment: s, urgency: segmentUrgency(s, now)})
 		}
 	}
-	p.addDueRecords(t, due, room)
+	p.addDueRecords(t, due, remainingWrites)
 }
 
 // addDueRecords adds records while the transaction has room.
-func (p *Pipeline) addDueRecords(t *Transaction, due []dueRecord, room func() int) {
+func (p *Pipeline) addDueRecords(t *Transaction, due []dueRecord, remainingWrites func() int) {
 	slices.SortStableFunc(due, func(a, b dueRecord) int { return cmp.Compare(b.urgency, a.urgency) })
 	for _, r := range due {
-		if room() < 1 {
+		if remainingWrites() < 1 {
 			return
 		}
 		if r.segment != nil {
 			p.addSegment(t, r.segment)
 		} else {
-			p.addBlock(t, r.block, room())
+			p.addBlock(t, r.block, remainingWrites())
 		}
 	}
 }
--- a/internal/machinetypes/cloud_reads.go
+++ b/internal/machinetypes/cloud_reads.go
@@ -41,7 +41,7 @@
 		} else {
 			t.handleRead(response)
 		}
-		t.settle(func(c confirmation) bool { return c.since <= t.cloud.sentAt }, err == nil)
+		t.completeConfirmations(func(c confirmation) bool { return c.requestedAt <= t.cloud.sentAt }, err == nil)
 		t.readForConfirmations()
 	})
 }
--- a/internal/machinetypes/confirmation.go
+++ b/internal/machinetypes/confirmation.go
@@ -17,34 +17,34 @@
 
 // confirmation waits for a read of the cloud that begins after the question came.
 type confirmation struct {
-	since micros.Micros
-	done  func(confirmed bool)
+	requestedAt micros.Micros
+	done        func(confirmed bool)
 }
 
 // Confirm calls done with true once the types were read from the cloud by a request that was sent after
 // this call, or with false if that is not possible within a second. While the cloud does not answer, or
 // too many reads were caused by confirmations, that is at once.
 func (t *Table) Confirm(done func(confirmed bool)) {
-	if !t.mayConfirm() {
+	if !t.reserveConfirmationRead() {
 		done(false)
 		return
 	}
-	t.waiting = append(t.waiting, confirmation{t.host.Now(), done})
+	t.pendingConfirmations = append(t.pendingConfirmations, confirmation{t.host.Now(), done})
 	t.readForConfirmations()
 }
 
-// mayConfirm reports whether a confirmation has a chance, and sees to the read that it needs: one that
+// reserveConfirmationRead reports whether a confirmation has a chance, and sees to the read that it needs: one that
 // is in flight was sent too early.
-func (t *Table) mayConfirm() bool {
+func (t *Table) reserveConfirmationRead() bool {
 	now := t.host.Now()
 	c := &t.cloud
 	failing := c.failures > 0 && now < c.nextAt
-	unanswered := c.reading && now-c.sentAt > confirmationTimeout
-	if failing || unanswered || len(t.waiting) >= maxConfirmations {
+	overdue := c.reading && now-c.sentAt > confirmationTimeout
+	if failing || overdue || len(t.pendingConfirmations) >= maxConfirmations {
 		return false
 	}
 	if !c.confirmNext {
-		c.confirmNext = t.confirmationReads.AllowN(now.Time(), 1)
+		c.confirmNext = t.confirmationLimiter.AllowN(now.Time(), 1)
 	}
 	return c.confirmNext
 }
@@ -58,14 +58,14 @@
 
 // expireConfirmations gives up the confirmations that have waited for too long.
 func (t *Table) expireConfirmations() {
-	t.settle(func(c confirmation) bool { return t.host.Now()-c.since > confirmationTimeout }, false)
+	t.completeConfirmations(func(c confirmation) bool { return t.host.Now()-c.requestedAt > confirmationTimeout }, false)
 }
 
-// settle answers the confirmations that a condition selects.
-func (t *Table) settle(selected func(c confirmation) bool, confirmed bool) {
-	waiting := t.waiting
-	t.waiting = slices.DeleteFunc(slices.Clone(waiting), selected)
-	for _, c := range waiting {
+// completeConfirmations answers the confirmations that a condition selects.
+func (t *Table) completeConfirmations(selected func(c confirmation) bool, confirmed bool) {
+	pendingConfirmations := t.pendingConfirmations
+	t.pendingConfirmations = slices.DeleteFunc(slices.Clone(pendingConfirmations), selected)
+	for _, c := range pendingConfirmations {
 		if selected(c) {
 			c.done(confirmed)
 		}
--- a/internal/machinetypes/confirmation_test.go
+++ b/internal/machinetypes/confirmation_test.go
@@ -12,13 +12,13 @@
 // since, and, at a node without teams, for as long as the process lived (scenario type_offered).
 
 // confirmations counts the answers to confirmations.
-type confirmations struct{ confirmed, refused int }
+type confirmations struct{ confirmed, denied int }
 
 func (c *confirmations) done(confirmed bool) {
 	if confirmed {
 		c.confirmed++
 	} else {
-		c.refused++
+		c.denied++
 	}
 }
 
@@ -27,13 +27,13 @@
 	t.Helper()
 	table, node := newTable()
 	table.readCloud()
-	node.answerFetch(t, wire.StatusOK, wire.Encode(types("small")))
+	node.respondToFetch(t, wire.StatusOK, wire.Encode(types("small")))
 	node.now += micros.Second
 	return table, node
 }
 
-// answerFetch answers the oldest read of the cloud.
-func (n *fakeNode) answerFetch(t *testing.T, status wire.Status, body []byte) {
+// respondToFetch answers the oldest read of the cloud.
+func (n *fakeNode) respondToFetch(t *testing.T, status wire.Status, body []byte) {
 	t.Helper()
 	if len(n.fetches) == 0 {
 		t.Fatal("no read of the cloud is open")
@@ -43,25 +43,25 @@
 	done(status, body)
 }
 
-// TestConfirmReadsAfterTheQuestion checks that a read which was sent before the question confirms
+// TestConfirmRequiresLaterRead checks that a read which was sent before the question confirms
 // nothing, and that one read confirms all questions that came before it.
-func TestConfirmReadsAfterTheQuestion(t *testing.T) {
+func TestConfirmRequiresLaterRead(t *testing.T) {
 	table, node := newReadTable(t)
 	table.readCloud()
 	node.now += micros.Millisecond
-	var answers confirmations
-	table.Confirm(answers.done)
-	table.Confirm(answers.done)
+	var results confirmations
+	table.Confirm(results.done)
+	table.Confirm(results.done)
 	if len(node.fetches) != 1 {
 		t.Fatalf("%d reads of the cloud at a time", len(node.fetches))
 	}
-	node.answerFetch(t, wire.StatusOK, wire.Encode(types("small")))
-	if answers != (confirmations{}) {
-		t.Fatalf("%+v by a read that was sent before", answers)
+	node.respondToFetch(t, wire.StatusOK, wire.Encode(types("small")))
+	if results != (confirmations{}) {
+		t.Fatalf("%+v by a read that was sent before", results)
 	}
-	node.answerFetch(t, wire.StatusOK, wire.Encode(types("small", "new")))
-	if want := (confirmations{confirmed: 2}); answers != want || table.Find("new") == nil {
-		t.Errorf("%+v, want %+v by the types that were read", answers, want)
+	node.respondToFetch(t, wire.StatusOK, wire.Encode(types("small", "new")))
+	if want := (confirmations{confirmed: 2}); results != want || table.Find("new") == nil {
+		t.Errorf("%+v, want %+v by the types that were read", results, want)
 	}
 	if len(node.fetches) != 0 {
 		t.Error("the types are read once more for nothing")
@@ -72,14 +72,14 @@
 // for a second at most, and the next ones are answered at once.
 func TestConfirmFails(t *testing.T) {
 	for _, c := range []struct {
-		name   string
-		answer func(t *testing.T, table *Table, node *fakeNode)
+		name    string
+		respond func(t *testing.T, table *Table, node *fakeNode)
 	}{
 		{"unavailable", func(t *testing.T, _ *Table, node *fakeNode) {
-			node.answerFetch(t, wire.StatusUnavailable, nil)
+			node.respondToFetch(t, wire.StatusUnavailable, nil)
 		}},
 		{"no type", func(t *testing.T, _ *Table, node *fakeNode) {
-			node.answerFetch(t, wire.StatusOK, wire.Encode(types()))
+			node.respondToFetch(t, wire.StatusOK, wire.Encode(types()))
 		}},
 		{"no response", func(_ *testing.T, table *Table, node *fakeNode) {
 			node.now += confirmationTimeout + 1
@@ -88,16 +88,16 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			table, node := newReadTable(t)
-			var answers confirmations
-			table.Confirm(answers.done)
-			c.answer(t, table, node)
-			if want := (confirmations{refused: 1}); answers != want {
-				t.Fatalf("%+v, want %+v", answers, want)
+			var results confirmations
+			table.Confirm(results.done)
+			c.respond(t, table, node)
+			if want := (confirmations{denied: 1}); results != want {
+				t.Fatalf("%+v, want %+v", results, want)
 			}
 			open := len(node.fetches)
-			table.Confirm(answers.done)
-			if want := (confirmations{refused: 2}); answers != want || len(node.fetches) != open {
-				t.Errorf("%+v with %d more reads, want %+v at once", answers, len(node.fetches)-open, want)
+			table.Confirm(results.done)
+			if want := (confirmations{denied: 2}); results != want || len(node.fetches) != open {
+				t.Errorf("%+v with %d more reads, want %+v at once", results, len(node.fetches)-open, want)
 			}
 			checkNames(t, table, "small")
 		})
@@ -108,18 +108,18 @@
 // is beyond them is answered at once.
 func TestConfirmationRate(t *testing.T) {
 	table, node := newReadTable(t)
-	var answers confirmations
+	var results confirmations
 	for range 3 * confirmationBurst {
-		table.Confirm(answers.done)
+		table.Confirm(results.done)
 		if len(node.fetches) > 0 {
-			node.answerFetch(t, wire.StatusOK, wire.Encode(types("small")))
+			node.respondToFetch(t, wire.StatusOK, wire.Encode(types("small")))
 		}
 	}
-	if want := (confirmations{confirmationBurst, 2 * confirmationBurst}); answers != want {
-		t.Errorf("%+v, want %+v", answers, want)
+	if want := (confirmations{confirmationBurst, 2 * confirmationBurst}); results != want {
+		t.Errorf("%+v, want %+v", results, want)
 	}
 	node.now += 10 * micros.Second
-	table.Confirm(answers.done)
+	table.Confirm(results.done)
 	if len(node.fetches) != 1 {
 		t.Error("no read is allowed after ten seconds")
 	}
--- a/internal/machinetypes/stored_copy.go
+++ b/internal/machinetypes/stored_copy.go
@@ -16,8 +16,8 @@
 	copyReadInterval = 10 * micros.Second
 	// ownerCopyAge is the age of the copy at which an owner renews it, and otherCopyAge that at
 	// which any other node does: the owners seem not to reach the cloud.
-	ownerCopyAge = refreshInterval
-	otherCopyAge = refreshInterval * 3 / 2
+	ownerCopyAge    = refreshInterval
+	nonOwnerCopyAge = refreshInterval * 3 / 2
 	// unknownCopyAge is the assumed age of a copy that does not tell when it was read: anything
 	// else is newer.
 	unknownCopyAge = 24 * micros.Hour
@@ -90,9 +90,9 @@
 		}
 		return
 	}
-	if t.copyIsOlderThan(otherCopyAge) {
+	if t.copyIsOlderThan(nonOwnerCopyAge) {
 		t.readCopy(func() {
-			if t.source == SourceCloud && t.copyIsOlderThan(otherCopyAge) {
+			if t.source == SourceCloud && t.copyIsOlderThan(nonOwnerCopyAge) {
 				t.writeCopy(response)
 			}
 		})
--- a/internal/machinetypes/stored_copy_test.go
+++ b/internal/machinetypes/stored_copy_test.go
@@ -20,8 +20,8 @@
 	return wire.Encode(record.MachineTypes{MachineTypes: types(names...), ReadAt: readAt})
 }
 
-// answerRead answers the oldest read of the copy.
-func (n *fakeNode) answerRead(t *testing.T, outcome kv.Outcome, value []byte) {
+// respondToRead answers the oldest read of the copy.
+func (n *fakeNode) respondToRead(t *testing.T, outcome kv.Outcome, value []byte) {
 	t.Helper()
 	if len(n.reads) == 0 {
 		t.Fatal("the copy is not read")
@@ -31,8 +31,8 @@
 	done(outcome, kv.Entry{Value: value})
 }
 
-// TestNewerCopyIsTaken checks which copy a node takes that does not reach the cloud.
-func TestNewerCopyIsTaken(t *testing.T) {
+// TestNewerCopyIsUsed checks which copy a node takes that does not reach the cloud.
+func TestNewerCopyIsUsed(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		value  []byte
@@ -50,14 +50,14 @@
 			table, node := newTable()
 			node.wallClock, node.notMember = wallClock, true
 			table.readCloud()
-			node.answerFetch(t, wire.StatusOK, wire.Encode(types("small")))
+			node.respondToFetch(t, wire.StatusOK, wire.Encode(types("small")))
 			node.reads = nil
 			node.now += 30 * micros.Second
 			node.wallClock += 30 * micros.Second
 			table.copy = storedCopy{}
 			table.Tick()
-			node.answerFetch(t, wire.StatusUnavailable, nil)
-			node.answerRead(t, kv.OK, c.value)
+			node.respondToFetch(t, wire.StatusUnavailable, nil)
+			node.respondToRead(t, kv.OK, c.value)
 			checkNames(t, table, c.want)
 			if source, age := table.Origin(); source != c.source || age > 30*micros.Second {
 				t.Errorf("types of the %v, %v old, want the %v", source, age, c.source)
@@ -74,9 +74,9 @@
 	copyReads := 0
 	for _, pause := range []micros.Micros{2, 4, 8, 8} {
 		table.Tick()
-		node.answerFetch(t, wire.StatusUnavailable, nil)
+		node.respondToFetch(t, wire.StatusUnavailable, nil)
 		if len(node.reads) > 0 {
-			node.answerRead(t, kv.NotFound, nil)
+			node.respondToRead(t, kv.NotFound, nil)
 			copyReads++
 		}
 		node.now += pause*micros.Second - 1
@@ -107,28 +107,28 @@
 		{"owner, types changed", true, true, 0, micros.Second, "other", 1, true},
 		{"owner, copy is old", true, true, 0, ownerCopyAge, "small", 1, true},
 		{"other node, owners renew it", false, true, 10 * micros.Second, refreshInterval, "small", 0, false},
-		{"other node, copy is old", false, true, otherCopyAge, refreshInterval, "small", 1, false},
-		{"other node, not a member", false, false, otherCopyAge, refreshInterval, "small", 0, false},
+		{"other node, copy is old", false, true, nonOwnerCopyAge, refreshInterval, "small", 1, false},
+		{"other node, not a member", false, false, nonOwnerCopyAge, refreshInterval, "small", 0, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			table, node := newTable()
 			node.wallClock, node.owner, node.active = wallClock, c.owner, c.owner
 			table.readCloud()
-			node.answerFetch(t, wire.StatusOK, wire.Encode(types("small")))
+			node.respondToFetch(t, wire.StatusOK, wire.Encode(types("small")))
 			if !c.owner {
-				node.answerRead(t, kv.OK, copyOf(wallClock, "small"))
-				table.copy.asOf -= otherCopyAge // last seen
+				node.respondToRead(t, kv.OK, copyOf(wallClock, "small"))
+				table.copy.asOf -= nonOwnerCopyAge // last seen
 			}
 			node.writes, node.notMember = nil, !c.member
 			node.now += c.after
 			node.wallClock += c.after
 			table.readCloud()
-			node.answerFetch(t, wire.StatusOK, wire.Encode(types(c.names)))
+			node.respondToFetch(t, wire.StatusOK, wire.Encode(types(c.names)))
 			if unread := len(node.reads) == 0; unread != c.isUnread {
 				t.Fatalf("copy unread %v, want %v", unread, c.isUnread)
 			}
 			if !c.isUnread {
-				node.answerRead(t, kv.OK, copyOf(node.wallClock-c.copyAge, "small"))
+				node.respondToRead(t, kv.OK, copyOf(node.wallClock-c.copyAge, "small"))
 			}
 			if len(node.writes) != c.writes {
 				t.Errorf("%d writes, want %d", len(node.writes), c.writes)
--- a/internal/machinetypes/table.go
+++ b/internal/machinetypes/table.go
@@ -49,8 +49,8 @@
 	cloud cloudReads
 	copy  storedCopy
 
-	waiting           []confirmation
-	confirmationReads *rate.Limiter
+	pendingConfirmations []confirmation
+	confirmationLimiter  *rate.Limiter
 }
 
 // Settings are the limits that a table keeps to.
@@ -66,7 +66,7 @@
 func New(host Host, store Store, settings Settings, log *slog.Logger) *Table {
 	return &Table{
 		host: host, store: store, log: log, maxValueBytes: settings.MaxValueBytes,
-		confirmationReads: rate.NewLimiter(rate.Limit(settings.ConfirmationRate), confirmationBurst),
+		confirmationLimiter: rate.NewLimiter(rate.Limit(settings.ConfirmationRate), confirmationBurst),
 	}
 }
 
--- a/internal/machinetypes/table_test.go
+++ b/internal/machinetypes/table_test.go
@@ -92,9 +92,9 @@
 	}
 }
 
-// TestReadRecord checks that an empty table is filled from the key-value store, and from the cloud
+// TestFillEmptyTable checks that an empty table is filled from the key-value store, and from the cloud
 // only if the store has no types.
-func TestReadRecord(t *testing.T) {
+func TestFillEmptyTable(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		outcome kv.Outcome
@@ -207,8 +207,8 @@
 	}
 }
 
-// TestRecord checks that an owner writes the types once, under its preconditions, if they fit a value.
-func TestRecord(t *testing.T) {
+// TestWriteCopy checks that an owner writes the types once, under its preconditions, if they fit a value.
+func TestWriteCopy(t *testing.T) {
 	for _, c := range []struct {
 		name          string
 		owner         bool
--- a/internal/recovery/adopted_blocks_test.go
+++ b/internal/recovery/adopted_blocks_test.go
@@ -22,11 +22,11 @@
 func TestRecoverAdoptedAndOtherBlock(t *testing.T) {
 	const machine = "m-000001"
 	for _, c := range []struct {
-		name                             string
-		otherVersion                     uint64 // the adopter's block has 20
-		inOther, inAdopted               []int  // tasks with attempts
-		otherLeaves, adoptedDecommission bool   // the machine is being terminated by one of the owners
-		want                             []int
+		name                                     string
+		otherVersion                             uint64 // the adopter's block has 20
+		inOther, inAdopted                       []int  // tasks with attempts
+		otherDecommissions, adopterDecommissions bool   // the machine is being terminated by one of the owners
+		want                                     []int
 	}{
 		{"older, adopted without attempts", 10, []int{0, 1}, nil, false, false, []int{0, 1}},
 		{"newer, adopted without attempts", 30, []int{0, 1}, nil, false, false, []int{0, 1}},
@@ -49,8 +49,8 @@
 			}
 			adopted := inventory.AdoptedPrefix + machine
 			o.RecoverBlocks([]kv.Entry{
-				decommissioned(t, c.otherLeaves, blockEntry(self, "other", c.otherVersion, machine, placements(c.inOther)...)),
-				decommissioned(t, c.adoptedDecommission, blockEntry(self, adopted, 20, machine, placements(c.inAdopted)...)),
+				decommissioned(t, c.otherDecommissions, blockEntry(self, "other", c.otherVersion, machine, placements(c.inOther)...)),
+				decommissioned(t, c.adopterDecommissions, blockEntry(self, adopted, 20, machine, placements(c.inAdopted)...)),
 			})
 			m := o.inv.Machines[machine]
 			if m == nil || m.Block.Name != "other" {
@@ -66,7 +66,7 @@
 			if !slices.Equal(got, c.want) {
 				t.Errorf("attempts of the tasks %v are kept, want %v", got, c.want)
 			}
-			if terminating := m.State == inventory.MachineTerminating; terminating != (c.otherLeaves || c.adoptedDecommission) {
+			if terminating := m.State == inventory.MachineTerminating; terminating != (c.otherDecommissions || c.adopterDecommissions) {
 				t.Errorf("machine is %v", m.State)
 			}
 			o.checkDeletedAfter(t, adopted, m.Block)
--- a/internal/recovery/adopted_machines_test.go
+++ b/internal/recovery/adopted_machines_test.go
@@ -7,7 +7,7 @@
 	"tamarindlead/internal/kv"
 )
 
-// TestLoadKeepsAttemptsOfAdoptedMachines guards against a task that starts elsewhere while it is
+// TestRecoveryKeepsAttemptsOfAdoptedMachines guards against a task that starts elsewhere while it is
 // on its machine: an owner adopted the machine in a block of its own, which has no attempts of its
 // tasks, and ended or restarted its recovery before it had seen that another owner's block has the
 // machine with a task.
@@ -17,7 +17,7 @@
 // of the task is forgotten") and, from outside, by TestAdoptionInterleavings in package controller:
 // "ran_twice: req-000006/0 starts on m-000005 while on m-000000". The version in production still writes
 // such blocks.
-func TestLoadKeepsAttemptsOfAdoptedMachines(t *testing.T) {
+func TestRecoveryKeepsAttemptsOfAdoptedMachines(t *testing.T) {
 	o := newTestOwner(t)
 	j := o.addJob("req-000001", 1, false)
 	o.RecoverBlocks([]kv.Entry{
--- a/internal/recovery/blocks_test.go
+++ b/internal/recovery/blocks_test.go
@@ -297,9 +297,9 @@
 	}
 }
 
-// TestResolveJobsPace checks that a tick reads a few terminal states only, none of jobs that are gone,
+// TestResolveJobsRateLimit checks that a tick reads a few terminal states only, none of jobs that are gone,
 // and that the responses to a replaced owner are ignored.
-func TestResolveJobsPace(t *testing.T) {
+func TestResolveJobsRateLimit(t *testing.T) {
 	o := newTestOwner(t)
 	var placements []placement
 	for _, id := range []string{"req-000001", "req-000002", "req-000003", "req-000004", "req-000005"} {
