--- a/internal/commit/adoption.go
+++ b/internal/commit/adoption.go
@@ -13,23 +13,25 @@
 	"tamarindlead/micros"
 )
 
-// While there are other owners, one of them may have a machine that this owner adopts, without this
-// owner's knowledge. So an adoption takes three steps:
+// While there are other owners, one of them may have recorded a machine that this owner adopts,
+// without this owner's knowledge. An adoption therefore takes three steps:
 //
-//  1. It is announced: the machine's own block is written, without an entry. Its absence is a
-//     precondition of all other owners' first claims, which fail from then on.
-//  2. It is verified: all blocks are read. An entry that another owner has written before is found.
-//  3. The machine is claimed: its entry is written, and tasks may be placed.
+//  1. Announcement: the machine's own block is written without an entry. The first claim of the
+//     machine by any other owner requires that this block does not exist, so it fails from now on.
+//  2. Verification: all blocks are read. This finds an entry that another owner wrote before the
+//     announcement.
+//  3. Claim: the machine's entry is written, and tasks may be placed on the machine.
 //
-// An owner that ends before the third step leaves a block without a machine, which its successor
-// deletes. A block that was recovered has its entry already, perhaps from an older version of this
-// program, which wrote it first; it is verified again before the machine is claimed.
+// An owner that stops before the third step leaves a block without a machine, which its successor
+// deletes. A recovered block may already contain the machine's entry, possibly from an older version
+// of this program, which wrote the entry first. The adoption is then verified again before the
+// machine is claimed.
 
 // adoptionRetryDelay is the pause before an adoption that could not be verified is announced again.
 const adoptionRetryDelay = micros.Second
 
-// AdoptedBlock returns the block for an adopted machine: a new one, or that of an earlier adoption of
-// the machine if its record is not deleted yet.
+// AdoptedBlock returns the block for an adopted machine: the block of an earlier adoption of the
+// machine if its record has not been deleted yet, otherwise a new block.
 func (p *Pipeline) AdoptedBlock(machine string) *inventory.Block {
 	name := inventory.AdoptedPrefix + machine
 	i := slices.IndexFunc(p.blocks, func(b *inventory.Block) bool { return b.Name == name })
@@ -39,21 +41,21 @@
 	return p.NewBlock(name)
 }
 
-// announces reports whether the write must not hold the entry of a machine, since its adoption is not
-// verified.
+// announces reports whether the write must omit a machine's entry because the machine's adoption
+// has not been verified yet.
 func (w *blockWrite) announces(m *inventory.Machine) bool {
 	return w.block.IsAdopted() && m.FencingToken == 0 && !m.Recorded && !w.pipeline.OwnsAllTeams()
 }
 
-// verifyAdoption reads all blocks, and claims an adopted machine if no other one has an entry of it.
-// revision is that of the write that precedes the read, and becomes the fencing token.
+// verifyAdoption reads all blocks, and claims an adopted machine if no other block has an entry of
+// it. revision is that of the transaction before the read, and becomes the fencing token.
 func (p *Pipeline) verifyAdoption(m *inventory.Machine, revision uint64) {
 	m.Verifying = true
 	v := &verification{pipeline: p, machine: m, revision: revision}
 	p.store.ListAll(record.BlockPrefix, v.handleListing)
 }
 
-// verification is the reading of all blocks for one adoption.
+// verification is the read of all blocks for one adoption.
 type verification struct {
 	pipeline *Pipeline
 	machine  *inventory.Machine
@@ -61,8 +63,9 @@
 	entries  []kv.Entry
 }
 
-// handleListing handles the blocks. If they were read at several revisions, the changes meanwhile
-// matter too: the machine may have moved to a block on a page that had been read before.
+// handleListing handles the listed blocks. If their pages were read at different revisions, the
+// changes between these revisions are read too: the machine may have been moved to a block on a
+// page that had been read before.
 func (v *verification) handleListing(listing kv.Listing, err error) {
 	v.entries = listing.Entries
 	if err != nil || listing.Revision == listing.LastRevision {
@@ -85,7 +88,8 @@
 	v.finish(err)
 }
 
-// finish decides on the adoption. If the blocks could not be read, it is announced again later.
+// finish decides on the adoption. If the blocks could not be read, the adoption is announced again
+// after adoptionRetryDelay.
 func (v *verification) finish(err error) {
 	p, m := v.pipeline, v.machine
 	if p.host.Superseded() || p.inv.Machines[m.Name] != m {
@@ -112,13 +116,15 @@
 	}
 }
 
-// abandonAdoption leaves an adopted machine to the owner of another block. If this owner has recorded
-// tasks there, both may have: they are certain to be gone only once the machine is terminated.
+// abandonAdoption leaves an adopted machine to the owner of another block. If this owner has
+// recorded tasks on the machine, both owners may have started tasks there, and only the machine's
+// termination ensures that they have all ended.
 func (p *Pipeline) abandonAdoption(m *inventory.Machine, block string) {
 	p.log.Warn("adopted machine is in another block", "machine", m.Name, "block", block, "tasks", len(m.Attempts))
 	if len(m.Attempts) == 0 {
 		p.host.MachineOwnedElsewhere(m, block)
-		// Its record is deleted on condition of its version: the name may be used again by then.
+		// The deletion of the record requires its version, since a new block may have the same name
+		// by the time the deletion is applied.
 		m.Block.MarkDirty(p.host.Now())
 		return
 	}
@@ -127,8 +133,9 @@
 	}
 }
 
-// otherBlockWith returns the name of a block, other than the machine's own, that has an entry of the
-// machine. It fails if there is none, but a block that cannot be read: it may have one.
+// otherBlockWith returns the name of a block, other than the machine's own, that has an entry of
+// the machine. If it finds none and some block cannot be read, it returns an error, since that
+// block may have an entry.
 func otherBlockWith(m *inventory.Machine, entries []kv.Entry) (name string, found bool, unreadable error) {
 	for _, e := range entries {
 		if e.Key == record.BlockKey(m.Block.Name) {
@@ -159,9 +166,10 @@
 	return slices.ContainsFunc(data.Machines, isOfMachine), nil
 }
 
-// handleAdoptedElsewhere handles the failed first claim of a machine that another owner has adopted,
-// and reports whether the key is that of such a claim. It is not if this owner has recorded the block
-// itself, or has tasks on the machine.
+// handleAdoptedElsewhere handles a failed precondition that belongs to the first claim of a machine
+// that another owner has adopted, and reports whether the key belongs to such a claim. It does not
+// if this owner has claimed the machine, has tasks on it, or has recorded the block of its adoption
+// itself.
 func (p *Pipeline) handleAdoptedElsewhere(key string) bool {
 	name, isAdopted := strings.CutPrefix(key, record.BlockPrefix+inventory.AdoptedPrefix)
 	if !isAdopted {
@@ -176,8 +184,8 @@
 	return true
 }
 
-// dropUnwritten removes the block of an adopted machine that has left it before the first write: the
-// record of that name is another owner's.
+// dropUnwritten removes the block of an adopted machine that was removed from it before the first
+// write: the record of that name belongs to another owner.
 func (p *Pipeline) dropUnwritten(b *inventory.Block) {
 	if b.IsAdopted() && b.Version == 0 && len(b.Machines) == 0 {
 		b.Dirty = false
--- a/internal/commit/adoption_test.go
+++ b/internal/commit/adoption_test.go
@@ -15,12 +15,12 @@
 
 // The tests in this file cover the adoption of a machine while there are other owners.
 //
-// What happens: an owner hears from a machine that no live peer claims, though another owner has it
-// with tasks. Why it was a fault: the adopter wrote the machine's entry first and read the other
-// blocks afterwards, so an end in between left two entries, of which a successor trusted the newer
-// one, without attempts (TestAdoptionInterleavings in package controller has the log lines). Now the
-// first write takes only the block's name, without an entry, and the entry follows once the other
-// blocks were read.
+// An owner may receive a message from a machine that no live peer claims, although another owner has
+// recorded the machine with tasks. The adopter used to write the machine's entry first and to read the
+// other blocks afterwards. If it stopped in between, two entries were left, and its successor trusted
+// the newer one, which had no attempts (TestAdoptionInterleavings in package controller has the log
+// lines). Now the first write only creates the block, without an entry, and the entry is written
+// after the other blocks were read.
 
 const adoptedMachine = "m-9"
 
@@ -58,7 +58,7 @@
 	} `cbor:"writes"`
 }
 
-// flushBlock sends a transaction and returns the content of a block in it, which must be written.
+// flushBlock sends a transaction, which must write a block, and returns the content of that block.
 func (o *testOwner) flushBlock(t *testing.T, name string) *record.BlockData {
 	t.Helper()
 	o.now += flushInterval
@@ -114,8 +114,8 @@
 	}
 }
 
-// TestAdoptionIsNotRecordedUnverified checks that a machine that falls silent while the other blocks
-// are read is neither recorded nor written again and again.
+// TestAdoptionIsNotRecordedUnverified checks that a machine that stops sending heartbeats while the
+// other blocks are read is neither recorded before it is verified nor written repeatedly.
 func TestAdoptionIsNotRecordedUnverified(t *testing.T) {
 	o, m := newAdopter(t)
 	o.flushBlock(t, m.Block.Name)
@@ -128,17 +128,18 @@
 	o.respond(t, kv.OK, kv.TransactionResult{Revision: 9})
 	o.now += flushInterval
 	if o.Flush(); len(o.calls) > 0 {
-		t.Fatal("the block is written, or the others are read, again and again")
+		t.Fatal("the block is written, or the other blocks are read, repeatedly")
 	}
 	read.listed(kv.Listing{}, nil)
 	data := o.flushBlock(t, m.Block.Name)
 	if len(data.Machines) != 1 || !data.Machines[0].Decommissioning || data.Machines[0].FencingToken != 8 {
-		t.Errorf("entries %+v once it is verified", data.Machines)
+		t.Errorf("entries %+v after the machine is verified", data.Machines)
 	}
 }
 
-// TestAdoptionWaitsForReadableBlocks checks that a block that cannot be read may hold the machine: it
-// is not claimed, and the blocks are read again after a pause.
+// TestAdoptionWaitsForReadableBlocks checks that an adopted machine is not claimed while some block
+// cannot be read, since that block may contain the machine. The blocks are read again after a
+// pause.
 func TestAdoptionWaitsForReadableBlocks(t *testing.T) {
 	for _, unreadable := range []kv.Entry{
 		{Key: record.BlockKey("damaged"), Value: []byte{0xff}},
@@ -152,7 +153,7 @@
 			t.Fatalf("token %d, verifying %v", m.FencingToken, m.Verifying)
 		}
 		if o.Flush(); len(o.calls) > 0 {
-			t.Fatal("tried again without a pause")
+			t.Fatal("the adoption is retried without a pause")
 		}
 		o.now += maxVerificationPause
 		o.flushBlock(t, m.Block.Name)
@@ -164,8 +165,8 @@
 	}
 }
 
-// TestAdoptionReadsChangesBetweenPages checks that a machine is found that its owner moved from a
-// block on a later page to one on an earlier page while the pages were read.
+// TestAdoptionReadsChangesBetweenPages checks that the verification finds a machine that its owner
+// moved from a block on a later page to a block on an earlier page while the pages were read.
 func TestAdoptionReadsChangesBetweenPages(t *testing.T) {
 	change := func(e kv.Entry) kv.WatchResult {
 		return kv.WatchResult{Revision: 12, Events: []kv.Change{{Put: e.Key, Value: e.Value, Version: 11}}}
@@ -180,7 +181,7 @@
 		{"moved", kv.OK, change(blockOf(adoptedMachine)), false, []string{"m-9 owned elsewhere in other"}},
 		{"others changed", kv.OK, change(blockOf("m-8")), true, []string{"claimed m-9"}},
 		{"own announcement", kv.OK, kv.WatchResult{Revision: 12}, true, []string{"claimed m-9"}},
-		{"not known any more", kv.Compacted, kv.WatchResult{}, false, nil},
+		{"revision compacted", kv.Compacted, kv.WatchResult{}, false, nil},
 		{"no response", kv.Unknown, kv.WatchResult{}, false, nil},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -204,14 +205,14 @@
 }
 
 // TestAdoptedWithTasksElsewhere checks that the attempts of a recovered adopted machine are not
-// forgotten if another owner has it too: the machine is terminated first.
+// lost if another owner has recorded the machine too: the machine is terminated first.
 func TestAdoptedWithTasksElsewhere(t *testing.T) {
 	o, m := newRecoveredAdopter(t)
 	o.flushBlock(t, m.Block.Name)
 	o.respond(t, kv.OK, kv.TransactionResult{Revision: 8})
 	o.nextCall(t).listed(kv.Listing{Entries: []kv.Entry{blockOf(adoptedMachine)}}, nil)
 	if len(o.reactions) > 0 || len(m.Attempts) != 1 || o.IsObsolete(record.BlockKey(m.Block.Name)) {
-		t.Fatalf("reactions %q, %d attempts: the task is forgotten", o.reactions, len(m.Attempts))
+		t.Fatalf("reactions %q, %d attempts: the task is lost", o.reactions, len(m.Attempts))
 	}
 	data := o.flushBlock(t, m.Block.Name)
 	if len(data.Machines) != 1 || !data.Machines[0].Decommissioning || len(data.Machines[0].Tasks) == 0 {
@@ -223,8 +224,8 @@
 	}
 }
 
-// TestRecoveredAdoptionIsVerified checks that an entry that was recovered stays recorded while it is
-// verified again, and that the machine has no fencing token until then.
+// TestRecoveredAdoptionIsVerified checks that a recovered entry stays recorded while it is verified
+// again, and that the machine has no fencing token until then.
 func TestRecoveredAdoptionIsVerified(t *testing.T) {
 	o, m := newRecoveredAdopter(t)
 	if data := o.flushBlock(t, m.Block.Name); len(data.Machines) != 1 || len(data.Machines[0].Tasks) == 0 {
@@ -237,9 +238,10 @@
 	}
 }
 
-// TestAbandonedAdoptionIsDeleted checks that the block of an adoption that is abandoned is deleted on
-// condition of its version, and written again rather than twice if the machine is adopted once more
-// before that: a deletion that is executed late must not hit the block of the next adoption.
+// TestAbandonedAdoptionIsDeleted checks that the deletion of the block of an abandoned adoption
+// requires the block's version: a deletion that is applied late must not delete the block of the
+// next adoption. If the machine is adopted again before the deletion, that block is written again,
+// and no second block is added.
 func TestAbandonedAdoptionIsDeleted(t *testing.T) {
 	abandoned := func() *testOwner {
 		o, m := newAdopter(t)
@@ -271,10 +273,11 @@
 	}
 }
 
-// TestAdoptedAgainDuringDeletion checks that a machine can be adopted while the deletion of its earlier
-// block is in flight, as after a recovery that found an announcement. Without that, the block kept the
-// revision of its deletion as its version, so the next announcement failed by its own precondition, and
-// the owner left the machine for ten seconds and reread its records: "version 9 of a record that is deleted".
+// TestAdoptedAgainDuringDeletion checks that a machine can be adopted while the deletion of its
+// earlier block is in flight, which happens after a recovery that found an announcement. The block
+// used to keep the revision of its deletion as its version. The next announcement then failed
+// because of its own precondition, and the owner dropped the machine for ten seconds and read its
+// records again ("version 9 of a record that is deleted").
 func TestAdoptedAgainDuringDeletion(t *testing.T) {
 	o := newSmallOwner(t)
 	o.settings.Teams = append(o.settings.Teams, config.Team{Name: "of another owner"})
@@ -296,8 +299,9 @@
 	}
 }
 
-// TestTwoAdopters checks that the owner that comes second drops the machine and goes on: the record
-// of the first one is none of its own. Without that it reread all its records for each such machine:
+// TestTwoAdopters checks that the second of two owners that adopt a machine drops the machine and
+// continues, since the record belongs to the first one. The second owner used to read all its
+// records again for each such machine:
 //
 //	msg="recovery restarted" node=n0 reason="an own record was changed: m/x-m-000002"
 func TestTwoAdopters(t *testing.T) {
@@ -313,8 +317,9 @@
 	}
 }
 
-// TestOwnAdoptedBlockChanged checks that an owner whose own block of an adopted machine has changed
-// reads its records again, rather than taking it for another owner's: the block has a task.
+// TestOwnAdoptedBlockChanged checks that an owner reads its records again if its own block of an
+// adopted machine has changed. Since the block has a task, the owner must not treat it as the block
+// of another owner.
 func TestOwnAdoptedBlockChanged(t *testing.T) {
 	o, m := newRecoveredAdopter(t)
 	key := record.BlockKey(m.Block.Name)
--- a/internal/commit/block_result.go
+++ b/internal/commit/block_result.go
@@ -2,8 +2,8 @@
 
 import "tamarindlead/internal/inventory"
 
-// finish applies what depends on the record only if the transaction was committed. Otherwise the
-// block is as dirty as before.
+// finish applies the changes that depend on the record if the transaction was committed. Otherwise
+// it marks the block as dirty again.
 func (w *blockWrite) finish(committed bool, revision uint64) {
 	w.block.Writing = false
 	if !committed {
@@ -20,14 +20,14 @@
 	}
 	for _, source := range w.sources {
 		source.UnwrittenTargets--
-		source.MarkDirty(now) // if it is empty now, its record is deleted
+		source.MarkDirty(now) // the next write deletes the record of an empty block
 	}
 	w.advanceMachines(revision)
 	w.markChanged()
 	w.pipeline.removeEmptyBlock(w.block)
 }
 
-// rollBack marks all machines dirty, so that nothing of the failed transaction is lost.
+// rollBack marks all machines as dirty, so that no change of the failed transaction is lost.
 func (w *blockWrite) rollBack() {
 	b := w.block
 	b.MarkDirty(w.pipeline.host.Now())
@@ -37,7 +37,7 @@
 	}
 }
 
-// advanceMachines changes the states of machines and attempts that depend on the record.
+// advanceMachines applies the state changes of machines and attempts that depend on the record.
 func (w *blockWrite) advanceMachines(revision uint64) {
 	p := w.pipeline
 	for _, m := range w.decommissioning {
--- a/internal/commit/block_split.go
+++ b/internal/commit/block_split.go
@@ -9,12 +9,12 @@
 )
 
 // oversizedRetryDelay is the pause before a block that exceeds the value limit is written again:
-// tasks may have ended meanwhile.
+// tasks may have ended by then, which makes the block smaller.
 const oversizedRetryDelay = 5 * micros.Second
 
-// handleOversized handles a block that exceeds the value limit. Its assumed attempts are abandoned
-// first, and nothing more is placed there; a block that is too large without them is split. The
-// limit may have become lower since the block was last written.
+// handleOversized handles a block that exceeds the value limit, which may have been lowered since
+// the block was last written. Its assumed attempts are abandoned first, and no more tasks are
+// placed on its machines. A block that is too large even without them is split.
 func (p *Pipeline) handleOversized(b *inventory.Block, size int, assumed []*inventory.Attempt) {
 	abandon := len(assumed) > 0 && (!b.Oversized || len(b.Machines) == 1)
 	b.Oversized = true
@@ -29,7 +29,7 @@
 	}
 }
 
-// abandonAssumed ends attempts that no record has room for; gangs end as a whole.
+// abandonAssumed stops attempts that do not fit into the record; a gang is stopped as a whole.
 func (p *Pipeline) abandonAssumed(assumed []*inventory.Attempt) {
 	const reason = "no room in the record"
 	for _, a := range assumed {
@@ -41,9 +41,10 @@
 	}
 }
 
-// retireOversized handles one machine whose entry exceeds the value limit because it was written
-// when the limit was higher. Its tasks end with their lease, since nobody can claim the machine; then the machine is
-// terminated. Its record stays until then, so that nobody starts these tasks elsewhere.
+// retireOversized handles a single machine whose entry exceeds the value limit because it was
+// written when the limit was higher. The machine's tasks end when its lease expires, since no owner
+// can claim the machine; then the machine is terminated. Its record is kept until then, so that no
+// owner starts these tasks on another machine.
 func (p *Pipeline) retireOversized(b *inventory.Block, size int) {
 	m := b.Machines[0]
 	now := p.host.Now()
@@ -56,9 +57,9 @@
 	}
 }
 
-// splitBlock moves machines of a block that exceeds the value limit to new blocks, so that all parts
-// have about the same size. The old record is written again only after the new ones hold the
-// machines that left it.
+// splitBlock moves machines of a block that exceeds the value limit to new blocks, so that all
+// parts have about the same size. The old record is written again only after the records of the new
+// blocks contain the machines that were moved to them.
 func (p *Pipeline) splitBlock(b *inventory.Block, size int) {
 	machines := b.Machines
 	parts := int(math.Ceil(float64(size) / (inventory.MaxFillForTasks * float64(p.settings.MaxValueBytes))))
@@ -69,7 +70,7 @@
 	for i, m := range machines {
 		bytes := b.EntryBytes(m)
 		full := assignedBytes+bytes/2 > bytesPerPart*float64(targets)
-		oneMachinePerPart := len(machines)-i <= parts-targets // each part gets a machine
+		oneMachinePerPart := len(machines)-i <= parts-targets // each remaining part needs a machine
 		if len(target.Machines) > 0 && targets < parts && (full || oneMachinePerPart) {
 			target = p.newSplitBlock(b)
 			targets++
@@ -85,7 +86,7 @@
 		"remaining", len(b.Machines), "parts", targets)
 }
 
-// newSplitBlock adds a block for machines of one that is split.
+// newSplitBlock adds a block for machines that are moved out of a block that is split.
 func (p *Pipeline) newSplitBlock(b *inventory.Block) *inventory.Block {
 	part := p.NewBlock(record.FormatNumber(p.host.NextNumber()))
 	part.BytesPerTask = b.BytesPerTask
--- a/internal/commit/block_split_test.go
+++ b/internal/commit/block_split_test.go
@@ -12,8 +12,9 @@
 	"tamarindlead/micros"
 )
 
-// TestBlockSplit guards against a block that outgrows the value limit: it would be refused for ever. The
-// entry of each of its machines must be in some record at every moment.
+// TestBlockSplit guards against a block that outgrows the value limit, so that all its writes are
+// rejected permanently. During the split, the entry of each of its machines must always be in some
+// record.
 func TestBlockSplit(t *testing.T) {
 	o := newLargeOwner(t)
 	b := o.blocks[0]
@@ -25,7 +26,7 @@
 	machines := slices.Clone(stored[b.Name])
 	before := len(o.blocks)
 	for range 200 {
-		for _, m := range b.Machines { // changes go on meanwhile
+		for _, m := range b.Machines { // the entries continue to change
 			o.MarkDirty(m)
 		}
 		tx := NewTransaction()
@@ -46,7 +47,7 @@
 	}
 	for _, block := range o.blocks {
 		if block.UnwrittenTargets != 0 {
-			t.Fatalf("block %s waits for ever", block.Name)
+			t.Fatalf("block %s still waits for the writes of other blocks", block.Name)
 		}
 	}
 }
@@ -85,13 +86,13 @@
 	tb.Helper()
 	block, ok := w.Value.(record.Block)
 	if !ok {
-		tb.Fatalf("%s is no block but %T", w.Put, w.Value)
+		tb.Fatalf("the value of %s is a %T, want a block", w.Put, w.Value)
 	}
 	return block
 }
 
-// TestOversizedBlockEntry guards against a transaction that is refused for ever: the entry of one machine,
-// written under a higher value limit, exceeds the present one.
+// TestOversizedBlockEntry guards against a transaction that is rejected permanently because the
+// entry of one machine, which was written under a higher value limit, exceeds the current limit.
 func TestOversizedBlockEntry(t *testing.T) {
 	o := newLargeOwner(t)
 	b := o.blocks[0]
@@ -107,7 +108,7 @@
 		attempts++
 		tx := NewTransaction()
 		if o.addBlock(tx, b, 16); len(tx.writes) > 0 {
-			t.Fatal("it is written")
+			t.Fatal("the oversized block is written")
 		}
 	}
 	if m.State != inventory.MachineTerminating || attempts > 12 {
--- a/internal/commit/block_write.go
+++ b/internal/commit/block_write.go
@@ -9,8 +9,9 @@
 	"tamarindlead/internal/record"
 )
 
-// blockPreconditionsPerOp bounds the preconditions of one block, for each write that a transaction
-// may have. It is less than preconditionsPerOp, which leaves the rest to other records.
+// blockPreconditionsPerOp is the maximum number of preconditions of one block for each write
+// allowed in a transaction. It is less than preconditionsPerOp, so that other records can use the
+// rest.
 const blockPreconditionsPerOp = 3
 
 // blockWrite is one write of a block: the record, its preconditions, and the machines and attempts
@@ -20,15 +21,15 @@
 	block         *inventory.Block
 	data          *record.BlockData
 	preconditions map[string]uint64
-	// offerIndexes and jobIndexes are indexes in the lists of the data.
+	// offerIndexes and jobIndexes are indexes in data.MachineTypes and data.Jobs.
 	offerIndexes map[autoscaler.Offer]int
 	jobIndexes   map[string]int
-	// maxTransfers is how many machines may be transferred: each takes a write of its own.
+	// maxTransfers is the maximum number of machines to transfer: each takes an additional write.
 	maxTransfers int
 
-	stored    []*inventory.Machine // those with an entry in the record
-	announced []*inventory.Machine // adopted ones whose entry must wait, see adoption.go
-	tasks     int                  // in the entries
+	stored    []*inventory.Machine // machines with an entry in the record
+	announced []*inventory.Machine // adopted machines that are not verified yet, see adoption.go
+	tasks     int                  // number of tasks in the entries
 	sources   []*inventory.Block   // see inventory.Block.Sources
 
 	claimed         []*inventory.Machine
@@ -39,8 +40,8 @@
 	removing        []*inventory.Attempt
 }
 
-// addBlock adds a block's record to a transaction in which room writes are left. If the transaction
-// has no room for it, the block waits for the next one.
+// addBlock adds a block's record to a transaction that can take remainingWrites more writes. If the
+// record does not fit, the block waits for the next transaction.
 func (p *Pipeline) addBlock(t *Transaction, b *inventory.Block, remainingWrites int) {
 	w := p.newBlockWrite(b, remainingWrites)
 	for _, m := range b.Machines {
@@ -58,7 +59,7 @@
 	w.addTo(t, value)
 }
 
-// newBlockWrite begins the write of a block, without entries.
+// newBlockWrite returns the write of a block, without entries.
 func (p *Pipeline) newBlockWrite(b *inventory.Block, remainingWrites int) *blockWrite {
 	w := &blockWrite{
 		pipeline: p, block: b, maxTransfers: remainingWrites - 1,
@@ -78,8 +79,8 @@
 	return w
 }
 
-// fitsPreconditions reports whether the write may have preconditions for these keys too. A
-// block that needs more is written in several steps.
+// fitsPreconditions reports whether the write may also have preconditions for these keys. A block
+// that needs more preconditions is written in several steps.
 func (w *blockWrite) fitsPreconditions(keys ...string) bool {
 	n := len(w.preconditions)
 	for _, key := range keys {
@@ -90,7 +91,7 @@
 	return n < blockPreconditionsPerOp*w.pipeline.settings.MaxTransactionOps
 }
 
-// addMachine adds a machine's entry, unless the machine is terminated, is transferred, or its entry
+// addMachine adds a machine's entry, unless the machine is terminated or transferred, or its entry
 // must wait for a later write.
 func (w *blockWrite) addMachine(m *inventory.Machine) {
 	if m.State == inventory.MachineTerminated {
@@ -106,7 +107,7 @@
 	}
 	adoptable := w.isAdoptableByOthers(m)
 	if adoptable && !w.fitsPreconditions(record.BlockKey(inventory.AdoptedPrefix+m.Name)) {
-		return // its first claim comes with the next write
+		return // its first claim is left to the next write
 	}
 	w.stored = append(w.stored, m)
 	entry := w.newEntry(m)
@@ -122,8 +123,9 @@
 	w.data.Machines = append(w.data.Machines, entry)
 }
 
-// transfer omits an empty machine that is transferred, if its new owner is live and the transaction
-// has room for that owner's record. It reports whether it did.
+// transfer omits the entry of a machine without attempts that is being transferred, if its new
+// owner is live and the transaction can also take the record for that owner. It reports whether it
+// omitted the entry.
 func (w *blockWrite) transfer(m *inventory.Machine) bool {
 	if m.State != inventory.MachineTransferring || len(m.Attempts) > 0 || len(w.transferred) >= w.maxTransfers {
 		return false
@@ -137,14 +139,14 @@
 	return true
 }
 
-// isAdoptableByOthers reports whether the write holds the first claim of a machine that another owner
-// may adopt at the same time.
+// isAdoptableByOthers reports whether the write contains the first claim of a machine that another
+// owner may adopt concurrently.
 func (w *blockWrite) isAdoptableByOthers(m *inventory.Machine) bool {
 	return m.FencingToken == 0 && !m.Recorded && !w.pipeline.OwnsAllTeams() && !w.block.IsAdopted()
 }
 
-// claim makes the revision of the record the machine's fencing token. The first claim of a machine
-// requires that no other owner has adopted it.
+// claim makes the revision of the write the machine's fencing token. If another owner may adopt the
+// machine, the claim requires that none has.
 func (w *blockWrite) claim(m *inventory.Machine, entry *record.BlockMachine, adoptable bool) {
 	entry.FencingToken = 0
 	w.claimed = append(w.claimed, m)
@@ -169,9 +171,9 @@
 	return tasks
 }
 
-// addAssumed adds the preconditions of an attempt that is recorded for the first time, and reports
-// whether there was room for them: its job may have been cancelled, and its team may have another
-// owner.
+// addAssumed adds the preconditions of an attempt that is recorded for the first time, since its
+// job may have been cancelled and its team may have another owner. It reports whether the
+// preconditions fit.
 func (w *blockWrite) addAssumed(a *inventory.Attempt) bool {
 	jobKey, teamKey := record.ActiveJobKey(a.Job.ID), record.TeamKey(a.Job.Team)
 	if !w.fitsPreconditions(jobKey, teamKey) {
@@ -183,7 +185,7 @@
 	return true
 }
 
-// deletes reports whether the write deletes the record, since nothing is left in it.
+// deletes reports whether the write deletes the record because nothing is left in it.
 func (w *blockWrite) deletes() bool { return len(w.stored) == 0 && len(w.announced) == 0 }
 
 // addTo adds the write to a transaction.
--- a/internal/commit/block_write_test.go
+++ b/internal/commit/block_write_test.go
@@ -6,7 +6,7 @@
 	"tamarindlead/internal/inventory"
 )
 
-// BenchmarkBlock writes the record of a full block, and reads it.
+// BenchmarkBlock measures writing and decoding the record of a full block.
 func BenchmarkBlock(b *testing.B) {
 	o := newLargeOwner(b)
 	for b.Loop() {
@@ -20,8 +20,8 @@
 	b.ReportMetric(float64(len(o.blocks)), "blocks")
 }
 
-// TestBlockPreconditionLimit guards against a block that needs more preconditions than a transaction
-// may have: it is written in several steps, and every attempt is recorded in the end.
+// TestBlockPreconditionLimit checks that a block that needs more preconditions than a transaction
+// may have is written in several steps, and that every attempt is eventually recorded.
 func TestBlockPreconditionLimit(t *testing.T) {
 	o := newLargeOwner(t)
 	o.settings.MaxTransactionOps = 3
--- a/internal/commit/blocks.go
+++ b/internal/commit/blocks.go
@@ -43,9 +43,10 @@
 	return min(max(1, fitting), inventory.MaxBlockMachines)
 }
 
-// FreeSlots returns how many more tasks of one job a machine's entry can hold: a part of what is
-// left in its block, by the size of a task there when it was last written. The first task is
-// assumed to add the job's description. freeBytes caches the free bytes of blocks.
+// FreeSlots returns how many more tasks of one job a machine's entry can hold. Each machine may use
+// a part of the free bytes of its block; the size of a task is the estimate from the last write of
+// the block. The first task is assumed to add the job's description. freeBytes caches the free
+// bytes of blocks.
 func (p *Pipeline) FreeSlots(m *inventory.Machine, freeBytes map[*inventory.Block]float64) int {
 	b := m.Block
 	free, ok := freeBytes[b]
@@ -60,9 +61,9 @@
 	return min(slots/min(inventory.MaxFreeBytesSplit, len(b.Machines)), inventory.MaxEntryTasks-len(m.Attempts))
 }
 
-// FreeBytes returns how many more bytes of a value the tasks of a block may take. Of the tasks that
-// are not recorded yet, one of each job is assumed to add the job's description: if all were, a
-// block would get few tasks with each write.
+// FreeBytes returns how many more bytes the tasks of a block may take in its record. Of the tasks
+// that are not recorded yet, only one of each job is assumed to add the job's description: if every
+// task were assumed to add it, each write of a block would record only a few tasks.
 func (p *Pipeline) FreeBytes(b *inventory.Block) float64 {
 	free := float64(p.settings.MaxValueBytes) * inventory.MaxFillForTasks
 	newJobs := map[*inventory.Job]bool{}
@@ -92,10 +93,11 @@
 	m.Block.MarkDirty(p.host.Now())
 }
 
-// mergeTransferred moves a machine from the block in which it was transferred to a shared one:
-// hundreds of blocks with one machine would use up the writes. The old record is deleted only
-// after the new one is written; if both are found, the newer one counts. The block of an adopted
-// machine stays, since its name is a precondition of other owners' first claims.
+// mergeTransferred moves a machine from the block in which it was transferred to a shared block:
+// hundreds of blocks with one machine would exhaust the write budget. The old record is deleted
+// only after the new one is written; if a recovery finds both, the newer one takes precedence. The
+// block of an adopted machine is kept, since the absence of a block with its name is a precondition
+// of other owners' first claims.
 func (p *Pipeline) mergeTransferred(b *inventory.Block) {
 	if !b.IsTransfer() || len(b.Machines) != 1 || b.Writing {
 		return
@@ -112,7 +114,7 @@
 	p.MarkDirty(m)
 }
 
-// removeEmptyBlock removes a block without machines, once nothing must be written for it.
+// removeEmptyBlock removes a block that has no machines and no outstanding write.
 func (p *Pipeline) removeEmptyBlock(b *inventory.Block) {
 	if len(b.Machines) == 0 && !b.Writing && !b.Dirty {
 		p.blocks = slices.DeleteFunc(p.blocks, func(x *inventory.Block) bool { return x == b })
--- a/internal/commit/blocks_test.go
+++ b/internal/commit/blocks_test.go
@@ -9,7 +9,7 @@
 	"tamarindlead/internal/record"
 )
 
-// TestMergeTransferred guards against a machine that is in no record while it leaves the
+// TestMergeTransferred guards against a machine that is in no record while it is moved out of the
 // block in which it was transferred.
 func TestMergeTransferred(t *testing.T) {
 	o := newLargeOwner(t)
@@ -33,18 +33,18 @@
 		return deleted
 	}
 	if deleted := write(); len(deleted) > 0 || m.Block == from || !slices.Contains(m.Block.Machines, m) {
-		t.Fatalf("with the first transaction %v is deleted, the machine is in %s", deleted, m.Block.Name)
+		t.Fatalf("the first transaction deletes %v, the machine is in %s", deleted, m.Block.Name)
 	}
 	if deleted := write(); !slices.Equal(deleted, []string{record.BlockKey(from.Name)}) {
-		t.Fatalf("with the second transaction %v is deleted", deleted)
+		t.Fatalf("the second transaction deletes %v", deleted)
 	}
 	if slices.Contains(o.blocks, from) {
 		t.Fatal("the empty block is kept")
 	}
 }
 
-// TestTaskSlotsOfIdleMachines guards against machines that stay idle for ever: where a block's record holds
-// few tasks, its size is that of the entries of machines.
+// TestTaskSlotsOfIdleMachines guards against machines that stay idle permanently: in a record with
+// few tasks, most bytes belong to the entries of machines, and must not count as the size of tasks.
 func TestTaskSlotsOfIdleMachines(t *testing.T) {
 	o := newTestOwner(t)
 	o.settings.MaxValueBytes = 2 << 10
@@ -65,7 +65,7 @@
 	}
 	for _, m := range o.inv.SortedMachines {
 		if n := o.FreeSlots(m, map[*inventory.Block]float64{}); n < 5 {
-			t.Errorf("%s takes %d more tasks", m.Name, n)
+			t.Errorf("%s can take %d more tasks, want at least 5", m.Name, n)
 		}
 	}
 }
--- a/internal/commit/completion_segments.go
+++ b/internal/commit/completion_segments.go
@@ -19,7 +19,7 @@
 	p.segmentFor(j, chunk).MarkDirty(p.host.Now())
 }
 
-// segmentFor returns the segment of a chunk, after assigning one to a new chunk.
+// segmentFor returns the segment of a chunk. A new chunk is assigned to a segment first.
 func (p *Pipeline) segmentFor(j *inventory.Job, chunk int) *inventory.CompletionSegment {
 	if s := j.Segments[chunk]; s != nil {
 		return s
@@ -34,8 +34,8 @@
 	return p.settings.MaxValueBytes - inventory.SegmentSpareBytes
 }
 
-// segmentWithCapacity returns a segment that can take a chunk, and adds one if there is none. It is
-// neither one that must not be written yet, nor the one that the chunk leaves.
+// segmentWithCapacity returns a segment that can take a chunk, and adds a segment if there is none.
+// It skips segments that must not be written yet, and the segment from which the chunk is moved.
 func (p *Pipeline) segmentWithCapacity(j *inventory.Job, chunk int, from *inventory.CompletionSegment) *inventory.CompletionSegment {
 	for _, s := range p.segments {
 		fits := s.Bytes+j.ChunkBytes(chunk) <= p.maxSegmentBytes()
@@ -58,7 +58,8 @@
 }
 
 // EmptyOversizedSegments moves all chunks out of segments that were written when the value limit
-// was higher, and could never be written again. They are deleted once the other segments are written.
+// was higher, and could never be written again. These segments are deleted after the other segments
+// are written.
 func (p *Pipeline) EmptyOversizedSegments() {
 	for _, s := range slices.Clone(p.segments) {
 		if s.Bytes <= p.maxSegmentBytes() {
@@ -86,10 +87,10 @@
 	pipeline  *Pipeline
 	segment   *inventory.CompletionSegment
 	sources   []*inventory.CompletionSegment // see inventory.CompletionSegment.Sources
-	completed []*inventory.Attempt           // those whose completion it records
+	completed []*inventory.Attempt           // attempts whose completion the write records
 }
 
-// addSegment adds a segment's record to a transaction, if that has room for it.
+// addSegment adds a segment's record to a transaction if it fits.
 func (p *Pipeline) addSegment(t *Transaction, s *inventory.CompletionSegment) {
 	preconditions := map[string]uint64{s.Key(): s.Version}
 	size := s.Bytes + inventory.SegmentFrameBytes
@@ -119,14 +120,14 @@
 	for _, source := range w.sources {
 		source.UnwrittenTargets--
 	}
-	// The records of the machines still name these attempts until they next change; for a
-	// reader the completion takes precedence.
+	// The records of blocks contain these attempts until they are next written; when records are
+	// read, a completion takes precedence over an attempt.
 	for _, a := range w.completed {
 		w.pipeline.inv.SetAttemptState(a, inventory.AttemptClosed)
 	}
 }
 
-// rollBack marks everything dirty again.
+// rollBack marks the segment as dirty and its completions as unrecorded again.
 func (w *segmentWrite) rollBack() {
 	s := w.segment
 	s.MarkDirty(w.pipeline.host.Now())
--- a/internal/commit/doc.go
+++ b/internal/commit/doc.go
@@ -4,7 +4,7 @@
 // the node's write budget, and applies the state changes that depend on the result.
 //
 // The pipeline owns the blocks and segments, their division into records, the claims of machines
-// and the pace of transactions. It has no clock, no network and no goroutine, and it does not know
+// and the rate of transactions. It has no clock, no network and no goroutine, and it does not know
 // how tasks are placed, when machines are requested or what is sent to them: other parts of the
 // owner add their writes through Source and react to results through Host.
 package commit
--- a/internal/commit/fixtures_test.go
+++ b/internal/commit/fixtures_test.go
@@ -18,15 +18,15 @@
 	"tamarindlead/sched"
 )
 
-// testOwner is an owner of one team whose only part is a pipeline. It records what the pipeline asks
-// of it, and its calls to the key-value store stay open until the test answers them.
+// testOwner is an owner of one team that consists of a pipeline only. It records the pipeline's
+// calls, and its calls to the key-value store stay open until the test responds to them.
 type testOwner struct {
 	*Pipeline
 	now, wallClock micros.Micros
 	superseded     bool
 	lastNumber     uint64
 	typicalTasks   int
-	successorLive  bool // of transferred machines
+	successorLive  bool // whether the new owner of transferred machines is live
 	// reactions are the calls of the host's methods that react to results.
 	reactions []string
 	timers    []func()
@@ -67,7 +67,7 @@
 	o.reactions = append(o.reactions, fmt.Sprintf(format, args...))
 }
 
-// Host.
+// The methods of Host.
 
 func (o *testOwner) Now() micros.Micros       { return o.now }
 func (o *testOwner) WallClock() micros.Micros { return o.wallClock }
@@ -110,7 +110,7 @@
 func (o *testOwner) MemberRecordLost()             { o.react("member record lost") }
 func (o *testOwner) RestartRecovery(reason string) { o.react("recovery restarted: %s", reason) }
 
-// Transfers.
+// The methods of Transfers.
 
 func (o *testOwner) Successor(m *inventory.Machine) (kv.Precondition, bool) {
 	return kv.Precondition{Key: record.MemberKey(m.TransferTo.Node()), Version: 5}, o.successorLive
@@ -123,7 +123,7 @@
 	o.inv.RemoveMachine(m)
 }
 
-// Member.
+// The methods of Member.
 
 func (o *testOwner) ID() record.OwnerID { return record.NewOwnerID("n0", 1) }
 
@@ -131,7 +131,7 @@
 	return kv.Precondition{Key: record.MemberKey("n0"), Version: 3}
 }
 
-// Store.
+// The methods of Store.
 
 func (o *testOwner) Do(purpose budget.Purpose, request kv.Request, done func(kv.Result)) {
 	o.calls = append(o.calls, storeCall{purpose: purpose, request: request, done: done})
@@ -141,7 +141,7 @@
 	o.calls = append(o.calls, storeCall{listed: done})
 }
 
-// inventory.Host.
+// The methods of inventory.Host.
 
 func (o *testOwner) EntryChanged(m *inventory.Machine)                { o.MarkDirty(m) }
 func (o *testOwner) CompletionUnrecorded(j *inventory.Job, chunk int) { o.MarkChunkDirty(j, chunk) }
@@ -158,7 +158,7 @@
 	return c
 }
 
-// respond answers the oldest open transaction.
+// respond responds to the oldest open transaction.
 func (o *testOwner) respond(tb testing.TB, outcome kv.Outcome, result kv.TransactionResult) {
 	tb.Helper()
 	o.nextCall(tb).done(kv.Result{Outcome: outcome, Body: wire.Encode(result)})
@@ -198,8 +198,8 @@
 	largeJobs     = 300
 )
 
-// newLargeOwner returns an owner of many machines on which tasks of most jobs run, with room for two
-// more on each.
+// newLargeOwner returns an owner of many machines on which tasks of most jobs run. Each machine has
+// free resources for two more tasks.
 func newLargeOwner(tb testing.TB) *testOwner {
 	tb.Helper()
 	o := newTestOwner(tb)
--- a/internal/commit/flush.go
+++ b/internal/commit/flush.go
@@ -10,9 +10,10 @@
 
 // Pauses between transactions.
 const (
-	// flushInterval is the pause after a transaction while writes are plentiful.
+	// flushInterval is the pause after a transaction while the write budget is high.
 	flushInterval = 25 * micros.Millisecond
-	// flushIntervalThrottled is the pause while writes are scarce, so that batches grow.
+	// flushIntervalThrottled is the pause while the write budget is low, so that each
+	// transaction contains more changes.
 	flushIntervalThrottled = 300 * micros.Millisecond
 	// retryDelay is the pause before a transaction is sent again.
 	retryDelay = 150 * micros.Millisecond
@@ -42,7 +43,7 @@
 	p.send(t, purpose, firstTransmission)
 }
 
-// fill adds at most maxWrites writes to a transaction. The order is that of urgency.
+// fill adds at most maxWrites writes to a transaction, the most urgent first.
 func (p *Pipeline) fill(t *Transaction, maxWrites int) {
 	remainingWrites := func() int { return maxWrites - len(t.writes) }
 	full := func() bool {
@@ -52,8 +53,8 @@
 	fullForPair := func() bool { return remainingWrites() < 2 || full() }
 	p.addClaims(t, remainingWrites)
 	p.addTerminalStates(t, fullForPair)
-	// No user waits for cascaded cancellations: they leave half to the rest, then take what
-	// remains.
+	// No user waits for cascaded cancellations: at first they leave half of the writes to other
+	// changes, and at the end they take the remaining ones.
 	half := maxWrites / 2
 	p.sources.CascadedCancellations(t, func() bool { return remainingWrites() < 2+half || full() })
 	p.sources.ScaleOutRequests(t, fullForPair)
@@ -71,7 +72,7 @@
 	return flushInterval
 }
 
-// addTerminalStates records the jobs whose tasks have all completed.
+// addTerminalStates records the terminal states of jobs whose tasks have all completed.
 func (p *Pipeline) addTerminalStates(t *Transaction, full func() bool) {
 	for _, j := range p.inv.Queue {
 		if j.State != inventory.JobFinishing || j.RecordStale {
@@ -99,8 +100,8 @@
 	})
 }
 
-// Preconditions returns a sorted list of preconditions for versions of keys and this node's member
-// record: an owner that has lost that record can change nothing.
+// Preconditions returns the sorted preconditions for the versions of keys and for this node's
+// member record: an owner whose member record was lost cannot change any record.
 func (p *Pipeline) Preconditions(versions map[string]uint64) []kv.Precondition {
 	own := p.member.OwnPrecondition()
 	all := map[string]uint64{own.Key: own.Version}
--- a/internal/commit/machine_claims.go
+++ b/internal/commit/machine_claims.go
@@ -6,13 +6,14 @@
 	"tamarindlead/internal/record"
 )
 
-// OwnsAllTeams reports whether this node owns all teams: then no other owner can have a record of a
-// machine.
+// OwnsAllTeams reports whether this node owns all teams. If it does, no other owner can have a
+// record of a machine.
 func (p *Pipeline) OwnsAllTeams() bool { return len(p.inv.Teams) == len(p.settings.Teams) }
 
-// requireTeamOwnership adds the preconditions of machines' first claims: that this owner still has its
-// teams. No live owner loses a team, and each transaction requires this node's member record; so
-// if there are more teams than a transaction may have preconditions, some of them suffice.
+// requireTeamOwnership adds the preconditions of the first claims of machines: this owner still
+// owns its teams. A live owner loses no team, and each transaction requires this node's member
+// record. If there are more teams than a transaction may have preconditions, it therefore suffices
+// to require some of them.
 func (p *Pipeline) requireTeamOwnership(preconditions map[string]uint64) {
 	for i, name := range ordered.Keys(p.inv.Teams) {
 		if i == p.settings.MaxTransactionOps {
--- a/internal/commit/obsolete_keys.go
+++ b/internal/commit/obsolete_keys.go
@@ -10,15 +10,15 @@
 	"tamarindlead/micros"
 )
 
-// obsoleteKeyMaxWait is how long obsolete keys wait for a moment without other writes. After that,
-// one of them is deleted each time this period passes.
+// obsoleteKeyMaxWait is how long obsolete keys wait until there is nothing else to write. After
+// that, one of them is deleted each time this period has passed.
 const obsoleteKeyMaxWait = 5 * micros.Second
 
-// DeleteLater schedules the deletion of keys that nobody reads any more, for when writes are
-// plentiful.
+// DeleteLater schedules the deletion of keys that are no longer read. They are deleted when the
+// write budget allows it.
 func (p *Pipeline) DeleteLater(keys ...string) { p.obsoleteKeys = append(p.obsoleteKeys, keys...) }
 
-// IsObsolete reports whether a key waits to be deleted.
+// IsObsolete reports whether a key is scheduled for deletion.
 func (p *Pipeline) IsObsolete(key string) bool {
 	emptied := func(b *inventory.Block) bool {
 		return b.Dirty && len(b.Machines) == 0 && record.BlockKey(b.Name) == key
@@ -26,7 +26,8 @@
 	return slices.Contains(p.obsoleteKeys, key) || slices.ContainsFunc(p.blocks, emptied)
 }
 
-// addOverdueDeletion adds the deletion of an obsolete key if other writes have delayed it for long.
+// addOverdueDeletion adds the deletion of an obsolete key if other writes have delayed it for
+// obsoleteKeyMaxWait.
 func (p *Pipeline) addOverdueDeletion(t *Transaction, full func() bool) {
 	p.dropEmptySegments()
 	now := p.host.Now()
@@ -47,7 +48,7 @@
 	})
 }
 
-// deleteObsoleteKeys deletes obsolete keys in a transaction of their own, when writes are plentiful.
+// deleteObsoleteKeys deletes obsolete keys in a separate transaction if the write budget allows it.
 func (p *Pipeline) deleteObsoleteKeys() {
 	p.dropEmptySegments()
 	n := min(p.budget.AvailableWrites(budget.Cleanup, p.host.Now()), p.settings.MaxTransactionOps, len(p.obsoleteKeys))
--- a/internal/commit/pipeline.go
+++ b/internal/commit/pipeline.go
@@ -11,19 +11,19 @@
 	"tamarindlead/micros"
 )
 
-// Host is the owner to which a pipeline belongs. It provides the time of the present event and
-// reacts to the results of transactions.
+// Host is the owner to which a pipeline belongs. It provides the time of the current event and
+// handles the results of transactions.
 type Host interface {
-	// Now returns the steady time of the present event.
+	// Now returns the monotonic time of the current event.
 	Now() micros.Micros
-	// WallClock returns the time of day of the present event.
+	// WallClock returns the time of day of the current event.
 	WallClock() micros.Micros
-	// After calls do once d has passed.
+	// After calls do after d has passed.
 	After(d micros.Micros, do func())
-	// Superseded reports whether another owner has replaced this one, so that callbacks must
-	// do nothing.
+	// Superseded reports whether another owner has replaced this one. Callbacks must then do
+	// nothing.
 	Superseded() bool
-	// NextNumber returns a number that was never used before, for the name of a record.
+	// NextNumber returns a number for the name of a record that has never been used before.
 	NextNumber() uint64
 	// TypicalTasks returns how many tasks a machine of a type is likely to run, or 0 if that
 	// is not known.
@@ -31,18 +31,19 @@
 
 	// JobDone is called when the terminal state of a completed job is recorded.
 	JobDone(j *inventory.Job)
-	// AttemptRecorded is called when an attempt that was assumed is recorded.
+	// AttemptRecorded is called when an assumed attempt has been recorded.
 	AttemptRecorded(a *inventory.Attempt)
-	// MachineClaimed is called when a machine has its fencing token.
+	// MachineClaimed is called when a machine has received its fencing token.
 	MachineClaimed(m *inventory.Machine)
-	// MachineRemoved is called when the record of a terminated machine no longer holds it.
+	// MachineRemoved is called when the entry of a terminated machine has been removed from its
+	// block.
 	MachineRemoved(m *inventory.Machine)
 	// MachineOwnedElsewhere is called when an adopted machine turns out to have an entry in
 	// another block.
 	MachineOwnedElsewhere(m *inventory.Machine, block string)
-	// JobRecordChanged is called when the record of a job is not as expected.
+	// JobRecordChanged is called when the record of a job does not have the expected version.
 	JobRecordChanged(id string)
-	// MemberRecordLost is called when this node's member record is not as expected.
+	// MemberRecordLost is called when this node's member record does not have the expected version.
 	MemberRecordLost()
 	// RestartRecovery replaces the owner by one that reads all records again.
 	RestartRecovery(reason string)
@@ -50,16 +51,17 @@
 
 // Transfers is the part of the owner that transfers machines to other owners.
 type Transfers interface {
-	// Successor returns the precondition that the new owner of a machine is a member. If that
-	// owner is gone, it cancels the transfer and reports false.
+	// Successor returns the precondition that the new owner of a machine is a member. If that owner
+	// is no longer a member, it cancels the transfer and reports false.
 	Successor(m *inventory.Machine) (kv.Precondition, bool)
 	// AddTo adds the record that names the new owner of a machine.
 	AddTo(t *Transaction, m *inventory.Machine)
-	// Recorded is called when that record is written.
+	// Recorded is called when that record has been written.
 	Recorded(m *inventory.Machine)
 }
 
-// Source adds the writes of another part of the owner to a transaction, until full returns true.
+// Source adds the writes of another part of the owner to a transaction, until full returns true. It
+// is unrelated to the source blocks in inventory.Block.Sources.
 type Source func(t *Transaction, full func() bool)
 
 // Sources are the parts of the owner that share its transactions.
@@ -98,8 +100,8 @@
 	Sources   Sources
 }
 
-// Pipeline writes the records of one owner. At most one transaction is in flight, so that what it
-// was built on can only be changed by another node. It is not safe for concurrent use.
+// Pipeline writes the records of one owner. At most one transaction is in flight, so that only
+// another node can change the records on which it is based. It is not safe for concurrent use.
 type Pipeline struct {
 	settings  *config.Settings
 	log       *slog.Logger
@@ -114,11 +116,11 @@
 	blocks   []*inventory.Block // sorted by name
 	segments []*inventory.CompletionSegment
 
-	inFlight  bool // a transaction was sent and its result is not known
+	inFlight  bool // a transaction was sent and its result is not known yet
 	nextFlush micros.Micros
 
-	obsoleteKeys []string // keys that nobody reads any more
-	// obsoleteKeyDeletedAt is when one of them was last deleted, or when there was none.
+	obsoleteKeys []string // keys that are no longer read
+	// obsoleteKeyDeletedAt is the last time at which one of them was deleted or there was none.
 	obsoleteKeyDeletedAt micros.Micros
 }
 
@@ -133,8 +135,8 @@
 // Reset removes all blocks and segments, before the records are read again.
 func (p *Pipeline) Reset() { p.blocks, p.segments = nil, nil }
 
-// InFlight reports whether the result of a transaction is awaited.
+// InFlight reports whether a transaction was sent and its result is not known yet.
 func (p *Pipeline) InFlight() bool { return p.inFlight }
 
-// Postpone delays the next transaction, after a read that failed.
+// Postpone delays the next transaction after a failed read.
 func (p *Pipeline) Postpone() { p.nextFlush = p.host.Now() + retryDelay }
--- a/internal/commit/result.go
+++ b/internal/commit/result.go
@@ -9,8 +9,8 @@
 	"tamarindlead/internal/record"
 )
 
-// transmission distinguishes the first sending of a transaction from later ones, when the transaction
-// may have been committed already.
+// transmission distinguishes the first transmission of a transaction from retransmissions, before
+// which the transaction may have been committed already.
 type transmission bool
 
 const (
@@ -18,8 +18,8 @@
 	retransmission    transmission = true
 )
 
-// send adds the preconditions of the owner to every sending, also of the same transaction again: a
-// node whose member record has changed commits nothing.
+// send sends a transaction. Each transmission, including retransmissions, has the preconditions of
+// the owner: a node whose member record has changed commits nothing.
 func (p *Pipeline) send(t *Transaction, purpose budget.Purpose, sent transmission) {
 	p.store.Do(purpose, kv.Transaction(p.Preconditions(t.preconditions), t.writes), func(r kv.Result) {
 		if !p.host.Superseded() {
@@ -36,8 +36,8 @@
 	case kv.PreconditionFailed:
 		p.handlePreconditionFailed(t, sent, r)
 	case kv.Unknown:
-		// It may still be committed: nothing else may be decided before the same transaction
-		// has been committed or refused by its preconditions.
+		// The transaction may still be committed. No other changes may be decided before this
+		// transaction has been committed or rejected by its preconditions.
 		p.nextFlush = p.host.Now() + retryDelay
 		p.resend(t, purpose)
 	case kv.InvalidRequest:
@@ -66,7 +66,7 @@
 	p.inv.SchedulingNeeded = true
 }
 
-// resend sends a transaction whose result is unknown again after a pause.
+// resend sends a transaction whose result is unknown again, after retryDelay.
 func (p *Pipeline) resend(t *Transaction, purpose budget.Purpose) {
 	p.host.After(retryDelay, func() {
 		if !p.host.Superseded() {
@@ -75,20 +75,21 @@
 	})
 }
 
-// finish ends a transaction: its changes hold from now on, or must be written again.
+// finish ends a transaction: its changes are in effect if it was committed, otherwise they must be
+// written again.
 func (p *Pipeline) finish(t *Transaction, committed bool, revision uint64) {
 	p.inFlight = false
 	t.Finish(committed, revision)
 }
 
-// handlePreconditionFailed handles a transaction whose preconditions did not hold.
+// handlePreconditionFailed handles a transaction that was rejected by its preconditions.
 func (p *Pipeline) handlePreconditionFailed(t *Transaction, sent transmission, r kv.Result) {
 	if sent == retransmission {
 		p.host.RestartRecovery("a transaction without response was committed, or another node wrote")
 		return
 	}
 	var result kv.TransactionResult
-	_ = r.Decode(&result) // an invalid body names no failed keys: the writes are tried again
+	_ = r.Decode(&result) // an invalid body contains no failed keys: the writes are retried
 	p.finish(t, false, 0)
 	for _, key := range result.FailedPreconditions {
 		if !p.handleFailedKey(key) {
@@ -98,16 +99,16 @@
 	p.nextFlush = max(p.nextFlush, p.host.Now()+flushInterval)
 }
 
-// handleFailedKey handles a precondition that did not hold, and reports whether this owner continues.
-// The record of a job may have been deleted by a cancellation; all others are written by this
-// node alone, as long as it owns them.
+// handleFailedKey handles a failed precondition, and reports whether this owner continues. The
+// record of a job may have been deleted by a cancellation; only this node writes all other records,
+// as long as it owns them.
 func (p *Pipeline) handleFailedKey(key string) bool {
 	switch {
 	case key == record.MemberKey(p.settings.Node):
 		p.host.MemberRecordLost()
 		return false
 	case strings.HasPrefix(key, record.MemberPrefix):
-		return true // the new owner of a transferred machine is gone
+		return true // the new owner of a transferred machine is no longer a member
 	case p.handleAdoptedElsewhere(key):
 		return true
 	}
--- a/internal/commit/result_test.go
+++ b/internal/commit/result_test.go
@@ -14,8 +14,8 @@
 	"tamarindlead/micros"
 )
 
-// TestFlushKeepsOneTransactionInFlight guards against a transaction that is built on state which the
-// one in flight may change.
+// TestFlushKeepsOneTransactionInFlight guards against a transaction that is based on state which
+// the transaction in flight may change.
 func TestFlushKeepsOneTransactionInFlight(t *testing.T) {
 	o := newSmallOwner(t)
 	o.MarkDirty(o.inv.SortedMachines[0])
@@ -35,11 +35,11 @@
 	}
 }
 
-// TestResults covers what follows from the outcomes of a transaction.
+// TestResults covers the handling of the outcomes of a transaction.
 func TestResults(t *testing.T) {
 	tests := []struct {
 		name     string
-		outcomes []kv.Outcome // of the first sending and of later ones
+		outcomes []kv.Outcome // of the first transmission and of retransmissions
 		written  bool         // the block is recorded and clean
 		dirty    bool         // the block must be written again
 		restart  bool         // recovery is restarted
@@ -91,7 +91,8 @@
 	}
 }
 
-// TestUnreadableResult guards against a pipeline that goes on without the revision of its transaction.
+// TestUnreadableResult guards against a pipeline that continues without the revision of its
+// transaction.
 func TestUnreadableResult(t *testing.T) {
 	o := newSmallOwner(t)
 	o.MarkDirty(o.blocks[0].Machines[0])
@@ -102,8 +103,8 @@
 	}
 }
 
-// TestSupersededOwnerIgnoresResults guards against results that change the state of an owner that was
-// replaced.
+// TestSupersededOwnerIgnoresResults guards against results that change the state of a superseded
+// owner.
 func TestSupersededOwnerIgnoresResults(t *testing.T) {
 	o := newSmallOwner(t)
 	b := o.blocks[0]
@@ -116,7 +117,7 @@
 	}
 }
 
-// TestFailedPreconditions covers what follows from each kind of key whose precondition did not hold.
+// TestFailedPreconditions covers the handling of each kind of key whose precondition has failed.
 func TestFailedPreconditions(t *testing.T) {
 	adopted := record.BlockKey(inventory.AdoptedPrefix + "m-0")
 	tests := []struct {
@@ -146,8 +147,8 @@
 	}
 }
 
-// TestSources covers the order in which the owner's parts share a transaction, and the room that each
-// leaves.
+// TestSources covers the order in which the owner's parts add their writes to a transaction, and
+// how many writes each of them leaves to the others.
 func TestSources(t *testing.T) {
 	o := newSmallOwner(t)
 	o.settings.MaxTransactionOps = 8
@@ -163,7 +164,8 @@
 	}
 	o.sources = Sources{CascadedCancellations: source("cascaded"), ScaleOutRequests: source("scale-out"), Reservations: source("reservations")}
 	o.Flush()
-	// One write is left by each source that may need two at once; half by the cascaded.
+	// A source that may need two writes at once leaves one. The cascaded cancellations leave half of
+	// the writes at first.
 	want := []string{"cascaded", "+++", "scale-out", "++++", "reservations", "+", "cascaded", ""}
 	if !slices.Equal(order, want) {
 		t.Errorf("writes %q, want %q", order, want)
@@ -173,7 +175,7 @@
 	}
 }
 
-// TestTerminalState covers the record of a job whose tasks have all completed.
+// TestTerminalState covers the write of the terminal state of a job whose tasks have all completed.
 func TestTerminalState(t *testing.T) {
 	for _, committed := range []bool{true, false} {
 		o := newSmallOwner(t)
@@ -194,11 +196,11 @@
 	}
 }
 
-// TestObsoleteKeys covers when obsolete keys are deleted: all when there is nothing else to write, one
-// with other writes after they have waited for long.
+// TestObsoleteKeys covers when obsolete keys are deleted: all of them when there is nothing else to
+// write, and one together with other writes after the keys have waited for obsoleteKeyMaxWait.
 func TestObsoleteKeys(t *testing.T) {
 	o := newSmallOwner(t)
-	o.Flush() // there is no obsolete key until now
+	o.Flush() // the wait begins now: there are no obsolete keys yet
 	for _, key := range []string{"a", "b", "c"} {
 		o.DeleteLater(key)
 	}
@@ -228,8 +230,8 @@
 	}
 }
 
-// TestVerifyAdopted covers the claim of an adopted machine by one of several owners: it counts only
-// if no other owner had recorded the machine before.
+// TestVerifyAdopted covers the claim of an adopted machine by one of several owners: the claim is
+// valid only if no other owner has recorded the machine before.
 func TestVerifyAdopted(t *testing.T) {
 	other := func(machine string) kv.Entry {
 		data := &record.BlockData{
@@ -243,7 +245,7 @@
 		entries []kv.Entry
 		err     error
 		want    []string // reactions
-		dirty   bool     // it is claimed again
+		dirty   bool     // the claim is retried
 	}{
 		{"nobody has it", []kv.Entry{other("m-8")}, nil, []string{"claimed m-9"}, false},
 		{"a block cannot be read", []kv.Entry{other("m-8"), {Key: record.BlockKey("damaged"), Value: []byte{0xff}}}, nil, nil, true},
@@ -262,7 +264,7 @@
 			}
 			o.respond(t, kv.OK, kv.TransactionResult{Revision: 8})
 			if !m.Verifying || m.FencingToken != 0 {
-				t.Fatal("the claim counts before it is verified")
+				t.Fatal("the machine is claimed before the adoption is verified")
 			}
 			o.nextCall(t).listed(kv.Listing{Entries: test.entries}, test.err)
 			if m.Verifying || !slices.Equal(o.reactions, test.want) || m.Dirty != test.dirty {
@@ -278,8 +280,8 @@
 	}
 }
 
-// TestTransfer covers a machine that leaves with a record for its new owner, and one whose new owner
-// is gone.
+// TestTransfer covers a machine that is transferred with a record for its new owner, and a machine
+// whose new owner is no longer a member.
 func TestTransfer(t *testing.T) {
 	for _, live := range []bool{true, false} {
 		o := newSmallOwner(t)
--- a/internal/commit/transaction.go
+++ b/internal/commit/transaction.go
@@ -5,18 +5,18 @@
 const (
 	// MaxTransactionBytes is the largest body of a transaction; the key-value store accepts 64 KiB.
 	MaxTransactionBytes = 60 << 10
-	// preconditionBytes is the usual upper bound of what a precondition adds to the body.
+	// preconditionBytes is a typical upper bound of the bytes that a precondition adds to the body.
 	preconditionBytes = 64
-	// preconditionsPerOp is how many preconditions a transaction may have for each write that it
-	// may have, by the protocol of the key-value store.
+	// preconditionsPerOp is the maximum number of preconditions of a transaction for each write that
+	// it may have, as defined by the protocol of the key-value store.
 	preconditionsPerOp = 4
 )
 
-// Transaction collects writes with their preconditions, and what follows from its result.
+// Transaction collects writes with their preconditions, and callbacks for its result.
 type Transaction struct {
 	preconditions map[string]uint64 // required versions by key
 	writes        []kv.Write
-	valueBytes    int // of the written values
+	valueBytes    int // total size of the written values
 	// results are called with the result and the revision of the transaction.
 	results []func(committed bool, revision uint64)
 }
@@ -40,8 +40,8 @@
 // Delete adds the deletion of a key.
 func (t *Transaction) Delete(key string) { t.writes = append(t.writes, kv.Write{Delete: key}) }
 
-// OnResult adds a function that is called once the transaction was committed, with its revision, or
-// refused. Functions are called in the order in which they were added.
+// OnResult adds a function that is called after the transaction was either committed, with its
+// revision, or rejected. Functions are called in the order in which they were added.
 func (t *Transaction) OnResult(do func(committed bool, revision uint64)) {
 	t.results = append(t.results, do)
 }
@@ -56,10 +56,10 @@
 	}
 }
 
-// fits reports whether there is room for another write with its preconditions in a
-// transaction of at most maxOps writes.
+// fits reports whether another write with its preconditions fits into a transaction of at most
+// maxOps writes.
 func (t *Transaction) fits(preconditions map[string]uint64, size, maxOps int) bool {
-	n := len(t.preconditions) + 1 // this node's member record
+	n := len(t.preconditions) + 1 // with this node's member record
 	for key := range preconditions {
 		if _, ok := t.preconditions[key]; !ok {
 			n++
--- a/internal/commit/write_priority.go
+++ b/internal/commit/write_priority.go
@@ -8,13 +8,13 @@
 	"tamarindlead/micros"
 )
 
-// Weights of what the write of a record achieves, in units of one task that may start.
+// Weights of the effects of writing a record, relative to one task that may start.
 const (
 	claimWeight       = 1000
 	fencingWeight     = 100
 	machineWeight     = 20
-	gangWeight        = 8  // a gang waits for its last task
-	blockWaitWeight   = 20 // for each second that a block has waited: none may starve
+	gangWeight        = 8  // for each task of a gang, since a gang waits for its last task
+	blockWaitWeight   = 20 // for each second that a block has waited, so that no block starves
 	segmentWaitWeight = 4  // for each second that a segment has waited
 )
 
@@ -25,7 +25,7 @@
 	urgency int
 }
 
-// hasUnclaimedMachines reports whether machines wait to be claimed by this owner.
+// hasUnclaimedMachines reports whether this owner has machines that it must still claim.
 func (p *Pipeline) hasUnclaimedMachines() bool {
 	return slices.ContainsFunc(p.inv.SortedMachines, (*inventory.Machine).IsUnclaimed)
 }
@@ -62,7 +62,7 @@
 	p.addDueRecords(t, due, remainingWrites)
 }
 
-// addDueRecords adds records while the transaction has room.
+// addDueRecords adds records, the most urgent first, until the transaction is full.
 func (p *Pipeline) addDueRecords(t *Transaction, due []dueRecord, remainingWrites func() int) {
 	slices.SortStableFunc(due, func(a, b dueRecord) int { return cmp.Compare(b.urgency, a.urgency) })
 	for _, r := range due {
@@ -77,7 +77,7 @@
 	}
 }
 
-// blockUrgency orders the blocks that must be written.
+// blockUrgency returns the priority of the write of a block.
 func blockUrgency(b *inventory.Block, now micros.Micros) int {
 	n := int(blockWaitWeight * (now - b.DirtySince).Seconds())
 	for _, m := range b.Machines {
@@ -89,14 +89,15 @@
 	return n
 }
 
-// segmentUrgency orders segments among blocks. A completion can wait without cost: its resources are
-// free already, and its machine continues to report it. Segments change every second, and there
-// is at least one for each team; written first, they would take all writes from placements.
+// segmentUrgency returns the priority of the write of a segment, relative to blocks. Delaying a
+// completion does no harm: its resources are free already, and its machine continues to report it.
+// Segments change every second, and there is at least one for each team; if they were written
+// first, they would use all writes, and none would be left for placements.
 func segmentUrgency(s *inventory.CompletionSegment, now micros.Micros) int {
 	return int(segmentWaitWeight * (now - s.DirtySince).Seconds())
 }
 
-// machineUrgency is what the machine's own state adds to the urgency of its block.
+// machineUrgency returns what the machine's own state adds to the urgency of its block.
 func machineUrgency(m *inventory.Machine) int {
 	switch {
 	case m.IsUnclaimed():
@@ -109,7 +110,7 @@
 	return 0
 }
 
-// attemptsUrgency is what the attempts on a machine add to the urgency of its block.
+// attemptsUrgency returns what the attempts on a machine add to the urgency of its block.
 func attemptsUrgency(m *inventory.Machine) int {
 	n := 0
 	for _, a := range m.Attempts {
--- a/internal/commit/write_priority_test.go
+++ b/internal/commit/write_priority_test.go
@@ -8,8 +8,9 @@
 	"tamarindlead/micros"
 )
 
-// TestCompletionSegmentsYieldToPlacements guards against completions of many teams that take all
-// writes: every team has a segment that changes all the time, and placements must not wait for them.
+// TestCompletionSegmentsYieldToPlacements guards against completions of many teams that use all
+// writes: every team has a segment that changes continuously, and placements must not wait for
+// these segments.
 func TestCompletionSegmentsYieldToPlacements(t *testing.T) {
 	o := newLargeOwner(t)
 	for _, b := range o.blocks {
--- a/internal/machinetypes/cloud_reads.go
+++ b/internal/machinetypes/cloud_reads.go
@@ -9,24 +9,24 @@
 )
 
 const (
-	// refreshInterval is how often the types are read from the cloud: what is offered and the
-	// prices may change.
+	// refreshInterval is the interval at which the types are read from the cloud, since the offered
+	// types and their prices may change.
 	refreshInterval = 30 * micros.Second
-	// retryDelay is the pause after a read that did not succeed. It doubles with each further one, up
-	// to maxRetryDelay: all nodes together must stay within the cloud's request limit.
+	// retryDelay is the pause after a failed read. It doubles with each consecutive failure, up to
+	// maxRetryDelay: all nodes together must stay within the cloud's request limit.
 	retryDelay    = 2 * micros.Second
 	maxRetryDelay = 8 * micros.Second
 )
 
 var errNoTypes = errors.New("the list has no valid machine type")
 
-// cloudReads is the state of the reads from the cloud, one at a time.
+// cloudReads is the state of the reads from the cloud. At most one is in flight.
 type cloudReads struct {
 	reading  bool
-	sentAt   micros.Micros // when the last one was sent
+	sentAt   micros.Micros // when the last read was sent
 	nextAt   micros.Micros
-	failures int // in a row
-	// confirmNext is set if confirmations wait for the next read, which is then sent at once.
+	failures int // number of consecutive failed reads
+	// confirmNext is set if confirmations wait for the next read, which is then sent without a pause.
 	confirmNext bool
 }
 
@@ -46,7 +46,7 @@
 	})
 }
 
-// decodeTypes returns the types of a response that can be used.
+// decodeTypes decodes a response of the cloud, which must contain at least one valid machine type.
 func decodeTypes(status wire.Status, body []byte) (wire.MachineTypes, error) {
 	var response wire.MachineTypes
 	if status != wire.StatusOK {
@@ -61,7 +61,7 @@
 	return response, nil
 }
 
-// handleRead replaces the types by those of the cloud.
+// handleRead replaces the types by those that were read from the cloud.
 func (t *Table) handleRead(response wire.MachineTypes) {
 	if t.cloud.failures > 0 {
 		t.log.Info("machine types can be read again", "failures", t.cloud.failures)
@@ -72,8 +72,8 @@
 	t.renewCopy(response)
 }
 
-// handleReadFailed keeps the types, unless the copy has newer ones. The first failure of several is
-// logged.
+// handleReadFailed keeps the types, unless the copy has newer ones. Only the first of several
+// consecutive failures is logged.
 func (t *Table) handleReadFailed(err error) {
 	if t.cloud.failures == 0 {
 		source, age := t.Origin()
--- a/internal/machinetypes/confirmation.go
+++ b/internal/machinetypes/confirmation.go
@@ -9,21 +9,22 @@
 const (
 	// confirmationTimeout is how long a confirmation waits for the cloud.
 	confirmationTimeout = micros.Second
-	// confirmationBurst is how many reads confirmations may cause in a short time.
+	// confirmationBurst is how many reads confirmations may cause in a burst.
 	confirmationBurst = 4
-	// maxConfirmations bounds the confirmations that wait.
+	// maxConfirmations is the maximum number of pending confirmations.
 	maxConfirmations = 128
 )
 
-// confirmation waits for a read of the cloud that begins after the question came.
+// confirmation is a pending call of Confirm: it waits for a read of the cloud that is sent after
+// the call.
 type confirmation struct {
 	requestedAt micros.Micros
 	done        func(confirmed bool)
 }
 
-// Confirm calls done with true once the types were read from the cloud by a request that was sent after
-// this call, or with false if that is not possible within a second. While the cloud does not answer, or
-// too many reads were caused by confirmations, that is at once.
+// Confirm calls done with true after the types were read from the cloud by a request that was sent
+// after this call, or with false if this does not happen within a second. It calls done with false
+// at once while the cloud does not respond, or if confirmations have caused too many reads.
 func (t *Table) Confirm(done func(confirmed bool)) {
 	if !t.reserveConfirmationRead() {
 		done(false)
@@ -33,8 +34,8 @@
 	t.readForConfirmations()
 }
 
-// reserveConfirmationRead reports whether a confirmation has a chance, and sees to the read that it needs: one that
-// is in flight was sent too early.
+// reserveConfirmationRead reports whether a new confirmation may succeed. If so, it marks the next
+// read as needed: a read in flight was sent too early to confirm anything.
 func (t *Table) reserveConfirmationRead() bool {
 	now := t.host.Now()
 	c := &t.cloud
@@ -49,19 +50,22 @@
 	return c.confirmNext
 }
 
-// readForConfirmations sends the read that confirmations wait for, once none is in flight.
+// readForConfirmations sends the read that confirmations wait for, unless another read is in
+// flight.
 func (t *Table) readForConfirmations() {
 	if t.cloud.confirmNext && !t.cloud.reading {
 		t.readCloud()
 	}
 }
 
-// expireConfirmations gives up the confirmations that have waited for too long.
+// expireConfirmations denies the confirmations that have waited for longer than
+// confirmationTimeout.
 func (t *Table) expireConfirmations() {
 	t.completeConfirmations(func(c confirmation) bool { return t.host.Now()-c.requestedAt > confirmationTimeout }, false)
 }
 
-// completeConfirmations answers the confirmations that a condition selects.
+// completeConfirmations removes the selected confirmations and calls their functions with the
+// result.
 func (t *Table) completeConfirmations(selected func(c confirmation) bool, confirmed bool) {
 	pendingConfirmations := t.pendingConfirmations
 	t.pendingConfirmations = slices.DeleteFunc(slices.Clone(pendingConfirmations), selected)
--- a/internal/machinetypes/confirmation_test.go
+++ b/internal/machinetypes/confirmation_test.go
@@ -7,11 +7,12 @@
 	"tamarindlead/micros"
 )
 
-// The tests in this file cover the confirmation on which a permanent refusal rests. Before, a node
-// refused by the table that it had, whatever its age: 422 for good to a job that fits a type offered
-// since, and, at a node without teams, for as long as the process lived (scenario type_offered).
+// The tests in this file cover the confirmation that precedes a permanent rejection of a job. Nodes
+// used to reject jobs based on their table, whatever its age: a job that fits a type offered since then
+// got a permanent 422 response, and a node without teams continued to reject it for as long as its
+// process ran (scenario type_offered).
 
-// confirmations counts the answers to confirmations.
+// confirmations counts the results of confirmations.
 type confirmations struct{ confirmed, denied int }
 
 func (c *confirmations) done(confirmed bool) {
@@ -32,7 +33,7 @@
 	return table, node
 }
 
-// respondToFetch answers the oldest read of the cloud.
+// respondToFetch responds to the oldest open read of the cloud.
 func (n *fakeNode) respondToFetch(t *testing.T, status wire.Status, body []byte) {
 	t.Helper()
 	if len(n.fetches) == 0 {
@@ -43,8 +44,8 @@
 	done(status, body)
 }
 
-// TestConfirmRequiresLaterRead checks that a read which was sent before the question confirms
-// nothing, and that one read confirms all questions that came before it.
+// TestConfirmRequiresLaterRead checks that a read that was sent before a call of Confirm does not
+// confirm it, and that one read confirms all calls that were made before it was sent.
 func TestConfirmRequiresLaterRead(t *testing.T) {
 	table, node := newReadTable(t)
 	table.readCloud()
@@ -57,19 +58,19 @@
 	}
 	node.respondToFetch(t, wire.StatusOK, wire.Encode(types("small")))
 	if results != (confirmations{}) {
-		t.Fatalf("%+v by a read that was sent before", results)
+		t.Fatalf("%+v after a read that was sent before the calls of Confirm", results)
 	}
 	node.respondToFetch(t, wire.StatusOK, wire.Encode(types("small", "new")))
 	if want := (confirmations{confirmed: 2}); results != want || table.Find("new") == nil {
-		t.Errorf("%+v, want %+v by the types that were read", results, want)
+		t.Errorf("%+v, want %+v, with the types that were read", results, want)
 	}
 	if len(node.fetches) != 0 {
-		t.Error("the types are read once more for nothing")
+		t.Error("the types are read once more without need")
 	}
 }
 
-// TestConfirmFails checks that nothing is confirmed while the cloud cannot be read: a question waits
-// for a second at most, and the next ones are answered at once.
+// TestConfirmFails checks that nothing is confirmed while the cloud cannot be read: a confirmation
+// waits for a second at most, and the next ones are denied at once.
 func TestConfirmFails(t *testing.T) {
 	for _, c := range []struct {
 		name    string
@@ -104,8 +105,8 @@
 	}
 }
 
-// TestConfirmationRate checks that questions cause no more reads of the cloud than the table may: what
-// is beyond them is answered at once.
+// TestConfirmationRate checks that confirmations cause no more reads of the cloud than the rate
+// limit allows, and that confirmations beyond it are denied at once.
 func TestConfirmationRate(t *testing.T) {
 	table, node := newReadTable(t)
 	var results confirmations
--- a/internal/machinetypes/doc.go
+++ b/internal/machinetypes/doc.go
@@ -1,14 +1,16 @@
-// Package machinetypes holds the table of machine types that the cloud offers. Every node keeps its own,
-// whether it owns teams or not: it reads the types from the cloud periodically, and, when it does not
-// reach the cloud, takes a newer copy from the key-value store. Each table has an origin: from where, and
-// as of when. A copy never replaces a newer table.
+// Package machinetypes holds the table of machine types that the cloud offers. Every node has its
+// own table, whether it owns teams or not: it reads the types from the cloud periodically, and uses
+// a newer copy from the key-value store if it cannot reach the cloud. Each table has an origin: its
+// source, and the time at which the types were requested from the cloud. A copy never replaces a
+// newer table.
 //
-// The copy is renewed by owners; other nodes renew it when it has become old, since the owners may not
-// reach the cloud. A node that starts during an outage of the cloud must still be able to accept jobs.
+// Owners renew the copy. Other nodes renew it when it has become old, since the owners may be
+// unable to reach the cloud. The copy allows a node that starts during an outage of the cloud to
+// accept jobs.
 //
-// Whoever is about to decide something final by the types asks for a confirmation, which is a read of the
-// cloud that begins after the question came (Table.Confirm).
+// Before an irreversible decision that depends on the types, a caller requests a confirmation,
+// which is a read of the cloud that is sent after the request (Table.Confirm).
 //
-// The package decides nothing by the types, and knows neither machines nor jobs. It reaches the node
-// through Host, and has no clock, no network and no goroutine.
+// The package makes no decisions based on the types, and knows neither machines nor jobs. It
+// accesses the node through Host, and has no clock, no network and no goroutine.
 package machinetypes
--- a/internal/machinetypes/host.go
+++ b/internal/machinetypes/host.go
@@ -9,19 +9,19 @@
 
 // Host is the node that uses the table.
 type Host interface {
-	// Now returns the steady time of the present event.
+	// Now returns the monotonic time of the current event.
 	Now() micros.Micros
-	// WallClock returns the time of day of the present event.
+	// WallClock returns the time of day of the current event.
 	WallClock() micros.Micros
 	// OwnsTeams reports whether this node owns teams.
 	OwnsTeams() bool
 	// IsActiveOwner reports whether this node owns teams and has recovered their records.
 	IsActiveOwner() bool
-	// MemberPreconditions returns the preconditions of a write by this node; ok is false while
-	// it is not a member of the cluster.
+	// MemberPreconditions returns the preconditions of a write by this node. ok is false while the
+	// node is not a member of the cluster.
 	MemberPreconditions() (preconditions []kv.Precondition, ok bool)
-	// FetchMachineTypes requests the machine types from the cloud. done gets status 0 if there is no
-	// response.
+	// FetchMachineTypes requests the machine types from the cloud. It calls done with status 0 if
+	// there is no response.
 	FetchMachineTypes(done func(status wire.Status, body []byte))
 }
 
--- a/internal/machinetypes/stored_copy.go
+++ b/internal/machinetypes/stored_copy.go
@@ -11,29 +11,30 @@
 )
 
 const (
-	// copyReadInterval is the least time between two reads of the copy while the cloud cannot be
+	// copyReadInterval is the minimum time between two reads of the copy while the cloud cannot be
 	// read.
 	copyReadInterval = 10 * micros.Second
-	// ownerCopyAge is the age of the copy at which an owner renews it, and otherCopyAge that at
-	// which any other node does: the owners seem not to reach the cloud.
+	// ownerCopyAge is the age of the copy at which an owner renews it. nonOwnerCopyAge is the age at
+	// which any other node renews it, since the owners are apparently unable to reach the cloud.
 	ownerCopyAge    = refreshInterval
 	nonOwnerCopyAge = refreshInterval * 3 / 2
-	// unknownCopyAge is the assumed age of a copy that does not tell when it was read: anything
-	// else is newer.
+	// unknownCopyAge is the assumed age of a copy without the time at which it was read, so that
+	// tables and copies with a time count as newer.
 	unknownCopyAge = 24 * micros.Hour
 )
 
-// storedCopy is what this node knows of the copy in the key-value store.
+// storedCopy is what this node knows about the copy in the key-value store.
 type storedCopy struct {
 	reading    bool
 	nextReadAt micros.Micros
 	writing    bool
-	known      bool          // it was read or written by this node
-	asOf       micros.Micros // of the newest copy that is known
-	encoded    []byte        // its types
+	known      bool          // this node has read or written the copy
+	asOf       micros.Micros // when the types of the newest known copy were requested
+	encoded    []byte        // the types of that copy
 }
 
-// readCopy reads the copy, takes its types if they are newer, and calls done if there was a response.
+// readCopy reads the copy, uses its types if they are newer, and then calls done. It does nothing
+// if the copy is being read already.
 func (t *Table) readCopy(done func()) {
 	c := &t.copy
 	if c.reading {
@@ -53,7 +54,7 @@
 	})
 }
 
-// applyCopy takes the types of a copy if they are newer than those of the table.
+// applyCopy uses the types of a copy if they are newer than those of the table.
 func (t *Table) applyCopy(value []byte) {
 	var stored record.MachineTypes
 	if err := wire.Decode(value, &stored); err != nil {
@@ -70,18 +71,18 @@
 	}
 }
 
-// asOfCopy returns the steady time at which the types of a copy were requested from the cloud.
+// asOfCopy returns the monotonic time at which the types of a copy were requested from the cloud.
 func (t *Table) asOfCopy(stored record.MachineTypes) micros.Micros {
 	age := unknownCopyAge
 	if stored.ReadAt != 0 {
-		age = max(0, t.host.WallClock()-stored.ReadAt) // clocks may differ
+		age = max(0, t.host.WallClock()-stored.ReadAt) // the clocks of nodes may differ
 	}
 	return t.host.Now() - age
 }
 
-// renewCopy writes the types that were just read from the cloud to the key-value store: an owner when
-// they have changed or the copy has become old; another node only after it has read the copy and found
-// that nobody renews it.
+// renewCopy writes the types that were just read from the cloud to the key-value store. An owner
+// does so if they have changed or the copy is old; another node only after it has read the copy and
+// found that no other node renews it.
 func (t *Table) renewCopy(response wire.MachineTypes) {
 	if t.host.OwnsTeams() {
 		changed := !slices.Equal(t.copy.encoded, wire.Encode(response))
@@ -99,12 +100,12 @@
 	}
 }
 
-// copyIsOlderThan reports whether the table is newer than the copy by a time.
+// copyIsOlderThan reports whether the copy is unknown, or older than the table by at least age.
 func (t *Table) copyIsOlderThan(age micros.Micros) bool {
 	return !t.copy.known || t.asOf-t.copy.asOf >= age
 }
 
-// writeCopy writes the types that the table has from the cloud, if they fit a value.
+// writeCopy writes the types that the table has from the cloud, if they fit into a value.
 func (t *Table) writeCopy(response wire.MachineTypes) {
 	preconditions, isMember := t.host.MemberPreconditions()
 	asOf := t.asOf
--- a/internal/machinetypes/stored_copy_test.go
+++ b/internal/machinetypes/stored_copy_test.go
@@ -9,18 +9,19 @@
 	"tamarindlead/micros"
 )
 
-// The tests in this file cover the copy of the types in the key-value store. Before, it was written
-// once by each process that owned teams, without a time: nobody could tell an old copy from a new one
-// (scenarios type_restart_outage, type_withdrawn_cloud_cut).
+// The tests in this file cover the copy of the types in the key-value store. Each process that owned
+// teams used to write it once, without the time at which the types were read, so that an old copy could
+// not be distinguished from a new one (scenarios type_restart_outage, type_withdrawn_cloud_cut).
 
 const wallClock = 100 * micros.Hour
 
-// copyOf returns a copy whose types were read at a wall clock time.
+// copyOf returns a copy whose types were read at a wall clock time; 0 means that the time is
+// unknown.
 func copyOf(readAt micros.Micros, names ...string) []byte {
 	return wire.Encode(record.MachineTypes{MachineTypes: types(names...), ReadAt: readAt})
 }
 
-// respondToRead answers the oldest read of the copy.
+// respondToRead responds to the oldest open read of the copy.
 func (n *fakeNode) respondToRead(t *testing.T, outcome kv.Outcome, value []byte) {
 	t.Helper()
 	if len(n.reads) == 0 {
@@ -31,7 +32,7 @@
 	done(outcome, kv.Entry{Value: value})
 }
 
-// TestNewerCopyIsUsed checks which copy a node takes that does not reach the cloud.
+// TestNewerCopyIsUsed checks which copies a node uses that cannot reach the cloud.
 func TestNewerCopyIsUsed(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -91,7 +92,7 @@
 	}
 }
 
-// TestRenewCopy checks who writes the copy after a read of the cloud.
+// TestRenewCopy checks which nodes write the copy after a read of the cloud.
 func TestRenewCopy(t *testing.T) {
 	for _, c := range []struct {
 		name     string
@@ -117,7 +118,7 @@
 			node.respondToFetch(t, wire.StatusOK, wire.Encode(types("small")))
 			if !c.owner {
 				node.respondToRead(t, kv.OK, copyOf(wallClock, "small"))
-				table.copy.asOf -= nonOwnerCopyAge // last seen
+				table.copy.asOf -= nonOwnerCopyAge // the node knows an old copy
 			}
 			node.writes, node.notMember = nil, !c.member
 			node.now += c.after
--- a/internal/machinetypes/table.go
+++ b/internal/machinetypes/table.go
@@ -11,7 +11,7 @@
 	"tamarindlead/sched"
 )
 
-// Source is from where a table of machine types was read.
+// Source is where a table of machine types was read from.
 type Source int
 
 // The sources of a table.
@@ -43,7 +43,7 @@
 
 	types  []sched.MachineType
 	source Source
-	// asOf is the steady time at which the request to the cloud was sent that returned the types.
+	// asOf is the monotonic time at which the request to the cloud was sent that returned the types.
 	asOf micros.Micros
 
 	cloud cloudReads
@@ -53,12 +53,11 @@
 	confirmationLimiter  *rate.Limiter
 }
 
-// Settings are the limits that a table keeps to.
+// Settings are the limits of a table.
 type Settings struct {
-	// MaxValueBytes bounds the copy in the key-value store.
+	// MaxValueBytes is the maximum size of the copy in the key-value store.
 	MaxValueBytes int
-	// ConfirmationRate is how many reads of the cloud per second confirmations may cause in the long
-	// run.
+	// ConfirmationRate is how many reads of the cloud per second confirmations may cause on average.
 	ConfirmationRate float64
 }
 
@@ -73,7 +72,7 @@
 // List returns the known types. The caller must not change them.
 func (t *Table) List() []sched.MachineType { return t.types }
 
-// Find returns the type of a name, or nil.
+// Find returns the type with a name, or nil if there is none.
 func (t *Table) Find(name string) *sched.MachineType {
 	for i := range t.types {
 		if t.types[i].Name == name {
@@ -83,7 +82,7 @@
 	return nil
 }
 
-// Origin returns from where the types are, and how long ago they were requested from the cloud.
+// Origin returns the source of the types, and the time since they were requested from the cloud.
 func (t *Table) Origin() (source Source, age micros.Micros) {
 	if t.source == SourceNone {
 		return SourceNone, 0
@@ -101,9 +100,9 @@
 // Refresh makes the next Tick read the types again.
 func (t *Table) Refresh() { t.cloud.nextAt = t.host.Now() }
 
-// Tick keeps the table up to date. An empty table is filled from the copy, or else from the cloud. After
-// that every node reads the types from the cloud periodically, but for an owner that recovers: it does so
-// as soon as it is active.
+// Tick keeps the table up to date. An empty table is filled from the copy, or from the cloud if the
+// copy has no types. After that every node reads the types from the cloud periodically; an owner
+// does so only after its recovery.
 func (t *Table) Tick() {
 	t.expireConfirmations()
 	switch {
@@ -115,7 +114,7 @@
 	}
 }
 
-// fillEmpty fills the empty table from the copy, or else from the cloud.
+// fillEmpty fills the empty table from the copy, or from the cloud if the copy has no types.
 func (t *Table) fillEmpty() {
 	if t.copy.reading {
 		return
@@ -128,7 +127,7 @@
 	})
 }
 
-// set replaces the types. A change other than of prices is logged.
+// set replaces the types. Changes other than of prices and speed are logged.
 func (t *Table) set(types []sched.MachineType, source Source, asOf micros.Micros) {
 	changed := !slices.EqualFunc(t.types, types, sameOffer)
 	t.types, t.source, t.asOf = types, source, asOf
@@ -141,7 +140,7 @@
 	}
 }
 
-// sameOffer reports whether two machine types are the same, but for prices and speed.
+// sameOffer reports whether two machine types are equal except for prices and speed.
 func sameOffer(a, b sched.MachineType) bool {
 	return a.Name == b.Name && a.Size == b.Size && slices.Equal(a.Zones, b.Zones)
 }
--- a/internal/machinetypes/table_test.go
+++ b/internal/machinetypes/table_test.go
@@ -12,7 +12,8 @@
 	"tamarindlead/micros"
 )
 
-// fakeNode is the node, the key-value store and the cloud. Requests wait until a test answers them.
+// fakeNode is the node, the key-value store and the cloud. Requests stay open until a test responds
+// to them, except for writes, which get writeResult.
 type fakeNode struct {
 	now         micros.Micros
 	wallClock   micros.Micros
@@ -57,8 +58,8 @@
 
 const maxValueBytes = 8 << 10
 
-// newTableOf returns the empty table of a node, with confirmations at most once in ten seconds in the
-// long run.
+// newTableOf returns the empty table of a node. Confirmations cause on average at most one read in
+// ten seconds.
 func newTableOf(node *fakeNode, maxValueBytes int) *Table {
 	settings := Settings{MaxValueBytes: maxValueBytes, ConfirmationRate: 0.1}
 	return New(node, node, settings, slog.New(slog.DiscardHandler))
@@ -156,7 +157,7 @@
 	}
 }
 
-// TestRefreshInterval checks who reads the types again after the cloud has returned them.
+// TestRefreshInterval checks which nodes read the types again after the cloud has returned them.
 func TestRefreshInterval(t *testing.T) {
 	for _, c := range []struct {
 		name          string
@@ -193,7 +194,7 @@
 	}
 }
 
-// TestRefresh checks that an owner can have the types read at once.
+// TestRefresh checks that an owner reads the types in the next tick after Refresh.
 func TestRefresh(t *testing.T) {
 	table, node := newTable()
 	node.owner, node.active = true, true
@@ -207,7 +208,8 @@
 	}
 }
 
-// TestWriteCopy checks that an owner writes the types once, under its preconditions, if they fit a value.
+// TestWriteCopy checks that an owner writes the types once, with its preconditions, if they fit
+// into a value.
 func TestWriteCopy(t *testing.T) {
 	for _, c := range []struct {
 		name          string
@@ -236,7 +238,7 @@
 			preconditions, _ := node.MemberPreconditions()
 			want := kv.Transaction(preconditions, []kv.Write{{Put: record.MachineTypesKey, Value: types("new")}})
 			if c.writes > 0 && !slices.Equal(node.writes[0].Body, want.Body) {
-				t.Error("the write is not one of the types under the owner's preconditions")
+				t.Error("the write does not contain the types with the owner's preconditions")
 			}
 		})
 	}
@@ -251,6 +253,6 @@
 		t.Errorf("found %v, want mid", got)
 	}
 	if got := table.Find("other"); got != nil {
-		t.Errorf("found %v, which came after other types were known", got)
+		t.Errorf("found %v, but Fill must not change a table that has types", got)
 	}
 }
--- a/internal/recovery/adopted_blocks_test.go
+++ b/internal/recovery/adopted_blocks_test.go
@@ -10,20 +10,20 @@
 	"tamarindlead/internal/wire"
 )
 
-// TestRecoverAdoptedAndOtherBlock checks what an owner recovers when a machine is in the block of an
-// adopter and in another block too.
+// TestRecoverAdoptedAndOtherBlock checks what an owner recovers when a machine is both in the block
+// of an adopter and in another block.
 //
-// What happens: an owner of the version in production ended between writing the block of a machine
-// that it adopted and reading the other blocks. Why it was a fault: recovery took the entry of the
-// newest block and dropped the attempts of the others; TestAdoptionInterleavings shows a task that
-// starts on a second machine by it ("ran_twice: req-000003/0 starts on m-000004 while on m-000000").
-// Now the entry of the other block holds, the attempts of both are kept, and the adopter's block is
-// deleted only after the other one is written with them.
+// This happens if an owner running the production version stops between writing the block of a
+// machine that it adopted and reading the other blocks. Recovery used to take the entry of the
+// newest block and to drop the attempts in the others, so that a task could start on a second
+// machine, as TestAdoptionInterleavings shows ("ran_twice: req-000003/0 starts on m-000004 while on
+// m-000000"). Now the entry of the other block takes precedence, the attempts of both blocks are
+// kept, and the adopter's block is deleted only after the other block has been written with them.
 func TestRecoverAdoptedAndOtherBlock(t *testing.T) {
 	const machine = "m-000001"
 	for _, c := range []struct {
 		name                                     string
-		otherVersion                             uint64 // the adopter's block has 20
+		otherVersion                             uint64 // the adopter's block has version 20
 		inOther, inAdopted                       []int  // tasks with attempts
 		otherDecommissions, adopterDecommissions bool   // the machine is being terminated by one of the owners
 		want                                     []int
@@ -74,8 +74,8 @@
 	}
 }
 
-// checkDeletedAfter checks that a block has no machines, and will be written, which deletes it, only
-// after another block.
+// checkDeletedAfter checks that a block has no machines, and that it will be written, which deletes
+// it, only after another block.
 func (o *testOwner) checkDeletedAfter(t *testing.T, name string, after *inventory.Block) {
 	t.Helper()
 	i := slices.IndexFunc(o.blocks, func(b *inventory.Block) bool { return b.Name == name })
@@ -91,7 +91,8 @@
 	}
 }
 
-// decommissioned returns a block's record in which, if set, the termination of its machine is decided.
+// decommissioned returns the record of a block after setting whether its machine is being
+// decommissioned.
 func decommissioned(t *testing.T, set bool, e kv.Entry) kv.Entry {
 	t.Helper()
 	var block record.Block
@@ -107,8 +108,8 @@
 	return e
 }
 
-// TestRecoverAnnouncement checks that the block of an adopter that ended before it had read the other
-// blocks is deleted: it has no machine, and keeps other owners from claiming it.
+// TestRecoverAnnouncement checks that the block of an adopter that stopped before it had read the
+// other blocks is deleted: it has no machine, but prevents other owners from claiming the machine.
 func TestRecoverAnnouncement(t *testing.T) {
 	o := newTestOwner(t)
 	name := inventory.AdoptedPrefix + "m-000001"
--- a/internal/recovery/blocks.go
+++ b/internal/recovery/blocks.go
@@ -16,7 +16,7 @@
 )
 
 // RecoverBlocks adds the machines and attempts of the blocks of this owner. Jobs and completion
-// segments must have been recovered.
+// segments must have been recovered before.
 func (r *Recovery) RecoverBlocks(entries []kv.Entry) {
 	for _, e := range inOrderOfPrecedence(entries) {
 		if err := r.recoverBlock(e); err != nil {
@@ -26,9 +26,9 @@
 	r.checkJobs()
 }
 
-// inOrderOfPrecedence returns the blocks in the order in which their entries hold. A machine that was
-// moved to another block may be in both: the newer record counts. The block of an adopted machine
-// yields to any other, since its owner may not have known that another one has the machine.
+// inOrderOfPrecedence returns the blocks in descending order of precedence. A machine that was
+// moved to another block may be in both: the newer record takes precedence. The blocks of adopted
+// machines come last, since their owners may not have known that another owner had the machine.
 func inOrderOfPrecedence(entries []kv.Entry) []kv.Entry {
 	var adopted, others []kv.Entry
 	for _, e := range entries {
@@ -44,7 +44,7 @@
 	return append(others, adopted...)
 }
 
-// recoverBlock adds a block, if this owner takes over the records of the block's owner.
+// recoverBlock adds a block if this owner now owns the records of the block's owner.
 func (r *Recovery) recoverBlock(e kv.Entry) error {
 	var rec record.Block
 	if err := wire.Decode(e.Value, &rec); err != nil {
@@ -66,8 +66,9 @@
 	return nil
 }
 
-// RecoverMachine adds a machine of a block that was read, and the attempts on it. A machine that this
-// owner has already is in a newer block; it gains something only by the block of an adopter.
+// RecoverMachine adds a machine of a block, and the attempts on it. If the machine was recovered
+// before, it was in a block of higher precedence: this entry is then ignored, unless the block is
+// that of an adopter, whose attempts are merged.
 func (r *Recovery) RecoverMachine(b *inventory.Block, data *record.BlockData, entry *record.BlockMachine) {
 	if m := r.inv.Machines[entry.Name]; m != nil {
 		if b.IsAdopted() {
@@ -84,8 +85,9 @@
 	r.recoverEntry(m, b, data, entry)
 }
 
-// mergeAdopted adds to a machine what the block of an owner that adopted it has: that owner may have
-// started tasks there. The block is written again, which deletes it, once the machine's own has been.
+// mergeAdopted merges into a machine the entry in the block of an owner that adopted it, since that
+// owner may have started tasks on the machine. After the machine's own block has been written, the
+// adopter's block is written again, which deletes it.
 func (r *Recovery) mergeAdopted(m *inventory.Machine, b *inventory.Block, data *record.BlockData, entry *record.BlockMachine) {
 	r.log.Warn("machine was adopted though another owner had it", "machine", m.Name, "block", m.Block.Name, "adopted_block", b.Name)
 	m.Endpoint = cmp.Or(m.Endpoint, entry.Endpoint)
@@ -93,7 +95,8 @@
 	r.recoverEntry(m, b, data, entry)
 }
 
-// recoverEntry applies a machine's entry: whether its termination is decided, and the attempts.
+// recoverEntry applies a machine's entry: the attempts, and whether the machine is being
+// decommissioned.
 func (r *Recovery) recoverEntry(m *inventory.Machine, b *inventory.Block, data *record.BlockData, entry *record.BlockMachine) {
 	if entry.Decommissioning {
 		r.inv.SetMachineState(m, inventory.MachineTerminating, "decommissioned by an earlier owner")
@@ -107,8 +110,8 @@
 	}
 }
 
-// recoverAttempt adds an attempt, unless its task is completed or, in a damaged record, does not
-// exist or has another attempt.
+// recoverAttempt adds an attempt, unless its task is completed, already has an attempt, or does not
+// exist (in a damaged record).
 func (r *Recovery) recoverAttempt(m *inventory.Machine, spec *record.BlockJob, task record.BlockTask) {
 	j := r.host.PlacedJob(spec.ID)
 	if j == nil {
@@ -142,8 +145,8 @@
 	return j
 }
 
-// checkJobs removes ended jobs without attempts, and stops gangs of which some tasks have neither
-// an attempt nor a completion.
+// checkJobs removes ended jobs without attempts, and stops gangs that have tasks with neither an
+// attempt nor a completion.
 func (r *Recovery) checkJobs() {
 	for _, id := range ordered.Keys(r.inv.Jobs) {
 		j := r.inv.Jobs[id]
--- a/internal/recovery/blocks_test.go
+++ b/internal/recovery/blocks_test.go
@@ -11,7 +11,7 @@
 	"tamarindlead/micros"
 )
 
-// TestRecoverMachine checks what a block's record says of a machine.
+// TestRecoverMachine checks which properties of a machine are recovered from a block's record.
 func TestRecoverMachine(t *testing.T) {
 	for _, decommissioning := range []bool{false, true} {
 		o := newTestOwner(t)
@@ -47,8 +47,8 @@
 	}
 }
 
-// TestRecoverBlocksOf checks that only blocks of owners whose records this one owns are recovered, and
-// that one that cannot be read does not prevent the others.
+// TestRecoverBlocksOf checks that only blocks of owners whose records now belong to this owner are
+// recovered, and that an unreadable block does not prevent the recovery of the others.
 func TestRecoverBlocksOf(t *testing.T) {
 	o := newTestOwner(t)
 	o.RecoverBlocks([]kv.Entry{
@@ -65,8 +65,8 @@
 	}
 }
 
-// TestNewestBlockCounts checks that of two blocks with a machine the newer one counts, wherever it is
-// in the listing.
+// TestNewestBlockCounts checks that of two blocks with the same machine the newer one takes
+// precedence, whatever their order in the listing.
 func TestNewestBlockCounts(t *testing.T) {
 	for _, reverse := range []bool{false, true} {
 		o := newTestOwner(t)
@@ -129,14 +129,14 @@
 		t.Errorf("gang states %v and %v", gang.GangState, j.GangState)
 	}
 	if !j.EverPlaced || !blocked.EverPlaced || len(o.unresolvedJobs) > 0 {
-		t.Error("jobs do not count as placed")
+		t.Error("jobs are not marked as placed")
 	}
 	if m := o.inv.Machines["m-2"]; len(m.Attempts) != 1 {
 		t.Errorf("%d attempts on m-2, want 1", len(m.Attempts))
 	}
 }
 
-// TestUnreadableAttempts checks that a machine whose attempts cannot be read is recovered.
+// TestUnreadableAttempts checks that a machine is recovered even if its attempts cannot be read.
 func TestUnreadableAttempts(t *testing.T) {
 	o := newTestOwner(t)
 	data := &record.BlockData{
@@ -149,8 +149,9 @@
 	}
 }
 
-// TestAttemptsOfEndedJobs checks that attempts of a job that is not active are stopped, that they count
-// against the quota of its team until then, and that the job's terminal state is to be read.
+// TestAttemptsOfEndedJobs checks that attempts of a job that is not active are stopped, that they
+// count against the quota of its team until they end, and that the job's terminal state is to be
+// read.
 func TestAttemptsOfEndedJobs(t *testing.T) {
 	o := newTestOwner(t)
 	ended := newJob("req-000009", 5, false)
@@ -230,7 +231,7 @@
 	}
 }
 
-// TestResolveJobs checks what the terminal state of a job that has ended means for its attempts.
+// TestResolveJobs checks the effect of the terminal state of an ended job on its attempts.
 func TestResolveJobs(t *testing.T) {
 	const now, wallClock = micros.Hour, 1000 * micros.Hour
 	for _, test := range []struct {
@@ -297,8 +298,9 @@
 	}
 }
 
-// TestResolveJobsRateLimit checks that a tick reads a few terminal states only, none of jobs that are gone,
-// and that the responses to a replaced owner are ignored.
+// TestResolveJobsRateLimit checks that each tick takes at most terminalStatesPerTick jobs from the
+// list, that the terminal states of removed jobs are not read, and that responses to a superseded
+// owner are ignored.
 func TestResolveJobsRateLimit(t *testing.T) {
 	o := newTestOwner(t)
 	var placements []placement
@@ -319,6 +321,6 @@
 		done(kv.OK, kv.Entry{Value: wire.Encode(record.TerminalState{Status: record.StatusDone, FinishedAt: 1})})
 	}
 	if len(o.unresolvedJobs) > 0 || len(o.inv.Machines["m-1"].Attempts) != len(placements) {
-		t.Error("responses to a replaced owner are handled")
+		t.Error("responses to a superseded owner are handled")
 	}
 }
--- a/internal/recovery/completion_segments.go
+++ b/internal/recovery/completion_segments.go
@@ -22,7 +22,7 @@
 func (r *Recovery) recoverSegment(e kv.Entry) {
 	team, name, ok := r.splitSegmentKey(e.Key)
 	if !ok {
-		if r.pipeline.OwnsAllTeams() { // so its team does not exist any more
+		if r.pipeline.OwnsAllTeams() { // then the team no longer exists
 			r.pipeline.DeleteLater(e.Key)
 		}
 		return
@@ -41,8 +41,8 @@
 }
 
 // recoverChunk adds a chunk, unless its job has ended. A chunk is in two segments if its move from
-// one to the other was not completed. It is assigned to the segment that is read last, and the other
-// record stays until that one is written with the completions of both.
+// one to the other was not completed. It is assigned to the segment that is read last, and the
+// other record is kept until that segment has been written with the completions of both.
 func (r *Recovery) recoverChunk(s *inventory.CompletionSegment, name, bits string) {
 	id, chunk, ok := record.SplitChunkName(name)
 	j := r.host.PlacedJob(id)
@@ -75,7 +75,8 @@
 	}
 }
 
-// splitSegmentKey returns the team and the name of a segment of this owner's teams.
+// splitSegmentKey returns the team and the name of a segment. It reports false if the segment
+// belongs to none of this owner's teams.
 func (r *Recovery) splitSegmentKey(key string) (team, name string, ok bool) {
 	for team := range r.inv.Teams {
 		if name, ok := strings.CutPrefix(key, record.CompletionSegmentKey(team, "")); ok {
--- a/internal/recovery/completion_segments_test.go
+++ b/internal/recovery/completion_segments_test.go
@@ -27,8 +27,8 @@
 	return bits.Chunk(0)
 }
 
-// TestRecoverCompletions checks that the completions of several segments count together, that a chunk
-// in two of them is moved to the last one, and that a job of which all tasks are completed finishes.
+// TestRecoverCompletions checks that the completions of several segments are merged, that a chunk
+// in two segments is moved to the last one, and that a job whose tasks are all completed finishes.
 func TestRecoverCompletions(t *testing.T) {
 	o := newTestOwner(t)
 	j, finished := o.addJob("req-000001", 10, false), o.addJob("req-000002", 2, false)
@@ -69,7 +69,8 @@
 	}
 }
 
-// TestRecoverLaterChunk checks that the completions of a chunk count for its own tasks.
+// TestRecoverLaterChunk checks that the completions of a chunk other than the first are applied to
+// the tasks of that chunk.
 func TestRecoverLaterChunk(t *testing.T) {
 	const tasks = record.TasksPerChunk + 10
 	o := newTestOwner(t)
@@ -83,8 +84,8 @@
 	}
 }
 
-// TestIgnoredChunks checks that chunks that belong to no task of an active job, or cannot be read,
-// complete nothing.
+// TestIgnoredChunks checks that no task is completed by chunks that belong to no task of an active
+// job or cannot be read.
 func TestIgnoredChunks(t *testing.T) {
 	for _, test := range []struct {
 		name, chunk, bits string
@@ -109,8 +110,8 @@
 	}
 }
 
-// TestForeignSegments checks that segments of another owner's teams are left alone, and that those of
-// no team are deleted once this owner has all teams.
+// TestForeignSegments checks that segments of another owner's teams are kept, and that segments of
+// teams that do not exist are deleted if this owner owns all teams.
 func TestForeignSegments(t *testing.T) {
 	for _, ownsAllTeams := range []bool{false, true} {
 		o := newTestOwner(t)
--- a/internal/recovery/fixtures_test.go
+++ b/internal/recovery/fixtures_test.go
@@ -21,8 +21,8 @@
 	retryDelay = 250 * micros.Millisecond
 )
 
-// testOwner is an owner of team red whose only part is a recovery. It records what the recovery does,
-// and its calls to the key-value store stay open until the test responds to them.
+// testOwner is an owner of team red that consists of a recovery only. It records the recovery's
+// calls, and its calls to the key-value store stay open until the test responds to them.
 type testOwner struct {
 	*Recovery
 	now, wallClock micros.Micros
--- a/internal/recovery/recovery.go
+++ b/internal/recovery/recovery.go
@@ -13,27 +13,27 @@
 
 // Host is the owner whose state is recovered.
 type Host interface {
-	// Now returns the steady time of the present event.
+	// Now returns the monotonic time of the current event.
 	Now() micros.Micros
-	// WallClock returns the time of day of the present event.
+	// WallClock returns the time of day of the current event.
 	WallClock() micros.Micros
-	// Superseded reports whether another owner has replaced this one, so that callbacks must
-	// do nothing.
+	// Superseded reports whether another owner has replaced this one. Callbacks must then do
+	// nothing.
 	Superseded() bool
-	// OwnsRecordsOf reports whether this owner takes over the records of another one.
+	// OwnsRecordsOf reports whether the records of an owner now belong to this owner.
 	OwnsRecordsOf(owner record.OwnerID) bool
 
-	// Reset drops everything that was recovered or decided before.
+	// Reset drops all state that was recovered or decided before.
 	Reset()
-	// RecoverJobs adds the active jobs of the owner's teams, which were listed at a revision by a
-	// request sent at a time.
+	// RecoverJobs adds the active jobs of the owner's teams, which were listed at a revision.
+	// requestedAt is when the listing was requested.
 	RecoverJobs(entries []kv.Entry, revision uint64, requestedAt micros.Micros)
 	// RecoverScaleOutRequests adds the scale-out requests.
 	RecoverScaleOutRequests(entries []kv.Entry)
 	// RecoverReservations adds the reservations.
 	RecoverReservations(entries []kv.Entry)
-	// PlacedJob returns a job that a record names as placed, after unblocking it if necessary.
-	// It returns nil if the job is not active.
+	// PlacedJob returns a job that has an attempt or a completion in a record. If the job is
+	// blocked, it is unblocked first. PlacedJob returns nil if the job is not active.
 	PlacedJob(id string) *inventory.Job
 	// AddMachine adds a machine, with an entry in a block.
 	AddMachine(b *inventory.Block, info inventory.MachineInfo) *inventory.Machine
@@ -41,7 +41,8 @@
 	RecoveryComplete()
 }
 
-// Pipeline writes the owner's records from then on. It holds the blocks and completion segments.
+// Pipeline writes the owner's records after the recovery. It holds the blocks and completion
+// segments.
 type Pipeline interface {
 	// OwnsAllTeams reports whether there is no other owner.
 	OwnsAllTeams() bool
@@ -54,7 +55,7 @@
 	MoveChunk(from, to *inventory.CompletionSegment, j *inventory.Job, chunk int)
 	// EmptyOversizedSegments moves all chunks out of segments that exceed the value limit.
 	EmptyOversizedSegments()
-	// DeleteLater schedules the deletion of keys that nobody reads any more.
+	// DeleteLater schedules the deletion of keys that are no longer read.
 	DeleteLater(keys ...string)
 }
 
@@ -79,8 +80,9 @@
 }
 
 // Recovery reads the records of one owner. Records are read one kind after the other, since later
-// kinds refer to earlier ones. No other node changes them meanwhile, except for the jobs, which the
-// owner watches from the revision at which they were listed. It is not safe for concurrent use.
+// kinds refer to earlier ones. During the recovery no other node changes them, except for the jobs,
+// which the owner watches from the revision at which they were listed. It is not safe for
+// concurrent use.
 type Recovery struct {
 	host       Host
 	pipeline   Pipeline
@@ -113,7 +115,7 @@
 	}
 }
 
-// start drops what is known and reads all records.
+// start drops the known state and reads all records.
 func (r *Recovery) start() {
 	r.reading = true
 	r.host.Reset()
@@ -122,16 +124,16 @@
 	current.list(record.ActiveJobPrefix, current.handleJobs)
 }
 
-// run is one reading of all records. It ends with the first read that fails.
+// run is one pass over all records. It ends when a read fails.
 type run struct {
 	*Recovery
 	startedAt micros.Micros
-	// blocks are kept until everything else has been read.
+	// blocks are kept until everything else has been recovered.
 	blocks []kv.Entry
 }
 
-// list reads the records with a prefix. After a failure, whatever its cause, all records are read
-// again after a pause.
+// list reads the records with a prefix. If a read fails, all records are read again after
+// retryDelay.
 func (r *run) list(prefix string, next func(entries []kv.Entry, revision uint64)) {
 	r.store.ListAll(prefix, func(listing kv.Listing, err error) {
 		switch {
@@ -145,19 +147,21 @@
 	})
 }
 
-// handleJobs comes first, since completion segments and blocks name jobs.
+// handleJobs handles the jobs, which are read first because completion segments and blocks refer to
+// them.
 func (r *run) handleJobs(entries []kv.Entry, revision uint64) {
 	r.host.RecoverJobs(entries, revision, r.startedAt)
 	r.list(record.CompletionSegmentPrefix, r.handleSegments)
 }
 
-// handleSegments comes before the blocks, so that no attempt of a completed task is recovered.
+// handleSegments handles the completion segments, which are recovered before the blocks, so that no
+// attempt of a completed task is recovered.
 func (r *run) handleSegments(entries []kv.Entry, _ uint64) {
 	r.RecoverSegments(entries)
 	r.list(record.BlockPrefix, r.handleBlocks)
 }
 
-// handleBlocks keeps the blocks for the end: scale-out requests and reservations come first.
+// handleBlocks keeps the blocks, which are recovered after the scale-out requests and reservations.
 func (r *run) handleBlocks(entries []kv.Entry, _ uint64) {
 	r.blocks = entries
 	r.list(record.ScaleOutRequestPrefix, r.handleScaleOutRequests)
--- a/internal/recovery/recovery_test.go
+++ b/internal/recovery/recovery_test.go
@@ -51,12 +51,12 @@
 		o.respondToList(t, kv.Listing{Revision: 9}, nil)
 	}
 	if len(o.lists) > 0 {
-		t.Error("reads are open after the end")
+		t.Error("reads are open after the recovery is complete")
 	}
 }
 
-// TestRecoverJobs checks that the jobs are recovered as of the revision of their listing and of the time
-// before it was requested.
+// TestRecoverJobs checks that the jobs are recovered with the revision of their listing and the
+// time at which the listing was requested.
 func TestRecoverJobs(t *testing.T) {
 	o := newTestOwner(t)
 	o.start(t, 0)
@@ -84,7 +84,7 @@
 	}
 }
 
-// TestFailedReads checks that after any failed read everything is read again, but not before the
+// TestFailedReads checks that after any failed read all records are read again, but not before the
 // pause has passed.
 func TestFailedReads(t *testing.T) {
 	for reads := range len(stages) - 1 {
@@ -104,7 +104,7 @@
 	}
 }
 
-// TestSupersededReads checks that the recovery of a replaced owner does nothing more.
+// TestSupersededReads checks that the recovery of a superseded owner does nothing more.
 func TestSupersededReads(t *testing.T) {
 	for _, err := range []error{nil, errRead} {
 		for reads := range len(stages) - 1 {
--- a/internal/recovery/unresolved_jobs.go
+++ b/internal/recovery/unresolved_jobs.go
@@ -8,10 +8,11 @@
 	"tamarindlead/internal/wire"
 )
 
-// terminalStatesPerTick is the number of terminal states that are read with each slow tick.
+// terminalStatesPerTick is the maximum number of terminal states that are read in each slow tick.
 const terminalStatesPerTick = 4
 
-// ResolveJobs reads the terminal states of jobs that blocks name although they are not active.
+// ResolveJobs reads the terminal states of jobs that have attempts in blocks although they are not
+// active.
 func (r *Recovery) ResolveJobs() {
 	for range min(terminalStatesPerTick, len(r.unresolvedJobs)) {
 		j := r.unresolvedJobs[0]
@@ -31,23 +32,23 @@
 	}
 }
 
-// resolveJob applies the terminal state of a job. All tasks of a job that is done have ended, so its
-// attempts are closed without a heartbeat of their machines: a machine behind a network partition
-// need not be terminated for them, as it must be for tasks of a cancelled job, and a gang that runs
-// there continues.
+// resolveJob applies the terminal state of a job. If the job is done, all its tasks have ended, so
+// its attempts are closed without waiting for heartbeats of their machines. A partitioned machine
+// then need not be terminated because of these attempts, as it must be for tasks of a cancelled
+// job, and a gang that runs there continues.
 func (r *Recovery) resolveJob(j *inventory.Job, value []byte) {
 	var terminal record.TerminalState
 	// A job whose terminal state cannot be decoded is treated as cancelled, the stricter case.
 	if wire.Decode(value, &terminal) == nil && terminal.Status == record.StatusDone {
 		for _, a := range j.SortedAttempts() {
-			if a.Machine.AgentEpoch == 0 { // otherwise its heartbeat decides
+			if a.Machine.AgentEpoch == 0 { // otherwise the heartbeats decide
 				r.inv.SetAttemptState(a, inventory.AttemptClosed)
 			}
 		}
 		return
 	}
 	sinceEnd := r.host.WallClock() - terminal.FinishedAt
-	if terminal.FinishedAt == 0 { // an older version did not record it: assume the earliest possible
+	if terminal.FinishedAt == 0 { // older versions did not record the time: assume the earliest possible
 		sinceEnd = r.settings.CancellationDeadline
 	}
 	j.EndedAt = max(1, r.host.Now()-sinceEnd)
