--- a/internal/commit/result_test.go
+++ b/internal/commit/result_test.go
@@ -14,8 +14,8 @@
 	"tamarindlead/micros"
 )
 
-// TestFlushKeepsOneTransactionInFlight guards against a transaction that is built on state which the
-// one in flight may change.
+// TestFlushKeepsOneTransactionInFlight guards against a transaction that is based on state which
+// the transaction in flight may change.
 func TestFlushKeepsOneTransactionInFlight(t *testing.T) {
 	o := newSmallOwner(t)
 	o.MarkDirty(o.inv.SortedMachines[0])
@@ -25,7 +25,7 @@
 	if len(o.calls) != 1 || !o.InFlight() {
 		t.Fatalf("%d transactions in flight", len(o.calls))
 	}
-	o.answer(t, kv.OK, kv.TransactionResult{Revision: 8})
+	o.respond(t, kv.OK, kv.TransactionResult{Revision: 8})
 	if o.Flush(); o.InFlight() {
 		t.Fatal("the next transaction does not wait for the interval")
 	}
@@ -35,11 +35,11 @@
 	}
 }
 
-// TestResults covers what follows from the outcomes of a transaction.
+// TestResults covers the handling of the outcomes of a transaction.
 func TestResults(t *testing.T) {
 	tests := []struct {
 		name     string
-		outcomes []kv.Outcome // of the first sending and of later ones
+		outcomes []kv.Outcome // of the first transmission and of retransmissions
 		written  bool         // the block is recorded and clean
 		dirty    bool         // the block must be written again
 		restart  bool         // recovery is restarted
@@ -73,7 +73,7 @@
 				if !slices.Equal(o.calls[0].request.Body, first.Body) {
 					t.Error("another transaction is sent before the result of the first is known")
 				}
-				o.answer(t, outcome, kv.TransactionResult{Revision: 8})
+				o.respond(t, outcome, kv.TransactionResult{Revision: 8})
 			}
 			if written := b.Version == 8 && !b.Dirty && !b.Writing; written != test.written {
 				t.Errorf("written %v, want %v", written, test.written)
@@ -91,7 +91,8 @@
 	}
 }
 
-// TestUnreadableResult guards against a pipeline that goes on without the revision of its transaction.
+// TestUnreadableResult guards against a pipeline that continues without the revision of its
+// transaction.
 func TestUnreadableResult(t *testing.T) {
 	o := newSmallOwner(t)
 	o.MarkDirty(o.blocks[0].Machines[0])
@@ -102,21 +103,21 @@
 	}
 }
 
-// TestSupersededOwnerIgnoresResults guards against results that change the state of an owner that was
-// replaced.
+// TestSupersededOwnerIgnoresResults guards against results that change the state of a superseded
+// owner.
 func TestSupersededOwnerIgnoresResults(t *testing.T) {
 	o := newSmallOwner(t)
 	b := o.blocks[0]
 	o.MarkDirty(b.Machines[0])
 	o.Flush()
 	o.superseded = true
-	o.answer(t, kv.OK, kv.TransactionResult{Revision: 8})
+	o.respond(t, kv.OK, kv.TransactionResult{Revision: 8})
 	if b.Version != 7 || !b.Writing {
 		t.Errorf("block %+v has changed", b)
 	}
 }
 
-// TestFailedPreconditions covers what follows from each kind of key whose precondition did not hold.
+// TestFailedPreconditions covers the handling of each kind of key whose precondition has failed.
 func TestFailedPreconditions(t *testing.T) {
 	adopted := record.BlockKey(inventory.AdoptedPrefix + "m-0")
 	tests := []struct {
@@ -138,7 +139,7 @@
 			m.FencingToken = 0
 			o.MarkDirty(m)
 			o.Flush()
-			o.answer(t, kv.PreconditionFailed, kv.TransactionResult{FailedPreconditions: test.failed})
+			o.respond(t, kv.PreconditionFailed, kv.TransactionResult{FailedPreconditions: test.failed})
 			if !slices.Equal(o.reactions, test.want) {
 				t.Errorf("reactions %q, want %q", o.reactions, test.want)
 			}
@@ -146,8 +147,8 @@
 	}
 }
 
-// TestSources covers the order in which the owner's parts share a transaction, and the room that each
-// leaves.
+// TestSources covers the order in which the owner's parts add their writes to a transaction, and
+// how many writes each of them leaves to the others.
 func TestSources(t *testing.T) {
 	o := newSmallOwner(t)
 	o.settings.MaxTransactionOps = 8
@@ -163,7 +164,8 @@
 	}
 	o.sources = Sources{CascadedCancellations: source("cascaded"), ScaleOutRequests: source("scale-out"), Reservations: source("reservations")}
 	o.Flush()
-	// One write is left by each source that may need two at once; half by the cascaded.
+	// A source that may need two writes at once leaves one. The cascaded cancellations leave half of
+	// the writes at first.
 	want := []string{"cascaded", "+++", "scale-out", "++++", "reservations", "+", "cascaded", ""}
 	if !slices.Equal(order, want) {
 		t.Errorf("writes %q, want %q", order, want)
@@ -173,7 +175,7 @@
 	}
 }
 
-// TestTerminalState covers the record of a job whose tasks have all completed.
+// TestTerminalState covers the write of the terminal state of a job whose tasks have all completed.
 func TestTerminalState(t *testing.T) {
 	for _, committed := range []bool{true, false} {
 		o := newSmallOwner(t)
@@ -187,18 +189,18 @@
 		if !committed {
 			outcome, want = kv.Throttled, nil
 		}
-		o.answer(t, outcome, kv.TransactionResult{Revision: 8})
+		o.respond(t, outcome, kv.TransactionResult{Revision: 8})
 		if j.Writing || !slices.Equal(o.reactions, want) {
 			t.Errorf("%v: writing %v, reactions %q, want %q", outcome, j.Writing, o.reactions, want)
 		}
 	}
 }
 
-// TestObsoleteKeys covers when obsolete keys are deleted: all when there is nothing else to write, one
-// with other writes after they have waited for long.
+// TestObsoleteKeys covers when obsolete keys are deleted: all of them when there is nothing else to
+// write, and one together with other writes after the keys have waited for obsoleteKeyMaxWait.
 func TestObsoleteKeys(t *testing.T) {
 	o := newSmallOwner(t)
-	o.Flush() // there is no obsolete key until now
+	o.Flush() // the wait begins now: there are no obsolete keys yet
 	for _, key := range []string{"a", "b", "c"} {
 		o.DeleteLater(key)
 	}
@@ -207,7 +209,7 @@
 		o.now += flushInterval
 		o.Flush()
 		writes := o.calls[0].request.WriteCount
-		o.answer(t, kv.OK, kv.TransactionResult{Revision: 8})
+		o.respond(t, kv.OK, kv.TransactionResult{Revision: 8})
 		return writes
 	}
 	if n := flushDirty(); n != 1 {
@@ -222,14 +224,14 @@
 	if c := o.calls[0]; c.purpose != budget.Cleanup || c.request.WriteCount != 2 {
 		t.Fatalf("%d writes for %v", c.request.WriteCount, c.purpose)
 	}
-	o.answer(t, kv.OK, kv.TransactionResult{Revision: 9})
+	o.respond(t, kv.OK, kv.TransactionResult{Revision: 9})
 	if len(o.obsoleteKeys) != 0 || o.InFlight() {
 		t.Errorf("%q are left", o.obsoleteKeys)
 	}
 }
 
-// TestVerifyAdopted covers the claim of an adopted machine by one of several owners: it counts only
-// if no other owner had recorded the machine before.
+// TestVerifyAdopted covers the claim of an adopted machine by one of several owners: the claim is
+// valid only if no other owner has recorded the machine before.
 func TestVerifyAdopted(t *testing.T) {
 	other := func(machine string) kv.Entry {
 		data := &record.BlockData{
@@ -243,7 +245,7 @@
 		entries []kv.Entry
 		err     error
 		want    []string // reactions
-		dirty   bool     // it is claimed again
+		dirty   bool     // the claim is retried
 	}{
 		{"nobody has it", []kv.Entry{other("m-8")}, nil, []string{"claimed m-9"}, false},
 		{"a block cannot be read", []kv.Entry{other("m-8"), {Key: record.BlockKey("damaged"), Value: []byte{0xff}}}, nil, nil, true},
@@ -260,9 +262,9 @@
 			if c := o.calls[0]; c.purpose != budget.Ownership {
 				t.Errorf("the claim is sent for %v", c.purpose)
 			}
-			o.answer(t, kv.OK, kv.TransactionResult{Revision: 8})
+			o.respond(t, kv.OK, kv.TransactionResult{Revision: 8})
 			if !m.Verifying || m.FencingToken != 0 {
-				t.Fatal("the claim counts before it is verified")
+				t.Fatal("the machine is claimed before the adoption is verified")
 			}
 			o.nextCall(t).listed(kv.Listing{Entries: test.entries}, test.err)
 			if m.Verifying || !slices.Equal(o.reactions, test.want) || m.Dirty != test.dirty {
@@ -278,12 +280,12 @@
 	}
 }
 
-// TestTransfer covers a machine that leaves with a record for its new owner, and one whose new owner
-// is gone.
+// TestTransfer covers a machine that is transferred with a record for its new owner, and a machine
+// whose new owner is no longer a member.
 func TestTransfer(t *testing.T) {
 	for _, live := range []bool{true, false} {
 		o := newSmallOwner(t)
-		o.newOwnerLive = live
+		o.successorLive = live
 		m := o.inv.Machines["m-0"]
 		m.TransferTo = "n1"
 		o.inv.SetMachineState(m, inventory.MachineTransferring, "test")
@@ -295,7 +297,7 @@
 		if n := o.calls[0].request.WriteCount; n != writes {
 			t.Errorf("new owner live %v: %d writes", live, n)
 		}
-		o.answer(t, kv.OK, kv.TransactionResult{Revision: 8})
+		o.respond(t, kv.OK, kv.TransactionResult{Revision: 8})
 		if !slices.Equal(o.reactions, want) {
 			t.Errorf("new owner live %v: reactions %q", live, o.reactions)
 		}
--- a/internal/machinetypes/confirmation_test.go
+++ b/internal/machinetypes/confirmation_test.go
@@ -7,18 +7,19 @@
 	"tamarindlead/micros"
 )
 
-// The tests in this file cover the confirmation on which a permanent refusal rests. Before, a node
-// refused by the table that it had, whatever its age: 422 for good to a job that fits a type offered
-// since, and, at a node without teams, for as long as the process lived (scenario type_offered).
+// The tests in this file cover the confirmation that precedes a permanent rejection of a job. Nodes
+// used to reject jobs based on their table, whatever its age: a job that fits a type offered since then
+// got a permanent 422 response, and a node without teams continued to reject it for as long as its
+// process ran (scenario type_offered).
 
-// confirmations counts the answers to confirmations.
-type confirmations struct{ confirmed, refused int }
+// confirmations counts the results of confirmations.
+type confirmations struct{ confirmed, denied int }
 
 func (c *confirmations) done(confirmed bool) {
 	if confirmed {
 		c.confirmed++
 	} else {
-		c.refused++
+		c.denied++
 	}
 }
 
@@ -27,13 +28,13 @@
 	t.Helper()
 	table, node := newTable()
 	table.readCloud()
-	node.answerFetch(t, wire.StatusOK, wire.Encode(types("small")))
+	node.respondToFetch(t, wire.StatusOK, wire.Encode(types("small")))
 	node.now += micros.Second
 	return table, node
 }
 
-// answerFetch answers the oldest read of the cloud.
-func (n *fakeNode) answerFetch(t *testing.T, status wire.Status, body []byte) {
+// respondToFetch responds to the oldest open read of the cloud.
+func (n *fakeNode) respondToFetch(t *testing.T, status wire.Status, body []byte) {
 	t.Helper()
 	if len(n.fetches) == 0 {
 		t.Fatal("no read of the cloud is open")
@@ -43,43 +44,43 @@
 	done(status, body)
 }
 
-// TestConfirmReadsAfterTheQuestion checks that a read which was sent before the question confirms
-// nothing, and that one read confirms all questions that came before it.
-func TestConfirmReadsAfterTheQuestion(t *testing.T) {
+// TestConfirmRequiresLaterRead checks that a read that was sent before a call of Confirm does not
+// confirm it, and that one read confirms all calls that were made before it was sent.
+func TestConfirmRequiresLaterRead(t *testing.T) {
 	table, node := newReadTable(t)
 	table.readCloud()
 	node.now += micros.Millisecond
-	var answers confirmations
-	table.Confirm(answers.done)
-	table.Confirm(answers.done)
+	var results confirmations
+	table.Confirm(results.done)
+	table.Confirm(results.done)
 	if len(node.fetches) != 1 {
 		t.Fatalf("%d reads of the cloud at a time", len(node.fetches))
 	}
-	node.answerFetch(t, wire.StatusOK, wire.Encode(types("small")))
-	if answers != (confirmations{}) {
-		t.Fatalf("%+v by a read that was sent before", answers)
+	node.respondToFetch(t, wire.StatusOK, wire.Encode(types("small")))
+	if results != (confirmations{}) {
+		t.Fatalf("%+v after a read that was sent before the calls of Confirm", results)
 	}
-	node.answerFetch(t, wire.StatusOK, wire.Encode(types("small", "new")))
-	if want := (confirmations{confirmed: 2}); answers != want || table.Find("new") == nil {
-		t.Errorf("%+v, want %+v by the types that were read", answers, want)
+	node.respondToFetch(t, wire.StatusOK, wire.Encode(types("small", "new")))
+	if want := (confirmations{confirmed: 2}); results != want || table.Find("new") == nil {
+		t.Errorf("%+v, want %+v, with the types that were read", results, want)
 	}
 	if len(node.fetches) != 0 {
-		t.Error("the types are read once more for nothing")
+		t.Error("the types are read once more without need")
 	}
 }
 
-// TestConfirmFails checks that nothing is confirmed while the cloud cannot be read: a question waits
-// for a second at most, and the next ones are answered at once.
+// TestConfirmFails checks that nothing is confirmed while the cloud cannot be read: a confirmation
+// waits for a second at most, and the next ones are denied at once.
 func TestConfirmFails(t *testing.T) {
 	for _, c := range []struct {
-		name   string
-		answer func(t *testing.T, table *Table, node *fakeNode)
+		name    string
+		respond func(t *testing.T, table *Table, node *fakeNode)
 	}{
 		{"unavailable", func(t *testing.T, _ *Table, node *fakeNode) {
-			node.answerFetch(t, wire.StatusUnavailable, nil)
+			node.respondToFetch(t, wire.StatusUnavailable, nil)
 		}},
 		{"no type", func(t *testing.T, _ *Table, node *fakeNode) {
-			node.answerFetch(t, wire.StatusOK, wire.Encode(types()))
+			node.respondToFetch(t, wire.StatusOK, wire.Encode(types()))
 		}},
 		{"no response", func(_ *testing.T, table *Table, node *fakeNode) {
 			node.now += confirmationTimeout + 1
@@ -88,38 +89,38 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			table, node := newReadTable(t)
-			var answers confirmations
-			table.Confirm(answers.done)
-			c.answer(t, table, node)
-			if want := (confirmations{refused: 1}); answers != want {
-				t.Fatalf("%+v, want %+v", answers, want)
+			var results confirmations
+			table.Confirm(results.done)
+			c.respond(t, table, node)
+			if want := (confirmations{denied: 1}); results != want {
+				t.Fatalf("%+v, want %+v", results, want)
 			}
 			open := len(node.fetches)
-			table.Confirm(answers.done)
-			if want := (confirmations{refused: 2}); answers != want || len(node.fetches) != open {
-				t.Errorf("%+v with %d more reads, want %+v at once", answers, len(node.fetches)-open, want)
+			table.Confirm(results.done)
+			if want := (confirmations{denied: 2}); results != want || len(node.fetches) != open {
+				t.Errorf("%+v with %d more reads, want %+v at once", results, len(node.fetches)-open, want)
 			}
 			checkNames(t, table, "small")
 		})
 	}
 }
 
-// TestConfirmationRate checks that questions cause no more reads of the cloud than the table may: what
-// is beyond them is answered at once.
+// TestConfirmationRate checks that confirmations cause no more reads of the cloud than the rate
+// limit allows, and that confirmations beyond it are denied at once.
 func TestConfirmationRate(t *testing.T) {
 	table, node := newReadTable(t)
-	var answers confirmations
+	var results confirmations
 	for range 3 * confirmationBurst {
-		table.Confirm(answers.done)
+		table.Confirm(results.done)
 		if len(node.fetches) > 0 {
-			node.answerFetch(t, wire.StatusOK, wire.Encode(types("small")))
+			node.respondToFetch(t, wire.StatusOK, wire.Encode(types("small")))
 		}
 	}
-	if want := (confirmations{confirmationBurst, 2 * confirmationBurst}); answers != want {
-		t.Errorf("%+v, want %+v", answers, want)
+	if want := (confirmations{confirmationBurst, 2 * confirmationBurst}); results != want {
+		t.Errorf("%+v, want %+v", results, want)
 	}
 	node.now += 10 * micros.Second
-	table.Confirm(answers.done)
+	table.Confirm(results.done)
 	if len(node.fetches) != 1 {
 		t.Error("no read is allowed after ten seconds")
 	}
--- a/internal/recovery/adopted_blocks_test.go
+++ b/internal/recovery/adopted_blocks_test.go
@@ -10,23 +10,23 @@
 	"tamarindlead/internal/wire"
 )
 
-// TestRecoverAdoptedAndOtherBlock checks what an owner recovers when a machine is in the block of an
-// adopter and in another block too.
+// TestRecoverAdoptedAndOtherBlock checks what an owner recovers when a machine is both in the block
+// of an adopter and in another block.
 //
-// What happens: an owner of the version in production ended between writing the block of a machine
-// that it adopted and reading the other blocks. Why it was a fault: recovery took the entry of the
-// newest block and dropped the attempts of the others; TestAdoptionInterleavings shows a task that
-// starts on a second machine by it ("ran_twice: req-000003/0 starts on m-000004 while on m-000000").
-// Now the entry of the other block holds, the attempts of both are kept, and the adopter's block is
-// deleted only after the other one is written with them.
+// This happens if an owner running the production version stops between writing the block of a
+// machine that it adopted and reading the other blocks. Recovery used to take the entry of the
+// newest block and to drop the attempts in the others, so that a task could start on a second
+// machine, as TestAdoptionInterleavings shows ("ran_twice: req-000003/0 starts on m-000004 while on
+// m-000000"). Now the entry of the other block takes precedence, the attempts of both blocks are
+// kept, and the adopter's block is deleted only after the other block has been written with them.
 func TestRecoverAdoptedAndOtherBlock(t *testing.T) {
 	const machine = "m-000001"
 	for _, c := range []struct {
-		name                             string
-		otherVersion                     uint64 // the adopter's block has 20
-		inOther, inAdopted               []int  // tasks with attempts
-		otherLeaves, adoptedDecommission bool   // the machine is being terminated by one of the owners
-		want                             []int
+		name                                     string
+		otherVersion                             uint64 // the adopter's block has version 20
+		inOther, inAdopted                       []int  // tasks with attempts
+		otherDecommissions, adopterDecommissions bool   // the machine is being terminated by one of the owners
+		want                                     []int
 	}{
 		{"older, adopted without attempts", 10, []int{0, 1}, nil, false, false, []int{0, 1}},
 		{"newer, adopted without attempts", 30, []int{0, 1}, nil, false, false, []int{0, 1}},
@@ -49,8 +49,8 @@
 			}
 			adopted := inventory.AdoptedPrefix + machine
 			o.RecoverBlocks([]kv.Entry{
-				decommissioned(t, c.otherLeaves, blockEntry(self, "other", c.otherVersion, machine, placements(c.inOther)...)),
-				decommissioned(t, c.adoptedDecommission, blockEntry(self, adopted, 20, machine, placements(c.inAdopted)...)),
+				decommissioned(t, c.otherDecommissions, blockEntry(self, "other", c.otherVersion, machine, placements(c.inOther)...)),
+				decommissioned(t, c.adopterDecommissions, blockEntry(self, adopted, 20, machine, placements(c.inAdopted)...)),
 			})
 			m := o.inv.Machines[machine]
 			if m == nil || m.Block.Name != "other" {
@@ -66,7 +66,7 @@
 			if !slices.Equal(got, c.want) {
 				t.Errorf("attempts of the tasks %v are kept, want %v", got, c.want)
 			}
-			if terminating := m.State == inventory.MachineTerminating; terminating != (c.otherLeaves || c.adoptedDecommission) {
+			if terminating := m.State == inventory.MachineTerminating; terminating != (c.otherDecommissions || c.adopterDecommissions) {
 				t.Errorf("machine is %v", m.State)
 			}
 			o.checkDeletedAfter(t, adopted, m.Block)
@@ -74,8 +74,8 @@
 	}
 }
 
-// checkDeletedAfter checks that a block has no machines, and will be written, which deletes it, only
-// after another block.
+// checkDeletedAfter checks that a block has no machines, and that it will be written, which deletes
+// it, only after another block.
 func (o *testOwner) checkDeletedAfter(t *testing.T, name string, after *inventory.Block) {
 	t.Helper()
 	i := slices.IndexFunc(o.blocks, func(b *inventory.Block) bool { return b.Name == name })
@@ -91,7 +91,8 @@
 	}
 }
 
-// decommissioned returns a block's record in which, if set, the termination of its machine is decided.
+// decommissioned returns the record of a block after setting whether its machine is being
+// decommissioned.
 func decommissioned(t *testing.T, set bool, e kv.Entry) kv.Entry {
 	t.Helper()
 	var block record.Block
@@ -107,8 +108,8 @@
 	return e
 }
 
-// TestRecoverAnnouncement checks that the block of an adopter that ended before it had read the other
-// blocks is deleted: it has no machine, and keeps other owners from claiming it.
+// TestRecoverAnnouncement checks that the block of an adopter that stopped before it had read the
+// other blocks is deleted: it has no machine, but prevents other owners from claiming the machine.
 func TestRecoverAnnouncement(t *testing.T) {
 	o := newTestOwner(t)
 	name := inventory.AdoptedPrefix + "m-000001"
