--- a/controller/adoption_interleavings_test.go
+++ b/controller/adoption_interleavings_test.go
@@ -36,9 +36,9 @@
 // One seed is always played; SCENARIO_SEEDS=20 plays the seeds 1 to 20.
 func TestAdoptionInterleavings(t *testing.T) {
 	for seed := 1; seed <= seedsOnDemand(t, 1); seed++ {
-		for _, ownerFault := range []string{"deafen-node node=1 for=8", "crash node=1 for=20"} {
+		for _, ownerFault := range []string{"partition-node-from-workers node=1 for=8", "crash-node node=1 for=20"} {
 			for _, interruption := range []string{
-				"restart-only", "for=0.2", "for=4", "for=4 times=2", "for=20 also=1", "for=4 also=1 cut=12 spare=3",
+				"reload-only", "for=0.2", "for=4", "for=4 times=2", "for=20 also-crash-node=1", "for=4 also-crash-node=1 partition=12 extra-machines=3",
 			} {
 				for _, after := range []float64{0, 0.005, 0.02, 0.3} {
 					adopter := fmt.Sprintf("crash-adopter after=%g %s", after, interruption)
@@ -57,19 +57,19 @@
 func playAdoption(t *testing.T, seed int, ownerFault, adopter string) {
 	t.Helper()
 	sim := playSteps(t, []string{
-		fmt.Sprintf("world machines=0 most=12 teams=6 limit=6 spread seed=%d", seed),
-		"run s=6",
-		"jobs from=1 count=12 over=6 tasks=1 cpus=2.5 run=60",
-		"submit job=req-000013 gang tasks=2 cpus=2.5 run=60 team=red",
-		"run s=30",
+		fmt.Sprintf("cluster machines=0 max-machines=12 teams=6 quota-limit=6 spread-teams seed=%d", seed),
+		"run for=6",
+		"submit-jobs first-job=1 count=12 round-robin-teams=6 tasks=1 cpus=2.5 duration=60",
+		"submit job=req-000013 gang tasks=2 cpus=2.5 duration=60 team=red",
+		"run for=30",
 		adopter,
 		"lose-peer-messages share=1 for=12",
 		ownerFault,
-		"run s=5",
+		"run for=5",
 		"cancel job=req-000003",
-		"run s=7",
-		"calm",
-		"until-done s=400",
+		"run for=7",
+		"faults-ended",
+		"run-until-done timeout=400",
 	})
 	const cancelledTasks = 1
 	if n := sim.exitsByCause["stopped"]; n > cancelledTasks {
--- a/controller/dependency_parts_test.go
+++ b/controller/dependency_parts_test.go
@@ -15,7 +15,7 @@
 // TestCleanupOfAllPages checks that parts of dependency lists without a job are deleted also beyond
 // the first page of a listing.
 func TestCleanupOfAllPages(t *testing.T) {
-	w := newScenarioSimulation(t, &datadriven.TestData{Pos: "dependency_parts_test.go", Cmd: "world"})
+	w := newScenarioSimulation(t, &datadriven.TestData{Pos: "dependency_parts_test.go", Cmd: "cluster"})
 	var leftovers []fake.Record
 	for i := range 2*kv.PageSize + 1 {
 		leftovers = append(leftovers, fake.Record{
--- a/controller/dump_play_test.go
+++ b/controller/dump_play_test.go
@@ -17,7 +17,7 @@
 	t.Helper()
 	var sim *simulation
 	datadriven.RunTest(t, "production/script.txt", func(t *testing.T, d *datadriven.TestData) string {
-		if d.Cmd == "world" {
+		if d.Cmd == "cluster" {
 			sim = newScenarioSimulation(t, d)
 			if save != nil {
 				sim.startWithProduction(t, len(sim.nodes))
@@ -31,7 +31,7 @@
 			}
 			return ""
 		}
-		if d.Cmd == "until-record" {
+		if d.Cmd == "run-until-record" {
 			text := ""
 			if d.HasArg("condemned") {
 				text = `"condemned":true`
--- a/controller/effects_test.go
+++ b/controller/effects_test.go
@@ -65,10 +65,39 @@
 	}
 }
 
+// renamedScenarios maps the names under which scenarios were recorded to the present names of their
+// files. recorded/effects.txt keeps the recorded names.
+var renamedScenarios = map[string]string{
+	"awaits_long_list":        "dependency_long_list",
+	"awaits_priority":         "dependency_priority_inherited",
+	"awaits_takeover_running": "dependency_failover_dependents_running",
+	"gap_told":                "cancel_via_peer_kv_outage",
+	"hold_crash":              "reservation_owner_crash",
+	"limit":                   "quota_limit",
+	"next_limits":             "kv_limits_reduced_block_split",
+	"reclaim":                 "guarantee_preempts",
+	"reclaim_spread":          "guarantee_preempts_spread_teams",
+	"refused_leader":          "kv_refuses_leader",
+	"spread_room":             "spread_gang_scale_out",
+	"storm_2":                 "combined_faults_2",
+	"ten_leaders":             "ten_leader_changes",
+	"zone_cut_controller":     "zone_partition_zone_bound_jobs",
+	"zone_dark":               "zone_partition_owner_inside",
+}
+
+// recordedScenarioFile returns the present file name, without extension, of a recorded scenario.
+func recordedScenarioFile(recorded string) string {
+	if renamed, ok := renamedScenarios[recorded]; ok {
+		return renamed
+	}
+	return recorded
+}
+
 // runRecorded plays a scenario and returns a digest of its nodes' events and effects.
 func runRecorded(t *testing.T, scenario string) *effectDigest {
 	record := newEffectDigest()
-	runScenario(t, filepath.Join("testdata", scenario+".txt"), func(*datadriven.TestData) {}, func(sim *simulation) {
+	path := filepath.Join("testdata", recordedScenarioFile(scenario)+".txt")
+	runScenario(t, path, func(*datadriven.TestData) {}, func(sim *simulation) {
 		sim.onEffects = func(node *simNode, ev Event, effects []Effect) {
 			record.add(node.index, sim.now-micros.Hour, ev, effects)
 		}
--- a/controller/faults_adoption_test.go
+++ b/controller/faults_adoption_test.go
@@ -15,9 +15,9 @@
 // adoptionCommands cause faults at the moment at which an owner adopts a machine.
 var adoptionCommands = commandTable{
 	// crash-adopter crashes the next owners that write the block of an adopted machine, "times" of
-	// them, each some time "after" its write. With "restart-only" they reread their records instead.
-	// With "also" that node crashes at the same moment, with "cut" the machine is partitioned for some
-	// time, and with "spare" that many machines of a late rental appear.
+	// them, each some time "after" its write. With "reload-only" they reread their records instead.
+	// With "also-crash-node" that node crashes at the same moment, with "partition" the machine is partitioned for some
+	// time, and with "extra-machines" that many machines of a late rental appear.
 	"crash-adopter": silent(func(c *command) {
 		left, after, down := c.integer("times", 1), c.seconds("after", 0), c.downtime()
 		c.sim.onBlockPut(func(key string, owner record.OwnerID) {
@@ -28,16 +28,16 @@
 			left--
 			node, worker := c.sim.nodes[i], c.sim.workers[strings.TrimPrefix(key, adoptedKeyPrefix)]
 			c.sim.after(after, func() {
-				c.sim.interruptAdopter(node, c.HasArg("restart-only"), down)
-				if c.HasArg("also") {
-					c.sim.crash(c.sim.nodes[c.integer("also", 0)], down)
+				c.sim.interruptAdopter(node, c.HasArg("reload-only"), down)
+				if c.HasArg("also-crash-node") {
+					c.sim.crash(c.sim.nodes[c.integer("also-crash-node", 0)], down)
 				}
-				for range c.integer("spare", 0) {
+				for range c.integer("extra-machines", 0) {
 					c.sim.cloud.Add(worker.Machine.Type, worker.Machine.Zone, false, 0)
 				}
-				if c.HasArg("cut") {
+				if c.HasArg("partition") {
 					worker.Partitioned = true
-					c.sim.after(c.seconds("cut", 0), func() { worker.Partitioned = false })
+					c.sim.after(c.seconds("partition", 0), func() { worker.Partitioned = false })
 				}
 			})
 		})
--- a/controller/faults_response_delay_test.go
+++ b/controller/faults_response_delay_test.go
@@ -45,20 +45,20 @@
 	}
 }
 
-// configure applies the arguments of a command, such as share=0.3 ms=300 exact for=60 node=0.
+// configure applies the arguments of a command, such as share=0.3 max-delay-ms=300 fixed-delay for=60 node=0.
 func (d *responseDelay) configure(c *command) {
 	c.t.Helper()
 	d.share = c.number("share", 0.3)
-	d.maxDelay = micros.FromMillis(c.number("ms", 300))
-	d.fixed = c.HasArg("exact")
+	d.maxDelay = micros.FromMillis(c.number("max-delay-ms", 300))
+	d.fixed = c.HasArg("fixed-delay")
 	d.node = c.integer("node", allNodes)
 	c.revertLater(func() { d.share = 0 })
 }
 
 // responseDelayCommands delay responses.
 var responseDelayCommands = commandTable{
-	"uneven-state": silent(func(c *command) { c.sim.kvFaults.kvResponseDelay.configure(c) }),
-	"uneven-peers": silent(func(c *command) { c.sim.kvFaults.peerResponseDelay.configure(c) }),
+	"delay-kv-responses":   silent(func(c *command) { c.sim.kvFaults.kvResponseDelay.configure(c) }),
+	"delay-peer-responses": silent(func(c *command) { c.sim.kvFaults.peerResponseDelay.configure(c) }),
 }
 
 // applyResponseDelayFromEnv delays responses in any scenario: SCENARIO_UNEVEN=0.3 delays that share
--- a/controller/faults_state_test.go
+++ b/controller/faults_state_test.go
@@ -99,23 +99,23 @@
 // kvFaultCommands cause faults between the controllers and the state service, and among the
 // controllers.
 var kvFaultCommands = commandTable{
-	"late-writes": silent(func(c *command) {
+	"unanswered-commits": silent(func(c *command) {
 		faults := &c.sim.kvFaults
-		faults.lateTransactionRate, faults.responseLostOnly = c.number("share", 1), c.HasArg("at-once")
+		faults.lateTransactionRate, faults.responseLostOnly = c.number("share", 1), c.HasArg("apply-immediately")
 		c.revertLater(func() { faults.lateTransactionRate = 0 })
 	}),
-	"slow-state": silent(func(c *command) {
+	"kv-latency": silent(func(c *command) {
 		c.sim.kvFaults.responseDelay = micros.FromMillis(c.number("ms", 1000))
 		c.revertLater(func() { c.sim.kvFaults.responseDelay = 0 })
 	}),
 	"lose-peer-messages": silent(func(c *command) {
 		faults := &c.sim.kvFaults
-		faults.peerLossRate, faults.peerHeartbeatsSpared = c.number("share", 1), c.HasArg("spare-beats")
-		faults.peerResponsesOnly = c.HasArg("answers")
+		faults.peerLossRate, faults.peerHeartbeatsSpared = c.number("share", 1), c.HasArg("except-heartbeats")
+		faults.peerResponsesOnly = c.HasArg("responses-only")
 		c.revertLater(func() { faults.peerLossRate = 0 })
 	}),
 	"cancel-jobs": silent(func(c *command) { // users cancel jobs one after the other, beginning at one node
-		to, every := c.node().index, c.seconds("every", 0)
+		to, every := c.node().index, c.seconds("interval", 0)
 		for i, id := range c.jobIDs(1) {
 			c.sim.after(micros.Micros(i)*every, func() { c.sim.cancel(id, to) })
 		}
--- a/controller/faults_workers_test.go
+++ b/controller/faults_workers_test.go
@@ -108,39 +108,39 @@
 
 // workerFaultCommands cause faults of heartbeats, direct commands, machines and leaders.
 var workerFaultCommands = commandTable{
-	"late-reports": silent(func(c *command) {
-		c.sim.duplicateHeartbeatRate, c.sim.replayToNextOwner = c.number("share", 0), c.HasArg("for-next")
+	"replay-heartbeats": silent(func(c *command) {
+		c.sim.duplicateHeartbeatRate, c.sim.replayToNextOwner = c.number("share", 0), c.HasArg("to-successor")
 		c.revertLater(func() { c.sim.duplicateHeartbeatRate = 0 })
 	}),
-	"hold-report": silent(func(c *command) {
+	"delay-heartbeat-until-failover": silent(func(c *command) {
 		c.sim.delayNextHeartbeatOf = append(c.sim.delayNextHeartbeatOf, c.text("machine", c.sim.workerNames()[0]))
 	}),
-	"capture-reports": silent(func(c *command) {
+	"capture-heartbeats": silent(func(c *command) {
 		c.sim.capturedHeartbeats = nil
 		for _, name := range c.sim.workerNames() {
 			c.sim.capturedHeartbeats = append(c.sim.capturedHeartbeats, wire.Encode(c.sim.workers[name].BuildHeartbeat()))
 		}
 	}),
-	"replay-reports": silent(func(c *command) {
+	"replay-captured-heartbeats": silent(func(c *command) {
 		for at := micros.Micros(0); at < c.seconds("for", 10); at += replayInterval {
 			c.sim.after(at, c.sim.replayCapturedHeartbeats)
 		}
 	}),
-	"slow-commands": silent(func(c *command) {
-		c.sim.commandDelayRate, c.sim.delayRequestOnly = c.number("share", 1), c.HasArg("there")
-		c.sim.minCommandDelay, c.sim.commandDelay = c.seconds("from", 1), c.seconds("by", 8)
+	"delay-commands": silent(func(c *command) {
+		c.sim.commandDelayRate, c.sim.delayRequestOnly = c.number("share", 1), c.HasArg("requests-only")
+		c.sim.minCommandDelay, c.sim.commandDelay = c.seconds("min-delay", 1), c.seconds("max-delay", 8)
 		c.revertLater(func() { c.sim.commandDelayRate = 0 })
 	}),
-	"slow-writes": silent(func(c *command) {
-		c.sim.commitDelay = c.seconds("s", 0)
+	"slow-commits": silent(func(c *command) {
+		c.sim.commitDelay = c.seconds("max-delay", 0)
 		c.revertLater(func() { c.sim.commitDelay = 0 })
 	}),
 	"fast-boot": silent(func(c *command) {
 		c.sim.cloud.BootTime = func(micros.Micros) micros.Micros { return c.sim.randomDuration(micros.Second/2, 2*micros.Second) }
 		c.revertLater(func() { c.sim.cloud.BootTime = nil })
 	}),
-	"cancel-now": silent(func(c *command) {
-		c.sim.cancelDuringFaults(c.integer("count", 1), c.seconds("hang", 0), c.HasArg("cut"))
+	"cancel-running-jobs": silent(func(c *command) {
+		c.sim.cancelDuringFaults(c.integer("count", 1), c.seconds("hang", 0), c.HasArg("partition"))
 	}),
 	"change-leader": silent(func(c *command) {
 		times := c.integer("times", 10)
--- a/controller/limits_test.go
+++ b/controller/limits_test.go
@@ -19,7 +19,7 @@
 )
 
 // nextLimits are the limits that the state service will have from some moment on. Nodes
-// know them from their settings, from the start or, if "later", once the scenario says so:
+// know them from their settings, from the start or, if "next-limits-later", once the scenario says so:
 // then what was written before is larger.
 type nextLimits struct {
 	on     bool
@@ -31,8 +31,8 @@
 
 func parseNextLimits(t *testing.T, d *datadriven.TestData) nextLimits {
 	return nextLimits{
-		on: !d.HasArg("later"), value: arg(t, d, "next-value", 0), ops: arg(t, d, "next-ops", 0),
-		writes: argNumber(t, d, "next-writes", 0), rps: argNumber(t, d, "next-rps", 0),
+		on: !d.HasArg("next-limits-later"), value: arg(t, d, "next-max-value-bytes", 0), ops: arg(t, d, "next-max-txn-ops", 0),
+		writes: argNumber(t, d, "next-kv-write-rps", 0), rps: argNumber(t, d, "next-kv-rps", 0),
 	}
 }
 
@@ -58,14 +58,14 @@
 // runLimitCommand plays the commands of this file; false for any other.
 func runLimitCommand(t *testing.T, sim *simulation, d *datadriven.TestData) bool {
 	switch d.Cmd {
-	case "state-limits":
+	case "kv-limits":
 		// The state service has other limits from now on.
 		s := sim.kvStore
-		s.MaxValueBytes, s.MaxOps = arg(t, d, "value", s.MaxValueBytes), arg(t, d, "ops", s.MaxOps)
-		s.WriteRate, s.RequestRate = argNumber(t, d, "writes", s.WriteRate), argNumber(t, d, "rps", s.RequestRate)
-	case "settings":
+		s.MaxValueBytes, s.MaxOps = arg(t, d, "max-value-bytes", s.MaxValueBytes), arg(t, d, "max-txn-ops", s.MaxOps)
+		s.WriteRate, s.RequestRate = argNumber(t, d, "kv-write-rps", s.WriteRate), argNumber(t, d, "kv-rps", s.RequestRate)
+	case "node-settings":
 		// Nodes that start from now on have the settings with the limits to come.
-		sim.nextLimits.on = d.HasArg("next")
+		sim.nextLimits.on = d.HasArg("next-limits")
 	default:
 		return false
 	}
@@ -81,7 +81,7 @@
 		}
 	}
 	if least > 0 && n >= least {
-		return "enough"
+		return "true"
 	}
 	return fmt.Sprint(n)
 }
--- a/controller/production_nodes_test.go
+++ b/controller/production_nodes_test.go
@@ -51,4 +51,4 @@
 	productionVersion
 )
 
-func (v version) String() string { return [...]string{"present", "production"}[v] }
+func (v version) String() string { return [...]string{"current", "production"}[v] }
--- a/controller/production_test.go
+++ b/controller/production_test.go
@@ -21,7 +21,7 @@
 		if i := c.sim.leader(); i >= 0 {
 			return c.sim.nodes[i].version.String()
 		}
-		return "nobody leads"
+		return "no leader"
 	},
 }
 
--- a/controller/scenario_commands_test.go
+++ b/controller/scenario_commands_test.go
@@ -99,12 +99,12 @@
 	return c.text("job", jobName(1))
 }
 
-// jobIDs returns the jobs from= to from+count-1.
+// jobIDs returns "count" jobs, the first of which has the number "first-job".
 func (c *command) jobIDs(defaultCount int) []string {
 	c.t.Helper()
 	var ids []string
 	for i := range c.integer("count", defaultCount) {
-		ids = append(ids, jobName(c.integer("from", 1)+i))
+		ids = append(ids, jobName(c.integer("first-job", 1)+i))
 	}
 	return ids
 }
@@ -112,7 +112,7 @@
 // to returns the index of the node that the command sends its request to.
 func (c *command) to() int {
 	c.t.Helper()
-	return c.integer("to", 0)
+	return c.integer("to-node", 0)
 }
 
 // fail fails the test at the command's position.
@@ -130,31 +130,31 @@
 }
 
 // runUntil runs the simulation in steps until a condition holds, for at most the time given by
-// "s".
+// "timeout".
 func (c *command) runUntil(defaultSeconds float64, step micros.Micros, reached func() bool) {
 	c.t.Helper()
-	for end := c.sim.now + c.seconds("s", defaultSeconds); c.sim.now < end && !reached(); {
+	for end := c.sim.now + c.seconds("timeout", defaultSeconds); c.sim.now < end && !reached(); {
 		c.sim.run(step)
 	}
 }
 
 // timeCommands let simulated time pass.
 var timeCommands = commandTable{
-	"run": silent(func(c *command) { c.sim.run(c.seconds("s", 1)) }),
-	"until-done": func(c *command) string {
+	"run": silent(func(c *command) { c.sim.run(c.seconds("for", 1)) }),
+	"run-until-done": func(c *command) string {
 		c.runUntil(300, micros.Second, func() bool { return len(unfinishedJobs(c.sim)) == 0 })
 		if left := unfinishedJobs(c.sim); len(left) > 0 {
 			return "not done: " + strings.Join(left, " ")
 		}
 		return "done"
 	},
-	"until-began": func(c *command) string {
+	"run-until-started": func(c *command) string {
 		started := func() bool { return c.sim.startedAt[c.jobID()] != 0 }
 		c.runUntil(240, micros.Second, started)
 		if !started() {
-			return "not begun"
+			return "not started"
 		}
-		return "begun"
+		return "started"
 	},
-	"calm": silent(func(c *command) { c.sim.faultsEndedAt = c.sim.now }),
+	"faults-ended": silent(func(c *command) { c.sim.faultsEndedAt = c.sim.now }),
 }
--- a/controller/scenario_jobs_test.go
+++ b/controller/scenario_jobs_test.go
@@ -14,18 +14,18 @@
 
 // jobCommands submit and cancel jobs as users do.
 var jobCommands = commandTable{
-	"submit": func(c *command) string { return c.submit(c.jobID()) },
-	"jobs":   silent((*command).submitMany),
-	"again":  silent(func(c *command) { c.sim.submit(c.jobID(), c.to()) }),
-	"cancel": silent(func(c *command) { c.sim.cancel(c.jobID(), c.to()) }),
+	"submit":      func(c *command) string { return c.submit(c.jobID()) },
+	"submit-jobs": silent((*command).submitMany),
+	"resubmit":    silent(func(c *command) { c.sim.submit(c.jobID(), c.to()) }),
+	"cancel":      silent(func(c *command) { c.sim.cancel(c.jobID(), c.to()) }),
 }
 
-// submitMany submits jobs with successive names; with "over", the teams take turns.
+// submitMany submits jobs with successive names; with "round-robin-teams", the teams take turns.
 func (c *command) submitMany() {
 	c.t.Helper()
 	for i, id := range c.jobIDs(10) {
 		one := c
-		if teams := c.integer("over", 0); teams > 0 {
+		if teams := c.integer("round-robin-teams", 0); teams > 0 {
 			one = c.withArgs(append([]datadriven.CmdArg{{Key: "team", Vals: []string{teamName(i % teams)}}}, c.CmdArgs...))
 		}
 		one.submit(id)
@@ -39,17 +39,17 @@
 	return &command{TestData: &data, t: c.t, sim: c.sim}
 }
 
-// submit submits the job that the arguments describe. It prints something only with "check".
+// submit submits the job that the arguments describe. It prints something only with "print-status".
 func (c *command) submit(id string) string {
 	c.t.Helper()
 	sim := c.sim
 	c.addJob(id)
 	dependent := len(sim.pipelines.dependencies[id]) > 0
 	switch {
-	case c.HasArg("check"):
+	case c.HasArg("print-status"):
 		return c.submitAndWait(id)
-	case dependent && !c.HasArg("at-once"):
-		sim.submitAfterDependencies(id, c.to(), c.HasArg("over"))
+	case dependent && !c.HasArg("submit-immediately"):
+		sim.submitAfterDependencies(id, c.to(), c.HasArg("after-dependencies-finish"))
 	default:
 		sim.submit(id, c.to())
 		sim.after(2*micros.Second, func() { sim.poll(id, 0) })
@@ -61,7 +61,7 @@
 func (c *command) addJob(id string) {
 	c.t.Helper()
 	sim := c.sim
-	duration := c.seconds("run", 10)
+	duration := c.seconds("duration", 10)
 	job := &sched.Job{
 		ID: id, Class: c.text("class", "work"), Team: c.text("team", "red"),
 		Gang: c.HasArg("gang"), Priority: sched.Priority(c.integer("priority", 1)),
@@ -69,10 +69,10 @@
 		Need:  sched.NewResources(c.number("cpus", 2), 0, c.number("mem", 2)),
 		Image: "img", ImageGB: 1, OneZone: c.HasArg("one-zone"), Spread: c.HasArg("spread"), Spot: c.HasArg("spot"),
 		Estimate:           c.seconds("estimate", duration.Seconds()),
-		CheckpointInterval: c.seconds("checkpoint", 0), CheckpointDuration: c.seconds("save", 0),
-		Zone: c.text("zone", ""), Deadline: c.seconds("due", 0),
+		CheckpointInterval: c.seconds("checkpoint-interval", 0), CheckpointDuration: c.seconds("checkpoint-duration", 0),
+		Zone: c.text("zone", ""), Deadline: c.seconds("deadline", 0),
 	}
-	for i := range c.integer("types", 0) { // only the first of these machine types is offered
+	for i := range c.integer("machine-types", 0) { // only the first of these machine types is offered
 		job.Types = append(job.Types, fmt.Sprintf("type-of-machine-%04d", i))
 	}
 	if job.Types != nil {
@@ -84,11 +84,11 @@
 		CPU: job.Need.CPUs(), Mem: c.number("mem", 2), Run: duration, Fetch: micros.Second, Save: job.CheckpointDuration,
 		Saves: job.CheckpointInterval > 0, Gang: job.Gang, Tasks: job.Tasks, Fails: c.HasArg("fails"),
 	}
-	sim.setTaskStagger(id, c.seconds("apart", 0))
+	sim.setTaskStagger(id, c.seconds("stagger", 0))
 	sim.setDependencies(id, c.dependencies())
 }
 
-// submitAndWait submits a job and prints the status of the response and, with "state", the job's
+// submitAndWait submits a job and prints the status of the response and, with "print-state", the job's
 // state in it.
 func (c *command) submitAndWait(id string) string {
 	c.t.Helper()
@@ -105,7 +105,7 @@
 	if sim.accepted[id] && len(sim.pipelines.dependencies[id]) > 0 {
 		sim.poll(id, 0)
 	}
-	if c.HasArg("state") {
+	if c.HasArg("print-state") {
 		return fmt.Sprint(status, " ", state)
 	}
 	return fmt.Sprint(status)
--- a/controller/scenario_machines_test.go
+++ b/controller/scenario_machines_test.go
@@ -4,16 +4,16 @@
 
 // machineCommands cause faults of machines and of the cloud.
 var machineCommands = commandTable{
-	"machine": silent(func(c *command) {
+	"machine-fault": silent(func(c *command) {
 		for _, name := range c.targetMachines() {
 			c.failMachine(name)
 		}
 	}),
-	"cloud-down": silent(func(c *command) {
+	"cloud-unavailable": silent(func(c *command) {
 		c.sim.cloud.Unavailable = true
 		c.revertLater(func() { c.sim.cloud.Unavailable = false })
 	}),
-	"never-up": silent(func(c *command) { c.sim.cloud.FailedBoots = c.integer("count", 1) }),
+	"fail-next-boots": silent(func(c *command) { c.sim.cloud.FailedBoots = c.integer("count", 1) }),
 }
 
 // targetMachines returns the machines that a command selects by count, share, zone or name.
@@ -58,7 +58,7 @@
 		sim.forgetDeletedMachines()
 	}
 	switch {
-	case c.HasArg("die"):
+	case c.HasArg("crash"):
 		worker.Hung = true
 		sim.after(40*micros.Second, func() {
 			worker.Machine.Gone = true
@@ -67,25 +67,25 @@
 	case c.HasArg("hang"):
 		worker.Hung = true
 		c.revertLater(func() { worker.Hung = false })
-	case c.HasArg("cut"):
+	case c.HasArg("partition"):
 		worker.Partitioned = true
 		c.revertLater(func() { worker.Partitioned = false })
-	case c.HasArg("deaf"):
+	case c.HasArg("block-inbound"):
 		worker.InboundBlocked = true
 		c.revertLater(func() { worker.InboundBlocked = false })
-	case c.HasArg("mute"):
+	case c.HasArg("block-heartbeats"):
 		worker.HeartbeatsBlocked = true
 		c.revertLater(func() { worker.HeartbeatsBlocked = false })
-	case c.HasArg("sick"):
+	case c.HasArg("fail-tasks"):
 		worker.FailsTasks = true
 		c.revertLater(func() { worker.FailsTasks = false })
-	case c.HasArg("taken"):
+	case c.HasArg("reclaim"):
 		reclaim()
-	case c.HasArg("notice"):
-		left := c.number("notice", 20)
+	case c.HasArg("preemption-notice"):
+		left := c.number("preemption-notice", 20)
 		worker.PreemptionNotice, worker.Changed = &left, true
 		sim.after(micros.FromSeconds(left), reclaim)
 	default:
-		c.fail("what happens to the machine?")
+		c.fail("the command names no fault of the machine")
 	}
 }
--- a/controller/scenario_nodes_test.go
+++ b/controller/scenario_nodes_test.go
@@ -15,7 +15,7 @@
 	case "leader":
 		i := c.sim.leader()
 		if i < 0 {
-			c.fail("nobody leads")
+			c.fail("no leader")
 		}
 		return c.sim.nodes[i]
 	case "other":
@@ -37,32 +37,32 @@
 
 // nodeCommands cause faults of controllers, of their network and of the state service.
 var nodeCommands = commandTable{
-	"crash": silent(func(c *command) { c.sim.crash(c.node(), c.downtime()) }),
-	"crash-all": silent(func(c *command) {
+	"crash-node": silent(func(c *command) { c.sim.crash(c.node(), c.downtime()) }),
+	"crash-all-nodes": silent(func(c *command) {
 		for _, node := range c.sim.nodes {
 			c.sim.crash(node, c.downtime())
 		}
 	}),
-	"cut-node": silent(func(c *command) {
+	"partition-node": silent(func(c *command) {
 		node := c.node()
-		node.partitioned, node.delaysOutbound = true, c.HasArg("hold")
+		node.partitioned, node.delaysOutbound = true, c.HasArg("delay-outbound")
 		c.revertLater(func() { node.partitioned = false })
 	}),
-	"cut-zone": silent(func(c *command) {
+	"partition-zone": silent(func(c *command) {
 		c.sim.partitionedZone = c.text("zone", "b")
 		c.revertLater(func() { c.sim.partitionedZone = "" })
 	}),
-	"deafen-node": silent(func(c *command) {
+	"partition-node-from-workers": silent(func(c *command) {
 		node := c.node()
 		node.workersUnreachable = true
 		c.revertLater(func() { node.workersUnreachable = false })
 	}),
-	"cut-cloud": silent(func(c *command) {
+	"partition-node-from-cloud": silent(func(c *command) {
 		node := c.node()
 		node.cloudUnreachable = true
 		c.revertLater(func() { node.cloudUnreachable = false })
 	}),
-	"refuse-node": silent(func(c *command) {
+	"kv-refuse-node": silent(func(c *command) {
 		name := nodeName(c.node().index)
 		c.sim.kvStore.RefusedCallers[name] = true
 		c.revertLater(func() { delete(c.sim.kvStore.RefusedCallers, name) })
@@ -72,23 +72,23 @@
 		node.onlyWorkersReachable = true
 		c.revertLater(func() { node.onlyWorkersReachable = false })
 	}),
-	"state-down": silent(func(c *command) {
+	"kv-unavailable": silent(func(c *command) {
 		c.sim.kvStore.Unavailable = true
 		c.revertLater(func() { c.sim.kvStore.Unavailable = false })
 	}),
-	"state-compact": silent(func(c *command) { c.sim.kvStore.CompactHistory = true }),
-	"late-copies": silent(func(c *command) {
-		c.sim.duplicateHeartbeatShare, c.sim.maxCopyDelay = c.number("share", 0), c.seconds("by", 20)
+	"kv-compact": silent(func(c *command) { c.sim.kvStore.CompactHistory = true }),
+	"duplicate-heartbeats": silent(func(c *command) {
+		c.sim.duplicateHeartbeatShare, c.sim.maxCopyDelay = c.number("share", 0), c.seconds("max-delay", 20)
 	}),
-	"faults":      silent((*command).setMessageFaults),
-	"numbers-low": silent((*command).exhaustNumbers),
+	"network-faults":           silent((*command).setMessageFaults),
+	"exhaust-sequence-numbers": silent((*command).exhaustNumbers),
 }
 
 // setMessageFaults sets which shares of the messages are lost, late or duplicated.
 func (c *command) setMessageFaults() {
 	c.t.Helper()
 	sim := c.sim
-	sim.lossRate, sim.lateRequestRate, sim.duplicateRequestRate = c.number("loss", 0), c.number("late", 0), c.number("dup", 0)
+	sim.lossRate, sim.lateRequestRate, sim.duplicateRequestRate = c.number("loss-rate", 0), c.number("delay-rate", 0), c.number("duplicate-rate", 0)
 }
 
 // exhaustNumbers has a node use up nearly all numbers of its record's version.
@@ -110,7 +110,7 @@
 		sim.run(simulationStep)
 	}
 	if took > 500*micros.Millisecond {
-		return fmt.Sprintf("%d late", status)
+		return fmt.Sprintf("%d delayed", status)
 	}
 	return fmt.Sprint(status)
 }
--- a/controller/scenario_pipelines_test.go
+++ b/controller/scenario_pipelines_test.go
@@ -17,7 +17,7 @@
 	c.t.Helper()
 	var ids []string
 	for _, a := range c.CmdArgs {
-		if a.Key != "awaits" {
+		if a.Key != "depends-on" {
 			continue
 		}
 		for _, v := range a.Vals {
@@ -37,7 +37,7 @@
 	}
 	var first, last int
 	if _, err := fmt.Sscanf(from+" "+to, "req-%d req-%d", &first, &last); err != nil || last < first {
-		c.fail("awaits: %s is no range of jobs", text)
+		c.fail("depends-on: %s is no range of jobs", text)
 	}
 	var ids []string
 	for i := first; i <= last; i++ {
@@ -48,9 +48,9 @@
 
 // withDependencies returns the command with other dependencies.
 func (c *command) withDependencies(ids ...string) *command {
-	args := slices.DeleteFunc(slices.Clone(c.CmdArgs), func(a datadriven.CmdArg) bool { return a.Key == "awaits" })
+	args := slices.DeleteFunc(slices.Clone(c.CmdArgs), func(a datadriven.CmdArg) bool { return a.Key == "depends-on" })
 	if len(ids) > 0 {
-		args = append(args, datadriven.CmdArg{Key: "awaits", Vals: ids})
+		args = append(args, datadriven.CmdArg{Key: "depends-on", Vals: ids})
 	}
 	return c.withArgs(args)
 }
@@ -117,65 +117,65 @@
 
 // pipelineCommands submit, cancel and watch jobs with dependencies.
 var pipelineCommands = commandTable{
-	"chain": silent(func(c *command) { // each job depends on the previous one
+	"submit-chain": silent(func(c *command) { // each job depends on the previous one
 		dependencies := c.dependencies()
 		for _, id := range c.jobIDs(1) {
 			c.withDependencies(dependencies...).submit(id)
 			dependencies = []string{id}
 		}
 	}),
-	"fan": silent(func(c *command) { // all jobs have the same dependencies
+	"submit-parallel": silent(func(c *command) { // all jobs have the same dependencies
 		for _, id := range c.jobIDs(1) {
 			c.submit(id)
 		}
 	}),
-	"repeat": func(c *command) string { // a duplicate submission
+	"resubmit-and-print": func(c *command) string { // a duplicate submission
 		id := c.jobID()
 		response := c.sim.requestAndWait(c.to(), "POST", "/api/jobs", id, c.sim.submissions[id])
 		return fmt.Sprintf("%d %s", response.Status, responseState(response))
 	},
-	"cancel-answer": func(c *command) string {
+	"cancel-and-print": func(c *command) string {
 		id := c.jobID()
 		c.sim.cancelRequested[id] = true
 		return responseState(c.sim.requestAndWait(c.to(), "POST", "/api/jobs/"+id+"/cancel", id, nil))
 	},
-	"cancel-at-done": silent((*command).cancelAtCompletion),
-	"crash-at-done":  silent((*command).crashAtCompletion),
-	"until-ended": func(c *command) string { // all tasks of the job completed, reported or not
+	"cancel-at-completion": silent((*command).cancelAtCompletion),
+	"crash-at-completion":  silent((*command).crashAtCompletion),
+	"run-until-completed": func(c *command) string { // all tasks of the job completed, reported or not
 		completed := func() bool { return c.sim.allTasksDone(c.jobID()) }
 		c.runUntil(240, simulationStep, completed)
 		if !completed() {
-			return "not ended"
+			return "not completed"
 		}
-		return "ended"
+		return "completed"
 	},
-	"until-recorded": func(c *command) string { // the job's terminal state is recorded, reported or not
+	"run-until-recorded": func(c *command) string { // the job's terminal state is recorded, reported or not
 		id := c.jobID()
 		c.runUntil(240, simulationStep, func() bool { return c.sim.recordedTerminalState(id) != "" })
 		return string(c.sim.recordedTerminalState(id))
 	},
-	"until-told": func(c *command) string {
+	"run-until-reported": func(c *command) string {
 		id := c.jobID()
 		c.runUntil(240, simulationStep, func() bool { return c.sim.reportedTerminal[id] != "" })
 		return c.sim.reportedState(id)
 	},
-	"state": func(c *command) string {
+	"query-state": func(c *command) string {
 		id := c.jobID()
 		return responseState(c.sim.requestAndWait(c.node().index, "GET", "/api/jobs/"+id, id, nil))
 	},
-	"ask-all": (*command).queryAllNodes,
-	"watch-jobs": silent(func(c *command) {
-		c.sim.watchJobs(c.jobIDs(1), c.seconds("every", 1), c.sim.now+c.seconds("for", 60))
+	"query-state-all-nodes": (*command).queryAllNodes,
+	"poll-jobs": silent(func(c *command) {
+		c.sim.watchJobs(c.jobIDs(1), c.seconds("interval", 1), c.sim.now+c.seconds("for", 60))
 	}),
-	"told": (*command).countReportedStates,
-	"bad-awaits": func(c *command) string {
-		return c.sim.sendInvalidDependencies(c.to(), c.integer("from", 970000), c.jobID())
+	"reported-states": (*command).countReportedStates,
+	"submit-invalid-dependencies": func(c *command) string {
+		return c.sim.sendInvalidDependencies(c.to(), c.integer("first-job", 970000), c.jobID())
 	},
-	"began-before": func(c *command) string { // the first task of one job started before that of another
-		first, second := c.sim.startedAt[c.jobID()], c.sim.startedAt[c.text("of", "")]
+	"started-before": func(c *command) string { // the first task of one job started before that of another
+		first, second := c.sim.startedAt[c.jobID()], c.sim.startedAt[c.text("other-job", "")]
 		return fmt.Sprint(first > 0 && (second == 0 || first < second))
 	},
-	"waited": func(c *command) string { // a user saw the job queued while it was blocked
+	"was-reported-queued": func(c *command) string { // a user saw the job queued while it was blocked
 		return fmt.Sprint(c.sim.pipelines.queuedResponses[c.jobID()] > 0)
 	},
 }
@@ -185,8 +185,8 @@
 func (c *command) cancelAtCompletion() {
 	c.t.Helper()
 	sim, pipelines := c.sim, &c.sim.pipelines
-	id, delay := c.jobID(), c.seconds("in", 0)
-	other := c.text("of", id)
+	id, delay := c.jobID(), c.seconds("delay", 0)
+	other := c.text("completed-job", id)
 	pipelines.onDone[other] = append(pipelines.onDone[other], func() {
 		sim.after(delay, func() { sim.cancel(id, pipelines.rng.IntN(len(sim.nodes))) })
 	})
@@ -197,10 +197,10 @@
 func (c *command) crashAtCompletion() {
 	c.t.Helper()
 	sim, pipelines := c.sim, &c.sim.pipelines
-	id, delay, downtime := c.jobID(), c.seconds("in", 0), c.downtime()
+	id, delay, downtime := c.jobID(), c.seconds("delay", 0), c.downtime()
 	crash := func() {
 		for i, node := range sim.nodes {
-			if c.HasArg("all") || i == sim.leader() {
+			if c.HasArg("all-nodes") || i == sim.leader() {
 				sim.crash(node, downtime)
 			}
 		}
@@ -227,12 +227,12 @@
 	return strings.Join(states, " ")
 }
 
-// reportedState returns the terminal state of a job that was reported to a user, or "open".
+// reportedState returns the terminal state of a job that was reported to a user, or "unreported".
 func (sim *simulation) reportedState(id string) string {
 	if status, ok := sim.reportedTerminal[id]; ok {
 		return string(status)
 	}
-	return "open"
+	return "unreported"
 }
 
 // countReportedStates prints how many jobs were reported in which state.
--- a/controller/scenario_seeds_test.go
+++ b/controller/scenario_seeds_test.go
@@ -13,10 +13,10 @@
 
 // seededScenarios are the scenarios of which TestScenarioSeeds plays several seeds: what they guard
 // against depends on which response overtakes which.
-var seededScenarios = []string{"uneven_looks", "uneven_first_accept", "uneven_peers"}
+var seededScenarios = []string{"delayed_kv_responses", "delayed_accept_response", "delayed_peer_responses"}
 
 // fixedScenarioSeeds is how many seeds are always played. More are played on demand:
-// SCENARIO_SEEDS=200 plays the seeds 1 to 200 of them, and with SCENARIOS=close_looks,boot_dead of
+// SCENARIO_SEEDS=200 plays the seeds 1 to 200 of them, and with SCENARIOS=concurrent_consistency_checks,new_machine_hangs_at_leader_change of
 // these scenarios instead.
 const fixedScenarioSeeds = 3
 
--- a/controller/scenario_setup_test.go
+++ b/controller/scenario_setup_test.go
@@ -21,13 +21,13 @@
 	sim.nextLimits = parseNextLimits(t, d)
 	sim.applyResponseDelayFromEnv(t)
 	sim.cloud.Now = sim.now
-	bigZones := cfg.Zones[arg(t, d, "no-big-in", 0):] // the first zones may lack the big type
-	sim.offerMachineTypes(10, 15, cfg.Zones, bigZones, arg(t, d, "capacity", 10), arg(t, d, "spots", 0))
+	bigZones := cfg.Zones[arg(t, d, "zones-without-big", 0):] // the first zones may lack the big type
+	sim.offerMachineTypes(10, 15, cfg.Zones, bigZones, arg(t, d, "cloud-capacity", 10), arg(t, d, "spot-capacity", 0))
 	for i := range arg(t, d, "machines", 4) {
-		sim.cloud.Add(arg(t, d, "type", "small"), cfg.Zones[i%len(cfg.Zones)], false, 0)
+		sim.cloud.Add(arg(t, d, "machine-type", "small"), cfg.Zones[i%len(cfg.Zones)], false, 0)
 	}
-	sim.lossRate, sim.lateRequestRate, sim.duplicateRequestRate = argNumber(t, d, "loss", 0), argNumber(t, d, "late", 0), argNumber(t, d, "dup", 0)
-	if nodes := arg(t, d, "production", -1); nodes >= 0 {
+	sim.lossRate, sim.lateRequestRate, sim.duplicateRequestRate = argNumber(t, d, "loss-rate", 0), argNumber(t, d, "delay-rate", 0), argNumber(t, d, "duplicate-rate", 0)
+	if nodes := arg(t, d, "production-nodes", -1); nodes >= 0 {
 		sim.startWithProduction(t, nodes)
 	}
 	return sim
@@ -39,8 +39,8 @@
 	team := func(name string) config.Team {
 		return config.Team{
 			Name:            name,
-			GuaranteedQuota: sched.NewResources(argNumber(t, d, "guarantee", 0), 0, 0),
-			QuotaLimit:      sched.NewResources(argNumber(t, d, "limit", 0), 0, 0),
+			GuaranteedQuota: sched.NewResources(argNumber(t, d, "guaranteed-quota", 0), 0, 0),
+			QuotaLimit:      sched.NewResources(argNumber(t, d, "quota-limit", 0), 0, 0),
 		}
 	}
 	zones := []string{"a", "b", "c"}[:arg(t, d, "zones", 2)]
@@ -48,16 +48,16 @@
 	for i := range arg(t, d, "teams", 0) {
 		cfg.Teams = append(cfg.Teams, team(teamName(i)))
 	}
-	cfg.HeartbeatInterval = argSeconds(t, d, "report", cfg.HeartbeatInterval.Seconds())
-	cfg.WorkerLease = argSeconds(t, d, "lease", cfg.WorkerLease.Seconds())
-	cfg.CancellationDeadline = argSeconds(t, d, "cancel", cfg.CancellationDeadline.Seconds())
+	cfg.HeartbeatInterval = argSeconds(t, d, "heartbeat-interval", cfg.HeartbeatInterval.Seconds())
+	cfg.WorkerLease = argSeconds(t, d, "worker-lease", cfg.WorkerLease.Seconds())
+	cfg.CancellationDeadline = argSeconds(t, d, "cancel-deadline", cfg.CancellationDeadline.Seconds())
 	cfg.Sockets = arg(t, d, "sockets", cfg.Sockets)
-	cfg.KVRequestRate = argNumber(t, d, "rps", cfg.KVRequestRate)
-	cfg.KVWriteRate = argNumber(t, d, "writes", cfg.KVWriteRate)
-	cfg.MaxValueBytes = arg(t, d, "value", cfg.MaxValueBytes)
-	cfg.MaxTransactionOps = arg(t, d, "ops", cfg.MaxTransactionOps)
-	cfg.Tuning.MaxMachines = arg(t, d, "most", 0)
-	cfg.Tuning.SpreadTeams = d.HasArg("spread")
+	cfg.KVRequestRate = argNumber(t, d, "kv-rps", cfg.KVRequestRate)
+	cfg.KVWriteRate = argNumber(t, d, "kv-write-rps", cfg.KVWriteRate)
+	cfg.MaxValueBytes = arg(t, d, "max-value-bytes", cfg.MaxValueBytes)
+	cfg.MaxTransactionOps = arg(t, d, "max-txn-ops", cfg.MaxTransactionOps)
+	cfg.Tuning.MaxMachines = arg(t, d, "max-machines", 0)
+	cfg.Tuning.SpreadTeams = d.HasArg("spread-teams")
 	return cfg
 }
 
--- a/controller/scenario_test.go
+++ b/controller/scenario_test.go
@@ -23,7 +23,7 @@
 	t.Helper()
 	var sim *simulation
 	datadriven.RunTest(t, path, func(t *testing.T, d *datadriven.TestData) string {
-		if d.Cmd == "world" {
+		if d.Cmd == "cluster" {
 			prepare(d)
 			sim = newScenarioSimulation(t, d)
 			created(sim)
--- a/controller/users_requests_test.go
+++ b/controller/users_requests_test.go
@@ -49,21 +49,21 @@
 
 // userCommands cause what users do beyond submitting, asking and cancelling once.
 var userCommands = commandTable{
-	"close-looks": silent(func(c *command) {
-		c.sim.users.consistencyChecksUntil, c.sim.users.cancelShare = c.sim.now+c.span(), c.number("cancels", 0)
+	"consistency-checks": silent(func(c *command) {
+		c.sim.users.consistencyChecksUntil, c.sim.users.cancelShare = c.sim.now+c.span(), c.number("cancel-share", 0)
 	}),
-	"cancel-at-end": silent(func(c *command) {
+	"cancel-share-at-completion": silent(func(c *command) {
 		c.sim.users.cancelAtEndShare = c.number("share", 1)
 		c.sim.after(c.span(), func() { c.sim.users.cancelAtEndShare = 0 })
 	}),
-	"odd-requests": silent(func(c *command) {
+	"send-invalid-or-repeated-requests": silent(func(c *command) {
 		c.sim.users.unusualRequestsUntil = c.sim.now + c.span()
 		c.sim.sendUnusualRequests()
 	}),
-	"burst": silent((*command).submitBurst),
-	"end-of-day": silent(func(c *command) {
+	"submit-burst": silent((*command).submitBurst),
+	"final-checks": silent(func(c *command) {
 		if c.sim.faultsEndedAt == 0 {
-			c.fail("a day ends after calm")
+			c.fail("final-checks must follow faults-ended")
 		}
 		c.sim.checkCompletion()
 	}),
@@ -80,9 +80,9 @@
 func (c *command) submitBurst() {
 	c.t.Helper()
 	users := &c.sim.users
-	rate, share := c.number("rate", 4), c.number("cancelled", 0)
+	rate, share := c.number("rate", 4), c.number("cancel-share", 0)
 	for i := range int(rate * c.span().Seconds()) {
-		id := jobName(c.integer("from", 1) + i)
+		id := jobName(c.integer("first-job", 1) + i)
 		c.sim.after(micros.FromSeconds(float64(i)/rate), func() {
 			if users.rng.Float64() < share {
 				users.cancelAfter[id] = micros.Micros(users.rng.Int64N(int64(10 * micros.Second)))
--- a/internal/machinetypes/confirmation_test.go
+++ b/internal/machinetypes/confirmation_test.go
@@ -9,7 +9,7 @@
 
 // The tests in this file cover the confirmation on which a permanent refusal rests. Before, a node
 // refused by the table that it had, whatever its age: 422 for good to a job that fits a type offered
-// since, and, at a node without teams, for as long as the process lived (scenario type_offered).
+// since, and, at a node without teams, for as long as the process lived (scenario machine_type_offered).
 
 // confirmations counts the answers to confirmations.
 type confirmations struct{ confirmed, refused int }
--- a/internal/machinetypes/stored_copy_test.go
+++ b/internal/machinetypes/stored_copy_test.go
@@ -11,7 +11,7 @@
 
 // The tests in this file cover the copy of the types in the key-value store. Before, it was written
 // once by each process that owned teams, without a time: nobody could tell an old copy from a new one
-// (scenarios type_restart_outage, type_withdrawn_cloud_cut).
+// (scenarios machine_types_restart_cloud_outage, machine_type_withdrawn_cloud_unreachable).
 
 const wallClock = 100 * micros.Hour
 
