--- a/internal/machinetypes/confirmation_test.go
+++ b/internal/machinetypes/confirmation_test.go
@@ -10,7 +10,7 @@
 // The tests in this file cover the confirmation that precedes a permanent rejection of a job. Nodes
 // used to reject jobs based on their table, whatever its age: a job that fits a type offered since then
 // got a permanent 422 response, and a node without teams continued to reject it for as long as its
-// process ran (scenario type_offered).
+// process ran (scenario machine_type_offered).
 
 // confirmations counts the results of confirmations.
 type confirmations struct{ confirmed, denied int }
--- a/internal/machinetypes/stored_copy_test.go
+++ b/internal/machinetypes/stored_copy_test.go
@@ -11,7 +11,7 @@
 
 // The tests in this file cover the copy of the types in the key-value store. Each process that owned
 // teams used to write it once, without the time at which the types were read, so that an old copy could
-// not be distinguished from a new one (scenarios type_restart_outage, type_withdrawn_cloud_cut).
+// not be distinguished from a new one (scenarios machine_types_restart_cloud_outage, machine_type_withdrawn_cloud_unreachable).
 
 const wallClock = 100 * micros.Hour
 
