--- a/controller/bench_test.go
+++ b/controller/bench_test.go
@@ -60,7 +60,7 @@
 	}
 	c := New(cfg, 1, slog.New(slog.NewTextHandler(io.Discard, &slog.HandlerOptions{Level: slog.LevelError})), micros.Hour, micros.Hour)
 	c.types.Fill([]sched.MachineType{{Name: "mid", Size: sched.NewResources(28, 0, 112), Price: 1, SpotPrice: 0.3, Zones: cfg.Zones}})
-	store := &ownerStore{}
+	store := &stubKVClient{}
 	c.node = cluster.New(cfg, store, clusterHost{c}, rand.New(rand.NewPCG(1, randomSeedStream)), c.log)
 	c.cluster = c.node.View()
 	store.incarnation = c.node.Incarnation()
@@ -69,11 +69,11 @@
 	return c.owner
 }
 
-// ownerStore stands in for the state service: it makes node n0 the owner of team red and then
+// stubKVClient stands in for the state service: it makes node n0 the owner of team red and then
 // answers nothing more.
-type ownerStore struct{ incarnation uint64 }
+type stubKVClient struct{ incarnation uint64 }
 
-func (s *ownerStore) Call(request kv.Request, done func(micros.Micros, kv.Result)) {
+func (s *stubKVClient) Call(request kv.Request, done func(micros.Micros, kv.Result)) {
 	reply := func(body any) {
 		done(micros.Hour, kv.Result{Outcome: kv.OK, Body: wire.Encode(body)})
 	}
@@ -94,7 +94,7 @@
 	}
 }
 
-func (s *ownerStore) Watch(string, uint64, func(micros.Micros, kv.Result)) {}
+func (s *stubKVClient) Watch(string, uint64, func(micros.Micros, kv.Result)) {}
 
 func benchHeartbeat(m *inventory.Machine, seq uint64) []byte {
 	r := wire.Heartbeat{Machine: m.Name, Endpoint: m.Endpoint, Type: m.Type, Zone: m.Zone, Spot: m.Spot, AgentEpoch: 1, HeartbeatSeq: seq, FencingToken: 1}
--- a/controller/blocked_jobs.go
+++ b/controller/blocked_jobs.go
@@ -12,7 +12,7 @@
 )
 
 // This file handles an owner's blocked jobs, those with dependencies that are not done. They are not
-// in the queue: placement, demand and quotas ignore them. A job is unblocked by jobReady alone, once
+// in the queue: placement, demand and quotas ignore them. A job is unblocked by unblockJob alone, once
 // the terminal states of all its dependencies were read as done, or once a record shows that an
 // earlier owner has placed it.
 
@@ -25,12 +25,12 @@
 	case blocked.Cancelled():
 		o.queueCascadedCancellation(j.ID)
 	case blocked.Ready():
-		o.jobReady(blocked)
+		o.unblockJob(blocked)
 	}
 }
 
-// jobReady enqueues a blocked job whose dependencies are done. Its queueing delay counts from then.
-func (o *owner) jobReady(blocked *dag.BlockedJob) {
+// unblockJob enqueues a blocked job whose dependencies are done. Its queueing delay counts from then.
+func (o *owner) unblockJob(blocked *dag.BlockedJob) {
 	j := o.BlockedJobs[blocked.ID]
 	if j == nil {
 		return
@@ -52,7 +52,7 @@
 			return nil
 		}
 		o.c.graph.AssumeDone(blocked)
-		o.jobReady(blocked)
+		o.unblockJob(blocked)
 	}
 	return o.Jobs[id]
 }
@@ -109,13 +109,13 @@
 // removeBlockedJob removes a blocked job whose record is gone.
 func (o *owner) removeBlockedJob(j *inventory.Job) {
 	delete(o.BlockedJobs, j.ID)
-	o.dropParts(j)
+	o.deleteDependencyParts(j)
 	o.SetJobState(j, inventory.JobEnded)
 }
 
-// dropParts queues the deletion of the keys that continue a job's list of dependencies. They are of
+// deleteDependencyParts queues the deletion of the keys that continue a job's list of dependencies. They are of
 // use only while the job's record exists.
-func (o *owner) dropParts(j *inventory.Job) {
+func (o *owner) deleteDependencyParts(j *inventory.Job) {
 	for i := range j.DependencyParts {
 		o.commits.DeleteLater(record.DependencyPartKey(j.ID, i))
 	}
@@ -149,9 +149,9 @@
 // partsSweepDelay leaves the requests after a failover to more urgent purposes.
 const partsSweepDelay = 20 * micros.Second
 
-// sweepParts looks for keys of dependency lists whose jobs have ended without their deletion. It reads
+// sweepOrphanedParts looks for keys of dependency lists whose jobs have ended without their deletion. It reads
 // one page at a time.
-func (o *owner) sweepParts() {
+func (o *owner) sweepOrphanedParts() {
 	if o.partsSwept || o.c.now-o.activeSince < partsSweepDelay || !o.c.budget.MayRequest(budget.Cleanup, o.c.now) {
 		return
 	}
@@ -171,7 +171,7 @@
 			case !ok:
 				o.partsSwept = false
 			default:
-				o.dropLeftoverParts(page.Entries)
+				o.deleteOrphanedParts(page.Entries)
 				if page.More && len(page.Entries) > 0 { // a later tick reads the next page
 					o.partsSweepCursor, o.partsSwept = page.Entries[len(page.Entries)-1].Key, false
 				}
@@ -180,9 +180,9 @@
 	})
 }
 
-// dropLeftoverParts queues the deletion of dependency lists whose jobs have ended. A list is written
+// deleteOrphanedParts queues the deletion of dependency lists whose jobs have ended. A list is written
 // in one transaction with its job: if a view that is newer than the list lacks the job, it has ended.
-func (o *owner) dropLeftoverParts(entries []kv.Entry) {
+func (o *owner) deleteOrphanedParts(entries []kv.Entry) {
 	for _, e := range entries {
 		id, _, _ := strings.Cut(strings.TrimPrefix(e.Key, record.DependencyPartPrefix), "/")
 		if !o.c.graph.IsActive(id) && !o.commits.IsObsolete(e.Key) {
--- a/controller/frontend_adapter.go
+++ b/controller/frontend_adapter.go
@@ -85,7 +85,7 @@
 	if o.c.owner == nil || o.c.owner.Jobs[job] == nil {
 		return frontend.TaskCounts{}, false
 	}
-	done, running := o.c.owner.countsOf(job)
+	done, running := o.c.owner.taskCounts(job)
 	return frontend.TaskCounts{Done: done, Running: running}, true
 }
 
--- a/controller/job_queue.go
+++ b/controller/job_queue.go
@@ -77,7 +77,7 @@
 
 // retryWatch makes a slow tick watch again after a pause.
 func (o *owner) retryWatch(after uint64) {
-	o.watchRevision, o.watchDown, o.watchRetryAt = after, true, o.c.now+readRetryDelay
+	o.watchRevision, o.watchFailed, o.watchRetryAt = after, true, o.c.now+readRetryDelay
 }
 
 // handleJobRemoved handles the removal of a job's record: by this owner's own transaction, or by a
@@ -103,7 +103,7 @@
 	o.SetJobState(j, inventory.JobEnded)
 	o.Queue = slices.DeleteFunc(o.Queue, func(queued *inventory.Job) bool { return queued == j })
 	o.commits.DropChunks(j)
-	o.dropParts(j)
+	o.deleteDependencyParts(j)
 	if len(j.Attempts) == 0 {
 		delete(o.Jobs, j.ID)
 	}
@@ -137,8 +137,8 @@
 	return list
 }
 
-// countsOf returns how many tasks of a job are done and how many are running.
-func (o *owner) countsOf(id string) (done, running int) {
+// taskCounts returns how many tasks of a job are done and how many are running.
+func (o *owner) taskCounts(id string) (done, running int) {
 	if j := o.Jobs[id]; j != nil {
 		return j.CompletedCount, j.RunningTasks
 	}
--- a/controller/job_view.go
+++ b/controller/job_view.go
@@ -51,7 +51,7 @@
 
 func (b jobObserver) JobReady(job *dag.BlockedJob) {
 	if o := b.c.owner; o != nil {
-		o.jobReady(job)
+		o.unblockJob(job)
 	}
 }
 
--- a/controller/limits_test.go
+++ b/controller/limits_test.go
@@ -22,23 +22,23 @@
 // know them from their settings, from the start or, if "later", once the scenario says so:
 // then what was written before is larger.
 type nextLimits struct {
-	on     bool
-	value  int
-	ops    int
-	writes float64
-	rps    float64
+	enabled bool
+	value   int
+	ops     int
+	writes  float64
+	rps     float64
 }
 
 func parseNextLimits(t *testing.T, d *datadriven.TestData) nextLimits {
 	return nextLimits{
-		on: !d.HasArg("later"), value: arg(t, d, "next-value", 0), ops: arg(t, d, "next-ops", 0),
+		enabled: !d.HasArg("later"), value: arg(t, d, "next-value", 0), ops: arg(t, d, "next-ops", 0),
 		writes: argNumber(t, d, "next-writes", 0), rps: argNumber(t, d, "next-rps", 0),
 	}
 }
 
 // apply does what reading the settings does.
 func (n *nextLimits) apply(cfg *config.Settings) {
-	if !n.on {
+	if !n.enabled {
 		return
 	}
 	if n.value > 0 {
@@ -65,7 +65,7 @@
 		s.WriteRate, s.RequestRate = argNumber(t, d, "writes", s.WriteRate), argNumber(t, d, "rps", s.RequestRate)
 	case "settings":
 		// Nodes that start from now on have the settings with the limits to come.
-		sim.nextLimits.on = d.HasArg("next")
+		sim.nextLimits.enabled = d.HasArg("next")
 	default:
 		return false
 	}
@@ -73,14 +73,14 @@
 }
 
 // countRecordsAbove counts the records that are larger than a size.
-func (sim *simulation) countRecordsAbove(prefix string, bytes, least int) string {
+func (sim *simulation) countRecordsAbove(prefix string, bytes, minimum int) string {
 	n := 0
 	for _, k := range sim.kvStore.Keys(prefix) {
 		if v, _ := sim.kvStore.Get(k); fake.JSONSize(v) > bytes {
 			n++
 		}
 	}
-	if least > 0 && n >= least {
+	if minimum > 0 && n >= minimum {
 		return "enough"
 	}
 	return fmt.Sprint(n)
--- a/controller/machine_requests.go
+++ b/controller/machine_requests.go
@@ -115,7 +115,7 @@
 func (c *Core) ownerSummary(node string) *peer.Beat {
 	summary := &peer.Beat{}
 	if node == c.cfg.Node && c.owner != nil {
-		c.owner.describeOwner(summary)
+		c.owner.addOwnerSummary(summary)
 	} else {
 		summary.Idle, summary.Teams = c.peers.OwnerSummary(node)
 	}
@@ -136,20 +136,20 @@
 // maxGuaranteeExcess returns the largest ratio by which a team other than the requesting one exceeds
 // its guaranteed quota.
 func (c *Core) maxGuaranteeExcess(teams []*peer.TeamUse, requesting string) float64 {
-	most := 0.0
+	maxRatio := 0.0
 	for _, team := range teams {
 		settings, ok := c.cfg.Team(team.Team)
 		if !ok || team.Team == requesting {
 			continue
 		}
 		usage := sched.TeamUsage{Used: sched.Resources{CPU: team.Cpu, GPU: team.Gpu}, GuaranteedQuota: settings.GuaranteedQuota}
-		most = max(most, usage.OverQuotaRatio())
+		maxRatio = max(maxRatio, usage.OverQuotaRatio())
 	}
-	return most
+	return maxRatio
 }
 
-// describeOwner adds to a heartbeat what peers must know of this owner.
-func (o *owner) describeOwner(heartbeat *peer.Beat) {
+// addOwnerSummary adds to a heartbeat what peers must know of this owner.
+func (o *owner) addOwnerSummary(heartbeat *peer.Beat) {
 	heartbeat.Jobs = o.jobCounts()
 	if o.commits.OwnsAllTeams() {
 		return // no other owner requests machines
--- a/controller/owner.go
+++ b/controller/owner.go
@@ -32,7 +32,7 @@
 	// The watch of the jobs' records.
 	jobsListed    bool // the jobs are recovered; changes are applied from then on
 	watchRevision uint64
-	watchDown     bool          // the last watch failed
+	watchFailed   bool          // the last watch failed
 	watchRetryAt  micros.Micros // when it is sent again
 	// cancellationsKnownUntil is when the last watch with a response was sent.
 	cancellationsKnownUntil micros.Micros
@@ -94,12 +94,12 @@
 		o.c.node.Rejoin(o.c.now, "numbers are exhausted") // ends this owner
 		return
 	}
-	if o.watchDown && o.c.now >= o.watchRetryAt {
-		o.watchDown = false
+	if o.watchFailed && o.c.now >= o.watchRetryAt {
+		o.watchFailed = false
 		o.watchJobs(o.watchRevision)
 	}
 	o.recovery.ResolveJobs()
-	o.sweepParts()
+	o.sweepOrphanedParts()
 	o.fleet.CheckHealth()
 	o.workers.InspectMachines()
 	o.scheduler.TickReservations()
--- a/controller/owner_state_test.go
+++ b/controller/owner_state_test.go
@@ -152,18 +152,18 @@
 	}
 }
 
-// clusterRecords answers the reads of membership with records of the cluster.
-type clusterRecords struct {
-	ownerStore
+// stubKVClientWithRecords answers the reads of membership with records of the cluster.
+type stubKVClientWithRecords struct {
+	stubKVClient
 	entries []kv.Entry
 }
 
-func (s *clusterRecords) Call(request kv.Request, done func(micros.Micros, kv.Result)) {
+func (s *stubKVClientWithRecords) Call(request kv.Request, done func(micros.Micros, kv.Result)) {
 	if strings.HasPrefix(request.Target, "/kv?") {
 		done(micros.Hour, kv.Result{Outcome: kv.OK, Body: wire.Encode(kv.Page{Revision: 1, Entries: s.entries})})
 		return
 	}
-	s.ownerStore.Call(request, done)
+	s.stubKVClient.Call(request, done)
 }
 
 // TestOwnsRecordsOf checks which owners' records the owner of team red takes over, while n1 owns team
@@ -199,7 +199,7 @@
 			o := testOwner()
 			o.Teams["red"].Record.Predecessors = []record.OwnerID{"n3/2"}
 			o.c.cfg.Node, o.c.cfg.Teams = test.node, teams
-			node := cluster.New(o.c.cfg, &clusterRecords{entries: entries}, clusterHost{o.c}, rand.New(rand.NewPCG(1, randomSeedStream)), o.c.log)
+			node := cluster.New(o.c.cfg, &stubKVClientWithRecords{entries: entries}, clusterHost{o.c}, rand.New(rand.NewPCG(1, randomSeedStream)), o.c.log)
 			node.Tick(o.c.now)
 			o.c.cluster, o.c.cfg.Teams = node.View(), test.teams
 			if first := o.c.cluster.FirstOwner(); first != "n1" {
--- a/controller/peers_adapter.go
+++ b/controller/peers_adapter.go
@@ -35,7 +35,7 @@
 		Ended: c.cancellations.Unacknowledged(to), KnowsEnded: c.cancellations.PendingAcknowledgements(to),
 	}
 	if c.owner != nil {
-		c.owner.describeOwner(heartbeat)
+		c.owner.addOwnerSummary(heartbeat)
 	}
 	return heartbeat
 }
--- a/controller/priority_inheritance_test.go
+++ b/controller/priority_inheritance_test.go
@@ -32,13 +32,13 @@
 }
 
 // submit has a job accepted at a second, which awaits others.
-func (w *inheritanceTest) submit(j sched.Job, at micros.Micros, awaits ...string) {
-	j.Tasks, j.Class, j.Need, j.Image, j.Dependencies = 1, "stage", sched.NewResources(1, 0, 1), "img", awaits
+func (w *inheritanceTest) submit(j sched.Job, at micros.Micros, dependencies ...string) {
+	j.Tasks, j.Class, j.Need, j.Image, j.Dependencies = 1, "stage", sched.NewResources(1, 0, 1), "img", dependencies
 	if j.Team == "" {
 		j.Team = "red"
 	}
 	rec := record.NewJob(&j, at)
-	if len(awaits) > 0 {
+	if len(dependencies) > 0 {
 		rec.Ready, rec.Blocked = nil, rec.Ready
 	}
 	w.apply(kv.Change{Put: record.ActiveJobKey(j.ID), Value: wire.Encode(rec)})
@@ -62,14 +62,14 @@
 }
 
 // check holds what the owner makes of a job against what is expected.
-func (w *inheritanceTest) check(id string, priority sched.Priority, mustEnd float64) {
+func (w *inheritanceTest) check(id string, priority sched.Priority, effectiveDeadline float64) {
 	w.Helper()
 	j := w.owner.Jobs[id]
 	if j == nil {
 		w.Fatalf("%s is not placed", id)
 	}
-	if j.Priority != priority || j.EffectiveDeadline != micros.FromSeconds(mustEnd) {
-		w.Fatalf("%s has priority %d and must end at %v, want %d and %v", id, j.Priority, j.EffectiveDeadline, priority, mustEnd)
+	if j.Priority != priority || j.EffectiveDeadline != micros.FromSeconds(effectiveDeadline) {
+		w.Fatalf("%s has priority %d and must end at %v, want %d and %v", id, j.Priority, j.EffectiveDeadline, priority, effectiveDeadline)
 	}
 	if !slices.IsSortedFunc(w.owner.Queue, inventory.CompareQueueOrder) {
 		w.Fatalf("the queue is out of order")
@@ -148,20 +148,20 @@
 			ids := ordered.Keys(w.jobs)
 			switch n := r.IntN(10); {
 			case n < 6 || len(ids) == 0:
-				var awaits []string
+				var dependencies []string
 				for range r.IntN(4) {
 					if len(ids) > 0 {
-						awaits = append(awaits, ids[len(ids)-1-r.IntN(min(len(ids), 12))])
+						dependencies = append(dependencies, ids[len(ids)-1-r.IntN(min(len(ids), 12))])
 					}
 				}
-				slices.Sort(awaits)
-				due := 0.0
+				slices.Sort(dependencies)
+				deadline := 0.0
 				if r.IntN(3) == 0 {
-					due = float64(1 + r.IntN(300))
+					deadline = float64(1 + r.IntN(300))
 				}
-				j := stage(i, sched.Priority(r.IntN(3)), float64(r.IntN(30)), due)
+				j := stage(i, sched.Priority(r.IntN(3)), float64(r.IntN(30)), deadline)
 				j.Team = []string{"red", "blue"}[r.IntN(2)]
-				w.submit(j, micros.FromSeconds(float64(i)), slices.Compact(awaits)...)
+				w.submit(j, micros.FromSeconds(float64(i)), slices.Compact(dependencies)...)
 			case n < 8: // done, if it may be
 				id := ids[r.IntN(len(ids))]
 				if v := g.Blocked(id); v == nil || v.Ready() {
@@ -227,17 +227,17 @@
 // priority whose pipeline must end soon, and against longer for a gang than its slack.
 // Guards: urgent and maxQueueingDelay in demands.
 func TestDeadlineDemand(t *testing.T) {
-	for _, due := range []float64{0, 400, 50} {
+	for _, deadline := range []float64{0, 400, 50} {
 		w := newInheritanceTest(t)
 		w.submit(stage(1, 0, 10, 0), w.core.wallClock)
-		w.submit(stage(2, 0, 25, due), w.core.wallClock, jobName(1))
+		w.submit(stage(2, 0, 25, deadline), w.core.wallClock, jobName(1))
 		g := w.owner.fleet.Demands()[0]
 		want := w.owner.scheduler.ClassWaitTarget(w.owner.Jobs[g.Representative.ID])
-		if due == 50 {
+		if deadline == 50 {
 			want = 15 * micros.Second // 50 s less both estimates
 		}
-		if g.MaxWait != want || (g.LowPriorityCPUSeconds == 0) != (due == 50) {
-			t.Errorf("due in %v s: longest wait %v, low %v of %v", due, g.MaxWait, g.LowPriorityCPUSeconds, g.PendingCPUSeconds)
+		if g.MaxWait != want || (g.LowPriorityCPUSeconds == 0) != (deadline == 50) {
+			t.Errorf("due in %v s: longest wait %v, low %v of %v", deadline, g.MaxWait, g.LowPriorityCPUSeconds, g.PendingCPUSeconds)
 		}
 	}
 }
--- a/controller/production_records_test.go
+++ b/controller/production_records_test.go
@@ -30,7 +30,7 @@
 			}
 			runToCompletion(t, loadSimulation(d))
 			sim := loadSimulation(d) // with smaller limits
-			sim.nextLimits = nextLimits{on: true, value: 1 << 10, ops: 5, writes: 15, rps: 150}
+			sim.nextLimits = nextLimits{enabled: true, value: 1 << 10, ops: 5, writes: 15, rps: 150}
 			sim.kvStore.MaxValueBytes, sim.kvStore.MaxOps, sim.kvStore.WriteRate, sim.kvStore.RequestRate = 1<<10, 5, 15, 150
 			runToCompletion(t, sim)
 		})
--- a/controller/workers_adapter_test.go
+++ b/controller/workers_adapter_test.go
@@ -30,7 +30,7 @@
 		name               string
 		change             func(o *owner, a *inventory.Attempt)
 		active, superseded bool
-		jobEnded           bool
+		jobCancelled       bool
 	}{
 		{"active", func(*owner, *inventory.Attempt) {}, true, false, false},
 		{"its owner reads the records", func(o *owner, _ *inventory.Attempt) { o.state = ownerRecovering }, false, false, false},
@@ -43,7 +43,7 @@
 			o, a := activeOwner()
 			c.change(o, a)
 			h := workersHost{o}
-			if h.IsActive() != c.active || h.Superseded() != c.superseded || h.JobIsCancelled(a.Job.ID) != c.jobEnded {
+			if h.IsActive() != c.active || h.Superseded() != c.superseded || h.JobIsCancelled(a.Job.ID) != c.jobCancelled {
 				t.Errorf("active %t, superseded %t, job ended %t", h.IsActive(), h.Superseded(), h.JobIsCancelled(a.Job.ID))
 			}
 			if h.ReportViolation("of the test"); o.c.Violations() != 1 {
