--- a/controller/bench_test.go
+++ b/controller/bench_test.go
@@ -26,8 +26,9 @@
 	benchTasks    = 12 // running on each machine
 )
 
-// benchOwner is an owner of many machines on which tasks of 100 jobs run, with room for
-// two more on each and jobs that wait.
+// benchOwner returns an owner of benchMachines machines and 300 jobs with 150 tasks each. benchTasks
+// tasks run on each machine, which has free resources for two more. The running tasks are 100 tasks of
+// each of 240 jobs; all other tasks are pending.
 func benchOwner() *owner {
 	o := testOwner()
 	for i := range 300 {
@@ -49,7 +50,7 @@
 	return o
 }
 
-// testOwner is an owner of one team without machines and jobs.
+// testOwner returns an owner of one team without machines and jobs.
 func testOwner() *owner {
 	cfg := &config.Settings{
 		Node: "n0", Zone: "a", KVAddr: "state", CloudAddr: "cloud", Zones: []string{"a", "b"},
@@ -69,8 +70,8 @@
 	return c.owner
 }
 
-// stubKVClient stands in for the state service: it makes node n0 the owner of team red and then
-// answers nothing more.
+// stubKVClient is a cluster.KVClient without a key-value store. Its responses make node n0 the owner of
+// team red; watches get no response.
 type stubKVClient struct{ incarnation uint64 }
 
 func (s *stubKVClient) Call(request kv.Request, done func(micros.Micros, kv.Result)) {
@@ -104,7 +105,8 @@
 	return wire.Encode(r)
 }
 
-// BenchmarkHeartbeat handles one report, with all that follows every event.
+// BenchmarkHeartbeat measures the handling of one heartbeat, including the work that is due after every
+// event.
 func BenchmarkHeartbeat(b *testing.B) {
 	o := benchOwner()
 	var bodies [][]byte
@@ -123,8 +125,8 @@
 	}
 }
 
-// BenchmarkPlace looks for places for all waiting jobs, on machines with room for 2,000
-// tasks, and takes the proposals back.
+// BenchmarkPlace measures a scheduling pass that places pending tasks on 2,000 machines, each of which
+// has free resources for two tasks. The placements are undone after each pass.
 func BenchmarkPlace(b *testing.B) {
 	o := benchOwner()
 	for b.Loop() {
@@ -145,13 +147,13 @@
 			}
 		}
 		if n == 0 {
-			b.Fatal("nothing was placed")
+			b.Fatal("no task was placed")
 		}
 		b.StartTimer()
 	}
 }
 
-// BenchmarkTick passes the time to an owner with nothing else to do.
+// BenchmarkTick measures a slow tick of an owner without other work.
 func BenchmarkTick(b *testing.B) {
 	o := benchOwner()
 	o.SchedulingNeeded = false
@@ -165,7 +167,7 @@
 	}
 }
 
-// BenchmarkFailover builds machines and attempts from the records of an earlier owner.
+// BenchmarkFailover measures the recovery of jobs, machines and attempts from an earlier owner's records.
 func BenchmarkFailover(b *testing.B) {
 	o := benchOwner()
 	var entries []kv.Entry
@@ -180,12 +182,13 @@
 		}
 		fresh.recovery.RecoverBlocks(entries)
 		if len(fresh.SortedMachines) != benchMachines {
-			b.Fatal("machines are missing")
+			b.Fatal("not all machines were recovered")
 		}
 	}
 }
 
-// BenchmarkLookup answers users' questions for 50 jobs, which one comparison confirms.
+// BenchmarkLookup measures users' lookups of 50 jobs. One transaction without writes compares the versions
+// of all their records.
 func BenchmarkLookup(b *testing.B) {
 	o := benchOwner()
 	c := o.c
@@ -210,7 +213,7 @@
 			}
 		}
 		if answered != 50 {
-			b.Fatalf("%d questions were answered", answered)
+			b.Fatalf("%d lookups got a response with status 200, want 50", answered)
 		}
 	}
 }
--- a/controller/blocked_jobs.go
+++ b/controller/blocked_jobs.go
@@ -12,16 +12,16 @@
 )
 
 // This file handles an owner's blocked jobs, those with dependencies that are not done. They are not
-// in the queue: placement, demand and quotas ignore them. A job is unblocked by unblockJob alone, once
-// the terminal states of all its dependencies were read as done, or once a record shows that an
-// earlier owner has placed it.
+// in the queue: placement, demand and quotas ignore them. Only unblockJob unblocks a job: after the
+// terminal states of all its dependencies were read as done, or after a record has shown that an
+// earlier owner placed the job.
 
-// addBlockedJob adds a blocked job of an own team.
+// addBlockedJob adds a blocked job of one of this owner's teams.
 func (o *owner) addBlockedJob(j *inventory.Job) {
 	o.SetJobState(j, inventory.JobBlocked)
 	o.BlockedJobs[j.ID] = j
 	switch blocked := o.c.graph.Blocked(j.ID); {
-	case blocked == nil: // its record is gone already, which the watch will show
+	case blocked == nil: // its record is already deleted, which the watch will report
 	case blocked.Cancelled():
 		o.queueCascadedCancellation(j.ID)
 	case blocked.Ready():
@@ -29,7 +29,8 @@
 	}
 }
 
-// unblockJob enqueues a blocked job whose dependencies are done. Its queueing delay counts from then.
+// unblockJob enqueues a blocked job whose dependencies are done. Its queueing delay is measured from
+// the completion of the last dependency, or from the job's acceptance if that is later.
 func (o *owner) unblockJob(blocked *dag.BlockedJob) {
 	j := o.BlockedJobs[blocked.ID]
 	if j == nil {
@@ -42,9 +43,9 @@
 	o.enqueue(j)
 }
 
-// unblockPlacedJob returns a job that was placed by an earlier owner's record, or nil if it is not
-// known. If it is blocked, it is unblocked: the earlier owner has read that its dependencies are
-// done, which never changes.
+// unblockPlacedJob returns a job that is placed according to an earlier owner's record, or nil if the
+// job is unknown. A blocked job is unblocked first: the earlier owner has read that its dependencies
+// are done, and done is a terminal state.
 func (o *owner) unblockPlacedJob(id string) *inventory.Job {
 	if o.BlockedJobs[id] != nil {
 		blocked := o.c.graph.Blocked(id)
@@ -57,8 +58,9 @@
 	return o.Jobs[id]
 }
 
-// queueCascadedCancellation queues the record of a blocked job's cancellation with an upstream job.
-// The status that users get follows from the upstream records, whether this one is written or not.
+// queueCascadedCancellation queues the write that records a blocked job as cancelled because an
+// upstream job was cancelled. The status that users get is derived from the records of the upstream
+// jobs, so it does not depend on this write.
 func (o *owner) queueCascadedCancellation(id string) {
 	if j := o.BlockedJobs[id]; j != nil && !j.CancelQueued {
 		j.CancelQueued = true
@@ -66,11 +68,11 @@
 	}
 }
 
-// advanceBlockedJobs reads the records on which the blocked jobs depend.
+// advanceBlockedJobs reads the records of the blocked jobs' dependencies.
 func (o *owner) advanceBlockedJobs() { o.c.jobView.ResolveBlockedJobs() }
 
-// flushCascadedCancellations adds queued cancellations to a transaction until it is full. The rest is
-// left to the next ones: no user waits for these records.
+// flushCascadedCancellations adds queued cancellations to a transaction until it is full. Later
+// transactions write the rest: no user waits for these records.
 func (o *owner) flushCascadedCancellations(t *transaction, full func() bool) {
 	for len(o.cascadedCancellations) > 0 && !full() {
 		id := o.cascadedCancellations[0]
@@ -86,8 +88,8 @@
 	}
 }
 
-// recordCascadedCancellation adds the cancellation of a blocked job with an upstream job, root, to a
-// transaction.
+// recordCascadedCancellation adds to a transaction the writes that record a blocked job as cancelled
+// because the upstream job root was cancelled.
 func (o *owner) recordCascadedCancellation(t *transaction, j *inventory.Job, root string) {
 	j.Writing = true
 	t.Require(record.ActiveJobKey(j.ID), j.Version)
@@ -106,15 +108,15 @@
 	})
 }
 
-// removeBlockedJob removes a blocked job whose record is gone.
+// removeBlockedJob removes a blocked job whose record was deleted.
 func (o *owner) removeBlockedJob(j *inventory.Job) {
 	delete(o.BlockedJobs, j.ID)
 	o.deleteDependencyParts(j)
 	o.SetJobState(j, inventory.JobEnded)
 }
 
-// deleteDependencyParts queues the deletion of the keys that continue a job's list of dependencies. They are of
-// use only while the job's record exists.
+// deleteDependencyParts queues the deletion of the keys that continue a job's list of dependencies.
+// They are needed only while the job's record exists.
 func (o *owner) deleteDependencyParts(j *inventory.Job) {
 	for i := range j.DependencyParts {
 		o.commits.DeleteLater(record.DependencyPartKey(j.ID, i))
@@ -122,7 +124,8 @@
 	j.DependencyParts = 0
 }
 
-// recheckDelay gives the watch time to show a change of a job's record before it is written again.
+// recheckDelay is the pause before a failed cancellation of a blocked job is queued again. Within it,
+// the watch can report the change of the job's record.
 const recheckDelay = micros.Second
 
 // recheckBlockedJob handles a failed precondition on a blocked job's record, which means that a user
@@ -146,11 +149,12 @@
 	})
 }
 
-// partsSweepDelay leaves the requests after a failover to more urgent purposes.
+// partsSweepDelay is the pause between the activation of an owner and its search for orphaned
+// dependency parts. It leaves the requests right after a failover to more urgent purposes.
 const partsSweepDelay = 20 * micros.Second
 
-// sweepOrphanedParts looks for keys of dependency lists whose jobs have ended without their deletion. It reads
-// one page at a time.
+// sweepOrphanedParts searches for orphaned dependency parts, which were not deleted when their jobs
+// ended. It reads one page of keys at a time.
 func (o *owner) sweepOrphanedParts() {
 	if o.partsSwept || o.c.now-o.activeSince < partsSweepDelay || !o.c.budget.MayRequest(budget.Cleanup, o.c.now) {
 		return
@@ -180,8 +184,9 @@
 	})
 }
 
-// deleteOrphanedParts queues the deletion of dependency lists whose jobs have ended. A list is written
-// in one transaction with its job: if a view that is newer than the list lacks the job, it has ended.
+// deleteOrphanedParts queues the deletion of dependency parts whose jobs have ended. The parts are
+// written in one transaction with the job's record: if a view that is newer than the parts does not
+// contain the job, the job has ended.
 func (o *owner) deleteOrphanedParts(entries []kv.Entry) {
 	for _, e := range entries {
 		id, _, _ := strings.Cut(strings.TrimPrefix(e.Key, record.DependencyPartPrefix), "/")
--- a/controller/blocked_jobs_test.go
+++ b/controller/blocked_jobs_test.go
@@ -18,7 +18,8 @@
 	}
 }
 
-// newOwnerWithBlockedJobs returns an owner of chains of jobs, in which all but the first are blocked.
+// newOwnerWithBlockedJobs returns an owner of dependency chains. All jobs of a chain but the first are
+// blocked.
 func newOwnerWithBlockedJobs(chains, length int) *owner {
 	o := testOwner()
 	var entries []kv.Entry
@@ -60,14 +61,15 @@
 		for _, id := range g.UnresolvedJobs() {
 			o.c.jobView.ApplyTerminalState(id, terminalStates[id])
 		}
-		// One job is ready, and the four of the other chain are cancelled.
+		// One job of the first chain is ready, and the four blocked jobs of the second are cancelled.
 		if visited := g.Work().Jobs - before; visited != 1+4 || o.Jobs[jobName(1)] == nil || len(o.cascadedCancellations) != 4 {
 			t.Fatalf("%d chains: %d jobs were visited, %d are cancelled", chains, visited, len(o.cascadedCancellations))
 		}
 	}
 }
 
-// BenchmarkBlockedJobs measures a tick and the changes of one job at an owner of many blocked jobs.
+// BenchmarkBlockedJobs measures a slow tick, and the addition and deletion of one job's record, at an
+// owner of many blocked jobs.
 func BenchmarkBlockedJobs(b *testing.B) {
 	for _, chains := range []int{10, 1000} {
 		b.Run(fmt.Sprint(4*chains), func(b *testing.B) {
@@ -84,7 +86,7 @@
 				o.c.Handle(o.c.now, o.c.now, Tick{})
 			}
 			if len(o.BlockedJobs) != 4*chains || g.IsActive(id) {
-				b.Fatal("jobs are missing")
+				b.Fatal("blocked jobs are missing, or the deleted job is still active")
 			}
 		})
 	}
--- a/controller/cancellation_acks.go
+++ b/controller/cancellation_acks.go
@@ -35,8 +35,9 @@
 	h.c.peers.AnnounceCancelled(to, job, func() { acknowledged(h.c.now) })
 }
 
-// announceCancellation calls done once it is certain whether the cancellation of a job may be
-// acknowledged to users. The caller ignores a result after the deadline.
+// announceCancellation announces the cancellation of a job to peers, and calls done when it is certain
+// whether the cancellation may be acknowledged to users. The caller ignores a result after the
+// deadline.
 func (c *Core) announceCancellation(job string, deadline micros.Micros, done func(mayAcknowledge bool)) {
 	if c.jobView.TerminalStates().Of(job) != "" {
 		done(true)
--- a/controller/cloud_calls.go
+++ b/controller/cloud_calls.go
@@ -6,10 +6,10 @@
 	"tamarindlead/micros"
 )
 
-// cloudTimeout is how long a call to the cloud may take until it counts as unanswered.
+// cloudTimeout is the timeout of a call to the cloud.
 const cloudTimeout = 5 * micros.Second
 
-// callCloud calls the cloud. done gets status 0 if there is no response.
+// callCloud sends a request to the cloud. done gets status 0 if there is no response.
 func (c *Core) callCloud(method, target string, body any, done func(status int, body []byte)) {
 	var data []byte
 	if body != nil {
--- a/controller/commit_adapter.go
+++ b/controller/commit_adapter.go
@@ -99,7 +99,7 @@
 	for _, a := range j.SortedAttempts() {
 		if a.State == inventory.AttemptLive || a.State == inventory.AttemptStarting {
 			a.Reason = "job is done"
-			o.SetAttemptState(a, inventory.AttemptStopping) // its machine's next heartbeat ends it
+			o.SetAttemptState(a, inventory.AttemptStopping) // the stop command follows its machine's next heartbeat
 		}
 	}
 }
@@ -121,19 +121,19 @@
 			j.Version, j.RecordStale = e.Version, false
 			o.SchedulingNeeded = true
 		default:
-			j.RecordStale = false // if the record is still another, the next transaction fails too
+			j.RecordStale = false // if the record has another version, the next transaction fails too
 			o.commits.Postpone()
 		}
 	})
 }
 
-// ownedElsewhereRetention is how long a machine is remembered as another owner's, until a peer
-// heartbeat of that owner names it.
+// ownedElsewhereRetention is how long a machine is assumed to belong to another owner. Within this
+// time, a peer heartbeat of that owner should list the machine.
 const ownedElsewhereRetention = 10 * micros.Second
 
-// dropOwnedElsewhere removes an adopted machine that has an entry in another block: of another owner,
-// or of this one if the machine was transferred to it. It asserts that nothing is recorded there by
-// this owner: those tasks would be forgotten, and placed elsewhere while they run.
+// dropOwnedElsewhere removes an adopted machine that has an entry in another block: a block of another
+// owner, or a block of this owner if the machine was transferred to it. It asserts that this owner has
+// no tasks on the machine: they would be lost, and placed on other machines while they run.
 func (o *owner) dropOwnedElsewhere(m *inventory.Machine, block string) {
 	if len(m.Attempts) > 0 {
 		o.c.reportViolation("a machine with tasks is left to another owner",
--- a/controller/commit_test.go
+++ b/controller/commit_test.go
@@ -22,7 +22,7 @@
 	Delete string          `cbor:"delete"`
 }
 
-// beginCommit brings an owner into the state in which the result of a transaction is awaited.
+// beginCommit makes an owner send a transaction, whose result stays outstanding.
 func beginCommit(tb testing.TB, o *owner) {
 	tb.Helper()
 	o.commits.DeleteLater("obsolete")
@@ -31,8 +31,8 @@
 	}
 }
 
-// commitNext sends an owner's next transaction and has it committed. It returns the writes, which
-// are none if nothing must be written.
+// commitNext makes an owner send its next transaction, and gives it the result of a successful commit.
+// It returns the writes of the transaction, or nil if there is nothing to write.
 func commitNext(tb testing.TB, o *owner, revision uint64) []transactionWrite {
 	tb.Helper()
 	o.c.effects = nil
@@ -41,7 +41,7 @@
 	}
 	call, ok := o.c.effects[len(o.c.effects)-1].(Call)
 	if !ok || call.Target != "/commit" {
-		tb.Fatalf("the last effect is no transaction but %+v", o.c.effects[len(o.c.effects)-1])
+		tb.Fatalf("the last effect is not a transaction: %+v", o.c.effects[len(o.c.effects)-1])
 	}
 	var body transactionBody
 	if err := wire.Decode(call.Body, &body); err != nil {
@@ -50,11 +50,11 @@
 	done := o.c.calls.pending[call.ID]
 	delete(o.c.calls.pending, call.ID)
 	done(CallDone{ID: call.ID, Status: wire.StatusOK, Body: wire.Encode(kv.TransactionResult{Revision: revision}), Sent: true})
-	o.c.now += 25 * micros.Millisecond // the pause between transactions while writes are plentiful
+	o.c.now += 25 * micros.Millisecond // the interval between transactions if the write budget allows them
 	return body.Writes
 }
 
-// commitAll has an owner write all that is due, and returns the writes.
+// commitAll commits transactions until an owner has nothing left to write, and returns all writes.
 func commitAll(tb testing.TB, o *owner, revision uint64) []transactionWrite {
 	tb.Helper()
 	const maxTransactions = 1000
--- a/controller/core.go
+++ b/controller/core.go
@@ -27,17 +27,17 @@
 	cfg *config.Settings
 	log *slog.Logger
 
-	// now is the monotonic time of the present event. wallClock is its time of day, which records and
-	// users get.
+	// now is the monotonic time of the present event. wallClock is its time of day, for records and
+	// responses to users.
 	now, wallClock micros.Micros
 	timers         []timer
 	nextSlowTick   micros.Micros
 
-	// effects are those of the present event.
+	// effects are the effects of the present event so far.
 	effects []Effect
 	calls   outboundCalls
 
-	// The key-value store and the cloud, with this node's part of their limits.
+	// The key-value store and the cloud, with this node's part of their rate limits.
 	budget    *budget.Budget
 	store     *kv.Client
 	cloudRate *rate.Limiter
@@ -45,14 +45,14 @@
 	// The cluster, and this node's part in it.
 	peers   *peers.Peers
 	node    *cluster.Node
-	cluster *cluster.View // of node
+	cluster *cluster.View // the view that node maintains
 	owner   *owner        // nil unless this node owns teams
 	numbers numberGenerator
 
 	// Users' requests and the active jobs.
 	frontend      *frontend.Frontend
 	jobView       *jobview.View
-	graph         *dag.Graph // of jobView
+	graph         *dag.Graph // the graph that jobView maintains
 	cancellations *cancellation.Tracker
 
 	// Machines and workers, whether this node owns them or not.
@@ -111,7 +111,7 @@
 	return c
 }
 
-// Handle handles one event at a time and returns the effects to carry out, in order.
+// Handle handles one event and returns the effects to execute, in order. Calls must not overlap.
 func (c *Core) Handle(now, wallClock micros.Micros, event Event) []Effect {
 	c.now, c.wallClock = max(now, c.now), wallClock
 	c.counters.events++
@@ -121,13 +121,13 @@
 		c.routeRequest(e)
 	case CallDone:
 		c.calls.finish(e)
-	case Tick: // every event lets time pass
+	case Tick: // tick is called after every event
 	}
 	c.tick()
 	return c.effects
 }
 
-// tick does the work that is due after every event.
+// tick does the work that is due by now. It is called after every event.
 func (c *Core) tick() {
 	c.runTimers()
 	if c.now >= c.nextSlowTick {
@@ -173,7 +173,7 @@
 	c.effects = append(c.effects, Respond{ID: id, Status: status, Body: data})
 }
 
-// retryAfterSeconds is the Retry-After of a refusal: the minimum wait of clients anyway.
+// retryAfterSeconds is the Retry-After header of a refusal. Clients wait at least that long anyway.
 const retryAfterSeconds = 1
 
 // refuse responds that a request cannot be handled now and may be sent again.
--- a/controller/core_fixture_test.go
+++ b/controller/core_fixture_test.go
@@ -5,7 +5,7 @@
 	"tamarindlead/micros"
 )
 
-// newRespondingCore returns the core of a node that has just started alone.
+// newRespondingCore returns the core of a cluster's only node, one second after its start.
 func newRespondingCore() *Core {
 	cfg := &config.Settings{
 		Node: "n0", Zone: "a", KVAddr: "state", CloudAddr: "cloud", Zones: []string{"a"}, Sockets: 400,
--- a/controller/dependency_parts_test.go
+++ b/controller/dependency_parts_test.go
@@ -12,8 +12,8 @@
 	"tamarindlead/micros"
 )
 
-// TestCleanupOfAllPages checks that parts of dependency lists without a job are deleted also beyond
-// the first page of a listing.
+// TestCleanupOfAllPages checks that orphaned dependency parts are deleted on all pages of a listing, not
+// only on the first.
 func TestCleanupOfAllPages(t *testing.T) {
 	w := newScenarioSimulation(t, &datadriven.TestData{Pos: "dependency_parts_test.go", Cmd: "world"})
 	var leftovers []fake.Record
@@ -25,6 +25,6 @@
 	w.kvStore.Load(leftovers, uint64(len(leftovers)), micros.Second)
 	w.run(partsSweepDelay + 120*micros.Second)
 	if left := w.kvStore.Keys(record.DependencyPartPrefix); len(left) > 0 || len(w.violations) > 0 {
-		t.Fatalf("%d parts are left, the first is %s; rules broken: %v", len(left), left[0], w.violations)
+		t.Fatalf("%d dependency parts are left, the first is %s; violations: %v", len(left), left[0], w.violations)
 	}
 }
--- a/controller/determinism_test.go
+++ b/controller/determinism_test.go
@@ -6,12 +6,12 @@
 	"tamarindlead/micros"
 )
 
-// TestFaultPairIsRepeatable checks that a run is a function of its seed, as the core must be of its
-// events.
+// TestFaultPairIsRepeatable checks that the effects of a run depend only on its seed, as those of the
+// core must depend only on its events.
 //
-// What happened: seed 10 had one of two digests of effects from run to run. Why: when all attempts of a
-// gang are recorded, startGang queued their machines for commands in the order of a map, so the start
-// commands went out in another order ("effects differ in run 2").
+// It guards against a failure with seed 10: each run had one of two digests ("effects differ in run
+// 2"). After all attempts of a gang were recorded, startGang queued their machines for commands in the
+// iteration order of a map, so the order of the start commands varied.
 func TestFaultPairIsRepeatable(t *testing.T) {
 	const seed, runs = 10, 5
 	first := ""
--- a/controller/events.go
+++ b/controller/events.go
@@ -14,7 +14,7 @@
 	Body   []byte
 }
 
-// CallDone is the result of a Call. Without a response Status is 0, and Sent reports whether the
+// CallDone is the result of a Call. If there was no response, Status is 0 and Sent reports whether the
 // request may have reached the server.
 type CallDone struct {
 	ID     uint64
@@ -23,14 +23,14 @@
 	Sent   bool
 }
 
-// Tick is an event without content, by which time passes.
+// Tick is an event without content. The node sends it so that timers and periodic work run on time.
 type Tick struct{}
 
 func (Request) event()  {}
 func (CallDone) event() {}
 func (Tick) event()     {}
 
-// Effect is an output of the core that the node must carry out: Call or Respond.
+// Effect is an output of the core that the node must execute: Call or Respond.
 type Effect interface{ effect() }
 
 // Call is an outbound request. A CallDone with its ID must follow.
--- a/controller/fleet_adapter.go
+++ b/controller/fleet_adapter.go
@@ -11,8 +11,8 @@
 	"tamarindlead/sched"
 )
 
-// This file connects package fleet with its owner, and holds what other parts of the owner use of
-// machines and their types.
+// This file connects package fleet with its owner. It also contains functions for machines and machine
+// types that other parts of the owner use.
 
 // newFleet returns the fleet of an owner.
 func newFleet(o *owner) *fleet.Fleet {
@@ -55,8 +55,8 @@
 	return h.o.newMachine(info)
 }
 
-// NewAdoptedMachine gives the machine a block of its own while other owners exist: one may have
-// it without this owner's knowledge (see internal/commit/adoption.go).
+// NewAdoptedMachine adds an adopted machine. While other owners exist, the machine gets a block of its
+// own, since one of them may own it without this owner's knowledge (see internal/commit/adoption.go).
 func (h fleetOwnership) NewAdoptedMachine(info inventory.MachineInfo) *inventory.Machine {
 	if h.o.commits.OwnsAllTeams() {
 		return h.o.newMachine(info)
@@ -73,7 +73,7 @@
 	h.c.callCloud(method, target, body, done)
 }
 
-// fleetJobs implements fleet.Jobs: the scheduler, with what other parts of the owner do with jobs.
+// fleetJobs implements fleet.Jobs by the scheduler and other parts of the owner.
 type fleetJobs struct {
 	*scheduler.Scheduler
 	o *owner
@@ -101,7 +101,8 @@
 	return fleet.MachineSize(m, o.c.types.List())
 }
 
-// markOwnedElsewhere remembers that another owner has a machine, until its heartbeats name it.
+// markOwnedElsewhere records that another owner has a machine, for the time until that owner's
+// heartbeats should list the machine.
 func (o *owner) markOwnedElsewhere(machine string) {
 	o.fleet.MarkOwnedElsewhere(machine, o.c.now+ownedElsewhereRetention)
 }
--- a/controller/fleet_adapter_test.go
+++ b/controller/fleet_adapter_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// TestFleetHostState checks what the fleet is given to decide on: only an owner that has recovered
-// its records and was not replaced is active, and violations are counted.
+// TestFleetHostState checks the state of an owner as the fleet sees it: only an owner that has
+// recovered its records and was not replaced is active. Violations are counted.
 func TestFleetHostState(t *testing.T) {
 	for _, test := range []struct {
 		name               string
@@ -22,7 +22,7 @@
 				t.Errorf("active %t, superseded %t", host.IsActive(), host.Superseded())
 			}
 			if host.ReportViolation("of the test"); o.c.Violations() != 1 {
-				t.Errorf("%d violations are counted", o.c.Violations())
+				t.Errorf("%d violations counted, want 1", o.c.Violations())
 			}
 		})
 	}
--- a/controller/frontend_adapter_test.go
+++ b/controller/frontend_adapter_test.go
@@ -35,7 +35,7 @@
 	}
 }
 
-// TestFrontendPeerCounts checks that of the counts which peers report the latest are shown.
+// TestFrontendPeerCounts checks that a job's task counts are the latest ones that a peer has reported.
 func TestFrontendPeerCounts(t *testing.T) {
 	const job = "req-000001"
 	core := newRespondingCore()
@@ -61,6 +61,6 @@
 		t.Errorf("counts %+v, want %+v", got, want)
 	}
 	if got := (frontendPeerJobs{core}).TaskCounts("req-000002"); got != (frontend.TaskCounts{}) {
-		t.Errorf("counts %+v of an unknown job", got)
+		t.Errorf("counts %+v for an unknown job, want none", got)
 	}
 }
--- a/controller/job_queue.go
+++ b/controller/job_queue.go
@@ -13,7 +13,8 @@
 	"tamarindlead/micros"
 )
 
-// recoverJob adds an accepted job by its record, unless the job is known or of another owner's team.
+// recoverJob adds an accepted job from its record, unless the job is already known, is cancelled or
+// belongs to another owner's team.
 func (o *owner) recoverJob(key string, value []byte, version uint64) {
 	id := strings.TrimPrefix(key, record.ActiveJobPrefix)
 	if o.Jobs[id] != nil || o.BlockedJobs[id] != nil || o.c.cancellations.IsCancelled(id) {
@@ -30,7 +31,7 @@
 		return
 	}
 	if o.Teams[spec.Team] == nil {
-		return // another owner's
+		return // the job belongs to another owner's team
 	}
 	j := inventory.NewJob(spec, version, job.AcceptedAt)
 	if job.Blocked != nil {
@@ -51,7 +52,7 @@
 	o.SchedulingNeeded = true
 }
 
-// watchJobs follows the jobs that are accepted and removed after a revision.
+// watchJobs watches for jobs that are accepted or removed after a revision.
 func (o *owner) watchJobs(after uint64) {
 	c := o.c
 	sentAt := c.now
@@ -75,13 +76,13 @@
 	})
 }
 
-// retryWatch makes a slow tick watch again after a pause.
+// retryWatch schedules another watch: the first slow tick after readRetryDelay sends it.
 func (o *owner) retryWatch(after uint64) {
 	o.watchRevision, o.watchFailed, o.watchRetryAt = after, true, o.c.now+readRetryDelay
 }
 
-// handleJobRemoved handles the removal of a job's record: by this owner's own transaction, or by a
-// cancellation that was acknowledged to users at since or later.
+// handleJobRemoved handles the deletion of a job's record, either by this owner's own transaction or
+// by a cancellation that was acknowledged to users at the time since or later.
 func (o *owner) handleJobRemoved(id string, since micros.Micros) {
 	if j := o.BlockedJobs[id]; j != nil && !j.Writing {
 		o.c.log.Info("blocked job cancelled", "job", id)
@@ -90,7 +91,7 @@
 	}
 	j := o.Jobs[id]
 	if j == nil || j.State == inventory.JobEnded || j.State == inventory.JobFinishing && j.Writing {
-		return // the watch may show the removal before this owner's transaction is confirmed
+		return // the watch may report the deletion before this owner's transaction is confirmed
 	}
 	o.c.log.Info("job cancelled", "job", id, "attempts", len(j.Attempts))
 	o.endJob(j)
@@ -98,7 +99,7 @@
 	o.StopJob(j, 0, "cancelled")
 }
 
-// endJob removes a job whose record is gone from the queue.
+// endJob marks a job whose record was deleted as ended, and removes it from the queue.
 func (o *owner) endJob(j *inventory.Job) {
 	o.SetJobState(j, inventory.JobEnded)
 	o.Queue = slices.DeleteFunc(o.Queue, func(queued *inventory.Job) bool { return queued == j })
@@ -120,10 +121,11 @@
 	o.SchedulingNeeded = true
 }
 
-// maxJobCounts bounds the counts in a heartbeat, which has those of the first jobs in the queue.
+// maxJobCounts is the maximum number of jobs whose task counts are in a peer heartbeat: the first ones
+// in the queue that have attempts or completed tasks.
 const maxJobCounts = 200
 
-// jobCounts returns the counts of tasks that peers show their users.
+// jobCounts returns the task counts of jobs, which peers report to their users.
 func (o *owner) jobCounts() []*peer.JobCount {
 	var list []*peer.JobCount
 	for _, j := range o.Queue {
--- a/controller/job_view.go
+++ b/controller/job_view.go
@@ -44,7 +44,8 @@
 
 func (b jobObserver) JobDeleted(id string) {
 	if o := b.c.owner; o != nil && o.jobsListed {
-		// The cancellation may have been acknowledged to a user since the last answered watch began.
+		// The cancellation may have been acknowledged to a user at any time after the last watch with
+		// a response was sent.
 		o.handleJobRemoved(id, o.cancellationsKnownUntil)
 	}
 }
--- a/controller/kv_host.go
+++ b/controller/kv_host.go
@@ -47,17 +47,18 @@
 	})
 }
 
-// minWatchWait bounds the rate of watch requests.
+// minWatchWait is a lower bound of watchWait. It limits the rate of watch requests.
 const minWatchWait = 500 * micros.Millisecond
 
-// watchWait returns how long a watch of the jobs may wait for a change. The response shows up to
-// when cancellations are known, which must be recent enough for leases to be renewed.
+// watchWait returns how long a watch of the jobs may wait for a change. With the response, all
+// cancellations are known up to the time of the request. Leases are renewed only if that time is
+// recent enough, so a watch must not wait too long.
 func (c *Core) watchWait() micros.Micros {
 	return min(kv.WatchWait, max(c.cancellations.MaxStaleness()/3, minWatchWait))
 }
 
 // isIsolated reports whether this node reaches neither the key-value store nor any peer. During an
-// outage of the store alone, peers are reachable.
+// outage of only the store, peers are reachable, so the node is not isolated.
 func (c *Core) isIsolated() bool {
 	return len(c.cfg.Siblings) > 0 && c.store.Unavailable() && !c.peers.AnyReachable()
 }
--- a/controller/limits_test.go
+++ b/controller/limits_test.go
@@ -18,9 +18,9 @@
 	"tamarindlead/sched"
 )
 
-// nextLimits are the limits that the state service will have from some moment on. Nodes
-// know them from their settings, from the start or, if "later", once the scenario says so:
-// then what was written before is larger.
+// nextLimits are the limits that the key-value store will have at a later time. Nodes get them from
+// their settings: from the start or, with the argument "later", only after a command of the scenario
+// has enabled them. In the latter case, records that were written before may exceed them.
 type nextLimits struct {
 	enabled bool
 	value   int
@@ -36,7 +36,7 @@
 	}
 }
 
-// apply does what reading the settings does.
+// apply lowers the limits of settings to the next limits, as package config does.
 func (n *nextLimits) apply(cfg *config.Settings) {
 	if !n.enabled {
 		return
@@ -55,16 +55,16 @@
 	}
 }
 
-// runLimitCommand plays the commands of this file; false for any other.
+// runLimitCommand executes the scenario commands of this file. It returns false for any other command.
 func runLimitCommand(t *testing.T, sim *simulation, d *datadriven.TestData) bool {
 	switch d.Cmd {
 	case "state-limits":
-		// The state service has other limits from now on.
+		// Changes the limits of the key-value store.
 		s := sim.kvStore
 		s.MaxValueBytes, s.MaxOps = arg(t, d, "value", s.MaxValueBytes), arg(t, d, "ops", s.MaxOps)
 		s.WriteRate, s.RequestRate = argNumber(t, d, "writes", s.WriteRate), argNumber(t, d, "rps", s.RequestRate)
 	case "settings":
-		// Nodes that start from now on have the settings with the limits to come.
+		// Sets whether the settings of nodes that start later contain the next limits.
 		sim.nextLimits.enabled = d.HasArg("next")
 	default:
 		return false
@@ -72,7 +72,8 @@
 	return true
 }
 
-// countRecordsAbove counts the records that are larger than a size.
+// countRecordsAbove counts the records that are larger than a size. If there are at least minimum, it
+// returns "enough" instead; a minimum of 0 always returns the count.
 func (sim *simulation) countRecordsAbove(prefix string, bytes, minimum int) string {
 	n := 0
 	for _, k := range sim.kvStore.Keys(prefix) {
@@ -105,8 +106,9 @@
 	return n
 }
 
-// TestTaskSlotsFitValueLimit guards against starts that fill a block beyond a value: all of one pass
-// are of different jobs, on machines whose block is new, and the smallest values are meant.
+// TestTaskSlotsFitValueLimit guards against a scheduling pass that places so many tasks that a block
+// exceeds the maximum value size. The value limit is low, the jobs are many and small, so a pass places
+// tasks of different jobs, and the machines' blocks are new.
 func TestTaskSlotsFitValueLimit(t *testing.T) {
 	o := testOwner()
 	o.c.cfg.MaxValueBytes, o.c.cfg.MaxTransactionOps = 2<<10, 500
@@ -135,7 +137,7 @@
 		}
 		for _, b := range o.commits.Blocks() {
 			if b.Dirty || b.Oversized {
-				t.Fatalf("block %s is not written", b.Name)
+				t.Fatalf("block %s was not written", b.Name)
 			}
 		}
 		o.c.now += scheduler.MinPassInterval
@@ -146,8 +148,8 @@
 }
 
 // TestCompletionSegmentsMove guards against completions that are lost while chunks move to another
-// segment: those of two records count together, and an old record is deleted only after the new one
-// is written.
+// segment: the completions of both records count, and the old record is deleted only after the new
+// ones are written.
 func TestCompletionSegmentsMove(t *testing.T) {
 	o := testOwner()
 	o.c.cfg.MaxValueBytes = 1024
@@ -168,12 +170,12 @@
 		kv.Entry{Key: record.CompletionSegmentKey("red", "2"), Value: wire.Encode(record.CompletionSegment{Chunks: map[string]string{wire.TaskName(jobName(3), 0): other.Chunk(0)}}), Version: 19})
 	o.recovery.RecoverSegments(entries)
 	if j := o.Jobs[jobName(3)]; !j.Completed.Has(5) || !j.Completed.Has(700) || j.CompletedCount != 2 {
-		t.Fatalf("%d completions are known", j.CompletedCount)
+		t.Fatalf("%d completions were recovered, want 2: tasks 5 and 700", j.CompletedCount)
 	}
 	o.c.cfg.MaxTransactionOps = 1
 	old, deleted := record.CompletionSegmentKey("red", "1"), false
 	for range 20 {
-		o.c.now += micros.Second // so that there are writes for deletions
+		o.c.now += micros.Second // refills the write budget, so that deletions are sent
 		for _, w := range commitNext(t, o, 30) {
 			deleted = deleted || w.Delete == old
 			if kv.EncodedSizeBound(w.Value) > 2*o.c.cfg.MaxValueBytes {
@@ -182,16 +184,17 @@
 		}
 		unwritten := func(s *inventory.CompletionSegment) bool { return s.Version == 0 }
 		if (deleted || o.commits.IsObsolete(old)) && slices.ContainsFunc(o.commits.Segments(), unwritten) {
-			t.Fatal("the old record is deleted before the new ones are written")
+			t.Fatal("the old record was deleted before the new ones were written")
 		}
 	}
 	if !deleted {
-		t.Fatal("the old record is not deleted")
+		t.Fatal("the old record was not deleted")
 	}
 }
 
-// TestIdleMachinesFilledInOneWrite guards against machines that fill up only some tasks with each write:
-// tasks that are not recorded yet share the description of their job, and take little else.
+// TestIdleMachinesFilledInOneWrite guards against idle machines that get only some of their tasks with
+// each write, because the size of unrecorded tasks in a block is overestimated: such tasks share the
+// description of their job, and take few other bytes.
 func TestIdleMachinesFilledInOneWrite(t *testing.T) {
 	o := testOwner()
 	o.c.cfg.MaxValueBytes, o.c.cfg.MaxTransactionOps = 4<<10, 12
--- a/controller/machine_requests.go
+++ b/controller/machine_requests.go
@@ -9,10 +9,10 @@
 	"tamarindlead/sched"
 )
 
-// This file requests machines of other owners. An owner whose machines cannot hold a job sends a
+// This file requests machines from other owners. An owner whose machines cannot hold a job sends a
 // machine request to the leader. The leader chooses the source of the transfer: an owner with a
 // suitable idle machine, or else, if the job's team is below its guaranteed quota, the owner of the
-// team that exceeds its own most. machine_transfers.go is the part of the source.
+// team that exceeds its own guaranteed quota the most. machine_transfers.go implements the source.
 
 // machineRequestInterval is the minimum time between two requests of an owner.
 const machineRequestInterval = 2 * micros.Second
@@ -44,7 +44,7 @@
 	}
 }
 
-// requestedJob returns the job of a machine request, as far as the source of a transfer must know it.
+// requestedJob returns the job of a machine request, with the fields that the source of a transfer needs.
 func requestedJob(request *peer.Want) *sched.Job {
 	job := &sched.Job{
 		ID: request.Job, Team: request.Team, Gang: true,
@@ -63,8 +63,8 @@
 	c.peers.Send(to, &peer.Message{Body: &peer.Message_Want{Want: request}})
 }
 
-// handleMachineRequest handles a machine request: the leader receives it from the owner that needs
-// machines and chooses the source, the source receives it from the leader and transfers machines.
+// handleMachineRequest handles a machine request. The leader receives it from the owner that needs
+// machines, and chooses the source. The source receives it from the leader, and transfers machines.
 func (c *Core) handleMachineRequest(request *peer.Want) {
 	requester := record.OwnerID(request.Owner)
 	switch {
@@ -111,7 +111,7 @@
 	return chosen
 }
 
-// ownerSummary returns the idle machines and the use of teams of a node, as far as they are known.
+// ownerSummary returns the idle machines of a node and the usage of its teams, as far as they are known.
 func (c *Core) ownerSummary(node string) *peer.Beat {
 	summary := &peer.Beat{}
 	if node == c.cfg.Node && c.owner != nil {
@@ -148,7 +148,8 @@
 	return maxRatio
 }
 
-// addOwnerSummary adds to a heartbeat what peers must know of this owner.
+// addOwnerSummary adds this owner's job counts to a heartbeat and, if there are other owners, its
+// machines and the usage of its teams.
 func (o *owner) addOwnerSummary(heartbeat *peer.Beat) {
 	heartbeat.Jobs = o.jobCounts()
 	if o.commits.OwnsAllTeams() {
--- a/controller/machine_transfers.go
+++ b/controller/machine_transfers.go
@@ -15,15 +15,15 @@
 )
 
 // This file transfers machines to another owner. The source chooses machines and drains them. It
-// writes a block that names the new owner; the revision of the block is the machine's fencing token
-// from then on. It notifies the new owner, which reads the block and takes the machine over.
+// writes a block that names the new owner; the revision of the block becomes the machine's fencing
+// token. It notifies the new owner, which reads the block and takes over the machine.
 
-// minIdleBeforeTransfer is how long a machine must have been without tasks to count as idle. Less
-// would transfer machines between two tasks.
+// minIdleBeforeTransfer is how long a machine must have been without tasks to count as idle. A shorter
+// time would transfer machines in the pause between two tasks.
 const minIdleBeforeTransfer = 2 * micros.Second
 
-// transferMachines transfers machines for another owner's job: idle ones, or else, if the request
-// allows it, machines from which tasks are evicted.
+// transferMachines transfers machines for another owner's job: idle machines, or if there are none and
+// the request allows it, machines from which tasks are evicted.
 func (o *owner) transferMachines(request *peer.Want) {
 	job := requestedJob(request)
 	newOwner := record.OwnerID(request.Owner)
@@ -32,8 +32,8 @@
 	}
 }
 
-// transferIdleMachines transfers idle machines for a job and returns the number of its tasks that fit
-// them.
+// transferIdleMachines transfers idle machines for a job, and returns the number of the job's tasks
+// that fit on them.
 func (o *owner) transferIdleMachines(job *sched.Job, newOwner record.OwnerID) int {
 	slots := 0
 	for _, m := range o.SortedMachines {
@@ -51,8 +51,8 @@
 	return slots
 }
 
-// reclaimMachines transfers machines from which it evicts tasks of teams that exceed their guaranteed
-// quotas.
+// reclaimMachines evicts tasks of teams that exceed their guaranteed quotas, and transfers the
+// machines of these tasks.
 func (o *owner) reclaimMachines(job *sched.Job, newOwner record.OwnerID) {
 	plan := o.scheduler.PlanReclaim(job)
 	if plan == nil {
@@ -69,8 +69,8 @@
 	}
 }
 
-// evictLongTasks evicts the tasks of arrays that would delay the transfer of a machine, as far as
-// the guaranteed quotas of their teams allow.
+// evictLongTasks evicts array tasks whose remaining run time would delay the transfer of a machine,
+// unless the usage of their team would fall below its guaranteed quota.
 func (o *owner) evictLongTasks(m *inventory.Machine, reason string) {
 	for _, a := range m.SortedAttempts() {
 		if a.Job.Gang || a.State != inventory.AttemptLive || o.workers.RemainingRunTime(a) < scheduler.MinRemainingForPreemption {
@@ -84,20 +84,21 @@
 	}
 }
 
-// isIdle reports whether a machine can be transferred at once.
+// isIdle reports whether a machine can be transferred without draining.
 func (o *owner) isIdle(m *inventory.Machine) bool {
 	return m.State == inventory.MachineReady && len(m.Attempts) == 0 && m.FencingToken != 0 && !o.scheduler.IsReserved(m.Name) &&
 		o.c.now-m.IdleSince > minIdleBeforeTransfer
 }
 
-// startTransfer stops the placement of tasks on a machine, which is transferred once it is empty.
+// startTransfer stops the placement of tasks on a machine. The machine is transferred after its last
+// task has ended.
 func (o *owner) startTransfer(m *inventory.Machine, newOwner record.OwnerID) {
 	m.TransferTo = newOwner
 	o.SetMachineState(m, inventory.MachineTransferring, "transfer to "+string(newOwner))
 }
 
 // confirmOrCancelTransfer reports whether the new owner of a machine is live. If it is not, the
-// transfer is cancelled and the machine stays.
+// transfer is cancelled and this owner keeps the machine.
 func (o *owner) confirmOrCancelTransfer(m *inventory.Machine) bool {
 	if o.c.cluster.IsLive(m.TransferTo) {
 		return true
@@ -150,8 +151,9 @@
 	})
 }
 
-// checkAdoptedBlock handles the block by which a machine was adopted already. If it is this owner's
-// own, from a transaction that was executed after recovery had read the records, they are read again.
+// checkAdoptedBlock handles a block by which a machine was adopted before. If the block belongs to
+// this owner but is unknown to it, the transaction with the block was executed after the recovery had
+// read the records, so the recovery is restarted.
 func (o *owner) checkAdoptedBlock(entry kv.Entry) {
 	var block record.Block
 	if wire.Decode(entry.Value, &block) == nil && block.Owner == o.c.node.ID() && !o.commits.HasBlock(entry.Key) {
@@ -159,8 +161,8 @@
 	}
 }
 
-// decodeTransfer returns the content of a block by which a machine is transferred to this node, or
-// nil if the block is another one or the machine was taken over before.
+// decodeTransfer returns the content of a block by which a machine is transferred to this node. It
+// returns nil if the block is no such transfer or if this owner already has the machine.
 func (o *owner) decodeTransfer(entry kv.Entry) *record.BlockData {
 	var block record.Block
 	if wire.Decode(entry.Value, &block) != nil || block.Owner != o.c.node.ID() {
@@ -173,7 +175,7 @@
 	return data
 }
 
-// acceptTransfer takes over a machine. Its fencing token is the version of its new block.
+// acceptTransfer takes over a transferred machine. Its fencing token is the version of its new block.
 func (o *owner) acceptTransfer(blockName string, version uint64, data *record.BlockData) {
 	block := o.commits.NewBlock(blockName)
 	block.Version = version
--- a/controller/membership.go
+++ b/controller/membership.go
@@ -6,11 +6,11 @@
 	"tamarindlead/micros"
 )
 
-// This file connects package cluster, this node's membership and leadership, with its calls, its
-// owner and its limits.
+// This file connects package cluster, this node's membership and leadership, with the node's client of
+// the key-value store, its owner and its rate limits.
 
-// clusterStore sends the requests of membership and leadership, which come first in the budget of
-// requests to the key-value store.
+// clusterStore sends the requests of membership and leadership to the key-value store. They have the
+// most urgent purpose in the request budget.
 type clusterStore struct{ core *Core }
 
 // Call implements cluster.KVClient.
@@ -55,7 +55,7 @@
 	return c.owner != nil && c.owner.allMachinesUnresponsive() && c.onlyPeersReachable()
 }
 
-// setOwner replaces the owner; nil ends the ownership. Nothing else changes it.
+// setOwner replaces the owner; nil ends the ownership. No other function changes the owner.
 func (c *Core) setOwner(o *owner) {
 	if c.owner != nil {
 		c.owner.workers.RefusePendingHeartbeats()
@@ -64,7 +64,8 @@
 	c.updateRateLimits()
 }
 
-// updateRateLimits sets this node's part of the key-value store's limits by the members and owners.
+// updateRateLimits sets this node's part of the key-value store's rate limits according to the numbers
+// of members and owners.
 func (c *Core) updateRateLimits() {
 	role := budget.Role{Nodes: len(c.cluster.Members()), Owners: c.cluster.LiveOwnerCount(), OwnsTeams: c.owner != nil}
 	if !c.cluster.IsMember(c.cfg.Node) {
--- a/controller/numbers.go
+++ b/controller/numbers.go
@@ -9,12 +9,12 @@
 	// maxSequence is the largest sequence number.
 	maxSequence = 1<<sequenceBits - 1
 	// sequenceMargin is how many numbers are left when a new member record is written. A
-	// scheduling pass takes one for each job at most, and there are a few passes a second.
+	// scheduling pass takes at most one for each job, and there are a few passes per second.
 	sequenceMargin = 1 << 16
 )
 
-// numberGenerator must be kept across restarts of the recovery: a new one would repeat the numbers of
-// the revision.
+// numberGenerator generates numbers that are never used twice. It must be kept across restarts of the
+// recovery: a new generator would repeat the numbers of the revision.
 type numberGenerator struct {
 	revision uint64 // of the member record with which the sequence began
 	sequence uint64
--- a/controller/numbers_test.go
+++ b/controller/numbers_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// TestNumbersAreUnique guards against numbers that repeat once the count of a member record
-// is used up: the name of a rental that is used again rents nothing.
+// TestNumbersAreUnique guards against numbers that repeat after the sequence of a member record is
+// exhausted: a scale-out request whose name was used before launches no machine.
 func TestNumbersAreUnique(t *testing.T) {
 	var n numberGenerator
 	seen := map[uint64]bool{}
@@ -11,12 +11,12 @@
 		for !n.nearlyExhausted(revision) {
 			number := n.next(revision)
 			if seen[number] {
-				t.Fatalf("number %d of revision %d was given out before", number, revision)
+				t.Fatalf("number %d of revision %d was generated before", number, revision)
 			}
 			seen[number] = true
 		}
 		if n.sequence+sequenceMargin/2 > maxSequence {
-			t.Fatalf("only %d numbers are left when the count is said to be low", maxSequence-n.sequence)
+			t.Fatalf("only %d numbers are left when nearlyExhausted reports true", maxSequence-n.sequence)
 		}
 	}
 }
--- a/controller/owner.go
+++ b/controller/owner.go
@@ -13,13 +13,13 @@
 )
 
 // owner is the part of a node that schedules the jobs of its teams and commands machines. It consists
-// of parts with their own state, which share its inventory. All of them are created with the owner
-// and end with it: after a failover, or if records are not as expected, a new owner recovers
-// everything from the records.
+// of parts with their own state, which share its inventory. All of them are created and discarded with
+// the owner: after a failover, or if records are not as expected, a new owner recovers everything from
+// the records.
 type owner struct {
 	c           *Core
 	state       ownerState
-	activeSince micros.Micros // when it became active; before that, when it was created
+	activeSince micros.Micros // the time of its activation; before that, of its creation
 	recovery    *recovery.Recovery
 	*inventory.Inventory
 
@@ -33,19 +33,19 @@
 	jobsListed    bool // the jobs are recovered; changes are applied from then on
 	watchRevision uint64
 	watchFailed   bool          // the last watch failed
-	watchRetryAt  micros.Micros // when it is sent again
-	// cancellationsKnownUntil is when the last watch with a response was sent.
+	watchRetryAt  micros.Micros // the time at which another watch is sent
+	// cancellationsKnownUntil is the time at which the last watch with a response was sent.
 	cancellationsKnownUntil micros.Micros
 
 	fleet *fleet.Fleet
-	// nextMachineRequest is when machines may be requested of other owners again.
+	// nextMachineRequest is the time from which machines may be requested from other owners again.
 	nextMachineRequest micros.Micros
 
 	workers *workers.Manager // handles heartbeats of machines and sends commands
 
 	commits          *commit.Pipeline // writes the records
-	partsSwept       bool             // dependency parts of ended jobs were searched for
-	partsSweepCursor string           // the last key that was examined
+	partsSwept       bool             // orphaned parts were searched for, or a page is being read
+	partsSweepCursor string           // the last key that was examined by that search
 }
 
 // newOwner returns an owner of teams that has recovered nothing yet.
@@ -71,7 +71,7 @@
 // superseded reports whether another owner has replaced this one, so that its callbacks must do nothing.
 func (o *owner) superseded() bool { return o.c.owner != o }
 
-// advance takes the steps that an event has made possible. It is called after every event.
+// advance does the work that the last event may have made possible. It is called after every event.
 func (o *owner) advance() {
 	switch o.state {
 	case ownerRecovering:
--- a/controller/owner_reachability.go
+++ b/controller/owner_reachability.go
@@ -18,7 +18,7 @@
 			continue
 		}
 		lastHeartbeat := m.LastHeartbeat
-		if lastHeartbeat > o.c.now { // the end of the failover grace
+		if lastHeartbeat > o.c.now { // activate has set it to the end of the failover grace
 			lastHeartbeat = o.activeSince
 		}
 		latest = max(latest, lastHeartbeat)
@@ -30,7 +30,7 @@
 // allUnresponsiveTimeout returns the time without a heartbeat of any machine after which this node may
 // be considered unreachable.
 func (o *owner) allUnresponsiveTimeout(machines int) micros.Micros {
-	if machines == 1 { // the machine is the likelier cause; it is decommissioned before then
+	if machines == 1 { // the machine is the likelier cause; it is decommissioned before this timeout
 		return o.c.cfg.HeartbeatTimeout() + o.c.cfg.HeartbeatInterval
 	}
 	return max(minAllUnresponsiveTimeout, o.c.cfg.HeartbeatInterval*5/4)
--- a/controller/owner_state.go
+++ b/controller/owner_state.go
@@ -7,8 +7,8 @@
 	"tamarindlead/micros"
 )
 
-// ownerState is the state of an owner. An owner never returns to an earlier state: a new one replaces
-// it.
+// ownerState is the state of an owner. An owner never returns to an earlier state: a new owner
+// replaces it instead.
 type ownerState int
 
 const (
@@ -27,10 +27,11 @@
 }
 
 // isActiveOwner reports whether this owner has recovered its records and, as far as this node knows,
-// was not replaced. Whether another node knows better is decided by fencing tokens and preconditions.
+// was not replaced. If an owner on another node has replaced it, fencing tokens and preconditions of
+// transactions make its commands and writes fail.
 func (o *owner) isActiveOwner() bool { return !o.superseded() && o.state == ownerActive }
 
-// setState changes the state. Nothing else changes it.
+// setState changes the state. No other function changes it.
 func (o *owner) setState(s ownerState) {
 	leader, term := o.c.node.Leader()
 	o.c.log.Info("owner state changed", "from", o.state.String(), "to", s.String(),
@@ -40,8 +41,8 @@
 	o.state = s
 }
 
-// activate starts the work of an owner that has recovered its records. Its machines are treated as if
-// their last heartbeat came at the end of the failover grace, until they send one.
+// activate starts the work of an owner that has recovered its records. Until a machine sends a
+// heartbeat, it is treated as if its last heartbeat came at the end of the failover grace.
 func (o *owner) activate() {
 	for _, m := range o.SortedMachines {
 		m.LastHeartbeat, m.Recovered = o.c.now+o.c.cfg.FailoverGrace(), true
@@ -58,7 +59,7 @@
 const recoveryRestartDelay = 200 * micros.Millisecond
 
 // restartRecovery replaces the owner with one that recovers everything from the records. It is called
-// when something happens that is impossible if the records are as expected.
+// after an event that is impossible if the records are as this owner expects them.
 func (o *owner) restartRecovery(reason string) {
 	if o.superseded() {
 		return
--- a/controller/owner_state_test.go
+++ b/controller/owner_state_test.go
@@ -45,30 +45,30 @@
 	o.restartRecovery("test")
 	replacement := o.c.owner
 	if replacement == o || !o.superseded() || replacement.state != ownerRecovering {
-		t.Fatal("the owner is not replaced")
+		t.Fatal("the owner was not replaced")
 	}
 	if len(replacement.Teams) != 1 || replacement.Teams["red"] == nil {
-		t.Errorf("teams %v", replacement.Teams)
+		t.Errorf("teams %v, want only red", replacement.Teams)
 	}
 	if replacement.workers.LastHeartbeat() != o.c.now-7 {
-		t.Errorf("last heartbeat at %d", replacement.workers.LastHeartbeat())
+		t.Errorf("last heartbeat at %d, want that of the replaced owner", replacement.workers.LastHeartbeat())
 	}
 	if o.restartRecovery("test"); o.c.owner != replacement {
-		t.Error("a replaced owner restarts the recovery")
+		t.Error("a replaced owner restarted the recovery")
 	}
 	o.c.effects = nil
 	o.c.now += recoveryRestartDelay - 1
 	if replacement.advance(); countStoreCalls(o, o.c.effects) != 0 {
-		t.Error("records are read before the delay has passed")
+		t.Error("records were read before the delay had passed")
 	}
 	o.c.now++
 	if replacement.advance(); countStoreCalls(o, o.c.effects) != 1 {
-		t.Error("records are not read after the delay")
+		t.Error("records were not read after the delay")
 	}
 }
 
-// TestSetTeams checks that an owner is replaced if its teams or their predecessors are others, and
-// only then.
+// TestSetTeams checks that an owner is replaced if and only if its teams or their predecessors have
+// changed.
 func TestSetTeams(t *testing.T) {
 	rec := cluster.Team{Team: record.Team{Predecessors: []record.OwnerID{"n1/7"}}}
 	newer := rec
@@ -79,12 +79,12 @@
 		wantReplace bool
 	}{
 		{"same", map[string]cluster.Team{"red": newer}, false},
-		{"another predecessor", map[string]cluster.Team{"red": {Team: record.Team{Predecessors: []record.OwnerID{"n1/7", "n2/8"}}}}, true},
-		// With as many predecessors as a record holds, the earliest one leaves for the latest.
-		{"as many, another predecessor", map[string]cluster.Team{"red": {Team: record.Team{Predecessors: []record.OwnerID{"n2/8"}}}}, true},
-		{"one team more", map[string]cluster.Team{"red": rec, "blue": {}}, true},
+		{"additional predecessor", map[string]cluster.Team{"red": {Team: record.Team{Predecessors: []record.OwnerID{"n1/7", "n2/8"}}}}, true},
+		// A record with the maximum number of predecessors drops the earliest one for the latest.
+		{"same number, different predecessor", map[string]cluster.Team{"red": {Team: record.Team{Predecessors: []record.OwnerID{"n2/8"}}}}, true},
+		{"additional team", map[string]cluster.Team{"red": rec, "blue": {}}, true},
 		{"no team", map[string]cluster.Team{}, true},
-		{"another team", map[string]cluster.Team{"blue": rec}, true},
+		{"different team", map[string]cluster.Team{"blue": rec}, true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			o := testOwner()
@@ -93,14 +93,14 @@
 				t.Errorf("replaced %t, want %t", o.superseded(), test.wantReplace)
 			}
 			if !test.wantReplace && o.Teams["red"].Record.Version != newer.Version {
-				t.Error("the team's record is not updated")
+				t.Error("the team's record was not updated")
 			}
 		})
 	}
 }
 
-// TestActivate checks that machines get the failover grace for their heartbeats, and that everything
-// is scheduled again.
+// TestActivate checks that machines get the failover grace for their heartbeats, and that a scheduling
+// pass is requested.
 func TestActivate(t *testing.T) {
 	o := testOwner()
 	o.state, o.SchedulingNeeded = ownerRecovering, false
@@ -116,7 +116,8 @@
 	}
 }
 
-// TestAllMachinesUnresponsive checks when an owner suspects itself rather than its machines.
+// TestAllMachinesUnresponsive checks under which conditions an owner considers its node unreachable,
+// rather than its machines failed.
 func TestAllMachinesUnresponsive(t *testing.T) {
 	const now = 2 * micros.Hour
 	for _, test := range []struct {
@@ -127,14 +128,14 @@
 		want  bool
 	}{
 		{"no machines", ownerActive, 0, nil, false},
-		{"all", ownerActive, 0, []micros.Micros{now - minAllUnresponsiveTimeout - 1, now - micros.Hour}, true},
-		{"all for just the timeout", ownerActive, 0, []micros.Micros{now - minAllUnresponsiveTimeout, now - micros.Hour}, false},
-		{"all but one", ownerActive, 0, []micros.Micros{now - 1, now - micros.Hour}, false},
+		{"all machines", ownerActive, 0, []micros.Micros{now - minAllUnresponsiveTimeout - 1, now - micros.Hour}, true},
+		{"all machines for exactly the timeout", ownerActive, 0, []micros.Micros{now - minAllUnresponsiveTimeout, now - micros.Hour}, false},
+		{"all machines but one", ownerActive, 0, []micros.Micros{now - 1, now - micros.Hour}, false},
 		{"while recovering", ownerRecovering, 0, []micros.Micros{0, 0}, false},
 		{"in the failover grace", ownerActive, now - minAllUnresponsiveTimeout, []micros.Micros{now + 1, now + 1}, false},
-		{"long in the failover grace", ownerActive, now - minAllUnresponsiveTimeout - 1, []micros.Micros{now + 1, now + 1}, true},
-		{"the only one", ownerActive, 0, []micros.Micros{now - minAllUnresponsiveTimeout - 1}, false},
-		{"the only one for long", ownerActive, 0, []micros.Micros{now - micros.Hour}, true},
+		{"longer than the timeout in the failover grace", ownerActive, now - minAllUnresponsiveTimeout - 1, []micros.Micros{now + 1, now + 1}, true},
+		{"the only machine", ownerActive, 0, []micros.Micros{now - minAllUnresponsiveTimeout - 1}, false},
+		{"the only machine for an hour", ownerActive, 0, []micros.Micros{now - micros.Hour}, true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			o := testOwner()
@@ -144,7 +145,7 @@
 				m.State, m.LastHeartbeat, m.FencingToken, m.AgentEpoch = inventory.MachineReady, last, 7, 1
 			}
 			m := o.newMachine(inventory.MachineInfo{Name: "m-booting", Type: "mid", Zone: "a"})
-			m.LastHeartbeat = now // of its start; it need not send one
+			m.LastHeartbeat = now // of its launch; no heartbeat is expected of a booting machine
 			if got := o.allMachinesUnresponsive(); got != test.want {
 				t.Errorf("unresponsive %t, want %t", got, test.want)
 			}
@@ -152,7 +153,7 @@
 	}
 }
 
-// stubKVClientWithRecords answers the reads of membership with records of the cluster.
+// stubKVClientWithRecords is a stubKVClient whose listings return the given records of the cluster.
 type stubKVClientWithRecords struct {
 	stubKVClient
 	entries []kv.Entry
@@ -166,8 +167,8 @@
 	s.stubKVClient.Call(request, done)
 }
 
-// TestOwnsRecordsOf checks which owners' records the owner of team red takes over, while n1 owns team
-// blue after n3, and n2 is a member without a team.
+// TestOwnsRecordsOf checks which owners' records the owner of team red takes over. n1 owns team blue,
+// whose predecessor is n3, and n2 is a member without a team.
 func TestOwnsRecordsOf(t *testing.T) {
 	teams := []config.Team{{Name: "red"}, {Name: "blue"}}
 	entries := []kv.Entry{
@@ -181,19 +182,19 @@
 	}
 	for _, test := range []struct {
 		name    string
-		node    string // which this owner is on; n1 is the first owner
+		node    string // the node of this owner; n1 is the first owner
 		teams   []config.Team
 		earlier record.OwnerID
 		want    bool
 	}{
 		{"a predecessor", "n0", teams, "n3/2", true},
 		{"a predecessor's other incarnation", "n0", teams, "n3/3", false},
-		{"gone without a successor", "n0", teams, "n4/1", false},
-		{"gone without a successor, at the first owner", "n1", teams, "n4/1", true},
-		{"gone with a successor, at the first owner", "n1", teams, "n3/1", false},
+		{"not live, without a successor", "n0", teams, "n4/1", false},
+		{"not live, without a successor, at the first owner", "n1", teams, "n4/1", true},
+		{"not live, with a successor, at the first owner", "n1", teams, "n3/1", false},
 		{"an earlier incarnation of a member, at the first owner", "n1", teams, "n2/6", true},
 		{"a member without a team, at the first owner", "n1", teams, "n2/8", false},
-		{"gone with a successor, at the only owner", "n0", teams[:1], "n3/1", true},
+		{"not live, with a successor, at the only owner", "n0", teams[:1], "n3/1", true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			o := testOwner()
--- a/controller/peers_adapter.go
+++ b/controller/peers_adapter.go
@@ -66,5 +66,5 @@
 	}
 }
 
-// claimant returns the peer that owns a machine by its heartbeat, or "".
+// claimant returns the peer whose heartbeat lists a machine as its own, or "".
 func (c *Core) claimant(machine string) string { return c.peers.Claimant(machine) }
--- a/controller/priority_inheritance_test.go
+++ b/controller/priority_inheritance_test.go
@@ -15,7 +15,7 @@
 	"tamarindlead/sched"
 )
 
-// inheritanceTest is a core that owns team red, and the jobs whose records it was given.
+// inheritanceTest is a core that owns team red, and the jobs whose records were applied to it.
 type inheritanceTest struct {
 	*testing.T
 	core     *Core
@@ -31,7 +31,7 @@
 	return &inheritanceTest{T: t, core: o.c, owner: o, jobs: map[string]*sched.Job{}, accepted: map[string]micros.Micros{}}
 }
 
-// submit has a job accepted at a second, which awaits others.
+// submit adds the record of a job that was accepted at a time and depends on other jobs.
 func (w *inheritanceTest) submit(j sched.Job, at micros.Micros, dependencies ...string) {
 	j.Tasks, j.Class, j.Need, j.Image, j.Dependencies = 1, "stage", sched.NewResources(1, 0, 1), "img", dependencies
 	if j.Team == "" {
@@ -45,13 +45,13 @@
 	w.jobs[j.ID], w.accepted[j.ID] = &j, at
 }
 
-// apply has the core take one change of the jobs' records.
+// apply applies a change of the jobs' records to the core's graph.
 func (w *inheritanceTest) apply(change kv.Change) {
 	w.Helper()
 	after := w.core.graph.Revision()
 	change.Version = after + 1
 	if !w.core.graph.Apply(after, &kv.WatchResult{Revision: after + 1, Events: []kv.Change{change}}, w.core.wallClock) {
-		w.Fatal("a change is refused")
+		w.Fatal("the graph rejected a change")
 	}
 }
 
@@ -61,15 +61,15 @@
 	w.core.jobView.ApplyTerminalState(id, record.TerminalState{Status: record.Status(status), FinishedAt: 1})
 }
 
-// check holds what the owner makes of a job against what is expected.
+// check checks the priority and the effective deadline of a job at its owner, and the queue's order.
 func (w *inheritanceTest) check(id string, priority sched.Priority, effectiveDeadline float64) {
 	w.Helper()
 	j := w.owner.Jobs[id]
 	if j == nil {
-		w.Fatalf("%s is not placed", id)
+		w.Fatalf("%s is not a ready job of the owner", id)
 	}
 	if j.Priority != priority || j.EffectiveDeadline != micros.FromSeconds(effectiveDeadline) {
-		w.Fatalf("%s has priority %d and must end at %v, want %d and %v", id, j.Priority, j.EffectiveDeadline, priority, effectiveDeadline)
+		w.Fatalf("%s has priority %d and effective deadline %v, want %d and %v", id, j.Priority, j.EffectiveDeadline, priority, effectiveDeadline)
 	}
 	if !slices.IsSortedFunc(w.owner.Queue, inventory.CompareQueueOrder) {
 		w.Fatalf("the queue is out of order")
@@ -83,8 +83,9 @@
 	}
 }
 
-// TestInheritChain guards against a first stage that does not inherit from the last, of
-// another team, and against one that goes on doing so after the last is over. Guard: jobgraph's passOn.
+// TestInheritChain guards against a first stage that does not inherit from the last stage, which is of
+// another team, and against a stage that still inherits after the last stage has ended. Covers
+// dag.Graph.propagate.
 func TestInheritChain(t *testing.T) {
 	w := newInheritanceTest(t)
 	w.submit(stage(9, 1, 10, 0), 0)
@@ -97,7 +98,7 @@
 	w.check(jobName(1), 2, 107-5-20)
 	w.check(jobName(9), 1, 0)
 	if w.owner.Queue[0].ID != jobName(1) {
-		t.Fatalf("%s is first", w.owner.Queue[0].ID)
+		t.Fatalf("%s is first in the queue", w.owner.Queue[0].ID)
 	}
 	w.finish(jobName(1), wire.JobDone)
 	w.check(jobName(2), 2, 107-5)
@@ -105,8 +106,8 @@
 	w.check(jobName(2), 0, 0)
 }
 
-// TestInheritDiamond guards against an edge that is left out: the highest priority may come
-// by one way and the earliest end by another. Guard: jobgraph's inheritedBy.
+// TestInheritDiamond guards against an edge of the graph that is ignored: the highest priority and the
+// earliest deadline may be inherited along different paths. Covers dag.Graph.inheritedBy.
 func TestInheritDiamond(t *testing.T) {
 	w := newInheritanceTest(t)
 	w.submit(stage(1, 0, 10, 0), 0)
@@ -114,7 +115,7 @@
 	w.submit(stage(3, 2, 5, 300), 0, jobName(1))
 	w.submit(stage(4, 0, 5, 200), 0, jobName(2), jobName(3), jobName(1))
 	w.check(jobName(1), 2, 200-5-50)
-	w.finish(jobName(3), wire.JobCancelled) // and the last with it, which is not recorded yet
+	w.finish(jobName(3), wire.JobCancelled) // cancels the last job too, which is not recorded yet
 	w.check(jobName(1), 1, 0)
 	w.submit(stage(5, 0, 7, 90), 0, jobName(2))
 	w.check(jobName(1), 1, 90-7-50)
@@ -124,8 +125,9 @@
 	w.check(jobName(1), 0, 0)
 }
 
-// TestInheritOwnDeadline guards against an order that changes without pipelines: a deadline
-// counts only for a job that others await or that awaits some. Guard: inherit.
+// TestInheritOwnDeadline guards against deadlines that change the queue order of jobs outside of
+// pipelines: a deadline counts only for a job that has dependencies or dependents. Covers
+// scheduler.Scheduler.ApplyInheritance.
 func TestInheritOwnDeadline(t *testing.T) {
 	w := newInheritanceTest(t)
 	w.submit(stage(1, 1, 10, 40), 3*micros.Second)
@@ -136,13 +138,13 @@
 	w.check(jobName(1), 1, 0)
 }
 
-// TestInheritRandomized holds what is kept against what all records say, after each of many drawn
-// events.
+// TestInheritRandomized compares the inheritance that the graph maintains with a computation from all
+// records, after each of many random events.
 func TestInheritRandomized(t *testing.T) {
 	for seed := range uint64(20) {
 		r := rand.New(rand.NewPCG(seed, 6))
 		w := newInheritanceTest(t)
-		cancelled := map[string]bool{} // with one before them, which is not recorded yet
+		cancelled := map[string]bool{} // with an upstream job, which is not recorded yet
 		g := w.core.graph
 		for i := range 150 {
 			ids := ordered.Keys(w.jobs)
@@ -162,7 +164,7 @@
 				j := stage(i, sched.Priority(r.IntN(3)), float64(r.IntN(30)), deadline)
 				j.Team = []string{"red", "blue"}[r.IntN(2)]
 				w.submit(j, micros.FromSeconds(float64(i)), slices.Compact(dependencies)...)
-			case n < 8: // done, if it may be
+			case n < 8: // done, unless it is still blocked
 				id := ids[r.IntN(len(ids))]
 				if v := g.Blocked(id); v == nil || v.Ready() {
 					w.finish(id, wire.JobDone)
@@ -181,17 +183,17 @@
 	}
 }
 
-// mergeInherited is what is inherited from two jobs.
+// mergeInherited returns the inheritance from two jobs.
 func mergeInherited(a, b dag.Inheritance) dag.Inheritance {
 	return dag.Inheritance{Priority: max(a.Priority, b.Priority), LatestFinish: dag.EarlierDeadline(a.LatestFinish, b.LatestFinish)}
 }
 
-// checkAll computes anew what each active job inherits.
+// checkAll computes from the records what each active job inherits, and compares it with the graph.
 func (w *inheritanceTest) checkAll(seed uint64, cancelled map[string]bool) {
 	w.Helper()
 	ids := ordered.Keys(w.jobs)
 	want := map[string]dag.Inheritance{}
-	for i := len(ids) - 1; i >= 0; i-- { // those submitted last first
+	for i := len(ids) - 1; i >= 0; i-- { // from the latest submission to the earliest
 		j := w.jobs[ids[i]]
 		if cancelled[j.ID] {
 			continue
@@ -223,9 +225,9 @@
 	}
 }
 
-// TestDeadlineDemand guards against waiting for cheaper machines with work of the lowest
-// priority whose pipeline must end soon, and against longer for a gang than its slack.
-// Guards: urgent and maxQueueingDelay in demands.
+// TestDeadlineDemand guards against two faults of demand: work of the lowest priority waits for cheaper
+// machines although the deadline of its pipeline is near, and a gang may wait longer (MaxWait) than the
+// slack to that deadline. Covers scheduler.Scheduler.IsUrgent and MaxQueueingDelay as used in fleet.Fleet.demands.
 func TestDeadlineDemand(t *testing.T) {
 	for _, deadline := range []float64{0, 400, 50} {
 		w := newInheritanceTest(t)
@@ -237,7 +239,7 @@
 			want = 15 * micros.Second // 50 s less both estimates
 		}
 		if g.MaxWait != want || (g.LowPriorityCPUSeconds == 0) != (deadline == 50) {
-			t.Errorf("due in %v s: longest wait %v, low %v of %v", deadline, g.MaxWait, g.LowPriorityCPUSeconds, g.PendingCPUSeconds)
+			t.Errorf("deadline in %v s: MaxWait %v, low-priority CPU seconds %v of %v", deadline, g.MaxWait, g.LowPriorityCPUSeconds, g.PendingCPUSeconds)
 		}
 	}
 }
--- a/controller/routes_test.go
+++ b/controller/routes_test.go
@@ -6,7 +6,7 @@
 	"tamarindlead/internal/wire"
 )
 
-// TestRouteRequest checks which requests are answered at once, and by which handler.
+// TestRouteRequest checks which requests get a response at once, and that the right handler gives it.
 func TestRouteRequest(t *testing.T) {
 	for _, c := range []struct {
 		name    string
@@ -29,11 +29,11 @@
 				}
 			}
 			if len(responses) != 1 || responses[0].ID != 1 || responses[0].Status != c.status {
-				t.Fatalf("answered %+v, want one response of %d", responses, c.status)
+				t.Fatalf("responses %+v, want one with status %d", responses, c.status)
 			}
 			var body wire.ErrorResponse
 			if c.reason != "" && (wire.Decode(responses[0].Body, &body) != nil || body.Error != c.reason) {
-				t.Errorf("answered %q, want %q", body.Error, c.reason)
+				t.Errorf("error %q, want %q", body.Error, c.reason)
 			}
 		})
 	}
--- a/controller/status.go
+++ b/controller/status.go
@@ -17,7 +17,7 @@
 // counters count what the node did since the last status line.
 type counters struct {
 	events, heartbeats, calls int
-	refused                   int // requests with a refusal that asks for another attempt
+	refused                   int // requests that were refused with Retry-After
 	dropped                   int // heartbeats that could not be decoded
 	loggedAt                  micros.Micros
 }
@@ -54,10 +54,10 @@
 // machineCounts counts the machines of one type.
 type machineCounts struct {
 	ready, idle, booting, leaving int
-	cpus, usedCPUs                float64 // of the ready and the leaving ones
+	cpus, usedCPUs                float64 // of the ready and the leaving machines
 }
 
-// machineCounts counts an owner's machines by type; spot machines of a type are counted on their own.
+// machineCounts counts an owner's machines by type; spot machines of a type are counted separately.
 func (o *owner) machineCounts() map[string]*machineCounts {
 	counts := map[string]*machineCounts{}
 	for _, m := range o.SortedMachines {
@@ -90,7 +90,7 @@
 	n.usedCPUs += m.Used.CPUs()
 }
 
-// logWork logs the pending work, and the sizes of an owner's records and reservations.
+// logWork logs the pending work, and the numbers of an owner's records and reservations.
 func (o *owner) logWork() {
 	jobs, gangs, tasks := 0, 0, 0
 	for _, j := range o.Queue {
--- a/controller/timers.go
+++ b/controller/timers.go
@@ -15,7 +15,7 @@
 	do func()
 }
 
-// after calls do once d has passed, at the first event from then on.
+// after schedules a call of do at the first event that is at least d later.
 func (c *Core) after(d micros.Micros, do func()) {
 	c.timers = append(c.timers, timer{c.now + d, do})
 }
--- a/controller/worker_heartbeats.go
+++ b/controller/worker_heartbeats.go
@@ -15,7 +15,7 @@
 	otherZoneTimeoutIntervals = 2
 )
 
-// workerHeartbeats records which workers reach this node, whether it owns their machines or not.
+// workerHeartbeats tracks the heartbeats that reach this node, whether it owns the machines or not.
 type workerHeartbeats struct {
 	recent        []micros.Micros // times of arrival, the latest last
 	lastOtherZone micros.Micros   // the time of the last heartbeat from another zone
@@ -29,7 +29,7 @@
 	}
 }
 
-// prune forgets the heartbeats that are no longer recent.
+// prune removes the heartbeats that are no longer recent.
 func (h *workerHeartbeats) prune(now micros.Micros) {
 	for len(h.recent) > 0 && now-h.recent[0] > heartbeatCountWindow {
 		h.recent = h.recent[1:]
@@ -56,15 +56,16 @@
 	}
 }
 
-// mayExtendForeignLease reports whether to respond to the heartbeat of a worker that has tasks,
-// although this node owns nothing, so that the worker's lease is extended. That is allowed only if
-// the node's zone is partitioned: a worker of the zone that comes here has then lost its owner in
-// the same partition.
+// mayExtendForeignLease reports whether this node, which owns no teams, may extend the lease of a
+// worker that has tasks by responding to its heartbeat. That is allowed only if the node's zone is
+// partitioned: a worker of the same zone that sends its heartbeat to this node has then lost the
+// connection to its owner by the same partition.
 //
-// The response repeats the worker's own fencing token and has no commands, so it decides nothing.
-// It is given only for tasks of jobs that were active when this node last followed the records. If
-// one was cancelled since, the machine's present owner terminates the machine in time. A node that
-// is partitioned alone receives heartbeats of other zones too, and redirects all workers.
+// The response repeats the worker's own fencing token and contains no commands, so it changes no
+// state but the lease. It is sent only if all tasks are of jobs that were active when this node last
+// read the records. If one of the jobs was cancelled later, the machine's present owner terminates the
+// machine before the cancellation deadline. If only this node is partitioned, not its zone, it also
+// receives heartbeats from other zones, and it redirects all workers.
 func (c *Core) mayExtendForeignLease(heartbeat *wire.Heartbeat) bool {
 	if heartbeat.Zone != c.cfg.Zone {
 		c.workerHeartbeats.lastOtherZone = c.now
@@ -83,7 +84,8 @@
 
 // zonePartitioned reports whether this node has no contact with other zones: neither the key-value
 // store nor a peer of another zone is reachable, and no worker of another zone has sent a heartbeat
-// lately. It returns false again once that has lasted for the partition timeout.
+// within the last otherZoneTimeoutIntervals intervals. It returns false again when the store has not
+// responded for longer than the partition timeout.
 func (c *Core) zonePartitioned() bool {
 	if !c.store.Unavailable() || c.now-c.workerHeartbeats.lastOtherZone < otherZoneTimeoutIntervals*c.cfg.HeartbeatInterval ||
 		c.now-c.store.LastSuccess() > c.cfg.Tuning.PartitionTimeout {
--- a/controller/workers_adapter_test.go
+++ b/controller/workers_adapter_test.go
@@ -8,8 +8,8 @@
 	"tamarindlead/sched"
 )
 
-// activeOwner returns an active owner with a machine that it has claimed, and on it an attempt
-// whose place is recorded.
+// activeOwner returns an active owner with a machine that it has claimed, and a recorded attempt on
+// that machine.
 func activeOwner() (*owner, *inventory.Attempt) {
 	core := newRespondingCore()
 	o := newOwner(core, map[string]cluster.Team{})
@@ -22,9 +22,9 @@
 	return o, o.AddAttempt(j, 0, 1, m, inventory.AttemptRecorded)
 }
 
-// TestWorkersHostState checks what the part that commands workers is given to decide on: only an
-// owner that has recovered its records and was not replaced is active, the cancellations of peers
-// are known, and violations are counted.
+// TestWorkersHostState checks the state of an owner as package workers sees it: only an owner that has
+// recovered its records and was not replaced is active, and jobs that a peer has reported as cancelled
+// count as cancelled. Violations are counted.
 func TestWorkersHostState(t *testing.T) {
 	for _, c := range []struct {
 		name               string
@@ -33,9 +33,9 @@
 		jobCancelled       bool
 	}{
 		{"active", func(*owner, *inventory.Attempt) {}, true, false, false},
-		{"its owner reads the records", func(o *owner, _ *inventory.Attempt) { o.state = ownerRecovering }, false, false, false},
-		{"its owner was replaced", func(o *owner, _ *inventory.Attempt) { o.c.owner = nil }, false, true, false},
-		{"a peer says that its job is cancelled", func(o *owner, a *inventory.Attempt) {
+		{"recovering", func(o *owner, _ *inventory.Attempt) { o.state = ownerRecovering }, false, false, false},
+		{"replaced", func(o *owner, _ *inventory.Attempt) { o.c.owner = nil }, false, true, false},
+		{"job cancelled according to a peer", func(o *owner, a *inventory.Attempt) {
 			o.c.cancellations.MarkCancelled(a.Job.ID, o.c.now)
 		}, true, false, true},
 	} {
@@ -44,10 +44,10 @@
 			c.change(o, a)
 			h := workersHost{o}
 			if h.IsActive() != c.active || h.Superseded() != c.superseded || h.JobIsCancelled(a.Job.ID) != c.jobCancelled {
-				t.Errorf("active %t, superseded %t, job ended %t", h.IsActive(), h.Superseded(), h.JobIsCancelled(a.Job.ID))
+				t.Errorf("active %t, superseded %t, job cancelled %t", h.IsActive(), h.Superseded(), h.JobIsCancelled(a.Job.ID))
 			}
 			if h.ReportViolation("of the test"); o.c.Violations() != 1 {
-				t.Errorf("%d violations are counted", o.c.Violations())
+				t.Errorf("%d violations counted, want 1", o.c.Violations())
 			}
 		})
 	}
