--- a/controller/job_queue.go
+++ b/controller/job_queue.go
@@ -94,7 +94,7 @@
 	}
 	o.c.log.Info("job cancelled", "job", id, "attempts", len(j.Attempts))
 	o.endJob(j)
-	j.EndedAt = since
+	j.CancelledAt = since
 	o.StopJob(j, 0, "cancelled")
 }
 
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -77,8 +77,8 @@
 	HasReservation(job string) bool
 	// IsReserved reports whether a machine is reserved for some gang.
 	IsReserved(machine string) bool
-	// HasNoDependentTasks reports whether no job that depends on the machine's type has tasks on it.
-	HasNoDependentTasks(m *inventory.Machine) bool
+	// HasNoSingleTypeTasks reports whether no job that depends on the machine's type has tasks on it.
+	HasNoSingleTypeTasks(m *inventory.Machine) bool
 	// RemainingRunTime estimates how long an attempt still takes.
 	RemainingRunTime(a *inventory.Attempt) micros.Micros
 	// RemainingBusyTime estimates how long the tasks that use resources of a machine still take.
--- a/internal/fleet/health.go
+++ b/internal/fleet/health.go
@@ -170,7 +170,7 @@
 func (f *Fleet) CancellationOverdue(m *inventory.Machine, fraction float64, now micros.Micros) bool {
 	limit := micros.Micros(fraction * float64(f.settings.CancellationDeadline))
 	for _, a := range m.Attempts {
-		if a.Job.State == inventory.JobEnded && a.Job.EndedAt != 0 && !a.ResourcesReleased && now-a.Job.EndedAt > limit {
+		if a.Job.State == inventory.JobEnded && a.Job.CancelledAt != 0 && !a.ResourcesReleased && now-a.Job.CancelledAt > limit {
 			return true
 		}
 	}
--- a/internal/fleet/health_test.go
+++ b/internal/fleet/health_test.go
@@ -50,7 +50,7 @@
 		{"cancellation overdue", func(f *Fleet, m *inventory.Machine) {
 			j := inventory.NewJob(&sched.Job{ID: "req-000001", Tasks: 1, Need: sched.NewResources(1, 0, 1)}, 5, 0)
 			f.AddAttempt(j, 0, 1, m, inventory.AttemptLive)
-			j.State, j.EndedAt = inventory.JobEnded, now-f.settings.CancellationDeadline/2-1
+			j.State, j.CancelledAt = inventory.JobEnded, now-f.settings.CancellationDeadline/2-1
 			m.LastHeartbeat = now - f.heartbeatTolerance() - 1
 		}, DecommissionCancellationOverdue},
 	} {
--- a/internal/fleet/host_test.go
+++ b/internal/fleet/host_test.go
@@ -99,7 +99,7 @@
 func (*fakeHost) MinOnDemandTasks(*inventory.Job) int                { return 0 }
 func (*fakeHost) HasReservation(string) bool                         { return false }
 func (*fakeHost) IsReserved(string) bool                             { return false }
-func (*fakeHost) HasNoDependentTasks(*inventory.Machine) bool        { return true }
+func (*fakeHost) HasNoSingleTypeTasks(*inventory.Machine) bool       { return true }
 func (*fakeHost) RemainingRunTime(*inventory.Attempt) micros.Micros  { return 0 }
 func (*fakeHost) Evict(*inventory.Attempt, string)                   {}
 func (*fakeHost) RequestMachines(*sched.Job, int)                    {}
--- a/internal/inventory/job.go
+++ b/internal/inventory/job.go
@@ -106,9 +106,9 @@
 	CancelQueued bool
 	// RecordStale is set if the record has changed: nothing is placed until it is read again.
 	RecordStale bool
-	// EndedAt is a time before which no user got an acknowledgement of the job's
+	// CancelledAt is a time before which no user got an acknowledgement of the job's
 	// cancellation; 0 if it was not cancelled.
-	EndedAt micros.Micros
+	CancelledAt micros.Micros
 }
 
 // JobTimes holds what a job's order in the queue and its service-level objectives depend on.
@@ -154,9 +154,9 @@
 // Backoff delays the placement of a job after failures.
 type Backoff struct {
 	// BackoffUntil is the time before which no task is placed.
-	BackoffUntil micros.Micros
-	Failures     int // in a row, without any success
-	FailedOn     map[string]bool
+	BackoffUntil   micros.Micros
+	Failures       int // in a row, without any success
+	FailedMachines map[string]bool
 	// NextPreemptionAt is when tasks may be preempted for the job again; FailedPreemptions
 	// counts the preemptions in a row after which it did not start.
 	NextPreemptionAt  micros.Micros
@@ -175,7 +175,7 @@
 			UnrecordedCompletions: map[int][]*Attempt{},
 		},
 		Placement: Placement{Attempts: map[int]*Attempt{}},
-		Backoff:   Backoff{FailedOn: map[string]bool{}},
+		Backoff:   Backoff{FailedMachines: map[string]bool{}},
 	}
 }
 
--- a/internal/inventory/machine.go
+++ b/internal/inventory/machine.go
@@ -92,17 +92,17 @@
 	Size          sched.Resources
 	State         MachineState
 	ProvisionedAt micros.Micros
-	Entry
-	Contact
+	EntryState
+	HeartbeatState
 	CloudListing
-	Dispatch
+	DispatchState
 	Workload
 	// TransferTo is the new owner while the machine is being transferred.
 	TransferTo record.OwnerID
 }
 
-// Entry is the state of a machine's entry in the records, and of its ownership.
-type Entry struct {
+// EntryState is the state of a machine's entry in the records, and of its ownership.
+type EntryState struct {
 	// Block is the record that holds the machine's entry, Dirty whether the entry must be written.
 	Block *Block
 	Dirty bool
@@ -118,8 +118,8 @@
 	Recovered bool
 }
 
-// Contact is the state of a machine's heartbeats.
-type Contact struct {
+// HeartbeatState is the state of a machine's heartbeats.
+type HeartbeatState struct {
 	// LastHeartbeat is when the last heartbeat arrived, or when this owner began to expect one.
 	LastHeartbeat micros.Micros
 	// HeartbeatGraceUntil is the time from which missing heartbeats count, after a network
@@ -155,8 +155,8 @@
 	SpotReclaimed bool
 }
 
-// Dispatch is the state of direct commands to a machine.
-type Dispatch struct {
+// DispatchState is the state of direct commands to a machine.
+type DispatchState struct {
 	// CommandsInFlight is set while a request with commands is in flight.
 	CommandsInFlight bool
 	// DispatchNeeded is set if the machine may need commands, InDispatchQueue while it is in
@@ -217,12 +217,12 @@
 // IsUnclaimed reports whether the machine has no fencing token, and none is being verified.
 func (m *Machine) IsUnclaimed() bool { return m.FencingToken == 0 && !m.Verifying }
 
-// mayNotBeRecorded reports whether the machine is adopted and has no entry until that is verified.
-func (m *Machine) mayNotBeRecorded() bool { return m.Verifying && !m.Recorded }
+// isUnverified reports whether the machine is adopted and has no entry until that is verified.
+func (m *Machine) isUnverified() bool { return m.Verifying && !m.Recorded }
 
 // NeedsWrite reports whether the machine's state or an attempt on it waits for the record.
 func (m *Machine) NeedsWrite() bool {
-	if m.mayNotBeRecorded() {
+	if m.isUnverified() {
 		return false
 	}
 	for _, a := range m.Attempts {
--- a/internal/recovery/blocks_test.go
+++ b/internal/recovery/blocks_test.go
@@ -275,8 +275,8 @@
 			if closed := len(m.Attempts) == 0; closed != test.wantClosed {
 				t.Errorf("attempt closed %t, want %t", closed, test.wantClosed)
 			}
-			if j.EndedAt != test.wantEndedAt {
-				t.Errorf("ended at %d, want %d", j.EndedAt, test.wantEndedAt)
+			if j.CancelledAt != test.wantEndedAt {
+				t.Errorf("ended at %d, want %d", j.CancelledAt, test.wantEndedAt)
 			}
 			if retry := len(o.unresolvedJobs) > 0; retry != test.wantRetry {
 				t.Errorf("read again %t, want %t", retry, test.wantRetry)
@@ -292,7 +292,7 @@
 	o.RecoverBlocks([]kv.Entry{blockEntry(self, "b", 20, "m-1", placement{newJob("req-000009", 1, false), 0})})
 	o.ResolveJobs()
 	o.gets[0](kv.OK, kv.Entry{Value: []byte{0xff}})
-	if j := o.inv.Jobs["req-000009"]; j == nil || j.EndedAt != o.now-40*micros.Second {
+	if j := o.inv.Jobs["req-000009"]; j == nil || j.CancelledAt != o.now-40*micros.Second {
 		t.Errorf("job %v", j)
 	}
 }
--- a/internal/recovery/unresolved_jobs.go
+++ b/internal/recovery/unresolved_jobs.go
@@ -50,5 +50,5 @@
 	if terminal.FinishedAt == 0 { // an older version did not record it: assume the earliest possible
 		sinceEnd = r.settings.CancellationDeadline
 	}
-	j.EndedAt = max(1, r.host.Now()-sinceEnd)
+	j.CancelledAt = max(1, r.host.Now()-sinceEnd)
 }
--- a/internal/scheduler/gang_candidates.go
+++ b/internal/scheduler/gang_candidates.go
@@ -44,7 +44,7 @@
 			continue
 		}
 		m := s.inventory.Machines[v.Name]
-		if s.HasNoDependentTasks(m) && warmPool.Claim(m.Offer(), s.machines.Size(m).Sub(m.Used)) {
+		if s.HasNoSingleTypeTasks(m) && warmPool.Claim(m.Offer(), s.machines.Size(m).Sub(m.Used)) {
 			v.ReservedForGangs = true
 		}
 	}
--- a/internal/scheduler/pass.go
+++ b/internal/scheduler/pass.go
@@ -78,7 +78,7 @@
 	if !schedulable(j, p.now) {
 		return
 	}
-	tasks, idle := p.allowance(j)
+	tasks, idle := p.quotaAllowance(j)
 	if tasks == 0 {
 		return
 	}
@@ -116,10 +116,10 @@
 	return !j.Gang || j.GangState == inventory.GangNone
 }
 
-// allowance returns how many tasks of a job its team's quota limit has room for, 0 for a gang that
+// quotaAllowance returns how many tasks of a job its team's quota limit has room for, 0 for a gang that
 // does not fit as a whole. idle is set if nothing of the job has run for so long that it may use
 // quota that is reserved for gangs.
-func (p *pass) allowance(j *inventory.Job) (tasks int, idle bool) {
+func (p *pass) quotaAllowance(j *inventory.Job) (tasks int, idle bool) {
 	s := p.scheduler
 	tasks = s.QuotaHeadroom(j, p.reservedQuotas.reservedFrom(j, p.wallClock))
 	if j.Gang && tasks < j.Tasks {
@@ -204,7 +204,7 @@
 // withoutSoonestFree removes from the view the machine that will have room for a waiting gang the
 // soonest: otherwise small tasks of later jobs would fill every gap first.
 func (s *Scheduler) withoutSoonestFree(j *inventory.Job, view []*sched.Machine) []*sched.Machine {
-	if !j.Gang || s.dependsOnMachineType(j) {
+	if !j.Gang || s.fitsSingleType(j) {
 		return view // see reserveForGangs
 	}
 	best, soonest := -1, micros.Micros(0)
--- a/internal/scheduler/reservations_test.go
+++ b/internal/scheduler/reservations_test.go
@@ -48,9 +48,9 @@
 	}
 }
 
-// TestGangPlacedOnceVictimsEnded guards against a gang that is placed while its victims still run, and
+// TestGangPlacedAfterVictimsEnded guards against a gang that is placed while its victims still run, and
 // against a reservation that is kept after the gang has started.
-func TestGangPlacedOnceVictimsEnded(t *testing.T) {
+func TestGangPlacedAfterVictimsEnded(t *testing.T) {
 	f, gang, array := newPreemptionFixture(t, 0)
 	f.Schedule()
 	f.flush(true)
@@ -166,9 +166,9 @@
 	}
 }
 
-// TestPreemptionInVainRequestsMachines guards against a gang that waits although other owners might
+// TestFailedPreemptionRequestsMachines guards against a gang that waits although other owners might
 // have machines for it.
-func TestPreemptionInVainRequestsMachines(t *testing.T) {
+func TestFailedPreemptionRequestsMachines(t *testing.T) {
 	f, gang, array := newPreemptionFixture(t, 0)
 	array.Priority = sched.High // not a victim
 	if f.preempt(gang) || f.ReservationCount() != 0 {
--- a/internal/scheduler/slack.go
+++ b/internal/scheduler/slack.go
@@ -5,14 +5,14 @@
 	"tamarindlead/sched"
 )
 
-// dependsOnMachineType reports whether a job's class fits one machine type only.
-func (s *Scheduler) dependsOnMachineType(j *inventory.Job) bool { return s.classes.SingleType(j.Class) }
+// fitsSingleType reports whether a job's class fits one machine type only.
+func (s *Scheduler) fitsSingleType(j *inventory.Job) bool { return s.classes.SingleType(j.Class) }
 
-// HasNoDependentTasks reports whether no task on a machine is of a job that depends on the machine's
+// HasNoSingleTypeTasks reports whether no task on a machine is of a job that depends on the machine's
 // type.
-func (s *Scheduler) HasNoDependentTasks(m *inventory.Machine) bool {
+func (s *Scheduler) HasNoSingleTypeTasks(m *inventory.Machine) bool {
 	for _, a := range m.Attempts {
-		if !a.ResourcesReleased && s.dependsOnMachineType(a.Job) {
+		if !a.ResourcesReleased && s.fitsSingleType(a.Job) {
 			return false
 		}
 	}
@@ -44,11 +44,11 @@
 // whether there is any.
 func (s *Scheduler) freeSlack(m *inventory.Machine, v *sched.Machine, need sched.Resources) (sched.Resources, bool) {
 	slack := m.Slack(need)
-	if slack.CPU <= 0 || s.HasNoDependentTasks(m) || s.IsReserved(v.Name) {
+	if slack.CPU <= 0 || s.HasNoSingleTypeTasks(m) || s.IsReserved(v.Name) {
 		return sched.Resources{}, false
 	}
 	for _, a := range m.Attempts {
-		if !a.ResourcesReleased && !s.dependsOnMachineType(a.Job) {
+		if !a.ResourcesReleased && !s.fitsSingleType(a.Job) {
 			slack = slack.Sub(a.Job.Need)
 		}
 	}
--- a/internal/scheduler/victims.go
+++ b/internal/scheduler/victims.go
@@ -68,9 +68,9 @@
 		}
 		victim.ReadyTasks++
 		victim.TotalResources = victim.TotalResources.Add(j.Need)
-		victim.Since = max(victim.Since, a.PlacedAt)
+		victim.LatestPlacedAt = max(victim.LatestPlacedAt, a.PlacedAt)
 		victim.Tasks = append(victim.Tasks, sched.VictimTask{
-			Index: a.Index, Machine: a.Machine.Name, Resources: j.Need, Since: a.PlacedAt, LostWork: lostWork(a, now),
+			Index: a.Index, Machine: a.Machine.Name, Resources: j.Need, PlacedAt: a.PlacedAt, LostWork: lostWork(a, now),
 		})
 	}
 	return victim
--- a/internal/workers/task_exits.go
+++ b/internal/workers/task_exits.go
@@ -48,7 +48,7 @@
 		return
 	}
 	j.Failures = 0
-	clear(j.FailedOn)
+	clear(j.FailedMachines)
 	w.host.RecordRunTime(a)
 	w.inventory.SetAttemptState(a, inventory.AttemptCompleted)
 	if j.Gang {
@@ -80,8 +80,8 @@
 func (w *Manager) handleTaskFailed(a *inventory.Attempt, cause wire.ExitCause) {
 	j, m := a.Job, a.Machine
 	j.Failures++
-	j.FailedOn[m.Name] = true
-	jobFaulty := len(j.FailedOn) > maxFaultyMachines
+	j.FailedMachines[m.Name] = true
+	jobFaulty := len(j.FailedMachines) > maxFaultyMachines
 	if cause == wire.CauseError && !jobFaulty {
 		m.ConsecutiveErrors++
 	}
--- a/sched/bundles.go
+++ b/sched/bundles.go
@@ -13,7 +13,7 @@
 	Machine   string
 	Role      string
 	Resources Resources
-	Since     micros.Micros // start of the task
+	PlacedAt  micros.Micros // start of the task
 	LostWork  float64       // work that stopping it undoes, in processor seconds
 }
 
@@ -30,7 +30,7 @@
 	ReadyTasks     int
 	Roles          map[string]Role
 	TotalResources Resources // of the whole job, wherever it runs
-	Since          micros.Micros
+	LatestPlacedAt micros.Micros
 	Tasks          []VictimTask
 }
 
@@ -42,7 +42,7 @@
 	Tasks         []VictimTask
 	FreedInDomain Resources
 	roi           float64
-	group         int // rank of its ROI, see rankROI
+	roiGroup      int // rank of its ROI, see rankROI
 }
 
 // newBundle returns a bundle of tasks of a victim.
@@ -58,8 +58,8 @@
 // over the resources that are needed.
 func gain(freed, need Resources) float64 {
 	sum := 0.0
-	freedAmounts := freed.each()
-	for i, needed := range need.each() {
+	freedAmounts := freed.asArray()
+	for i, needed := range need.asArray() {
 		if needed > 0 {
 			sum += float64(min(freedAmounts[i], needed)) / float64(needed)
 		}
@@ -71,8 +71,8 @@
 // resources that are needed.
 func cost(footprint, need Resources) float64 {
 	sum := 0.0
-	amounts := footprint.each()
-	for i, needed := range need.each() {
+	amounts := footprint.asArray()
+	for i, needed := range need.asArray() {
 		if needed > 0 {
 			sum += float64(amounts[i]) / float64(needed)
 		}
@@ -123,7 +123,7 @@
 		return cmp.Or(
 			-cmp.Compare(gain(a.Resources, need), gain(b.Resources, need)), // the most useful
 			cmp.Compare(a.Resources.total(), b.Resources.total()),          // the least waste
-			-cmp.Compare(a.Since, b.Since),                                 // the youngest
+			-cmp.Compare(a.PlacedAt, b.PlacedAt),                           // the youngest
 			cmp.Compare(a.Index, b.Index),
 		)
 	})
--- a/sched/place.go
+++ b/sched/place.go
@@ -65,8 +65,8 @@
 	}
 	var zones []string
 	for _, m := range candidates {
-		hasRoom := !j.Gang || capacity.byZone[m.Zone] >= want
-		if hasRoom && !slices.Contains(zones, m.Zone) {
+		hasCapacity := !j.Gang || capacity.byZone[m.Zone] >= want
+		if hasCapacity && !slices.Contains(zones, m.Zone) {
 			zones = append(zones, m.Zone)
 		}
 	}
--- a/sched/ranking.go
+++ b/sched/ranking.go
@@ -68,19 +68,19 @@
 	var unsafe []*Bundle
 	for i := range bundles {
 		b := &bundles[i]
-		b.group, b.roi = 0, 0
+		b.roiGroup, b.roi = 0, 0
 		if !b.Safe {
 			b.roi = roi(b.FreedInDomain, b.Victim.TotalResources, need)
 			unsafe = append(unsafe, b)
 		}
 	}
 	slices.SortStableFunc(unsafe, func(a, b *Bundle) int { return -cmp.Compare(a.roi, b.roi) })
-	group, highest := 0, 0.0
+	roiGroup, highest := 0, 0.0
 	for i, b := range unsafe {
 		if i == 0 || highest-b.roi > r.ROIThreshold {
-			group, highest = group+1, b.roi
+			roiGroup, highest = roiGroup+1, b.roi
 		}
-		b.group = group
+		b.roiGroup = roiGroup
 	}
 }
 
@@ -95,8 +95,8 @@
 			return 1
 		}
 		byPriority := cmp.Compare(a.Victim.Priority, b.Victim.Priority)
-		byROI := cmp.Compare(a.group, b.group)
-		youngestFirst := -cmp.Compare(a.Victim.Since, b.Victim.Since)
+		byROI := cmp.Compare(a.roiGroup, b.roiGroup)
+		youngestFirst := -cmp.Compare(a.Victim.LatestPlacedAt, b.Victim.LatestPlacedAt)
 		byName := cmp.Compare(a.Victim.Job, b.Victim.Job)
 		if r.Mode == Preempt {
 			return cmp.Or(byPriority, byROI, youngestFirst, byName)
@@ -122,8 +122,8 @@
 	if usage == nil {
 		usage = map[string]TeamUsage{}
 	}
-	// free reports whether the team may lose the resources, and takes them from its usage.
-	free := func(team string, freed Resources) bool {
+	// tryFree reports whether the team may lose the resources, and takes them from its usage.
+	tryFree := func(team string, freed Resources) bool {
 		left := usage[team].without(freed)
 		if !left.MeetsGuarantee() {
 			return false
@@ -134,14 +134,14 @@
 	var allowed []Bundle
 	for _, b := range bundles {
 		if !b.Safe {
-			if free(b.Victim.Team, b.Victim.TotalResources) {
+			if tryFree(b.Victim.Team, b.Victim.TotalResources) {
 				allowed = append(allowed, b)
 			}
 			continue
 		}
 		var tasks []VictimTask
 		for _, t := range b.Tasks {
-			if free(b.Victim.Team, t.Resources) {
+			if tryFree(b.Victim.Team, t.Resources) {
 				tasks = append(tasks, t)
 			}
 		}
--- a/sched/resources.go
+++ b/sched/resources.go
@@ -52,8 +52,8 @@
 // Count returns how many times r fits into free, at most limit.
 func (r Resources) Count(free Resources, limit int) int {
 	n := int64(limit)
-	available := free.each()
-	for i, needed := range r.each() {
+	available := free.asArray()
+	for i, needed := range r.asArray() {
 		if available[i] < 0 {
 			return 0
 		}
@@ -64,8 +64,8 @@
 	return int(n)
 }
 
-// each returns the amounts of all kinds of resources, always in the same order.
-func (r Resources) each() [3]int64 { return [3]int64{r.CPU, r.GPU, r.Mem} }
+// asArray returns the amounts of all kinds of resources, always in the same order.
+func (r Resources) asArray() [3]int64 { return [3]int64{r.CPU, r.GPU, r.Mem} }
 
 // total returns the sum of the amounts over all kinds of resources.
 func (r Resources) total() int64 { return r.CPU + r.GPU + r.Mem }
