--- a/internal/inventory/attempt.go
+++ b/internal/inventory/attempt.go
@@ -11,16 +11,16 @@
 // AttemptState is the state of an attempt.
 type AttemptState int
 
-// The states of an attempt, in the order in which it passes them.
+// The states of an attempt, in the order in which an attempt passes through them.
 const (
 	AttemptAssumed   AttemptState = iota // placed, but not recorded yet
 	AttemptRecorded                      // recorded, so that it may be started
 	AttemptStarting                      // a start command may have been sent
 	AttemptLive                          // reported by its machine
 	AttemptStopping                      // must be stopped
-	AttemptCompleted                     // its task has completed, which is not recorded yet
-	AttemptRemoving                      // off its machine, which is not recorded yet
-	AttemptClosed                        // over, and not in any record
+	AttemptCompleted                     // its task has completed; the completion is not recorded yet
+	AttemptRemoving                      // no longer on its machine; the record still lists it
+	AttemptClosed                        // ended, and no longer in any record
 )
 
 // String returns the name of the state for logs.
@@ -55,24 +55,26 @@
 	State   AttemptState
 	// Phase is the task's phase in the machine's last heartbeat.
 	Phase wire.TaskPhase
-	// HeartbeatSeen is set once a heartbeat has listed the attempt.
+	// HeartbeatSeen is set after a heartbeat has listed the attempt.
 	HeartbeatSeen bool
-	// StartHeartbeatSeq is the sequence number of the heartbeat whose response was the start
+	// StartHeartbeatSeq is the sequence number of the heartbeat whose response contained the start
 	// command.
 	StartHeartbeatSeq uint64
 	PlacedAt          micros.Micros
 	// RunningSince is when the task was first reported as running, or 0.
 	RunningSince micros.Micros
-	// GracePeriod is the time for a checkpoint when the attempt is stopped, Reason the cause.
+	// GracePeriod is the time that the task has for a checkpoint when the attempt is stopped, Reason
+	// the cause of the stop.
 	GracePeriod micros.Micros
 	Reason      string
 	// CountedRunning is set while the attempt counts among the running tasks of its job.
 	CountedRunning bool
-	// ResourcesReleased is set once the attempt no longer uses resources of its machine and team.
+	// ResourcesReleased is set when the attempt no longer uses resources of its machine and team.
 	ResourcesReleased bool
 }
 
-// ReasonJobEnded is the reason for which what an ended job still uses is stopped or released.
+// ReasonJobEnded is the reason that is given when attempts of a job are stopped, or its reservation is
+// released, because the job has ended.
 const ReasonJobEnded = "job has ended"
 
 // TaskKey identifies a task.
@@ -90,8 +92,8 @@
 // IsRunning reports whether the attempt is live and its task was last reported as running.
 func (a *Attempt) IsRunning() bool { return a.State == AttemptLive && a.Phase == wire.PhaseRunning }
 
-// MayStart reports whether the attempt may be started. The tasks of a gang may start only once all
-// their attempts are recorded.
+// MayStart reports whether the attempt may be started. The tasks of a gang may start only
+// after all their attempts have been recorded.
 func (a *Attempt) MayStart() bool {
 	return a.Job.State == JobActive && (!a.Job.Gang || a.Job.GangState == GangStarting)
 }
--- a/internal/inventory/block.go
+++ b/internal/inventory/block.go
@@ -8,7 +8,7 @@
 )
 
 // Block is a record with the entries of several machines of an owner. Since one write stores all of
-// them, a transaction records the starts and ends of tasks on hundreds of machines.
+// them, a single transaction can record the starts and ends of tasks on hundreds of machines.
 type Block struct {
 	Name     string
 	Version  uint64 // of the record; 0 if it is not written yet
@@ -18,24 +18,26 @@
 	DirtySince micros.Micros
 	Writing    bool // a transaction with the block is in flight
 
-	// Sources are the blocks from which machines came since the last write. Their records still
-	// hold these machines, and are written without them once this block has been written.
+	// Sources are the blocks from which machines were moved to this block since its last write.
+	// Their records still contain these machines, and are written without them after this block
+	// has been written.
 	Sources []*Block
-	// UnwrittenTargets counts the blocks to which machines went and which are not written
-	// yet. Until they are, this block must not be written.
+	// UnwrittenTargets counts the blocks to which machines of this block were moved and which have
+	// not been written since. Until they are, this block must not be written.
 	UnwrittenTargets int
 
-	// Oversized is set if the block exceeded the value limit. Nothing is placed on its machines
-	// until it has been written.
+	// Oversized is set if the block exceeded the size limit of values in the key-value store. No
+	// task is placed on its machines until it has been written.
 	Oversized bool
-	// RetryAt is when a block that exceeds the value limit and cannot be split is tried again.
+	// RetryAt is when the write of a block that exceeds the size limit and cannot be split is tried
+	// again.
 	RetryAt micros.Micros
-	// BytesPerTask is the size of a task in the last write, with its part of the descriptions
-	// of jobs.
+	// BytesPerTask is the average size of a task in the last write, including its part of the
+	// descriptions of jobs.
 	BytesPerTask float64
 }
 
-// TaskBytes returns the expected size of a task of a job that the block describes already.
+// TaskBytes returns the expected size of a further task of a job that the block describes already.
 func (b *Block) TaskBytes() float64 { return max(b.BytesPerTask, TaskEntryBytes) }
 
 // EntryBytes returns the expected size of a machine's entry.
@@ -81,25 +83,26 @@
 	// MaxBlockMachines is the largest number of machines in a block.
 	MaxBlockMachines = 64
 	// MaxEntryTasks is the largest number of tasks in one machine's entry, so that its block is
-	// within the value limit.
+	// within the size limit of values.
 	MaxEntryTasks = 128
 	// MachineEntryBytes is the size of a machine's entry without tasks.
 	MachineEntryBytes = 32
-	// TaskEntryBytes is the least size of a task in an entry.
+	// TaskEntryBytes is the minimum size of a task in an entry.
 	TaskEntryBytes = 4
 	// NewJobBytes is the usual upper bound of the size of a job's first task in a block, which
 	// adds the description of the job.
 	NewJobBytes = 40
 	// DefaultTasksPerMachine is the assumed number of tasks of a machine while no job is known.
 	DefaultTasksPerMachine = 16
-	// MaxFillForMachines is the fraction of the value limit up to which machines are added to a
-	// block.
+	// MaxFillForMachines is the fraction of the size limit of values up to which machines are added
+	// to a block.
 	MaxFillForMachines = 0.7
-	// MaxFillForTasks is the fraction of the value limit up to which tasks are placed on the
-	// machines of a block.
+	// MaxFillForTasks is the fraction of the size limit of values up to which tasks are placed on
+	// the machines of a block.
 	MaxFillForTasks = 0.85
 	// MaxFreeBytesSplit is the largest number of machines among which the free bytes of a block
-	// are divided: tasks that are placed in one pass may go to several machines of one block.
+	// are divided. They are divided because the tasks that are placed in one pass may go to
+	// several machines of one block.
 	MaxFreeBytesSplit = 3
 )
 
@@ -108,7 +111,8 @@
 	return b.Dirty && !b.Writing && b.UnwrittenTargets == 0 && now >= b.RetryAt
 }
 
-// AddSource records that machines came from another block, which must not be written before this one.
+// AddSource records that machines were moved from another block, which must not be written before this
+// one.
 func (b *Block) AddSource(from *Block) {
 	b.Sources = append(b.Sources, from)
 	from.UnwrittenTargets++
--- a/internal/inventory/completion_segment.go
+++ b/internal/inventory/completion_segment.go
@@ -12,7 +12,8 @@
 // SegmentFrameBytes is the largest size of a segment's value without its chunks.
 const SegmentFrameBytes = 64
 
-// SegmentSpareBytes is left free of the value limit when chunks are added to a segment.
+// SegmentSpareBytes is the part of the size limit of values that is left free when chunks are added to
+// a segment.
 const SegmentSpareBytes = 2 * SegmentFrameBytes
 
 // CompletionSegment is a record of completed tasks. It holds chunks of several jobs of one team.
@@ -27,10 +28,11 @@
 	DirtySince micros.Micros
 	Writing    bool // a transaction with the segment is in flight
 
-	// Sources are the segments from which chunks came since the last write.
+	// Sources are the segments from which chunks were moved to this segment since its last write.
 	Sources []*CompletionSegment
-	// UnwrittenTargets counts the segments to which chunks went and which are not written yet.
-	// Until they are, this segment must be neither written nor deleted.
+	// UnwrittenTargets counts the segments to which chunks of this segment were moved and which
+	// have not been written since. Until they are, this segment must be neither written nor
+	// deleted.
 	UnwrittenTargets int
 }
 
@@ -71,12 +73,14 @@
 // IsDue reports whether the segment must and may be written.
 func (s *CompletionSegment) IsDue() bool { return s.Dirty && !s.Writing && s.UnwrittenTargets == 0 }
 
-// IsRemovable reports whether the segment is recorded, holds nothing and is not needed for others.
+// IsRemovable reports whether the segment's record exists and can be deleted: the segment has no chunks
+// and is not being written, and no move of chunks from or to it remains to be written.
 func (s *CompletionSegment) IsRemovable() bool {
 	return len(s.Chunks) == 0 && !s.Writing && s.Version != 0 && s.UnwrittenTargets == 0 && len(s.Sources) == 0
 }
 
-// AddSource records that chunks came from another segment, which must not be written before this one.
+// AddSource records that chunks were moved from another segment, which must not be written before this
+// one.
 func (s *CompletionSegment) AddSource(from *CompletionSegment) {
 	if !slices.Contains(s.Sources, from) {
 		s.Sources = append(s.Sources, from)
@@ -91,7 +95,8 @@
 	j.Segments[chunk] = s
 }
 
-// RemoveChunk removes a chunk from the segment. The caller assigns it to another, or to none.
+// RemoveChunk removes a chunk from the segment. The caller assigns it to another segment or to
+// none.
 func (s *CompletionSegment) RemoveChunk(j *Job, chunk int) {
 	delete(s.Chunks, ChunkKey{j.ID, chunk})
 	s.Bytes -= j.ChunkBytes(chunk)
--- a/internal/inventory/fixtures_test.go
+++ b/internal/inventory/fixtures_test.go
@@ -27,7 +27,7 @@
 	h.calls = append(h.calls, "commands for "+m.Name)
 }
 
-// taskNeed is what a task of the jobs of addJob needs.
+// taskNeed is the need of each task of the jobs that addJob adds.
 var taskNeed = sched.NewResources(2, 0, 4)
 
 // newTestInventory returns an inventory with team red, machine m-1 and no jobs.
--- a/internal/inventory/inventory.go
+++ b/internal/inventory/inventory.go
@@ -11,7 +11,7 @@
 // Host is the owner to which an inventory belongs. It provides the time, and is called when a change
 // of state requires an action.
 type Host interface {
-	// Now returns the time of the present event.
+	// Now returns the time of the current event.
 	Now() micros.Micros
 	// EntryChanged is called when a machine's entry must be written.
 	EntryChanged(m *Machine)
@@ -26,18 +26,18 @@
 type Inventory struct {
 	host  Host
 	log   *slog.Logger
-	debug bool // the log includes details
+	debug bool // the log includes debug messages
 
 	Teams       map[string]*Team
 	Jobs        map[string]*Job
 	Queue       []*Job          // active jobs in the order of CompareQueueOrder
-	BlockedJobs map[string]*Job // those with open dependencies, which are not in Jobs
+	BlockedJobs map[string]*Job // jobs with unfinished dependencies, which are not in Jobs
 
 	Machines       map[string]*Machine
 	SortedMachines []*Machine // sorted by name
 
 	Assumed     int // attempts that are not recorded yet
-	AssumedJobs int // jobs with such attempts
+	AssumedJobs int // jobs that have such attempts
 
 	// SchedulingNeeded is set when pending tasks may fit a machine that they did not fit before.
 	SchedulingNeeded bool
@@ -53,7 +53,7 @@
 	}
 }
 
-// Reset removes all jobs and machines; the teams remain, with nothing in use.
+// Reset removes all jobs and machines. The teams remain, with no resources in use.
 func (inv *Inventory) Reset() {
 	clear(inv.Jobs)
 	clear(inv.BlockedJobs)
--- a/internal/inventory/inventory_attempts.go
+++ b/internal/inventory/inventory_attempts.go
@@ -38,7 +38,8 @@
 	}
 }
 
-// countStopping updates the resources of attempts that are being stopped.
+// countStopping updates the resources of the attempts of a team that are being stopped, after a change
+// of an attempt's state.
 func (inv *Inventory) countStopping(a *Attempt, previous AttemptState) {
 	t := inv.Teams[a.Job.Team]
 	if t == nil {
@@ -51,8 +52,8 @@
 	}
 }
 
-// handleTaskCompleted marks the task of an attempt as done. A gang is done as a whole, which its
-// terminal state records; the completions of other jobs' tasks are recorded one by one.
+// handleTaskCompleted marks the task of an attempt as done. A gang completes as a whole, and only its
+// terminal state is recorded. For other jobs, the completion of each task is recorded.
 func (inv *Inventory) handleTaskCompleted(a *Attempt) {
 	a.Job.SetTaskState(a.Index, TaskDone)
 	if !a.Job.Gang {
@@ -61,7 +62,8 @@
 	}
 }
 
-// countAssumed adds to the number of assumed attempts of a job, and updates the number of jobs with such.
+// countAssumed changes the number of assumed attempts of a job, and updates the number of jobs that have
+// assumed attempts.
 func (inv *Inventory) countAssumed(j *Job, change int) {
 	before := j.Assumed > 0
 	j.Assumed += change
@@ -74,8 +76,8 @@
 	}
 }
 
-// releaseResources releases the resources that an attempt uses of its machine and its team, once it is
-// certain that the task does not run. The task can be placed again only when that is recorded.
+// releaseResources releases the resources of an attempt's machine and team that the attempt uses, when
+// it is certain that the task does not run. The task can be placed again only after that is recorded.
 func (inv *Inventory) releaseResources(a *Attempt) {
 	if a.ResourcesReleased {
 		return
--- a/internal/inventory/inventory_jobs.go
+++ b/internal/inventory/inventory_jobs.go
@@ -15,8 +15,8 @@
 	}
 }
 
-// SetGangState changes the state of a gang's current attempt. Every change goes through it, so that
-// all are logged.
+// SetGangState changes the state of a gang's current run. Every change goes through it, so that all
+// are logged.
 func (inv *Inventory) SetGangState(j *Job, s GangState) {
 	if j.GangState != s {
 		inv.log.Debug("gang state changed", "job", j.ID, "from", j.GangState.String(), "to", s.String())
--- a/internal/inventory/inventory_machines.go
+++ b/internal/inventory/inventory_machines.go
@@ -28,8 +28,8 @@
 	m.Block.Machines = slices.DeleteFunc(m.Block.Machines, func(x *Machine) bool { return x == m })
 }
 
-// RemoveMachine removes a machine whose entry is in no record of this owner, and closes its attempts:
-// their tasks may be placed again.
+// RemoveMachine removes a machine whose entry is in no record of this owner, and closes its attempts,
+// so that their tasks may be placed again. Attempts whose completion must still be recorded remain.
 func (inv *Inventory) RemoveMachine(m *Machine) {
 	inv.unregisterMachine(m)
 	for _, a := range m.SortedAttempts() {
--- a/internal/inventory/inventory_test.go
+++ b/internal/inventory/inventory_test.go
@@ -10,7 +10,7 @@
 	"tamarindlead/sched"
 )
 
-// TestAttemptStates covers what each change of an attempt's state changes besides.
+// TestAttemptStates covers the side effects of each change of an attempt's state.
 func TestAttemptStates(t *testing.T) {
 	var nothing sched.Resources
 	tests := []struct {
@@ -18,7 +18,7 @@
 		used, stopping sched.Resources // of the team, afterwards
 		task           TaskState
 		assumed        int
-		closed         bool // the machine and the job have it no longer
+		closed         bool // the machine and the job no longer list the attempt
 		calls          []string
 	}{
 		{from: AttemptAssumed, to: AttemptRecorded, used: taskNeed, task: TaskPlaced},
@@ -38,23 +38,23 @@
 			a := inv.AddAttempt(j, 1, 7, m, test.from)
 			inv.SetAttemptState(a, test.to)
 			if a.State != test.to {
-				t.Errorf("state %v", a.State)
+				t.Errorf("attempt is in state %v", a.State)
 			}
 			team := inv.Teams["red"]
 			if team.Used != test.used || m.Used != test.used || team.Stopping != test.stopping {
-				t.Errorf("team uses %v, machine %v, stopping %v", team.Used, m.Used, team.Stopping)
+				t.Errorf("team uses %v, machine uses %v, stopping attempts use %v", team.Used, m.Used, team.Stopping)
 			}
 			if freed := test.used == nothing; inv.SchedulingNeeded != freed {
-				t.Errorf("scheduling needed %v", inv.SchedulingNeeded)
+				t.Errorf("scheduling needed: %v", inv.SchedulingNeeded)
 			}
 			if s := j.TaskState(1); s != test.task {
-				t.Errorf("task %v, want %v", s, test.task)
+				t.Errorf("task is %v, want %v", s, test.task)
 			}
 			if j.Assumed != test.assumed || inv.Assumed != test.assumed || inv.AssumedJobs != test.assumed {
-				t.Errorf("assumed %d of the job, %d in all, of %d jobs", j.Assumed, inv.Assumed, inv.AssumedJobs)
+				t.Errorf("%d assumed attempts of the job, %d in total, of %d jobs", j.Assumed, inv.Assumed, inv.AssumedJobs)
 			}
 			if closed := m.Attempts[a.Key()] == nil && j.Attempts[1] == nil; closed != test.closed {
-				t.Errorf("closed %v", closed)
+				t.Errorf("attempt removed from machine and job: %v", closed)
 			}
 			if !slices.Equal(host.calls, test.calls) {
 				t.Errorf("calls %q, want %q", host.calls, test.calls)
@@ -71,7 +71,7 @@
 	inv.SetAttemptState(a, AttemptClosed)
 	inv.SetAttemptState(a, AttemptLive)
 	if a.State != AttemptClosed || m.Used != (sched.Resources{}) || inv.Teams["red"].Used != (sched.Resources{}) {
-		t.Errorf("state %v, machine uses %v, team %v", a.State, m.Used, inv.Teams["red"].Used)
+		t.Errorf("attempt is %v, machine uses %v, team uses %v", a.State, m.Used, inv.Teams["red"].Used)
 	}
 }
 
@@ -93,17 +93,17 @@
 	}
 }
 
-// TestGangCompletion covers a gang's completed tasks: none is recorded on its own.
+// TestGangCompletion checks that completions of a gang's tasks are not recorded individually.
 func TestGangCompletion(t *testing.T) {
 	inv, host, m := newTestInventory(t)
 	j := addJob(inv, "j", 2, true)
 	inv.SetAttemptState(inv.AddAttempt(j, 0, 7, m, AttemptLive), AttemptCompleted)
 	if len(host.calls) > 0 || len(j.UnrecordedCompletions) > 0 || j.CompletedCount != 1 {
-		t.Errorf("calls %q, unrecorded %v, %d completed", host.calls, j.UnrecordedCompletions, j.CompletedCount)
+		t.Errorf("calls %q, unrecorded completions %v, %d tasks completed", host.calls, j.UnrecordedCompletions, j.CompletedCount)
 	}
 }
 
-// TestLastAttemptOfEndedJob guards against ended jobs that are kept for ever.
+// TestLastAttemptOfEndedJob guards against ended jobs that are never removed from the inventory.
 func TestLastAttemptOfEndedJob(t *testing.T) {
 	inv, host, m := newTestInventory(t)
 	j := addJob(inv, "j", 2, true)
@@ -113,11 +113,11 @@
 	host.now += micros.Second
 	inv.SetAttemptState(a, AttemptClosed)
 	if inv.Jobs["j"] == nil || j.GangState != GangStarting {
-		t.Error("the job is dropped with the first attempt")
+		t.Error("the job was removed when its first attempt was closed")
 	}
 	inv.SetAttemptState(b, AttemptClosed)
 	if inv.Jobs["j"] != nil || j.GangState != GangNone || j.IdleSince != host.now || m.IdleSince != host.now {
-		t.Errorf("job %+v is kept, its gang is %v", inv.Jobs["j"], j.GangState)
+		t.Errorf("after the last attempt was closed, the job is %+v, its gang %v", inv.Jobs["j"], j.GangState)
 	}
 }
 
@@ -147,7 +147,7 @@
 			m.Block.Writing = test.writing
 			inv.StopAttempt(a, 5, "test")
 			if a.State != test.want || a.GracePeriod != test.grace || a.Reason != test.reason {
-				t.Errorf("%v with grace period %v, reason %q", a.State, a.GracePeriod, a.Reason)
+				t.Errorf("attempt is %v with grace period %v, reason %q", a.State, a.GracePeriod, a.Reason)
 			}
 			if !slices.Equal(host.calls, test.calls) {
 				t.Errorf("calls %q, want %q", host.calls, test.calls)
@@ -164,11 +164,11 @@
 		inv.StopAttempt(a, gracePeriod, "test")
 	}
 	if a.GracePeriod != 3 || inv.Teams["red"].Stopping != taskNeed {
-		t.Errorf("grace period %v, stopping %v", a.GracePeriod, inv.Teams["red"].Stopping)
+		t.Errorf("grace period %v, stopping attempts use %v", a.GracePeriod, inv.Teams["red"].Stopping)
 	}
 }
 
-// TestRemoveMachine covers a machine that is gone: its tasks can be placed again, and gangs stop.
+// TestRemoveMachine covers the removal of a machine: its tasks can be placed again, and gangs stop.
 func TestRemoveMachine(t *testing.T) {
 	inv, _, m := newTestInventory(t)
 	other := inv.AddMachine(m.Block, MachineInfo{Name: "m-0"}, m.Size)
@@ -194,7 +194,7 @@
 	}
 }
 
-// TestMachineStates covers what each change of a machine's state requires.
+// TestMachineStates covers the actions that each change of a machine's state requires.
 func TestMachineStates(t *testing.T) {
 	tests := []struct {
 		to                      MachineState
@@ -215,7 +215,7 @@
 			inv.SetMachineState(m, test.to, "test")
 			inv.SetMachineState(m, test.to, "test")
 			if m.State != test.to || inv.SchedulingNeeded != test.scheduling || inv.TerminationNeeded != test.termination {
-				t.Errorf("%v, scheduling needed %v, termination needed %v", m.State, inv.SchedulingNeeded, inv.TerminationNeeded)
+				t.Errorf("machine is %v, scheduling needed: %v, termination needed: %v", m.State, inv.SchedulingNeeded, inv.TerminationNeeded)
 			}
 			if changed := slices.Equal(host.calls, []string{"entry of m-1"}); changed != test.entry || !changed && len(host.calls) > 0 {
 				t.Errorf("calls %q", host.calls)
@@ -296,13 +296,14 @@
 	}
 }
 
-// TestBlockSources covers a block that must wait until the one to which its machines went is written.
+// TestBlockSources checks that a block is not written before the block to which its machines were
+// moved.
 func TestBlockSources(t *testing.T) {
 	from, to := &Block{Name: "from"}, &Block{Name: "to"}
 	from.MarkDirty(1)
 	from.MarkDirty(2)
 	if from.DirtySince != 1 || !from.IsDue(2) || to.IsDue(2) {
-		t.Errorf("dirty since %v, due %v and %v", from.DirtySince, from.IsDue(2), to.IsDue(2))
+		t.Errorf("dirty since %v, due: %v and %v", from.DirtySince, from.IsDue(2), to.IsDue(2))
 	}
 	to.AddSource(from)
 	if from.IsDue(2) || from.UnwrittenTargets != 1 || !slices.Contains(to.Sources, from) {
@@ -320,7 +321,7 @@
 		a.AddChunk(j, chunk)
 	}
 	if keys := a.SortedChunks(); !slices.Equal(keys, []ChunkKey{{"j", 0}, {"j", 1}}) || j.Segments[1] != a || a.Bytes != j.ChunkBytes(0)+j.ChunkBytes(1) {
-		t.Errorf("chunks %v of %d bytes", keys, a.Bytes)
+		t.Errorf("the segment has chunks %v of %d bytes", keys, a.Bytes)
 	}
 	for chunk := range 2 {
 		a.RemoveChunk(j, chunk)
@@ -332,7 +333,7 @@
 	}
 	a.UnwrittenTargets = 0 // b is written
 	if !a.IsRemovable() || b.IsRemovable() {
-		t.Errorf("removable %v and %v", a.IsRemovable(), b.IsRemovable())
+		t.Errorf("removable: %v and %v", a.IsRemovable(), b.IsRemovable())
 	}
 	if chunks := b.Completions().Chunks; len(chunks) != 2 {
 		t.Errorf("%d chunks are encoded", len(chunks))
--- a/internal/inventory/job.go
+++ b/internal/inventory/job.go
@@ -14,7 +14,7 @@
 // The states of a job.
 const (
 	JobActive    JobState = iota // its tasks are pending or placed
-	JobFinishing                 // all tasks have completed, which is not recorded yet
+	JobFinishing                 // all tasks have completed; the terminal state is not recorded yet
 	JobEnded                     // done or cancelled: remaining attempts must be stopped
 	JobBlocked                   // some of its dependencies are not done
 )
@@ -41,7 +41,7 @@
 const (
 	TaskPending TaskState = iota // has no attempt
 	TaskPlaced                   // has an attempt
-	TaskDone                     // has completed, which is final
+	TaskDone                     // has completed; this state is final
 )
 
 // String returns the name of the state for logs.
@@ -57,15 +57,15 @@
 	return fmt.Sprintf("TaskState(%d)", int(s))
 }
 
-// GangState is the state of the current attempt to run a gang.
+// GangState is the state of the current run of a gang.
 type GangState int
 
-// The states of an attempt to run a gang.
+// The states of a run of a gang.
 const (
-	GangNone     GangState = iota // there is no attempt
+	GangNone     GangState = iota // no task has an attempt
 	GangPlacing                   // the attempts of its tasks are being recorded
-	GangStarting                  // all attempts are recorded, so that tasks may be started
-	GangStopping                  // the attempt is over, and its tasks must be stopped
+	GangStarting                  // all attempts are recorded, so that tasks may be started or run
+	GangStopping                  // the run has ended, and its tasks must be stopped
 )
 
 // String returns the name of the state for logs.
@@ -83,7 +83,7 @@
 	return fmt.Sprintf("GangState(%d)", int(s))
 }
 
-// Job is a job at its owner. Its fields are grouped by the concern that changes them.
+// Job is a job at its owner. Its fields are grouped by the concern to which they belong.
 type Job struct {
 	*sched.Job
 	State JobState
@@ -102,25 +102,29 @@
 	DependencyParts int
 	// Writing is set while the job's terminal state is being written.
 	Writing bool
-	// CancelQueued is set while the job waits to be recorded as cancelled with a dependency.
+	// CancelQueued is set while the job is queued to be recorded as cancelled because a dependency
+	// was cancelled.
 	CancelQueued bool
-	// RecordStale is set if the record has changed: nothing is placed until it is read again.
+	// RecordStale is set if the record has changed. No task is placed until the record has been
+	// read again.
 	RecordStale bool
-	// CancelledAt is a time before which no user got an acknowledgement of the job's
-	// cancellation; 0 if it was not cancelled.
+	// CancelledAt is a lower bound of the time at which a user got an acknowledgement of the job's
+	// cancellation; 0 if the job was not cancelled.
 	CancelledAt micros.Micros
 }
 
-// JobTimes holds what a job's order in the queue and its service-level objectives depend on.
+// JobTimes holds the times and the priority on which a job's position in the queue and its service-level
+// objectives depend.
 type JobTimes struct {
 	Accepted micros.Micros
-	// ReadyAt is when the job was accepted, or became ready if it was blocked by
-	// dependencies: its service-level objectives count from here.
+	// ReadyAt is when the job was accepted or, if it was blocked by dependencies, became ready. Its
+	// service-level objectives are measured from this time.
 	ReadyAt micros.Micros
-	// SubmittedPriority is the priority as submitted; the job's priority may be inherited.
+	// SubmittedPriority is the priority as submitted. Job.Priority may be a higher one that is
+	// inherited from downstream jobs.
 	SubmittedPriority sched.Priority
-	// EffectiveDeadline is the latest end with which this job and all downstream jobs meet
-	// their deadlines; 0 for none.
+	// EffectiveDeadline is the latest time at which the job may end so that it and all downstream
+	// jobs can meet their deadlines; 0 for none.
 	EffectiveDeadline micros.Micros
 }
 
@@ -129,7 +133,7 @@
 	// TaskStates are the states of the tasks; nil while all are pending.
 	TaskStates   []TaskState
 	Pending      int
-	FirstPending int // no task before it is pending
+	FirstPending int // no task with a lower index is pending
 	// Completed is the set of completed tasks, CompletedCount their number.
 	Completed      record.Bitmap
 	CompletedCount int
@@ -144,9 +148,10 @@
 	// Attempts are the attempts by task.
 	Attempts     map[int]*Attempt
 	Assumed      int // attempts that are not recorded yet
-	RunningTasks int // tasks that run, as shown to users
+	RunningTasks int // number of running tasks that is shown to users
 	GangState    GangState
-	// EverPlaced is set once some task was placed; IdleSince is when the job last had none.
+	// EverPlaced is set after the placement of a task, or of a whole gang, has been recorded;
+	// IdleSince is the time since which the job has had no attempts.
 	EverPlaced bool
 	IdleSince  micros.Micros
 }
@@ -154,11 +159,12 @@
 // Backoff delays the placement of a job after failures.
 type Backoff struct {
 	// BackoffUntil is the time before which no task is placed.
-	BackoffUntil   micros.Micros
-	Failures       int // in a row, without any success
+	BackoffUntil micros.Micros
+	Failures     int // consecutive failures of tasks, without a completion
+	// FailedMachines is the set of machines on which these tasks failed.
 	FailedMachines map[string]bool
-	// NextPreemptionAt is when tasks may be preempted for the job again; FailedPreemptions
-	// counts the preemptions in a row after which it did not start.
+	// NextPreemptionAt is when tasks may be preempted for the job again; FailedPreemptions counts
+	// the consecutive preemptions after which the job did not start.
 	NextPreemptionAt  micros.Micros
 	FailedPreemptions int
 }
@@ -187,8 +193,8 @@
 	return j.TaskStates[i]
 }
 
-// AllocateTaskStates allocates the states of single tasks. A job of which nothing was ever placed has
-// none: a queue of large jobs must fit into little memory.
+// AllocateTaskStates allocates the states of the individual tasks. A job of which no task was ever
+// placed has none, so that a queue of large jobs takes little memory.
 func (j *Job) AllocateTaskStates() {
 	if j.TaskStates == nil {
 		j.TaskStates, j.Completed = make([]TaskState, j.Tasks), record.NewBitmap(j.Tasks)
@@ -200,7 +206,7 @@
 	j.AllocateTaskStates()
 	was := j.TaskStates[i]
 	if was == s || was == TaskDone {
-		return // done is final
+		return // a done task stays done
 	}
 	j.TaskStates[i] = s
 	switch {
@@ -225,7 +231,8 @@
 	j.UnrecordedCompletions[chunk] = append(j.UnrecordedCompletions[chunk], a)
 }
 
-// TasksByZone returns the number of a job's attempts by zone, if its placement depends on zones.
+// TasksByZone returns the number of a job's attempts by zone. It is empty if the placement of the job
+// does not depend on zones.
 func (j *Job) TasksByZone() map[string]int {
 	counts := map[string]int{}
 	if !j.OneZone && !j.Spread {
--- a/internal/inventory/machine.go
+++ b/internal/inventory/machine.go
@@ -16,12 +16,12 @@
 // MachineState is the state of a machine at its owner.
 type MachineState int
 
-// The states of a machine, in the order in which it passes them.
+// The states of a machine, in the order in which a machine passes through them.
 const (
 	MachineBooting         MachineState = iota // has not sent a heartbeat yet
 	MachineReady                               // sends heartbeats and accepts tasks
-	MachineDraining                            // accepts no new tasks and is terminated once empty
-	MachineTransferring                        // is transferred to another owner once empty
+	MachineDraining                            // accepts no new tasks and is terminated when empty
+	MachineTransferring                        // is transferred to another owner when empty
 	MachineDecommissioning                     // its termination is decided and must be recorded first
 	MachineTerminating                         // the decision is recorded; the cloud is asked to terminate it
 	MachineTerminated                          // the cloud has terminated it; its record must be deleted
@@ -48,17 +48,16 @@
 	return fmt.Sprintf("MachineState(%d)", int(s))
 }
 
-// IsUp reports whether a machine in this state has booted, and its termination is not decided.
+// IsUp reports whether a machine in this state has booted and no decision to terminate it was made.
 func (s MachineState) IsUp() bool { return s >= MachineReady && s <= MachineTransferring }
 
-// FencingState is the state of fencing a machine. A command that was sent directly and not
-// answered may still be executed until the machine has seen a higher fencing token or has begun a
-// new agent epoch.
+// FencingState is the state of fencing a machine. A direct command without a response may still be
+// executed until the machine has received a higher fencing token or has begun a new agent epoch.
 type FencingState int
 
 // The states of fencing a machine.
 const (
-	FencingNone    FencingState = iota // no command can be executed late
+	FencingNone    FencingState = iota // no earlier command can still be executed
 	FencingNeeded                      // a higher fencing token must be recorded
 	FencingPending                     // the token is recorded, but the machine has not confirmed it
 )
@@ -86,7 +85,7 @@
 	Endpoint string
 }
 
-// Machine is a machine at its owner. Its fields are grouped by the concern that changes them.
+// Machine is a machine at its owner. Its fields are grouped by the concern to which they belong.
 type Machine struct {
 	MachineInfo
 	Size          sched.Resources
@@ -106,15 +105,17 @@
 	// Block is the record that holds the machine's entry, Dirty whether the entry must be written.
 	Block *Block
 	Dirty bool
-	// Recorded is set once the record of some owner has the entry.
+	// Recorded is set after the entry was written to the record of any owner.
 	Recorded bool
 	// FencingToken authorizes commands to the machine; 0 until the machine is claimed.
 	FencingToken uint64
 	Fencing      FencingState
-	// Verifying is set while an adopted machine may turn out to be another owner's.
+	// Verifying is set while it is being verified that an adopted machine does not belong to another
+	// owner.
 	Verifying bool
-	// Recovered is set if the machine was recovered from records, of another owner or of this
-	// node before its recovery restarted: it is ready, or has been booting since an unknown time.
+	// Recovered is set if the machine was recovered from the records of another owner, or of this
+	// node before its recovery restarted. Such a machine is ready, or began to boot at an unknown
+	// time.
 	Recovered bool
 }
 
@@ -122,20 +123,21 @@
 type HeartbeatState struct {
 	// LastHeartbeat is when the last heartbeat arrived, or when this owner began to expect one.
 	LastHeartbeat micros.Micros
-	// HeartbeatGraceUntil is the time from which missing heartbeats count, after a network
+	// HeartbeatGraceUntil is the time from which missing heartbeats are counted, after a network
 	// partition of the machine's zone.
 	HeartbeatGraceUntil micros.Micros
-	// TokenConfirmed is set if the last heartbeat carried this owner's fencing token, and
-	// TokenConfirmedAt is when one last did, or when this owner began to expect that.
+	// TokenConfirmed is set if the last heartbeat carried this owner's fencing token.
+	// TokenConfirmedAt is when a heartbeat last carried it, or when this owner began to expect that.
 	TokenConfirmed   bool
 	TokenConfirmedAt micros.Micros
-	// HeartbeatReceived is set once the machine has sent a heartbeat to this owner on its own
-	// account, rather than only as the response to commands.
+	// HeartbeatReceived is set after the machine has sent a heartbeat to this owner by itself, and
+	// not only as the response to commands.
 	HeartbeatReceived bool
-	// AgentEpoch and HeartbeatSeq order the heartbeats; ReportedTasks are those of the last.
+	// AgentEpoch and HeartbeatSeq order the heartbeats; ReportedTasks are the tasks in
+	// the last one.
 	AgentEpoch, HeartbeatSeq uint64
 	ReportedTasks            []wire.TaskStatus
-	// ReclaimAt is when the cloud reclaims the spot machine; 0 if that is not announced.
+	// ReclaimAt is when the cloud reclaims the spot machine; 0 without a preemption notice.
 	ReclaimAt micros.Micros
 	// PendingRequest and PendingHeartbeat are a heartbeat whose response is deferred until the
 	// machine is claimed.
@@ -145,13 +147,13 @@
 
 // CloudListing is the state of a machine in the cloud's list.
 type CloudListing struct {
-	// CloudListed is set once the list has contained the machine; MissedListings counts the
+	// CloudListed is set after the list has contained the machine; MissedListings counts the
 	// consecutive lists without it since then.
 	CloudListed    bool
 	MissedListings int
 	// Failed is set if the list shows that the machine has failed.
 	Failed bool
-	// SpotReclaimed is set once the loss of the spot machine to the cloud was counted.
+	// SpotReclaimed is set after the reclaim of the spot machine by the cloud has been counted.
 	SpotReclaimed bool
 }
 
@@ -163,18 +165,18 @@
 	// the dispatch queue.
 	DispatchNeeded  bool
 	InDispatchQueue bool
-	// Inspected is set once a heartbeat was requested from the machine after a failover.
+	// Inspected is set after a heartbeat was requested from the machine after a failover.
 	Inspected bool
 }
 
-// Workload is what runs on a machine, and what limits further tasks.
+// Workload describes the tasks on a machine and what limits the placement of further ones.
 type Workload struct {
 	Attempts map[TaskKey]*Attempt
 	Used     sched.Resources
 	// CachedImages are the images that the machine presumably caches, the most recently used last.
 	CachedImages []string
 	IdleSince    micros.Micros
-	// ConsecutiveErrors counts task failures in a row; nothing is placed before QuarantinedUntil.
+	// ConsecutiveErrors counts consecutive task failures; no task is placed before QuarantinedUntil.
 	ConsecutiveErrors int
 	QuarantinedUntil  micros.Micros
 }
@@ -214,13 +216,15 @@
 	return list
 }
 
-// IsUnclaimed reports whether the machine has no fencing token, and none is being verified.
+// IsUnclaimed reports whether the machine has no fencing token and must be claimed. While an adopted
+// machine is being verified, it is not claimed.
 func (m *Machine) IsUnclaimed() bool { return m.FencingToken == 0 && !m.Verifying }
 
-// isUnverified reports whether the machine is adopted and has no entry until that is verified.
+// isUnverified reports whether the machine was adopted and gets its first entry only after it has been
+// verified that it does not belong to another owner.
 func (m *Machine) isUnverified() bool { return m.Verifying && !m.Recorded }
 
-// NeedsWrite reports whether the machine's state or an attempt on it waits for the record.
+// NeedsWrite reports whether the state of the machine or of an attempt on it must still be recorded.
 func (m *Machine) NeedsWrite() bool {
 	if m.isUnverified() {
 		return false
@@ -242,7 +246,7 @@
 	return m.IsUnclaimed() || m.Fencing == FencingNeeded
 }
 
-// Offer returns the offer of the cloud from which the machine came.
+// Offer returns the offer of the cloud under which the machine was launched.
 func (m *Machine) Offer() autoscaler.Offer {
 	return autoscaler.Offer{Type: m.Type, Zone: m.Zone, Spot: m.Spot}
 }
@@ -257,13 +261,14 @@
 	return false
 }
 
-// ExpectsHeartbeat reports whether missing heartbeats of the machine count: not while it boots. After
-// a failover, a machine with tasks is known to have booted.
+// ExpectsHeartbeat reports whether missing heartbeats of the machine are counted, which they are not
+// while it boots. After a failover, a machine with tasks is known to have booted.
 func (m *Machine) ExpectsHeartbeat() bool {
 	return m.State.IsUp() || m.State == MachineBooting && m.Recovered && len(m.Attempts) > 0
 }
 
-// Slack returns what is left of the machine once it is filled with tasks of one size.
+// Slack returns the resources of the machine that remain free when as many tasks of one size as fit
+// are placed on it.
 func (m *Machine) Slack(need sched.Resources) sched.Resources {
 	return m.Size.Sub(need.Times(need.Count(m.Size, MaxEntryTasks)))
 }
--- a/internal/scheduler/assume.go
+++ b/internal/scheduler/assume.go
@@ -7,7 +7,7 @@
 	"tamarindlead/sched"
 )
 
-// assume adds attempts for assignments, which take effect once they are recorded.
+// assume adds attempts for assignments. They take effect after they have been recorded.
 func (s *Scheduler) assume(j *inventory.Job, assignments []sched.Assignment) {
 	if len(assignments) == 0 {
 		return
@@ -32,8 +32,8 @@
 	}
 }
 
-// HandleAttemptRecorded handles an assumed attempt whose record was written: it may be started, a
-// gang's once all attempts of the gang are recorded.
+// HandleAttemptRecorded handles an assumed attempt whose record was written. Its task may be started;
+// the tasks of a gang may be started after all attempts of the gang have been recorded.
 func (s *Scheduler) HandleAttemptRecorded(a *inventory.Attempt) {
 	if a.State != inventory.AttemptAssumed {
 		return
@@ -51,7 +51,7 @@
 	}
 }
 
-// startGang starts a gang, all attempts of which are recorded.
+// startGang starts a gang whose attempts have all been recorded.
 func (s *Scheduler) startGang(j *inventory.Job) {
 	s.inventory.SetGangState(j, inventory.GangStarting)
 	j.EverPlaced = true
--- a/internal/scheduler/assume_test.go
+++ b/internal/scheduler/assume_test.go
@@ -9,7 +9,7 @@
 )
 
 // TestStartGangKeepsOrder checks that the machines of a gang get their commands in the order of its
-// tasks, so that effects are a function of the events.
+// tasks, so that the same events always have the same effects.
 func TestStartGangKeepsOrder(t *testing.T) {
 	const tasks = 24
 	f := newFixture(t)
--- a/internal/scheduler/fixture_test.go
+++ b/internal/scheduler/fixture_test.go
@@ -14,14 +14,14 @@
 	"tamarindlead/sched"
 )
 
-// fixture is a scheduler of one team with a fake host. Machines have room for any number of tasks in
-// their records.
+// fixture is a scheduler of one team with a fake host. The record of a machine has space for
+// inventory.MaxEntryTasks tasks.
 type fixture struct {
 	*Scheduler
 	fake *fakeHost
 }
 
-// fakeHost is the owner that a scheduler under test is a part of.
+// fakeHost is a Host that records its calls.
 type fakeHost struct {
 	inventory *inventory.Inventory
 	types     []sched.MachineType
@@ -127,7 +127,7 @@
 
 func jobName(n int) string { return fmt.Sprintf("req-%06d", n) }
 
-// addJob adds an active job of team red, accepted at a time.
+// addJob adds an active job of team red that was accepted at the given time.
 func (f *fixture) addJob(spec *sched.Job, accepted micros.Micros) *inventory.Job {
 	spec.Team, spec.Image = "red", "img"
 	j := inventory.NewJob(spec, uint64(len(f.inventory.Jobs)+1), accepted)
@@ -148,7 +148,7 @@
 	return m
 }
 
-// advance lets time pass, during which all machines send heartbeats.
+// advance advances the time and records a heartbeat of each machine at the new time.
 func (f *fixture) advance(by micros.Micros) {
 	f.fake.now += by
 	for _, m := range f.inventory.SortedMachines {
@@ -178,7 +178,7 @@
 	t.results = append(t.results, handle)
 }
 
-// finish calls the result functions of the transaction.
+// finish calls the result handlers of the transaction.
 func (t *fakeTransaction) finish(ok bool) {
 	for _, handle := range t.results {
 		handle(ok, 10)
--- a/internal/scheduler/gang_candidates.go
+++ b/internal/scheduler/gang_candidates.go
@@ -11,18 +11,19 @@
 	"tamarindlead/sched"
 )
 
-// gangOvertakingLimit is how long a gang waits before later gangs may no longer overtake it.
+// gangOvertakingLimit is the waiting time of a gang after which later gangs may no longer overtake it.
 const gangOvertakingLimit = 40 * micros.Second
 
-// waitsTooLong reports whether a gang has waited for so long that later ones may not overtake it.
+// waitsTooLong reports whether a gang has waited for so long that later gangs may not overtake it.
 func waitsTooLong(j *inventory.Job, wallClock micros.Micros) bool {
 	return wallClock-j.ReadyAt > gangOvertakingLimit
 }
 
-// reserveForGangs reserves machines of the view from other work: for each waiting gang as many as it
-// needs, those with free resources first, then those that will have them the soonest; and the warm
-// pool for gangs to come. Without that, small tasks would fill every gap first. Only machine types
-// that a gang depends on are reserved, except for a starving gang.
+// reserveForGangs reserves machines of the view, so that other jobs do not use them: for each waiting
+// gang as many as it needs, and a warm pool for future gangs. For a waiting gang, it prefers machines
+// with free resources, then those whose resources become free the soonest. Without reservations,
+// small tasks would use all resources as they become free. Only machines of scarce types, which some
+// jobs depend on, are reserved, except for a starving gang.
 func (s *Scheduler) reserveForGangs(view []*sched.Machine) {
 	now := s.host.Now()
 	warmPool := autoscaler.NewWarmPool(now, s.classes, s.settings.SLOs, s.host.Catalog())
@@ -31,9 +32,9 @@
 		if !j.Gang || j.State != inventory.JobActive || j.GangState != inventory.GangNone || s.reservations[j.ID] != nil || now < j.BackoffUntil {
 			continue
 		}
-		// Of the gangs for which the machines do not suffice, only the first reserves what there
-		// is, and waits for machines that boot. What others reserved would be idle while smaller
-		// gangs wait.
+		// If there are too few machines for several gangs, only the first of these gangs reserves
+		// the machines that there are, and waits for others to boot. Machines reserved for the
+		// other gangs would be idle while smaller gangs wait.
 		insufficient = !s.reserveForGang(j, view, insufficient) || insufficient
 	}
 	if warmPool.Empty() {
@@ -51,7 +52,7 @@
 }
 
 // reserveForGang reserves machines of the view for a gang and reports whether they suffice. With
-// completeOnly, it reserves none unless they do.
+// completeOnly, it reserves none if they do not suffice.
 func (s *Scheduler) reserveForGang(j *inventory.Job, view []*sched.Machine, completeOnly bool) bool {
 	wallClock := s.host.WallClock()
 	starving := s.isStarving(j, wallClock)
@@ -103,8 +104,8 @@
 	return byZone
 }
 
-// candidatesOfBestZone returns the candidates of the zone that has room for the most tasks now,
-// those with the shortest wait first.
+// candidatesOfBestZone returns the candidates of the zone in which the most tasks fit now, sorted by
+// the time until their resources are free.
 func candidatesOfBestZone(byZone map[string][]gangCandidate) []gangCandidate {
 	best, most := "", -1
 	for _, zone := range ordered.Keys(byZone) {
@@ -117,7 +118,7 @@
 	return list
 }
 
-// availableTaskSlots returns how many tasks fit on the candidates without a wait.
+// availableTaskSlots returns how many tasks fit on the candidates now.
 func availableTaskSlots(candidates []gangCandidate) int {
 	tasks := 0
 	for _, c := range candidates {
@@ -128,8 +129,8 @@
 	return tasks
 }
 
-// chooseCandidates chooses candidates in their order until all tasks of a gang fit, and returns how
-// many do.
+// chooseCandidates chooses candidates in their order until all tasks of a gang fit on them. It returns
+// their machines and the number of tasks that fit.
 func chooseCandidates(j *inventory.Job, candidates []gangCandidate) (chosen []*sched.Machine, tasks int) {
 	spotLeft := j.Tasks - j.MinOnDemandTasks
 	inZone := map[string]int{}
@@ -139,11 +140,11 @@
 		}
 		fits := min(c.taskSlots, j.ZoneCap()-inZone[c.view.Zone])
 		if fits <= 0 {
-			continue // a zone must not hold more tasks of the gang
+			continue // the zone must not have more tasks of the gang
 		}
 		if c.view.Spot {
 			if spotLeft <= 0 {
-				continue // more spot machines than the gang may use would be idle
+				continue // the gang may not use more spot machines: they would be idle
 			}
 			spotLeft -= fits
 		}
--- a/internal/scheduler/gang_candidates_test.go
+++ b/internal/scheduler/gang_candidates_test.go
@@ -6,8 +6,8 @@
 	"tamarindlead/sched"
 )
 
-// TestSpotMachinesNotReservedForExcess guards against spot machines that are idle for a gang which
-// may not use so many of them, while gangs that could use them wait.
+// TestSpotMachinesNotReservedForExcess guards against reserving more spot machines for a gang than it
+// may use: they would be idle while gangs that could use them wait.
 func TestSpotMachinesNotReservedForExcess(t *testing.T) {
 	f := newFixture(t)
 	j := f.addJob(&sched.Job{
@@ -27,18 +27,19 @@
 			}
 		}
 		if spots != most {
-			t.Errorf("with %d on-demand machines, %d spot machines are reserved, not %d", minOnDemand, spots, most)
+			t.Errorf("with at least %d on-demand tasks, %d spot machines are reserved, want %d", minOnDemand, spots, most)
 		}
 	}
-	// A gang for which the machines do not suffice reserves none after another such gang.
+	// After a gang for which the machines do not suffice, completeOnly is set: another such gang
+	// reserves none.
 	j.MinOnDemandTasks = 3
 	view := f.machineView()
 	if f.reserveForGang(j, view, true) {
-		t.Error("one on-demand machine does not suffice for three tasks")
+		t.Error("one on-demand machine is reported to suffice for three on-demand tasks")
 	}
 	for _, v := range view {
 		if v.ReservedForGangs {
-			t.Errorf("%s is reserved in vain", v.Name)
+			t.Errorf("%s is reserved although the machines do not suffice", v.Name)
 		}
 	}
 }
--- a/internal/scheduler/pass.go
+++ b/internal/scheduler/pass.go
@@ -8,26 +8,26 @@
 	"tamarindlead/sched"
 )
 
-// Bounds of one scheduling pass.
+// Limits of one scheduling pass.
 const (
 	// MinPassInterval is the minimum time between two passes.
 	MinPassInterval = 100 * micros.Millisecond
 	// maxJobsPerPass is how many jobs a pass tries to place.
 	maxJobsPerPass = 200
-	// maxAssumed is how many attempts may wait for their record.
+	// maxAssumed is the largest number of attempts that may wait until they are recorded.
 	maxAssumed = 1000
-	// minAssumedJobs is how many jobs may have such attempts, however few preconditions a
-	// transaction takes.
+	// minAssumedJobs is how many jobs may have such attempts even if a transaction can contain
+	// only few preconditions.
 	minAssumedJobs = 24
 )
 
-// Parameters for arrays of which nothing has run for long.
+// Parameters for arrays of which no task has run for a long time.
 const (
-	// starvingBatchDivisor is the divisor of the pending tasks of a starving array that are placed
-	// at a time.
+	// starvingBatchDivisor is the number by which the pending tasks of a starving array are divided
+	// to get the number of tasks that are placed in one pass.
 	starvingBatchDivisor = 8
-	// maxArrayIdleTime is how long an array has no task running before it may use machines that are
-	// reserved for gangs, and quota too, as long as its team is below its limit.
+	// maxArrayIdleTime is how long an array has no attempts before it may use machines and quota
+	// that are reserved for gangs. The quota limit of its team still applies.
 	maxArrayIdleTime = 60 * micros.Second
 )
 
@@ -38,11 +38,11 @@
 	view              []*sched.Machine
 	reservedQuotas    quotaReservations
 	examinedJobs      int            // jobs that the pass tried to place
-	unplaceableShapes map[shape]bool // shapes of tasks that no machine has room for
+	unplaceableShapes map[shape]bool // shapes of tasks that fit on no machine
 }
 
-// Schedule places pending tasks. A placement takes effect only once the machine's record has been
-// written with it.
+// Schedule places pending tasks. A placement takes effect only after it has been written to the
+// machine's record.
 func (s *Scheduler) Schedule() {
 	now := s.host.Now()
 	if !s.inventory.SchedulingNeeded || s.host.Committing() || now < s.nextPass || s.inventory.Assumed >= maxAssumed {
@@ -65,14 +65,14 @@
 	}
 }
 
-// exhausted reports whether the pass has reached its bounds: the preconditions of a transaction are
-// limited.
+// exhausted reports whether the pass has reached its limits. The number of jobs with assumed attempts
+// is limited because a transaction can contain only a limited number of preconditions.
 func (p *pass) exhausted() bool {
 	maxJobs := max(2*p.scheduler.settings.MaxTransactionOps, minAssumedJobs)
 	return p.examinedJobs >= maxJobsPerPass || p.scheduler.inventory.AssumedJobs >= maxJobs
 }
 
-// place places pending tasks of a job, as far as its quota and the machines have room.
+// place places pending tasks of a job, as many as its team's quota limit and the free resources allow.
 func (p *pass) place(j *inventory.Job) {
 	s := p.scheduler
 	if !schedulable(j, p.now) {
@@ -82,7 +82,8 @@
 	if tasks == 0 {
 		return
 	}
-	// Resources only shrink during a pass: a shape for which no place was found finds none later.
+	// Free resources only decrease during a pass, so a shape that could not be placed earlier in the
+	// pass cannot be placed now.
 	reservation := s.reservations[j.ID]
 	plain := !j.Gang && !j.OneZone && !j.Spread && reservation == nil
 	if plain && p.unplaceableShapes[shapeOf(j)] {
@@ -116,9 +117,9 @@
 	return !j.Gang || j.GangState == inventory.GangNone
 }
 
-// quotaAllowance returns how many tasks of a job its team's quota limit has room for, 0 for a gang that
-// does not fit as a whole. idle is set if nothing of the job has run for so long that it may use
-// quota that is reserved for gangs.
+// quotaAllowance returns how many pending tasks of a job its team's quota limit allows, 0 for a gang
+// that it does not allow as a whole. idle is set if the job has had no attempts for so long that it
+// may use quota that is reserved for gangs, and needs it.
 func (p *pass) quotaAllowance(j *inventory.Job) (tasks int, idle bool) {
 	s := p.scheduler
 	tasks = s.QuotaHeadroom(j, p.reservedQuotas.reservedFrom(j, p.wallClock))
@@ -132,22 +133,23 @@
 	return tasks, false
 }
 
-// placeReserved places a gang on the machines that are reserved for it, once their resources are
-// free.
+// placeReserved places a gang on the machines that are reserved for it, if their resources are free
+// already.
 func (p *pass) placeReserved(j *inventory.Job, r *reservation, tasks int) {
 	if r.state == reservationReady {
 		p.assume(j, sched.Place(j.Job, r.view(p.view), tasks, nil))
 	}
 }
 
-// handleNoPlacement preempts tasks for a gang that found no place, or leaves a machine to it.
+// handleNoPlacement handles a job of which no task could be placed. For a gang, it preempts tasks or
+// excludes a machine from the rest of the pass, so that later jobs do not use it.
 func (p *pass) handleNoPlacement(j *inventory.Job) {
 	s := p.scheduler
-	if j.Gang { // once its machines are free, it must be within its team's limit
+	if j.Gang { // keep quota for it until its machines are free
 		p.reservedQuotas.add(j)
 	}
 	if s.preempt(j) {
-		p.view = s.placementView() // without what the new reservation holds
+		p.view = s.placementView() // without the resources of the new reservation
 		clear(p.unplaceableShapes)
 		return
 	}
@@ -160,7 +162,7 @@
 	p.scheduler.limitSlots(p.view, assignments)
 }
 
-// shape is what decides on which machines the tasks of a job fit.
+// shape is the set of properties of a job that determine on which machines its tasks fit.
 type shape struct {
 	need  sched.Resources
 	zone  string
@@ -177,16 +179,16 @@
 	return tasks
 }
 
-// starvingBatchSize returns how many tasks of a starving array are placed at a time.
+// starvingBatchSize returns how many tasks of a starving array are placed in one pass.
 func starvingBatchSize(j *inventory.Job) int { return max(1, j.Pending/starvingBatchDivisor) }
 
-// isIdleTooLong reports whether nothing of an array has run for long.
+// isIdleTooLong reports whether an array has had no attempts for longer than maxArrayIdleTime.
 func isIdleTooLong(j *inventory.Job, now micros.Micros) bool {
 	return !j.Gang && len(j.Attempts) == 0 && now-j.IdleSince > maxArrayIdleTime
 }
 
-// placeOnReserved places tasks also on machines that are reserved for gangs in general, though not
-// on those reserved for one job that has waited for too long.
+// placeOnReserved places tasks also on machines that are reserved for gangs in general, but not on those
+// that are reserved for a single gang, which has waited for too long.
 func placeOnReserved(j *inventory.Job, view []*sched.Machine, tasks int) []sched.Assignment {
 	var reserved []*sched.Machine
 	for _, m := range view {
@@ -201,11 +203,11 @@
 	return assignments
 }
 
-// withoutSoonestFree removes from the view the machine that will have room for a waiting gang the
-// soonest: otherwise small tasks of later jobs would fill every gap first.
+// withoutSoonestFree removes from the view the machine whose resources become free for a waiting gang
+// the soonest. Otherwise, small tasks of later jobs would use the resources as they become free.
 func (s *Scheduler) withoutSoonestFree(j *inventory.Job, view []*sched.Machine) []*sched.Machine {
 	if !j.Gang || s.fitsSingleType(j) {
-		return view // see reserveForGangs
+		return view // reserveForGangs reserves machines for such gangs
 	}
 	best, soonest := -1, micros.Micros(0)
 	for i, v := range view {
--- a/internal/scheduler/pass_test.go
+++ b/internal/scheduler/pass_test.go
@@ -8,8 +8,9 @@
 	"tamarindlead/sched"
 )
 
-// TestQuotaReservedForGang guards against a gang that waits forever since later tasks use the quota
-// that it needs at once, and against an array that never runs because of such a gang.
+// TestQuotaReservedForGang guards against a gang that waits forever because later tasks use parts of the
+// quota, all of which it needs at the same time, and against an array that never runs because of such
+// a gang.
 func TestQuotaReservedForGang(t *testing.T) {
 	tests := []struct {
 		name      string
@@ -17,7 +18,7 @@
 		want      int // attempts of the array
 	}{
 		{"gang first", 0, 0},
-		{"array idle for long", maxArrayIdleTime + 1, 1},
+		{"array idle for too long", maxArrayIdleTime + 1, 1},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -39,37 +40,36 @@
 	}
 }
 
-// TestPassBounds guards against passes that follow each other without a pause, and against more
-// assumed attempts than may wait for their records.
+// TestPassBounds guards against passes that follow each other without a pause, and against more assumed
+// attempts than the limit.
 func TestPassBounds(t *testing.T) {
 	f := newFixture(t)
 	f.addMachine(1, false)
 	j := f.addJob(&sched.Job{ID: jobName(1), Class: "work", Tasks: 9, Need: sched.NewResources(4, 0, 4)}, f.fake.now)
 	f.Schedule()
 	if len(j.Attempts) != 7 || f.inventory.SchedulingNeeded {
-		t.Fatalf("%d attempts on a machine with room for 7", len(j.Attempts))
+		t.Fatalf("%d attempts on a machine on which 7 tasks fit, or scheduling is still needed", len(j.Attempts))
 	}
-	if len(f.fake.changed) != 2 { // once when it was added
+	if len(f.fake.changed) != 2 { // the first change is the addition of the machine
 		t.Errorf("changed entries: %v", f.fake.changed)
 	}
 	f.inventory.SetAttemptState(j.Attempts[0], inventory.AttemptClosed)
 	f.advance(MinPassInterval - 1)
 	if f.Schedule(); len(j.Attempts) != 6 {
-		t.Fatal("a pass began too early")
+		t.Fatal("a pass began before the minimum interval was over")
 	}
 	f.advance(1)
 	f.inventory.Assumed += maxAssumed
 	if f.Schedule(); len(j.Attempts) != 6 {
-		t.Fatal("more attempts are assumed than may be")
+		t.Fatal("a pass began although the limit of assumed attempts was reached")
 	}
 	f.inventory.Assumed -= maxAssumed
 	if f.Schedule(); len(j.Attempts) != 7 {
-		t.Errorf("%d attempts after the pause", len(j.Attempts))
+		t.Errorf("%d attempts after the pass, want 7", len(j.Attempts))
 	}
 }
 
-// TestMachineViewSkipsUnusable guards against tasks that are placed on machines which cannot take
-// them.
+// TestMachineViewSkipsUnusable guards against placing tasks on machines that cannot run them.
 func TestMachineViewSkipsUnusable(t *testing.T) {
 	tests := map[string]func(f *fixture, m *inventory.Machine){
 		"draining":     func(_ *fixture, m *inventory.Machine) { m.State = inventory.MachineDraining },
@@ -86,7 +86,7 @@
 				t.Fatal("a ready machine is not in the view")
 			}
 			if change(f, m); len(f.machineView()) != 0 {
-				t.Error("the machine is in the view")
+				t.Error("an unusable machine is in the view")
 			}
 		})
 	}
--- a/internal/scheduler/placement_view.go
+++ b/internal/scheduler/placement_view.go
@@ -11,8 +11,8 @@
 // tasks are placed on it.
 const maxMissedHeartbeats = 2
 
-// priceClassRatio is how far prices may differ and still count as equal for placement: it then
-// matters more which machines have cached the task's image.
+// priceClassRatio is the ratio of two prices up to which they may count as equal for placement. A
+// cached image of the task then matters more than the price.
 const priceClassRatio = 1.5
 
 // priceClass returns the class of prices that count as equal.
@@ -23,8 +23,8 @@
 	return math.Round(math.Log(price) / math.Log(priceClassRatio))
 }
 
-// placementView returns the machine view, in which machines are reserved for gangs and the slack of
-// machines that gangs use is separate.
+// placementView returns the machine view with machines reserved for gangs, and with the slack of
+// machines that gangs use as separate entries.
 func (s *Scheduler) placementView() []*sched.Machine {
 	view := s.machineView()
 	s.reserveForGangs(view)
@@ -57,8 +57,8 @@
 	return view
 }
 
-// limitSlots lowers the task slots of machines that share a block with those just assigned, to what
-// the block's record still has room for.
+// limitSlots lowers the task slots of machines that share a block with those just assigned, to the
+// number of tasks for which the block's record still has space.
 func (s *Scheduler) limitSlots(view []*sched.Machine, assignments []sched.Assignment) {
 	clear(s.freeBytes)
 	for _, assignment := range assignments {
--- a/internal/scheduler/preemption.go
+++ b/internal/scheduler/preemption.go
@@ -10,14 +10,15 @@
 )
 
 const (
-	// maxBootTimeToWait is the remaining boot time of a machine up to which nothing is preempted.
+	// maxBootTimeToWait is the remaining boot time of a machine up to which a gang waits for it
+	// instead of preempting tasks.
 	maxBootTimeToWait = 12 * micros.Second
-	// preemptionRetryDelay is the pause after no preemption plan was found.
+	// preemptionRetryDelay is the delay before the next attempt after no preemption plan was found.
 	preemptionRetryDelay = 4 * micros.Second
 )
 
-// preempt plans preemption for a gang that found no place and reserves the machines for it. It
-// reports whether it did.
+// preempt plans preemption for a gang that could not be placed and reserves the machines for it. It
+// reports whether machines were reserved.
 func (s *Scheduler) preempt(j *inventory.Job) bool {
 	now := s.host.Now()
 	if !j.Gang || now < j.NextPreemptionAt || s.scaleOutSuffices(j) || s.machinesBootSoon(j) {
@@ -33,7 +34,7 @@
 	r := newReservation(j, plan)
 	if kv.EncodedSizeBound(record.Reservation{Machines: r.machines}) > s.settings.MaxValueBytes {
 		j.NextPreemptionAt = now + preemptionRetryDelay
-		return false // its record would never be accepted
+		return false // its record exceeds the size limit of values
 	}
 	s.reservations[j.ID] = r
 	s.logVictims(j, plan)
@@ -71,9 +72,9 @@
 	s.log.Info("preemption planned", append(common, args...)...)
 }
 
-// planPreemption plans which tasks are stopped for a gang: of its own team, or else, if the gang is
-// within its team's guaranteed quota, of teams that use more than theirs. It returns nil if there is
-// no acceptable plan.
+// planPreemption plans which tasks are stopped for a gang: tasks of its own team or, if there is no such
+// plan and its team's guaranteed quota covers the gang, tasks of teams that use more than their
+// guaranteed quotas. It returns nil if there is no acceptable plan.
 func (s *Scheduler) planPreemption(j *inventory.Job, guaranteed map[*inventory.Job]bool) *sched.PreemptionPlan {
 	machines := s.preemptionView()
 	plan := s.planForMode(j.Job, machines, sched.Preempt, guaranteed)
@@ -89,7 +90,7 @@
 	return s.planForMode(job, s.preemptionView(), sched.Reclaim, s.JobsWithinGuarantee())
 }
 
-// planForMode returns the cheapest preemption plan of a mode, or nil.
+// planForMode returns a preemption plan of a mode, or nil if there is none.
 func (s *Scheduler) planForMode(j *sched.Job, machines []*sched.Machine, mode sched.PreemptionMode, guaranteed map[*inventory.Job]bool) *sched.PreemptionPlan {
 	victims := s.victims(j, mode, guaranteed)
 	if len(victims) == 0 {
@@ -104,8 +105,8 @@
 	return sched.PlanPreemption(j, domains, victims, rules)
 }
 
-// scaleOutSuffices reports whether a machine requested from the cloud now would be ready in time, so
-// that nothing needs to be preempted.
+// scaleOutSuffices reports whether a machine requested from the cloud now would be ready before the
+// start target of a gang, so that no tasks need to be preempted.
 func (s *Scheduler) scaleOutSuffices(j *inventory.Job) bool {
 	market, left := s.host.Market(), s.startTarget(j)-(s.host.WallClock()-j.ReadyAt)
 	for _, t := range market.Types {
@@ -121,7 +122,8 @@
 	return false
 }
 
-// startTarget returns how long a gang may wait until it starts.
+// startTarget returns how long a gang may wait until it starts: the wait-time SLO of its class, or the
+// reservation timeout if there is none.
 func (s *Scheduler) startTarget(j *inventory.Job) micros.Micros {
 	limit := s.settings.Tuning.ReservationTimeout
 	for _, slo := range s.settings.SLOs {
@@ -132,8 +134,8 @@
 	return limit
 }
 
-// machinesBootSoon reports whether machines that boot have room for a gang, and for those of its
-// class that precede it in the queue.
+// machinesBootSoon reports whether a gang and the waiting gangs of its class that precede it in the
+// queue fit on machines that will have booted soon.
 func (s *Scheduler) machinesBootSoon(j *inventory.Job) bool {
 	slots := s.bootingSlots(j)
 	for _, other := range s.inventory.Queue {
@@ -171,8 +173,8 @@
 	view, now := s.machineView(), s.host.Now()
 	for _, v := range view {
 		for _, a := range s.inventory.Machines[v.Name].Attempts {
-			// Released resources are free in the view already. If they counted twice, a
-			// reservation could wait forever for what another gang has just taken.
+			// Released resources are free in the view already. If they were counted twice, a
+			// reservation could wait forever for resources that another gang has just used.
 			if !a.ResourcesReleased && endsSoon(a, now) {
 				v.Free = v.Free.Add(a.Job.Need)
 			}
--- a/internal/scheduler/preemption_test.go
+++ b/internal/scheduler/preemption_test.go
@@ -8,8 +8,9 @@
 	"tamarindlead/sched"
 )
 
-// newPreemptionFixture returns a scheduler with one machine, on which an array of two tasks and low
-// priority runs, and a gang that fits only in its place. Both tasks have run for 20 s of 30 s.
+// newPreemptionFixture returns a scheduler with one machine, on which an array of two tasks with low
+// priority runs, and a gang that fits only if both tasks are stopped. Both have run for 20 s of an
+// estimated 30 s.
 func newPreemptionFixture(t *testing.T, checkpoint micros.Micros) (f *fixture, gang, array *inventory.Job) {
 	t.Helper()
 	f = newFixture(t)
@@ -30,16 +31,17 @@
 }
 
 // TestFailedPreemptionBacksOff guards against a gang that preempts tasks again on every retry
-// although it never starts: each reservation in vain doubles the pause before the next preemption.
+// although it never starts: each reservation with which the gang does not start doubles the pause
+// before the next preemption.
 func TestFailedPreemptionBacksOff(t *testing.T) {
 	f, gang, _ := newPreemptionFixture(t, 0)
 	wait := f.settings.Tuning.ReservationTimeout
 	for n := range 3 {
 		if !f.preempt(gang) {
-			t.Fatalf("reservation %d: nothing is preempted", n)
+			t.Fatalf("reservation %d: no preemption is planned", n)
 		}
 		r := f.reservations[gang.ID]
-		r.victims = nil // what was to be stopped goes on, so that the next reservation finds the same
+		r.victims = nil // the victims continue to run, so that the next reservation finds them again
 		f.setReservationState(r, reservationReady, "test")
 		f.advance(r.expiresAt + 1 - f.fake.now)
 		f.TickReservations()
@@ -50,22 +52,22 @@
 		pause := wait << n
 		f.advance(pause - 1)
 		if f.preempt(gang) {
-			t.Fatalf("after %d reservations in vain tasks are preempted again before %v", n+1, pause)
+			t.Fatalf("after %d reservations without a start, tasks are preempted again before a pause of %v", n+1, pause)
 		}
 		f.advance(1)
 	}
 }
 
-// TestPreemptionSparesEndingTasks guards against stopping tasks that are about to end, since a stop
-// would not be faster: their resources count as free soon.
+// TestPreemptionSparesEndingTasks guards against stopping tasks that end soon, which would not free
+// their resources earlier.
 func TestPreemptionSparesEndingTasks(t *testing.T) {
 	f, gang, array := newPreemptionFixture(t, 0)
 	if n := len(f.victims(gang.Job, sched.Preempt, nil)); n != 1 {
-		t.Fatalf("%d victims 10 s before the array's end", n)
+		t.Fatalf("%d victims 10 s before the array's end, want 1", n)
 	}
 	f.fake.now += 8 * micros.Second
 	if list := f.victims(gang.Job, sched.Preempt, nil); len(list) != 0 {
-		t.Errorf("%d tasks are to be stopped 2 s before their end", len(list[0].Tasks))
+		t.Errorf("%d tasks would be stopped 2 s before their end", len(list[0].Tasks))
 	}
 	for _, a := range array.SortedAttempts() {
 		if !endsSoon(a, f.fake.now) {
@@ -74,20 +76,21 @@
 	}
 }
 
-// TestPreemptionOrderByLostWork guards the order in which machines are tried: a task with checkpoints
-// loses the time for one only, a task without loses all of its run.
+// TestPreemptionOrderByLostWork checks the lost work, by which machines are chosen: stopping a task with
+// checkpoints costs only the time of one checkpoint, stopping a task without checkpoints costs its
+// whole run time so far.
 func TestPreemptionOrderByLostWork(t *testing.T) {
 	for checkpoint, want := range map[micros.Micros]float64{0: 14 * 20, 15 * micros.Second: 14 * 1} {
 		f, gang, _ := newPreemptionFixture(t, checkpoint)
 		list := f.victims(gang.Job, sched.Preempt, nil)
 		if len(list) != 1 || list[0].Tasks[0].LostWork != want {
-			t.Errorf("checkpoints every %v: victims %+v, lost should be %g", checkpoint, list, want)
+			t.Errorf("checkpoint interval %v: victims %+v, want lost work %g", checkpoint, list, want)
 		}
 	}
 }
 
-// TestFreedCapacityCountedOnce guards against resources that are counted twice: a reservation for
-// them would wait forever, since another gang has taken what there is.
+// TestFreedCapacityCountedOnce guards against counting released resources twice: a reservation for them
+// would wait forever, since another gang already uses them.
 func TestFreedCapacityCountedOnce(t *testing.T) {
 	f := newFixture(t)
 	for i := range 2 {
@@ -99,6 +102,6 @@
 	f.inventory.SetAttemptState(ended, inventory.AttemptCompleted)
 	f.inventory.AddAttempt(queue[1], 0, 8, m, inventory.AttemptLive)
 	if free, is := f.preemptionView()[0].Free.CPUs(), m.Size.Sub(m.Used).CPUs(); free != is {
-		t.Errorf("%g processors count as free, of which there are %g", free, is)
+		t.Errorf("%g processors count as free, want %g", free, is)
 	}
 }
--- a/internal/scheduler/queue_order.go
+++ b/internal/scheduler/queue_order.go
@@ -11,17 +11,17 @@
 )
 
 const (
-	// urgentSlack is the slack below which a job precedes others of its priority.
+	// urgentSlack is the deadline slack below which a job precedes others of its priority.
 	urgentSlack = 30 * micros.Second
-	// minQueueingDelay is the queueing delay of a job that cannot meet its deadline any more: it is
-	// placed as soon as possible.
+	// minQueueingDelay is the maximum queueing delay of a job that cannot meet its deadline any
+	// more. Such a job is placed as soon as possible.
 	minQueueingDelay = micros.Second
 )
 
 // schedulingOrder returns the jobs in the order in which they are placed. Starving jobs come first,
-// whatever their priority, so that every job starts even under lasting overload. Among jobs of equal
-// priority, those within their teams' guaranteed quotas come first, which need not wait for other
-// teams; then those with urgent deadlines; then the earliest.
+// whatever their priority, so that every job starts even under sustained overload. Among jobs of equal
+// priority, jobs within their teams' guaranteed quotas come first, because they need not wait for other
+// teams, then jobs with urgent deadlines, then the jobs that became ready first.
 func (s *Scheduler) schedulingOrder() []*inventory.Job {
 	guaranteed, wallClock := s.JobsWithinGuarantee(), s.host.WallClock()
 	list := slices.Clone(s.inventory.Queue)
@@ -42,12 +42,13 @@
 	return list
 }
 
-// isStarving reports whether a job has waited for long and not started.
+// isStarving reports whether a job was never placed and has been ready for longer than StarvationTimeout.
 func (s *Scheduler) isStarving(j *inventory.Job, wallClock micros.Micros) bool {
 	return !j.EverPlaced && j.State == inventory.JobActive && wallClock-j.ReadyAt > s.settings.Tuning.StarvationTimeout
 }
 
-// compareTrueFirst orders what has a property before what does not have it.
+// compareTrueFirst compares two values of which exactly one has a property: that one comes first. has is
+// whether the first value has the property.
 func compareTrueFirst(has bool) int {
 	if has {
 		return -1
@@ -83,13 +84,13 @@
 	return 0
 }
 
-// ClassWaitTarget returns how long a job may wait by the SLOs of its class.
+// ClassWaitTarget returns how long a job may wait according to the SLOs of its class.
 func (s *Scheduler) ClassWaitTarget(j *inventory.Job) micros.Micros {
 	return autoscaler.WaitTarget(s.settings.SLOs, j.Class, j.Gang, s.EstimatedRunTime(j), s.settings.Tuning.QueueTarget)
 }
 
-// MaxQueueingDelay returns how long a job may wait: by its class, and until it must start to meet
-// its deadline.
+// MaxQueueingDelay returns how long a job may wait: the wait target of its class, or the time until it
+// must start to meet its deadline if that is shorter.
 func (s *Scheduler) MaxQueueingDelay(j *inventory.Job) micros.Micros {
 	if j.EffectiveDeadline == 0 {
 		return s.ClassWaitTarget(j)
@@ -97,12 +98,12 @@
 	return min(s.ClassWaitTarget(j), max(minQueueingDelay, s.deadlineSlack(j, s.host.WallClock())))
 }
 
-// ApplyInheritance updates a job's priority and deadline by what it inherits from its downstream
-// jobs, and its position in the queue.
+// ApplyInheritance updates a job's priority and deadline according to what it inherits from its
+// downstream jobs, and its position in the queue.
 func (s *Scheduler) ApplyInheritance(j *inventory.Job) {
 	inherited, inPipeline := s.host.Inherited(j.ID)
 	priority, deadline := max(j.SubmittedPriority, inherited.Priority), micros.Micros(0)
-	if inPipeline { // deadlines count in pipelines only
+	if inPipeline { // deadlines apply only in pipelines
 		deadline = dag.EarlierDeadline(dag.AbsoluteDeadline(j.Accepted, j.Deadline), inherited.LatestFinish)
 	}
 	if priority == j.Priority && deadline == j.EffectiveDeadline {
--- a/internal/scheduler/quota.go
+++ b/internal/scheduler/quota.go
@@ -12,8 +12,8 @@
 // unlimited is the headroom for a resource without a limit.
 const unlimited = 1 << 60
 
-// QuotaHeadroom returns how many pending tasks of a job its team's quota limit has room for, less
-// the resources that are reserved for others.
+// QuotaHeadroom returns how many pending tasks of a job its team's quota limit allows if the reserved
+// resources are kept for other jobs.
 func (s *Scheduler) QuotaHeadroom(j *inventory.Job, reserved sched.Resources) int {
 	t := s.inventory.Teams[j.Team]
 	if t == nil {
@@ -30,17 +30,17 @@
 	return j.Need.Count(free, j.Pending)
 }
 
-// quotaReservations are the gangs of each team that wait for quota or for machines. Quota that is
-// released must not go to later work a task at a time, since such a gang needs all of it at once.
+// quotaReservations lists, by team, the gangs that wait for quota or for machines. Released quota must
+// not be used by later jobs task by task, since a waiting gang needs all of its quota at the same time.
 type quotaReservations map[string][]*inventory.Job
 
-// add reserves a part of its team's quota limit for a gang.
+// add reserves quota of its team for a gang.
 func (q quotaReservations) add(gang *inventory.Job) {
 	q[gang.Team] = append(q[gang.Team], gang)
 }
 
-// reservedFrom returns the resources of its team's quota limit that a job must leave: for gangs of
-// higher priority, and for all that have waited for too long.
+// reservedFrom returns the part of its team's quota limit that a job must not use, because it is reserved
+// for gangs of higher priority and for gangs of any priority that have waited for too long.
 func (q quotaReservations) reservedFrom(j *inventory.Job, wallClock micros.Micros) sched.Resources {
 	var sum sched.Resources
 	for _, gang := range q[j.Team] {
@@ -51,14 +51,14 @@
 	return sum
 }
 
-// Usage returns what a team uses once all tasks that are being stopped have ended: these must not be
-// counted as surplus a second time.
+// Usage returns the resources that a team will use after all tasks that are being stopped have ended.
+// These tasks must not be counted as surplus a second time.
 func Usage(t *inventory.Team) sched.TeamUsage {
 	return sched.TeamUsage{Used: t.Used.Sub(t.Stopping), GuaranteedQuota: t.GuaranteedQuota}
 }
 
 // JobsWithinGuarantee returns the jobs that their teams' guaranteed quotas cover: the earliest
-// unfinished ones of each team, as long as they fit together. If current usage counted instead, a
+// unfinished jobs of each team that fit the quota together. If the current usage decided instead, a
 // gang that was just preempted for another would be covered again and reclaim the machines, and two
 // teams would preempt each other's gangs in turn (docs/incidents/eyjafold-third-reclaim.md).
 func (s *Scheduler) JobsWithinGuarantee() map[*inventory.Job]bool {
--- a/internal/scheduler/reservations.go
+++ b/internal/scheduler/reservations.go
@@ -14,19 +14,19 @@
 )
 
 const (
-	// stopTimeoutFactor is how many times the reservation timeout preemption may take: what still
-	// uses the resources then was not among the victims.
+	// stopTimeoutFactor is the time that stopping the victims may take, in multiples of the
+	// reservation timeout. Tasks that still use the resources after that were not among the victims.
 	stopTimeoutFactor = 2
-	// maxBackoffDoublings bounds the backoff after reservations with which a gang did not start.
+	// maxBackoffDoublings limits the backoff after reservations with which a gang did not start.
 	maxBackoffDoublings = 4
 )
 
 // reservationState is the state of a reservation.
 type reservationState int
 
-// The states of a reservation, in the order in which it passes them.
+// The states of a reservation, in the order in which a reservation passes through them.
 const (
-	reservationPlanned  reservationState = iota // must be recorded before anything is preempted
+	reservationPlanned  reservationState = iota // must be recorded before tasks are preempted
 	reservationStopping                         // recorded; the victims are being stopped
 	reservationReady                            // its resources are free: the gang may be placed
 	reservationReleased                         // its record must be deleted
@@ -46,15 +46,15 @@
 	return fmt.Sprintf("reservationState(%d)", int(s))
 }
 
-// reservation reserves machines for a gang for which tasks are preempted. It is kept in a record of
-// its own, so that it survives a failover.
+// reservation reserves machines for a gang for which tasks are preempted. It has a record of its own,
+// so that it survives a failover.
 type reservation struct {
 	job       string
 	state     reservationState
 	machines  map[string]int // tasks of the gang by machine
 	need      sched.Resources
-	victims   []sched.Bundle // stopped once the reservation is recorded
-	expiresAt micros.Micros  // end of the present state
+	victims   []sched.Bundle // stopped after the reservation has been recorded
+	expiresAt micros.Micros  // timeout of the current state
 	writing   bool           // a transaction with its record is in flight
 }
 
@@ -72,7 +72,8 @@
 	return reserved
 }
 
-// setReservationState is the only place where a reservation changes its state.
+// setReservationState changes the state of a reservation. Every change goes through it, so that all are
+// logged.
 func (s *Scheduler) setReservationState(r *reservation, state reservationState, reason string) {
 	if r.state == state {
 		return
@@ -81,7 +82,7 @@
 		"machines", len(r.machines), "reason", reason)
 	r.state = state
 	switch state {
-	case reservationPlanned: // only new reservations are
+	case reservationPlanned: // the initial state, which is never set here
 	case reservationStopping:
 		r.expiresAt = s.host.Now() + stopTimeoutFactor*s.settings.Tuning.ReservationTimeout
 	case reservationReady:
@@ -98,7 +99,7 @@
 // ReservationCount returns the number of reservations.
 func (s *Scheduler) ReservationCount() int { return len(s.reservations) }
 
-// IsReserved reports whether a machine is reserved for some gang, and so must not be terminated or
+// IsReserved reports whether a machine is reserved for a gang, so that it must not be terminated or
 // transferred.
 func (s *Scheduler) IsReserved(machine string) bool {
 	for _, r := range s.reservations {
@@ -109,7 +110,7 @@
 	return false
 }
 
-// reservedResources returns what is reserved on a machine for gangs that are not placed yet.
+// reservedResources returns the resources of a machine that are reserved for gangs not yet placed.
 func (s *Scheduler) reservedResources(machine string) sched.Resources {
 	var sum sched.Resources
 	for id, r := range s.reservations {
@@ -120,7 +121,7 @@
 	return sum
 }
 
-// Reasons for changes of a reservation's state, beside inventory.ReasonJobEnded.
+// Reasons for changes of a reservation's state, in addition to inventory.ReasonJobEnded.
 const (
 	reasonRecorded         = "recorded"
 	reasonVictimsStopped   = "victims stopped"
@@ -139,7 +140,7 @@
 	}
 }
 
-// tickReservation advances the state of a reservation for a gang, which is nil once it is over.
+// tickReservation advances the state of a reservation. j is its gang, or nil if the gang has ended.
 func (s *Scheduler) tickReservation(r *reservation, j *inventory.Job) {
 	now := s.host.Now()
 	switch {
@@ -163,7 +164,7 @@
 	}
 }
 
-// lostMachine reports whether some machine of a reservation can no longer be used.
+// lostMachine reports whether any machine of a reservation can no longer be used.
 func (s *Scheduler) lostMachine(r *reservation) bool {
 	for name := range r.machines {
 		if m := s.inventory.Machines[name]; m == nil || m.State != inventory.MachineReady {
@@ -202,12 +203,12 @@
 	Put(key string, value any)
 	// Delete deletes a key.
 	Delete(key string)
-	// OnResult has a function called with the outcome of the transaction.
+	// OnResult registers a function that is called with the outcome of the transaction.
 	OnResult(handle func(ok bool, revision uint64))
 }
 
-// FlushReservations adds the records of planned reservations to a transaction and deletes those of
-// released ones, until the transaction is full.
+// FlushReservations adds the records of planned reservations and the deletions of released ones to a
+// transaction, until it is full.
 func (s *Scheduler) FlushReservations(t Transaction, full func() bool) {
 	for _, id := range ordered.Keys(s.reservations) {
 		r := s.reservations[id]
@@ -252,9 +253,10 @@
 // ClearReservations removes all reservations, before they are recovered from the records.
 func (s *Scheduler) ClearReservations() { clear(s.reservations) }
 
-// RecoverReservations recovers the reservations of an earlier owner from their records, and returns
-// the keys of those that are no use to this owner. Not all victims may have been stopped; if so, the
-// gang preempts tasks again after the reservation timeout.
+// RecoverReservations recovers the reservations of an earlier owner from their records. It returns the
+// keys of records that it does not use, since this owner does not have the job or they cannot be
+// decoded. Some victims may not have been stopped yet; the gang then preempts tasks again after the
+// reservation timeout.
 func (s *Scheduler) RecoverReservations(entries []kv.Entry) (unused []string) {
 	for _, e := range entries {
 		var rec record.Reservation
--- a/internal/scheduler/reservations_test.go
+++ b/internal/scheduler/reservations_test.go
@@ -15,7 +15,8 @@
 
 func notFull() bool { return false }
 
-// flush finishes a transaction with the records that reservations need now, and returns it.
+// flush writes the records of reservations in a transaction, which succeeds if ok is set, and returns
+// the transaction.
 func (f *fixture) flush(ok bool) *fakeTransaction {
 	t := newFakeTransaction()
 	f.FlushReservations(t, notFull)
@@ -23,8 +24,8 @@
 	return t
 }
 
-// TestReservationRecordedBeforePreemption guards against tasks that are stopped for a reservation
-// which a failover would forget: nothing is stopped before its record is written.
+// TestReservationRecordedBeforePreemption guards against stopping tasks for a reservation that would be
+// lost in a failover: no task may be stopped before the record of the reservation is written.
 func TestReservationRecordedBeforePreemption(t *testing.T) {
 	f, gang, array := newPreemptionFixture(t, 0)
 	key := record.ReservationKey(gang.ID)
@@ -33,18 +34,18 @@
 		t.Fatalf("reservation is %+v", r)
 	}
 	if tx := f.flush(false); len(tx.put) != 1 || tx.put[key] == nil || tx.required[record.ActiveJobKey(gang.ID)] != gang.Version {
-		t.Fatalf("written is %v with preconditions %v", tx.put, tx.required)
+		t.Fatalf("the transaction writes %v with preconditions %v", tx.put, tx.required)
 	}
 	if len(f.fake.evicted) != 0 {
-		t.Fatalf("%v are stopped though the record is not written", f.fake.evicted)
+		t.Fatalf("tasks %v are stopped although the record is not written", f.fake.evicted)
 	}
 	f.flush(true)
 	want := []string{wire.TaskName(array.ID, 0), wire.TaskName(array.ID, 1)}
 	if state := f.reservations[gang.ID].state; state != reservationStopping || !slices.Equal(f.fake.evicted, want) {
-		t.Fatalf("reservation is %v, stopped are %v", state, f.fake.evicted)
+		t.Fatalf("reservation is %v, stopped tasks are %v", state, f.fake.evicted)
 	}
 	if tx := f.flush(true); len(tx.results) != 0 {
-		t.Fatalf("written again: %v", tx.put)
+		t.Fatalf("the record is written again: %v", tx.put)
 	}
 }
 
@@ -72,11 +73,11 @@
 	f.startAttempts(gang)
 	f.TickReservations()
 	if tx := f.flush(true); !slices.Equal(tx.deleted, []string{record.ReservationKey(gang.ID)}) || f.ReservationCount() != 0 || f.IsReserved("m-000001") {
-		t.Fatalf("deleted are %v, %d reservations are left", tx.deleted, f.ReservationCount())
+		t.Fatalf("deleted keys are %v, %d reservations remain", tx.deleted, f.ReservationCount())
 	}
 }
 
-// startAttempts lets all attempts of a gang be recorded and run.
+// startAttempts records all attempts of a gang and reports their tasks as running.
 func (f *fixture) startAttempts(gang *inventory.Job) {
 	for _, a := range gang.SortedAttempts() {
 		f.HandleAttemptRecorded(a)
@@ -86,7 +87,8 @@
 	}
 }
 
-// TestReservationReleased guards against machines that stay reserved for a gang that can't use them.
+// TestReservationReleased guards against machines that stay reserved for a gang that cannot use
+// them.
 func TestReservationReleased(t *testing.T) {
 	tests := []struct {
 		name  string
@@ -109,7 +111,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			f, gang, _ := newPreemptionFixture(t, 0)
 			if !f.preempt(gang) {
-				t.Fatal("nothing is preempted")
+				t.Fatal("no preemption is planned")
 			}
 			r := f.reservations[gang.ID]
 			f.setReservationState(r, test.state, "test")
@@ -127,21 +129,21 @@
 	}
 }
 
-// TestFullTransactionTakesNoReservation guards against a transaction beyond its bounds.
+// TestFullTransactionTakesNoReservation guards against exceeding the limits of a transaction.
 func TestFullTransactionTakesNoReservation(t *testing.T) {
 	f, gang, _ := newPreemptionFixture(t, 0)
 	if !f.preempt(gang) {
-		t.Fatal("nothing is preempted")
+		t.Fatal("no preemption is planned")
 	}
 	tx := newFakeTransaction()
 	f.FlushReservations(tx, func() bool { return true })
 	if len(tx.put)+len(tx.required)+len(tx.results) != 0 || f.reservations[gang.ID].writing {
-		t.Errorf("written is %v", tx.put)
+		t.Errorf("a full transaction writes %v", tx.put)
 	}
 }
 
-// TestRecoverReservations guards against reservations that a failover loses, and against records that
-// are kept forever.
+// TestRecoverReservations guards against reservations that are lost in a failover, and against records
+// that are never deleted.
 func TestRecoverReservations(t *testing.T) {
 	f, gang, _ := newPreemptionFixture(t, 0)
 	machines := map[string]int{"m-000001": 1}
@@ -152,17 +154,17 @@
 		{Key: ended, Value: value},
 	})
 	if !slices.Equal(unused, []string{ended}) {
-		t.Errorf("unused are %v", unused)
+		t.Errorf("unused keys are %v", unused)
 	}
 	r := f.reservations[gang.ID]
 	if f.ReservationCount() != 1 || r == nil || r.state != reservationReady || !maps.Equal(r.machines, machines) {
-		t.Fatalf("recovered is %+v", r)
+		t.Fatalf("recovered reservation is %+v", r)
 	}
 	if reserved, want := f.reservedResources("m-000001"), gang.Need; reserved != want {
-		t.Errorf("%v are reserved, want %v", reserved, want)
+		t.Errorf("reserved resources are %v, want %v", reserved, want)
 	}
 	if f.ClearReservations(); f.IsReserved("m-000001") {
-		t.Error("a reservation is left")
+		t.Error("a machine is still reserved after all reservations were removed")
 	}
 }
 
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -11,11 +11,11 @@
 	"tamarindlead/sched"
 )
 
-// Host is what the scheduler needs of the owner that it is a part of.
+// Host is the part of its owner that the scheduler uses.
 type Host interface {
-	// Now returns the steady time of the present event.
+	// Now returns the monotonic time of the current event.
 	Now() micros.Micros
-	// WallClock returns the time of day of the present event.
+	// WallClock returns the wall-clock time of the current event.
 	WallClock() micros.Micros
 	// Committing reports whether a transaction with records of the owner is in flight.
 	Committing() bool
@@ -33,14 +33,14 @@
 	Catalog() autoscaler.Catalog
 	// Market returns what can be requested from the cloud now.
 	Market() autoscaler.Market
-	// RequestMachines requests machines for tasks of a job from other owners, with reclaim also
-	// those used by teams beyond their guaranteed quotas.
+	// RequestMachines requests machines for tasks of a job from other owners. With reclaim, these
+	// may preempt tasks of teams that use more than their guaranteed quotas.
 	RequestMachines(job *sched.Job, tasks int, reclaim bool)
 	// Inherited returns what a job inherits from its downstream jobs, and whether it is part of
 	// a pipeline at all.
 	Inherited(job string) (inherited dag.Inheritance, inPipeline bool)
-	// UnblockPlacedJob returns the job that a record of an earlier owner names as placed, no
-	// longer blocked, or nil if there is none.
+	// UnblockPlacedJob returns a job that is placed according to a record of an earlier owner, so
+	// that it cannot be blocked any more, or nil if this owner does not have the job.
 	UnblockPlacedJob(job string) *inventory.Job
 }
 
@@ -58,7 +58,7 @@
 	RemainingRunTime func(attempt *inventory.Attempt) micros.Micros
 }
 
-// Dependencies are what a scheduler works on and with.
+// Dependencies are the other parts of an owner that a scheduler uses.
 type Dependencies struct {
 	Host      Host
 	Machines  MachineFuncs
@@ -69,7 +69,7 @@
 	Log       *slog.Logger
 }
 
-// Scheduler places the jobs of an owner. It lives as long as its owner.
+// Scheduler places the jobs of an owner. It exists as long as its owner.
 type Scheduler struct {
 	host      Host
 	machines  MachineFuncs
@@ -82,8 +82,8 @@
 	nextPass     micros.Micros           // the earliest time of the next pass
 	reservations map[string]*reservation // by job
 
-	// freeBytes is used by one view at a time and cleared before, since a new map for each of
-	// many assignments would be garbage.
+	// freeBytes is a buffer for the calls of MachineFuncs.FreeSlots. It is cleared before each use
+	// and shared by all, since allocating a map for each of many assignments would be wasteful.
 	freeBytes map[*inventory.Block]float64
 }
 
@@ -108,12 +108,13 @@
 	return s.classes.CorrectedEstimate(j.Class, j.Estimate)
 }
 
-// isScarce reports whether some recent class of jobs fits no other machine type than the machine's.
+// isScarce reports whether a recent class of jobs fits only the machine's type.
 func (s *Scheduler) isScarce(m *inventory.Machine, now micros.Micros) bool {
 	return s.classes.Scarce(now, m.Type, m.Spot)
 }
 
-// RemainingBusyTime returns how long the tasks on a machine still take whose resources are in use.
+// RemainingBusyTime returns the estimated time until all tasks that use resources of a machine have
+// completed.
 func (s *Scheduler) RemainingBusyTime(m *inventory.Machine) micros.Micros {
 	longest := micros.Micros(0)
 	for _, a := range m.Attempts {
--- a/internal/scheduler/slack.go
+++ b/internal/scheduler/slack.go
@@ -5,11 +5,11 @@
 	"tamarindlead/sched"
 )
 
-// fitsSingleType reports whether a job's class fits one machine type only.
+// fitsSingleType reports whether the jobs of a job's class fit only one machine type.
 func (s *Scheduler) fitsSingleType(j *inventory.Job) bool { return s.classes.SingleType(j.Class) }
 
-// HasNoSingleTypeTasks reports whether no task on a machine is of a job that depends on the machine's
-// type.
+// HasNoSingleTypeTasks reports whether no task that uses resources of a machine belongs to a job that
+// fits only one machine type.
 func (s *Scheduler) HasNoSingleTypeTasks(m *inventory.Machine) bool {
 	for _, a := range m.Attempts {
 		if !a.ResourcesReleased && s.fitsSingleType(a.Job) {
@@ -19,8 +19,9 @@
 	return true
 }
 
-// addSlack splits the machines that gangs use in the view: the part that no other task of a gang
-// could use is paid for in any case and never delays a gang, so that short tasks go there first.
+// addSlack splits off the slack of machines in the view that gangs use. No further task of a gang fits
+// into the slack, and the machine is paid for in any case. Tasks that fit are therefore placed there
+// first, where they never delay a gang.
 func (s *Scheduler) addSlack(view []*sched.Machine) []*sched.Machine {
 	needs := s.classes.LargestSingleTypeNeeds(s.host.Now())
 	if len(needs) == 0 {
@@ -40,8 +41,8 @@
 	return view
 }
 
-// freeSlack returns the free part of a machine's slack if its gangs need that much for a task, and
-// whether there is any.
+// freeSlack returns the free part of a machine's slack, where need is that of a task of the gangs that
+// use the machine, and whether there is any.
 func (s *Scheduler) freeSlack(m *inventory.Machine, v *sched.Machine, need sched.Resources) (sched.Resources, bool) {
 	slack := m.Slack(need)
 	if slack.CPU <= 0 || s.HasNoSingleTypeTasks(m) || s.IsReserved(v.Name) {
@@ -56,8 +57,8 @@
 	return slack, slack.CPU > 0 && slack.Mem >= 0 && slack.GPU >= 0
 }
 
-// splitSlack moves slack of a machine in the view into a machine of its own, which only short tasks
-// use.
+// splitSlack moves slack of a machine in the view into an entry of its own, which is not reserved for
+// gangs.
 func splitSlack(v *sched.Machine, slack sched.Resources) *sched.Machine {
 	part := *v
 	part.Free, part.Slack, part.Price = slack, true, 0
--- a/internal/scheduler/spot.go
+++ b/internal/scheduler/spot.go
@@ -6,7 +6,7 @@
 	"tamarindlead/micros"
 )
 
-// RecordSpotUptime records that the spot machines have been up for a time.
+// RecordSpotUptime adds the elapsed time to the uptime of each spot machine that is up.
 func (s *Scheduler) RecordSpotUptime(elapsed micros.Micros) {
 	for _, m := range s.inventory.SortedMachines {
 		if m.Spot && (m.State == inventory.MachineReady || m.State == inventory.MachineDraining) {
@@ -15,7 +15,7 @@
 	}
 }
 
-// RecordSpotReclaimed records that the cloud reclaimed a machine, if it is a spot machine, once.
+// RecordSpotReclaimed records, once for each spot machine, that the cloud has reclaimed it.
 func (s *Scheduler) RecordSpotReclaimed(m *inventory.Machine) {
 	if m.Spot && !m.SpotReclaimed {
 		m.SpotReclaimed = true
@@ -24,7 +24,7 @@
 }
 
 // MinOnDemandTasks returns how many tasks of a gang must not be on spot machines. A gang that has
-// waited for too long uses as many spot machines as make good progress.
+// waited for too long uses as many spot machines as still allow good progress.
 func (s *Scheduler) MinOnDemandTasks(j *inventory.Job) int {
 	if !j.Spot {
 		return j.Tasks
--- a/internal/scheduler/victims.go
+++ b/internal/scheduler/victims.go
@@ -8,10 +8,10 @@
 )
 
 // MinRemainingForPreemption is the remaining run time below which a task is not stopped, since
-// stopping it would not be faster.
+// stopping it would not free its resources earlier.
 const MinRemainingForPreemption = 3 * micros.Second
 
-// endsSoon reports whether the resources of an attempt will be free without preemption.
+// endsSoon reports whether the resources of an attempt will be free soon without preemption.
 func endsSoon(a *inventory.Attempt, now micros.Micros) bool {
 	leaving := a.State == inventory.AttemptStopping || a.State == inventory.AttemptCompleted || a.State == inventory.AttemptRemoving
 	if leaving {
@@ -24,7 +24,7 @@
 	return a.Job.Estimate-ran < MinRemainingForPreemption && ran < a.Job.Estimate+MinRemainingForPreemption
 }
 
-// victims returns the jobs of which tasks may be preempted for j, with these tasks.
+// victims returns the jobs whose tasks may be preempted for j, with these tasks.
 func (s *Scheduler) victims(j *sched.Job, mode sched.PreemptionMode, guaranteed map[*inventory.Job]bool) []*sched.Victim {
 	now := s.host.Now()
 	var list []*sched.Victim
@@ -40,8 +40,8 @@
 	return list
 }
 
-// mayPreempt reports whether tasks of a candidate may be preempted for j. Jobs within another team's
-// guaranteed quota are not reclaimed; what that team runs beyond it are its later jobs.
+// mayPreempt reports whether tasks of a candidate may be preempted for j. Jobs of another team that its
+// guaranteed quota covers are not reclaimed; only later jobs of that team exceed the quota.
 func mayPreempt(candidate *inventory.Job, j *sched.Job, mode sched.PreemptionMode, guaranteed map[*inventory.Job]bool) bool {
 	if candidate.State != inventory.JobActive || candidate.GangState == inventory.GangStopping || candidate.GangState == inventory.GangPlacing {
 		return false
@@ -76,8 +76,8 @@
 	return victim
 }
 
-// lostWork returns the processor seconds that stopping an attempt costs: the time for a checkpoint,
-// or without one all of its progress.
+// lostWork returns the processor seconds that stopping an attempt costs: the time for saving a
+// checkpoint or, for a job without checkpoints, the whole run time so far.
 func lostWork(a *inventory.Attempt, now micros.Micros) float64 {
 	lost := a.Job.CheckpointDuration
 	if a.Job.CheckpointInterval == 0 && a.RunningSince != 0 {
@@ -89,7 +89,8 @@
 // PreemptionReason returns the reason with which victims of a job are stopped.
 func PreemptionReason(job string) string { return "preempted for " + job }
 
-// EvictVictims starts the stops of a preemption plan, for the tasks that are still where they were.
+// EvictVictims starts to stop the tasks of a preemption plan that are still on the machines on which they
+// were when it was made.
 func (s *Scheduler) EvictVictims(bundles []sched.Bundle, reason string) {
 	for _, b := range bundles {
 		v := s.inventory.Jobs[b.Victim.Job]
--- a/sched/bundles.go
+++ b/sched/bundles.go
@@ -13,15 +13,16 @@
 	Machine   string
 	Role      string
 	Resources Resources
-	PlacedAt  micros.Micros // start of the task
-	LostWork  float64       // work that stopping it undoes, in processor seconds
+	PlacedAt  micros.Micros // when the task was placed on the machine
+	LostWork  float64       // work that is lost if the task is stopped, in processor seconds
 }
 
-// Role is a part of a gang with a minimum of its own.
+// Role is a group of tasks of a gang that has a minimum number of tasks of its own. Ready is the
+// number of tasks that it has now.
 type Role struct{ Ready, Min int }
 
-// Victim is a job whose tasks could be preempted. An array has the minimum 0: all its tasks
-// are surplus.
+// Victim is a job whose tasks could be preempted. MinTasks is 0 for an array: all its tasks are
+// surplus.
 type Victim struct {
 	Job            string
 	Team           string
@@ -29,20 +30,21 @@
 	MinTasks       int
 	ReadyTasks     int
 	Roles          map[string]Role
-	TotalResources Resources // of the whole job, wherever it runs
-	LatestPlacedAt micros.Micros
+	TotalResources Resources     // of all tasks of the job, in any domain
+	LatestPlacedAt micros.Micros // when the last of its tasks was placed
 	Tasks          []VictimTask
 }
 
-// Bundle is a part of a victim. A safe bundle holds surplus tasks, which may be stopped one
-// by one; the tasks of any other are stopped together with the rest of their gang.
+// Bundle is a set of tasks of one victim in a domain. The tasks of a safe bundle are surplus: the
+// gang keeps its minimum without them, so that they may be stopped individually. The tasks of an
+// unsafe bundle are stopped only together with the rest of their gang.
 type Bundle struct {
 	Victim        *Victim
 	Safe          bool
 	Tasks         []VictimTask
 	FreedInDomain Resources
 	roi           float64
-	roiGroup      int // rank of its ROI, see rankROI
+	roiGroup      int // number of the group of similar ROIs, see rankROI
 }
 
 // newBundle returns a bundle of tasks of a victim.
@@ -81,7 +83,7 @@
 }
 
 // roi returns the return on investment of stopping a job: gain over cost, or 0 for a victim
-// that has nothing of what is needed.
+// that uses none of the needed resources.
 func roi(freed, footprint, need Resources) float64 {
 	invested := cost(footprint, need)
 	if invested <= 0 {
@@ -90,14 +92,14 @@
 	return gain(freed, need) / invested
 }
 
-// splitVictim splits a victim's tasks in a domain into a safe bundle and one that is stopped
-// whole. Either may be absent.
+// splitVictim splits a victim's tasks in a domain into a safe and an unsafe bundle. Bundles
+// without tasks are omitted.
 func splitVictim(v *Victim, inDomain func(machine string) bool, need Resources) []Bundle {
 	local := localTasks(v, inDomain, need)
 	if len(local) == 0 {
 		return nil
 	}
-	if v.ReadyTasks < v.MinTasks { // the gang is broken: stopping more of it loses nothing
+	if v.ReadyTasks < v.MinTasks { // the gang is below its minimum already, so that all its tasks are surplus
 		return []Bundle{newBundle(v, true, local)}
 	}
 	safe, core := v.splitSurplus(local)
@@ -111,7 +113,7 @@
 	return bundles
 }
 
-// localTasks returns a victim's tasks in a domain in the order in which to stop them.
+// localTasks returns a victim's tasks in a domain, in the order in which they should be stopped.
 func localTasks(v *Victim, inDomain func(machine string) bool, need Resources) []VictimTask {
 	var local []VictimTask
 	for _, t := range v.Tasks {
@@ -121,17 +123,17 @@
 	}
 	slices.SortStableFunc(local, func(a, b VictimTask) int {
 		return cmp.Or(
-			-cmp.Compare(gain(a.Resources, need), gain(b.Resources, need)), // the most useful
-			cmp.Compare(a.Resources.total(), b.Resources.total()),          // the least waste
-			-cmp.Compare(a.PlacedAt, b.PlacedAt),                           // the youngest
+			-cmp.Compare(gain(a.Resources, need), gain(b.Resources, need)), // largest gain first
+			cmp.Compare(a.Resources.total(), b.Resources.total()),          // least resources first
+			-cmp.Compare(a.PlacedAt, b.PlacedAt),                           // latest placed first
 			cmp.Compare(a.Index, b.Index),
 		)
 	})
 	return local
 }
 
-// splitSurplus splits tasks into those that the victim can spare, in the given order, and
-// those that its gang or a role of it needs.
+// splitSurplus splits tasks into surplus ones (safe) and those that the minimum of the gang or of a
+// role requires (core). The first tasks in the given order become surplus.
 func (v *Victim) splitSurplus(tasks []VictimTask) (safe, core []VictimTask) {
 	surplus := v.ReadyTasks - v.MinTasks
 	roleMinimums := 0
@@ -140,7 +142,8 @@
 		roleMinimums += role.Min
 		roleSurplus[name] = role.Ready - role.Min
 	}
-	// Minimums of roles that add up to more than that of the gang contradict it: it prevails.
+	// If the minimums of the roles add up to more than the minimum of the gang, they contradict it,
+	// and only that of the gang applies.
 	enforceRoles := len(v.Roles) > 0 && v.MinTasks >= roleMinimums
 	for _, t := range tasks {
 		if surplus > 0 && (!enforceRoles || roleSurplus[t.Role] > 0) {
--- a/sched/domains.go
+++ b/sched/domains.go
@@ -6,17 +6,18 @@
 	"slices"
 )
 
-// Domain is a set of machines in which a gang could be placed whole.
+// Domain is a set of machines on which all tasks of a gang could be placed together.
 type Domain struct {
 	Name     string
 	Machines []*Machine
 }
 
-// Domains returns the domains in which a gang could be placed, at most limit: each zone if it
-// must be in one, else all machines; the one that lacks the least first. Each is followed by
-// a narrow domain, an addition to the published design: only those machines that could take
-// the gang's tasks with the least work lost, because resources that are freed on scattered
-// machines add up to a domain's need without room for a single task.
+// Domains returns at most limit domains in which a gang could be placed: each zone if all its
+// tasks must be in one zone, otherwise all machines as one domain. The domain with the smallest
+// resource deficit comes first. Each is followed by a narrow domain, which is an addition to the
+// published design: it contains only the machines that could take the gang's tasks with the least
+// lost work. In a wide domain, resources that are freed on scattered machines may add up to what
+// the gang needs although no machine has enough for a single task.
 func Domains(j *Job, machines []*Machine, victims []*Victim, limit int) []Domain {
 	onMachine := victimTasksByMachine(victims)
 	var domains []Domain
@@ -29,7 +30,7 @@
 	return domains[:min(len(domains), limit)]
 }
 
-// victimTasksByMachine returns the tasks of all victims by machine, the least lost work first.
+// victimTasksByMachine returns the tasks of all victims by machine, sorted by lost work.
 func victimTasksByMachine(victims []*Victim) map[string][]VictimTask {
 	onMachine := map[string][]VictimTask{}
 	for _, v := range victims {
@@ -46,7 +47,7 @@
 	return onMachine
 }
 
-// totalLostWork returns the work that is undone when all of a victim is stopped.
+// totalLostWork returns the work that is lost if all tasks of a victim are stopped.
 func totalLostWork(v *Victim) float64 {
 	sum := 0.0
 	for _, t := range v.Tasks {
@@ -55,8 +56,8 @@
 	return sum
 }
 
-// wideDomains returns the allowed machines by zone if the gang must be in one, else all of
-// them as one domain; the one that lacks the least first.
+// wideDomains returns the machines that the gang may use: by zone if all its tasks must be in one
+// zone, otherwise as one domain. The domain with the smallest resource deficit comes first.
 func wideDomains(j *Job, machines []*Machine) []Domain {
 	byName := map[string][]*Machine{}
 	for _, m := range machines {
@@ -80,7 +81,8 @@
 	return domains
 }
 
-// lacking returns what the domain lacks for all tasks of the job, in needs of one task.
+// lacking returns the resource deficit of the domain for all tasks of the job, as a multiple of the
+// need of one task, added up over the kinds of resources.
 func (d Domain) lacking(j *Job) float64 {
 	var free Resources
 	for _, m := range d.Machines {
@@ -90,8 +92,8 @@
 	return cost(deficit, j.Need)
 }
 
-// narrowDomain returns the machines on which the least work is lost for each task of the
-// gang, as many as it needs.
+// narrowDomain returns as many machines of a wide domain as the gang needs, chosen by the least
+// lost work for each of its tasks.
 func narrowDomain(j *Job, wide Domain, onMachine map[string][]VictimTask) Domain {
 	var options []narrowOption
 	for _, m := range wide.Machines {
@@ -114,14 +116,15 @@
 	return narrow
 }
 
-// narrowOption is a machine with the most tasks of a gang that it could take.
+// narrowOption is a machine that may become part of a narrow domain.
 type narrowOption struct {
 	machine     *Machine
-	slots       int
-	lostPerSlot float64 // work lost to free them
+	slots       int     // largest number of tasks of the gang that could be placed on the machine
+	lostPerSlot float64 // work that is lost for each of them by stopping other tasks
 }
 
-// newNarrowOption stops one task after the other until no more tasks of the gang would fit.
+// newNarrowOption returns the option for a machine. It adds the resources of the stoppable tasks to
+// the free ones, one task after the other, and keeps the first state with the most slots.
 func newNarrowOption(j *Job, m *Machine, stoppable []VictimTask) narrowOption {
 	option := narrowOption{machine: m}
 	limit := min(j.Tasks, m.Slots)
--- a/sched/job.go
+++ b/sched/job.go
@@ -17,7 +17,7 @@
 	Production
 )
 
-// Job is a job as its user described it.
+// Job is a job as its user submitted it.
 type Job struct {
 	ID               string
 	Class            string
@@ -29,22 +29,22 @@
 	Need             Resources // of each task
 	Image            string
 	ImageGB          float64
-	Types            []string // allowed machine types, nil for any
-	Zone             string   // the only allowed zone, or ""
-	OneZone          bool     // all tasks must be in the same zone
-	Spread           bool     // no zone may hold more than half of the tasks
-	Spot             bool     // may use spot machines
-	MinOnDemandTasks int      // tasks of a gang that must not be on spot machines
-	Estimate         micros.Micros
-	// CheckpointInterval is the progress after which a running task saves a checkpoint; 0: never.
+	Types            []string      // allowed machine types, nil for any
+	Zone             string        // the only allowed zone, or ""
+	OneZone          bool          // all tasks must be in the same zone
+	Spread           bool          // no zone may hold more than half of the tasks
+	Spot             bool          // may use spot machines
+	MinOnDemandTasks int           // tasks of a gang that must not be on spot machines
+	Estimate         micros.Micros // of a task's run time
+	// CheckpointInterval is the progress after which a running task saves a checkpoint, 0 for never.
 	CheckpointInterval micros.Micros
-	CheckpointDuration micros.Micros
+	CheckpointDuration micros.Micros // time that saving a checkpoint takes
 	Deadline           micros.Micros // from submission, 0 for none
 	Dependencies       []string      // upstream jobs that must complete before any task starts, in order
 }
 
-// Allows reports whether the job's tasks may run on machines of a type in a zone, spot
-// machines or on-demand ones.
+// Allows reports whether the job's tasks may run on machines of a type in a zone, on spot or
+// on-demand machines.
 func (j *Job) Allows(machineType, zone string, spot bool) bool {
 	if spot && !j.Spot || j.Zone != "" && j.Zone != zone {
 		return false
--- a/sched/machine.go
+++ b/sched/machine.go
@@ -20,24 +20,24 @@
 	Type string
 	Zone string
 	Spot bool
-	// Free is what no task uses.
+	// Free are the resources that are available to further tasks.
 	Free Resources
-	// Slots is the number of further tasks that its record can hold.
+	// Slots is the number of further tasks for which the machine's record has space.
 	Slots int
-	// Idle reports that no task runs on it.
+	// Idle reports that no task runs on the machine.
 	Idle bool
-	// Scarce reports that some jobs fit only this type, so that others use it last.
+	// Scarce reports that some jobs fit only this machine type, so that other jobs prefer all others.
 	Scarce bool
-	// Price is the price per processor and hour, or a class of prices.
+	// Price is the price per processor and hour, or the number of a class of similar prices.
 	Price float64
-	// Images are those in its cache.
+	// Images are the images in the machine's cache.
 	Images []string
-	// Slack reports that this is only the part of a machine that the jobs which fit no other
-	// type cannot use.
+	// Slack reports that this value describes only a part of a machine: the resources that the
+	// jobs which fit only this machine type cannot use.
 	Slack bool
-	// ReservedForGangs reports that only gangs may use it.
+	// ReservedForGangs reports that only gangs may use the machine.
 	ReservedForGangs bool
-	// ReservedForJob is the only gang that may use it, or "".
+	// ReservedForJob is the only gang that may use the machine, or "".
 	ReservedForJob string
 }
 
--- a/sched/place.go
+++ b/sched/place.go
@@ -5,9 +5,8 @@
 	"slices"
 )
 
-// Place assigns up to want tasks of the job to machines. inZone counts the tasks of the job
-// that are in each zone already. A gang is placed whole or not at all. The machines are not
-// changed.
+// Place assigns up to want tasks of the job to machines. inZone is the number of tasks that the job
+// has in each zone already. A gang is placed as a whole or not at all. The machines are not changed.
 func Place(j *Job, machines []*Machine, want int, inZone map[string]int) []Assignment {
 	if want <= 0 {
 		return nil
@@ -27,7 +26,7 @@
 	return assignments
 }
 
-// gangCapacity is an upper bound of the tasks of a gang that machines have room for.
+// gangCapacity is an upper bound of the number of tasks of a gang that fit on machines.
 type gangCapacity struct {
 	total  int
 	byZone map[string]int
@@ -52,13 +51,13 @@
 	return candidates, capacity
 }
 
-// zonesFor returns the zones to try for a job whose tasks must all be in one zone: the one
-// that has tasks of it, or else all that have room. A gang tries the zone with the least
-// room first, so that larger gangs find more of it in another.
+// zonesFor returns the zones to try for a job whose tasks must all be in one zone: the zone that
+// has tasks of the job already, otherwise all zones with enough free capacity. A gang tries the
+// zone with the least free capacity first, which leaves the others to larger gangs.
 func zonesFor(j *Job, candidates []*Machine, want int, inZone map[string]int, capacity gangCapacity) []string {
 	occupied := occupiedZones(inZone)
 	if len(occupied) > 1 {
-		return nil // tasks that are still stopping are in another zone
+		return nil // tasks that are being stopped are still in another zone
 	}
 	if len(occupied) == 1 {
 		return occupied
@@ -79,7 +78,7 @@
 	return zones
 }
 
-// occupiedZones returns the zones that hold tasks, in no particular order.
+// occupiedZones returns the zones that have tasks, in no particular order.
 func occupiedZones(inZone map[string]int) []string {
 	var zones []string
 	for zone, tasks := range inZone {
@@ -90,18 +89,18 @@
 	return zones
 }
 
-// anyZone as the zone of a placement allows all of them.
+// anyZone is passed instead of the name of a zone to allow all zones.
 const anyZone = ""
 
-// packing is one call of Place.
+// packing is the state of one call of Place.
 type packing struct {
 	job    *Job
 	queue  *preferenceQueue
 	want   int            // tasks to place
-	inZone map[string]int // tasks of the job that are there already
+	inZone map[string]int // tasks that the job has in each zone already
 }
 
-// inOneZone places tasks in the first of the zones that takes the most.
+// inOneZone places tasks in the zone in which the most of them fit, the first if several are equal.
 func (p *packing) inOneZone(zones []string) []Assignment {
 	var best []Assignment
 	most := 0
@@ -116,8 +115,8 @@
 	return best
 }
 
-// fill assigns tasks to the machines of a zone, or of all with anyZone, by preference. It
-// returns the number of tasks that it placed.
+// fill assigns tasks to the machines of a zone, or of all zones with anyZone, in the order of
+// preference. It returns the assignments and the number of tasks that they place.
 func (p *packing) fill(zone string) (assignments []Assignment, placed int) {
 	placedInZone := map[string]int{}
 	spotLeft := p.want // tasks that may still go to spot machines
--- a/sched/place_property_test.go
+++ b/sched/place_property_test.go
@@ -9,8 +9,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestMain fixes the seed of the drawn cases, so that the verdict is always the same. The
-// -rapid.seed flag sets another one.
+// TestMain fixes the seed of the random cases, so that the result is reproducible. The -rapid.seed
+// flag sets another seed.
 func TestMain(m *testing.M) {
 	if err := flag.Set("rapid.seed", "1"); err != nil {
 		panic(err)
@@ -58,8 +58,9 @@
 	return j
 }
 
-// TestPlaceObeysRestrictions draws jobs and machines: whatever is placed fits, is allowed
-// there and obeys the job's rules on zones and spot machines, and a gang is placed whole.
+// TestPlaceObeysRestrictions checks with random jobs and machines that all placed tasks fit and are
+// allowed on their machines, that the restrictions of the job on zones and spot machines are met,
+// and that a gang is placed as a whole or not at all.
 func TestPlaceObeysRestrictions(t *testing.T) {
 	placed := 0
 	rapid.Check(t, func(t *rapid.T) {
@@ -91,11 +92,11 @@
 		placed += total
 	})
 	if placed == 0 {
-		t.Fatal("nothing was ever placed: the cases test nothing")
+		t.Fatal("no task was placed in any case, so that nothing was checked")
 	}
 }
 
-// checkTotals checks what holds for all assignments of a job together.
+// checkTotals checks the limits that apply to all assignments of a job together.
 func checkTotals(t *rapid.T, j *Job, want, total, spots int, byZone map[string]int) {
 	if total > want || j.Gang && total != 0 && total != j.Tasks {
 		t.Fatalf("%d of %d tasks placed", total, want)
--- a/sched/preempt.go
+++ b/sched/preempt.go
@@ -7,7 +7,7 @@
 // are ranked and checked against guaranteed quotas (ranking.go) in one domain after the other
 // (domains.go).
 
-// PreemptionPlan is what to stop for a gang, and where the gang is placed afterwards.
+// PreemptionPlan lists the tasks to stop for a gang and the machines on which it is placed afterwards.
 type PreemptionPlan struct {
 	Mode      PreemptionMode
 	Domain    string
@@ -15,8 +15,8 @@
 	Placement []Assignment
 }
 
-// PlanPreemption returns the plan for the first of the domains whose dry run places the
-// gang, or nil if there is none.
+// PlanPreemption returns a plan for the first domain in which a dry run places the gang, or nil if
+// there is none.
 func PlanPreemption(j *Job, domains []Domain, victims []*Victim, rules PreemptionRules) *PreemptionPlan {
 	for _, domain := range domains {
 		if plan := planInDomain(j, domain, victims, rules); plan != nil {
@@ -26,8 +26,8 @@
 	return nil
 }
 
-// planInDomain selects bundles until they cover what is missing in a domain. It returns nil
-// unless a dry run then places the gang.
+// planInDomain selects bundles until they cover the resource deficit of the gang in a domain. It
+// returns nil if a dry run does not place the gang afterwards.
 func planInDomain(j *Job, domain Domain, victims []*Victim, rules PreemptionRules) *PreemptionPlan {
 	need, total := resourceDeficit(j, domain)
 	selected, covered := selectBundles(rankedBundles(domain, victims, need, rules), need)
@@ -47,8 +47,9 @@
 	}
 }
 
-// resourceDeficit returns what a gang lacks in a domain, and what it needs in total. If there
-// are enough free resources, but not where a task could use them, it lacks all.
+// resourceDeficit returns the resources that a gang lacks in a domain, and its total need. If the
+// free resources add up to the total need, they are too fragmented for its tasks, and the deficit
+// is the total need.
 func resourceDeficit(j *Job, domain Domain) (need, total Resources) {
 	var free Resources
 	for _, m := range domain.Machines {
@@ -62,7 +63,7 @@
 	return need, total
 }
 
-// rankedBundles returns the bundles of a domain that the rules allow to stop, in order.
+// rankedBundles returns, in order, the bundles of a domain that may be stopped under the rules.
 func rankedBundles(domain Domain, victims []*Victim, need Resources, rules PreemptionRules) []Bundle {
 	machines := map[string]bool{}
 	for _, m := range domain.Machines {
@@ -79,8 +80,8 @@
 	return bundles
 }
 
-// dropUnneededBundles drops bundles without which the dry run places the gang too, the last
-// in order first. It is an addition to the published design.
+// dropUnneededBundles drops each bundle without which a dry run still places the gang, starting with
+// the last in order. It is an addition to the published design.
 func dropUnneededBundles(j *Job, domain Domain, selected []Bundle, placement []Assignment) ([]Bundle, []Assignment) {
 	for i := len(selected) - 1; i >= 0; i-- {
 		rest := slices.Delete(slices.Clone(selected), i, i+1)
@@ -91,8 +92,8 @@
 	return selected, placement
 }
 
-// trimSafeBundles drops tasks of safe bundles that the placement does not need. The bundles
-// that are stopped whole come first in the result.
+// trimSafeBundles drops the tasks of safe bundles that need not be stopped for the placement. Unsafe
+// bundles come first in the result.
 func trimSafeBundles(j *Job, domain Domain, selected []Bundle, placement []Assignment) []Bundle {
 	missing := missingByMachine(j, domain, placement)
 	free := func(t VictimTask) { missing[t.Machine] = missing[t.Machine].Sub(t.Resources).nonNegative() }
@@ -124,7 +125,7 @@
 	return trimmed
 }
 
-// missingByMachine returns what must be freed on each machine for a placement.
+// missingByMachine returns the resources that must be freed on each machine for a placement.
 func missingByMachine(j *Job, domain Domain, placement []Assignment) map[string]Resources {
 	missing := map[string]Resources{}
 	for _, a := range placement {
--- a/sched/preempt_test.go
+++ b/sched/preempt_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// allMachines is a domain without bounds.
+// allMachines is a domain that contains every machine.
 func allMachines(string) bool { return true }
 
 func cpus(n float64) Resources { return NewResources(n, 0, 0) }
@@ -37,7 +37,7 @@
 			Roles: map[string]Role{"driver": {1, 1}, "worker": {4, 3}},
 			Tasks: append(tasks("driver", 0, 1), tasks("worker", 1, 4)...),
 		}, 1, 4, "worker"},
-		{"broken already", Victim{MinTasks: 3, ReadyTasks: 2, Tasks: tasks("", 0, 2)}, 2, 0, ""},
+		{"below the minimum already", Victim{MinTasks: 3, ReadyTasks: 2, Tasks: tasks("", 0, 2)}, 2, 0, ""},
 		{"array", Victim{MinTasks: 0, ReadyTasks: 4, Tasks: tasks("", 0, 4)}, 4, 0, ""},
 		{"gang", Victim{MinTasks: 4, ReadyTasks: 4, Tasks: tasks("", 0, 4)}, 0, 4, ""},
 	}
@@ -69,15 +69,15 @@
 		freed, footprint, need Resources
 		want                   float64
 	}{
-		{"A: spread wide", gpus(2), gpus(4), gpus(2), 0.5},
-		{"B: all here", gpus(2), gpus(2), gpus(2), 1},
-		{"C: half elsewhere", cpus(10), cpus(20), cpus(10), 0.5},
+		{"A: half outside the domain", gpus(2), gpus(4), gpus(2), 0.5},
+		{"B: all in the domain", gpus(2), gpus(2), gpus(2), 1},
+		{"C: half outside the domain, processors", cpus(10), cpus(20), cpus(10), 0.5},
 		{"D: partial fit", cpus(2), cpus(2), cpus(10), 1},
 		{"E: two resources", NewResources(4, 0, 4), NewResources(4, 0, 4), NewResources(4, 0, 16), 1},
 		{"F: two resources", NewResources(2, 0, 8), NewResources(2, 0, 8), NewResources(4, 0, 16), 1},
-		{"G: match", cpus(4), cpus(4), cpus(4), 1},
-		{"H: unrequested", NewResources(4, 1, 0), NewResources(4, 1, 0), cpus(4), 1},
-		{"nothing of use", gpus(1), gpus(1), cpus(4), 0},
+		{"G: exact match", cpus(4), cpus(4), cpus(4), 1},
+		{"H: resource that is not needed", NewResources(4, 1, 0), NewResources(4, 1, 0), cpus(4), 1},
+		{"no needed resource", gpus(1), gpus(1), cpus(4), 0},
 		{"no need", cpus(1), cpus(1), Resources{}, 0},
 	}
 	for _, c := range cases {
@@ -89,8 +89,8 @@
 	}
 }
 
-// TestSortByROIThreshold checks that ROI decides only beyond the threshold; within it, the
-// next criterion does.
+// TestSortByROIThreshold checks that bundles are ordered by ROI only if their ROIs differ by more
+// than the threshold, and by the next criterion otherwise.
 func TestSortByROIThreshold(t *testing.T) {
 	rules := PreemptionRules{Mode: Reclaim, ROIThreshold: 0.05, Teams: map[string]TeamUsage{"x": {Used: cpus(100)}}}
 	victim := func(job string, footprint float64, priority Priority) *Victim {
@@ -133,8 +133,8 @@
 	}
 }
 
-// TestPreemptionProperties draws clusters and checks every plan for them. The seed is fixed,
-// so the verdict is always the same.
+// TestPreemptionProperties checks every plan for random clusters. The seed is fixed, so that the
+// result is reproducible.
 func TestPreemptionProperties(t *testing.T) {
 	const clusters, minPlans = 3000, 300
 	rng := rand.New(rand.NewPCG(7, 7))
@@ -162,11 +162,11 @@
 		}
 	}
 	if plans < minPlans {
-		t.Fatalf("%d plans of %d clusters: the cases test too little", plans, clusters)
+		t.Fatalf("%d plans for %d clusters, too few for the test", plans, clusters)
 	}
 }
 
-// drawCluster draws machines, the jobs that run on them and their teams.
+// drawCluster returns random machines, the jobs that run on them and their teams.
 func drawCluster(rng *rand.Rand) ([]*Machine, []*Victim, map[string]TeamUsage) {
 	var machines []*Machine
 	for i := range 6 {
@@ -190,7 +190,7 @@
 	return machines, victims, teams
 }
 
-// drawTasks places tasks of a victim on machines. Half of the victims are gangs.
+// drawTasks places random tasks of a victim on machines. Half of the victims are gangs.
 func drawTasks(rng *rand.Rand, v *Victim, machines []*Machine) {
 	need := NewResources(float64(1+rng.IntN(4)), 0, 2)
 	for i := range 1 + rng.IntN(4) {
@@ -208,7 +208,7 @@
 	}
 }
 
-// checkPlan returns an error unless the plan obeys its rules and places the gang.
+// checkPlan returns an error unless the plan stops only allowed victims and places the gang.
 func checkPlan(j *Job, machines []*Machine, plan *PreemptionPlan, teams map[string]TeamUsage) error {
 	if err := checkVictims(j, plan, teams); err != nil {
 		return err
@@ -225,7 +225,7 @@
 	return checkPlacement(j, plan.Placement, free)
 }
 
-// checkVictims returns an error unless the mode allows to stop each of the victims.
+// checkVictims returns an error unless the mode of the plan allows each victim to be stopped.
 func checkVictims(j *Job, plan *PreemptionPlan, teams map[string]TeamUsage) error {
 	usage := maps.Clone(teams)
 	for _, b := range plan.Victims {
--- a/sched/preference_queue.go
+++ b/sched/preference_queue.go
@@ -2,19 +2,20 @@
 
 import "slices"
 
-// preferenceQueue yields machines by preference: not scarce, cheap (so that expensive machines
-// become idle and can be terminated), image cached, busy before idle, then the tightest, then
-// in the given order. Most jobs need few of thousands of machines, so the queue is a heap
-// that sorts only as far as it is read, and all criteria are packed into one key.
+// preferenceQueue returns machines in the order of preference. The criteria, the most important
+// first, are: not scarce; the lowest price (so that expensive machines become idle and can be
+// terminated); image cached; busy before idle; the fewest free processors; the given order. Most
+// jobs need only a few of thousands of machines. The queue is therefore a heap, which sorts only the
+// machines that are requested, and packs the criteria into one integer key.
 type preferenceQueue struct {
 	heap   []queueEntry
-	sorted []*Machine // yielded so far
+	sorted []*Machine // the machines that were removed from the heap, in order
 }
 
 // queueEntry is a machine in the heap.
 type queueEntry struct {
 	key     uint64
-	index   int // of the machine in the given order, which breaks ties
+	index   int // position of the machine in the given order, which breaks ties
 	machine *Machine
 }
 
@@ -35,8 +36,8 @@
 	return q
 }
 
-// distinctPrices returns the prices of the machines in ascending order. They are few: one
-// for each machine type, spot and on-demand.
+// distinctPrices returns the prices of the machines in ascending order. There are few of them: at
+// most two for each machine type, spot and on-demand.
 func distinctPrices(machines []*Machine) []float64 {
 	var prices []float64
 	for _, m := range machines {
--- a/sched/ranking.go
+++ b/sched/ranking.go
@@ -7,13 +7,13 @@
 	"slices"
 )
 
-// PreemptionMode is the ground on which work is stopped.
+// PreemptionMode determines which running tasks may be stopped.
 type PreemptionMode int
 
 const (
-	// Preempt stops work of lower priority in the same team.
+	// Preempt stops tasks of lower priority in the same team.
 	Preempt PreemptionMode = iota
-	// Reclaim stops work that other teams run beyond their guaranteed quotas.
+	// Reclaim stops tasks that other teams run beyond their guaranteed quotas.
 	Reclaim
 )
 
@@ -28,13 +28,14 @@
 	return fmt.Sprintf("PreemptionMode(%d)", int(m))
 }
 
-// TeamUsage is what a team uses and its guaranteed quota.
+// TeamUsage contains the resources that a team uses and its guaranteed quota.
 type TeamUsage struct {
 	Used            Resources
 	GuaranteedQuota Resources
 }
 
-// OverQuotaRatio returns how far a team is above its guaranteed quota, relative to the quota.
+// OverQuotaRatio returns how far a team is above its guaranteed quota, relative to the quota: the
+// larger ratio of processors and GPUs.
 func (t TeamUsage) OverQuotaRatio() float64 {
 	ratio := func(used, guaranteed int64) float64 {
 		return float64(used-guaranteed) / float64(max(guaranteed, 1))
@@ -48,22 +49,22 @@
 	return t.Used.CPU >= t.GuaranteedQuota.CPU && t.Used.GPU >= t.GuaranteedQuota.GPU
 }
 
-// without returns the usage of the team once resources are freed.
+// without returns the usage of the team after the resources have been freed.
 func (t TeamUsage) without(freed Resources) TeamUsage {
 	return TeamUsage{Used: t.Used.Sub(freed), GuaranteedQuota: t.GuaranteedQuota}
 }
 
-// PreemptionRules are the rules that the selection of victims obeys.
+// PreemptionRules are the constraints on the selection of victims.
 type PreemptionRules struct {
 	Mode         PreemptionMode
-	ROIThreshold float64 // ROIs that differ by no more count as equal
+	ROIThreshold float64 // ROIs that differ by at most this count as equal
 	Teams        map[string]TeamUsage
 }
 
-// rankROI ranks bundles that are stopped whole by their ROI. "Differs by more than the
-// threshold" is not transitive, so it cannot be used for sorting directly. Instead the
-// highest ROI left opens a group, which takes all that are within the threshold of it. Two
-// bundles that differ by more are always ordered by ROI; two in one group never are.
+// rankROI groups unsafe bundles by their ROI. "Differs by more than the threshold" is not
+// transitive, so it cannot be used for sorting directly. Instead, the highest ROI that is in no
+// group yet starts a new one, which contains all bundles within the threshold of it. Bundles that
+// differ by more than the threshold are always ordered by ROI; bundles of one group never are.
 func (r PreemptionRules) rankROI(bundles []Bundle, need Resources) {
 	var unsafe []*Bundle
 	for i := range bundles {
@@ -110,19 +111,21 @@
 	return r.Teams[v.Team].OverQuotaRatio()
 }
 
-// filterByGuarantee is the only check of guaranteed quotas. It goes over the bundles in
-// order, drops each that is stopped whole if its team would fall below its quota, and trims
-// safe ones. A bundle that is stopped whole counts with all that its gang runs anywhere,
-// since all of that is stopped; a dropped one does not count.
+// filterByGuarantee returns the bundles that can be stopped without any team falling below its
+// guaranteed quota; nothing else checks that. In the order of the bundles, it drops unsafe bundles
+// and single tasks of safe bundles whose team would fall below its quota. An unsafe bundle counts
+// with the resources of its gang in all domains, since the whole gang is stopped. Dropped bundles
+// and tasks do not count.
 func (r PreemptionRules) filterByGuarantee(bundles []Bundle) []Bundle {
 	if r.Mode == Preempt {
-		return bundles // what is freed stays within the team
+		return bundles // the same team uses what is freed
 	}
 	usage := maps.Clone(r.Teams)
 	if usage == nil {
 		usage = map[string]TeamUsage{}
 	}
-	// tryFree reports whether the team may lose the resources, and takes them from its usage.
+	// tryFree subtracts resources from the usage of a team and returns true, unless the team would
+	// fall below its guaranteed quota.
 	tryFree := func(team string, freed Resources) bool {
 		left := usage[team].without(freed)
 		if !left.MeetsGuarantee() {
@@ -152,7 +155,7 @@
 	return allowed
 }
 
-// selectBundles takes bundles in order until they cover the need, and reports whether they do.
+// selectBundles selects bundles in order until they cover the need, and reports whether they do.
 func selectBundles(bundles []Bundle, need Resources) (selected []Bundle, covered bool) {
 	var freed Resources
 	for _, b := range bundles {
--- a/sched/resources.go
+++ b/sched/resources.go
@@ -2,7 +2,7 @@
 
 import "math"
 
-// Resources are amounts in whole millionths, so that sums are exact.
+// Resources are amounts in integer millionths of a unit, so that sums are exact.
 type Resources struct {
 	CPU, GPU, Mem int64
 }
@@ -10,8 +10,8 @@
 // resourceUnit is the number of parts of one processor, one GPU or one GB.
 const resourceUnit = 1e6
 
-// roundingTolerance is the part of a resource unit that is taken for a floating point error
-// when decimals are converted.
+// roundingTolerance is the fraction of a millionth that is regarded as a floating-point error when
+// decimal amounts are converted.
 const roundingTolerance = 1e-3
 
 // NewResources converts decimal amounts. It rounds up, so that what a task uses is never
--- a/sched/resources_test.go
+++ b/sched/resources_test.go
@@ -9,9 +9,9 @@
 		limit      int
 		want       int
 	}{
-		{"least kind decides", NewResources(1, 1, 2), NewResources(8, 4, 6), 10, 3},
+		{"limited by the kind that fits the fewest times", NewResources(1, 1, 2), NewResources(8, 4, 6), 10, 3},
 		{"limited", cpus(1), cpus(8), 5, 5},
-		{"not needed kind", cpus(2), NewResources(5, 0, 0), 10, 2},
+		{"kind that is not needed", cpus(2), NewResources(5, 0, 0), 10, 2},
 		{"overcommitted kind that is not needed", cpus(1), Resources{CPU: 8e6, Mem: -1}, 10, 0},
 		{"nothing needed", Resources{}, cpus(1), 3, 3},
 	} {
