--- a/internal/autoscaler/catalog.go
+++ b/internal/autoscaler/catalog.go
@@ -28,8 +28,8 @@
 // TaskCPUs returns the processors that one task of a job counts for.
 func TaskCPUs(job *sched.Job) float64 { return max(job.Need.CPUs(), minTaskCPUs) }
 
-// find returns the machine type of that name, or nil.
-func (c Catalog) find(name string) *sched.MachineType {
+// findType returns the machine type of that name, or nil.
+func (c Catalog) findType(name string) *sched.MachineType {
 	for i := range c.Types {
 		if c.Types[i].Name == name {
 			return &c.Types[i]
@@ -40,7 +40,7 @@
 
 // usableCPUs returns how many processors of an empty machine a job could use.
 func (c Catalog) usableCPUs(job *sched.Job, offer Offer) float64 {
-	t := c.find(offer.Type)
+	t := c.findType(offer.Type)
 	if t == nil || !job.Allows(offer.Type, offer.Zone, offer.Spot) {
 		return 0
 	}
@@ -55,7 +55,7 @@
 // PricePerCPU returns the price per processor and hour of a machine, or 0 if its type is not
 // known. A spot machine of a type without a spot price counts as an on-demand one.
 func (c Catalog) PricePerCPU(typeName string, spot bool) float64 {
-	t := c.find(typeName)
+	t := c.findType(typeName)
 	if t == nil || t.Size.CPU == 0 {
 		return 0
 	}
--- a/internal/autoscaler/classes.go
+++ b/internal/autoscaler/classes.go
@@ -13,8 +13,8 @@
 const (
 	// classRetention is how long a class counts after its last submission.
 	classRetention = 10 * micros.Minute
-	// averageWeight is the divisor of the weight of a new job in the average need of its class.
-	averageWeight = 8
+	// averageNeedDivisor is the divisor of the weight of a new job in the average need of its class.
+	averageNeedDivisor = 8
 	// maxGangSizes is how many of its latest gangs predict the sizes of a class's gangs.
 	maxGangSizes = 40
 	// correctionWeight is the weight of one task in the correction of estimates.
@@ -67,9 +67,9 @@
 	}
 	step := need.Sub(s.averageNeed)
 	s.averageNeed = s.averageNeed.Add(sched.Resources{
-		CPU: step.CPU / averageWeight,
-		GPU: step.GPU / averageWeight,
-		Mem: step.Mem / averageWeight,
+		CPU: step.CPU / averageNeedDivisor,
+		GPU: step.GPU / averageNeedDivisor,
+		Mem: step.Mem / averageNeedDivisor,
 	})
 }
 
@@ -96,12 +96,12 @@
 func (s *classStats) recent(now micros.Micros) bool { return now-s.lastSubmission < classRetention }
 
 // RecordRunTime records how long a completed task of a class took, and its estimate.
-func (c *Classes) RecordRunTime(name string, took, estimate micros.Micros) {
+func (c *Classes) RecordRunTime(name string, runTime, estimate micros.Micros) {
 	stats := c.byName[name]
 	if stats == nil || estimate <= 0 {
 		return
 	}
-	ratio := min(max(took.Seconds()/estimate.Seconds(), minCorrection), maxCorrection)
+	ratio := min(max(runTime.Seconds()/estimate.Seconds(), minCorrection), maxCorrection)
 	stats.correction += correctionWeight * (ratio - stats.correction)
 }
 
--- a/internal/autoscaler/drain_idle.go
+++ b/internal/autoscaler/drain_idle.go
@@ -6,9 +6,9 @@
 	"tamarindlead/micros"
 )
 
-// idleDrainLead is how long before the end of the least billed time an idle machine may be
+// idleDrainLeadTime is how long before the end of the least billed time an idle machine may be
 // drained.
-const idleDrainLead = 5 * micros.Second
+const idleDrainLeadTime = 5 * micros.Second
 
 // drainIdle drains machines that have been idle for long, except those of the warm pool and
 // those that pending work could use.
@@ -20,7 +20,7 @@
 	}
 	for _, m := range p.idleMachines() {
 		needed := pool.Claim(m.Offer, m.free()) || p.claimForPendingWork(m, demands, pendingTasks)
-		if !needed && m.IdleFor > p.idleTimeout(m) && m.Age > minBilledTime-idleDrainLead {
+		if !needed && m.IdleFor > p.idleTimeout(m) && m.Age > minBilledTime-idleDrainLeadTime {
 			p.drain(m, DrainIdle)
 		}
 	}
@@ -31,7 +31,7 @@
 func (p *Planner) remainingWarmPool() *WarmPool {
 	pool := NewWarmPool(p.Now, p.Classes, p.SLOs, p.Catalog)
 	for _, m := range p.Machines {
-		if m.State == MachineReady && m.Busy && m.OnlySlack && p.Classes.Scarce(p.Now, m.Type, m.Spot) {
+		if m.State == MachineReady && m.Busy && m.NoDependentTasks && p.Classes.Scarce(p.Now, m.Type, m.Spot) {
 			pool.Claim(m.Offer, m.free())
 		}
 	}
--- a/internal/autoscaler/fixtures_test.go
+++ b/internal/autoscaler/fixtures_test.go
@@ -54,7 +54,7 @@
 
 // addMachines adds machines that have been ready and idle for long.
 func (p *Planner) addMachines(offer Offer, names ...string) {
-	size := p.find(offer.Type).Size
+	size := p.findType(offer.Type).Size
 	for _, name := range names {
 		p.Machines = append(p.Machines, &Machine{
 			Name: name, Offer: offer, State: MachineReady, Size: size,
@@ -88,7 +88,7 @@
 func requested(plan Plan) map[Offer]int {
 	sums := map[Offer]int{}
 	for _, r := range plan.ScaleOutRequests {
-		sums[r.Offer] += r.Number
+		sums[r.Offer] += r.Count
 	}
 	return sums
 }
--- a/internal/autoscaler/gang_capacity.go
+++ b/internal/autoscaler/gang_capacity.go
@@ -35,10 +35,10 @@
 	return min(job.Tasks, z.onDemand+spot)
 }
 
-// take uses up room for at most limit tasks, of which at most spotLimit on spot machines. It
+// allocate uses up room for at most limit tasks, at most maxSpotTasks of them on spot machines. It
 // returns for how many of them there was room on machines of either kind.
-func (z *zoneCapacity) take(limit, spotLimit int) (onDemand, spot int) {
-	spot = min(limit, z.spot, spotLimit)
+func (z *zoneCapacity) allocate(limit, maxSpotTasks int) (onDemand, spot int) {
+	spot = min(limit, z.spot, maxSpotTasks)
 	onDemand = min(limit-spot, z.onDemand)
 	z.onDemand -= onDemand
 	z.spot -= spot
--- a/internal/autoscaler/gang_mix.go
+++ b/internal/autoscaler/gang_mix.go
@@ -11,20 +11,20 @@
 	minGoodput = 0.55
 	// minLossRate keeps the mean time between losses finite.
 	minLossRate = 1e-9
-	// minStepSeconds keeps the progress between checkpoints above 0.
-	minStepSeconds = 1
+	// minIntervalSeconds keeps the progress between checkpoints above 0.
+	minIntervalSeconds = 1
 )
 
 // GangMix describes a gang whose tasks may be split between spot and on-demand machines.
 type GangMix struct {
-	Tasks         int
-	SpotPrice     float64       // per processor and hour
-	OnDemandPrice float64       // per processor and hour
-	Estimate      micros.Micros // of its run time
-	Checkpoint    micros.Micros // the progress after which it saves a checkpoint; 0: never
-	Recovery      micros.Micros // from a loss until the gang is complete again
-	LossPerSecond float64       // of one spot machine
-	MaxSpot       bool          // use as many spot machines as keep the goodput, at any cost
+	Tasks              int
+	SpotPrice          float64       // per processor and hour
+	OnDemandPrice      float64       // per processor and hour
+	Estimate           micros.Micros // of its run time
+	CheckpointInterval micros.Micros // the progress after which it saves a checkpoint; 0: never
+	RecoveryTime       micros.Micros // from a loss until the gang is complete again
+	LossPerSecond      float64       // of one spot machine
+	MaxSpot            bool          // use as many spot machines as keep the goodput, at any cost
 }
 
 // OnDemandTasks returns how many tasks of a gang must not be on spot machines. The loss of
@@ -51,12 +51,12 @@
 // lasting progress. A loss undoes the progress since the last checkpoint, and costs the time
 // until the gang is complete again.
 func (m GangMix) goodput(spot int) float64 {
-	step := m.Checkpoint.Seconds()
-	if step <= 0 {
-		step = m.Estimate.Seconds()
+	interval := m.CheckpointInterval.Seconds()
+	if interval <= 0 {
+		interval = m.Estimate.Seconds()
 	}
-	step = max(min(step, m.Estimate.Seconds()), minStepSeconds)
+	interval = max(min(interval, m.Estimate.Seconds()), minIntervalSeconds)
 	betweenLosses := 1 / max(float64(spot)*m.LossPerSecond, minLossRate)
-	checkpointed := step / betweenLosses / (math.Exp(step/betweenLosses) - 1)
-	return checkpointed * betweenLosses / (betweenLosses + m.Recovery.Seconds())
+	retainedProgress := interval / betweenLosses / (math.Exp(interval/betweenLosses) - 1)
+	return retainedProgress * betweenLosses / (betweenLosses + m.RecoveryTime.Seconds())
 }
--- a/internal/autoscaler/gang_mix_test.go
+++ b/internal/autoscaler/gang_mix_test.go
@@ -10,7 +10,7 @@
 	const tasks = 8
 	mix := GangMix{
 		Tasks: tasks, SpotPrice: 0.25, OnDemandPrice: 1,
-		Estimate: 10 * micros.Minute, Checkpoint: 10 * micros.Second, Recovery: 20 * micros.Second,
+		Estimate: 10 * micros.Minute, CheckpointInterval: 10 * micros.Second, RecoveryTime: 20 * micros.Second,
 	}
 	if got := mix.OnDemandTasks(); got != 0 {
 		t.Errorf("no losses: %d tasks on on-demand machines, want 0", got)
--- a/internal/autoscaler/offer_choice.go
+++ b/internal/autoscaler/offer_choice.go
@@ -58,5 +58,5 @@
 
 // compareChoices orders choices: the cheapest first, and of these those in the emptiest zone.
 func (p *Planner) compareChoices(a, b *offerChoice) int {
-	return cmp.Or(cmp.Compare(a.price, b.price), cmp.Compare(p.inZone[a.Zone], p.inZone[b.Zone]))
+	return cmp.Or(cmp.Compare(a.price, b.price), cmp.Compare(p.machinesByZone[a.Zone], p.machinesByZone[b.Zone]))
 }
--- a/internal/autoscaler/plan.go
+++ b/internal/autoscaler/plan.go
@@ -43,9 +43,9 @@
 	Claimed  bool          // recorded as this node's, so that tasks may be placed on it
 	Busy     bool          // has tasks
 	Reserved bool          // for a gang for which tasks were preempted
-	// OnlySlack reports that no job that depends on the machine's type has tasks on it. It is
+	// NoDependentTasks reports that no job that depends on the machine's type has tasks on it. It is
 	// only set for busy machines of a scarce type.
-	OnlySlack bool
+	NoDependentTasks bool
 }
 
 // free returns the resources that no task uses.
@@ -54,7 +54,7 @@
 // ScaleOut is a number of machines of one offer that the cloud is or will be asked for.
 type ScaleOut struct {
 	Offer
-	Number int
+	Count int
 }
 
 // ScaleOutRequest is a request to send to the cloud.
--- a/internal/autoscaler/planner.go
+++ b/internal/autoscaler/planner.go
@@ -30,15 +30,15 @@
 	MaxMachines      int  // 0: any number
 	MayScaleIn       bool // surplus machines may be drained now
 
-	plan   Plan
-	inZone map[string]int // machines by zone
+	plan           Plan
+	machinesByZone map[string]int // machines by zone
 }
 
 // Plan returns what to do about the demands. It changes the planner and the demands.
 func (p *Planner) Plan(demands []*Demand) Plan {
-	p.inZone = map[string]int{}
+	p.machinesByZone = map[string]int{}
 	for _, m := range p.Machines {
-		p.inZone[m.Zone]++
+		p.machinesByZone[m.Zone]++
 	}
 	for _, d := range demands {
 		p.measureCapacity(d)
@@ -67,7 +67,7 @@
 	}
 	for _, pending := range p.PendingScaleOuts {
 		if !p.avoids(d.Representative, pending.Offer) {
-			d.Capacity += d.usableCPUs(p.Catalog, pending.Offer) * float64(pending.Number)
+			d.Capacity += d.usableCPUs(p.Catalog, pending.Offer) * float64(pending.Count)
 		}
 	}
 }
@@ -104,7 +104,7 @@
 	if number <= 0 || shortCPUs <= 0 {
 		return 0
 	}
-	scaleOut := ScaleOut{Offer: best.Offer, Number: number}
+	scaleOut := ScaleOut{Offer: best.Offer, Count: number}
 	p.PendingScaleOuts = append(p.PendingScaleOuts, scaleOut)
 	p.plan.ScaleOutRequests = append(p.plan.ScaleOutRequests, ScaleOutRequest{ScaleOut: scaleOut, Job: job, ShortCPUs: shortCPUs})
 	return float64(number) * best.cpus
--- a/internal/autoscaler/scale_in.go
+++ b/internal/autoscaler/scale_in.go
@@ -18,9 +18,9 @@
 	maxHeadroom = 0.5
 	// drainFraction is the fraction of all machines that may be drained at once, at least one.
 	drainFraction = 0.03
-	// drainLead is how long before the end of the least billed time a machine with tasks may
+	// drainLeadTime is how long before the end of the least billed time a machine with tasks may
 	// be drained, since it needs time to become empty.
-	drainLead = 20 * micros.Second
+	drainLeadTime = 20 * micros.Second
 )
 
 // scaleIn drains the most expensive machines once the others can run the work: few at a time,
@@ -83,7 +83,7 @@
 // canDrain reports whether a machine that a job could use may be drained. Spot machines stay,
 // since they cost little, and so does one whose time is billed in any case.
 func (p *Planner) canDrain(m *Machine, job *sched.Job) bool {
-	if m.State != MachineReady || m.Spot || m.Reserved || m.Age < minBilledTime-drainLead {
+	if m.State != MachineReady || m.Spot || m.Reserved || m.Age < minBilledTime-drainLeadTime {
 		return false
 	}
 	return !p.avoids(job, m.Offer) && p.usableCPUs(job, m.Offer) > 0
--- a/internal/autoscaler/scale_out_gang.go
+++ b/internal/autoscaler/scale_out_gang.go
@@ -31,46 +31,46 @@
 		if d.usableCPUs(p.Catalog, m.Offer) == 0 {
 			continue
 		}
-		if m.State == MachineBooting || m.State == MachineReady && hasCapacityInTime(m, d) {
+		if m.State == MachineBooting || m.State == MachineReady && hasCapacityWithinMaxWait(m, d) {
 			capacity.add(m.Offer, p.tasksOn(d.Representative, m.Size))
 		}
 	}
 	for _, pending := range p.PendingScaleOuts {
 		if d.usableCPUs(p.Catalog, pending.Offer) > 0 {
-			tasks := p.tasksOn(d.Representative, p.find(pending.Type).Size)
-			capacity.add(pending.Offer, pending.Number*tasks)
+			tasks := p.tasksOn(d.Representative, p.findType(pending.Type).Size)
+			capacity.add(pending.Offer, pending.Count*tasks)
 		}
 	}
 	return capacity
 }
 
-// hasCapacityInTime reports whether a machine will have room for a task soon enough.
-func hasCapacityInTime(m *Machine, d *Demand) bool {
+// hasCapacityWithinMaxWait reports whether a machine will have room for a task soon enough.
+func hasCapacityWithinMaxWait(m *Machine, d *Demand) bool {
 	return d.Representative.Need.Fits(m.free()) || m.BusyFor <= d.MaxWait
 }
 
 // gangScaleOut is the search for machines for one gang.
 type gangScaleOut struct {
-	job          *sched.Job
-	capacity     gangCapacity
-	zone         string         // the only one, or ""
-	tasks        int            // that have no place yet
-	spotMax      int            // of them that may be on spot machines
-	placedByZone map[string]int // tasks that have a place
+	job           *sched.Job
+	capacity      gangCapacity
+	zone          string         // the only one, or ""
+	unplacedTasks int            // that have no place yet
+	maxSpotTasks  int            // of them that may be on spot machines
+	placedByZone  map[string]int // tasks that have a place
 }
 
-func newGangScaleOut(job *sched.Job, capacity gangCapacity, tasks, spotMax int) *gangScaleOut {
-	return &gangScaleOut{job: job, capacity: capacity, tasks: tasks, spotMax: spotMax, placedByZone: map[string]int{}}
+func newGangScaleOut(job *sched.Job, capacity gangCapacity, unplacedTasks, maxSpotTasks int) *gangScaleOut {
+	return &gangScaleOut{job: job, capacity: capacity, unplacedTasks: unplacedTasks, maxSpotTasks: maxSpotTasks, placedByZone: map[string]int{}}
 }
 
 // scaleOutForGang uses present capacity for tasks of a gang, in one zone if it must be in
 // one, and requests machines for the rest.
 func (p *Planner) scaleOutForGang(g *gangScaleOut) {
 	if g.job.OneZone {
-		g.zone = p.bestZone(g.job, g.capacity, g.tasks)
+		g.zone = p.bestZone(g.job, g.capacity, g.unplacedTasks)
 	}
 	g.useExistingCapacity()
-	for g.tasks > 0 && p.canRequest() {
+	for g.unplacedTasks > 0 && p.canRequest() {
 		if !p.requestForGang(g) {
 			break
 		}
@@ -82,18 +82,18 @@
 	switch {
 	case !g.job.OneZone:
 		for _, zone := range ordered.Keys(g.capacity) {
-			g.placedByZone[zone] += g.take(zone, g.zoneMax(zone))
+			g.placedByZone[zone] += g.allocate(zone, g.zoneMax(zone))
 		}
 	case g.zone != "":
-		g.take(g.zone, g.tasks)
+		g.allocate(g.zone, g.unplacedTasks)
 	}
 }
 
-// take uses capacity of one zone for at most limit tasks, and returns for how many it had room.
-func (g *gangScaleOut) take(zone string, limit int) int {
-	onDemand, spot := g.capacity.zone(zone).take(limit, g.spotMax)
-	g.tasks -= onDemand + spot
-	g.spotMax -= spot
+// allocate uses capacity of one zone for at most limit tasks, and returns for how many it had room.
+func (g *gangScaleOut) allocate(zone string, limit int) int {
+	onDemand, spot := g.capacity.zone(zone).allocate(limit, g.maxSpotTasks)
+	g.unplacedTasks -= onDemand + spot
+	g.maxSpotTasks -= spot
 	return onDemand + spot
 }
 
@@ -101,9 +101,9 @@
 // spread.
 func (g *gangScaleOut) zoneMax(zone string) int {
 	if !g.job.Spread {
-		return g.tasks
+		return g.unplacedTasks
 	}
-	return min(g.tasks, g.job.ZoneCap()-g.placedByZone[zone])
+	return min(g.unplacedTasks, g.job.ZoneCap()-g.placedByZone[zone])
 }
 
 // suits reports whether machines of an offer may run further tasks of the gang.
@@ -111,7 +111,7 @@
 	if g.zone != "" && offer.Zone != g.zone {
 		return false
 	}
-	return g.zoneMax(offer.Zone) > 0 && (!offer.Spot || g.spotMax > 0)
+	return g.zoneMax(offer.Zone) > 0 && (!offer.Spot || g.maxSpotTasks > 0)
 }
 
 // requestForGang makes one request for a gang and reports whether it could.
@@ -124,7 +124,7 @@
 	}
 	wanted := g.zoneMax(best.Zone)
 	if best.Spot {
-		wanted = min(wanted, g.spotMax)
+		wanted = min(wanted, g.maxSpotTasks)
 	}
 	taskCPUs := TaskCPUs(g.job)
 	// Half a task less: requestScaleOut rounds up to a whole machine.
@@ -134,10 +134,10 @@
 		return false
 	}
 	if best.Spot {
-		g.spotMax -= requested
+		g.maxSpotTasks -= requested
 	}
 	placed := min(requested, wanted)
-	g.tasks -= placed
+	g.unplacedTasks -= placed
 	g.placedByZone[best.Zone] += placed
 	g.capacity.add(best.Offer, requested-placed)
 	return true
--- a/internal/autoscaler/scale_out_test.go
+++ b/internal/autoscaler/scale_out_test.go
@@ -17,7 +17,7 @@
 	p := testPlanner(job)
 	offer := spotOffer("small", "a")
 	p.addMachines(offer, "m1")
-	p.PendingScaleOuts, p.OpenScaleOuts = []ScaleOut{{Offer: offer, Number: 1}}, 1
+	p.PendingScaleOuts, p.OpenScaleOuts = []ScaleOut{{Offer: offer, Count: 1}}, 1
 	requireNothingRequested(t, p.Plan([]*Demand{pendingArray(job, 160)})) // 16 processors for 10 s
 }
 
@@ -27,7 +27,7 @@
 	job := testArray("j", 16) // the large type only
 	p := testPlanner(job)
 	for _, zone := range []string{"a", "b"} {
-		p.PendingScaleOuts = append(p.PendingScaleOuts, ScaleOut{Offer: spotOffer("large", zone), Number: 1})
+		p.PendingScaleOuts = append(p.PendingScaleOuts, ScaleOut{Offer: spotOffer("large", zone), Count: 1})
 	}
 	p.OpenScaleOuts = len(p.PendingScaleOuts)
 	requireNothingRequested(t, p.Plan([]*Demand{pendingArray(job, 1e6)}))
@@ -60,8 +60,8 @@
 	p.addMachines(smallOnDemand("a"), "m1")
 	p.Machines[0].State = MachineOther
 	for _, r := range p.Plan([]*Demand{pendingArray(job, 1e6)}).ScaleOutRequests {
-		if r.Number > 2 {
-			t.Errorf("request for %d machines, one of three exists", r.Number)
+		if r.Count > 2 {
+			t.Errorf("request for %d machines, one of three exists", r.Count)
 		}
 	}
 }
@@ -73,8 +73,8 @@
 		t.Errorf("%d requests at once, want 1 to %d", n, maxScaleOuts)
 	}
 	for _, r := range plan.ScaleOutRequests {
-		if r.Number > maxMachinesPerScaleOut {
-			t.Errorf("a request for %d machines", r.Number)
+		if r.Count > maxMachinesPerScaleOut {
+			t.Errorf("a request for %d machines", r.Count)
 		}
 	}
 }
--- a/internal/autoscaler/spot_risk.go
+++ b/internal/autoscaler/spot_risk.go
@@ -9,12 +9,12 @@
 
 // SpotRisk estimates how often spot machines are lost. The zero value has observed nothing.
 type SpotRisk struct {
-	upSeconds float64 // of all spot machines together
-	losses    int
+	uptimeSeconds float64 // of all spot machines together
+	losses        int
 }
 
 // RecordUptime records that a spot machine was up for a while.
-func (r *SpotRisk) RecordUptime(d micros.Micros) { r.upSeconds += d.Seconds() }
+func (r *SpotRisk) RecordUptime(d micros.Micros) { r.uptimeSeconds += d.Seconds() }
 
 // RecordLoss records that the cloud took a spot machine.
 func (r *SpotRisk) RecordLoss() { r.losses++ }
@@ -22,5 +22,5 @@
 // PerSecond returns the rate at which one spot machine is lost. The configured rate
 // dominates until enough has been observed.
 func (r *SpotRisk) PerSecond(configuredPerHour float64) float64 {
-	return (float64(r.losses) + configuredPerHour*priorSeconds/secondsPerHour) / (r.upSeconds + priorSeconds)
+	return (float64(r.losses) + configuredPerHour*priorSeconds/secondsPerHour) / (r.uptimeSeconds + priorSeconds)
 }
--- a/internal/fleet/health_test.go
+++ b/internal/fleet/health_test.go
@@ -105,7 +105,7 @@
 	for _, test := range []struct {
 		name            string
 		zone            zoneHealth
-		responsiveInAll int
+		responsiveTotal int
 		want            bool
 	}{
 		{"all unresponsive", zoneHealth{unresponsive: 4}, 1, true},
@@ -115,7 +115,7 @@
 		{"too many responsive", zoneHealth{unresponsive: 16, responsive: 4}, 5, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			if got := test.zone.partitioned(test.responsiveInAll); got != test.want {
+			if got := test.zone.partitioned(test.responsiveTotal); got != test.want {
 				t.Errorf("partitioned: %t, want %t", got, test.want)
 			}
 		})
--- a/internal/fleet/host_test.go
+++ b/internal/fleet/host_test.go
@@ -22,7 +22,7 @@
 	lastHeartbeat micros.Micros
 	recovering    bool
 	superseded    bool
-	numbers       uint64
+	lastNumber    uint64
 	types         []sched.MachineType
 	inventory     *inventory.Inventory
 	violations    []string
@@ -65,7 +65,7 @@
 func (h *fakeHost) IsActive() bool                    { return !h.superseded && !h.recovering }
 func (h *fakeHost) ActiveSince() micros.Micros        { return h.activeSince }
 func (h *fakeHost) LastHeartbeat() micros.Micros      { return h.lastHeartbeat }
-func (h *fakeHost) NextNumber() uint64                { h.numbers++; return h.numbers }
+func (h *fakeHost) NextNumber() uint64                { h.lastNumber++; return h.lastNumber }
 
 func (h *fakeHost) ReportViolation(violation string, _ ...any) {
 	h.violations = append(h.violations, violation)
--- a/internal/fleet/partitions.go
+++ b/internal/fleet/partitions.go
@@ -19,18 +19,18 @@
 }
 
 // partitioned reports whether a zone is partitioned, given how many machines respond in all zones.
-func (z zoneHealth) partitioned(responsiveInAll int) bool {
-	all := z.unresponsive + z.responsive
-	return all >= minZoneMachines && float64(z.responsive) <= maxResponsiveFraction*float64(all) && responsiveInAll > z.responsive
+func (z zoneHealth) partitioned(responsiveTotal int) bool {
+	total := z.unresponsive + z.responsive
+	return total >= minZoneMachines && float64(z.responsive) <= maxResponsiveFraction*float64(total) && responsiveTotal > z.responsive
 }
 
 // detectPartitions finds the zones that are cut off from this node: no machines are requested
 // there, and some are not given up at once (see retainedInPartition), since their tasks continue.
 func (f *Fleet) detectPartitions() {
-	zones, responsiveInAll := f.zoneHealth()
+	zones, responsiveTotal := f.zoneHealth()
 	for _, zone := range ordered.Keys(zones) {
 		health := *zones[zone]
-		partitioned := health.partitioned(responsiveInAll)
+		partitioned := health.partitioned(responsiveTotal)
 		if partitioned == (f.partitionedSince[zone] != 0) {
 			continue
 		}
@@ -47,7 +47,7 @@
 
 // zoneHealth counts the responsive and unresponsive machines by zone, and the responsive ones in
 // all zones.
-func (f *Fleet) zoneHealth() (zones map[string]*zoneHealth, responsiveInAll int) {
+func (f *Fleet) zoneHealth() (zones map[string]*zoneHealth, responsiveTotal int) {
 	zones = map[string]*zoneHealth{}
 	tolerance := f.heartbeatTolerance()
 	for _, m := range f.SortedMachines {
@@ -62,10 +62,10 @@
 			zone.unresponsive++
 		case m.AgentEpoch != 0:
 			zone.responsive++
-			responsiveInAll++
+			responsiveTotal++
 		}
 	}
-	return zones, responsiveInAll
+	return zones, responsiveTotal
 }
 
 // extendHeartbeatGrace gives the machines of a zone whose partition has ended time to find this
--- a/internal/fleet/planning.go
+++ b/internal/fleet/planning.go
@@ -77,7 +77,7 @@
 	}
 	for _, name := range ordered.Keys(f.scaleOuts.requests) {
 		if r := f.scaleOuts.requests[name]; r.state < scaleOutGranted {
-			p.PendingScaleOuts = append(p.PendingScaleOuts, autoscaler.ScaleOut{Offer: r.offer, Number: r.machineCount})
+			p.PendingScaleOuts = append(p.PendingScaleOuts, autoscaler.ScaleOut{Offer: r.offer, Count: r.machineCount})
 		}
 	}
 	hasGangs := false
@@ -106,7 +106,7 @@
 	d.Age, d.IdleFor = f.wallClock-m.ProvisionedAt, f.now-m.IdleSince
 	d.Claimed, d.Busy = m.FencingToken != 0, len(m.Attempts) > 0
 	d.Reserved = f.jobs.IsReserved(m.Name)
-	d.OnlySlack = d.Busy && f.isScarce(m) && f.jobs.HasNoDependentTasks(m)
+	d.NoDependentTasks = d.Busy && f.isScarce(m) && f.jobs.HasNoDependentTasks(m)
 	if withBusyTime {
 		d.BusyFor = f.jobs.RemainingBusyTime(m)
 	}
--- a/internal/fleet/scale_out.go
+++ b/internal/fleet/scale_out.go
@@ -178,9 +178,9 @@
 func (s *scaleOuts) add(request autoscaler.ScaleOutRequest) {
 	name := scaleOutNamePrefix + record.FormatNumber(s.host.NextNumber())
 	offer := request.Offer
-	s.requests[name] = &scaleOutRequest{name: name, offer: offer, machineCount: request.Number}
+	s.requests[name] = &scaleOutRequest{name: name, offer: offer, machineCount: request.Count}
 	s.log.Info("scale-out planned", "scale_out", name, "type", offer.Type, "zone", offer.Zone,
-		"spot", offer.Spot, "requested", request.Number, "class", request.Job.Class, "short_cpus", request.ShortCPUs)
+		"spot", offer.Spot, "requested", request.Count, "class", request.Job.Class, "short_cpus", request.ShortCPUs)
 }
 
 // allMachinesClaimed reports whether all machines of a scale-out request are recorded.
--- a/internal/fleet/scale_out_test.go
+++ b/internal/fleet/scale_out_test.go
@@ -45,14 +45,14 @@
 
 // flush writes what the fleet has to record, in a transaction with that result, and checks how many
 // records are written and deleted.
-func flush(t *testing.T, f *Fleet, ok bool, puts, deletes int) {
+func flush(t *testing.T, f *Fleet, committed bool, puts, deletes int) {
 	t.Helper()
 	transaction := &fakeTransaction{}
 	f.FlushScaleOutRequests(transaction, func() bool { return false })
 	if len(transaction.puts) != puts || len(transaction.deletes) != deletes {
 		t.Fatalf("writes %q and deletes %q, want %d and %d", transaction.puts, transaction.deletes, puts, deletes)
 	}
-	transaction.finish(ok)
+	transaction.finish(committed)
 }
 
 // TestScaleOutLifecycle follows a scale-out request from its plan until its record is deleted.
@@ -61,7 +61,7 @@
 	host.now = micros.Second
 	offer := autoscaler.Offer{Type: "small", Zone: "a"}
 	f.scaleOuts.add(autoscaler.ScaleOutRequest{
-		ScaleOut: autoscaler.ScaleOut{Offer: offer, Number: 2}, Job: &sched.Job{Class: "c"},
+		ScaleOut: autoscaler.ScaleOut{Offer: offer, Count: 2}, Job: &sched.Job{Class: "c"},
 	})
 	f.TickAutoscaling()
 	if len(host.calls) != 0 {
--- a/internal/scheduler/spot.go
+++ b/internal/scheduler/spot.go
@@ -31,14 +31,14 @@
 	}
 	catalog := s.host.Catalog()
 	mix := autoscaler.GangMix{
-		Tasks:         j.Tasks,
-		SpotPrice:     catalog.LowestPrice(j.Job, true),
-		OnDemandPrice: catalog.LowestPrice(j.Job, false),
-		Estimate:      s.EstimatedRunTime(j),
-		Checkpoint:    j.CheckpointInterval,
-		Recovery:      catalog.BootTime(j.Job),
-		LossPerSecond: s.spotRisk.PerSecond(s.settings.Tuning.SpotLossesPerHour),
-		MaxSpot:       waitsTooLong(j, s.host.WallClock()),
+		Tasks:              j.Tasks,
+		SpotPrice:          catalog.LowestPrice(j.Job, true),
+		OnDemandPrice:      catalog.LowestPrice(j.Job, false),
+		Estimate:           s.EstimatedRunTime(j),
+		CheckpointInterval: j.CheckpointInterval,
+		RecoveryTime:       catalog.BootTime(j.Job),
+		LossPerSecond:      s.spotRisk.PerSecond(s.settings.Tuning.SpotLossesPerHour),
+		MaxSpot:            waitsTooLong(j, s.host.WallClock()),
 	}
 	return mix.OnDemandTasks()
 }
--- a/internal/workers/commands_test.go
+++ b/internal/workers/commands_test.go
@@ -16,7 +16,7 @@
 	}
 	start := []wire.Command{{Verb: wire.VerbStart, Task: wire.TaskName(jobID, 0), Attempt: 1}}
 	forget := []wire.Command{{Verb: wire.VerbForget, Task: wire.TaskName(jobID, 0), Attempt: 2}}
-	none := func(*inventory.Machine, *inventory.Attempt) {}
+	unchanged := func(*inventory.Machine, *inventory.Attempt) {}
 	for _, c := range []struct {
 		name   string
 		state  inventory.AttemptState
@@ -24,12 +24,12 @@
 		change func(m *inventory.Machine, a *inventory.Attempt)
 		want   []wire.Command
 	}{
-		{"recorded, not reported", inventory.AttemptRecorded, nil, none, start},
+		{"recorded, not reported", inventory.AttemptRecorded, nil, unchanged, start},
 		{"recorded, gang not complete", inventory.AttemptRecorded, nil, func(_ *inventory.Machine, a *inventory.Attempt) {
 			a.Job.Gang, a.Job.GangState = true, inventory.GangPlacing
 		}, nil},
-		{"recorded, another attempt runs", inventory.AttemptRecorded, []wire.TaskStatus{reported(2, wire.PhaseRunning, "")}, none, stop(2, 0)},
-		{"recorded, another attempt has exited", inventory.AttemptRecorded, []wire.TaskStatus{reported(2, wire.PhaseExited, "")}, none, append(forget[:1:1], start...)},
+		{"recorded, another attempt runs", inventory.AttemptRecorded, []wire.TaskStatus{reported(2, wire.PhaseRunning, "")}, unchanged, stop(2, 0)},
+		{"recorded, another attempt has exited", inventory.AttemptRecorded, []wire.TaskStatus{reported(2, wire.PhaseExited, "")}, unchanged, append(forget[:1:1], start...)},
 		{"another attempt has exited, commands in flight", inventory.AttemptRecorded, []wire.TaskStatus{reported(2, wire.PhaseExited, "")}, func(m *inventory.Machine, _ *inventory.Attempt) {
 			m.CommandsInFlight = true
 		}, nil},
@@ -42,11 +42,11 @@
 		{"stopping, exited", inventory.AttemptStopping, []wire.TaskStatus{reported(1, wire.PhaseExited, "")}, func(_ *inventory.Machine, a *inventory.Attempt) {
 			a.HeartbeatSeen = true
 		}, nil},
-		{"stopping, start in flight", inventory.AttemptStopping, nil, none, stop(1, 0)},
+		{"stopping, start in flight", inventory.AttemptStopping, nil, unchanged, stop(1, 0)},
 		{"starting, job has ended", inventory.AttemptStarting, nil, func(_ *inventory.Machine, a *inventory.Attempt) {
 			a.Job.State = inventory.JobEnded
 		}, stop(1, 0)},
-		{"live", inventory.AttemptLive, []wire.TaskStatus{reported(1, wire.PhaseRunning, "")}, none, nil},
+		{"live", inventory.AttemptLive, []wire.TaskStatus{reported(1, wire.PhaseRunning, "")}, unchanged, nil},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			h := newFakeHost(t)
--- a/internal/workers/dispatch.go
+++ b/internal/workers/dispatch.go
@@ -95,7 +95,7 @@
 // without a response may still be executed: the machine is fenced until its worker has confirmed a
 // higher fencing token.
 func (w *Manager) handleCommandResponse(m *inventory.Machine, hadCommands bool, response Response) {
-	heartbeat := heartbeatIn(response)
+	heartbeat := heartbeatFromResponse(response)
 	switch {
 	case heartbeat != nil && heartbeat.FencingToken > m.FencingToken:
 		w.host.RestartRecovery(reasonHigherToken)
@@ -110,9 +110,9 @@
 	}
 }
 
-// heartbeatIn returns the heartbeat in a response to commands, or nil if there is none. One that
+// heartbeatFromResponse returns the heartbeat in a response to commands, or nil if there is none. One that
 // cannot be decoded counts as none, since it does not show what was executed.
-func heartbeatIn(response Response) *wire.Heartbeat {
+func heartbeatFromResponse(response Response) *wire.Heartbeat {
 	if response.Status != wire.StatusOK && response.Status != wire.StatusConflict {
 		return nil
 	}
--- a/internal/workers/dispatch_test.go
+++ b/internal/workers/dispatch_test.go
@@ -9,8 +9,8 @@
 	"tamarindlead/internal/wire"
 )
 
-// addStarts adds machines that each have an attempt to start, and queues them.
-func addStarts(h *fakeHost, machines int) []*inventory.Machine {
+// addPendingStarts adds machines that each have an attempt to start, and queues them.
+func addPendingStarts(h *fakeHost, machines int) []*inventory.Machine {
 	j := h.addJob(machines)
 	list := make([]*inventory.Machine, machines)
 	for i := range list {
@@ -28,7 +28,7 @@
 		t.Run(fmt.Sprint(c.sockets), func(t *testing.T) {
 			h := newFakeHost(t)
 			h.manager.settings.Sockets = c.sockets
-			list := addStarts(h, 12)
+			list := addPendingStarts(h, 12)
 			h.manager.QueueDispatch(list[0]) // queued already
 			h.manager.DispatchQueuedMachines()
 			if len(h.calls) != c.limit {
@@ -57,7 +57,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			h := newFakeHost(t)
-			change(h, addStarts(h, 1)[0])
+			change(h, addPendingStarts(h, 1)[0])
 			h.manager.DispatchQueuedMachines()
 			if len(h.calls) != 0 || len(h.violations) != 0 {
 				t.Errorf("calls %+v, violations %q", h.calls, h.violations)
@@ -91,7 +91,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			h := newFakeHost(t)
-			m := addStarts(h, 1)[0]
+			m := addPendingStarts(h, 1)[0]
 			h.manager.DispatchQueuedMachines()
 			if len(h.calls) != 1 || h.calls[0].Method != http.MethodPost || h.calls[0].Path != wire.PathCommands || !m.CommandsInFlight {
 				t.Fatalf("calls %+v, in flight %t", h.calls, m.CommandsInFlight)
@@ -126,7 +126,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			h := newFakeHost(t)
-			m := addStarts(h, 2)[0]
+			m := addPendingStarts(h, 2)[0]
 			h.manager.DispatchQueuedMachines()
 			c.change(h, m)
 			body := wire.Encode(newHeartbeat(1, reported(1, wire.PhaseRunning, "")))
--- a/internal/workers/eviction.go
+++ b/internal/workers/eviction.go
@@ -38,22 +38,22 @@
 	}
 	w.host.RecordSpotReclaimed(m)
 	for _, a := range m.SortedAttempts() {
-		if !w.mayCompleteWithin(a, timeLeft) {
+		if !w.keepsRunningUntilReclaim(a, timeLeft) {
 			w.Evict(a, reasonReclaimed)
 		}
 	}
 }
 
-// mayCompleteWithin reports whether an attempt keeps running on a machine that is reclaimed after
+// keepsRunningUntilReclaim reports whether an attempt keeps running on a machine that is reclaimed after
 // the given time. One that is not expected to complete is evicted at once: it is checkpointed if
 // possible and restarts elsewhere earlier. But one without checkpoints that has run for at least
 // that time keeps running, since it may complete earlier than estimated and would lose much.
-func (w *Manager) mayCompleteWithin(a *inventory.Attempt, timeLeft micros.Micros) bool {
-	atStake := micros.Micros(0)
+func (w *Manager) keepsRunningUntilReclaim(a *inventory.Attempt, timeLeft micros.Micros) bool {
+	unsavedProgress := micros.Micros(0)
 	if a.RunningSince != 0 && a.Job.CheckpointInterval == 0 {
-		atStake = w.host.Now() - a.RunningSince
+		unsavedProgress = w.host.Now() - a.RunningSince
 	}
-	return w.RemainingRunTime(a) <= timeLeft-reclaimMargin || atStake >= timeLeft
+	return w.RemainingRunTime(a) <= timeLeft-reclaimMargin || unsavedProgress >= timeLeft
 }
 
 // RemainingRunTime estimates how long an attempt will still run.
--- a/internal/workers/heartbeats_test.go
+++ b/internal/workers/heartbeats_test.go
@@ -92,10 +92,10 @@
 // refused when the owner is replaced or the machine is gone.
 func TestPendingHeartbeats(t *testing.T) {
 	for _, c := range []struct {
-		name            string
-		second          *wire.Heartbeat
-		refused, stays  uint64
-		pendingSequence uint64
+		name             string
+		second           *wire.Heartbeat
+		refused, pending uint64
+		pendingSequence  uint64
 	}{
 		{"a newer one replaces it", newHeartbeat(6), 1, 2, 6},
 		{"so does a repetition", newHeartbeat(5), 1, 2, 5},
@@ -108,12 +108,12 @@
 			h.manager.HandleHeartbeat(1, newHeartbeat(5))
 			h.manager.HandleHeartbeat(2, c.second)
 			want := []fakeResponse{{request: c.refused, status: wire.StatusUnavailable, refusal: "superseded"}}
-			if !reflect.DeepEqual(h.responses, want) || m.PendingRequest != c.stays || m.PendingHeartbeat.HeartbeatSeq != c.pendingSequence {
-				t.Errorf("responses %+v, pending request %d, want %+v and %d", h.responses, m.PendingRequest, want, c.stays)
+			if !reflect.DeepEqual(h.responses, want) || m.PendingRequest != c.pending || m.PendingHeartbeat.HeartbeatSeq != c.pendingSequence {
+				t.Errorf("responses %+v, pending request %d, want %+v and %d", h.responses, m.PendingRequest, want, c.pending)
 			}
 			h.manager.RefusePendingHeartbeats()
 			h.manager.RefusePendingHeartbeat(m, RefusalTerminated) // there is none any more
-			want = append(want, fakeResponse{request: c.stays, status: wire.StatusUnavailable, refusal: "ownership lost"})
+			want = append(want, fakeResponse{request: c.pending, status: wire.StatusUnavailable, refusal: "ownership lost"})
 			if !reflect.DeepEqual(h.responses, want) {
 				t.Errorf("responses %+v, want %+v", h.responses, want)
 			}
--- a/internal/workers/reconciliation_test.go
+++ b/internal/workers/reconciliation_test.go
@@ -16,12 +16,12 @@
 // TestReconcileReported checks what becomes of an attempt that its machine reports.
 func TestReconcileReported(t *testing.T) {
 	for _, c := range []struct {
-		name  string
-		state inventory.AttemptState
-		task  wire.TaskStatus
-		token uint64
-		want  inventory.AttemptState
-		runs  bool
+		name    string
+		state   inventory.AttemptState
+		task    wire.TaskStatus
+		token   uint64
+		want    inventory.AttemptState
+		running bool
 	}{
 		{"recorded, starts", inventory.AttemptRecorded, reported(1, wire.PhaseFetching, ""), 7, inventory.AttemptLive, false},
 		{"starting, runs", inventory.AttemptStarting, reported(1, wire.PhaseRunning, ""), 7, inventory.AttemptLive, true},
@@ -41,8 +41,8 @@
 			heartbeat := newHeartbeat(1, c.task)
 			heartbeat.FencingToken = c.token
 			h.manager.HandleHeartbeat(1, heartbeat)
-			if a.State != c.want || a.CountedRunning != c.runs {
-				t.Errorf("state %v, counted as running %t, want %v, %t", a.State, a.CountedRunning, c.want, c.runs)
+			if a.State != c.want || a.CountedRunning != c.running {
+				t.Errorf("state %v, counted as running %t, want %v, %t", a.State, a.CountedRunning, c.want, c.running)
 			}
 		})
 	}
@@ -51,17 +51,17 @@
 // TestReconcileMissing checks what becomes of an attempt that its machine does not report, and that
 // nothing does while a command may still be executed.
 func TestReconcileMissing(t *testing.T) {
-	certain := func(*inventory.Machine, *inventory.Attempt) {}
+	unchanged := func(*inventory.Machine, *inventory.Attempt) {}
 	for _, c := range []struct {
 		name   string
 		state  inventory.AttemptState
 		change func(m *inventory.Machine, a *inventory.Attempt)
 		want   inventory.AttemptState
 	}{
-		{"live", inventory.AttemptLive, certain, inventory.AttemptRemoving},
-		{"stopping", inventory.AttemptStopping, certain, inventory.AttemptRemoving},
-		{"assumed", inventory.AttemptAssumed, certain, inventory.AttemptAssumed},
-		{"completed", inventory.AttemptCompleted, certain, inventory.AttemptCompleted},
+		{"live", inventory.AttemptLive, unchanged, inventory.AttemptRemoving},
+		{"stopping", inventory.AttemptStopping, unchanged, inventory.AttemptRemoving},
+		{"assumed", inventory.AttemptAssumed, unchanged, inventory.AttemptAssumed},
+		{"completed", inventory.AttemptCompleted, unchanged, inventory.AttemptCompleted},
 		// Its start command was lost, so the response has it again.
 		{"starting since an earlier heartbeat", inventory.AttemptStarting, func(_ *inventory.Machine, a *inventory.Attempt) {
 			a.StartHeartbeatSeq = 1
--- a/internal/workers/task_exits_test.go
+++ b/internal/workers/task_exits_test.go
@@ -109,7 +109,7 @@
 		if j.BackoffUntil != want {
 			t.Errorf("failure %d: backoff until %v, want %v", i+1, j.BackoffUntil, want)
 		}
-		if faulty := i < 2; (m.ConsecutiveErrors == 1) != faulty {
+		if countsAgainstMachine := i < 2; (m.ConsecutiveErrors == 1) != countsAgainstMachine {
 			t.Errorf("failure %d: %d errors of the machine", i+1, m.ConsecutiveErrors)
 		}
 	}
