--- a/internal/autoscaler/catalog.go
+++ b/internal/autoscaler/catalog.go
@@ -7,8 +7,8 @@
 	"tamarindlead/sched"
 )
 
-// Offer is what a scale-out request may ask for: machines of a type in a zone, spot or
-// on-demand.
+// Offer identifies what a scale-out request can request: spot or on-demand machines of a type in a
+// zone.
 type Offer struct {
 	Type string
 	Zone string
@@ -18,17 +18,17 @@
 // Catalog holds the machine types of the cloud.
 type Catalog struct {
 	Types    []sched.MachineType
-	MaxTasks int // of one machine, however small the tasks are
+	MaxTasks int // maximum number of tasks on one machine, regardless of their size
 }
 
-// minTaskCPUs is the least number of processors that a task counts for, so that work that
-// needs none does not count as no work.
+// minTaskCPUs is the minimum number of CPUs for which a task counts, so that tasks that need no CPU still
+// count as work.
 const minTaskCPUs = 0.01
 
-// TaskCPUs returns the processors that one task of a job counts for.
+// TaskCPUs returns the number of CPUs for which one task of a job counts.
 func TaskCPUs(job *sched.Job) float64 { return max(job.Need.CPUs(), minTaskCPUs) }
 
-// findType returns the machine type of that name, or nil.
+// findType returns the machine type with the given name, or nil.
 func (c Catalog) findType(name string) *sched.MachineType {
 	for i := range c.Types {
 		if c.Types[i].Name == name {
@@ -38,7 +38,8 @@
 	return nil
 }
 
-// usableCPUs returns how many processors of an empty machine a job could use.
+// usableCPUs returns how many CPUs of an empty machine of an offer a job could use, or 0 if the job
+// may not use the offer.
 func (c Catalog) usableCPUs(job *sched.Job, offer Offer) float64 {
 	t := c.findType(offer.Type)
 	if t == nil || !job.Allows(offer.Type, offer.Zone, offer.Spot) {
@@ -47,13 +48,13 @@
 	return float64(c.tasksOn(job, t.Size)) * TaskCPUs(job)
 }
 
-// tasksOn returns how many tasks of a job fit an empty machine of that size.
+// tasksOn returns how many tasks of a job fit on an empty machine of the given size.
 func (c Catalog) tasksOn(job *sched.Job, size sched.Resources) int {
 	return job.Need.Count(size, c.MaxTasks)
 }
 
-// PricePerCPU returns the price per processor and hour of a machine, or 0 if its type is not
-// known. A spot machine of a type without a spot price counts as an on-demand one.
+// PricePerCPU returns the price per CPU and hour of a machine, or 0 if its type is not known. If the
+// type has no spot price, a spot machine is priced as an on-demand machine.
 func (c Catalog) PricePerCPU(typeName string, spot bool) float64 {
 	t := c.findType(typeName)
 	if t == nil || t.Size.CPU == 0 {
@@ -66,9 +67,8 @@
 	return price / t.Size.CPUs()
 }
 
-// LowestPrice returns the price per processor and hour of the cheapest spot or on-demand
-// machine for a job, whether the cloud has one now or not, or 0 if no such machine type
-// exists.
+// LowestPrice returns the lowest price per usable CPU and hour of a spot or on-demand machine for a job,
+// or 0 if no machine type is suitable. It does not consider whether the cloud has such machines now.
 func (c Catalog) LowestPrice(job *sched.Job, spot bool) float64 {
 	lowest := 0.0
 	for _, t := range c.Types {
@@ -86,8 +86,7 @@
 	return lowest
 }
 
-// BootTime returns the boot time of the fastest machine type for a job, or 0 if no type
-// fits.
+// BootTime returns the shortest boot time of the machine types that a job fits, or 0 if it fits none.
 func (c Catalog) BootTime(job *sched.Job) micros.Micros {
 	shortest := micros.Micros(0)
 	for _, t := range c.Types {
@@ -98,12 +97,12 @@
 	return shortest
 }
 
-// compatible reports whether a task of a job may run on machines of a type and fits them.
+// compatible reports whether a task of a job is allowed to run on machines of a type and fits on them.
 func compatible(job *sched.Job, t sched.MachineType) bool {
 	return job.Need.Fits(t.Size) && (job.Types == nil || slices.Contains(job.Types, t.Name))
 }
 
-// hourlyPrice returns the price of a whole machine.
+// hourlyPrice returns the hourly price of a spot or on-demand machine of a type.
 func hourlyPrice(t sched.MachineType, spot bool) float64 {
 	if spot {
 		return t.SpotPrice
--- a/internal/autoscaler/classes.go
+++ b/internal/autoscaler/classes.go
@@ -9,17 +9,22 @@
 	"tamarindlead/sched"
 )
 
-// Parameters of the statistics of classes.
+// Parameters of the class statistics.
 const (
-	// classRetention is how long a class counts after its last submission.
+	// classRetention is how long after its last submission a class is considered recent, and how
+	// long its statistics are kept if it is not in use.
 	classRetention = 10 * micros.Minute
-	// averageNeedDivisor is the divisor of the weight of a new job in the average need of its class.
+	// averageNeedDivisor is the reciprocal of the weight of a new job in the moving average of its
+	// class's needs.
 	averageNeedDivisor = 8
-	// maxGangSizes is how many of its latest gangs predict the sizes of a class's gangs.
+	// maxGangSizes is the number of latest gangs of a class from which the sizes of its next gangs
+	// are predicted.
 	maxGangSizes = 40
-	// correctionWeight is the weight of one task in the correction of estimates.
+	// correctionWeight is the weight of one task in the moving average that corrects run time
+	// estimates.
 	correctionWeight = 0.03
-	// minCorrection and maxCorrection bound the ratio that one task contributes.
+	// minCorrection and maxCorrection bound the ratio of actual to estimated run time that one task
+	// contributes.
 	minCorrection = 0.3
 	maxCorrection = 3.0
 )
@@ -27,11 +32,11 @@
 // classStats are the statistics of one class of jobs.
 type classStats struct {
 	latest         *sched.Job
-	lastSubmission micros.Micros // of its latest job
-	types          []string      // machine types that its latest job fits
-	typesKey       string        // the same, as a key
+	lastSubmission micros.Micros // time of the latest submission
+	types          []string      // machine types that the latest job fits
+	typesKey       string        // the types as a key
 	correction     float64       // average ratio of actual to estimated run times
-	gangSizes      []int         // of its latest gangs
+	gangSizes      []int         // numbers of tasks of the latest gangs
 	averageNeed    sched.Resources
 }
 
@@ -40,10 +45,10 @@
 	byName map[string]*classStats
 }
 
-// NewClasses returns statistics of no classes.
+// NewClasses returns empty statistics.
 func NewClasses() *Classes { return &Classes{byName: map[string]*classStats{}} }
 
-// RecordSubmission records that a job was submitted.
+// RecordSubmission updates the statistics of a job's class when the job is submitted.
 func (c *Classes) RecordSubmission(now micros.Micros, job *sched.Job, catalog Catalog) {
 	stats := c.byName[job.Class]
 	if stats == nil {
@@ -73,7 +78,7 @@
 	})
 }
 
-// updateTypes updates the machine types that the class fits.
+// updateTypes updates the machine types that the latest job of the class fits.
 func (s *classStats) updateTypes(catalog Catalog) {
 	s.types = nil
 	for _, t := range catalog.Types {
@@ -84,18 +89,20 @@
 	s.typesKey = strings.Join(s.types, " ")
 }
 
-// singleType reports whether the class fits one machine type only.
+// singleType reports whether the class fits exactly one machine type.
 func (s *classStats) singleType() bool { return len(s.types) == 1 }
 
-// dependsOn reports whether the class fits no other machine type.
+// dependsOn reports whether the given machine type is the only one that the class fits.
 func (s *classStats) dependsOn(typeName string) bool {
 	return s.singleType() && s.types[0] == typeName
 }
 
-// recent reports whether the latest submission counts towards scarcity.
+// recent reports whether the latest submission is recent enough for the class to make a machine type
+// scarce.
 func (s *classStats) recent(now micros.Micros) bool { return now-s.lastSubmission < classRetention }
 
-// RecordRunTime records how long a completed task of a class took, and its estimate.
+// RecordRunTime updates the correction of a class with the actual and the estimated run time of a
+// completed task.
 func (c *Classes) RecordRunTime(name string, runTime, estimate micros.Micros) {
 	stats := c.byName[name]
 	if stats == nil || estimate <= 0 {
@@ -105,7 +112,7 @@
 	stats.correction += correctionWeight * (ratio - stats.correction)
 }
 
-// CorrectedEstimate returns an estimate corrected by the actual run times of the class.
+// CorrectedEstimate returns a run time estimate corrected by the actual run times of the class.
 func (c *Classes) CorrectedEstimate(name string, estimate micros.Micros) micros.Micros {
 	if stats := c.byName[name]; stats != nil {
 		return micros.Micros(float64(estimate) * stats.correction)
@@ -113,9 +120,9 @@
 	return estimate
 }
 
-// RemoveExpired removes classes without a recent submission that are not in use: users choose
-// the names, so that their number would grow without bound. It also finds the types of
-// classes whose jobs were submitted before the catalog was known.
+// RemoveExpired removes classes without a recent submission that are not in use. Otherwise the number of
+// classes would grow without bound, since users choose their names. It also determines the machine types
+// of classes whose jobs were submitted before the catalog was known.
 func (c *Classes) RemoveExpired(now micros.Micros, inUse map[string]bool, catalog Catalog) {
 	maps.DeleteFunc(c.byName, func(name string, stats *classStats) bool {
 		if len(stats.types) == 0 {
@@ -125,7 +132,7 @@
 	})
 }
 
-// TypesKey returns a key of the machine types that a class fits, or "" if it is not known.
+// TypesKey returns a key of the machine types that a class fits, or "" if they are not known.
 func (c *Classes) TypesKey(name string) string {
 	if stats := c.byName[name]; stats != nil {
 		return stats.typesKey
@@ -133,15 +140,15 @@
 	return ""
 }
 
-// SingleType reports whether a class fits one machine type only.
+// SingleType reports whether a class fits exactly one machine type.
 func (c *Classes) SingleType(name string) bool {
 	stats := c.byName[name]
 	return stats != nil && stats.singleType()
 }
 
-// Scarce reports whether some recent class of jobs fits no other machine type and may use
-// these machines: if only jobs that must not use spot machines depend on a type, its spot
-// machines are not scarce.
+// Scarce reports whether some recent class fits only the given machine type and may use its spot or
+// on-demand machines. If all jobs that depend on a type must not use spot machines, the spot machines of
+// that type are not scarce.
 func (c *Classes) Scarce(now micros.Micros, typeName string, spot bool) bool {
 	for _, stats := range c.byName {
 		mayUse := stats.latest.Spot || !spot
@@ -152,14 +159,15 @@
 	return false
 }
 
-// avoids reports whether a class uses machines of a type only if nothing else is free.
+// avoids reports whether a class uses machines of a type only if no others are free, because the type is
+// scarce and the class also fits other types.
 func (c *Classes) avoids(now micros.Micros, name, typeName string, spot bool) bool {
 	stats := c.byName[name]
 	return stats != nil && len(stats.types) > 1 && c.Scarce(now, typeName, spot)
 }
 
-// LargestSingleTypeNeeds returns, by machine type, the need of a task of the classes that fit
-// this type only; of several classes the one that needs the most processors counts.
+// LargestSingleTypeNeeds returns, by machine type, the resource need of a task of the recent classes that
+// fit only this type. Of several classes, it returns the need with the most CPUs.
 func (c *Classes) LargestSingleTypeNeeds(now micros.Micros) map[string]sched.Resources {
 	needs := map[string]sched.Resources{}
 	for _, name := range ordered.Keys(c.byName) {
@@ -175,8 +183,8 @@
 	return needs
 }
 
-// MaxAverageTasks returns how many average tasks of a class fit a machine of that size, at
-// most maxTasks; of all classes the one with the smallest tasks counts.
+// MaxAverageTasks returns how many average tasks of a class fit on a machine of the given size: the
+// maximum over all classes, bounded by maxTasks.
 func (c *Classes) MaxAverageTasks(size sched.Resources, maxTasks int) int {
 	most := 0
 	for _, stats := range c.byName {
@@ -185,7 +193,7 @@
 	return most
 }
 
-// hasGangs reports whether a gang of the class was submitted.
+// hasGangs reports whether any gang of the class was submitted.
 func (c *Classes) hasGangs(name string) bool {
 	stats := c.byName[name]
 	return stats != nil && len(stats.gangSizes) > 0
--- a/internal/autoscaler/classes_test.go
+++ b/internal/autoscaler/classes_test.go
@@ -18,13 +18,13 @@
 		c.RecordRunTime("j", 2*estimate, estimate)
 	}
 	if got := c.CorrectedEstimate("j", estimate).Seconds(); got < 19.9 || got > 20 {
-		t.Errorf("run times of twice the estimates: %g s, want almost 20 s", got)
+		t.Errorf("run times twice as long as the estimates: %g s, want almost 20 s", got)
 	}
 	for range 500 {
 		c.RecordRunTime("j", micros.Hour, estimate)
 	}
 	if got := c.CorrectedEstimate("j", estimate).Seconds(); got > 30 {
-		t.Errorf("the correction is not bounded: %g s", got)
+		t.Errorf("run times far above the estimates: %g s, want at most 30 s", got)
 	}
 	if got := c.CorrectedEstimate("other", micros.Second); got != micros.Second {
 		t.Errorf("unknown class: %v, want 1s", got)
@@ -51,7 +51,7 @@
 		}
 	}
 	if !c.avoids(1, "small", "large", false) {
-		t.Error("a class that fits another type does not avoid the scarce one")
+		t.Error("a class that fits another type does not avoid the scarce type")
 	}
 	if c.avoids(1, "big", "large", false) {
 		t.Error("a class avoids the only type that it fits")
@@ -60,7 +60,7 @@
 		t.Errorf("LargestSingleTypeNeeds() = %v", got)
 	}
 	if c.Scarce(classRetention, "large", false) {
-		t.Error("a type is scarce because of a class that is not recent")
+		t.Error("a class that is not recent makes a type scarce")
 	}
 }
 
@@ -69,18 +69,18 @@
 	c.RecordSubmission(0, testArray("old", 16), Catalog{}) // the types are not known yet
 	c.RecordSubmission(0, testArray("used", 16), Catalog{})
 	if c.SingleType("old") {
-		t.Error("a class depends on a type before any is known")
+		t.Error("a class depends on a type before the types are known")
 	}
 	c.RemoveExpired(1, nil, testCatalog())
 	if !c.SingleType("old") || c.TypesKey("old") != "large" {
-		t.Error("the types are not updated once they are known")
+		t.Error("the types were not updated after the catalog became known")
 	}
 	c.RemoveExpired(classRetention+1, map[string]bool{"used": true}, testCatalog())
 	if got := c.TypesKey("old"); got != "" {
-		t.Errorf("types %q of an expired class", got)
+		t.Errorf("types of an expired class: %q, want none", got)
 	}
 	if got := c.TypesKey("used"); got != "large" {
-		t.Errorf("types %q of a class in use, want large", got)
+		t.Errorf("types of a class in use: %q, want large", got)
 	}
 }
 
@@ -92,7 +92,7 @@
 	size := sched.NewResources(32, 0, 256)
 	for limit, want := range map[int]int{128: 8, 5: 5} {
 		if got := c.MaxAverageTasks(size, limit); got != want {
-			t.Errorf("MaxAverageTasks of at most %d = %d, want %d", limit, got, want)
+			t.Errorf("MaxAverageTasks with limit %d = %d, want %d", limit, got, want)
 		}
 	}
 }
--- a/internal/autoscaler/demand.go
+++ b/internal/autoscaler/demand.go
@@ -8,22 +8,22 @@
 // Gang is a pending gang.
 type Gang struct {
 	Job      *sched.Job
-	Reserved bool // machines are reserved for it, for which tasks are preempted
+	Reserved bool // machines are reserved for it by preempting tasks
 }
 
-// Demand is the work that fits the same machine types, and the capacity that could run it.
+// Demand is the work of jobs that fit the same machine types, and the capacity that could run it.
 type Demand struct {
-	Representative        *sched.Job                // one of its jobs
-	MaxWait               micros.Micros             // within which a gang should start
-	PendingCPUSeconds     float64                   // work that is not placed, in processor seconds
-	LowPriorityCPUSeconds float64                   // the part of it that has the lowest priority
-	LowPriorityMaxWait    micros.Micros             // how long that part may wait
-	QuotaLimited          bool                      // quota limits of its teams exclude some of it
-	QuotaHeadroom         float64                   // processors that the quota limits leave to it, each counted once
-	Capacity              float64                   // processors of machines that are ready, boot or are requested
-	Used                  float64                   // those in use
-	UsedByOffer           map[Offer]sched.Resources // in use by this work
-	Gangs                 []Gang                    // pending
+	Representative        *sched.Job                // one of the jobs
+	MaxWait               micros.Micros             // time within which a gang should start
+	PendingCPUSeconds     float64                   // pending work
+	LowPriorityCPUSeconds float64                   // part with low priority that is not urgent
+	LowPriorityMaxWait    micros.Micros             // longest wait target of the low-priority jobs
+	QuotaLimited          bool                      // the teams' quota limits exclude some of the work
+	QuotaHeadroom         float64                   // further CPUs within the quota limits, each counted once
+	Capacity              float64                   // CPUs of machines that are ready, booting or requested
+	Used                  float64                   // CPUs in use
+	UsedByOffer           map[Offer]sched.Resources // resources in use by this work
+	Gangs                 []Gang                    // pending gangs
 
 	usable map[Offer]float64 // cache of usableCPUs
 }
@@ -38,7 +38,7 @@
 	}
 }
 
-// usableCPUs returns how many processors of a machine the work could use.
+// usableCPUs returns how many CPUs of an empty machine of an offer the work could use.
 func (d *Demand) usableCPUs(catalog Catalog, offer Offer) float64 {
 	cpus, ok := d.usable[offer]
 	if !ok {
@@ -48,9 +48,9 @@
 	return cpus
 }
 
-// limitByQuota bounds what the work lacks by what the quota limits of its teams leave to it,
-// less what is free on existing machines. Where the limits exclude nothing, it is not bounded:
-// some of the machines may never become ready.
+// limitByQuota bounds the missing CPUs by the quota headroom of the work's teams minus the free CPUs of
+// existing and requested machines. It applies no bound if the quota limits exclude none of the work,
+// since some of the requested machines may never become ready.
 func (d *Demand) limitByQuota(shortCPUs float64) float64 {
 	if !d.QuotaLimited {
 		return shortCPUs
@@ -59,7 +59,7 @@
 	return min(shortCPUs, d.QuotaHeadroom-free)
 }
 
-// pendingTasks returns the number of tasks of the pending gangs.
+// pendingTasks returns the total number of tasks of the pending gangs.
 func (d *Demand) pendingTasks() int {
 	tasks := 0
 	for _, gang := range d.Gangs {
--- a/internal/autoscaler/drain_idle.go
+++ b/internal/autoscaler/drain_idle.go
@@ -6,15 +6,15 @@
 	"tamarindlead/micros"
 )
 
-// idleDrainLeadTime is how long before the end of the least billed time an idle machine may be
+// idleDrainLeadTime is how long before the end of its minimum billed time an idle machine may be
 // drained.
 const idleDrainLeadTime = 5 * micros.Second
 
-// drainIdle drains machines that have been idle for long, except those of the warm pool and
-// those that pending work could use.
+// drainIdle drains machines that have been idle for longer than their idle timeout, except machines that
+// the warm pool needs or that pending work could use.
 func (p *Planner) drainIdle(demands []*Demand) {
 	pool := p.remainingWarmPool()
-	pendingTasks := map[*Demand]int{} // of gangs, for which no machine is kept yet
+	pendingTasks := map[*Demand]int{} // tasks of pending gangs without a kept machine
 	for _, d := range demands {
 		pendingTasks[d] = d.pendingTasks()
 	}
@@ -26,8 +26,8 @@
 	}
 }
 
-// remainingWarmPool returns the warm pool that idle machines must provide. Busy machines of a
-// scarce type that run no job of that type count towards it already.
+// remainingWarmPool returns the part of the warm pool that idle machines must provide. Busy machines of a
+// scarce type that run no jobs that depend on that type already count towards the warm pool.
 func (p *Planner) remainingWarmPool() *WarmPool {
 	pool := NewWarmPool(p.Now, p.Classes, p.SLOs, p.Catalog)
 	for _, m := range p.Machines {
@@ -38,8 +38,8 @@
 	return pool
 }
 
-// idleMachines returns the machines without tasks, the cheapest first: what is kept ready
-// should cost little.
+// idleMachines returns the machines without tasks, the cheapest first, so that cheap machines are kept
+// ready in preference to expensive ones.
 func (p *Planner) idleMachines() []*Machine {
 	var idle []*Machine
 	for _, m := range p.Machines {
@@ -51,8 +51,8 @@
 	return idle
 }
 
-// idleTimeout returns how long a machine may be idle: an on-demand one half as long as a spot
-// machine.
+// idleTimeout returns how long a machine may be idle. It is half as long for an on-demand machine as for
+// a spot machine.
 func (p *Planner) idleTimeout(m *Machine) micros.Micros {
 	if m.Spot {
 		return p.IdleTimeout
@@ -60,10 +60,10 @@
 	return p.IdleTimeout / 2
 }
 
-// claimForPendingWork reports whether pending work could use an idle machine, and counts it
-// towards the pending tasks of a gang. Such work waits for its record to be written, or for
-// more machines that a gang needs; to drain the machine and request another would cost
-// writes and a boot time, and prolong the wait.
+// claimForPendingWork reports whether pending work could use an idle machine. If a gang could, the
+// machine is counted towards its pending tasks. Such work waits until its placement is recorded, or
+// until a gang has enough machines. Draining the machine and requesting another one would cost writes and
+// a boot time, and would prolong the wait.
 func (p *Planner) claimForPendingWork(m *Machine, demands []*Demand, pendingTasks map[*Demand]int) bool {
 	for _, d := range demands {
 		switch {
--- a/internal/autoscaler/fixtures_test.go
+++ b/internal/autoscaler/fixtures_test.go
@@ -10,7 +10,7 @@
 
 const testNow = micros.Hour
 
-// testCatalog has a small and a large type in two zones.
+// testCatalog returns a catalog with a small and a large machine type in two zones.
 func testCatalog() Catalog {
 	zones := []string{"a", "b"}
 	return Catalog{MaxTasks: 128, Types: []sched.MachineType{
@@ -19,9 +19,10 @@
 	}}
 }
 
-// spotOffer and smallOnDemand return offers of the test catalog.
+// spotOffer returns a spot offer of the test catalog.
 func spotOffer(typeName, zone string) Offer { return Offer{Type: typeName, Zone: zone, Spot: true} }
 
+// smallOnDemand returns the on-demand offer of the small type in a zone.
 func smallOnDemand(zone string) Offer { return Offer{Type: "small", Zone: zone} }
 
 // testArray returns an array of four tasks that may use spot machines.
@@ -29,14 +30,14 @@
 	return &sched.Job{ID: class, Class: class, Tasks: 4, Need: sched.NewResources(cpus, 0, cpus), Spot: true}
 }
 
-// testGang returns a gang of class "g" that needs on-demand machines.
+// testGang returns a gang of class "g" whose tasks must all run on on-demand machines.
 func testGang(tasks int, cpus float64) *sched.Job {
 	j := testArray("g", cpus)
 	j.Gang, j.Tasks, j.MinOnDemandTasks = true, tasks, tasks
 	return j
 }
 
-// testPlanner returns a planner without machines, for which the jobs were submitted.
+// testPlanner returns a planner without machines, whose class statistics contain the given jobs.
 func testPlanner(jobs ...*sched.Job) *Planner {
 	p := &Planner{
 		Market: Market{
@@ -52,7 +53,7 @@
 	return p
 }
 
-// addMachines adds machines that have been ready and idle for long.
+// addMachines adds ready machines that have been idle for an hour.
 func (p *Planner) addMachines(offer Offer, names ...string) {
 	size := p.findType(offer.Type).Size
 	for _, name := range names {
@@ -63,28 +64,28 @@
 	}
 }
 
-// changeMachines applies a change to all machines.
+// changeMachines applies a change to each machine.
 func (p *Planner) changeMachines(change func(*Machine)) {
 	for _, m := range p.Machines {
 		change(m)
 	}
 }
 
-// pendingArray returns a demand of an array with pending work.
+// pendingArray returns a demand with pending work of an array.
 func pendingArray(job *sched.Job, cpuSeconds float64) *Demand {
 	d := NewDemand(job, micros.Minute)
 	d.PendingCPUSeconds = cpuSeconds
 	return d
 }
 
-// pendingGang returns a demand of one pending gang.
+// pendingGang returns a demand with one pending gang.
 func pendingGang(job *sched.Job) *Demand {
 	d := NewDemand(job, micros.Minute)
 	d.Gangs = []Gang{{Job: job}}
 	return d
 }
 
-// requested returns how many machines of each offer a plan requests.
+// requested returns the number of machines that a plan requests, by offer.
 func requested(plan Plan) map[Offer]int {
 	sums := map[Offer]int{}
 	for _, r := range plan.ScaleOutRequests {
@@ -93,7 +94,8 @@
 	return sums
 }
 
-// requireRequested requires a plan to request a number of machines of one offer only.
+// requireRequested checks that a plan requests the given number of machines of one offer and nothing
+// else.
 func requireRequested(t *testing.T, plan Plan, offer Offer, number int) {
 	t.Helper()
 	if got := requested(plan); len(got) != 1 || got[offer] != number {
@@ -101,7 +103,7 @@
 	}
 }
 
-// requireNothingRequested requires a plan not to scale out.
+// requireNothingRequested checks that a plan requests no machines.
 func requireNothingRequested(t *testing.T, plan Plan) {
 	t.Helper()
 	if len(plan.ScaleOutRequests) != 0 {
@@ -109,7 +111,7 @@
 	}
 }
 
-// requireDrained requires the machines that a plan drains for a reason, in order.
+// requireDrained checks which machines a plan drains for the given reason, in order.
 func requireDrained(t *testing.T, plan Plan, reason DrainReason, want ...string) {
 	t.Helper()
 	var got []string
@@ -119,6 +121,6 @@
 		}
 	}
 	if !slices.Equal(got, want) {
-		t.Errorf("drained %v (%v), want %v", got, reason, want)
+		t.Errorf("drained %v for reason %q, want %v", got, reason, want)
 	}
 }
--- a/internal/autoscaler/gang_capacity.go
+++ b/internal/autoscaler/gang_capacity.go
@@ -2,16 +2,16 @@
 
 import "tamarindlead/sched"
 
-// gangCapacity is the room of machines for tasks of the gangs of one demand, by zone.
+// gangCapacity is the free capacity of machines for tasks of the gangs of one demand, by zone.
 type gangCapacity map[string]*zoneCapacity
 
-// zoneCapacity is how many tasks of gangs the machines of a zone have room for.
+// zoneCapacity is the free capacity of the on-demand and spot machines of a zone, in tasks of gangs.
 type zoneCapacity struct {
 	onDemand int
 	spot     int
 }
 
-// zone returns the capacity of a zone, which can be changed.
+// zone returns a pointer to the capacity of a zone, which the caller may change.
 func (c gangCapacity) zone(name string) *zoneCapacity {
 	if c[name] == nil {
 		c[name] = &zoneCapacity{}
@@ -19,7 +19,7 @@
 	return c[name]
 }
 
-// add adds room for tasks on machines of an offer.
+// add adds capacity for a number of tasks on machines of an offer.
 func (c gangCapacity) add(offer Offer, tasks int) {
 	zone := c.zone(offer.Zone)
 	if offer.Spot {
@@ -29,14 +29,14 @@
 	}
 }
 
-// fits returns how many tasks of a gang the zone has room for.
+// fits returns how many tasks of a gang fit into the zone's free capacity.
 func (z *zoneCapacity) fits(job *sched.Job) int {
 	spot := min(z.spot, job.Tasks-job.MinOnDemandTasks)
 	return min(job.Tasks, z.onDemand+spot)
 }
 
-// allocate uses up room for at most limit tasks, at most maxSpotTasks of them on spot machines. It
-// returns for how many of them there was room on machines of either kind.
+// allocate allocates capacity for at most limit tasks, of which at most maxSpotTasks on spot machines. It
+// returns the numbers of tasks allocated on on-demand and on spot machines.
 func (z *zoneCapacity) allocate(limit, maxSpotTasks int) (onDemand, spot int) {
 	spot = min(limit, z.spot, maxSpotTasks)
 	onDemand = min(limit-spot, z.onDemand)
--- a/internal/autoscaler/gang_mix_test.go
+++ b/internal/autoscaler/gang_mix_test.go
@@ -13,23 +13,23 @@
 		Estimate: 10 * micros.Minute, CheckpointInterval: 10 * micros.Second, RecoveryTime: 20 * micros.Second,
 	}
 	if got := mix.OnDemandTasks(); got != 0 {
-		t.Errorf("no losses: %d tasks on on-demand machines, want 0", got)
+		t.Errorf("no losses: %d on-demand tasks, want 0", got)
 	}
 	mix.LossPerSecond = 0.1
 	if got := mix.OnDemandTasks(); got != tasks {
-		t.Errorf("a loss every ten seconds: %d tasks on on-demand machines, want all", got)
+		t.Errorf("one loss in ten seconds per spot machine: %d on-demand tasks, want all", got)
 	}
 	mix.LossPerSecond = 0.005
 	some := mix.OnDemandTasks()
 	if some == 0 || some == tasks {
-		t.Errorf("some losses: %d tasks on on-demand machines, want a mix", some)
+		t.Errorf("a low loss rate: %d on-demand tasks, want a mix", some)
 	}
 	mix.SpotPrice = 2 // above the on-demand price
 	if got := mix.OnDemandTasks(); got != tasks {
-		t.Errorf("expensive spot machines: %d tasks on on-demand machines, want all", got)
+		t.Errorf("expensive spot machines: %d on-demand tasks, want all", got)
 	}
 	mix.MaxSpot = true
 	if got := mix.OnDemandTasks(); got > some {
-		t.Errorf("with MaxSpot: %d tasks on on-demand machines, want at most %d", got, some)
+		t.Errorf("with MaxSpot: %d on-demand tasks, want at most %d", got, some)
 	}
 }
--- a/internal/autoscaler/offer_choice.go
+++ b/internal/autoscaler/offer_choice.go
@@ -6,18 +6,18 @@
 	"tamarindlead/sched"
 )
 
-// offerChoice is an offer that suits a job.
+// offerChoice is an offer that is suitable for a job.
 type offerChoice struct {
 	Offer
-	cpus  float64 // processors of one machine that the job can use
-	price float64 // per usable processor and hour
+	cpus  float64 // CPUs of one machine that the job can use
+	price float64 // per usable CPU and hour
 }
 
 // anyOffer allows all offers.
 func anyOffer(Offer) bool { return true }
 
-// cheapest returns the best available offer for a job among those that are allowed, or nil.
-// Types that other jobs depend on are chosen only if no other is left.
+// cheapest returns the best available offer for a job among the allowed offers, or nil. It chooses a type
+// that other jobs depend on only if no other type is available.
 func (p *Planner) cheapest(job *sched.Job, allowed func(Offer) bool) *offerChoice {
 	if best := p.cheapestNotAvoided(job, allowed); best != nil {
 		return best
@@ -27,15 +27,15 @@
 	})
 }
 
-// cheapestNotAvoided returns the best available offer among those that are allowed and that
-// the job does not avoid, or nil.
+// cheapestNotAvoided returns the best available offer for a job among the allowed offers that the job
+// does not avoid, or nil.
 func (p *Planner) cheapestNotAvoided(job *sched.Job, allowed func(Offer) bool) *offerChoice {
 	return p.cheapestOf(job, func(offer Offer) bool {
 		return !p.avoids(job, offer) && allowed(offer)
 	})
 }
 
-// cheapestOf returns the best available offer among those that are allowed, or nil.
+// cheapestOf returns the best available offer for a job among the allowed offers, or nil.
 func (p *Planner) cheapestOf(job *sched.Job, allowed func(Offer) bool) *offerChoice {
 	var best *offerChoice
 	for _, t := range p.Types {
@@ -56,7 +56,8 @@
 	return best
 }
 
-// compareChoices orders choices: the cheapest first, and of these those in the emptiest zone.
+// compareChoices orders choices, the cheapest first and, at equal prices, the one in the zone with the
+// fewest machines first.
 func (p *Planner) compareChoices(a, b *offerChoice) int {
 	return cmp.Or(cmp.Compare(a.price, b.price), cmp.Compare(p.machinesByZone[a.Zone], p.machinesByZone[b.Zone]))
 }
--- a/internal/autoscaler/plan.go
+++ b/internal/autoscaler/plan.go
@@ -7,12 +7,12 @@
 	"tamarindlead/sched"
 )
 
-// MachineState is the state of a machine as far as it matters for capacity.
+// MachineState is the state of a machine as far as it is relevant to capacity.
 type MachineState int
 
-// States of machines.
+// The states of a machine.
 const (
-	MachineOther   MachineState = iota // accepts no more tasks, or its state is not known
+	MachineOther   MachineState = iota // accepts no tasks, or its state is not known
 	MachineBooting                     // will accept tasks
 	MachineReady                       // accepts tasks
 )
@@ -30,56 +30,56 @@
 	return fmt.Sprintf("MachineState(%d)", int(s))
 }
 
-// Machine is a machine as planning sees it.
+// Machine describes a machine to the planner.
 type Machine struct {
 	Name string
 	Offer
 	State    MachineState
 	Size     sched.Resources
 	Used     sched.Resources
-	Age      micros.Micros // since it was requested
-	IdleFor  micros.Micros // without any task
-	BusyFor  micros.Micros // until all its tasks have ended, where gangs could use it
-	Claimed  bool          // recorded as this node's, so that tasks may be placed on it
-	Busy     bool          // has tasks
-	Reserved bool          // for a gang for which tasks were preempted
-	// NoDependentTasks reports that no job that depends on the machine's type has tasks on it. It is
-	// only set for busy machines of a scarce type.
+	Age      micros.Micros // time since it was requested
+	IdleFor  micros.Micros // time without any tasks
+	BusyFor  micros.Micros // time until all tasks have completed, if any demand has gangs
+	Claimed  bool          // a record of this owner claims it, so that tasks may be placed on it
+	Busy     bool          // it has tasks
+	Reserved bool          // it is reserved for a gang for which tasks were preempted
+	// NoDependentTasks reports that none of the machine's tasks belongs to a job that depends on
+	// the machine's type. It is set only for busy machines of a scarce type.
 	NoDependentTasks bool
 }
 
-// free returns the resources that no task uses.
+// free returns the resources that are not used by tasks.
 func (m *Machine) free() sched.Resources { return m.Size.Sub(m.Used) }
 
-// ScaleOut is a number of machines of one offer that the cloud is or will be asked for.
+// ScaleOut is a number of machines of one offer that are or will be requested from the cloud.
 type ScaleOut struct {
 	Offer
 	Count int
 }
 
-// ScaleOutRequest is a request to send to the cloud.
+// ScaleOutRequest is a planned request to the cloud for machines.
 type ScaleOutRequest struct {
 	ScaleOut
-	Job       *sched.Job // for which the machines are wanted
-	ShortCPUs float64    // processors that it lacks
+	Job       *sched.Job // job that needs the machines
+	ShortCPUs float64    // number of missing CPUs
 }
 
-// Shortage is a number of tasks of an array for which no machine can be requested.
+// Shortage is a number of tasks of an array for which no machines can be requested.
 type Shortage struct {
 	Job   *sched.Job
 	Tasks int
 }
 
-// DrainReason is why a machine is drained.
+// DrainReason is the reason for draining a machine.
 type DrainReason int
 
 // Reasons to drain a machine.
 const (
-	DrainSurplus DrainReason = iota // the other machines suffice
-	DrainIdle                       // it has been idle for too long
+	DrainSurplus DrainReason = iota // the other machines have sufficient capacity
+	DrainIdle                       // it has been idle for longer than its idle timeout
 )
 
-// String returns the reason as operators see it.
+// String returns the text of the reason in the log.
 func (r DrainReason) String() string {
 	switch r {
 	case DrainSurplus:
@@ -90,13 +90,13 @@
 	return fmt.Sprintf("DrainReason(%d)", int(r))
 }
 
-// Drain is a machine to drain.
+// Drain is the decision to drain a machine.
 type Drain struct {
 	Machine string
 	Reason  DrainReason
 }
 
-// Plan is what to do, in this order.
+// Plan holds the planned actions, which are executed in the order of the fields.
 type Plan struct {
 	ScaleOutRequests []ScaleOutRequest
 	Shortages        []Shortage
--- a/internal/autoscaler/planner.go
+++ b/internal/autoscaler/planner.go
@@ -7,34 +7,36 @@
 )
 
 const (
-	// maxMachinesPerScaleOut bounds the machines of one request, by the cloud's protocol.
+	// maxMachinesPerScaleOut is the maximum number of machines in one request, as set by the cloud's
+	// protocol.
 	maxMachinesPerScaleOut = 50
-	// maxScaleOuts bounds the requests that are pending at the same time.
+	// maxScaleOuts is the maximum number of requests that may be pending at the same time.
 	maxScaleOuts = 4
-	// minBilledTime is the least time that the cloud charges for: shorter use costs as much.
+	// minBilledTime is the minimum time that the cloud bills for a machine, even if it is used for
+	// less.
 	minBilledTime = 60 * micros.Second
-	// minTargetSeconds bounds the queue target from below, which divides.
+	// minTargetSeconds is the lower bound of the queue target, which is used as a divisor.
 	minTargetSeconds = 1
 )
 
-// Planner decides what to request and to drain at one moment. It makes one plan.
+// Planner decides which machines to request and to drain at the time Now. It is used for a single plan.
 type Planner struct {
 	Market
 	Classes          *Classes
 	SLOs             []config.SLO
 	Machines         []*Machine // all machines, sorted by name
-	PendingScaleOuts []ScaleOut // that the cloud has not answered
-	OpenScaleOuts    int        // the pending ones, and those whose machines are not all recorded
+	PendingScaleOuts []ScaleOut // requests without a response from the cloud
+	OpenScaleOuts    int        // pending requests, and granted ones whose machines are not all recorded
 	QueueTarget      micros.Micros
 	IdleTimeout      micros.Micros
-	MaxMachines      int  // 0: any number
+	MaxMachines      int  // 0: no limit
 	MayScaleIn       bool // surplus machines may be drained now
 
 	plan           Plan
-	machinesByZone map[string]int // machines by zone
+	machinesByZone map[string]int // number of machines by zone
 }
 
-// Plan returns what to do about the demands. It changes the planner and the demands.
+// Plan returns the plan for the demands. It modifies the planner and the demands.
 func (p *Planner) Plan(demands []*Demand) Plan {
 	p.machinesByZone = map[string]int{}
 	for _, m := range p.Machines {
@@ -52,8 +54,8 @@
 	return p.plan
 }
 
-// measureCapacity adds up what could run a demand: machines that are ready or boot, and those
-// that are requested.
+// measureCapacity adds up the capacity that could run a demand: machines that are ready or booting, and
+// requested machines.
 func (p *Planner) measureCapacity(d *Demand) {
 	for _, m := range p.Machines {
 		if m.State == MachineOther || p.avoids(d.Representative, m.Offer) {
@@ -72,16 +74,16 @@
 	}
 }
 
-// targetSeconds returns how long work should wait at most.
+// targetSeconds returns the target for the queueing delay, in seconds.
 func (p *Planner) targetSeconds() float64 { return max(p.QueueTarget.Seconds(), minTargetSeconds) }
 
-// avoids reports whether a job uses machines of an offer only if nothing else is free.
+// avoids reports whether a job uses machines of an offer only if no others are free.
 func (p *Planner) avoids(job *sched.Job, offer Offer) bool {
 	return p.Classes.avoids(p.Now, job.Class, offer.Type, offer.Spot)
 }
 
-// notRequested reports whether no request for an offer is pending. The answer to a pending one
-// shows whether more of these machines are available.
+// notRequested reports whether no request for an offer is pending. The response to a pending request
+// shows whether more machines of the offer are available.
 func (p *Planner) notRequested(offer Offer) bool {
 	for _, pending := range p.PendingScaleOuts {
 		if pending.Offer == offer {
@@ -91,11 +93,11 @@
 	return true
 }
 
-// canRequest reports whether one more request may be pending.
+// canRequest reports whether another request may be made.
 func (p *Planner) canRequest() bool { return len(p.PendingScaleOuts) < maxScaleOuts }
 
-// requestScaleOut requests machines for the processors that a job lacks, and returns the
-// number of processors that it requested.
+// requestScaleOut requests machines of an offer for the CPUs that a job is missing, within the limits on
+// the number of machines. It returns the number of CPUs requested.
 func (p *Planner) requestScaleOut(job *sched.Job, best *offerChoice, shortCPUs float64) float64 {
 	number := min(int(shortCPUs/best.cpus)+1, maxMachinesPerScaleOut)
 	if p.MaxMachines > 0 {
@@ -110,7 +112,7 @@
 	return float64(number) * best.cpus
 }
 
-// drain adds a machine to those to drain, so that it no longer counts as capacity.
+// drain adds a machine to the plan's drains, so that it no longer counts as capacity.
 func (p *Planner) drain(m *Machine, reason DrainReason) {
 	m.State = MachineOther
 	p.plan.Drains = append(p.plan.Drains, Drain{Machine: m.Name, Reason: reason})
--- a/internal/autoscaler/replace.go
+++ b/internal/autoscaler/replace.go
@@ -2,12 +2,12 @@
 
 import "tamarindlead/sched"
 
-// replacementPriceRatio is the ratio to a machine's price at or below which another machine
-// is worth moving to.
+// replacementPriceRatio is the ratio of the price of a replacement to the price of the present machine
+// at or below which replacing the machine is worthwhile.
 const replacementPriceRatio = 0.6
 
-// replaceExpensive requests cheaper machines for work that runs on expensive ones, which then
-// become idle and are drained. It waits until no other request is open.
+// replaceExpensive requests cheaper machines for work that runs on expensive machines, which then become
+// idle and are drained. It does nothing while any other request is open.
 func (p *Planner) replaceExpensive(demands []*Demand) {
 	if p.OpenScaleOuts+len(p.plan.ScaleOutRequests) > 0 {
 		return
@@ -24,8 +24,8 @@
 	}
 }
 
-// replaceableCPUs returns what the work uses on machines that are worth replacing by an
-// offer, less what is free already on machines that are not.
+// replaceableCPUs returns the number of CPUs that the work uses on machines that are worth replacing by
+// machines of an offer, minus the CPUs that are already free on other machines.
 func (p *Planner) replaceableCPUs(d *Demand, best *offerChoice) float64 {
 	var expensive sched.Resources
 	for offer, used := range d.UsedByOffer {
@@ -42,7 +42,8 @@
 	return cpus
 }
 
-// worthReplacing reports whether machines of an offer are expensive compared with the best.
+// worthReplacing reports whether machines of an offer are so expensive that replacing them by the best
+// choice is worthwhile.
 func (p *Planner) worthReplacing(offer Offer, best *offerChoice) bool {
 	return p.PricePerCPU(offer.Type, offer.Spot)*replacementPriceRatio >= best.price
 }
--- a/internal/autoscaler/scale_in_test.go
+++ b/internal/autoscaler/scale_in_test.go
@@ -22,8 +22,8 @@
 	requireNothingRequested(t, p.Plan([]*Demand{d}))
 }
 
-// scaleInCase returns a planner with four machines, of which m1 and m3 have the least work,
-// and a demand that does not need them all.
+// scaleInCase returns a planner with four machines, of which m1 and m3 have the fewest CPUs in use, and a
+// demand that does not need all of them.
 func scaleInCase() (*Planner, *Demand) {
 	job := testArray("j", 1)
 	p := testPlanner(job)
@@ -44,10 +44,10 @@
 		name   string
 		change func(*Planner, *Demand)
 	}{
-		{"not yet", func(p *Planner, _ *Demand) { p.MayScaleIn = false }},
+		{"scale-in not permitted yet", func(p *Planner, _ *Demand) { p.MayScaleIn = false }},
 		{"pending work", func(_ *Planner, d *Demand) { d.PendingCPUSeconds = 300 }},
 		{"gang", func(_ *Planner, d *Demand) { d.Representative = testGang(2, 1) }},
-		{"billed in any case", func(p *Planner, _ *Demand) {
+		{"within the minimum billed time", func(p *Planner, _ *Demand) {
 			p.changeMachines(func(m *Machine) { m.Age = 39 * micros.Second })
 		}},
 		{"reserved", func(p *Planner, _ *Demand) { p.changeMachines(func(m *Machine) { m.Reserved = true }) }},
@@ -72,9 +72,9 @@
 		name   string
 		change func(*Machine)
 	}{
-		{"idle for a moment", func(m *Machine) { m.IdleFor = 15 * micros.Second }},
-		{"spot, idle for a moment", func(m *Machine) { m.Spot, m.IdleFor = true, 30*micros.Second }},
-		{"billed in any case", func(m *Machine) { m.Age = 55 * micros.Second }},
+		{"idle for less than the timeout", func(m *Machine) { m.IdleFor = 15 * micros.Second }},
+		{"spot, idle for less than the timeout", func(m *Machine) { m.Spot, m.IdleFor = true, 30*micros.Second }},
+		{"within the minimum billed time", func(m *Machine) { m.Age = 55 * micros.Second }},
 		{"busy", func(m *Machine) { m.Busy = true }},
 		{"reserved", func(m *Machine) { m.Reserved = true }},
 		{"not claimed", func(m *Machine) { m.Claimed = false }},
@@ -85,14 +85,14 @@
 			p.addMachines(smallOnDemand("a"), "m1")
 			p.changeMachines(c.change)
 			if plan := p.Plan(nil); len(plan.Drains) != 0 {
-				t.Errorf("drained %v", plan.Drains)
+				t.Errorf("drained %v, want none", plan.Drains)
 			}
 		})
 	}
 }
 
-// TestKeepIdleForPendingGang guards against draining machines while a gang waits for more of
-// them: only as many as it needs are kept.
+// TestKeepIdleForPendingGang guards against draining idle machines while a pending gang waits for more
+// machines. Only as many machines as the gang needs are kept.
 func TestKeepIdleForPendingGang(t *testing.T) {
 	g := testGang(3, 4) // two tasks fit a small machine
 	p := testPlanner(g)
@@ -108,6 +108,6 @@
 	p.addMachines(smallOnDemand("a"), "m1", "m2")
 	p.addMachines(spotOffer("small", "a"), "m3")
 	runningGang := NewDemand(g, micros.Minute)
-	// Of four tasks two fit on each: the cheapest two machines are kept.
+	// Two of the four tasks fit on each machine, so the cheapest two machines are kept.
 	requireDrained(t, p.Plan([]*Demand{runningGang}), DrainIdle, "m2")
 }
--- a/internal/autoscaler/scale_out.go
+++ b/internal/autoscaler/scale_out.go
@@ -1,19 +1,23 @@
 package autoscaler
 
-// How much longer work waits before an on-demand machine is requested for it than before a
-// spot machine is. The factor grows with the square of the price: the more expensive the
-// machine, the more waiting is worth, and the more likely cheap ones become free meanwhile.
+// Parameters of the wait factor, which determines how long work may wait before an on-demand machine is
+// requested for it, as a multiple of the queue target. The factor grows with the square of the ratio of
+// the on-demand price to the spot price: the more expensive the machine, the more is saved by waiting,
+// and the more likely it is that cheap machines become free in the meantime.
 const (
-	// baseWaitFactor, in queue targets, applies to a machine at the price of a spot machine.
+	// baseWaitFactor is the wait factor of an on-demand machine at the price of a spot machine, as a
+	// multiple of the queue target.
 	baseWaitFactor = 0.2
-	// maxPriceRatio is the price, in prices of a spot machine, above which the factor is constant.
+	// maxPriceRatio is the ratio of the on-demand price to the spot price above which the wait
+	// factor is constant.
 	maxPriceRatio = 5
 )
 
-// maxPriceSpread is the ratio of prices up to which offers are requested at the same time.
+// maxPriceSpread is the maximum ratio of an offer's price to the lowest price at which the offer is
+// requested while requests for cheaper offers are pending.
 const maxPriceSpread = 1.1
 
-// scaleOut requests machines for work that would wait too long for the present ones.
+// scaleOut requests machines for work that would wait too long for the present machines.
 func (p *Planner) scaleOut(demands []*Demand) {
 	for _, d := range demands {
 		switch {
@@ -25,14 +29,14 @@
 	}
 }
 
-// scaleOutArrays requests machines for tasks that may start one by one.
+// scaleOutArrays requests machines for arrays, whose tasks may start independently.
 func (p *Planner) scaleOutArrays(d *Demand) {
 	job := d.Representative
 	short := d.limitByQuota(d.PendingCPUSeconds/p.targetSeconds() - d.Capacity)
 	for short > 0 && p.canRequest() {
 		best, cheapest := p.cheapest(job, p.notRequested), p.cheapest(job, anyOffer)
 		if best == nil || best.price > cheapest.price*maxPriceSpread {
-			break // pending requests will show whether more of the cheaper machines are available
+			break // the responses to pending requests will show whether more cheap machines are available
 		}
 		if !best.Spot {
 			short = p.onDemandShortage(d, best)
@@ -50,8 +54,9 @@
 	}
 }
 
-// onDemandShortage returns how many processors are lacking if on-demand machines must be
-// requested: fewer, since each costs its least billed time.
+// onDemandShortage returns the number of missing CPUs if on-demand machines must be requested. It is
+// smaller than for spot machines, since work waits longer before an on-demand machine is requested, which
+// costs at least its minimum billed time.
 func (p *Planner) onDemandShortage(d *Demand, best *offerChoice) float64 {
 	spotPrice := max(p.LowestPrice(d.Representative, true), best.price/maxPriceRatio)
 	ratio := best.price / spotPrice
--- a/internal/autoscaler/scale_out_gang.go
+++ b/internal/autoscaler/scale_out_gang.go
@@ -5,8 +5,8 @@
 	"tamarindlead/sched"
 )
 
-// scaleOutGangs requests machines for gangs that the present ones will not run in time, and
-// for the warm pool of gangs that are expected.
+// scaleOutGangs requests machines for pending gangs that would otherwise not start within the maximum
+// wait, and for the warm pool of expected gangs.
 func (p *Planner) scaleOutGangs(d *Demand) {
 	class := d.Representative.Class
 	if len(d.Gangs) == 0 && !p.Classes.hasGangs(class) {
@@ -24,7 +24,8 @@
 	}
 }
 
-// gangCapacityFor adds up the room for tasks of gangs that there will be in time.
+// gangCapacityFor adds up the capacity for tasks of gangs that will be free within the demand's maximum
+// wait, including machines that are booting or requested.
 func (p *Planner) gangCapacityFor(d *Demand) gangCapacity {
 	capacity := gangCapacity{}
 	for _, m := range p.Machines {
@@ -44,27 +45,29 @@
 	return capacity
 }
 
-// hasCapacityWithinMaxWait reports whether a machine will have room for a task soon enough.
+// hasCapacityWithinMaxWait reports whether a machine has free resources for a task, or will be empty
+// within the demand's maximum wait.
 func hasCapacityWithinMaxWait(m *Machine, d *Demand) bool {
 	return d.Representative.Need.Fits(m.free()) || m.BusyFor <= d.MaxWait
 }
 
-// gangScaleOut is the search for machines for one gang.
+// gangScaleOut is the state of finding capacity and requesting machines for one gang, or for the warm
+// pool of its class.
 type gangScaleOut struct {
 	job           *sched.Job
 	capacity      gangCapacity
-	zone          string         // the only one, or ""
-	unplacedTasks int            // that have no place yet
-	maxSpotTasks  int            // of them that may be on spot machines
-	placedByZone  map[string]int // tasks that have a place
+	zone          string         // zone to which the tasks are restricted, or ""
+	unplacedTasks int            // tasks for which neither capacity nor a request exists yet
+	maxSpotTasks  int            // maximum number of further tasks on spot machines
+	placedByZone  map[string]int // tasks with capacity or a request, by zone
 }
 
 func newGangScaleOut(job *sched.Job, capacity gangCapacity, unplacedTasks, maxSpotTasks int) *gangScaleOut {
 	return &gangScaleOut{job: job, capacity: capacity, unplacedTasks: unplacedTasks, maxSpotTasks: maxSpotTasks, placedByZone: map[string]int{}}
 }
 
-// scaleOutForGang uses present capacity for tasks of a gang, in one zone if it must be in
-// one, and requests machines for the rest.
+// scaleOutForGang allocates existing capacity for the tasks of a gang and requests machines for the rest.
+// If all tasks must be in the same zone, it selects the zone first.
 func (p *Planner) scaleOutForGang(g *gangScaleOut) {
 	if g.job.OneZone {
 		g.zone = p.bestZone(g.job, g.capacity, g.unplacedTasks)
@@ -77,7 +80,7 @@
 	}
 }
 
-// useExistingCapacity uses capacity of present machines and pending requests.
+// useExistingCapacity allocates capacity of present machines and pending requests.
 func (g *gangScaleOut) useExistingCapacity() {
 	switch {
 	case !g.job.OneZone:
@@ -89,7 +92,7 @@
 	}
 }
 
-// allocate uses capacity of one zone for at most limit tasks, and returns for how many it had room.
+// allocate allocates capacity of one zone for at most limit tasks, and returns the number of tasks.
 func (g *gangScaleOut) allocate(zone string, limit int) int {
 	onDemand, spot := g.capacity.zone(zone).allocate(limit, g.maxSpotTasks)
 	g.unplacedTasks -= onDemand + spot
@@ -97,8 +100,8 @@
 	return onDemand + spot
 }
 
-// zoneMax returns how many more tasks a zone may hold: at most half of a gang that must be
-// spread.
+// zoneMax returns how many more tasks may be in a zone. A gang that must be spread may have at most half
+// of its tasks in one zone.
 func (g *gangScaleOut) zoneMax(zone string) int {
 	if !g.job.Spread {
 		return g.unplacedTasks
@@ -106,7 +109,7 @@
 	return min(g.unplacedTasks, g.job.ZoneCap()-g.placedByZone[zone])
 }
 
-// suits reports whether machines of an offer may run further tasks of the gang.
+// suits reports whether machines of an offer may run more tasks of the gang.
 func (g *gangScaleOut) suits(offer Offer) bool {
 	if g.zone != "" && offer.Zone != g.zone {
 		return false
@@ -114,7 +117,7 @@
 	return g.zoneMax(offer.Zone) > 0 && (!offer.Spot || g.maxSpotTasks > 0)
 }
 
-// requestForGang makes one request for a gang and reports whether it could.
+// requestForGang adds one request for a gang to the plan and reports whether it could.
 func (p *Planner) requestForGang(g *gangScaleOut) bool {
 	best := p.cheapest(g.job, func(offer Offer) bool {
 		return p.notRequested(offer) && g.suits(offer)
@@ -127,7 +130,7 @@
 		wanted = min(wanted, g.maxSpotTasks)
 	}
 	taskCPUs := TaskCPUs(g.job)
-	// Half a task less: requestScaleOut rounds up to a whole machine.
+	// Half a task is subtracted because requestScaleOut always rounds up to the next whole machine.
 	requestedCPUs := p.requestScaleOut(g.job, best, float64(wanted)*taskCPUs-taskCPUs/2)
 	requested := int(requestedCPUs / taskCPUs)
 	if requested <= 0 {
--- a/internal/autoscaler/scale_out_gang_test.go
+++ b/internal/autoscaler/scale_out_gang_test.go
@@ -10,7 +10,7 @@
 	g := testGang(6, 4)
 	g.OneZone = true
 	p := testPlanner(g)
-	p.addMachines(smallOnDemand("b"), "m1") // two tasks of six
+	p.addMachines(smallOnDemand("b"), "m1") // capacity for two of the six tasks
 	requireRequested(t, p.Plan([]*Demand{pendingGang(g)}), smallOnDemand("b"), 2)
 }
 
@@ -35,7 +35,7 @@
 		}
 	}
 	if spot != 1 || onDemand != 2 {
-		t.Errorf("%d spot and %d on-demand machines for two and four tasks, want 1 and 2", spot, onDemand)
+		t.Errorf("%d spot machines for two tasks and %d on-demand machines for four, want 1 and 2", spot, onDemand)
 	}
 }
 
@@ -53,8 +53,8 @@
 		busy micros.Micros
 		want bool
 	}{
-		{"free in time", micros.Minute, false},
-		{"free too late", micros.Minute + 1, true},
+		{"free within the maximum wait", micros.Minute, false},
+		{"free after the maximum wait", micros.Minute + 1, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			p := testPlanner(g)
@@ -63,7 +63,7 @@
 			m.Used, m.Busy, m.BusyFor = m.Size, true, c.busy
 			plan := p.Plan([]*Demand{pendingGang(g)})
 			if got := len(plan.ScaleOutRequests) > 0; got != c.want {
-				t.Errorf("busy for %v: requested %v", c.busy, requested(plan))
+				t.Errorf("machine busy for %v: requested %v", c.busy, requested(plan))
 			}
 		})
 	}
--- a/internal/autoscaler/scale_out_test.go
+++ b/internal/autoscaler/scale_out_test.go
@@ -8,7 +8,7 @@
 
 func TestScaleOutForArray(t *testing.T) {
 	job := testArray("j", 1)
-	plan := testPlanner(job).Plan([]*Demand{pendingArray(job, 150)}) // 15 processors for 10 s
+	plan := testPlanner(job).Plan([]*Demand{pendingArray(job, 150)}) // 15 CPUs for 10 s
 	requireRequested(t, plan, spotOffer("small", "a"), 2)
 }
 
@@ -18,13 +18,13 @@
 	offer := spotOffer("small", "a")
 	p.addMachines(offer, "m1")
 	p.PendingScaleOuts, p.OpenScaleOuts = []ScaleOut{{Offer: offer, Count: 1}}, 1
-	requireNothingRequested(t, p.Plan([]*Demand{pendingArray(job, 160)})) // 16 processors for 10 s
+	requireNothingRequested(t, p.Plan([]*Demand{pendingArray(job, 160)})) // 16 CPUs for 10 s
 }
 
-// TestWaitForPendingScaleOut guards against requests for a more expensive offer before the
-// cloud has answered whether more of the cheapest is available.
+// TestWaitForPendingScaleOut guards against requests for a more expensive offer before the response to a
+// pending request shows whether more machines of the cheapest offer are available.
 func TestWaitForPendingScaleOut(t *testing.T) {
-	job := testArray("j", 16) // the large type only
+	job := testArray("j", 16) // fits only the large type
 	p := testPlanner(job)
 	for _, zone := range []string{"a", "b"} {
 		p.PendingScaleOuts = append(p.PendingScaleOuts, ScaleOut{Offer: spotOffer("large", zone), Count: 1})
@@ -37,7 +37,7 @@
 	job := testArray("j", 16)
 	p := testPlanner(job)
 	p.UnavailableUntil[spotOffer("large", "a")] = testNow + 1
-	p.UnavailableUntil[spotOffer("large", "b")] = testNow // over
+	p.UnavailableUntil[spotOffer("large", "b")] = testNow // available again
 	plan := p.Plan([]*Demand{pendingArray(job, 160)})
 	requireRequested(t, plan, spotOffer("large", "b"), 1)
 }
@@ -49,7 +49,7 @@
 	plan := p.Plan([]*Demand{pendingArray(job, 160)})
 	requireNothingRequested(t, plan)
 	if want := (Shortage{Job: job, Tasks: 2}); len(plan.Shortages) != 1 || plan.Shortages[0] != want {
-		t.Errorf("shortages %+v, want one of 2 tasks", plan.Shortages)
+		t.Errorf("shortages %+v, want a single one of 2 tasks", plan.Shortages)
 	}
 }
 
@@ -61,7 +61,7 @@
 	p.Machines[0].State = MachineOther
 	for _, r := range p.Plan([]*Demand{pendingArray(job, 1e6)}).ScaleOutRequests {
 		if r.Count > 2 {
-			t.Errorf("request for %d machines, one of three exists", r.Count)
+			t.Errorf("request for %d machines, want at most 2 since one of three exists", r.Count)
 		}
 	}
 }
@@ -70,30 +70,30 @@
 	job := testArray("j", 1)
 	plan := testPlanner(job).Plan([]*Demand{pendingArray(job, 1e9)})
 	if n := len(plan.ScaleOutRequests); n == 0 || n > maxScaleOuts {
-		t.Errorf("%d requests at once, want 1 to %d", n, maxScaleOuts)
+		t.Errorf("%d requests in one plan, want 1 to %d", n, maxScaleOuts)
 	}
 	for _, r := range plan.ScaleOutRequests {
 		if r.Count > maxMachinesPerScaleOut {
-			t.Errorf("a request for %d machines", r.Count)
+			t.Errorf("request for %d machines, more than the maximum", r.Count)
 		}
 	}
 }
 
-// TestAvoidScarceType guards against work that fits any type on machines that other jobs
-// depend on.
+// TestAvoidScarceType guards against requesting machines of a scarce type, on which other jobs depend,
+// for work that fits any type.
 func TestAvoidScarceType(t *testing.T) {
 	flexible, dependent := testArray("flexible", 1), testArray("dependent", 16)
 	p := testPlanner(flexible, dependent)
 	p.Types[0].Price, p.Types[0].SpotPrice = 100, 100 // more expensive than the large type
 	for offer := range requested(p.Plan([]*Demand{pendingArray(flexible, 50)})) {
 		if offer.Type == "large" {
-			t.Errorf("requested %v, which others depend on", offer)
+			t.Errorf("requested %v, on whose type other jobs depend", offer)
 		}
 	}
 }
 
-// TestScaleOutWithinQuota guards against machines for more than the quota limits leave: the
-// limits are shared by all pending jobs, and what is free already is used first.
+// TestScaleOutWithinQuota guards against requesting more machines than the quota headroom permits. All
+// pending jobs of a team share the headroom, and CPUs that are already free are used first.
 func TestScaleOutWithinQuota(t *testing.T) {
 	job := testArray("j", 1)
 	for _, c := range []struct {
@@ -104,9 +104,9 @@
 		want     bool
 	}{
 		{"no headroom", true, 0, 8, false},
-		{"headroom, machines are full", true, 8, 8, true},
-		{"headroom, as much is free", true, 8, 0, false},
-		{"not limited", false, 8, 0, true},
+		{"headroom, no free CPUs", true, 8, 8, true},
+		{"headroom, as many free CPUs", true, 8, 0, false},
+		{"not limited by quota", false, 8, 0, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			p := testPlanner(job)
--- a/internal/autoscaler/slo.go
+++ b/internal/autoscaler/slo.go
@@ -5,17 +5,17 @@
 	"tamarindlead/micros"
 )
 
-// Fractions of a class's slack that waiting may use up: the rest is for wrong estimates and
-// for machines that boot slowly.
+// Fractions of a class's slack that may be spent on waiting. The rest is reserved for wrong estimates and
+// slowly booting machines.
 const (
 	arrayWaitFraction = 0.6
 	gangWaitFraction  = 0.7
 )
 
-// minSlack bounds the slack from below, also that of an SLO that cannot be met any more.
+// minSlack is the lower bound of the slack, which also applies to an SLO that can no longer be met.
 const minSlack = micros.Second
 
-// shortestWaitSLO returns the SLO of a class that allows the shortest wait.
+// shortestWaitSLO returns the wait time SLO of a class with the shortest threshold, if there is one.
 func shortestWaitSLO(slos []config.SLO, class string) (config.SLO, bool) {
 	var shortest config.SLO
 	for _, slo := range slos {
@@ -29,8 +29,8 @@
 	return shortest, shortest.Threshold != 0
 }
 
-// WaitTarget returns how long jobs of a class may wait by its SLOs, given the estimate of their
-// run time. A class without SLOs may wait for the default time.
+// WaitTarget returns how long jobs of a class may wait according to the SLOs of the class, given their
+// estimated run time. It returns defaultWait for a class without SLOs.
 func WaitTarget(slos []config.SLO, class string, gang bool, estimate, defaultWait micros.Micros) micros.Micros {
 	least := micros.Micros(0)
 	for _, slo := range slos {
@@ -52,7 +52,7 @@
 	return micros.Micros(float64(least) * fraction)
 }
 
-// waitSlack returns the time that an SLO leaves for waiting, if it is of a known kind.
+// waitSlack returns the time that an SLO permits for waiting, if its kind is known.
 func waitSlack(slo config.SLO, estimate micros.Micros) (slack micros.Micros, ok bool) {
 	switch slo.Kind {
 	case config.SLOWaitTime:
--- a/internal/autoscaler/slo_test.go
+++ b/internal/autoscaler/slo_test.go
@@ -24,7 +24,7 @@
 		{"array", "j", false, 10 * micros.Second, 30 * micros.Second},
 		{"gang", "j", true, 10 * micros.Second, 35 * micros.Second},
 		{"long run time", "j", false, 60 * micros.Second, 6 * micros.Second},
-		{"too late already", "j", false, 90 * micros.Second, 600 * micros.Millisecond},
+		{"SLO can no longer be met", "j", false, 90 * micros.Second, 600 * micros.Millisecond},
 		{"no SLO", "l", false, micros.Second, 7 * micros.Second},
 	} {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/autoscaler/spot_risk.go
+++ b/internal/autoscaler/spot_risk.go
@@ -4,23 +4,24 @@
 
 const secondsPerHour = 3600
 
-// priorSeconds is the observed uptime that the configured loss rate is worth.
+// priorSeconds is the weight of the configured loss rate in the estimate, as the equivalent observed
+// uptime.
 const priorSeconds = 3600
 
-// SpotRisk estimates how often spot machines are lost. The zero value has observed nothing.
+// SpotRisk estimates the loss rate of spot machines. The zero value has no observations.
 type SpotRisk struct {
-	uptimeSeconds float64 // of all spot machines together
+	uptimeSeconds float64 // total uptime of all spot machines
 	losses        int
 }
 
-// RecordUptime records that a spot machine was up for a while.
+// RecordUptime records an interval of uptime of one spot machine.
 func (r *SpotRisk) RecordUptime(d micros.Micros) { r.uptimeSeconds += d.Seconds() }
 
-// RecordLoss records that the cloud took a spot machine.
+// RecordLoss records the loss of a spot machine.
 func (r *SpotRisk) RecordLoss() { r.losses++ }
 
-// PerSecond returns the rate at which one spot machine is lost. The configured rate
-// dominates until enough has been observed.
+// PerSecond returns the estimated loss rate of one spot machine. The configured rate dominates until
+// enough uptime has been observed.
 func (r *SpotRisk) PerSecond(configuredPerHour float64) float64 {
 	return (float64(r.losses) + configuredPerHour*priorSeconds/secondsPerHour) / (r.uptimeSeconds + priorSeconds)
 }
--- a/internal/autoscaler/warm_pool.go
+++ b/internal/autoscaler/warm_pool.go
@@ -10,19 +10,20 @@
 )
 
 const (
-	// slowBootFactor is the multiple of its nominal boot time that a machine often takes.
+	// slowBootFactor is the multiple of its nominal boot time that a machine often takes to boot.
 	slowBootFactor = 1.5
-	// warmPoolRetention is how long after a gang others of its class are expected.
+	// warmPoolRetention is how long after the last submission of a class further gangs of that class
+	// are expected.
 	warmPoolRetention = micros.Minute
 )
 
-// WarmPool is the idle capacity that is still to be kept ready for expected gangs.
+// WarmPool is the capacity to keep ready for expected gangs that no machine provides yet.
 type WarmPool struct {
 	classes *Classes
-	tasks   map[string]int // by class
+	tasks   map[string]int // number of tasks without a machine, by class
 }
 
-// NewWarmPool returns the warm pool for all classes, of which no machine is claimed yet.
+// NewWarmPool returns the warm pool for all classes, before any machine is counted towards it.
 func NewWarmPool(now micros.Micros, classes *Classes, slos []config.SLO, catalog Catalog) *WarmPool {
 	pool := &WarmPool{classes: classes, tasks: map[string]int{}}
 	for name := range classes.byName {
@@ -33,11 +34,11 @@
 	return pool
 }
 
-// Empty reports whether no class needed a warm pool to begin with.
+// Empty reports whether no class needs a warm pool, regardless of the machines counted towards it.
 func (w *WarmPool) Empty() bool { return len(w.tasks) == 0 }
 
-// Claim counts a machine with that many free resources towards the warm pool and returns
-// true, if the pool needs it.
+// Claim reports whether the warm pool needs a machine with the given free resources, and if so counts
+// the machine towards the pool.
 func (w *WarmPool) Claim(offer Offer, free sched.Resources) bool {
 	for _, name := range ordered.Keys(w.tasks) {
 		missing, job := w.tasks[name], w.classes.byName[name].latest
@@ -52,9 +53,10 @@
 	return false
 }
 
-// warmPoolSize returns for how many tasks of a class the warm pool should have room, and a job
-// of that class. It is 0 unless gangs of the class should start sooner than a machine boots;
-// otherwise the quantile of the sizes of recent gangs that the SLO's fraction asks for.
+// warmPoolSize returns the number of tasks of a class for which the warm pool should have capacity, and a
+// job of that class. It is 0 unless an SLO requires gangs of the class to start sooner than a machine may
+// boot, and a job of the class was submitted recently. Otherwise it is the quantile of the sizes of the
+// latest gangs at the SLO's fraction.
 func (c *Classes) warmPoolSize(now micros.Micros, name string, slos []config.SLO, catalog Catalog) (tasks int, job *sched.Job) {
 	stats := c.byName[name]
 	if stats == nil || len(stats.gangSizes) == 0 || now-stats.lastSubmission > warmPoolRetention {
--- a/internal/autoscaler/zone_selection.go
+++ b/internal/autoscaler/zone_selection.go
@@ -7,16 +7,17 @@
 	"tamarindlead/sched"
 )
 
-// zoneOption is a zone where a gang could be placed.
+// zoneOption is a zone in which a gang could be placed.
 type zoneOption struct {
 	zone        string
-	complete    bool // it has room for the whole gang
+	complete    bool // the free capacity suffices for all tasks
 	canScaleOut bool // more machines may be available
-	fits        int  // tasks of the gang that it has room for
+	fits        int  // number of tasks that fit into the free capacity
 }
 
-// bestZone returns the zone where a gang should be placed, or "" if none is allowed: one with
-// room for all of it, else one that can scale out, else the one with the most room.
+// bestZone returns the zone in which a gang should be placed, or "" if no zone is allowed. It prefers a
+// zone with free capacity for all tasks, then a zone that can scale out, then the zone with the most
+// free capacity.
 func (p *Planner) bestZone(job *sched.Job, capacity gangCapacity, tasks int) string {
 	var options []zoneOption
 	for _, t := range p.Types {
@@ -39,7 +40,7 @@
 	return slices.MaxFunc(options, compareZones).zone
 }
 
-// compareZones orders options, the best last.
+// compareZones orders options from worst to best.
 func compareZones(a, b zoneOption) int {
 	return cmp.Or(
 		compareBools(a.complete, b.complete),
--- a/internal/fleet/adoption.go
+++ b/internal/fleet/adoption.go
@@ -7,7 +7,8 @@
 	"tamarindlead/micros"
 )
 
-// Adopt adds a machine that no owner has recorded: it sends heartbeats, or the cloud lists it.
+// Adopt adds a machine that is not known to have an owner, after a heartbeat from it or because the
+// cloud lists it.
 func (f *Fleet) Adopt(info inventory.MachineInfo) *inventory.Machine {
 	f.refresh()
 	f.log.Info("machine adopted", "machine", info.Name, "type", info.Type, "zone", info.Zone, "spot", info.Spot)
@@ -16,22 +17,25 @@
 	return m
 }
 
-// IsRecentlyTerminated reports whether the cloud has terminated a machine of this owner recently.
+// IsRecentlyTerminated reports whether the cloud has terminated a machine of this owner within
+// terminatedRetention.
 func (f *Fleet) IsRecentlyTerminated(machine string) bool { return f.recentlyTerminated[machine] != 0 }
 
-// IsOwnedElsewhere reports whether a machine is assumed to be another owner's.
+// IsOwnedElsewhere reports whether a machine is assumed to belong to another owner.
 func (f *Fleet) IsOwnedElsewhere(machine string) bool { return f.ownedElsewhere[machine] != 0 }
 
-// MarkOwnedElsewhere makes a machine count as another owner's until then: that owner's heartbeat
-// may not name it yet.
+// MarkOwnedElsewhere marks a machine as belonging to another owner until the given time. It covers
+// the time in which that owner's messages to this node may not list the machine yet.
 func (f *Fleet) MarkOwnedElsewhere(machine string, until micros.Micros) {
 	f.ownedElsewhere[machine] = until
 }
 
-// ClearOwnedElsewhere ends the effect of MarkOwnedElsewhere, once the machine is this owner's.
+// ClearOwnedElsewhere removes the mark of MarkOwnedElsewhere because the machine now belongs to this
+// owner.
 func (f *Fleet) ClearOwnedElsewhere(machine string) { delete(f.ownedElsewhere, machine) }
 
-// RemoveExpired removes the machines that were terminated, or marked as another owner's, long ago.
+// RemoveExpired removes the expired entries of terminated machines and of machines marked as owned
+// elsewhere.
 func (f *Fleet) RemoveExpired() {
 	f.refresh()
 	expired := func(_ string, until micros.Micros) bool { return f.now > until }
--- a/internal/fleet/cloud_list.go
+++ b/internal/fleet/cloud_list.go
@@ -15,24 +15,26 @@
 )
 
 const (
-	// listPageSize is how many machines a page of the cloud's list may have.
+	// listPageSize is the maximum number of machines on a page of the cloud's list.
 	listPageSize = 500
-	// minListInterval is the least time between two readings of the list.
+	// minListInterval is the minimum time from the end of one reading of the list to the start of
+	// the next.
 	minListInterval = 2 * micros.Second
-	// unclaimedLagFactor is how many times the list's usual lag a machine must be listed
-	// without an owner to count as unclaimed: the list may be twice its lag late.
+	// unclaimedLagFactor is the time for which a machine must be listed without an owner before it
+	// counts as unclaimed, as a multiple of the list's usual lag. It exceeds 2 because the list may
+	// be out of date by twice that lag.
 	unclaimedLagFactor = 3
 )
 
-// cloudList is a reading of the cloud's list, page by page.
+// cloudList is the state of reading the cloud's list, page by page.
 type cloudList struct {
 	inProgress bool
-	failed     bool          // the last one was dropped
-	nextAt     micros.Micros // when the next reading may begin
+	failed     bool          // the last reading failed and was discarded
+	nextAt     micros.Micros // time from which the next reading may begin
 	machines   map[string]wire.ListedMachine
 }
 
-// TickCloudList begins a reading of the cloud's list when it is due.
+// TickCloudList begins a reading of the cloud's list if one is due.
 func (f *Fleet) TickCloudList() {
 	f.refresh()
 	l := &f.cloudListing
@@ -43,7 +45,7 @@
 	f.requestCloudListPage("")
 }
 
-// requestCloudListPage requests the machines whose names follow a given one.
+// requestCloudListPage requests the page of machines whose names sort after the given name.
 func (f *Fleet) requestCloudListPage(after string) {
 	query := url.Values{"limit": {strconv.Itoa(listPageSize)}}
 	if after != "" {
@@ -58,7 +60,8 @@
 	})
 }
 
-// handleCloudListPage handles one page of the list. A reading with a failed request is dropped.
+// handleCloudListPage handles one page of the list. If the request for a page fails, the whole reading
+// is discarded.
 func (f *Fleet) handleCloudListPage(status wire.Status, body []byte) {
 	l := &f.cloudListing
 	l.nextAt = f.now + max(f.settings.CloudListLag, minListInterval)
@@ -91,8 +94,8 @@
 	return wire.Decode(body, page)
 }
 
-// applyCloudList compares the machines with the cloud's list, and adopts those that no owner
-// claims.
+// applyCloudList updates the machines from the cloud's list and adopts the listed machines that no
+// owner claims.
 func (f *Fleet) applyCloudList(list map[string]wire.ListedMachine) {
 	for _, name := range ordered.Keys(list) {
 		f.applyListedMachine(list[name])
@@ -108,7 +111,8 @@
 	}
 }
 
-// applyListedMachine updates a machine from its entry in the cloud's list, or adopts it.
+// applyListedMachine updates a machine from its entry in the cloud's list, or adopts it if it is
+// unclaimed.
 func (f *Fleet) applyListedMachine(entry wire.ListedMachine) {
 	m := f.Machines[entry.Name]
 	if m == nil {
@@ -125,8 +129,8 @@
 	m.Endpoint = cmp.Or(m.Endpoint, entry.Endpoint)
 }
 
-// isUnclaimed reports whether no owner claims a listed machine. The list may be twice its usual
-// lag late and still show machines that another owner has terminated, so a machine must stay
+// isUnclaimed reports whether no owner claims a listed machine. The list may be out of date by twice
+// its usual lag and still show machines that another owner has terminated, so a machine must stay
 // listed for longer than that.
 func (f *Fleet) isUnclaimed(name string) bool {
 	if f.IsRecentlyTerminated(name) || f.IsOwnedElsewhere(name) || f.ownership.IsClaimedByPeer(name) ||
--- a/internal/fleet/cloud_list_test.go
+++ b/internal/fleet/cloud_list_test.go
@@ -7,7 +7,7 @@
 	"tamarindlead/micros"
 )
 
-// TestCloudList checks what a reading of the cloud's list, of two pages, changes.
+// TestCloudList checks how a reading of the cloud's list with two pages updates the machines.
 func TestCloudList(t *testing.T) {
 	f, host := newTestFleet(t, "m-000001", "m-000002", "m-000003")
 	f.Machines["m-000001"].CloudListed = true
@@ -17,22 +17,22 @@
 	})
 	host.respond(t, "/rentals?after=m-000002&limit=500", wire.StatusOK, wire.MachineList{})
 	if n := f.Machines["m-000001"].MissedListings; n != 1 {
-		t.Errorf("the machine that is not listed any more has missed %d listings, want 1", n)
+		t.Errorf("machine missing from the list: %d missed listings, want 1", n)
 	}
 	if m := f.Machines["m-000002"]; !m.CloudListed || !m.Failed || m.MissedListings != 0 {
-		t.Errorf("the listed machine is %+v", m.CloudListing)
+		t.Errorf("state of the listed machine: %+v", m.CloudListing)
 	}
 	if m := f.Machines["m-000003"]; m.CloudListed || m.MissedListings != 0 {
-		t.Errorf("the machine that was never listed is %+v", m.CloudListing)
+		t.Errorf("state of the machine that was never listed: %+v", m.CloudListing)
 	}
 	f.TickCloudList()
 	if len(host.calls) != 0 {
-		t.Error("the list is read again without a pause")
+		t.Error("the list is read again before the minimum interval has passed")
 	}
 }
 
-// TestUnclaimedMachinesAreAdopted checks that a listed machine is adopted once no owner has claimed
-// it for long.
+// TestUnclaimedMachinesAreAdopted checks that a listed machine is adopted after it has been listed
+// for unclaimedLagFactor times the list's lag without being claimed by an owner.
 func TestUnclaimedMachinesAreAdopted(t *testing.T) {
 	for _, test := range []struct {
 		name   string
@@ -41,7 +41,7 @@
 	}{
 		{"unclaimed", func(*Fleet) {}, true},
 		{"recently terminated", func(f *Fleet) { f.recentlyTerminated["m-000001"] = micros.Minute }, false},
-		{"another owner's", func(f *Fleet) { f.MarkOwnedElsewhere("m-000001", micros.Minute) }, false},
+		{"owned by another owner", func(f *Fleet) { f.MarkOwnedElsewhere("m-000001", micros.Minute) }, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			f, host := newTestFleet(t)
--- a/internal/fleet/decommission_reason.go
+++ b/internal/fleet/decommission_reason.go
@@ -8,16 +8,16 @@
 // The reasons to decommission a machine.
 const (
 	NotDecommissioned               DecommissionReason = iota
-	DecommissionCancellationOverdue                    // no heartbeats, and tasks of a job that was cancelled long ago
-	DecommissionBootTimeout                            // it has not sent a heartbeat since it was provisioned
-	DecommissionFailed                                 // the cloud lists it as failed
-	DecommissionUnlisted                               // the cloud does not list it any more
-	DecommissionUnresponsive                           // no heartbeats
-	DecommissionUnreachable                            // it sends heartbeats, but receives no response
-	DecommissionDrained                                // drained, and without tasks
+	DecommissionCancellationOverdue                    // unresponsive, with a task whose cancellation is overdue
+	DecommissionBootTimeout                            // no heartbeat since the machine was provisioned
+	DecommissionFailed                                 // the cloud lists the machine as failed
+	DecommissionUnlisted                               // the cloud no longer lists the machine
+	DecommissionUnresponsive                           // no heartbeat within the timeout
+	DecommissionUnreachable                            // sends heartbeats but does not receive the responses
+	DecommissionDrained                                // drained and without tasks
 )
 
-// String returns the reason as the log has it.
+// String returns the text of the reason in the log.
 func (r DecommissionReason) String() string {
 	switch r {
 	case NotDecommissioned:
@@ -40,7 +40,8 @@
 	return fmt.Sprintf("DecommissionReason(%d)", int(r))
 }
 
-// isMachineLoss reports whether the machine was lost, rather than given up by its owner.
+// isMachineLoss reports whether the reason is the loss of a machine that had booted, rather than a
+// decision of its owner.
 func (r DecommissionReason) isMachineLoss() bool {
 	return r == DecommissionFailed || r == DecommissionUnlisted || r == DecommissionUnresponsive
 }
--- a/internal/fleet/demand.go
+++ b/internal/fleet/demand.go
@@ -7,10 +7,11 @@
 	"tamarindlead/sched"
 )
 
-// retrySoonWindow is the rest of a job's back-off in which its work counts as demand already.
+// retrySoonWindow is the time before the end of a job's backoff from which its pending work counts as
+// demand.
 const retrySoonWindow = 5 * micros.Second
 
-// demandKey identifies the jobs that fit the same machines.
+// demandKey identifies a group of jobs that fit the same machines.
 type demandKey struct {
 	gang, spot  bool
 	zone, types string
@@ -24,7 +25,7 @@
 
 func (f *Fleet) demands() []*autoscaler.Demand {
 	byKey := map[demandKey]*autoscaler.Demand{}
-	countedByTeam := map[string]sched.Resources{} // by the jobs so far, towards the quota limit
+	countedByTeam := map[string]sched.Resources{} // demand of the jobs handled so far, by team
 	var list []*autoscaler.Demand
 	for _, j := range f.Queue {
 		if j.State != inventory.JobActive {
@@ -42,8 +43,9 @@
 	return list
 }
 
-// addDemand adds a job's placed and pending tasks to a demand. Each job may use all that its
-// team's quota limit leaves, but all jobs of the team together may use it only once.
+// addDemand adds a job's placed and pending tasks to a demand. The pending work of each job is bounded
+// by its team's whole quota headroom, but the demand's QuotaHeadroom counts that headroom only once
+// for all jobs of the team.
 func (f *Fleet) addDemand(d *autoscaler.Demand, j *inventory.Job, countedByTeam map[string]sched.Resources) {
 	d.MaxWait = min(d.MaxWait, f.jobs.MaxQueueingDelay(j))
 	for _, a := range j.Attempts {
@@ -66,7 +68,7 @@
 	d.QuotaLimited = d.QuotaLimited || countedOnce < j.Pending
 }
 
-// addPendingWork adds tasks of a job that are not placed to a demand.
+// addPendingWork adds pending tasks of a job to a demand.
 func (f *Fleet) addPendingWork(d *autoscaler.Demand, j *inventory.Job, tasks int) {
 	work := float64(tasks) * autoscaler.TaskCPUs(j.Job) * max(f.jobs.EstimatedRunTime(j).Seconds(), 1)
 	d.PendingCPUSeconds += work
--- a/internal/fleet/demand_test.go
+++ b/internal/fleet/demand_test.go
@@ -8,7 +8,8 @@
 	"tamarindlead/sched"
 )
 
-// TestRecordRunTime checks that the run time of a task ends with the present event.
+// TestRecordRunTime checks that the recorded run time of a task lasts until the time of the current
+// event.
 func TestRecordRunTime(t *testing.T) {
 	f, host := newTestFleet(t, "m-000001")
 	f.refresh()
@@ -21,6 +22,6 @@
 	host.now = 1 + 40*micros.Second
 	f.RecordRunTime(a)
 	if got := f.classes.CorrectedEstimate(j.Class, j.Estimate); got <= 10*micros.Second || got > 40*micros.Second {
-		t.Errorf("the estimate after a task of 40 s is %v", got)
+		t.Errorf("estimate after a run time of 40 s: %v, want more than 10 s and at most 40 s", got)
 	}
 }
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -12,88 +12,92 @@
 	"tamarindlead/sched"
 )
 
-// Host is what the fleet needs of its owner and the node.
+// Host provides what the fleet needs from its owner and the node.
 type Host interface {
-	// Now returns the time of the present event on a clock that only moves forward.
+	// Now returns the time of the current event on a monotonic clock.
 	Now() micros.Micros
-	// WallClock returns the time of day of the present event.
+	// WallClock returns the wall-clock time of the current event.
 	WallClock() micros.Micros
-	// MachineTypes returns the machine types of the cloud, as far as they are known.
+	// MachineTypes returns the machine types of the cloud, or none before they are known.
 	MachineTypes() []sched.MachineType
-	// Superseded reports whether the owner was replaced, so that callbacks must do nothing.
+	// Superseded reports whether the owner was replaced. Its callbacks must do nothing then.
 	Superseded() bool
 	// IsActive reports whether the owner has recovered its records and was not replaced.
 	IsActive() bool
 	// ActiveSince returns when the owner became active.
 	ActiveSince() micros.Micros
-	// LastHeartbeat returns when any machine sent a heartbeat last.
+	// LastHeartbeat returns the time of the last heartbeat from any machine.
 	LastHeartbeat() micros.Micros
-	// NextNumber returns a number that is never used again.
+	// NextNumber returns a unique number.
 	NextNumber() uint64
-	// ReportViolation reports an invariant that does not hold, with keys and values for the log.
+	// ReportViolation reports the violation of an invariant, with keys and values for the log.
 	ReportViolation(violation string, details ...any)
 }
 
-// Ownership is what the fleet needs to know of the machines' records and of other owners.
+// Ownership provides what the fleet needs to know about the machines' records and other owners.
 type Ownership interface {
-	// ID returns the name of this owner in records.
+	// ID returns the identifier of this owner in records.
 	ID() record.OwnerID
-	// OwnsRecordsOf reports whether this owner takes over the records of another.
+	// OwnsRecordsOf reports whether this owner takes over the records of the given owner.
 	OwnsRecordsOf(owner record.OwnerID) bool
-	// IsClaimedByPeer reports whether another owner's heartbeat names the machine.
+	// IsClaimedByPeer reports whether a peer controller claims the machine in its messages.
 	IsClaimedByPeer(machine string) bool
-	// AdoptsUnclaimed reports whether this owner adopts the machines that no owner claims.
+	// AdoptsUnclaimed reports whether this owner is the one that adopts machines without an owner.
 	AdoptsUnclaimed() bool
 	// NewMachine adds a machine to the inventory, with an entry in a block of its type and zone.
 	NewMachine(info inventory.MachineInfo) *inventory.Machine
-	// NewAdoptedMachine adds a machine that another owner may have without this one's knowledge.
+	// NewAdoptedMachine adds a machine that may belong to another owner without this owner's
+	// knowledge.
 	NewAdoptedMachine(info inventory.MachineInfo) *inventory.Machine
 }
 
 // Cloud sends requests to the cloud.
 type Cloud interface {
-	// Allow reports whether the rate limit permits another request, and counts it.
+	// Allow reports whether the rate limit permits another request, and if so counts that request.
 	Allow() bool
 	// Call sends a request. done receives status 0 if there is no response.
 	Call(method, target string, body any, done func(status wire.Status, body []byte))
 }
 
-// Jobs is what the fleet needs of scheduling.
+// Jobs provides what the fleet needs from scheduling.
 type Jobs interface {
-	// QuotaHeadroom returns how many more tasks of a job its team's quota limit permits, if
-	// the reserved resources are used too.
+	// QuotaHeadroom returns how many of a job's pending tasks its team's quota limit permits if
+	// the reserved resources are in use too.
 	QuotaHeadroom(j *inventory.Job, reserved sched.Resources) int
-	// ClassWaitTarget returns how long a job may wait, by the SLOs of its class.
+	// ClassWaitTarget returns how long a job may wait according to the SLOs of its class.
 	ClassWaitTarget(j *inventory.Job) micros.Micros
-	// MaxQueueingDelay returns how long a job may wait, by its SLOs and its deadline.
+	// MaxQueueingDelay returns how long a job may wait according to its SLOs and its deadline.
 	MaxQueueingDelay(j *inventory.Job) micros.Micros
 	// EstimatedRunTime returns the estimated run time of a job's tasks.
 	EstimatedRunTime(j *inventory.Job) micros.Micros
-	// IsUrgent reports whether a job must start soon for a deadline to be met.
+	// IsUrgent reports whether a job must start soon to meet a deadline.
 	IsUrgent(j *inventory.Job) bool
-	// MinOnDemandTasks returns how many tasks of a gang must not run on spot machines.
+	// MinOnDemandTasks returns the number of tasks of a gang that must not run on spot machines.
 	MinOnDemandTasks(j *inventory.Job) int
-	// HasReservation reports whether machines are reserved for a gang.
+	// HasReservation reports whether a gang has a reservation of machines.
 	HasReservation(job string) bool
-	// IsReserved reports whether a machine is reserved for some gang.
+	// IsReserved reports whether a machine is reserved for any gang.
 	IsReserved(machine string) bool
-	// HasNoDependentTasks reports whether no job that depends on the machine's type has tasks on it.
+	// HasNoDependentTasks reports whether none of the machine's tasks belongs to a job that can run
+	// on no other machine type.
 	HasNoDependentTasks(m *inventory.Machine) bool
-	// RemainingRunTime estimates how long an attempt still takes.
+	// RemainingRunTime estimates the time until an attempt completes.
 	RemainingRunTime(a *inventory.Attempt) micros.Micros
-	// RemainingBusyTime estimates how long the tasks that use resources of a machine still take.
+	// RemainingBusyTime estimates the time until all tasks that use resources of a machine have
+	// completed.
 	RemainingBusyTime(m *inventory.Machine) micros.Micros
-	// Evict stops an attempt, with time for a checkpoint.
+	// Evict stops an attempt with a grace period for a checkpoint.
 	Evict(a *inventory.Attempt, reason string)
-	// RequestMachines asks other owners for machines for tasks of a job.
+	// RequestMachines requests machines from other owners for tasks of a job.
 	RequestMachines(job *sched.Job, tasks int)
 	// RecordSpotUptime adds an interval to the uptime of each spot machine.
 	RecordSpotUptime(interval micros.Micros)
-	// RecordSpotReclaimed counts the loss of a machine, if it is a spot machine, once.
+	// RecordSpotReclaimed counts the loss of a spot machine, once per machine. It ignores
+	// on-demand machines.
 	RecordSpotReclaimed(m *inventory.Machine)
 }
 
-// Config holds what a fleet is made of.
+// Config holds the dependencies of a fleet.
 type Config struct {
 	Inventory *inventory.Inventory
 	Classes   *autoscaler.Classes
@@ -105,7 +109,7 @@
 	Jobs      Jobs
 }
 
-// Fleet is the machines of one owner as a whole.
+// Fleet manages the set of machines of one owner.
 type Fleet struct {
 	*inventory.Inventory
 	classes   *autoscaler.Classes
@@ -116,25 +120,25 @@
 	cloud     Cloud
 	jobs      Jobs
 
-	// now, wallClock and types are those of the present event. Every exported method and callback
-	// that uses them calls refresh first, so that loops over machines need not call the host for
-	// each machine.
+	// now, wallClock and types are the values of the host for the current event. Every exported
+	// method and callback that uses them calls refresh first, so that loops over machines do not
+	// call the host for each machine.
 	now       micros.Micros
 	wallClock micros.Micros
 	types     []sched.MachineType
 
 	cloudListing       cloudList
-	recentlyTerminated map[string]micros.Micros // by machine, until when it is remembered
-	ownedElsewhere     map[string]micros.Micros // machines of other owners, until when that is assumed
-	unclaimedSince     map[string]micros.Micros // listed machines that no owner claims
-	partitionedSince   map[string]micros.Micros // zones behind a network partition
+	recentlyTerminated map[string]micros.Micros // end of the retention, by machine
+	ownedElsewhere     map[string]micros.Micros // end of the assumption, by machine
+	unclaimedSince     map[string]micros.Micros // start of being listed without an owner, by machine
+	partitionedSince   map[string]micros.Micros // start of the network partition, by zone
 
 	scaleOuts        *scaleOuts
 	terminating      bool // a termination request is in flight
 	nextTermination  micros.Micros
 	nextAutoscaling  micros.Micros
 	nextScaleIn      micros.Micros
-	nextArrayRequest micros.Micros // when other owners may be asked for machines for an array
+	nextArrayRequest micros.Micros // time of the next request to other owners for an array
 }
 
 // New returns the fleet of an owner.
@@ -150,10 +154,10 @@
 	}
 }
 
-// refresh updates now, wallClock and types at the beginning of an event.
+// refresh updates now, wallClock and types at the start of an event.
 func (f *Fleet) refresh() {
 	f.now, f.wallClock, f.types = f.host.Now(), f.host.WallClock(), f.host.MachineTypes()
 }
 
-// Reset drops the scale-out requests, before the records are recovered.
+// Reset discards the scale-out requests before the records are recovered.
 func (f *Fleet) Reset() { clear(f.scaleOuts.requests) }
--- a/internal/fleet/gang_retention.go
+++ b/internal/fleet/gang_retention.go
@@ -5,11 +5,12 @@
 	"tamarindlead/internal/wire"
 )
 
-// retainedForGangs reports whether an unresponsive machine is kept because it still works, as
-// other machines show: tasks whose gang has lost one end within the gang failure timeout, but the
-// tasks of its gangs on other machines were running for longer than that. Its worker may
-// reconnect until its lease ends; giving the machine up would stop whole gangs. A machine that
-// has tasks of an ended job, or that the cloud reclaims, is not kept.
+// retainedForGangs reports whether an unresponsive machine is retained because other machines show
+// that its tasks are still running. After a gang has lost a task, its other tasks exit within the gang
+// failure timeout; here, the tasks of the machine's gangs on other machines were still running after
+// that timeout. The worker may reconnect until its lease expires, and decommissioning the machine would
+// stop whole gangs. A machine that has failed, that the cloud reclaims, or that has tasks of an ended
+// job is not retained.
 func (f *Fleet) retainedForGangs(m *inventory.Machine) bool {
 	if f.unresponsiveFor(m) > f.settings.WorkerLease || m.Failed || m.ReclaimAt != 0 {
 		return false
@@ -29,8 +30,9 @@
 	return hasGang
 }
 
-// gangPeerRunning reports whether another task of the gang was running so long after the last
-// heartbeat of this one's machine that it would have noticed the loss of this one.
+// gangPeerRunning reports whether another task of the attempt's gang, on another machine, was reported
+// as running more than the gang failure timeout after the last heartbeat of the attempt's machine. By
+// then, that task would have detected the loss of this attempt.
 func (f *Fleet) gangPeerRunning(a *inventory.Attempt) bool {
 	for _, peer := range a.Job.Attempts {
 		if peer.Machine != a.Machine && peer.State == inventory.AttemptLive && peer.Phase == wire.PhaseRunning &&
--- a/internal/fleet/health.go
+++ b/internal/fleet/health.go
@@ -5,28 +5,30 @@
 	"tamarindlead/micros"
 )
 
-// Bounds beyond which a machine, or this node, counts as faulty.
+// Limits beyond which a machine, or this node, is considered faulty.
 const (
-	// maxMissedHeartbeats is how many heartbeats in a row may be missing before the machine may
-	// count as unresponsive: a few are lost or delayed in normal operation.
+	// maxMissedHeartbeats is the number of consecutive heartbeats that may be missing before a
+	// machine may be considered unresponsive, since a few are lost or delayed in normal operation.
 	maxMissedHeartbeats = 2
-	// maxMissedListings is how many readings of the cloud's list in a row must lack a machine.
+	// maxMissedListings is the number of consecutive readings of the cloud's list without a machine
+	// after which the machine is considered unlisted.
 	maxMissedListings = 2
-	// isolatedTimeoutFactor prolongs the heartbeat timeout while no machine at all sends
-	// heartbeats: the fault is probably this node's.
+	// isolatedTimeoutFactor multiplies the heartbeat timeout while no heartbeat arrives from any
+	// machine, since the fault is then probably in this node.
 	isolatedTimeoutFactor = 3
-	// unreachableTimeoutFactor is how many heartbeat timeouts a machine may be unreachable
-	// while many are.
+	// unreachableTimeoutFactor is the number of heartbeat timeouts for which a machine may be
+	// unreachable while many machines are unreachable.
 	unreachableTimeoutFactor = 4
-	// minUnreachableMachines and unreachableDivisor give the number of machines that may be
-	// unreachable at the same time before this node counts as faulty: that part of all
-	// machines, and at least the minimum.
+	// minUnreachableMachines and unreachableDivisor determine how many machines may be unreachable
+	// at the same time before this node is considered faulty: the number of machines divided by
+	// unreachableDivisor, but at least minUnreachableMachines.
 	minUnreachableMachines = 2
 	unreachableDivisor     = 10
-	// defaultBootTime is the boot time of machines whose type is not known.
+	// defaultBootTime is the assumed boot time of machines whose type is not known.
 	defaultBootTime = micros.Minute
-	// inspectTimeout is how long a machine has to answer an inspection after a failover, when
-	// there is no time for more: after several failovers in a row, each owner waits that long.
+	// inspectTimeout is the time within which a machine must respond to an inspection after a
+	// failover if a task of a cancelled job must stop soon. It is short because after several
+	// failovers in a row, each owner waits that long.
 	inspectTimeout = 3 * micros.Second
 )
 
@@ -35,22 +37,23 @@
 	// unresponsive machine with a task of a cancelled job is decommissioned, regardless of its
 	// other tasks and of the time since the failover.
 	OverdueDecommissionFraction = 0.5
-	// overdueTerminateFraction is the fraction after which the cloud is asked to terminate the
-	// machine even if the decision cannot be recorded: the key-value store may be unavailable
-	// for longer. If the cloud executes the request only after a failover, the next owner
-	// detects the loss of the machine by its missing heartbeats or by the cloud's list.
+	// overdueTerminateFraction is the fraction of the cancellation deadline after which the cloud
+	// is requested to terminate the machine even if the decision cannot be recorded, since the
+	// key-value store may be unavailable beyond the deadline. If the cloud executes the request
+	// only after a failover, the successor detects the loss of the machine from its missing
+	// heartbeats or from the cloud's list.
 	overdueTerminateFraction = 0.6
 )
 
-// nodeHealth is what all machines together show about this node.
+// nodeHealth is the health of this node as inferred from all machines together.
 type nodeHealth struct {
-	isolated        bool // no machine sends heartbeats: the fault is probably this node's
-	manyUnreachable bool // too many machines are unreachable for the fault to be theirs
+	isolated        bool // no heartbeats from any machine: the fault is probably in this node
+	manyUnreachable bool // too many machines are unreachable for the fault to be in the machines
 }
 
-// CheckHealth decommissions the machines that are lost, and the drained ones that are empty. The
-// decision is recorded before the cloud is asked: a controller that is cut off, and therefore
-// receives no heartbeats, cannot record it, while its requests to the cloud could be delayed and
+// CheckHealth decommissions lost machines and drained machines without tasks. The decision is recorded
+// before the termination is requested from the cloud: a partitioned controller, which receives no
+// heartbeats, cannot record the decision, whereas its requests to the cloud could be delayed and
 // executed after a failover.
 func (f *Fleet) CheckHealth() {
 	f.refresh()
@@ -71,7 +74,7 @@
 	}
 }
 
-// decommission decides to terminate a machine, if there is a reason.
+// decommission decides to terminate a machine, unless the reason is NotDecommissioned.
 func (f *Fleet) decommission(m *inventory.Machine, reason DecommissionReason) {
 	if reason == NotDecommissioned {
 		return
@@ -82,7 +85,7 @@
 	f.SetMachineState(m, inventory.MachineDecommissioning, reason.String())
 }
 
-// nodeHealth evaluates what all machines together show about this node.
+// nodeHealth infers the health of this node from all machines together.
 func (f *Fleet) nodeHealth() nodeHealth {
 	unreachable := 0
 	for _, m := range f.SortedMachines {
@@ -97,7 +100,8 @@
 	}
 }
 
-// mustDecommission reports whether an unresponsive machine has a task that must be gone soon.
+// mustDecommission reports whether a machine is unresponsive and has a task of an ended job that must
+// be stopped soon.
 func (f *Fleet) mustDecommission(m *inventory.Machine) bool {
 	if m.State >= inventory.MachineDecommissioning || !f.cancellationOverdue(m, OverdueDecommissionFraction) {
 		return false
@@ -109,8 +113,8 @@
 	return f.sinceLastHeartbeat(m) > timeout
 }
 
-// checkBooting returns why a machine that has sent no heartbeat yet must be decommissioned, if
-// so. After a failover it may have been up all the time.
+// checkBooting returns the reason for which a machine that has sent no heartbeat yet must be
+// decommissioned, or NotDecommissioned. After a failover, such a machine may have booted long ago.
 func (f *Fleet) checkBooting(m *inventory.Machine) DecommissionReason {
 	if f.retainedInPartition(m) {
 		return NotDecommissioned
@@ -127,7 +131,8 @@
 	return NotDecommissioned
 }
 
-// checkRunning returns why a machine that should send heartbeats must be decommissioned, if so.
+// checkRunning returns the reason for which a machine that should send heartbeats must be
+// decommissioned, or NotDecommissioned.
 func (f *Fleet) checkRunning(m *inventory.Machine, node nodeHealth) DecommissionReason {
 	unresponsive, timeout := f.unresponsiveFor(m), f.machineHeartbeatTimeout(m)
 	switch {
@@ -147,16 +152,17 @@
 	return NotDecommissioned
 }
 
-// isUnreachable reports whether a machine's heartbeats arrive while nothing reaches the machine:
-// it has not confirmed its fencing token for long. Its tasks continue until its lease ends; then
-// it is idle, and still paid for.
+// isUnreachable reports whether a machine's heartbeats arrive but nothing sent to the machine does, as
+// shown by a fencing token that has not been confirmed for longer than the timeouts. The machine's
+// tasks run until its lease expires; after that it is idle but still billed.
 func (f *Fleet) isUnreachable(m *inventory.Machine) bool {
 	return m.FencingToken != 0 && m.State.IsUp() && !m.TokenConfirmed &&
 		f.now-m.TokenConfirmedAt > f.settings.HeartbeatTimeout()+f.heartbeatTolerance()
 }
 
-// unreachableTimedOut reports whether an unreachable machine is given up. With many of them the
-// fault is probably this node's: responses that arrive too late are dropped too.
+// unreachableTimedOut reports whether an unreachable machine is decommissioned. If many machines are
+// unreachable, the fault is probably in this node, for instance because its responses are so slow that
+// the workers discard them; the machines then get more time.
 func (f *Fleet) unreachableTimedOut(m *inventory.Machine, node nodeHealth) bool {
 	return !node.manyUnreachable || f.now-m.TokenConfirmedAt > unreachableTimeoutFactor*f.settings.HeartbeatTimeout()
 }
@@ -165,8 +171,8 @@
 	return f.CancellationOverdue(m, fraction, f.now)
 }
 
-// CancellationOverdue reports whether a machine has a task whose job ended at least that fraction
-// of the cancellation deadline ago.
+// CancellationOverdue reports whether a machine has a task whose job ended longer ago than the given
+// fraction of the cancellation deadline.
 func (f *Fleet) CancellationOverdue(m *inventory.Machine, fraction float64, now micros.Micros) bool {
 	limit := micros.Micros(fraction * float64(f.settings.CancellationDeadline))
 	for _, a := range m.Attempts {
@@ -177,14 +183,14 @@
 	return false
 }
 
-// heartbeatTolerance returns how long a machine may send no heartbeat and still count as
+// heartbeatTolerance returns the time without a heartbeat during which a machine is still considered
 // responsive.
 func (f *Fleet) heartbeatTolerance() micros.Micros {
 	return maxMissedHeartbeats * f.settings.HeartbeatInterval
 }
 
-// machineHeartbeatTimeout returns how long a machine may be unresponsive: not for long once the
-// cloud has reclaimed it.
+// machineHeartbeatTimeout returns how long a machine may be unresponsive. The timeout is shorter after
+// the time at which the cloud reclaims the machine.
 func (f *Fleet) machineHeartbeatTimeout(m *inventory.Machine) micros.Micros {
 	if m.ReclaimAt != 0 && f.now > m.ReclaimAt {
 		return f.settings.HeartbeatInterval * 3 / 2
@@ -192,7 +198,8 @@
 	return f.settings.HeartbeatTimeout()
 }
 
-// sinceLastHeartbeat returns the time since a machine's last heartbeat to this owner.
+// sinceLastHeartbeat returns the time since a machine's last heartbeat to this owner or, if there was
+// none, since the owner became active.
 func (f *Fleet) sinceLastHeartbeat(m *inventory.Machine) micros.Micros {
 	if m.AgentEpoch == 0 {
 		return f.now - f.host.ActiveSince()
@@ -200,8 +207,8 @@
 	return f.now - min(m.LastHeartbeat, f.now)
 }
 
-// unresponsiveFor returns how long a machine's heartbeats have been missing without a known
-// reason.
+// unresponsiveFor returns how long a machine has sent no heartbeat, not counting its grace period after
+// a failover or a network partition.
 func (f *Fleet) unresponsiveFor(m *inventory.Machine) micros.Micros {
 	return f.now - max(m.LastHeartbeat, m.HeartbeatGraceUntil)
 }
--- a/internal/fleet/health_test.go
+++ b/internal/fleet/health_test.go
@@ -9,7 +9,8 @@
 	"tamarindlead/sched"
 )
 
-// TestCheckHealth checks which machines are decommissioned among others that send heartbeats.
+// TestCheckHealth checks whether and why one machine is decommissioned while the other machines send
+// heartbeats.
 func TestCheckHealth(t *testing.T) {
 	const now = 200 * micros.Second
 	for _, test := range []struct {
@@ -22,10 +23,10 @@
 		{"unresponsive", func(f *Fleet, m *inventory.Machine) {
 			m.LastHeartbeat = now - f.settings.HeartbeatTimeout() - 1
 		}, DecommissionUnresponsive},
-		{"unresponsive for just the timeout", func(f *Fleet, m *inventory.Machine) {
+		{"unresponsive for exactly the timeout", func(f *Fleet, m *inventory.Machine) {
 			m.LastHeartbeat = now - f.settings.HeartbeatTimeout()
 		}, NotDecommissioned},
-		{"unresponsive in its grace", func(f *Fleet, m *inventory.Machine) {
+		{"unresponsive within its grace period", func(f *Fleet, m *inventory.Machine) {
 			m.LastHeartbeat, m.HeartbeatGraceUntil = now-f.settings.HeartbeatTimeout()-1, now
 		}, NotDecommissioned},
 		{"unresponsive after its reclaim", func(f *Fleet, m *inventory.Machine) {
@@ -41,7 +42,7 @@
 			m.TokenConfirmed, m.TokenConfirmedAt = false, now-f.settings.HeartbeatTimeout()-f.heartbeatTolerance()-1
 		}, DecommissionUnreachable},
 		{"drained", func(_ *Fleet, m *inventory.Machine) { m.State = inventory.MachineDraining }, DecommissionDrained},
-		{"booting for long", func(_ *Fleet, m *inventory.Machine) {
+		{"booting for longer than the timeout", func(_ *Fleet, m *inventory.Machine) {
 			m.State, m.AgentEpoch, m.LastHeartbeat = inventory.MachineBooting, 0, 0
 		}, DecommissionBootTimeout},
 		{"booting", func(f *Fleet, m *inventory.Machine) {
@@ -71,14 +72,14 @@
 				want = "m-000001: " + test.want.String()
 			}
 			if reason != want || (m.State == inventory.MachineDecommissioning) != (want != "") {
-				t.Errorf("state %v with the reason %q, want %q", m.State, reason, want)
+				t.Errorf("machine state %v, logged reason %q, want reason %q", m.State, reason, want)
 			}
 		})
 	}
 }
 
-// TestIsolatedNodeKeepsMachines checks that machines are kept for longer while none sends
-// heartbeats, since the fault is probably this node's.
+// TestIsolatedNodeKeepsMachines checks that the timeout is longer while no machine sends heartbeats,
+// since the fault is then probably in this node.
 func TestIsolatedNodeKeepsMachines(t *testing.T) {
 	f, host := newTestFleet(t, "m-000001", "m-000002")
 	timeout := f.settings.HeartbeatTimeout()
@@ -93,14 +94,14 @@
 		f.CheckHealth()
 		for _, m := range f.SortedMachines {
 			if m.State != want {
-				t.Errorf("%s after %v: %v, want %v", m.Name, now, m.State, want)
+				t.Errorf("%s after %v: state %v, want %v", m.Name, now, m.State, want)
 			}
 		}
 	}
 }
 
-// TestPartitionedZone checks that a zone with few responsive machines counts as partitioned only
-// while machines elsewhere respond.
+// TestPartitionedZone checks that a zone with few responsive machines is considered partitioned only
+// while machines in other zones respond.
 func TestPartitionedZone(t *testing.T) {
 	for _, test := range []struct {
 		name            string
--- a/internal/fleet/host_test.go
+++ b/internal/fleet/host_test.go
@@ -14,8 +14,8 @@
 	"tamarindlead/sched"
 )
 
-// fakeHost is an active owner of all machines, without jobs that wait. It records the
-// violations that are reported and the requests to the cloud.
+// fakeHost is an active owner of all machines, without pending jobs. It records the reported
+// violations and the requests to the cloud.
 type fakeHost struct {
 	now           micros.Micros
 	activeSince   micros.Micros
@@ -27,11 +27,11 @@
 	inventory     *inventory.Inventory
 	violations    []string
 	calls         []cloudCall
-	// onMachineState is called with a machine's name and the reason for its change of state.
+	// onMachineState is called with a machine's name and the reason for its state change.
 	onMachineState func(machine, reason string)
 }
 
-// logHandler passes changes of machines' states to the host; other lines are dropped.
+// logHandler passes state changes of machines to the host and discards all other log records.
 type logHandler struct{ host *fakeHost }
 
 func (logHandler) Enabled(context.Context, slog.Level) bool { return true }
@@ -51,7 +51,7 @@
 	return nil
 }
 
-// cloudCall is a request to the cloud that was not answered yet.
+// cloudCall is a request to the cloud without a response yet.
 type cloudCall struct {
 	target string
 	body   any
@@ -109,8 +109,8 @@
 func (*fakeHost) CompletionUnrecorded(*inventory.Job, int)           {}
 func (*fakeHost) CommandsNeeded(*inventory.Machine)                  {}
 
-// newTestFleet returns the fleet of an owner that became active at the time 0, with claimed
-// machines that are ready and have sent a heartbeat at that time.
+// newTestFleet returns the fleet of an owner that became active at time 0, with claimed machines that
+// are ready and sent a heartbeat at that time.
 func newTestFleet(t *testing.T, machines ...string) (*Fleet, *fakeHost) {
 	t.Helper()
 	h := &fakeHost{types: []sched.MachineType{{Name: "small", Size: sched.NewResources(4, 0, 16), Boot: 40 * micros.Second}}}
@@ -131,18 +131,19 @@
 	return f, h
 }
 
-// respond answers the only request to the cloud that is in flight, which must have the target.
+// respond delivers the response to the only request to the cloud in flight, which must have the given
+// target.
 func (h *fakeHost) respond(t *testing.T, target string, status wire.Status, body any) {
 	t.Helper()
 	if len(h.calls) != 1 || h.calls[0].target != target {
-		t.Fatalf("requests in flight are %+v, want one to %s", h.calls, target)
+		t.Fatalf("requests in flight: %+v, want one to %s", h.calls, target)
 	}
 	call := h.calls[0]
 	h.calls = nil
 	call.done(status, wire.Encode(body))
 }
 
-// fakeTransaction collects the keys that are written and deleted.
+// fakeTransaction records the keys that are written and deleted.
 type fakeTransaction struct {
 	puts, deletes []string
 	results       []func(committed bool, revision uint64)
@@ -154,7 +155,7 @@
 	x.results = append(x.results, done)
 }
 
-// finish ends the transaction.
+// finish reports the result of the transaction to all callbacks.
 func (x *fakeTransaction) finish(committed bool) {
 	for _, done := range x.results {
 		done(committed, 9)
--- a/internal/fleet/partitions.go
+++ b/internal/fleet/partitions.go
@@ -5,27 +5,29 @@
 	"tamarindlead/internal/ordered"
 )
 
-// A zone is partitioned when at most maxResponsiveFraction of at least minZoneMachines machines
-// respond, while some in other zones do.
+// A zone is considered partitioned if it has at least minZoneMachines machines of which at most
+// maxResponsiveFraction respond, while machines in other zones respond.
 const (
 	minZoneMachines       = 4
 	maxResponsiveFraction = 0.15
 )
 
-// zoneHealth counts the machines of a zone by whether they send heartbeats.
+// zoneHealth counts the responsive and unresponsive machines of a zone.
 type zoneHealth struct {
 	unresponsive int
 	responsive   int
 }
 
-// partitioned reports whether a zone is partitioned, given how many machines respond in all zones.
+// partitioned reports whether a zone is partitioned, given the number of responsive machines in all
+// zones.
 func (z zoneHealth) partitioned(responsiveTotal int) bool {
 	total := z.unresponsive + z.responsive
 	return total >= minZoneMachines && float64(z.responsive) <= maxResponsiveFraction*float64(total) && responsiveTotal > z.responsive
 }
 
-// detectPartitions finds the zones that are cut off from this node: no machines are requested
-// there, and some are not given up at once (see retainedInPartition), since their tasks continue.
+// detectPartitions detects the zones that are partitioned from this node. No machines are requested in
+// them, and some of their unresponsive machines are retained (see retainedInPartition), since their
+// tasks continue to run.
 func (f *Fleet) detectPartitions() {
 	zones, responsiveTotal := f.zoneHealth()
 	for _, zone := range ordered.Keys(zones) {
@@ -45,7 +47,7 @@
 	}
 }
 
-// zoneHealth counts the responsive and unresponsive machines by zone, and the responsive ones in
+// zoneHealth counts the responsive and unresponsive machines by zone, and the responsive machines in
 // all zones.
 func (f *Fleet) zoneHealth() (zones map[string]*zoneHealth, responsiveTotal int) {
 	zones = map[string]*zoneHealth{}
@@ -68,8 +70,8 @@
 	return zones, responsiveTotal
 }
 
-// extendHeartbeatGrace gives the machines of a zone whose partition has ended time to find this
-// node.
+// extendHeartbeatGrace gives the machines of a zone whose partition has ended time to send a heartbeat
+// to this node.
 func (f *Fleet) extendHeartbeatGrace(zone string) {
 	for _, m := range f.SortedMachines {
 		if m.Zone == zone {
@@ -78,10 +80,10 @@
 	}
 }
 
-// retainedInPartition reports whether an unresponsive machine in a partitioned zone is kept: a
-// gang runs on it, which would lose its progress and find no other machine, or gangs will need
-// the machine once the partition ends. A machine with tasks of a job that has ended is not kept,
-// since these must be gone in time.
+// retainedInPartition reports whether an unresponsive machine in a partitioned zone is retained. Either
+// it runs a task of a gang, which would lose its progress and find no other machines, or it is an empty
+// machine of a scarce type, which gangs will need after the partition. A machine with tasks of an ended
+// job is not retained, since these must stop before the cancellation deadline.
 func (f *Fleet) retainedInPartition(m *inventory.Machine) bool {
 	if f.partitionedSince[m.Zone] == 0 || f.unresponsiveFor(m) > f.settings.Tuning.PartitionTimeout || m.Failed || m.ReclaimAt != 0 {
 		return false
--- a/internal/fleet/planning.go
+++ b/internal/fleet/planning.go
@@ -11,19 +11,19 @@
 const (
 	// autoscalingInterval is the time between two plans.
 	autoscalingInterval = micros.Second
-	// scaleInInterval is the least time between two plans that may drain machines: tasks of
-	// machines that were drained find other machines in between.
+	// scaleInInterval is the minimum time between two plans that may drain surplus machines, so
+	// that tasks from drained machines can be placed on other machines in between.
 	scaleInInterval = 2 * micros.Second
-	// arrayRequestInterval is the least time between two requests to other owners for arrays,
+	// arrayRequestInterval is the minimum time between two requests to other owners for arrays,
 	// which need machines less urgently than gangs.
 	arrayRequestInterval = 8 * micros.Second
-	// minConsolidationSaving is how much machine time the eviction of a drained machine's tasks
-	// must save.
+	// minConsolidationSaving is the minimum machine time that evicting the tasks of a drained
+	// machine must save.
 	minConsolidationSaving = 15 * micros.Second
 )
 
-// TickAutoscaling sends the scale-out requests that are recorded and, when it is due, plans
-// further ones and which machines to drain.
+// TickAutoscaling sends the recorded scale-out requests and, if a plan is due, plans further requests
+// and decides which machines to drain.
 func (f *Fleet) TickAutoscaling() {
 	f.refresh()
 	f.scaleOuts.sendRequests()
@@ -31,7 +31,7 @@
 		return
 	}
 	f.nextAutoscaling = f.now + autoscalingInterval
-	f.SchedulingNeeded = true // the back-off of a job ends without an event
+	f.SchedulingNeeded = true // no event signals the end of a job's backoff
 	f.jobs.RecordSpotUptime(autoscalingInterval)
 	f.removeExpiredClasses()
 	demands := f.demands()
@@ -42,7 +42,7 @@
 	f.applyPlan(planner.Plan(demands))
 }
 
-// removeExpiredClasses removes the statistics of classes that no job uses any more.
+// removeExpiredClasses removes the statistics of classes that have expired and have no queued job.
 func (f *Fleet) removeExpiredClasses() {
 	inUse := map[string]bool{}
 	for _, j := range f.Queue {
@@ -51,7 +51,7 @@
 	f.classes.RemoveExpired(f.now, inUse, f.catalog())
 }
 
-// Market returns what may be requested of the cloud now.
+// Market returns what can be requested from the cloud now.
 func (f *Fleet) Market() autoscaler.Market {
 	f.refresh()
 	return f.market()
@@ -66,7 +66,7 @@
 	return autoscaler.Catalog{Types: f.types, MaxTasks: inventory.MaxEntryTasks}
 }
 
-// newPlanner returns a planner that knows the machines and the scale-out requests.
+// newPlanner returns a planner for the present machines and scale-out requests.
 func (f *Fleet) newPlanner(demands []*autoscaler.Demand) *autoscaler.Planner {
 	p := &autoscaler.Planner{
 		Market: f.market(), Classes: f.classes, SLOs: f.settings.SLOs,
@@ -90,8 +90,8 @@
 	return p
 }
 
-// describeMachine describes a machine to the planner. The remaining busy time matters only if
-// there are gangs.
+// describeMachine describes a machine to the planner. The remaining busy time is estimated only if
+// withBusyTime is set, since it matters only for gangs.
 func (f *Fleet) describeMachine(m *inventory.Machine, withBusyTime bool) *autoscaler.Machine {
 	d := &autoscaler.Machine{Name: m.Name, Offer: m.Offer()}
 	switch m.State {
@@ -113,7 +113,7 @@
 	return d
 }
 
-// applyPlan carries out what the planner has decided.
+// applyPlan executes a plan.
 func (f *Fleet) applyPlan(plan autoscaler.Plan) {
 	for _, request := range plan.ScaleOutRequests {
 		f.scaleOuts.add(request)
@@ -130,8 +130,8 @@
 	}
 }
 
-// requestMachinesForArray asks other owners for machines for an array, for which none can be
-// requested of the cloud.
+// requestMachinesForArray requests machines from other owners for an array for which no machines can be
+// requested from the cloud.
 func (f *Fleet) requestMachinesForArray(shortage autoscaler.Shortage) {
 	if f.now < f.nextArrayRequest {
 		return
@@ -140,8 +140,8 @@
 	f.jobs.RequestMachines(shortage.Job, shortage.Tasks)
 }
 
-// consolidate evicts the tasks of a drained machine if all of them can write checkpoints, and
-// would otherwise keep the machine busy for much longer than that takes.
+// consolidate evicts the tasks of a drained machine if all of them can be checkpointed and if the
+// machine then becomes empty earlier by at least minConsolidationSaving.
 func (f *Fleet) consolidate(m *inventory.Machine) {
 	longest := micros.Micros(0)
 	for _, a := range m.Attempts {
@@ -158,10 +158,12 @@
 	}
 }
 
-// isScarce reports whether some recent class of jobs fits no other type than the machine's.
+// isScarce reports whether the jobs of some recent class can run on no other machine type than this
+// machine's and may use this machine.
 func (f *Fleet) isScarce(m *inventory.Machine) bool { return f.classes.Scarce(f.now, m.Type, m.Spot) }
 
-// MachineSize returns the size of a machine, and updates it by the machine types of the cloud.
+// MachineSize updates the size of a machine from the machine types of the cloud, if its type is known,
+// and returns it.
 func MachineSize(m *inventory.Machine, types []sched.MachineType) sched.Resources {
 	if t := findType(types, m.Type); t != nil {
 		m.Size = t.Size
@@ -169,7 +171,7 @@
 	return m.Size
 }
 
-// findType returns the machine type with a name, or nil.
+// findType returns the machine type with the given name, or nil.
 func findType(types []sched.MachineType, name string) *sched.MachineType {
 	for i := range types {
 		if types[i].Name == name {
--- a/internal/fleet/scale_out.go
+++ b/internal/fleet/scale_out.go
@@ -16,24 +16,24 @@
 	"tamarindlead/micros"
 )
 
-// scaleOutNamePrefix begins the names of scale-out requests.
+// scaleOutNamePrefix is the prefix of the names of scale-out requests.
 const scaleOutNamePrefix = "h-"
 
-// errorNoCapacity is the cloud's error when it has no machines of an offer.
+// errorNoCapacity is the cloud's error text when it has no machines of an offer.
 const errorNoCapacity = "no capacity"
 
-// cloudRetryDelay is the pause after a response of the cloud before a request is repeated.
+// cloudRetryDelay is the delay before a request is repeated after a response of the cloud.
 const cloudRetryDelay = micros.Second
 
 // scaleOutState is the state of a scale-out request.
 type scaleOutState int
 
-// The states of a scale-out request, in the order in which it passes them.
+// The states of a scale-out request, in order.
 const (
-	scaleOutPlanned   scaleOutState = iota // its name must be recorded first
-	scaleOutRequested                      // recorded; it is sent to the cloud, repeatedly if necessary
-	scaleOutGranted                        // its machines must be recorded
-	scaleOutDone                           // its record must be deleted
+	scaleOutPlanned   scaleOutState = iota // not recorded yet: its name must be recorded before it is sent
+	scaleOutRequested                      // recorded: it is sent to the cloud, repeatedly if necessary
+	scaleOutGranted                        // the cloud has granted machines, which must be recorded
+	scaleOutDone                           // finished: its record must be deleted
 )
 
 func (s scaleOutState) String() string {
@@ -50,20 +50,20 @@
 	return fmt.Sprintf("scaleOutState(%d)", int(s))
 }
 
-// scaleOutRequest is a request for machines of an offer. The cloud answers a request that is
-// repeated under the same name with the same machines.
+// scaleOutRequest is a request for machines of an offer. It is idempotent: the cloud responds to a
+// repeated request with the same name by returning the same machines.
 type scaleOutRequest struct {
 	name         string
 	offer        autoscaler.Offer
 	machineCount int
 	state        scaleOutState
-	writing      bool          // a transaction that writes or deletes its record is in flight
-	inFlight     bool          // it was sent to the cloud, which has not answered yet
-	nextAttempt  micros.Micros // when it may be sent again
+	writing      bool          // a transaction with its record is in flight
+	inFlight     bool          // sent to the cloud, without a response yet
+	nextAttempt  micros.Micros // time from which it may be sent again
 	machines     []string      // granted by the cloud
 }
 
-// scaleOuts holds the scale-out requests of an owner, and the offers that the cloud has refused.
+// scaleOuts holds the scale-out requests of an owner and the offers that the cloud has refused.
 type scaleOuts struct {
 	inventory *inventory.Inventory
 	settings  *config.Settings
@@ -73,7 +73,7 @@
 	cloud     Cloud
 
 	requests      map[string]*scaleOutRequest
-	refusedOffers map[autoscaler.Offer]micros.Micros // not requested until then
+	refusedOffers map[autoscaler.Offer]micros.Micros // time until which an offer is not requested
 }
 
 func newScaleOuts(c Config) *scaleOuts {
@@ -85,35 +85,36 @@
 	}
 }
 
-// Transaction collects writes that are committed together.
+// Transaction collects writes that are committed atomically.
 type Transaction interface {
 	// Put writes a record.
 	Put(key string, value any)
 	// Delete deletes a record.
 	Delete(key string)
-	// OnResult registers what is done once the transaction is committed, at a revision, or has
-	// failed.
+	// OnResult registers a callback for the result of the transaction: whether it was committed,
+	// and at which revision.
 	OnResult(done func(committed bool, revision uint64))
 }
 
-// RecoverScaleOutRequests takes over the scale-out requests of an earlier owner, which are sent
-// again.
+// RecoverScaleOutRequests restores the scale-out requests from the records of this owner and of those
+// that it takes over. They are sent again.
 func (f *Fleet) RecoverScaleOutRequests(entries []kv.Entry) { f.scaleOuts.recoverRequests(entries) }
 
-// FlushScaleOutRequests records the names of scale-out requests before they are sent, and deletes
-// the records of those that are done, until the transaction is full.
+// FlushScaleOutRequests adds writes to a transaction until it is full: it records new scale-out
+// requests, which may then be sent, and deletes the records of finished ones.
 func (f *Fleet) FlushScaleOutRequests(t Transaction, full func() bool) {
 	f.scaleOuts.flushRequests(t, full)
 }
 
-// setState is the one place where a scale-out request changes its state.
+// setState changes and logs the state of a scale-out request. All changes go through it.
 func (s *scaleOuts) setState(r *scaleOutRequest, state scaleOutState) {
 	s.log.Info("scale-out state changed", "scale_out", r.name, "type", r.offer.Type, "zone", r.offer.Zone, "spot", r.offer.Spot,
 		"requested", r.machineCount, "from", r.state.String(), "to", state.String(), "granted", len(r.machines))
 	r.state = state
 }
 
-// recoverRequests adds the recorded requests of this owner and of those whose records it takes over.
+// recoverRequests adds the recorded requests of this owner and of the owners whose records it takes
+// over.
 func (s *scaleOuts) recoverRequests(entries []kv.Entry) {
 	for _, e := range entries {
 		var recorded record.ScaleOutRequest
@@ -134,7 +135,8 @@
 	}
 }
 
-// flushRequests writes and deletes records in the order of the requests' names.
+// flushRequests writes and deletes records in the order of the requests' names, until the transaction
+// is full.
 func (s *scaleOuts) flushRequests(t Transaction, full func() bool) {
 	for _, name := range ordered.Keys(s.requests) {
 		r := s.requests[name]
@@ -174,7 +176,7 @@
 	})
 }
 
-// add adds a scale-out request, whose name must be recorded before it is sent.
+// add adds a scale-out request. Its name must be recorded before the request is sent.
 func (s *scaleOuts) add(request autoscaler.ScaleOutRequest) {
 	name := scaleOutNamePrefix + record.FormatNumber(s.host.NextNumber())
 	offer := request.Offer
@@ -193,7 +195,8 @@
 	return true
 }
 
-// mayRequestScaleOut asserts that a scale-out request may be sent to the cloud: its name is recorded.
+// mayRequestScaleOut asserts that a scale-out request may be sent to the cloud: the owner is active and
+// the request's name is recorded.
 func (s *scaleOuts) mayRequestScaleOut(r *scaleOutRequest) bool {
 	if s.host.IsActive() && r.state == scaleOutRequested {
 		return true
@@ -227,8 +230,8 @@
 	})
 }
 
-// handleResponse handles the cloud's response to a scale-out request. After any other response, or
-// none, the request is sent again.
+// handleResponse handles the cloud's response to a scale-out request. If machines are neither granted
+// nor refused, or if there is no response, the request is sent again.
 func (s *scaleOuts) handleResponse(r *scaleOutRequest, status wire.Status, body []byte) {
 	var granted wire.MachineNames
 	var refused wire.ErrorResponse
@@ -243,8 +246,8 @@
 	}
 }
 
-// handleGranted adds the machines that the cloud has granted. If they are fewer than requested,
-// the cloud has no more.
+// handleGranted adds the machines that the cloud has granted. If there are fewer than requested, the
+// cloud has no more machines of the offer.
 func (s *scaleOuts) handleGranted(r *scaleOutRequest, names []string) {
 	r.machines = names
 	for _, name := range names {
@@ -265,7 +268,7 @@
 	s.setState(r, scaleOutDone)
 }
 
-// backOffOffer keeps an offer from being requested until the cloud may have machines again.
+// backOffOffer prevents requests for an offer until the cloud may have machines again.
 func (s *scaleOuts) backOffOffer(offer autoscaler.Offer) {
 	s.refusedOffers[offer] = s.host.Now() + s.settings.Tuning.ScaleOutRetryDelay
 }
--- a/internal/fleet/scale_out_test.go
+++ b/internal/fleet/scale_out_test.go
@@ -10,8 +10,8 @@
 	"tamarindlead/sched"
 )
 
-// TestTerminationsRequireRecords checks that the cloud is asked to terminate a machine only if that
-// is recorded, and that anything else is a violation.
+// TestTerminationsRequireRecords checks that the termination of a machine is requested from the cloud
+// only if it is recorded, and that an attempt without a record is reported as a violation.
 func TestTerminationsRequireRecords(t *testing.T) {
 	for state, want := range map[inventory.MachineState]bool{
 		inventory.MachineTerminating: true, inventory.MachineDecommissioning: false, inventory.MachineReady: false,
@@ -27,8 +27,8 @@
 	}
 }
 
-// TestScaleOutRequiresRecords checks that the cloud is asked for machines only under a recorded
-// name, and that anything else is a violation.
+// TestScaleOutRequiresRecords checks that machines are requested from the cloud only under a recorded
+// name, and that an attempt without a record is reported as a violation.
 func TestScaleOutRequiresRecords(t *testing.T) {
 	for state, want := range map[scaleOutState]bool{
 		scaleOutPlanned: false, scaleOutRequested: true, scaleOutGranted: false, scaleOutDone: false,
@@ -43,19 +43,20 @@
 	}
 }
 
-// flush writes what the fleet has to record, in a transaction with that result, and checks how many
-// records are written and deleted.
+// flush flushes the scale-out requests in a transaction with the given result, and checks how many
+// records it writes and deletes.
 func flush(t *testing.T, f *Fleet, committed bool, puts, deletes int) {
 	t.Helper()
 	transaction := &fakeTransaction{}
 	f.FlushScaleOutRequests(transaction, func() bool { return false })
 	if len(transaction.puts) != puts || len(transaction.deletes) != deletes {
-		t.Fatalf("writes %q and deletes %q, want %d and %d", transaction.puts, transaction.deletes, puts, deletes)
+		t.Fatalf("keys written %q and deleted %q, want %d and %d keys", transaction.puts, transaction.deletes, puts, deletes)
 	}
 	transaction.finish(committed)
 }
 
-// TestScaleOutLifecycle follows a scale-out request from its plan until its record is deleted.
+// TestScaleOutLifecycle checks a scale-out request in all its states, from planning until its record
+// is deleted.
 func TestScaleOutLifecycle(t *testing.T) {
 	f, host := newTestFleet(t)
 	host.now = micros.Second
@@ -65,7 +66,7 @@
 	})
 	f.TickAutoscaling()
 	if len(host.calls) != 0 {
-		t.Fatal("the request is sent before its name is recorded")
+		t.Fatal("the request was sent before its name was recorded")
 	}
 	flush(t, f, false, 1, 0)
 	flush(t, f, true, 1, 0)
@@ -73,7 +74,7 @@
 	host.respond(t, wire.PathRentals, wire.StatusUnavailable, wire.ErrorResponse{Error: "try again"})
 	f.TickAutoscaling()
 	if len(host.calls) != 0 {
-		t.Fatal("the request is repeated without a pause")
+		t.Fatal("the request was repeated before the retry delay had passed")
 	}
 	host.now += cloudRetryDelay
 	f.TickAutoscaling()
@@ -83,18 +84,18 @@
 		t.Fatalf("machine %+v, want it provisioned at %v", m, host.now)
 	}
 	if want := host.now + f.settings.Tuning.ScaleOutRetryDelay; f.scaleOuts.refusedOffers[offer] != want {
-		t.Errorf("the offer of which there are no more is refused until %v, want %v", f.scaleOuts.refusedOffers[offer], want)
+		t.Errorf("the exhausted offer is not requested until %v, want %v", f.scaleOuts.refusedOffers[offer], want)
 	}
 	flush(t, f, true, 0, 0) // the machine is not claimed yet
 	m.FencingToken = 7
 	flush(t, f, true, 0, 1)
 	if len(f.scaleOuts.requests) != 0 || len(host.violations) != 0 {
-		t.Errorf("%d requests are left, with violations %q", len(f.scaleOuts.requests), host.violations)
+		t.Errorf("%d requests left and violations %q, want none", len(f.scaleOuts.requests), host.violations)
 	}
 }
 
-// TestScaleOutRefused checks that a refused request ends, and that its offer is not requested again
-// for a while.
+// TestScaleOutRefused checks that a refused request is finished, and that its offer is not requested
+// again before the retry delay has passed.
 func TestScaleOutRefused(t *testing.T) {
 	for name, response := range map[string]struct {
 		status wire.Status
@@ -111,14 +112,15 @@
 			f.TickAutoscaling()
 			host.respond(t, wire.PathRentals, response.status, response.body)
 			if until := f.scaleOuts.refusedOffers[offer]; r.state != scaleOutDone || until != f.settings.Tuning.ScaleOutRetryDelay {
-				t.Errorf("the request is %v, the offer refused until %v", r.state, until)
+				t.Errorf("request state %v, offer not requested until %v", r.state, until)
 			}
 			flush(t, f, true, 0, 1)
 		})
 	}
 }
 
-// TestSupersededIgnoresResponses checks that a fleet whose owner was replaced ignores the cloud.
+// TestSupersededIgnoresResponses checks that a fleet whose owner was replaced ignores responses of the
+// cloud.
 func TestSupersededIgnoresResponses(t *testing.T) {
 	f, host := newTestFleet(t)
 	f.scaleOuts.requests["h-1"] = &scaleOutRequest{name: "h-1", machineCount: 1, state: scaleOutRequested}
@@ -130,7 +132,8 @@
 	}
 }
 
-// TestTerminateMachines checks that the cloud's confirmation ends machines, which are remembered.
+// TestTerminateMachines checks that machines are terminated after the cloud's confirmation, and are
+// remembered for terminatedRetention.
 func TestTerminateMachines(t *testing.T) {
 	f, host := newTestFleet(t, "m-000001", "m-000002")
 	m := f.Machines["m-000001"]
@@ -139,21 +142,22 @@
 	host.respond(t, wire.PathRelease, wire.StatusUnavailable, nil)
 	f.TerminateMachines()
 	if len(host.calls) != 0 {
-		t.Fatal("the request is repeated without a pause")
+		t.Fatal("the request was repeated before the retry delay had passed")
 	}
 	host.now = cloudRetryDelay
 	f.TerminateMachines()
 	host.respond(t, wire.PathRelease, wire.StatusOK, nil)
 	if m.State != inventory.MachineTerminated || !f.IsRecentlyTerminated(m.Name) {
-		t.Errorf("the machine is %v, remembered: %t", m.State, f.IsRecentlyTerminated(m.Name))
+		t.Errorf("machine state %v, recently terminated: %t", m.State, f.IsRecentlyTerminated(m.Name))
 	}
 	host.now += terminatedRetention + 1
 	f.RemoveExpired()
 	if f.IsRecentlyTerminated(m.Name) || f.Machines["m-000002"].State != inventory.MachineReady {
-		t.Error("the machine is remembered for too long, or another one was terminated")
+		t.Error("the machine is remembered for longer than the retention, or another machine was terminated")
 	}
 }
 
+// expectedViolations returns 1 if a violation is expected, otherwise 0.
 func expectedViolations(expected bool) int {
 	if expected {
 		return 1
--- a/internal/fleet/termination.go
+++ b/internal/fleet/termination.go
@@ -10,13 +10,14 @@
 )
 
 const (
-	// maxTerminationsPerCall is how many machines one request to the cloud may terminate.
+	// maxTerminationsPerCall is the maximum number of machines in one termination request.
 	maxTerminationsPerCall = 100
-	// terminatedRetention is how long the cloud's list may still show a terminated machine.
+	// terminatedRetention is how long a terminated machine is remembered, since the cloud's list
+	// may still show it for that long.
 	terminatedRetention = 120 * micros.Second
 )
 
-// TerminateMachines asks the cloud to terminate the machines whose termination is due.
+// TerminateMachines requests the termination of the machines whose termination is due from the cloud.
 func (f *Fleet) TerminateMachines() {
 	if !f.TerminationNeeded || f.terminating {
 		return
@@ -47,8 +48,8 @@
 	})
 }
 
-// terminableMachines returns the machines that the cloud may be asked to terminate: those whose
-// termination is recorded, and those for which there is no time for that.
+// terminableMachines returns the machines whose termination may be requested from the cloud: machines
+// whose termination is recorded, and machines for which there is no time left to record it.
 func (f *Fleet) terminableMachines() []string {
 	var names []string
 	for _, name := range ordered.Keys(f.Machines) {
@@ -66,8 +67,8 @@
 	return m.State == inventory.MachineDecommissioning && f.cancellationOverdue(m, overdueTerminateFraction)
 }
 
-// mayTerminate asserts that the cloud may be asked to terminate a machine: that is recorded, or
-// there is no time left to record it.
+// mayTerminate asserts that the termination of a machine may be requested from the cloud: the owner is
+// active, and the termination is recorded or there is no time left to record it.
 func (f *Fleet) mayTerminate(m *inventory.Machine) bool {
 	if f.host.IsActive() && (m.State == inventory.MachineTerminating || f.terminationOverdue(m)) {
 		return true
@@ -76,7 +77,7 @@
 	return false
 }
 
-// handleMachinesTerminated handles the cloud's confirmation that machines were terminated.
+// handleMachinesTerminated handles the cloud's confirmation that it has terminated machines.
 func (f *Fleet) handleMachinesTerminated(names []string) {
 	for _, name := range names {
 		m := f.Machines[name]
--- a/internal/workers/assertions.go
+++ b/internal/workers/assertions.go
@@ -5,15 +5,16 @@
 	"tamarindlead/internal/wire"
 )
 
-// The assertions in this file state what a command to a machine depends on. Each is checked at the
-// moment at which the command is issued: if it does not hold, the command is omitted, and the
-// violation is logged and counted. docs/design.md lists all actions and their conditions.
+// The assertions in this file are the preconditions of commands to machines. Each is checked when the
+// command is issued: if it does not hold, the command is omitted, and the violation is logged and
+// counted. docs/design.md lists all actions and their conditions.
 
-// anyVerb is the verb under which a violation is logged that concerns all commands to a machine.
+// anyVerb is the verb in the log entry of a violation that concerns all commands to a machine.
 const anyVerb wire.Verb = "any"
 
-// mayCommand asserts that commands may be sent to a machine: a record of this owner claims it, its
-// worker has confirmed the fencing token of that claim, and it is not about to be terminated.
+// mayCommand asserts that commands may be sent to a machine: the owner is active, a record of this
+// owner claims the machine, its worker has confirmed the fencing token of that claim, and the machine
+// is not being decommissioned or terminated.
 func (w *Manager) mayCommand(m *inventory.Machine, verb wire.Verb) bool {
 	if w.host.IsActive() && m.FencingToken != 0 && m.TokenConfirmed && m.State < inventory.MachineDecommissioning {
 		return true
@@ -23,8 +24,8 @@
 	return false
 }
 
-// maySendStart asserts that an attempt may be started: its placement is recorded, and its job is not
-// known to have ended.
+// maySendStart asserts that a start command may be sent for an attempt: its placement is recorded, and
+// its job is not known to have been cancelled.
 func (w *Manager) maySendStart(a *inventory.Attempt) bool {
 	cancelled := w.host.JobIsCancelled(a.Job.ID)
 	if a.State == inventory.AttemptRecorded && a.Machine.Recorded && !cancelled {
--- a/internal/workers/assertions_test.go
+++ b/internal/workers/assertions_test.go
@@ -6,8 +6,10 @@
 	"tamarindlead/internal/inventory"
 )
 
-// TestStartsRequireRecords checks that a start is ordered only on a recorded placement under a
-// fencing token that the machine has confirmed, and that anything else is a violation.
+// TestStartsRequireRecords checks that a start command is issued only for a recorded placement and under
+// a fencing token that the machine has confirmed. Without a claim, a machine entry in a record, an
+// active owner or an uncancelled job, the omitted command is reported as a violation; a placement or
+// token that is not confirmed yet is not a violation.
 func TestStartsRequireRecords(t *testing.T) {
 	for _, c := range []struct {
 		name       string
@@ -18,14 +20,14 @@
 		{"recorded and claimed", func(*fakeHost, *inventory.Machine, *inventory.Attempt) {}, 1, 0},
 		{"not claimed", func(_ *fakeHost, m *inventory.Machine, _ *inventory.Attempt) { m.FencingToken = 0 }, 0, 1},
 		{"without an entry in a record", func(_ *fakeHost, m *inventory.Machine, _ *inventory.Attempt) { m.Recorded = false }, 0, 1},
-		{"to be terminated", func(_ *fakeHost, m *inventory.Machine, _ *inventory.Attempt) {
+		{"decommissioning", func(_ *fakeHost, m *inventory.Machine, _ *inventory.Attempt) {
 			m.State = inventory.MachineDecommissioning
 		}, 0, 1},
 		{"owner recovers its records", func(h *fakeHost, _ *inventory.Machine, _ *inventory.Attempt) { h.active = false }, 0, 1},
 		{"owner was replaced", func(h *fakeHost, _ *inventory.Machine, _ *inventory.Attempt) { h.superseded = true }, 0, 1},
-		{"a peer announced that its job is cancelled", func(h *fakeHost, _ *inventory.Machine, a *inventory.Attempt) { h.cancelledJobs[a.Job.ID] = true }, 0, 1},
-		{"not recorded yet", func(_ *fakeHost, _ *inventory.Machine, a *inventory.Attempt) { a.State = inventory.AttemptAssumed }, 0, 0},
-		{"the machine has not confirmed the token", func(_ *fakeHost, m *inventory.Machine, _ *inventory.Attempt) { m.TokenConfirmed = false }, 0, 0},
+		{"job cancelled, as announced by a peer", func(h *fakeHost, _ *inventory.Machine, a *inventory.Attempt) { h.cancelledJobs[a.Job.ID] = true }, 0, 1},
+		{"placement not recorded yet", func(_ *fakeHost, _ *inventory.Machine, a *inventory.Attempt) { a.State = inventory.AttemptAssumed }, 0, 0},
+		{"token not confirmed", func(_ *fakeHost, m *inventory.Machine, _ *inventory.Attempt) { m.TokenConfirmed = false }, 0, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			h := newFakeHost(t)
--- a/internal/workers/commands.go
+++ b/internal/workers/commands.go
@@ -6,11 +6,11 @@
 	"tamarindlead/micros"
 )
 
-// commands returns the commands that a machine needs after its last heartbeat, and marks the
-// attempts among them that are to be started as starting.
+// commands returns the commands for a machine according to its last heartbeat, and sets the state of
+// the attempts with a start command to starting.
 func (w *Manager) commands(m *inventory.Machine) []wire.Command {
 	if !m.TokenConfirmed {
-		return nil // the response to its heartbeat gives it the token first
+		return nil // the machine first receives the token with the response to its heartbeat
 	}
 	if !w.mayCommand(m, anyVerb) {
 		return nil
@@ -22,7 +22,7 @@
 		}
 		switch {
 		case a.State == inventory.AttemptStopping && !a.HeartbeatSeen:
-			// Its start command may be in flight, so the stop must follow it.
+			// The start command may still be in flight, so a stop command must follow it.
 			commands = append(commands, stopCommand(a.TaskName(), a.Number, a.GracePeriod))
 		case a.State == inventory.AttemptRecorded && !reported[a.Key()] && a.MayStart() && w.maySendStart(a):
 			a.StartHeartbeatSeq = m.HeartbeatSeq
@@ -33,8 +33,8 @@
 	return commands
 }
 
-// commandsForReportedTasks returns the commands for the tasks in the machine's last heartbeat, and
-// the set of these tasks without those that the machine is commanded to forget.
+// commandsForReportedTasks returns the commands for the tasks in the machine's last heartbeat, and the
+// set of these tasks except those for which a forget command is issued.
 func (w *Manager) commandsForReportedTasks(m *inventory.Machine) (reported map[inventory.TaskKey]bool, commands []wire.Command) {
 	reported = make(map[inventory.TaskKey]bool, len(m.ReportedTasks))
 	commandsSettled := m.Fencing == inventory.FencingNone && !m.CommandsInFlight
@@ -50,12 +50,12 @@
 			if a.State == inventory.AttemptStopping && !exited {
 				commands = append(commands, stopCommand(task.Task, task.Attempt, a.GracePeriod))
 			}
-		case !exited: // no attempt of this owner
+		case !exited: // this owner has no such attempt
 			commands = append(commands, stopCommand(task.Task, task.Attempt, 0))
 		case commandsSettled:
-			// The outcome of an attempt that is not recorded here any more is recorded
-			// elsewhere, so the machine may forget it, but not while a start command for it
-			// may be in flight.
+			// The outcome of an attempt that this owner no longer records is already recorded,
+			// so the machine may forget the attempt, but not while a start command for it may
+			// be in flight.
 			commands = append(commands, wire.Command{Verb: wire.VerbForget, Task: task.Task, Attempt: task.Attempt})
 			reported[key] = false
 		}
@@ -63,6 +63,7 @@
 	return reported, commands
 }
 
+// stopCommand returns the command to stop an attempt within a grace period.
 func stopCommand(task string, attempt uint64, gracePeriod micros.Micros) wire.Command {
 	seconds := gracePeriod.Seconds()
 	return wire.Command{Verb: wire.VerbStop, Task: task, Attempt: attempt, GraceS: &seconds}
--- a/internal/workers/commands_test.go
+++ b/internal/workers/commands_test.go
@@ -9,7 +9,8 @@
 	"tamarindlead/micros"
 )
 
-// TestCommands checks which command a machine is sent for one task.
+// TestCommands checks the commands for a machine with one attempt, by the attempt's state and the
+// reported tasks.
 func TestCommands(t *testing.T) {
 	stop := func(attempt uint64, seconds float64) []wire.Command {
 		return []wire.Command{{Verb: wire.VerbStop, Task: wire.TaskName(jobID, 0), Attempt: attempt, GraceS: &seconds}}
@@ -25,7 +26,7 @@
 		want   []wire.Command
 	}{
 		{"recorded, not reported", inventory.AttemptRecorded, nil, unchanged, start},
-		{"recorded, gang not complete", inventory.AttemptRecorded, nil, func(_ *inventory.Machine, a *inventory.Attempt) {
+		{"recorded, gang not completely placed", inventory.AttemptRecorded, nil, func(_ *inventory.Machine, a *inventory.Attempt) {
 			a.Job.Gang, a.Job.GangState = true, inventory.GangPlacing
 		}, nil},
 		{"recorded, another attempt runs", inventory.AttemptRecorded, []wire.TaskStatus{reported(2, wire.PhaseRunning, "")}, unchanged, stop(2, 0)},
--- a/internal/workers/dispatch.go
+++ b/internal/workers/dispatch.go
@@ -8,21 +8,22 @@
 	"tamarindlead/micros"
 )
 
-// Commands are sent with the response to a heartbeat or, so that they need not wait for the next
-// one, in a request to the worker. This file sends such requests.
+// Commands are sent in the response to a heartbeat or, to avoid waiting for the next heartbeat, in a
+// direct request to the worker. This file sends the direct requests.
 
 // Limits on requests to workers.
 const (
 	// callTimeout is the time within which a worker must respond.
 	callTimeout = 4 * micros.Second
-	// callSocketFraction is the fraction of the sockets that requests to workers may use at a
-	// time: each machine that hangs occupies one until the request times out.
+	// callSocketFraction is the maximum fraction of the sockets that concurrent requests to workers
+	// may use, since each hung machine occupies a socket until the request times out.
 	callSocketFraction = 0.125
-	// minCallsInFlight is the number of concurrent requests that is always allowed.
+	// minCallsInFlight is the number of concurrent requests that are allowed in any case.
 	minCallsInFlight = 4
 )
 
-// QueueDispatch queues a machine that may need commands for the next DispatchQueuedMachines.
+// QueueDispatch adds a machine that may need commands to the dispatch queue, which
+// DispatchQueuedMachines processes.
 func (w *Manager) QueueDispatch(m *inventory.Machine) {
 	m.DispatchNeeded = true
 	if !m.InDispatchQueue {
@@ -31,8 +32,9 @@
 	}
 }
 
-// DispatchQueuedMachines sends commands to the machines in the dispatch queue. A machine to which
-// none can be sent now is queued again once that changes.
+// DispatchQueuedMachines sends commands to the machines in the dispatch queue until the limit of
+// concurrent requests is reached. A machine that cannot execute commands now is removed from the queue
+// and queued again when that changes.
 func (w *Manager) DispatchQueuedMachines() {
 	queue := w.dispatchQueue
 	w.dispatchQueue = nil
@@ -48,13 +50,13 @@
 	}
 }
 
-// callLimitReached reports whether no further request to a worker may be sent now. The commands of
-// queued machines are then sent with the responses to their heartbeats.
+// callLimitReached reports whether the limit of concurrent requests to workers is reached. Until
+// requests complete, the commands for queued machines are sent with the responses to their heartbeats.
 func (w *Manager) callLimitReached() bool {
 	return w.callsInFlight >= max(minCallsInFlight, int(callSocketFraction*float64(w.settings.Sockets)))
 }
 
-// dispatch sends a machine its commands, if it can execute them now.
+// dispatch sends a machine its commands if it can execute them now.
 func (w *Manager) dispatch(m *inventory.Machine) {
 	takesCommands := m.State >= inventory.MachineReady && m.State <= inventory.MachineTransferring
 	if m.CommandsInFlight || !m.TokenConfirmed || m.Fencing != inventory.FencingNone || m.Endpoint == "" || !takesCommands {
@@ -66,8 +68,8 @@
 	}
 }
 
-// sendCommands sends commands to a machine's worker. An empty list only gives the worker this
-// owner's fencing token.
+// sendCommands sends commands to a machine's worker. An empty list only conveys this owner's fencing
+// token to the worker.
 func (w *Manager) sendCommands(m *inventory.Machine, commands []wire.Command) {
 	m.CommandsInFlight = true
 	body := wire.Encode(wire.CommandsRequest{FencingToken: m.FencingToken, AgentEpoch: m.AgentEpoch, Commands: commands})
@@ -77,8 +79,8 @@
 	})
 }
 
-// call sends a request to a machine's worker. It calls done with the response, unless by then the
-// owner was replaced or the machine has left the inventory.
+// call sends a request to a machine's worker. It calls done with the response, unless the owner was
+// replaced or the machine was removed from the inventory in the meantime.
 func (w *Manager) call(m *inventory.Machine, call Call, done func(Response)) {
 	call.Address, call.Timeout, call.MaxResponse = m.Endpoint, callTimeout, wire.MaxBody
 	w.callsInFlight++
@@ -91,9 +93,9 @@
 	})
 }
 
-// handleCommandResponse handles the heartbeat with which a worker responds to commands. Commands
-// without a response may still be executed: the machine is fenced until its worker has confirmed a
-// higher fencing token.
+// handleCommandResponse handles a worker's response to commands, which is a heartbeat. Commands without
+// a response may still be executed, so the machine is fenced until its worker has confirmed a higher
+// fencing token.
 func (w *Manager) handleCommandResponse(m *inventory.Machine, hadCommands bool, response Response) {
 	heartbeat := heartbeatFromResponse(response)
 	switch {
@@ -110,8 +112,8 @@
 	}
 }
 
-// heartbeatFromResponse returns the heartbeat in a response to commands, or nil if there is none. One that
-// cannot be decoded counts as none, since it does not show what was executed.
+// heartbeatFromResponse returns the heartbeat in a response to commands, or nil if there is none. A
+// heartbeat that cannot be decoded counts as missing, since it does not show what was executed.
 func heartbeatFromResponse(response Response) *wire.Heartbeat {
 	if response.Status != wire.StatusOK && response.Status != wire.StatusConflict {
 		return nil
--- a/internal/workers/dispatch_test.go
+++ b/internal/workers/dispatch_test.go
@@ -9,7 +9,7 @@
 	"tamarindlead/internal/wire"
 )
 
-// addPendingStarts adds machines that each have an attempt to start, and queues them.
+// addPendingStarts adds machines with one attempt to start each, and adds them to the dispatch queue.
 func addPendingStarts(h *fakeHost, machines int) []*inventory.Machine {
 	j := h.addJob(machines)
 	list := make([]*inventory.Machine, machines)
@@ -21,15 +21,15 @@
 	return list
 }
 
-// TestDispatchLimit checks that no more requests are under way than an eighth of the sockets, and
-// that the queue keeps its order beyond that.
+// TestDispatchLimit checks that the number of requests in flight is limited to an eighth of the sockets,
+// but at least 4, and that the machines beyond the limit stay queued in order.
 func TestDispatchLimit(t *testing.T) {
 	for _, c := range []struct{ sockets, limit int }{{64, 8}, {8, 4}, {0, 4}} {
 		t.Run(fmt.Sprint(c.sockets), func(t *testing.T) {
 			h := newFakeHost(t)
 			h.manager.settings.Sockets = c.sockets
 			list := addPendingStarts(h, 12)
-			h.manager.QueueDispatch(list[0]) // queued already
+			h.manager.QueueDispatch(list[0]) // is already queued
 			h.manager.DispatchQueuedMachines()
 			if len(h.calls) != c.limit {
 				t.Fatalf("%d calls, want %d", len(h.calls), c.limit)
@@ -37,13 +37,13 @@
 			h.calls[0].done(Response{}) // not sent
 			h.manager.DispatchQueuedMachines()
 			if len(h.calls) != c.limit+1 || h.calls[c.limit].Address != list[c.limit].Endpoint {
-				t.Errorf("%d calls after one has ended, the last to %s", len(h.calls), h.calls[len(h.calls)-1].Address)
+				t.Errorf("%d calls after one has completed, the last to %s", len(h.calls), h.calls[len(h.calls)-1].Address)
 			}
 		})
 	}
 }
 
-// TestDispatchNotPossible checks that a machine that cannot execute commands now is sent none.
+// TestDispatchNotPossible checks that no commands are sent to a machine that cannot execute them now.
 func TestDispatchNotPossible(t *testing.T) {
 	for name, change := range map[string]func(h *fakeHost, m *inventory.Machine){
 		"commands in flight":  func(_ *fakeHost, m *inventory.Machine) { m.CommandsInFlight = true },
@@ -52,7 +52,7 @@
 		"no endpoint":         func(_ *fakeHost, m *inventory.Machine) { m.Endpoint = "" },
 		"booting":             func(_ *fakeHost, m *inventory.Machine) { m.State = inventory.MachineBooting },
 		"decommissioning":     func(_ *fakeHost, m *inventory.Machine) { m.State = inventory.MachineDecommissioning },
-		"gone":                func(h *fakeHost, m *inventory.Machine) { h.manager.inventory.RemoveMachine(m) },
+		"removed":             func(h *fakeHost, m *inventory.Machine) { h.manager.inventory.RemoveMachine(m) },
 		"queue reset":         func(h *fakeHost, _ *inventory.Machine) { h.manager.Reset() },
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -66,7 +66,7 @@
 	}
 }
 
-// TestCommandResponse checks what the response to a start leads to.
+// TestCommandResponse checks the effects of the response to a start command.
 func TestCommandResponse(t *testing.T) {
 	running := wire.Encode(newHeartbeat(1, reported(1, wire.PhaseRunning, "")))
 	higher := newHeartbeat(1)
@@ -87,7 +87,7 @@
 		{"not decodable", Response{Status: wire.StatusOK, Body: []byte("?"), Sent: true}, nil, inventory.AttemptStarting, inventory.FencingNeeded, 0, false},
 		{"not sent", Response{}, nil, inventory.AttemptStarting, inventory.FencingNone, 0, false},
 		{"higher token", Response{Status: wire.StatusConflict, Body: wire.Encode(higher), Sent: true}, nil, inventory.AttemptStarting, inventory.FencingNone, 1, false},
-		{"owner replaced meanwhile", Response{Sent: true}, func(h *fakeHost) { h.superseded = true }, inventory.AttemptStarting, inventory.FencingNone, 0, true},
+		{"owner replaced in the meantime", Response{Sent: true}, func(h *fakeHost) { h.superseded = true }, inventory.AttemptStarting, inventory.FencingNone, 0, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			h := newFakeHost(t)
@@ -101,7 +101,7 @@
 			}
 			h.calls[0].done(c.response)
 			if a := m.SortedAttempts()[0]; a.State != c.attempt || m.Fencing != c.fencing || len(h.restarts) != c.restarts {
-				t.Errorf("attempt %v, fencing %v, restarts %q", a.State, m.Fencing, h.restarts)
+				t.Errorf("attempt %v, fencing %v, recovery restarted for %q", a.State, m.Fencing, h.restarts)
 			}
 			if m.CommandsInFlight != c.inFlight || h.manager.callsInFlight != 0 {
 				t.Errorf("commands in flight %t, %d calls in flight", m.CommandsInFlight, h.manager.callsInFlight)
@@ -110,8 +110,8 @@
 	}
 }
 
-// TestQueuedAfterResponse checks that a machine is queued again after a response if attempts wait
-// for their start or commands were requested meanwhile.
+// TestQueuedAfterResponse checks that a machine is queued again after a response if it has attempts to
+// start or if commands were requested while the request was in flight.
 func TestQueuedAfterResponse(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -132,7 +132,7 @@
 			body := wire.Encode(newHeartbeat(1, reported(1, wire.PhaseRunning, "")))
 			h.calls[0].done(Response{Status: wire.StatusOK, Body: body, Sent: true})
 			if m.InDispatchQueue != c.queued {
-				t.Errorf("queued %t", m.InDispatchQueue)
+				t.Errorf("queued again: %t, want the opposite", m.InDispatchQueue)
 			}
 		})
 	}
--- a/internal/workers/eviction.go
+++ b/internal/workers/eviction.go
@@ -5,15 +5,16 @@
 	"tamarindlead/micros"
 )
 
-// reasonReclaimed is the reason for which the cloud's notice drains a spot machine and evicts
-// attempts.
+// reasonReclaimed is the reason for draining a spot machine and evicting its attempts after the cloud's
+// preemption notice.
 const reasonReclaimed = "spot machine is reclaimed"
 
-// reclaimMargin is the part of the time until a machine is reclaimed in which no task is expected
-// to complete any more.
+// reclaimMargin is the safety margin before a machine is reclaimed: a task must be expected to complete
+// earlier than that to keep running.
 const reclaimMargin = micros.Second
 
-// Evict stops an attempt with a grace period for a checkpoint; of a gang, all attempts.
+// Evict stops an attempt, or all attempts if the job is a gang, with a grace period for a checkpoint if
+// the job has checkpoints.
 func (w *Manager) Evict(a *inventory.Attempt, reason string) {
 	gracePeriod := micros.Micros(0)
 	if a.Job.CheckpointInterval > 0 {
@@ -26,7 +27,7 @@
 	w.inventory.StopAttempt(a, gracePeriod, reason)
 }
 
-// handleReclaimNotice handles the cloud's notice that it reclaims a spot machine.
+// handleReclaimNotice handles the cloud's preemption notice for a spot machine.
 func (w *Manager) handleReclaimNotice(m *inventory.Machine, timeLeft micros.Micros) {
 	first := m.ReclaimAt == 0
 	m.ReclaimAt = w.host.Now() + timeLeft
@@ -45,9 +46,10 @@
 }
 
 // keepsRunningUntilReclaim reports whether an attempt keeps running on a machine that is reclaimed after
-// the given time. One that is not expected to complete is evicted at once: it is checkpointed if
-// possible and restarts elsewhere earlier. But one without checkpoints that has run for at least
-// that time keeps running, since it may complete earlier than estimated and would lose much.
+// the given time. An attempt that is not expected to complete by then is evicted immediately, so that
+// it is checkpointed if possible and restarts earlier on another machine. An attempt without
+// checkpoints that has run for at least that time keeps running in any case, since it would lose all
+// its progress and may complete earlier than estimated.
 func (w *Manager) keepsRunningUntilReclaim(a *inventory.Attempt, timeLeft micros.Micros) bool {
 	unsavedProgress := micros.Micros(0)
 	if a.RunningSince != 0 && a.Job.CheckpointInterval == 0 {
@@ -56,7 +58,7 @@
 	return w.RemainingRunTime(a) <= timeLeft-reclaimMargin || unsavedProgress >= timeLeft
 }
 
-// RemainingRunTime estimates how long an attempt will still run.
+// RemainingRunTime estimates the remaining run time of an attempt.
 func (w *Manager) RemainingRunTime(a *inventory.Attempt) micros.Micros {
 	total := w.host.EstimatedRunTime(a.Job)
 	if a.RunningSince == 0 {
--- a/internal/workers/eviction_test.go
+++ b/internal/workers/eviction_test.go
@@ -8,22 +8,22 @@
 	"tamarindlead/micros"
 )
 
-// TestReclaimNotice checks which attempts are evicted from a spot machine that is reclaimed in 30
-// seconds. The estimated run time is 100 seconds.
+// TestReclaimNotice checks which attempts are evicted from a spot machine that is reclaimed in 30 s. The
+// estimated run time is 100 s.
 func TestReclaimNotice(t *testing.T) {
 	for _, c := range []struct {
 		name    string
-		elapsed micros.Micros // 0 if it does not run
+		elapsed micros.Micros // 0 if the attempt is not running
 		change  func(j *inventory.Job)
 		want    inventory.AttemptState
 	}{
-		{"does not run yet", 0, nil, inventory.AttemptStopping},
-		{"would not complete", 20 * micros.Second, nil, inventory.AttemptStopping},
-		{"has run for longer than is left", 30 * micros.Second, nil, inventory.AttemptLive},
-		{"completes in time", 71 * micros.Second, nil, inventory.AttemptLive},
-		{"has checkpoints, completes in time", 71 * micros.Second, func(j *inventory.Job) { j.CheckpointInterval = micros.Second }, inventory.AttemptLive},
-		{"has checkpoints, does not complete", 70 * micros.Second, func(j *inventory.Job) { j.CheckpointInterval = micros.Second }, inventory.AttemptStopping},
-		{"gang does not complete", 20 * micros.Second, func(j *inventory.Job) { j.Gang, j.GangState = true, inventory.GangStarting }, inventory.AttemptStopping},
+		{"not running yet", 0, nil, inventory.AttemptStopping},
+		{"not expected to complete", 20 * micros.Second, nil, inventory.AttemptStopping},
+		{"has run for the time until the reclaim", 30 * micros.Second, nil, inventory.AttemptLive},
+		{"expected to complete", 71 * micros.Second, nil, inventory.AttemptLive},
+		{"has checkpoints, expected to complete", 71 * micros.Second, func(j *inventory.Job) { j.CheckpointInterval = micros.Second }, inventory.AttemptLive},
+		{"has checkpoints, not expected to complete", 70 * micros.Second, func(j *inventory.Job) { j.CheckpointInterval = micros.Second }, inventory.AttemptStopping},
+		{"gang, not expected to complete", 20 * micros.Second, func(j *inventory.Job) { j.Gang, j.GangState = true, inventory.GangStarting }, inventory.AttemptStopping},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			h := newFakeHost(t)
@@ -46,14 +46,14 @@
 				t.Errorf("attempt %v, machine %v reclaimed at %v, %d reclaims", a.State, m.State, m.ReclaimAt, h.spotReclaims)
 			}
 			if stopped := member.State == inventory.AttemptStopping; stopped != j.Gang {
-				t.Errorf("attempt on another machine %v", member.State)
+				t.Errorf("attempt on the other machine: %v, want it stopping only for a gang", member.State)
 			}
 		})
 	}
 }
 
-// TestReclaimNoticeRepeated checks that a repeated notice counts once, unless a heartbeat without
-// one has withdrawn it.
+// TestReclaimNoticeRepeated checks that a repeated notice is counted once, unless a heartbeat without a
+// notice came in between, which withdraws the notice.
 func TestReclaimNoticeRepeated(t *testing.T) {
 	h := newFakeHost(t)
 	m := h.addMachine(machineName)
@@ -65,18 +65,18 @@
 		}
 		h.manager.HandleHeartbeat(uint64(seq), heartbeat)
 		if h.spotReclaims != want || (m.ReclaimAt == 0) != (seq == 2) {
-			t.Errorf("heartbeat %d: %d reclaims, at %v", seq+1, h.spotReclaims, m.ReclaimAt)
+			t.Errorf("heartbeat %d: %d reclaims counted, reclaimed at %v", seq+1, h.spotReclaims, m.ReclaimAt)
 		}
 	}
 }
 
-// TestRemainingRunTime checks the estimate of the time that an attempt still runs.
+// TestRemainingRunTime checks the estimated remaining run time of an attempt.
 func TestRemainingRunTime(t *testing.T) {
 	for _, c := range []struct {
 		name                    string
 		estimate, elapsed, want micros.Micros
 	}{
-		{"does not run yet", 100 * micros.Second, 0, 100 * micros.Second},
+		{"not running yet", 100 * micros.Second, 0, 100 * micros.Second},
 		{"half done", 100 * micros.Second, 50 * micros.Second, 50 * micros.Second},
 		{"nearly done", 100 * micros.Second, 99 * micros.Second, 99 * micros.Second / 4},
 		{"overdue", 100 * micros.Second, 400 * micros.Second, 100 * micros.Second},
--- a/internal/workers/heartbeats.go
+++ b/internal/workers/heartbeats.go
@@ -8,11 +8,11 @@
 	"tamarindlead/micros"
 )
 
-// reasonHigherToken is the reason for which recovery restarts when a worker shows a fencing token
-// that only a later owner can have given it.
+// reasonHigherToken is the reason for restarting recovery when a worker reports a fencing token that it
+// can only have received from a later owner.
 const reasonHigherToken = "machine has a higher fencing token"
 
-// HandleHeartbeat handles a heartbeat that a worker sent by itself.
+// HandleHeartbeat handles a heartbeat that a worker sent on its own initiative.
 func (w *Manager) HandleHeartbeat(request uint64, heartbeat *wire.Heartbeat) {
 	if !w.host.IsActive() {
 		w.host.Refuse(request, RefusalRecovering)
@@ -39,7 +39,7 @@
 }
 
 // redirectOrRefuseUnknown redirects or refuses the heartbeat of a machine that is not in the inventory
-// and must not be adopted. It reports whether it did.
+// and must not be adopted. It reports whether it has responded.
 func (w *Manager) redirectOrRefuseUnknown(request uint64, machine string) bool {
 	claimant := w.host.Claimant(machine)
 	switch {
@@ -53,8 +53,9 @@
 	return true
 }
 
-// addPendingHeartbeat keeps a heartbeat until its machine is claimed by a record of this owner. A
-// newer heartbeat replaces an older one, but a late duplicate does not.
+// addPendingHeartbeat defers the response to a heartbeat until a record of this owner claims the
+// machine. A newer heartbeat replaces the pending one; an older heartbeat that arrives out of order is
+// refused.
 func (w *Manager) addPendingHeartbeat(m *inventory.Machine, request uint64, heartbeat *wire.Heartbeat) {
 	if m.PendingRequest != 0 {
 		if orderOf(heartbeat).before(orderOf(m.PendingHeartbeat)) {
@@ -66,8 +67,7 @@
 	m.PendingRequest, m.PendingHeartbeat = request, heartbeat
 }
 
-// HandlePendingHeartbeat handles the heartbeat that was pending until its machine was claimed, if
-// there is one.
+// HandlePendingHeartbeat handles the pending heartbeat of a machine that was claimed, if there is one.
 func (w *Manager) HandlePendingHeartbeat(m *inventory.Machine) {
 	if m.PendingRequest == 0 {
 		return
@@ -77,7 +77,7 @@
 	w.respond(m, request, heartbeat)
 }
 
-// RefusePendingHeartbeats refuses all pending heartbeats because the owner is replaced.
+// RefusePendingHeartbeats refuses all pending heartbeats because the owner is being replaced.
 func (w *Manager) RefusePendingHeartbeats() {
 	for _, m := range w.inventory.SortedMachines {
 		w.RefusePendingHeartbeat(m, RefusalOwnershipLost)
@@ -93,11 +93,11 @@
 	m.PendingRequest, m.PendingHeartbeat = 0, nil
 }
 
-// respond applies a heartbeat and responds with the machine's commands.
+// respond applies a heartbeat and sends the response with the machine's commands.
 func (w *Manager) respond(m *inventory.Machine, request uint64, heartbeat *wire.Heartbeat) {
 	if heartbeat.FencingToken > m.FencingToken {
-		// Another node owns the machine by now. The worker drops this node's responses and
-		// would stay here until its lease expires, so it is redirected at once.
+		// Another node now owns the machine. The worker discards this node's responses and would
+		// stay with this node until its lease expires, so it is redirected immediately.
 		w.host.Respond(request, wire.StatusMisdirected, wire.Redirect{HeartbeatNode: w.host.Claimant(m.Name)})
 		w.host.RestartRecovery(reasonHigherToken)
 		return
@@ -114,32 +114,34 @@
 	w.host.Respond(request, wire.StatusOK, response)
 }
 
-// applyHeartbeat applies a heartbeat that the worker sent by itself and reports whether it was
-// newer than the last one. A late duplicate shows nothing, not even that the machine is alive.
+// applyHeartbeat applies a heartbeat that the worker sent on its own initiative, and reports whether it
+// was newer than the last one. A delayed or duplicate heartbeat is ignored; it does not even show that
+// the machine is alive.
 //
-// Only such a heartbeat shows that the starts in the response to the previous one were executed or
-// dropped: the response to a direct command may have overtaken that response.
+// Only such a heartbeat shows that the start commands in the response to the previous heartbeat were
+// executed or lost. A response to a direct command does not, since the worker may have sent it before
+// it received that response.
 func (w *Manager) applyHeartbeat(m *inventory.Machine, heartbeat *wire.Heartbeat) bool {
 	if !lastOrder(m).before(orderOf(heartbeat)) {
 		return false
 	}
 	now := w.host.Now()
 	w.lastHeartbeat, m.HeartbeatReceived = now, true
-	m.LastHeartbeat = max(m.LastHeartbeat, now) // after a failover it is in the future
+	m.LastHeartbeat = max(m.LastHeartbeat, now) // after a failover, LastHeartbeat is in the future
 	reported := w.applyStatus(m, heartbeat)
-	// A task that is not reported is certainly not there, and will not appear, only if the worker
-	// has confirmed this owner's token and no command is in flight.
+	// A task that is not reported is certain to be neither on the machine nor started later only if
+	// the worker has confirmed this owner's token and no command is in flight.
 	if m.TokenConfirmed && m.Fencing == inventory.FencingNone && !m.CommandsInFlight {
 		w.reconcileMissing(m, reported)
 	}
 	return true
 }
 
-// applyCommandResponse applies the heartbeat with which a worker responds to a request, and reports
-// whether it was newer than the last one.
+// applyCommandResponse applies the heartbeat in a worker's response to a request, and reports whether it
+// was newer than the last one.
 //
-// It does not count as a heartbeat of a worker that has sent one by itself: a machine that only
-// responds to commands is of no use, since its lease is not renewed.
+// After the worker has sent a heartbeat on its own initiative, such a response no longer counts towards
+// LastHeartbeat: a machine that only responds to commands is of no use, since its lease is not renewed.
 func (w *Manager) applyCommandResponse(m *inventory.Machine, heartbeat *wire.Heartbeat) bool {
 	if !lastOrder(m).before(orderOf(heartbeat)) {
 		return false
@@ -151,8 +153,8 @@
 	return true
 }
 
-// applyStatus applies a heartbeat's state of the machine and its tasks, and returns which attempts
-// it reports.
+// applyStatus applies the status of the machine and its tasks in a heartbeat, and returns the set of
+// reported attempts.
 func (w *Manager) applyStatus(m *inventory.Machine, heartbeat *wire.Heartbeat) map[inventory.TaskKey]bool {
 	w.updateContact(m, heartbeat)
 	if heartbeat.PreemptionNoticeS != nil {
@@ -167,10 +169,12 @@
 	return reported
 }
 
-// updateContact records the agent epoch, the endpoint and the fencing token of a heartbeat.
+// updateContact updates the machine's contact state from a heartbeat: the agent epoch, sequence number,
+// reported tasks, endpoint and confirmation of the fencing token. The first heartbeat of a booting
+// machine makes it ready.
 func (w *Manager) updateContact(m *inventory.Machine, heartbeat *wire.Heartbeat) {
 	if heartbeat.AgentEpoch > m.AgentEpoch && m.AgentEpoch != 0 {
-		// The agent has restarted, so it will not execute commands sent to the old epoch.
+		// The agent has restarted and will not execute commands that were sent to the old epoch.
 		w.inventory.SetFencingState(m, inventory.FencingNone)
 	}
 	m.AgentEpoch, m.HeartbeatSeq, m.ReportedTasks = heartbeat.AgentEpoch, heartbeat.HeartbeatSeq, heartbeat.Tasks
@@ -187,20 +191,20 @@
 	}
 }
 
-// heartbeatOrder orders the heartbeats of a machine by the time at which they were sent.
+// heartbeatOrder is the position of a heartbeat in the order in which a machine sent its heartbeats.
 type heartbeatOrder struct{ agentEpoch, seq uint64 }
 
-// orderOf returns a heartbeat's place in the order.
+// orderOf returns the position of a heartbeat in the order.
 func orderOf(heartbeat *wire.Heartbeat) heartbeatOrder {
 	return heartbeatOrder{heartbeat.AgentEpoch, heartbeat.HeartbeatSeq}
 }
 
-// lastOrder returns the place in the order of the machine's last heartbeat.
+// lastOrder returns the position of the machine's last applied heartbeat.
 func lastOrder(m *inventory.Machine) heartbeatOrder {
 	return heartbeatOrder{m.AgentEpoch, m.HeartbeatSeq}
 }
 
-// before reports whether a heartbeat was sent before another one.
+// before reports whether the heartbeat was sent before the other one.
 func (o heartbeatOrder) before(other heartbeatOrder) bool {
 	return o.agentEpoch < other.agentEpoch || o.agentEpoch == other.agentEpoch && o.seq < other.seq
 }
--- a/internal/workers/heartbeats_test.go
+++ b/internal/workers/heartbeats_test.go
@@ -11,7 +11,7 @@
 
 const machineName = "m-000001"
 
-// newHeartbeat returns a heartbeat of the test's machine under the fencing token of addMachine.
+// newHeartbeat returns a heartbeat of machine machineName with the fencing token that addMachine sets.
 func newHeartbeat(seq uint64, tasks ...wire.TaskStatus) *wire.Heartbeat {
 	return &wire.Heartbeat{
 		Machine: machineName, Endpoint: "worker:" + machineName, Type: "small", Zone: "a",
@@ -19,8 +19,8 @@
 	}
 }
 
-// TestHandleHeartbeat checks how a heartbeat is responded to by the state of the owner and of the
-// machine. The texts of refusals are part of the protocol.
+// TestHandleHeartbeat checks the response to a heartbeat by the state of the owner and of the machine.
+// The texts of refusals are part of the protocol.
 func TestHandleHeartbeat(t *testing.T) {
 	refused := func(text wire.RefusalReason) []fakeResponse {
 		return []fakeResponse{{request: 1, status: wire.StatusUnavailable, refusal: text}}
@@ -67,8 +67,8 @@
 	}
 }
 
-// TestAdoption checks that the heartbeat of a machine of which nobody knows is kept until the
-// machine is claimed, and then responded to.
+// TestAdoption checks that a machine without a known owner is adopted, and that its heartbeat stays
+// pending until the machine is claimed and then receives a response.
 func TestAdoption(t *testing.T) {
 	h := newFakeHost(t)
 	h.manager.HandleHeartbeat(1, newHeartbeat(1))
@@ -78,7 +78,7 @@
 	}
 	m.FencingToken = 9
 	h.manager.HandlePendingHeartbeat(m)
-	h.manager.HandlePendingHeartbeat(m) // there is none any more
+	h.manager.HandlePendingHeartbeat(m) // no longer pending
 	want := []fakeResponse{{request: 1, status: wire.StatusOK, body: wire.HeartbeatResponse{FencingToken: 9}}}
 	if !reflect.DeepEqual(h.responses, want) {
 		t.Errorf("responses %+v, want %+v", h.responses, want)
@@ -88,8 +88,8 @@
 	}
 }
 
-// TestPendingHeartbeats checks which of several heartbeats stays pending, and that a pending one is
-// refused when the owner is replaced or the machine is gone.
+// TestPendingHeartbeats checks which of two heartbeats stays pending, and that a pending heartbeat is
+// refused once when the owner is replaced.
 func TestPendingHeartbeats(t *testing.T) {
 	for _, c := range []struct {
 		name             string
@@ -97,9 +97,9 @@
 		refused, pending uint64
 		pendingSequence  uint64
 	}{
-		{"a newer one replaces it", newHeartbeat(6), 1, 2, 6},
-		{"so does a repetition", newHeartbeat(5), 1, 2, 5},
-		{"a late duplicate does not", newHeartbeat(4), 2, 1, 5},
+		{"newer heartbeat", newHeartbeat(6), 1, 2, 6},
+		{"repeated heartbeat", newHeartbeat(5), 1, 2, 5},
+		{"older heartbeat", newHeartbeat(4), 2, 1, 5},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			h := newFakeHost(t)
@@ -112,7 +112,7 @@
 				t.Errorf("responses %+v, pending request %d, want %+v and %d", h.responses, m.PendingRequest, want, c.pending)
 			}
 			h.manager.RefusePendingHeartbeats()
-			h.manager.RefusePendingHeartbeat(m, RefusalTerminated) // there is none any more
+			h.manager.RefusePendingHeartbeat(m, RefusalTerminated) // no longer pending
 			want = append(want, fakeResponse{request: c.pending, status: wire.StatusUnavailable, refusal: "ownership lost"})
 			if !reflect.DeepEqual(h.responses, want) {
 				t.Errorf("responses %+v, want %+v", h.responses, want)
@@ -121,8 +121,8 @@
 	}
 }
 
-// TestHigherTokenRestartsRecovery checks that a worker which has a later owner's fencing token is
-// redirected before the owner reads its records again.
+// TestHigherTokenRestartsRecovery checks that a worker with the fencing token of a later owner is
+// redirected, and that the owner restarts its recovery.
 func TestHigherTokenRestartsRecovery(t *testing.T) {
 	h := newFakeHost(t)
 	h.addMachine(machineName)
@@ -136,7 +136,7 @@
 	}
 }
 
-// TestStaleHeartbeat checks that a late duplicate changes nothing and gets no commands.
+// TestStaleHeartbeat checks that a delayed duplicate changes nothing and receives no commands.
 func TestStaleHeartbeat(t *testing.T) {
 	h := newFakeHost(t)
 	m := h.addMachine(machineName)
@@ -149,12 +149,13 @@
 		t.Errorf("responses %+v, attempt %v", h.responses, a.State)
 	}
 	if m.LastHeartbeat != h.now-micros.Second || h.manager.LastHeartbeat() != h.now-micros.Second || m.HeartbeatReceived {
-		t.Errorf("the duplicate counts as a heartbeat: %v, %v", m.LastHeartbeat, h.manager.LastHeartbeat())
+		t.Errorf("the duplicate counts as a heartbeat: last of the machine %v, of any %v", m.LastHeartbeat, h.manager.LastHeartbeat())
 	}
 }
 
-// TestLastHeartbeat checks that only a heartbeat that the worker sent by itself counts for the
-// machine and the owner, but that a response counts until the machine has sent one.
+// TestLastHeartbeat checks that heartbeats that the worker sent on its own initiative update the time
+// of the last heartbeat of the machine and of the owner. A response to commands updates only that of
+// the machine, and only until the machine has sent such a heartbeat.
 func TestLastHeartbeat(t *testing.T) {
 	h := newFakeHost(t)
 	m := h.addMachine(machineName)
@@ -171,14 +172,14 @@
 	step(func() { h.manager.applyHeartbeat(m, newHeartbeat(2)) }, start+2*micros.Second, start+2*micros.Second)
 	step(func() { h.manager.applyCommandResponse(m, newHeartbeat(3)) }, start+2*micros.Second, start+2*micros.Second)
 	if h.manager.applyCommandResponse(m, newHeartbeat(3)) {
-		t.Error("a duplicate is applied")
+		t.Error("a duplicate was applied")
 	}
 	m.LastHeartbeat = start + micros.Minute // grace after a failover
 	step(func() { h.manager.applyHeartbeat(m, newHeartbeat(4)) }, start+micros.Minute, start+4*micros.Second)
 }
 
-// TestFencingEnds checks that fencing ends when the worker confirms the higher token or its agent
-// has restarted.
+// TestFencingEnds checks that fencing ends when the worker has confirmed the higher token or when its
+// agent has restarted.
 func TestFencingEnds(t *testing.T) {
 	for _, c := range []struct {
 		name    string
@@ -206,14 +207,15 @@
 	}
 }
 
-// TestSetLastHeartbeat checks that an owner that starts over keeps the time of the last heartbeat.
+// TestSetLastHeartbeat checks that the time of the last heartbeat can be taken over from the previous
+// owner.
 func TestSetLastHeartbeat(t *testing.T) {
 	h := newFakeHost(t)
 	if got := h.manager.LastHeartbeat(); got != h.now {
-		t.Errorf("last heartbeat %v of a new owner, want %v", got, h.now)
+		t.Errorf("last heartbeat of a new owner %v, want %v", got, h.now)
 	}
 	h.manager.SetLastHeartbeat(h.now - micros.Minute)
 	if got := h.manager.LastHeartbeat(); got != h.now-micros.Minute {
-		t.Errorf("last heartbeat %v, want that of the earlier owner", got)
+		t.Errorf("last heartbeat %v, want that of the previous owner", got)
 	}
 }
--- a/internal/workers/host.go
+++ b/internal/workers/host.go
@@ -6,28 +6,28 @@
 	"tamarindlead/micros"
 )
 
-// Host is what the manager needs of its node and of the owner's other parts.
+// Host provides what the manager needs from its node and from the other parts of the owner.
 type Host interface {
 	Node
 	Ownership
 	Statistics
 }
 
-// Node provides the time of the present event and exchanges messages with workers.
+// Node provides the time of the current event and exchanges messages with workers.
 type Node interface {
-	// Now returns the time of the present event.
+	// Now returns the time of the current event.
 	Now() micros.Micros
 	// Respond responds to a heartbeat.
 	Respond(request uint64, status wire.Status, body any)
-	// Refuse refuses a heartbeat for now; the worker sends another one later.
+	// Refuse refuses a heartbeat temporarily; the worker sends another one later.
 	Refuse(request uint64, reason wire.RefusalReason)
 	// Call sends a request to a worker and calls done with the response.
 	Call(call Call, done func(Response))
-	// ReportViolation reports that an invariant does not hold, with attributes to log.
+	// ReportViolation reports the violation of an invariant, with attributes for the log.
 	ReportViolation(what string, args ...any)
 }
 
-// Ownership reports which machines belong to the owner and what it may do.
+// Ownership reports which machines belong to the owner, and which actions it may take.
 type Ownership interface {
 	// IsActive reports whether the owner has recovered its records and was not replaced.
 	IsActive() bool
@@ -37,28 +37,28 @@
 	Superseded() bool
 	// RestartRecovery replaces the owner with one that reads all records again.
 	RestartRecovery(reason string)
-	// Claimant returns the peer that claims a machine, or "".
+	// Claimant returns the peer that claims a machine, or "" if there is none.
 	Claimant(machine string) string
-	// IsOwnedElsewhere reports whether another owner's record has the machine.
+	// IsOwnedElsewhere reports whether the machine is assumed to belong to another owner.
 	IsOwnedElsewhere(machine string) bool
-	// IsRecentlyTerminated reports whether the machine was terminated a short time ago.
+	// IsRecentlyTerminated reports whether the machine was terminated recently.
 	IsRecentlyTerminated(machine string) bool
-	// Adopt adds a machine that sends heartbeats but has no record.
+	// Adopt adds a machine that sends heartbeats but is not known to have an owner.
 	Adopt(info inventory.MachineInfo) *inventory.Machine
 	// MayRenewLease reports whether responses may renew the leases of workers.
 	MayRenewLease() bool
 	// JobIsCancelled reports whether a job is known to have been cancelled.
 	JobIsCancelled(job string) bool
-	// CancellationOverdue reports whether a task of a cancelled job has been on the machine
-	// for so long that the machine must be decommissioned unless it responds.
+	// CancellationOverdue reports whether the cancellation of a task on the machine has taken so
+	// long that the machine must be decommissioned unless it responds.
 	CancellationOverdue(m *inventory.Machine) bool
 }
 
-// Statistics records and provides observations of tasks and machines.
+// Statistics records observations of tasks and machines and provides estimates from them.
 type Statistics interface {
 	// RecordRunTime records the run time of a completed attempt.
 	RecordRunTime(a *inventory.Attempt)
-	// EstimatedRunTime returns the expected run time of a job's tasks.
+	// EstimatedRunTime returns the estimated run time of a job's tasks.
 	EstimatedRunTime(j *inventory.Job) micros.Micros
 	// RecordSpotReclaimed records that the cloud reclaims a spot machine.
 	RecordSpotReclaimed(m *inventory.Machine)
@@ -74,7 +74,7 @@
 	MaxResponse int // bytes
 }
 
-// Response is the response to a Call. Its status is 0 if there is none; Sent then reports whether
+// Response is the response to a Call. Status is 0 if there is no response; Sent then reports whether
 // the request may have reached the worker.
 type Response struct {
 	Status wire.Status
--- a/internal/workers/host_test.go
+++ b/internal/workers/host_test.go
@@ -12,7 +12,7 @@
 	"tamarindlead/sched"
 )
 
-// fakeHost is a host whose answers are set by the test and which records what it is asked for.
+// fakeHost is a host whose results are set by the test. It records the calls of its methods.
 type fakeHost struct {
 	manager *Manager
 
@@ -36,7 +36,7 @@
 	dirty        []string
 }
 
-// fakeResponse is a response or refusal that was sent.
+// fakeResponse is a response to or refusal of a heartbeat.
 type fakeResponse struct {
 	request uint64
 	status  wire.Status
@@ -44,7 +44,7 @@
 	refusal wire.RefusalReason
 }
 
-// fakeCall is a call that was made.
+// fakeCall is a request to a worker.
 type fakeCall struct {
 	Call
 	done func(Response)
@@ -97,14 +97,14 @@
 
 func (h *fakeHost) RecordSpotReclaimed(*inventory.Machine) { h.spotReclaims++ }
 
-// fakeInventoryHost passes the changes of an inventory on as an owner does.
+// fakeInventoryHost handles notifications of changes in the inventory in the same way as an owner.
 type fakeInventoryHost struct{ *fakeHost }
 
 func (h fakeInventoryHost) EntryChanged(m *inventory.Machine)        { h.dirty = append(h.dirty, m.Name) }
 func (h fakeInventoryHost) CompletionUnrecorded(*inventory.Job, int) {}
 func (h fakeInventoryHost) CommandsNeeded(m *inventory.Machine)      { h.manager.QueueDispatch(m) }
 
-// newFakeHost returns the host of an active owner with an empty inventory and a manager.
+// newFakeHost returns the host of an active owner, with a manager and an empty inventory.
 func newFakeHost(t *testing.T) *fakeHost {
 	t.Helper()
 	h := &fakeHost{
@@ -118,7 +118,7 @@
 	return h
 }
 
-// addMachine adds a ready machine that the owner has claimed and whose worker has confirmed the
+// addMachine adds a ready machine that is claimed by the owner and whose worker has confirmed the
 // fencing token.
 func (h *fakeHost) addMachine(name string) *inventory.Machine {
 	info := inventory.MachineInfo{Name: name, Type: "small", Zone: "a", Endpoint: "worker:" + name}
@@ -130,7 +130,7 @@
 // jobID identifies the job that addJob adds.
 const jobID = "req-000001"
 
-// addJob adds an active job with a number of tasks.
+// addJob adds an active job with the given number of tasks.
 func (h *fakeHost) addJob(tasks int) *inventory.Job {
 	j := inventory.NewJob(&sched.Job{ID: jobID, Team: "red", Tasks: tasks, Need: sched.NewResources(1, 0, 1)}, 5, 0)
 	h.manager.inventory.Jobs[j.ID] = j
--- a/internal/workers/inspection.go
+++ b/internal/workers/inspection.go
@@ -8,15 +8,15 @@
 	"tamarindlead/micros"
 )
 
-// Rate at which machines are inspected that have sent no heartbeat since a failover.
+// Delay after a failover, and maximum batch size, of inspections of machines without a heartbeat.
 const (
 	inspectionDelay     = 2 * micros.Second
 	inspectionBatchSize = 4
 )
 
-// InspectMachines requests heartbeats from a few machines that were recovered from records, another
-// owner's or this node's own, and have sent none. Most workers find this node by themselves, and requests to all
-// machines at once would delay their heartbeats.
+// InspectMachines requests heartbeats from a few machines that were recovered from records, of another
+// owner or of this node, and that have not sent a heartbeat yet. Most workers find this node on their
+// own, and requests to all machines at the same time would delay their heartbeats.
 func (w *Manager) InspectMachines() {
 	if w.callLimitReached() {
 		return
@@ -35,8 +35,8 @@
 	}
 }
 
-// needsInspection reports whether a machine is to be inspected now. One with a task of a cancelled
-// job is not given time to send a heartbeat, since the leader may change again soon.
+// needsInspection reports whether a machine must be inspected now. A machine with an overdue
+// cancellation is inspected without inspectionDelay, since the leader may soon change again.
 func (w *Manager) needsInspection(m *inventory.Machine) bool {
 	if !m.Recovered || m.AgentEpoch != 0 || m.Inspected || m.FencingToken == 0 || m.State >= inventory.MachineDecommissioning {
 		return false
@@ -44,8 +44,8 @@
 	return w.host.Now()-w.host.ActiveSince() >= inspectionDelay || w.host.CancellationOverdue(m)
 }
 
-// inspect requests a heartbeat from a machine and then gives its worker this owner's fencing token,
-// so that commands need not wait until the worker has found this node.
+// inspect requests a heartbeat from a machine and then sends this owner's fencing token to its worker,
+// so that commands can be sent before the worker has found this node.
 func (w *Manager) inspect(m *inventory.Machine) {
 	if m.Endpoint == "" || m.AgentEpoch != 0 || m.CommandsInFlight {
 		return
@@ -56,7 +56,7 @@
 		}
 		heartbeat, err := wire.DecodeHeartbeat(response.Body)
 		if err != nil || heartbeat.FencingToken > m.FencingToken {
-			return // the machine's own heartbeats will show its state
+			return // the state will be known from the heartbeats that the worker sends
 		}
 		if w.applyCommandResponse(m, heartbeat) && !m.TokenConfirmed {
 			w.sendCommands(m, []wire.Command{})
--- a/internal/workers/inspection_test.go
+++ b/internal/workers/inspection_test.go
@@ -10,15 +10,15 @@
 	"tamarindlead/micros"
 )
 
-// addRecovered adds a machine from another owner's record that has sent no heartbeat yet.
+// addRecovered adds a machine that was recovered from a record and has sent no heartbeat yet.
 func addRecovered(h *fakeHost, name string) *inventory.Machine {
 	m := h.addMachine(name)
 	m.Recovered, m.TokenConfirmed = true, false
 	return m
 }
 
-// TestInspectMachines checks that machines are inspected in batches, each once, and not at once
-// after a failover.
+// TestInspectMachines checks that machines are inspected in batches, once each, and only after a delay
+// from the failover, except for a machine with an overdue cancellation.
 func TestInspectMachines(t *testing.T) {
 	h := newFakeHost(t)
 	for i := range 6 {
@@ -29,7 +29,7 @@
 		after micros.Micros
 		calls int
 	}{
-		{0, 1}, // the one with a task of a cancelled job
+		{0, 1}, // the machine with an overdue cancellation
 		{micros.Second, 1},
 		{2 * micros.Second, 5},
 		{3 * micros.Second, 6},
@@ -42,11 +42,11 @@
 		}
 	}
 	if first := h.calls[0]; first.Address != "worker:m-000005" || first.Method != http.MethodGet || first.Path != wire.PathInspect {
-		t.Errorf("first call %+v", first.Call)
+		t.Errorf("first call %+v, want the inspection of m-000005", first.Call)
 	}
 }
 
-// TestNotInspected checks which machines are not inspected.
+// TestNotInspected checks the conditions under which a machine is not inspected.
 func TestNotInspected(t *testing.T) {
 	for name, change := range map[string]func(h *fakeHost, m *inventory.Machine){
 		"not recovered":          func(_ *fakeHost, m *inventory.Machine) { m.Recovered = false },
@@ -70,8 +70,8 @@
 	}
 }
 
-// TestInspectionResponse checks that a worker which responds is sent this owner's token if it does
-// not have it.
+// TestInspectionResponse checks that this owner's fencing token is sent to a worker that responds to an
+// inspection with an earlier token.
 func TestInspectionResponse(t *testing.T) {
 	withToken := func(token uint64) []byte {
 		heartbeat := newHeartbeat(1)
@@ -91,7 +91,7 @@
 		{"error status", Response{Status: wire.StatusConflict, Body: withToken(6)}, nil, 1, 0},
 		{"not decodable", Response{Status: wire.StatusOK, Body: []byte("?")}, nil, 1, 0},
 		{"owner replaced", Response{Status: wire.StatusOK, Body: withToken(6)}, func(h *fakeHost, _ *inventory.Machine) { h.superseded = true }, 1, 0},
-		{"machine gone", Response{Status: wire.StatusOK, Body: withToken(6)}, func(h *fakeHost, m *inventory.Machine) { h.manager.inventory.RemoveMachine(m) }, 1, 0},
+		{"machine removed", Response{Status: wire.StatusOK, Body: withToken(6)}, func(h *fakeHost, m *inventory.Machine) { h.manager.inventory.RemoveMachine(m) }, 1, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			h := newFakeHost(t)
@@ -103,7 +103,7 @@
 			}
 			h.calls[0].done(c.response)
 			if len(h.calls) != c.calls || m.AgentEpoch != c.epoch || len(h.restarts) != 0 {
-				t.Errorf("%d calls, agent epoch %d, restarts %q", len(h.calls), m.AgentEpoch, h.restarts)
+				t.Errorf("%d calls, agent epoch %d, recovery restarted for %q", len(h.calls), m.AgentEpoch, h.restarts)
 			}
 		})
 	}
--- a/internal/workers/manager.go
+++ b/internal/workers/manager.go
@@ -8,33 +8,33 @@
 	"tamarindlead/micros"
 )
 
-// Manager handles the workers of one owner.
+// Manager manages the workers of one owner.
 type Manager struct {
 	inventory *inventory.Inventory
 	settings  *config.Settings
 	log       *slog.Logger
 	host      Host
 
-	// lastHeartbeat is the time of the last heartbeat that any worker sent by itself.
+	// lastHeartbeat is the time of the last heartbeat that any worker sent on its own initiative.
 	lastHeartbeat micros.Micros
-	// dispatchQueue lists the machines that may need direct commands.
+	// dispatchQueue holds the machines that may need direct commands.
 	dispatchQueue []*inventory.Machine
-	// callsInFlight is the number of requests to workers that are under way.
+	// callsInFlight is the number of requests to workers in flight.
 	callsInFlight int
 }
 
-// New returns the manager of an owner that has received no heartbeat yet.
+// New returns a manager for an owner that has not received any heartbeats yet.
 func New(inv *inventory.Inventory, settings *config.Settings, log *slog.Logger, host Host) *Manager {
 	return &Manager{inventory: inv, settings: settings, log: log, host: host, lastHeartbeat: host.Now()}
 }
 
-// LastHeartbeat returns the time of the last heartbeat that any worker sent by itself, or the time
-// at which the manager was created.
+// LastHeartbeat returns the time of the last heartbeat that any worker sent on its own initiative, or
+// the time at which the manager was created if there was none.
 func (w *Manager) LastHeartbeat() micros.Micros { return w.lastHeartbeat }
 
-// SetLastHeartbeat sets the time that LastHeartbeat returns to that of the owner before this one.
+// SetLastHeartbeat sets the time of the last heartbeat, which is taken over from the previous owner.
 func (w *Manager) SetLastHeartbeat(at micros.Micros) { w.lastHeartbeat = at }
 
-// Reset empties the dispatch queue because the inventory was reset. Requests under way remain
-// counted until they complete.
+// Reset empties the dispatch queue because the inventory was reset. Requests in flight remain counted
+// until they complete.
 func (w *Manager) Reset() { w.dispatchQueue = nil }
--- a/internal/workers/reconciliation.go
+++ b/internal/workers/reconciliation.go
@@ -5,14 +5,14 @@
 	"tamarindlead/internal/wire"
 )
 
-// Reasons for the loss of attempts.
+// Reasons for which attempts are lost or stopped.
 const (
 	reasonNotReported    = "not in the heartbeat"
 	reasonGangMemberLost = "gang member lost"
 )
 
-// reconcileTasks applies the reported tasks to the machine's attempts and returns which attempts
-// are reported.
+// reconcileTasks applies the reported tasks to the machine's attempts and returns the set of reported
+// attempts.
 func (w *Manager) reconcileTasks(m *inventory.Machine, tasks []wire.TaskStatus) map[inventory.TaskKey]bool {
 	reported := make(map[inventory.TaskKey]bool, len(tasks))
 	for i := range tasks {
@@ -32,7 +32,7 @@
 	return reported
 }
 
-// reconcileTask applies the reported status of an attempt.
+// reconcileTask applies the reported status of a task to its attempt.
 func (w *Manager) reconcileTask(a *inventory.Attempt, task *wire.TaskStatus) {
 	a.HeartbeatSeen, a.Phase = true, task.Phase
 	switch a.State {
@@ -44,8 +44,8 @@
 	}
 	switch {
 	case task.Phase == wire.PhaseExited && !a.Machine.TokenConfirmed:
-		// This may be an old heartbeat, of an earlier start of the same attempt: nothing is
-		// concluded before a heartbeat carries this owner's token.
+		// This may be a delayed heartbeat from an earlier start of the same attempt, so an exit
+		// is ignored until a heartbeat carries this owner's token.
 	case task.Phase == wire.PhaseExited:
 		w.handleTaskExit(a, task)
 	case task.Phase == wire.PhaseRunning && a.RunningSince == 0:
@@ -54,7 +54,7 @@
 	a.SetCountedRunning(a.IsRunning())
 }
 
-// reconcileMissing handles the attempts that are certainly not on their machine, since the heartbeat
+// reconcileMissing handles the attempts that are certainly not on the machine because its heartbeat
 // does not report them.
 func (w *Manager) reconcileMissing(m *inventory.Machine, reported map[inventory.TaskKey]bool) {
 	for _, a := range m.SortedAttempts() {
@@ -64,6 +64,7 @@
 	}
 }
 
+// reconcileMissingAttempt handles an attempt that is certainly not on its machine.
 func (w *Manager) reconcileMissingAttempt(a *inventory.Attempt) {
 	switch a.State {
 	case inventory.AttemptStarting:
@@ -78,11 +79,12 @@
 		w.inventory.SetAttemptState(a, inventory.AttemptRemoving)
 	case inventory.AttemptAssumed, inventory.AttemptRecorded, inventory.AttemptCompleted,
 		inventory.AttemptRemoving, inventory.AttemptClosed:
-		// Not started yet, or off the machine already.
+		// Not started yet, or already off the machine.
 	}
 }
 
-// handleAttemptLost handles an attempt that ended without a result.
+// handleAttemptLost handles an attempt that ended without completing. If it belonged to a gang, the
+// whole gang is stopped.
 func (w *Manager) handleAttemptLost(a *inventory.Attempt, reason string) {
 	a.Reason = reason
 	w.inventory.SetAttemptState(a, inventory.AttemptRemoving)
