--- a/internal/workers/reconciliation_test.go
+++ b/internal/workers/reconciliation_test.go
@@ -8,12 +8,12 @@
 	"tamarindlead/micros"
 )
 
-// reported returns the status of the first task of the test's job.
+// reported returns the reported status of the first task of the test's job.
 func reported(attempt uint64, phase wire.TaskPhase, cause wire.ExitCause) wire.TaskStatus {
 	return wire.TaskStatus{Task: wire.TaskName(jobID, 0), Attempt: attempt, Phase: phase, Cause: cause}
 }
 
-// TestReconcileReported checks what becomes of an attempt that its machine reports.
+// TestReconcileReported checks the state of an attempt after its machine has reported a task.
 func TestReconcileReported(t *testing.T) {
 	for _, c := range []struct {
 		name    string
@@ -48,8 +48,8 @@
 	}
 }
 
-// TestReconcileMissing checks what becomes of an attempt that its machine does not report, and that
-// nothing does while a command may still be executed.
+// TestReconcileMissing checks the state of an attempt after its machine has sent a heartbeat without
+// it, and that the state does not change while a command may still be executed.
 func TestReconcileMissing(t *testing.T) {
 	unchanged := func(*inventory.Machine, *inventory.Attempt) {}
 	for _, c := range []struct {
@@ -62,7 +62,7 @@
 		{"stopping", inventory.AttemptStopping, unchanged, inventory.AttemptRemoving},
 		{"assumed", inventory.AttemptAssumed, unchanged, inventory.AttemptAssumed},
 		{"completed", inventory.AttemptCompleted, unchanged, inventory.AttemptCompleted},
-		// Its start command was lost, so the response has it again.
+		// The start command was lost, so the response contains it again.
 		{"starting since an earlier heartbeat", inventory.AttemptStarting, func(_ *inventory.Machine, a *inventory.Attempt) {
 			a.StartHeartbeatSeq = 1
 		}, inventory.AttemptStarting},
@@ -87,7 +87,8 @@
 	}
 }
 
-// TestMissingInResponse checks that the response to a command does not show that a task is missing.
+// TestMissingInResponse checks that an attempt is not considered lost because the response to a command
+// does not report it.
 func TestMissingInResponse(t *testing.T) {
 	h := newFakeHost(t)
 	m := h.addMachine(machineName)
@@ -98,8 +99,8 @@
 	}
 }
 
-// TestLostStartIsRepeated checks that a start is sent again only once a heartbeat shows that the
-// response with the first one was lost.
+// TestLostStartIsRepeated checks that a start command is sent again after a heartbeat has shown that the
+// response with the first start command was lost.
 func TestLostStartIsRepeated(t *testing.T) {
 	h := newFakeHost(t)
 	m := h.addMachine(machineName)
@@ -108,13 +109,13 @@
 		h.manager.HandleHeartbeat(seq, newHeartbeat(seq))
 		response, ok := h.responses[seq-1].body.(wire.HeartbeatResponse)
 		if !ok || len(response.Commands) != 1 || response.Commands[0].Verb != wire.VerbStart || a.StartHeartbeatSeq != seq {
-			t.Fatalf("heartbeat %d: response %+v, start after %d", seq, h.responses[seq-1], a.StartHeartbeatSeq)
+			t.Fatalf("heartbeat %d: response %+v, start sent after heartbeat %d", seq, h.responses[seq-1], a.StartHeartbeatSeq)
 		}
 	}
 }
 
-// TestStartNotLostYet checks that a heartbeat does not show the loss of a start which was sent with
-// the response to it.
+// TestStartNotLostYet checks that a start command that was sent in the response to a heartbeat is not
+// considered lost because of that same heartbeat.
 func TestStartNotLostYet(t *testing.T) {
 	for start, want := range map[uint64]inventory.AttemptState{1: inventory.AttemptRecorded, 2: inventory.AttemptStarting} {
 		h := newFakeHost(t)
@@ -124,12 +125,12 @@
 		a.StartHeartbeatSeq = start
 		h.manager.reconcileMissing(m, nil)
 		if a.State != want {
-			t.Errorf("start after heartbeat %d: state %v, want %v", start, a.State, want)
+			t.Errorf("start sent after heartbeat %d: state %v, want %v", start, a.State, want)
 		}
 	}
 }
 
-// TestLostGangMember checks that a gang is stopped once it has lost a task.
+// TestLostGangMember checks that a gang is stopped after it has lost a task.
 func TestLostGangMember(t *testing.T) {
 	h := newFakeHost(t)
 	j := h.addJob(2)
@@ -142,11 +143,12 @@
 		t.Errorf("lost %v, member %v, gang %v", lost.State, member.State, j.GangState)
 	}
 	if !other.InDispatchQueue || !other.DispatchNeeded {
-		t.Error("the other machine is not queued for the stop")
+		t.Error("the other machine is not queued for its stop command")
 	}
 }
 
-// TestRunningSince checks that the first report of a running task counts.
+// TestRunningSince checks that the run time of a task begins with the first heartbeat that reports it
+// as running.
 func TestRunningSince(t *testing.T) {
 	h := newFakeHost(t)
 	m := h.addMachine(machineName)
--- a/internal/workers/task_exits.go
+++ b/internal/workers/task_exits.go
@@ -6,15 +6,17 @@
 	"tamarindlead/micros"
 )
 
-// Backoff after failures, and the limit by which faulty machines are distinguished from faulty jobs.
+// Parameters of the backoff after failures, and the limit that distinguishes faulty jobs from faulty
+// machines.
 const (
-	// initialErrorBackoff is the first backoff of a failing job; it doubles with each failure.
+	// initialErrorBackoff is the base of a failing job's backoff, which doubles with each failure
+	// up to maxErrorBackoff.
 	initialErrorBackoff = micros.Second
 	maxErrorBackoff     = 60 * micros.Second
-	// maxBackoffDoublings keeps the doubled backoff from overflowing.
+	// maxBackoffDoublings prevents an overflow of the doubled backoff.
 	maxBackoffDoublings = 8
-	// startRefusalQuarantine is the time for which nothing is placed on a machine that refused
-	// a start.
+	// startRefusalQuarantine is how long no tasks are placed on a machine that has refused to
+	// start a task.
 	startRefusalQuarantine = 5 * micros.Second
 	// maxFaultyMachines is the number of machines on which a job may fail before the job itself
 	// is considered faulty.
@@ -32,14 +34,14 @@
 	case wire.CauseInsufficientResources, wire.CauseBusy:
 		a.Machine.QuarantinedUntil = w.host.Now() + startRefusalQuarantine
 	case wire.CauseStopped, wire.CauseGangMemberLost, wire.CauseAlone:
-		// Neither the job nor the machine is at fault.
+		// Counted neither against the job nor against the machine.
 	}
 	w.log.Info("task exited", "task", task.Task, "machine", a.Machine.Name, "cause", task.Cause,
 		"checkpointed", task.Checkpointed, "reason", a.Reason)
 	w.handleAttemptLost(a, string(task.Cause))
 }
 
-// handleTaskCompleted handles a task that exited with its result.
+// handleTaskCompleted handles a task that has completed successfully.
 func (w *Manager) handleTaskCompleted(a *inventory.Attempt) {
 	j := a.Job
 	a.Machine.ConsecutiveErrors = 0
@@ -59,10 +61,11 @@
 	}
 }
 
-// completeGang marks all tasks of a gang as done once one of them is. They complete together, also
-// those on machines that are gone: another attempt of the gang would wait for these forever. Tasks
-// that ran have left their machines. If a completed gang was started again, each task exits by
-// itself and keeps its resources until its machine reports that.
+// completeGang marks all tasks of a gang as done after one of them has completed. The tasks of a gang
+// complete together. This includes tasks on lost machines, since another attempt of the gang would wait
+// for them forever. Tasks that were running no longer use their machines. If a gang was started again
+// after it had completed, each task exits separately and keeps its resources until its machine reports
+// the exit.
 func (w *Manager) completeGang(first *inventory.Attempt) {
 	j := first.Job
 	for _, a := range j.SortedAttempts() {
@@ -75,8 +78,9 @@
 	}
 }
 
-// handleTaskFailed counts a failure for its job and, if the task ran and the job does not fail
-// everywhere, for its machine. A faulty machine is drained; a faulty job backs off.
+// handleTaskFailed counts a failure against the job and, if the task exited with an error and the job
+// has failed on at most maxFaultyMachines machines, against the machine. A faulty machine is drained.
+// A faulty job, or any gang, backs off.
 func (w *Manager) handleTaskFailed(a *inventory.Attempt, cause wire.ExitCause) {
 	j, m := a.Job, a.Machine
 	j.Failures++
@@ -94,8 +98,8 @@
 	}
 }
 
-// drainFaultyMachine drains a machine on which tasks keep failing and evicts its attempts, but for
-// the one that has just failed.
+// drainFaultyMachine drains a machine on which tasks keep failing and evicts its attempts, except the
+// attempt that has just failed.
 func (w *Manager) drainFaultyMachine(m *inventory.Machine, failed *inventory.Attempt) {
 	w.inventory.SetMachineState(m, inventory.MachineDraining, "consecutive task failures")
 	for _, a := range m.SortedAttempts() {
--- a/internal/workers/task_exits_test.go
+++ b/internal/workers/task_exits_test.go
@@ -9,7 +9,8 @@
 	"tamarindlead/micros"
 )
 
-// TestExitCauses checks what the cause of an exit counts against.
+// TestExitCauses checks whether an exit is counted against the job, the machine or neither, by its
+// cause.
 func TestExitCauses(t *testing.T) {
 	for _, c := range []struct {
 		cause       wire.ExitCause
@@ -42,13 +43,13 @@
 				t.Errorf("quarantined until %v", m.QuarantinedUntil)
 			}
 			if (h.runTimes == 1) != (c.cause == wire.CauseDone) {
-				t.Errorf("%d run times are recorded", h.runTimes)
+				t.Errorf("%d run times recorded", h.runTimes)
 			}
 		})
 	}
 }
 
-// TestCompletionOfEndedJob checks that a result of a job that has ended is not counted.
+// TestCompletionOfEndedJob checks that the completion of a task is not counted if its job has ended.
 func TestCompletionOfEndedJob(t *testing.T) {
 	h := newFakeHost(t)
 	m := h.addMachine(machineName)
@@ -61,7 +62,7 @@
 	}
 }
 
-// TestLastCompletion checks that a job finishes with the last of its tasks.
+// TestLastCompletion checks that a job begins to finish when its last task completes.
 func TestLastCompletion(t *testing.T) {
 	h := newFakeHost(t)
 	m := h.addMachine(machineName)
@@ -73,7 +74,7 @@
 	}
 }
 
-// TestFaultyMachine checks that a machine on which tasks keep failing is drained, and its other
+// TestFaultyMachine checks that a machine on which tasks keep failing is drained and that its other
 // attempts are evicted.
 func TestFaultyMachine(t *testing.T) {
 	h := newFakeHost(t)
@@ -94,8 +95,8 @@
 	}
 }
 
-// TestFaultyJob checks that a job which fails on many machines backs off, for longer each time, and
-// is not held against the machines.
+// TestFaultyJob checks that a job that fails on many machines backs off exponentially, and that its
+// further failures are not counted against the machines.
 func TestFaultyJob(t *testing.T) {
 	h := newFakeHost(t)
 	j := h.addJob(20)
@@ -127,8 +128,8 @@
 	}
 }
 
-// TestGangCompletes checks that all tasks of a gang are done once one is, but that attempts which
-// have not run keep their machines.
+// TestGangCompletes checks that all tasks of a gang are done after one has completed, but that attempts
+// keep their resources if no task of the gang was running or if they belong to another attempt.
 func TestGangCompletes(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -139,8 +140,8 @@
 		{"both ran", [2]micros.Micros{1, 1}, 1, inventory.AttemptCompleted},
 		{"only the first ran", [2]micros.Micros{1, 0}, 1, inventory.AttemptCompleted},
 		{"only the second ran", [2]micros.Micros{0, 1}, 1, inventory.AttemptCompleted},
-		{"started again", [2]micros.Micros{0, 0}, 1, inventory.AttemptLive},
-		{"of another attempt", [2]micros.Micros{1, 1}, 2, inventory.AttemptLive},
+		{"started again after completion", [2]micros.Micros{0, 0}, 1, inventory.AttemptLive},
+		{"second has another attempt number", [2]micros.Micros{1, 1}, 2, inventory.AttemptLive},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			h := newFakeHost(t)
