--- a/internal/autoscaler/drain_idle.go
+++ b/internal/autoscaler/drain_idle.go
@@ -31,7 +31,7 @@
 func (p *Planner) remainingWarmPool() *WarmPool {
 	pool := NewWarmPool(p.Now, p.Classes, p.SLOs, p.Catalog)
 	for _, m := range p.Machines {
-		if m.State == MachineReady && m.Busy && m.NoDependentTasks && p.Classes.Scarce(p.Now, m.Type, m.Spot) {
+		if m.State == MachineReady && m.Busy && m.NoSingleTypeTasks && p.Classes.Scarce(p.Now, m.Type, m.Spot) {
 			pool.Claim(m.Offer, m.free())
 		}
 	}
--- a/internal/autoscaler/plan.go
+++ b/internal/autoscaler/plan.go
@@ -43,9 +43,9 @@
 	Claimed  bool          // a record of this owner claims it, so that tasks may be placed on it
 	Busy     bool          // it has tasks
 	Reserved bool          // it is reserved for a gang for which tasks were preempted
-	// NoDependentTasks reports that none of the machine's tasks belongs to a job that depends on
+	// NoSingleTypeTasks reports that none of the machine's tasks belongs to a job that depends on
 	// the machine's type. It is set only for busy machines of a scarce type.
-	NoDependentTasks bool
+	NoSingleTypeTasks bool
 }
 
 // free returns the resources that are not used by tasks.
--- a/internal/fleet/planning.go
+++ b/internal/fleet/planning.go
@@ -106,7 +106,7 @@
 	d.Age, d.IdleFor = f.wallClock-m.ProvisionedAt, f.now-m.IdleSince
 	d.Claimed, d.Busy = m.FencingToken != 0, len(m.Attempts) > 0
 	d.Reserved = f.jobs.IsReserved(m.Name)
-	d.NoDependentTasks = d.Busy && f.isScarce(m) && f.jobs.HasNoSingleTypeTasks(m)
+	d.NoSingleTypeTasks = d.Busy && f.isScarce(m) && f.jobs.HasNoSingleTypeTasks(m)
 	if withBusyTime {
 		d.BusyFor = f.jobs.RemainingBusyTime(m)
 	}
