--- a/internal/cancellation/announcement.go
+++ b/internal/cancellation/announcement.go
@@ -13,7 +13,7 @@
 // acknowledged to users.
 type announcement struct {
 	job          string
-	since        micros.Micros
+	announcedAt  micros.Micros
 	sent         bool
 	nextSend     micros.Micros
 	acknowledged map[string]bool // by peer
@@ -37,7 +37,7 @@
 			return
 		}
 		t.MarkCancelled(job, now)
-		a = &announcement{job: job, since: now, acknowledged: map[string]bool{}}
+		a = &announcement{job: job, announcedAt: now, acknowledged: map[string]bool{}}
 		t.announcements[job] = a
 	}
 	a.requests = append(a.requests, request{deadline, done})
@@ -83,7 +83,7 @@
 func (t *Tracker) recordUnacknowledged(a *announcement, now micros.Micros) {
 	for _, p := range t.peers {
 		if !a.acknowledged[p.name] {
-			p.userAcknowledgedWithoutPeer = now
+			p.lastUserAckWithoutPeer = now
 		}
 	}
 }
--- a/internal/cancellation/lease_bound.go
+++ b/internal/cancellation/lease_bound.go
@@ -18,13 +18,13 @@
 // last grant to it expires.
 func (t *Tracker) Grant(peer string, now micros.Micros) Grant {
 	for _, a := range t.announcements {
-		if !a.acknowledged[peer] && now-max(a.since, t.withholdUntil) > ackPeriod {
+		if !a.acknowledged[peer] && now-max(a.announcedAt, t.withholdUntil) > grantPeriod {
 			return Grant{}
 		}
 	}
 	p := t.peers[peer]
-	p.ackRequiredUntil = now + ackPeriod
-	return Grant{Period: ackPeriod, SinceUserAcknowledged: now - p.userAcknowledgedWithoutPeer}
+	p.ackRequiredUntil = now + grantPeriod
+	return Grant{Period: grantPeriod, SinceUserAcknowledged: now - p.lastUserAckWithoutPeer}
 }
 
 // ApplyGrant extends the time up to which this node knows all cancellations that a peer
@@ -37,16 +37,16 @@
 		return
 	}
 	p := t.peers[peer]
-	userAcknowledged := now - shorten(grant.SinceUserAcknowledged)
-	if max(readUntil, p.cancellationsKnownUntil) < userAcknowledged {
+	lastUserAck := now - minLocalDuration(grant.SinceUserAcknowledged)
+	if max(readUntil, p.cancellationsKnownUntil) < lastUserAck {
 		return
 	}
-	p.cancellationsKnownUntil = max(p.cancellationsKnownUntil, sentAt+shorten(grant.Period))
+	p.cancellationsKnownUntil = max(p.cancellationsKnownUntil, sentAt+minLocalDuration(grant.Period))
 }
 
-// shorten returns the least duration on this node's clock that a duration on a peer's clock may
+// minLocalDuration returns the least duration on this node's clock that a duration on a peer's clock may
 // correspond to.
-func shorten(duration micros.Micros) micros.Micros { return duration - duration/driftFraction }
+func minLocalDuration(duration micros.Micros) micros.Micros { return duration - duration/driftFraction }
 
 // MaxStaleness returns how far the time up to which all cancellations are known may lie in the
 // past for leases to be renewed.
--- a/internal/cancellation/simulation_test.go
+++ b/internal/cancellation/simulation_test.go
@@ -16,15 +16,15 @@
 func TestLeaseBoundUnderFaults(t *testing.T) {
 	for seed := range uint64(100) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
-			newCluster(t, seed).play()
+			newCluster(t, seed).run()
 		})
 	}
 }
 
 const (
 	nodeCount = 3
-	// stepTime is the simulated time between two steps.
-	stepTime = 100 * micros.Millisecond
+	// stepDuration is the simulated time between two steps.
+	stepDuration = 100 * micros.Millisecond
 	// steps is the length of a simulation.
 	steps = 3000
 	// heartbeatSteps is the number of steps between two heartbeats of a node.
@@ -61,7 +61,7 @@
 	drift            int64 // error of the clock's rate, in parts per million
 	offset           micros.Micros
 	tracker          *Tracker
-	knows            map[string]bool // ended jobs
+	knownCancelled   map[string]bool // ended jobs
 	partitionedUntil micros.Micros   // true time; until then all messages are lost
 	readUntil        micros.Micros   // true time
 }
@@ -95,7 +95,7 @@
 }
 
 func (n *node) restart() {
-	n.knows, n.readUntil = map[string]bool{}, 0
+	n.knownCancelled, n.readUntil = map[string]bool{}, 0
 	var peers []string
 	for i := range nodeCount {
 		if i != n.index {
@@ -106,7 +106,7 @@
 }
 
 // HandleCancelled implements Host.
-func (n *node) HandleCancelled(job string) { n.knows[job] = true }
+func (n *node) HandleCancelled(job string) { n.knownCancelled[job] = true }
 
 // HandleAcknowledgeable implements Host.
 func (n *node) HandleAcknowledgeable(job string) {
@@ -133,14 +133,14 @@
 func (n *node) call(peer string, handle func(to *node) (respond func())) {
 	nodes := n.cluster.nodes
 	to := nodes[slices.IndexFunc(nodes, func(n *node) bool { return n.name == peer })]
-	n.post(to, func() {
+	n.send(to, func() {
 		if respond := handle(to); respond != nil {
-			to.post(n, respond)
+			to.send(n, respond)
 		}
 	})
 }
 
-func (n *node) post(to *node, deliver func()) {
+func (n *node) send(to *node, deliver func()) {
 	c := n.cluster
 	if c.now < n.partitionedUntil || c.now < to.partitionedUntil || c.rng.IntN(10) == 0 {
 		return
@@ -167,11 +167,11 @@
 	})
 }
 
-// play runs the simulation.
-func (c *cluster) play() {
+// run runs the simulation.
+func (c *cluster) run() {
 	c.t.Helper()
 	for step := range steps {
-		c.now += stepTime
+		c.now += stepDuration
 		c.deliver()
 		c.injectFault(c.nodes[c.rng.IntN(len(c.nodes))])
 		for _, n := range c.nodes {
@@ -226,7 +226,7 @@
 func (n *node) readRecords() {
 	n.readUntil = n.cluster.now
 	for i := range n.cluster.jobs {
-		n.knows[jobName(i+1)] = true
+		n.knownCancelled[jobName(i+1)] = true
 	}
 }
 
@@ -239,7 +239,7 @@
 	}
 	c.renewals++
 	for job, at := range c.acknowledged {
-		if !n.knows[job] && c.now+lease > at+cancelWithin {
+		if !n.knownCancelled[job] && c.now+lease > at+cancelWithin {
 			c.t.Fatalf("%s renews at %v, %v after the cancellation of %s was acknowledged to users", n.name, c.now, c.now-at, job)
 		}
 	}
--- a/internal/cancellation/tracker.go
+++ b/internal/cancellation/tracker.go
@@ -29,9 +29,9 @@
 )
 
 const (
-	// ackPeriod is the length of a grant. It is long enough for a peer that fails and restarts
+	// grantPeriod is the length of a grant. It is long enough for a peer that fails and restarts
 	// within it: the grant of its earlier incarnation is still valid when it gives the next.
-	ackPeriod = 12 * micros.Second
+	grantPeriod = 12 * micros.Second
 	// stopMargin is the time that a worker may need beyond its lease to end its tasks.
 	stopMargin = 3 * micros.Second
 	// driftFraction bounds the difference between the rates of two clocks: one part in
@@ -70,9 +70,9 @@
 	// ackRequiredUntil is when the latest grant to the peer expires: before, its
 	// acknowledgement is required.
 	ackRequiredUntil micros.Micros
-	// userAcknowledgedWithoutPeer is when a cancellation was last acknowledged to users without
+	// lastUserAckWithoutPeer is when a cancellation was last acknowledged to users without
 	// the peer's acknowledgement, or when this node started.
-	userAcknowledgedWithoutPeer micros.Micros
+	lastUserAckWithoutPeer micros.Micros
 	// cancellationsKnownUntil is the time up to which this node knows all cancellations that
 	// the peer acknowledged to users.
 	cancellationsKnownUntil micros.Micros
@@ -102,10 +102,10 @@
 		cancelled:     map[string]micros.Micros{},
 	}
 	for _, name := range settings.Peers {
-		t.peers[name] = &peer{name: name, userAcknowledgedWithoutPeer: now}
+		t.peers[name] = &peer{name: name, lastUserAckWithoutPeer: now}
 	}
 	if len(settings.Peers) > 0 {
-		t.withholdUntil = now + ackPeriod + ackPeriod/driftFraction
+		t.withholdUntil = now + grantPeriod + grantPeriod/driftFraction
 	}
 	return t
 }
--- a/internal/cancellation/tracker_test.go
+++ b/internal/cancellation/tracker_test.go
@@ -15,16 +15,16 @@
 )
 
 // afterRestart is when a tracker that began at start no longer withholds acknowledgements.
-const afterRestart = start + ackPeriod + ackPeriod/driftFraction
+const afterRestart = start + grantPeriod + grantPeriod/driftFraction
 
 func inSeconds(s int) micros.Micros { return micros.Micros(s) * micros.Second }
 
 // recorder is a Host that records the calls to it.
 type recorder struct {
-	cancelled      []string
-	mayAcknowledge []string
-	sent           []string                  // "peer job"
-	responses      []func(now micros.Micros) // of the peers, in the order of sent
+	cancelled       []string
+	acknowledgeable []string
+	sent            []string                  // "peer job"
+	responses       []func(now micros.Micros) // of the peers, in the order of sent
 }
 
 // HandleCancelled implements Host.
@@ -32,7 +32,7 @@
 
 // HandleAcknowledgeable implements Host.
 func (r *recorder) HandleAcknowledgeable(job string) {
-	r.mayAcknowledge = append(r.mayAcknowledge, job)
+	r.acknowledgeable = append(r.acknowledgeable, job)
 }
 
 // SendAnnouncement implements Host.
@@ -47,20 +47,20 @@
 	return New(Settings{Peers: peers, Lease: lease, CancelWithin: cancelWithin}, host, start), host
 }
 
-// answer records the answers to a request.
-type answer struct {
+// result records the answers to a request.
+type result struct {
 	count          int
 	mayAcknowledge bool // the last
 }
 
-func (a *answer) done(mayAcknowledge bool) { a.count, a.mayAcknowledge = a.count+1, mayAcknowledge }
+func (a *result) done(mayAcknowledge bool) { a.count, a.mayAcknowledge = a.count+1, mayAcknowledge }
 
 func TestSingleNodeAcknowledgesAtOnce(t *testing.T) {
 	tracker, host := newTracker()
-	var got answer
+	var got result
 	tracker.Announce("j", start+micros.Second, start, got.done)
-	if got != (answer{1, true}) || tracker.Pending() || !slices.Equal(host.mayAcknowledge, []string{"j"}) {
-		t.Fatalf("answer %+v, acknowledged to users %v", got, host.mayAcknowledge)
+	if got != (result{1, true}) || tracker.Pending() || !slices.Equal(host.acknowledgeable, []string{"j"}) {
+		t.Fatalf("answer %+v, acknowledged to users %v", got, host.acknowledgeable)
 	}
 	if !tracker.MayRenewLease(0, start) {
 		t.Fatal("a node without peers does not renew, although it knows all cancellations")
@@ -72,22 +72,22 @@
 // not, and refuses requests at once whose deadline is earlier.
 func TestRestartWithholds(t *testing.T) {
 	tracker, host := newTracker("b")
-	var early, late answer
+	var early, late result
 	tracker.Announce("j", start+micros.Second, start, early.done)
-	if early != (answer{1, false}) {
+	if early != (result{1, false}) {
 		t.Fatalf("request with a deadline within the withholding period: %+v", early)
 	}
 	tracker.Announce("j", start+inSeconds(30), start+micros.Second, late.done)
 	host.responses[0](start + micros.Second)
 	tracker.Tick(afterRestart - 1)
-	if late.count != 0 || len(host.mayAcknowledge) != 0 {
+	if late.count != 0 || len(host.acknowledgeable) != 0 {
 		t.Fatal("acknowledged to users although an earlier incarnation's grant may be valid")
 	}
 	tracker.Tick(afterRestart)
-	if late != (answer{1, true}) {
+	if late != (result{1, true}) {
 		t.Fatalf("after the withholding period: %+v", late)
 	}
-	if afterRestart-start <= ackPeriod {
+	if afterRestart-start <= grantPeriod {
 		t.Fatal("the withholding period does not allow for clock drift")
 	}
 }
@@ -111,13 +111,13 @@
 		sinceB      micros.Micros // at the next grant, one second later
 	}{
 		{"acknowledged", true, now + inSeconds(2), now + inSeconds(3) - start},
-		{"expired", false, now + ackPeriod, inSeconds(1)},
+		{"expired", false, now + grantPeriod, inSeconds(1)},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			tracker, host := newTracker("b", "c")
 			tracker.Grant("b", now)
-			var got answer
+			var got result
 			tracker.Announce("j", now+inSeconds(60), now, got.done)
 			if want := []string{"b j", "c j"}; !slices.Equal(host.sent, want) {
 				t.Fatalf("sent %v; want %v", host.sent, want)
@@ -134,7 +134,7 @@
 				}
 				tracker.Tick(c.completeAt)
 			}
-			if got != (answer{1, true}) || tracker.Pending() {
+			if got != (result{1, true}) || tracker.Pending() {
 				t.Fatalf("answer %+v, pending %t", got, tracker.Pending())
 			}
 			// The next grants show which peers have not acknowledged.
@@ -150,7 +150,7 @@
 	now := start + inSeconds(60)
 	tracker, host := newTracker("b", "c")
 	tracker.Grant("b", now)
-	var got answer
+	var got result
 	tracker.Announce("j", now+micros.Second, now, got.done)
 	for range 20 {
 		now += 100 * micros.Millisecond
@@ -159,7 +159,7 @@
 	if want := []string{"b j", "c j", "b j", "b j", "b j", "b j"}; !slices.Equal(host.sent, want) {
 		t.Fatalf("sent %v; want %v", host.sent, want)
 	}
-	if got != (answer{1, false}) || !tracker.Pending() {
+	if got != (result{1, false}) || !tracker.Pending() {
 		t.Fatalf("after the deadline: %+v", got)
 	}
 	if !slices.Equal(host.cancelled, []string{"j"}) || !tracker.IsCancelled("j") {
@@ -171,7 +171,7 @@
 	now := start + inSeconds(60)
 	tracker, _ := newTracker("b")
 	tracker.Grant("b", now)
-	var got answer
+	var got result
 	tracker.Announce("j", now+inSeconds(9), now, got.done)
 	if jobs := tracker.Unacknowledged("b"); !slices.Equal(jobs, []string{"j"}) {
 		t.Fatalf("the heartbeat lists %v", jobs)
@@ -182,7 +182,7 @@
 		t.Fatal("the receiver does not record the end of the job")
 	}
 	tracker.HandlePeerHeartbeat("b", nil, receiver.PendingAcknowledgements("a"), now+micros.Second)
-	if got != (answer{1, true}) || len(tracker.Unacknowledged("b")) != 0 {
+	if got != (result{1, true}) || len(tracker.Unacknowledged("b")) != 0 {
 		t.Fatalf("after the acknowledging heartbeat: %+v", got)
 	}
 }
@@ -193,7 +193,7 @@
 	now := start + inSeconds(60)
 	tracker, _ := newTracker("b")
 	tracker.Grant("b", now)
-	var got answer
+	var got result
 	tracker.Announce("j", now+inSeconds(600), now, got.done)
 	announcedAt := now
 	for got.count == 0 && now < announcedAt+inSeconds(60) {
@@ -201,7 +201,7 @@
 		tracker.Grant("b", now)
 		tracker.Tick(now)
 	}
-	if limit := announcedAt + 2*ackPeriod + inSeconds(2); got != (answer{1, true}) || now > limit {
+	if limit := announcedAt + 2*grantPeriod + inSeconds(2); got != (result{1, true}) || now > limit {
 		t.Fatalf("after %v: %+v", now-announcedAt, got)
 	}
 }
@@ -213,9 +213,9 @@
 	for i := range maxAnnouncements {
 		tracker.Announce(fmt.Sprint(i), now+micros.Second, now, func(bool) {})
 	}
-	var got answer
+	var got result
 	tracker.Announce("one more", now+micros.Second, now, got.done)
-	if got != (answer{1, false}) {
+	if got != (result{1, false}) {
 		t.Fatalf("beyond the bound: %+v", got)
 	}
 	if n := len(tracker.Unacknowledged("b")); n != maxInHeartbeat {
@@ -239,13 +239,13 @@
 		t.Fatal("leases are not renewed exactly up to the bound after the last read")
 	}
 	sentAt, now := start+inSeconds(10), start+inSeconds(11)
-	grant := Grant{Period: ackPeriod, SinceUserAcknowledged: inSeconds(11)}
+	grant := Grant{Period: grantPeriod, SinceUserAcknowledged: inSeconds(11)}
 	tracker.ApplyGrant("b", grant, sentAt, readUntil, now)
 	if tracker.MayRenewLease(0, now+staleness) {
 		t.Fatal("leases are renewed by the grant of one peer of two")
 	}
 	tracker.ApplyGrant("c", grant, sentAt, readUntil, now)
-	until := sentAt + ackPeriod - ackPeriod/driftFraction
+	until := sentAt + grantPeriod - grantPeriod/driftFraction
 	if !tracker.MayRenewLease(0, until+staleness) || tracker.MayRenewLease(0, until+staleness+1) {
 		t.Fatal("leases are not renewed exactly up to the bound after the grants")
 	}
@@ -261,9 +261,9 @@
 		grant Grant
 		want  bool
 	}{
-		{"acknowledged before the last read", Grant{ackPeriod, inSeconds(96)}, true},
-		{"acknowledged after the last read", Grant{ackPeriod, inSeconds(94)}, false},
-		{"acknowledged within the clock drift", Grant{ackPeriod, inSeconds(95)}, false},
+		{"acknowledged before the last read", Grant{grantPeriod, inSeconds(96)}, true},
+		{"acknowledged after the last read", Grant{grantPeriod, inSeconds(94)}, false},
+		{"acknowledged within the clock drift", Grant{grantPeriod, inSeconds(95)}, false},
 		{"nothing granted", Grant{0, inSeconds(96)}, false},
 	}
 	for _, c := range cases {
@@ -277,13 +277,13 @@
 	}
 }
 
-// TestGrantContinues checks that a grant counts, without any read, if an earlier grant of the
+// TestGrantExtendsEarlierGrant checks that a grant counts, without any read, if an earlier grant of the
 // same peer reaches the time at which the peer last acknowledged a cancellation to users.
-func TestGrantContinues(t *testing.T) {
+func TestGrantExtendsEarlierGrant(t *testing.T) {
 	tracker, _ := newTracker("b")
-	tracker.ApplyGrant("b", Grant{ackPeriod, inSeconds(10)}, start, start, start)
+	tracker.ApplyGrant("b", Grant{grantPeriod, inSeconds(10)}, start, start, start)
 	for now := start; now < start+inSeconds(300); now += inSeconds(5) {
-		tracker.ApplyGrant("b", Grant{ackPeriod, inSeconds(10)}, now, 0, now)
+		tracker.ApplyGrant("b", Grant{grantPeriod, inSeconds(10)}, now, 0, now)
 		if !tracker.MayRenewLease(0, now) {
 			t.Fatalf("not renewed after %v", now-start)
 		}
--- a/internal/freshness/freshness.go
+++ b/internal/freshness/freshness.go
@@ -54,8 +54,8 @@
 	ViaPeer bool
 }
 
-// OfTerminalState returns the evidence of a terminal state.
-func OfTerminalState() Evidence { return Evidence{Basis: TerminalState} }
+// TerminalStateEvidence returns the evidence of a terminal state.
+func TerminalStateEvidence() Evidence { return Evidence{Basis: TerminalState} }
 
 // Covers reports whether an answer with this evidence may be sent to a request that arrived at
 // the given time.
--- a/internal/freshness/freshness_test.go
+++ b/internal/freshness/freshness_test.go
@@ -39,9 +39,9 @@
 	}
 }
 
-// TestOfTerminalState checks that a terminal state answers every request.
-func TestOfTerminalState(t *testing.T) {
-	if !OfTerminalState().Covers(1 << 60) {
+// TestTerminalStateEvidence checks that a terminal state answers every request.
+func TestTerminalStateEvidence(t *testing.T) {
+	if !TerminalStateEvidence().Covers(1 << 60) {
 		t.Error("a terminal state does not cover a late request")
 	}
 }
--- a/internal/frontend/admission.go
+++ b/internal/frontend/admission.go
@@ -25,17 +25,17 @@
 	}
 	writes, size := record.JobWrites(job, f.node.Host.WallClock(), f.node.Settings.MaxValueBytes)
 	refused := f.node.checkAdmission(job, writes, size)
-	if refused.restsOnMachineTypes() {
+	if refused.dependsOnMachineTypes() {
 		f.confirmRefusal(request, job, writes, size)
 		return
 	}
-	f.acceptOrRefuse(request, job, writes, refused)
+	f.queueOrRefuse(request, job, writes, refused)
 }
 
-// acceptOrRefuse continues with a submission that was checked.
-func (f *Frontend) acceptOrRefuse(request userRequest, job *sched.Job, writes []kv.Write, refused *refusal) {
+// queueOrRefuse continues with a submission that was checked.
+func (f *Frontend) queueOrRefuse(request userRequest, job *sched.Job, writes []kv.Write, refused *refusal) {
 	if refused != nil {
-		f.refuseUnlessKnown(request, job.ID, refused)
+		f.refuseUnlessAccepted(request, job.ID, refused)
 		return
 	}
 	f.submissions.add(request, job, len(writes))
@@ -47,20 +47,20 @@
 func (f *Frontend) confirmRefusal(request userRequest, job *sched.Job, writes []kv.Write, size int) {
 	f.node.Host.ConfirmMachineTypes(func(confirmed bool) {
 		refused := f.node.checkAdmission(job, writes, size)
-		if refused.restsOnMachineTypes() {
+		if refused.dependsOnMachineTypes() {
 			source, age := f.node.Host.MachineTypesOrigin()
 			f.node.Log.Info("submission fits no machine type", "job", job.ID, "confirmed", confirmed, "source", source, "age_us", int64(age))
 			if !confirmed {
-				refused = temporaryRefusal(reasonTypesUnread)
+				refused = temporaryRefusal(reasonTypesUnconfirmed)
 			}
 		}
-		f.acceptOrRefuse(request, job, writes, refused)
+		f.queueOrRefuse(request, job, writes, refused)
 	})
 }
 
-// refuseUnlessKnown refuses a submission for good, unless its job is known: the machine types on
+// refuseUnlessAccepted refuses a submission for good, unless its job is known: the machine types on
 // offer and the limits may have changed since it was accepted.
-func (f *Frontend) refuseUnlessKnown(request userRequest, job string, refused *refusal) {
+func (f *Frontend) refuseUnlessAccepted(request userRequest, job string, refused *refusal) {
 	f.lookups.add(job, func(result lookupResult) {
 		f.responder.respondDuplicateOrRefuse(request, job, result, refused)
 	})
--- a/internal/frontend/cancellations_test.go
+++ b/internal/frontend/cancellations_test.go
@@ -30,7 +30,7 @@
 func TestCancellation(t *testing.T) {
 	for _, c := range []struct {
 		name   string
-		play   func(f *fixture)
+		run    func(f *fixture)
 		status wire.Status
 		reason wire.RefusalReason
 	}{
@@ -49,53 +49,53 @@
 		{"version known", func(f *fixture) {
 			f.graph.versions[testJobID] = 7
 			f.cancel()
-			f.answer(commitTarget, kv.OK, nil)
+			f.respondKV(commitTarget, kv.OK, nil)
 			f.announcements[0](true)
 		}, wire.StatusOK, ""},
 		{"not acknowledged by a peer", func(f *fixture) {
 			f.ownedVersions[testJobID] = 7
 			f.cancel()
-			f.answer(commitTarget, kv.OK, nil)
+			f.respondKV(commitTarget, kv.OK, nil)
 			f.announcements[0](false)
 		}, wire.StatusUnavailable, "a controller has not confirmed yet"},
 		{"version read", func(f *fixture) {
 			f.cancel()
-			f.answer(activeTarget, kv.OK, activeEntry())
-			f.answer(commitTarget, kv.OK, nil)
+			f.respondKV(activeTarget, kv.OK, activeEntry())
+			f.respondKV(commitTarget, kv.OK, nil)
 			f.announcements[0](true)
 		}, wire.StatusOK, ""},
 		{"in doubt, and not executed", func(f *fixture) {
 			f.graph.versions[testJobID] = 7
 			f.cancel()
-			f.answer(commitTarget, kv.Unknown, nil)
-			f.answer(activeTarget, kv.OK, activeEntry())
-			f.answer(commitTarget, kv.OK, nil)
+			f.respondKV(commitTarget, kv.Unknown, nil)
+			f.respondKV(activeTarget, kv.OK, activeEntry())
+			f.respondKV(commitTarget, kv.OK, nil)
 			f.announcements[0](true)
 		}, wire.StatusOK, ""},
 		{"in doubt for too long", func(f *fixture) {
 			f.graph.versions[testJobID] = 7
 			f.cancel()
 			f.time += SubmissionTimeout
-			f.answer(commitTarget, kv.Unknown, nil)
+			f.respondKV(commitTarget, kv.Unknown, nil)
 		}, wire.StatusUnavailable, "state service does not answer"},
 		{"done meanwhile", func(f *fixture) {
 			f.cancel()
-			f.answer(activeTarget, kv.NotFound, nil)
+			f.respondKV(activeTarget, kv.NotFound, nil)
 			f.flush()
-			f.answer(activeTarget, kv.NotFound, nil)
-			f.answer(terminalTarget, kv.OK, terminalEntry(record.StatusDone))
+			f.respondKV(activeTarget, kv.NotFound, nil)
+			f.respondKV(terminalTarget, kv.OK, terminalEntry(record.StatusDone))
 		}, wire.StatusOK, ""},
 		{"never accepted", func(f *fixture) {
 			f.cancel()
-			f.answer(activeTarget, kv.NotFound, nil)
+			f.respondKV(activeTarget, kv.NotFound, nil)
 			f.flush()
-			f.answer(activeTarget, kv.NotFound, nil)
-			f.answer(terminalTarget, kv.NotFound, nil)
+			f.respondKV(activeTarget, kv.NotFound, nil)
+			f.respondKV(terminalTarget, kv.NotFound, nil)
 		}, wire.StatusNotFound, "no such job"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			f := newFixture(t)
-			c.play(f)
+			c.run(f)
 			f.checkResponse(c.status, c.reason)
 			if f.violations != 0 || len(f.calls) != 0 {
 				t.Errorf("%d violations, %d calls left", f.violations, len(f.calls))
@@ -110,7 +110,7 @@
 	f := newFixture(t)
 	f.graph.versions[testJobID] = 7
 	f.cancel()
-	f.answer(commitTarget, kv.OK, nil)
+	f.respondKV(commitTarget, kv.OK, nil)
 	if len(f.responses) != 0 || len(f.announcements) != 1 {
 		t.Fatalf("%d responses and %d announcements, want 0 and 1", len(f.responses), len(f.announcements))
 	}
--- a/internal/frontend/fixture_test.go
+++ b/internal/frontend/fixture_test.go
@@ -26,10 +26,10 @@
 
 // response is a response to a user.
 type response struct {
-	request uint64
-	status  wire.Status
-	body    any
-	refused bool // with Retry-After
+	request    uint64
+	status     wire.Status
+	body       any
+	retryAfter bool // with Retry-After
 }
 
 // reason returns the text by which a request was refused, or "".
@@ -116,8 +116,8 @@
 		f.t.Errorf("answered %d %q, want %d %q", got.status, got.reason(), status, reason)
 	}
 	temporary := status == wire.StatusUnavailable || status == wire.StatusTooManyRequests
-	if got.refused != temporary {
-		f.t.Errorf("answered %d with Retry-After %t", got.status, got.refused)
+	if got.retryAfter != temporary {
+		f.t.Errorf("answered %d with Retry-After %t", got.status, got.retryAfter)
 	}
 }
 
@@ -133,8 +133,8 @@
 	f.frontend.FlushLookups()
 }
 
-// answer answers the oldest call to the state service, with a body unless it is nil.
-func (f *fixture) answer(target string, outcome kv.Outcome, body any) {
+// respondKV answers the oldest call to the state service, with a body unless it is nil.
+func (f *fixture) respondKV(target string, outcome kv.Outcome, body any) {
 	f.t.Helper()
 	if len(f.calls) == 0 {
 		f.t.Fatalf("no call to the state service, want one of %s", target)
--- a/internal/frontend/lookup_batches.go
+++ b/internal/frontend/lookup_batches.go
@@ -47,7 +47,7 @@
 
 // sendBatch sends what the budget allows of a batch and returns the rest, in the order in which
 // it was requested.
-func (q *lookupQueue) sendBatch(batch *lookupBatch) (left []*lookup) {
+func (q *lookupQueue) sendBatch(batch *lookupBatch) (unsent []*lookup) {
 	type part struct {
 		lookups []*lookup
 		send    func()
@@ -65,11 +65,11 @@
 		case q.node.Budget.MayRequest(budget.Reads, q.node.now()):
 			p.send()
 		default:
-			left = append(left, p.lookups...)
+			unsent = append(unsent, p.lookups...)
 		}
 	}
-	slices.SortStableFunc(left, func(a, b *lookup) int { return cmp.Compare(a.requestedAt, b.requestedAt) })
-	return left
+	slices.SortStableFunc(unsent, func(a, b *lookup) int { return cmp.Compare(a.requestedAt, b.requestedAt) })
+	return unsent
 }
 
 // oldestIsDerived reports whether the oldest lookup of the batch is one of those that are derived.
--- a/internal/frontend/lookup_dependencies.go
+++ b/internal/frontend/lookup_dependencies.go
@@ -38,6 +38,6 @@
 	case job.Cancelled():
 		q.finishTerminal(l, wire.JobCancelled, job.CancelledRoot)
 	default:
-		q.finish(l, activeResult(job.Version, l.read))
+		q.finish(l, activeResult(job.Version, l.readEvidence))
 	}
 }
--- a/internal/frontend/lookup_reads.go
+++ b/internal/frontend/lookup_reads.go
@@ -37,7 +37,7 @@
 	for _, key := range failedKeys {
 		failed[key] = true
 	}
-	var again []*lookup
+	var requeued []*lookup
 	for _, l := range batch.compared {
 		key := record.ActiveJobKey(l.job)
 		switch {
@@ -48,19 +48,19 @@
 			q.readActive(l)
 		case len(failed) > 0:
 			q.inFlight--
-			again = append(again, l)
+			requeued = append(requeued, l)
 		default:
-			q.finish(l, activeResult(batch.versions[key], l.read))
+			q.finish(l, activeResult(batch.versions[key], l.readEvidence))
 		}
 	}
-	q.pending = append(again, q.pending...)
+	q.pending = append(requeued, q.pending...)
 }
 
 // recordReadSent records that a read is sent for lookups now, or as soon as the budget allows.
 // Later reads of the same lookup continue it, so its result is certain as of the first.
 func (q *lookupQueue) recordReadSent(lookups ...*lookup) {
 	for _, l := range lookups {
-		l.read = q.node.evidenceNow(freshness.RecordRead)
+		l.readEvidence = q.node.evidenceNow(freshness.RecordRead)
 	}
 }
 
@@ -91,7 +91,7 @@
 		return
 	}
 	q.node.Graph.SetVersion(l.job, entry.Version)
-	q.finish(l, activeResult(entry.Version, l.read))
+	q.finish(l, activeResult(entry.Version, l.readEvidence))
 }
 
 // readTerminalState looks up a job that is not active.
@@ -100,7 +100,7 @@
 		var terminal record.TerminalState
 		switch {
 		case outcome == kv.NotFound:
-			q.finish(l, lookupResult{outcome: lookupNotFound, evidence: l.read})
+			q.finish(l, lookupResult{outcome: lookupNotFound, evidence: l.readEvidence})
 		case outcome == kv.OK && wire.Decode(entry.Value, &terminal) == nil:
 			q.finishTerminal(l, wire.JobPhase(terminal.Status), terminal.CancelledRoot(l.job))
 		default:
--- a/internal/frontend/lookups.go
+++ b/internal/frontend/lookups.go
@@ -54,22 +54,22 @@
 func (r lookupResult) isTerminal() bool { return r.evidence.Basis == freshness.TerminalState }
 
 // activeResult returns the result for a job that has not ended, whose record has a version.
-func activeResult(version uint64, read freshness.Evidence) lookupResult {
-	read.Version = version
-	return lookupResult{lookupFound, wire.JobQueued, read}
+func activeResult(version uint64, readEvidence freshness.Evidence) lookupResult {
+	readEvidence.Version = version
+	return lookupResult{lookupFound, wire.JobQueued, readEvidence}
 }
 
 // terminalResult returns the result for a job that has ended.
 func terminalResult(phase wire.JobPhase) lookupResult {
-	return lookupResult{lookupFound, phase, freshness.OfTerminalState()}
+	return lookupResult{lookupFound, phase, freshness.TerminalStateEvidence()}
 }
 
 // lookup is a question for a job's state.
 type lookup struct {
-	job         string
-	requestedAt micros.Micros
-	read        freshness.Evidence // of the first read that was sent for it
-	done        func(lookupResult)
+	job          string
+	requestedAt  micros.Micros
+	readEvidence freshness.Evidence // of the first read that was sent for it
+	done         func(lookupResult)
 }
 
 // expired reports whether the answer is of no use any more.
@@ -112,8 +112,8 @@
 	}
 	q.sendAt = q.node.now() + LookupBatchInterval
 	batch := q.takeBatch()
-	if left := q.sendBatch(batch); len(left) > 0 {
-		q.pending = append(left, q.pending...)
+	if unsent := q.sendBatch(batch); len(unsent) > 0 {
+		q.pending = append(unsent, q.pending...)
 		return
 	}
 	q.readIndividually()
--- a/internal/frontend/lookups_test.go
+++ b/internal/frontend/lookups_test.go
@@ -16,59 +16,59 @@
 func TestQuery(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		play func(f *fixture)
+		run  func(f *fixture)
 		want wire.JobStatus // or else the request is refused
 	}{
 		{"version compared", func(f *fixture) {
 			f.graph.versions[testJobID] = 7
 			f.query()
 			f.flush()
-			f.answer(commitTarget, kv.OK, nil)
+			f.respondKV(commitTarget, kv.OK, nil)
 		}, wire.JobStatus{ID: testJobID, Status: wire.JobQueued}},
 		{"own counts before those of peers", func(f *fixture) {
 			f.ownedVersions[testJobID] = 7
 			f.ownedCounts[testJobID], f.peerCounts[testJobID] = TaskCounts{2, 1}, TaskCounts{1, 2}
 			f.query()
 			f.flush()
-			f.answer(commitTarget, kv.OK, nil)
+			f.respondKV(commitTarget, kv.OK, nil)
 		}, wire.JobStatus{ID: testJobID, Status: wire.JobRunning, Done: 2, Running: 1}},
 		{"counts of peers", func(f *fixture) {
 			f.peerCounts[testJobID] = TaskCounts{1, 2}
 			f.query()
 			f.flush()
-			f.answer(activeTarget, kv.OK, activeEntry())
+			f.respondKV(activeTarget, kv.OK, activeEntry())
 		}, wire.JobStatus{ID: testJobID, Status: wire.JobRunning, Done: 1, Running: 2}},
 		{"version outdated, done meanwhile", func(f *fixture) {
 			f.graph.versions[testJobID] = 7
 			f.query()
 			f.flush()
-			f.answer(commitTarget, kv.PreconditionFailed, kv.TransactionResult{FailedPreconditions: []string{record.ActiveJobKey(testJobID)}})
-			f.answer(activeTarget, kv.NotFound, nil)
-			f.answer(terminalTarget, kv.OK, terminalEntry(record.StatusDone))
+			f.respondKV(commitTarget, kv.PreconditionFailed, kv.TransactionResult{FailedPreconditions: []string{record.ActiveJobKey(testJobID)}})
+			f.respondKV(activeTarget, kv.NotFound, nil)
+			f.respondKV(terminalTarget, kv.OK, terminalEntry(record.StatusDone))
 		}, wire.JobStatus{ID: testJobID, Status: wire.JobDone}},
 		{"cancelled, acknowledged", func(f *fixture) {
 			f.query()
 			f.flush()
-			f.answer(activeTarget, kv.NotFound, nil)
-			f.answer(terminalTarget, kv.OK, terminalEntry(record.StatusCancelled))
+			f.respondKV(activeTarget, kv.NotFound, nil)
+			f.respondKV(terminalTarget, kv.OK, terminalEntry(record.StatusCancelled))
 			f.announcements[0](true)
 		}, wire.JobStatus{ID: testJobID, Status: wire.JobCancelled}},
 		{"cancelled, not acknowledged", func(f *fixture) {
 			f.query()
 			f.flush()
-			f.answer(activeTarget, kv.NotFound, nil)
-			f.answer(terminalTarget, kv.OK, terminalEntry(record.StatusCancelled))
+			f.respondKV(activeTarget, kv.NotFound, nil)
+			f.respondKV(terminalTarget, kv.OK, terminalEntry(record.StatusCancelled))
 			f.announcements[0](false)
 		}, wire.JobStatus{}},
 		{"cancelled since the read was sent", func(f *fixture) {
 			f.query()
 			f.flush()
 			f.cancelled[testJobID] = true
-			f.answer(activeTarget, kv.OK, activeEntry())
+			f.respondKV(activeTarget, kv.OK, activeEntry())
 			f.graph.ForgetVersion(testJobID)
 			f.flush()
-			f.answer(activeTarget, kv.NotFound, nil)
-			f.answer(terminalTarget, kv.OK, terminalEntry(record.StatusCancelled))
+			f.respondKV(activeTarget, kv.NotFound, nil)
+			f.respondKV(terminalTarget, kv.OK, terminalEntry(record.StatusCancelled))
 			f.announcements[0](true)
 		}, wire.JobStatus{ID: testJobID, Status: wire.JobCancelled}},
 		{"blocked", func(f *fixture) {
@@ -100,7 +100,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			f := newFixture(t)
-			c.play(f)
+			c.run(f)
 			if c.want.ID == "" {
 				f.checkResponse(wire.StatusUnavailable, "state service does not answer")
 			} else if got := f.onlyResponse(); got.status != wire.StatusOK || got.body != any(c.want) {
--- a/internal/frontend/refusals.go
+++ b/internal/frontend/refusals.go
@@ -7,13 +7,13 @@
 
 // Reasons why a user's request cannot be served now. It may be sent again.
 const (
-	reasonIsolated       wire.RefusalReason = "reaches neither the state service nor a peer"
-	reasonKVUnresponsive wire.RefusalReason = "state service does not answer"
-	reasonKVRefuses      wire.RefusalReason = "state service refuses"
-	reasonTypesUnknown   wire.RefusalReason = "machine types are not known yet"
-	reasonTypesUnread    wire.RefusalReason = "a task fits no allowed machine type that is known, and the present ones cannot be read"
-	reasonJobsUnknown    wire.RefusalReason = "the jobs are not known yet"
-	reasonUnacknowledged wire.RefusalReason = "a controller has not confirmed yet"
+	reasonIsolated         wire.RefusalReason = "reaches neither the state service nor a peer"
+	reasonKVUnresponsive   wire.RefusalReason = "state service does not answer"
+	reasonKVRefuses        wire.RefusalReason = "state service refuses"
+	reasonTypesUnknown     wire.RefusalReason = "machine types are not known yet"
+	reasonTypesUnconfirmed wire.RefusalReason = "a task fits no allowed machine type that is known, and the present ones cannot be read"
+	reasonJobsUnknown      wire.RefusalReason = "the jobs are not known yet"
+	reasonUnacknowledged   wire.RefusalReason = "a controller has not confirmed yet"
 
 	reasonTooManySubmissions   wire.RefusalReason = "too many submissions wait"
 	reasonTooManyCancellations wire.RefusalReason = "too many cancellations"
@@ -59,8 +59,8 @@
 // noSuchJob returns the refusal of a request that names a job which was never accepted.
 func noSuchJob() *refusal { return &refusal{wire.StatusNotFound, reasonNoSuchJob} }
 
-// restsOnMachineTypes reports whether there is a refusal, and the reason is what the cloud offers.
-func (r *refusal) restsOnMachineTypes() bool { return r != nil && r.reason == reasonFitsNoType }
+// dependsOnMachineTypes reports whether there is a refusal, and the reason is what the cloud offers.
+func (r *refusal) dependsOnMachineTypes() bool { return r != nil && r.reason == reasonFitsNoType }
 
 // isPermanent reports whether the same request would always be refused.
 func (r *refusal) isPermanent() bool { return r.status != wire.StatusUnavailable }
--- a/internal/frontend/responses.go
+++ b/internal/frontend/responses.go
@@ -65,7 +65,7 @@
 
 // respondCancellation answers a cancellation with the terminal state of its job.
 func (r *responder) respondCancellation(request userRequest, job string, phase wire.JobPhase) {
-	if r.checkResponse(request, job, string(phase), freshness.OfTerminalState()) {
+	if r.checkResponse(request, job, string(phase), freshness.TerminalStateEvidence()) {
 		r.writer.Respond(request.id, wire.StatusOK, wire.JobState{ID: job, Status: phase})
 	}
 }
--- a/internal/frontend/responses_test.go
+++ b/internal/frontend/responses_test.go
@@ -16,11 +16,11 @@
 		return activeResult(7, freshness.Evidence{Basis: freshness.RecordRead, SentAt: at})
 	}
 	for _, c := range []struct {
-		name       string
-		result     lookupResult
-		ended      bool
-		status     wire.Status
-		violations int
+		name         string
+		result       lookupResult
+		jobCancelled bool
+		status       wire.Status
+		violations   int
 	}{
 		{"read after the request", read(101), false, wire.StatusOK, 0},
 		{"read before the request", read(99), false, wire.StatusUnavailable, 1},
@@ -30,7 +30,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			f := newFixture(t)
-			f.cancelled[job] = c.ended
+			f.cancelled[job] = c.jobCancelled
 			f.frontend.responder.respondQuery(userRequest{id: 1, receivedAt: 100}, job, c.result)
 			if status := f.onlyResponse().status; status != c.status || f.violations != c.violations {
 				t.Errorf("answered %d with %d violations, want %d and %d", status, f.violations, c.status, c.violations)
@@ -75,7 +75,7 @@
 			readAt := f.time - micros.Second
 			sub := &submission{job: newSmallJob(), requests: []userRequest{{1, readAt + c.receivedAt}}, dependenciesReadAt: readAt}
 			f.frontend.submissions.byJob[sub.job.ID] = sub
-			f.frontend.submissions.answerDuplicateOrRefuse(sub, permanentRefusal(reasonDependencyNotAccepted))
+			f.frontend.submissions.refuseUnlessAccepted(sub, permanentRefusal(reasonDependencyNotAccepted))
 			lookup := f.frontend.lookups.pending[0]
 			f.frontend.lookups.pending = nil
 			if len(f.responses) != 0 {
--- a/internal/frontend/submission_commits.go
+++ b/internal/frontend/submission_commits.go
@@ -20,11 +20,11 @@
 		return
 	}
 	s.refuseExpired()
-	room := min(s.node.Budget.AvailableWrites(budget.UserRequests, s.node.now()), s.node.Settings.MaxTransactionOps)
-	if s.node.now() < s.nextCommit || room == 0 || len(s.pending) == 0 {
+	availableWrites := min(s.node.Budget.AvailableWrites(budget.UserRequests, s.node.now()), s.node.Settings.MaxTransactionOps)
+	if s.node.now() < s.nextCommit || availableWrites == 0 || len(s.pending) == 0 {
 		return
 	}
-	if batch := s.takeBatch(room); len(batch) > 0 {
+	if batch := s.takeBatch(availableWrites); len(batch) > 0 {
 		s.commit(batch)
 	}
 }
@@ -45,14 +45,14 @@
 // takeBatch takes the submissions whose writes have room, in the order in which they were
 // received. One that needs more room than there can ever be is taken when the room is largest:
 // its writes beyond that are a debt of the budget.
-func (s *submissionQueue) takeBatch(room int) []*submission {
-	if first := s.pending[0]; first.writeCount > room && room >= s.node.Budget.WriteBurst() {
-		room = first.writeCount
+func (s *submissionQueue) takeBatch(availableWrites int) []*submission {
+	if first := s.pending[0]; first.writeCount > availableWrites && availableWrites >= s.node.Budget.WriteBurst() {
+		availableWrites = first.writeCount
 	}
 	var batch, rest []*submission
 	for _, sub := range s.pending {
-		if sub.writeCount <= room {
-			room -= sub.writeCount
+		if sub.writeCount <= availableWrites {
+			availableWrites -= sub.writeCount
 			batch = append(batch, sub)
 		} else {
 			rest = append(rest, sub)
@@ -127,7 +127,7 @@
 	for _, sub := range batch {
 		known := failed[record.ActiveJobKey(sub.job.ID)] || failed[record.TerminalStateKey(sub.job.ID)]
 		if known || len(failed) == 0 {
-			s.answerDuplicateOrRefuse(sub, temporaryRefusal(reasonKVUnresponsive))
+			s.refuseUnlessAccepted(sub, temporaryRefusal(reasonKVUnresponsive))
 		} else {
 			s.pending = append(s.pending, sub)
 		}
@@ -147,13 +147,13 @@
 			return
 		}
 		s.node.TerminalStates.Remember(sub.job.ID, wire.JobCancelled)
-		s.respondAccepted(sub, freshness.OfTerminalState())
+		s.respondAccepted(sub, freshness.TerminalStateEvidence())
 	})
 }
 
 // respondAccepted answers the requests of a submission that was accepted.
 func (s *submissionQueue) respondAccepted(sub *submission, evidence freshness.Evidence) {
-	s.answer(sub, evidence, func(r userRequest) {
+	s.respondOrLookUp(sub, evidence, func(r userRequest) {
 		s.responder.respondSubmission(r, wire.StatusAccepted, sub.job.ID, sub.phase, evidence)
 	})
 }
--- a/internal/frontend/submission_dependencies.go
+++ b/internal/frontend/submission_dependencies.go
@@ -13,13 +13,13 @@
 	job := sub.job.ID
 	switch {
 	case slices.Contains(sub.job.Dependencies, job):
-		s.answerDuplicateOrRefuse(sub, permanentRefusal(reasonDependsOnItself))
+		s.refuseUnlessAccepted(sub, permanentRefusal(reasonDependsOnItself))
 		return
 	case s.node.TerminalStates.Of(job) != "" || s.node.knownVersion(job) != 0:
-		s.answerDuplicateOrRefuse(sub, temporaryRefusal(reasonKVUnresponsive))
+		s.refuseUnlessAccepted(sub, temporaryRefusal(reasonKVUnresponsive))
 		return
 	case !s.node.Graph.IsSynced():
-		s.answerDuplicateOrRefuse(sub, temporaryRefusal(reasonJobsUnknown))
+		s.refuseUnlessAccepted(sub, temporaryRefusal(reasonJobsUnknown))
 		return
 	}
 	s.checkingDependencies++
@@ -34,10 +34,10 @@
 func (s *submissionQueue) handleDependenciesChecked(sub *submission, result jobview.DependencyResult) {
 	switch result.Status {
 	case jobview.DependenciesUnknown:
-		s.answerDuplicateOrRefuse(sub, temporaryRefusal(reasonKVUnresponsive))
+		s.refuseUnlessAccepted(sub, temporaryRefusal(reasonKVUnresponsive))
 		return
 	case jobview.DependenciesNeverAccepted:
-		s.answerDuplicateOrRefuse(sub, permanentRefusal(reasonDependencyNotAccepted))
+		s.refuseUnlessAccepted(sub, permanentRefusal(reasonDependencyNotAccepted))
 		return
 	case jobview.DependenciesCancelled:
 		sub.phase, sub.cancelledRoot = wire.JobCancelled, result.CancelledRoot
--- a/internal/frontend/submissions.go
+++ b/internal/frontend/submissions.go
@@ -69,9 +69,9 @@
 	s.pending = append(s.pending, added)
 }
 
-// answerDuplicateOrRefuse answers a submission with the state of the job if it was accepted
+// refuseUnlessAccepted answers a submission with the state of the job if it was accepted
 // before, whatever became of its dependencies, and else with a refusal.
-func (s *submissionQueue) answerDuplicateOrRefuse(sub *submission, refused *refusal) {
+func (s *submissionQueue) refuseUnlessAccepted(sub *submission, refused *refusal) {
 	s.lookups.add(sub.job.ID, func(result lookupResult) {
 		respond := func(r userRequest) { s.responder.respondDuplicateOrRefuse(r, sub.job.ID, result, refused) }
 		if result.outcome == lookupFailed {
@@ -82,28 +82,28 @@
 		if result.outcome == lookupNotFound && sub.dependenciesReadAt != 0 { // the refusal rests on that read too
 			evidence.SentAt = min(evidence.SentAt, sub.dependenciesReadAt)
 		}
-		s.answer(sub, evidence, respond)
+		s.respondOrLookUp(sub, evidence, respond)
 	})
 }
 
-// answer ends a submission whose requests are answered by the evidence. Requests that joined it
+// respondOrLookUp ends a submission whose requests are answered by the evidence. Requests that joined it
 // after the read or commit was sent are looked up separately: meanwhile another node may have
 // given users a more recent answer.
-func (s *submissionQueue) answer(sub *submission, evidence freshness.Evidence, respond func(r userRequest)) {
+func (s *submissionQueue) respondOrLookUp(sub *submission, evidence freshness.Evidence, respond func(r userRequest)) {
 	job := sub.job.ID
-	var late []userRequest
+	var stale []userRequest
 	s.finish(sub, func(r userRequest) {
 		if s.responder.mayRespond(r, job, evidence) {
 			respond(r)
 		} else {
-			late = append(late, r)
+			stale = append(stale, r)
 		}
 	})
-	if len(late) == 0 {
+	if len(stale) == 0 {
 		return
 	}
 	s.lookups.add(job, func(result lookupResult) {
-		for _, r := range late {
+		for _, r := range stale {
 			s.responder.respondDuplicateOrRefuse(r, job, result, temporaryRefusal(reasonKVUnresponsive))
 		}
 	})
--- a/internal/frontend/submissions_test.go
+++ b/internal/frontend/submissions_test.go
@@ -18,11 +18,11 @@
 	f.request("POST", "/api/jobs", wire.Encode(wire.FromJob(job)))
 }
 
-// neverAccepted answers the lookup of the fixture's job.
-func (f *fixture) neverAccepted() {
+// respondNeverAccepted answers the lookup of the fixture's job.
+func (f *fixture) respondNeverAccepted() {
 	f.flush()
-	f.answer(activeTarget, kv.NotFound, nil)
-	f.answer(terminalTarget, kv.NotFound, nil)
+	f.respondKV(activeTarget, kv.NotFound, nil)
+	f.respondKV(terminalTarget, kv.NotFound, nil)
 }
 
 // TestSubmission plays the answers of the state service to a submission.
@@ -30,48 +30,48 @@
 	known := kv.TransactionResult{FailedPreconditions: []string{record.TerminalStateKey(testJobID)}}
 	for _, c := range []struct {
 		name   string
-		play   func(f *fixture)
+		run    func(f *fixture)
 		status wire.Status
 		reason wire.RefusalReason
 	}{
 		{"accepted", func(f *fixture) {
 			f.submit(newSmallJob())
 			f.flush()
-			f.answer(commitTarget, kv.OK, nil)
+			f.respondKV(commitTarget, kv.OK, nil)
 		}, wire.StatusAccepted, ""},
 		{"in doubt, and executed", func(f *fixture) {
 			f.submit(newSmallJob())
 			f.flush()
-			f.answer(commitTarget, kv.Unknown, nil)
+			f.respondKV(commitTarget, kv.Unknown, nil)
 			f.flush()
-			f.answer(commitTarget, kv.PreconditionFailed, kv.TransactionResult{FailedPreconditions: []string{record.ActiveJobKey(testJobID)}})
+			f.respondKV(commitTarget, kv.PreconditionFailed, kv.TransactionResult{FailedPreconditions: []string{record.ActiveJobKey(testJobID)}})
 			f.flush()
-			f.answer(activeTarget, kv.OK, activeEntry())
+			f.respondKV(activeTarget, kv.OK, activeEntry())
 		}, wire.StatusOK, ""},
 		{"duplicate of a job that has ended", func(f *fixture) {
 			f.submit(newSmallJob())
 			f.flush()
-			f.answer(commitTarget, kv.PreconditionFailed, known)
+			f.respondKV(commitTarget, kv.PreconditionFailed, known)
 			f.flush()
-			f.answer(activeTarget, kv.NotFound, nil)
-			f.answer(terminalTarget, kv.OK, terminalEntry(record.StatusDone))
+			f.respondKV(activeTarget, kv.NotFound, nil)
+			f.respondKV(terminalTarget, kv.OK, terminalEntry(record.StatusDone))
 		}, wire.StatusOK, ""},
 		{"throttled", func(f *fixture) {
 			f.submit(newSmallJob())
 			f.flush()
-			f.answer(commitTarget, kv.Throttled, nil)
+			f.respondKV(commitTarget, kv.Throttled, nil)
 			f.flush()
 			if len(f.calls) != 0 {
 				f.t.Error("the commit is sent again without a pause")
 			}
 			f.time += kv.ThrottledPause
 			f.flush()
-			f.answer(commitTarget, kv.OK, nil)
+			f.respondKV(commitTarget, kv.OK, nil)
 		}, wire.StatusAccepted, ""},
 		{"refused by the state service", func(f *fixture) {
 			f.submit(newSmallJob())
 			f.flush()
-			f.answer(commitTarget, kv.InvalidRequest, nil)
+			f.respondKV(commitTarget, kv.InvalidRequest, nil)
 		}, wire.StatusUnavailable, "state service refuses"},
 		{"no writes in time", func(f *fixture) {
 			f.writes = 0
@@ -93,12 +93,12 @@
 			job.Team = "blue"
 			f.submit(job)
 			f.flush()
-			f.answer(activeTarget, kv.OK, activeEntry())
+			f.respondKV(activeTarget, kv.OK, activeEntry())
 		}, wire.StatusOK, ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			f := newFixture(t)
-			c.play(f)
+			c.run(f)
 			f.checkResponse(c.status, c.reason)
 			f.checkIdle()
 		})
@@ -133,7 +133,7 @@
 			job := newSmallJob()
 			c.change(job)
 			f.submit(job)
-			f.neverAccepted()
+			f.respondNeverAccepted()
 			f.checkResponse(c.status, c.reason)
 			f.checkIdle()
 		})
@@ -145,7 +145,7 @@
 	const root = "req-000002"
 	for _, c := range []struct {
 		name   string
-		play   func(f *fixture, job *sched.Job)
+		run    func(f *fixture, job *sched.Job)
 		status wire.Status
 		reason wire.RefusalReason
 	}{
@@ -153,43 +153,43 @@
 			f.submit(job)
 			f.dependencyCheck(jobview.DependencyResult{Status: jobview.DependenciesOpen})
 			f.flush()
-			f.answer(commitTarget, kv.OK, nil)
+			f.respondKV(commitTarget, kv.OK, nil)
 		}, wire.StatusAccepted, ""},
 		{"cancelled, acknowledged", func(f *fixture, job *sched.Job) {
 			f.submit(job)
 			f.dependencyCheck(jobview.DependencyResult{Status: jobview.DependenciesCancelled, CancelledRoot: root})
 			f.flush()
-			f.answer(commitTarget, kv.OK, nil)
+			f.respondKV(commitTarget, kv.OK, nil)
 			f.announcements[0](true)
 		}, wire.StatusAccepted, ""},
 		{"cancelled, not acknowledged", func(f *fixture, job *sched.Job) {
 			f.submit(job)
 			f.dependencyCheck(jobview.DependencyResult{Status: jobview.DependenciesCancelled, CancelledRoot: root})
 			f.flush()
-			f.answer(commitTarget, kv.OK, nil)
+			f.respondKV(commitTarget, kv.OK, nil)
 			f.announcements[0](false)
 		}, wire.StatusUnavailable, "a controller has not confirmed yet"},
 		{"never accepted", func(f *fixture, job *sched.Job) {
 			f.submit(job)
 			f.dependencyCheck(jobview.DependencyResult{Status: jobview.DependenciesNeverAccepted})
-			f.neverAccepted()
+			f.respondNeverAccepted()
 		}, wire.StatusUnprocessable, "awaits a job that was never accepted"},
 		{"unknown", func(f *fixture, job *sched.Job) {
 			f.submit(job)
 			f.dependencyCheck(jobview.DependencyResult{})
-			f.neverAccepted()
+			f.respondNeverAccepted()
 		}, wire.StatusUnavailable, "state service does not answer"},
 		{"view not synced", func(f *fixture, job *sched.Job) {
 			f.graph.synced = false
 			f.submit(job)
-			f.neverAccepted()
+			f.respondNeverAccepted()
 		}, wire.StatusUnavailable, "the jobs are not known yet"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			f := newFixture(t)
 			job := newSmallJob()
 			job.Dependencies = []string{root}
-			c.play(f, job)
+			c.run(f, job)
 			f.checkResponse(c.status, c.reason)
 			f.checkIdle()
 		})
@@ -205,7 +205,7 @@
 		t.Fatalf("%d submissions are pending, want 1", pending)
 	}
 	f.flush()
-	f.answer(commitTarget, kv.OK, nil)
+	f.respondKV(commitTarget, kv.OK, nil)
 	if len(f.responses) != 2 || f.responses[0].status != wire.StatusAccepted || f.responses[1].status != wire.StatusAccepted {
 		t.Errorf("responses %+v, want two of %d", f.responses, wire.StatusAccepted)
 	}
@@ -226,10 +226,10 @@
 // TestTakeBatch checks which submissions one transaction takes.
 func TestTakeBatch(t *testing.T) {
 	for _, c := range []struct {
-		name   string
-		room   int
-		counts []int // of writes of the pending submissions
-		taken  int
+		name            string
+		availableWrites int
+		counts          []int // of writes of the pending submissions
+		taken           int
 	}{
 		{"all fit", 5, []int{1, 1, 3}, 3},
 		{"a small one passes a large one", 3, []int{1, 3, 2}, 2},
@@ -241,38 +241,38 @@
 			for i, count := range c.counts {
 				submissions.pending = append(submissions.pending, &submission{writeCount: count, receivedAt: micros.Micros(i)})
 			}
-			if batch := submissions.takeBatch(c.room); len(batch) != c.taken || len(submissions.pending) != len(c.counts)-c.taken {
+			if batch := submissions.takeBatch(c.availableWrites); len(batch) != c.taken || len(submissions.pending) != len(c.counts)-c.taken {
 				t.Errorf("%d are taken and %d left, want %d taken of %d", len(batch), len(submissions.pending), c.taken, len(c.counts))
 			}
 		})
 	}
 }
 
-// TestRefusalRestsOnPresentTypes checks that a job is refused for good because no machine type fits only
+// TestRefusalRequiresCurrentMachineTypes checks that a job is refused for good because no machine type fits only
 // by types that were read after the request arrived. If they cannot be read, it is refused for now, unless
 // it was accepted before.
-func TestRefusalRestsOnPresentTypes(t *testing.T) {
+func TestRefusalRequiresCurrentMachineTypes(t *testing.T) {
 	for _, c := range []struct {
-		name      string
-		confirmed bool
-		offered   float64 // CPUs of the type that the read finds
-		answer    func(f *fixture)
-		status    wire.Status
-		reason    wire.RefusalReason
+		name        string
+		confirmed   bool
+		offeredCPUs float64 // CPUs of the type that the read finds
+		respondKV   func(f *fixture)
+		status      wire.Status
+		reason      wire.RefusalReason
 	}{
-		{"fits none", true, 28, (*fixture).neverAccepted, wire.StatusUnprocessable, reasonFitsNoType},
+		{"fits none", true, 28, (*fixture).respondNeverAccepted, wire.StatusUnprocessable, reasonFitsNoType},
 		{"fits a new one", true, 64, func(f *fixture) {
 			f.flush()
-			f.answer(commitTarget, kv.OK, nil)
+			f.respondKV(commitTarget, kv.OK, nil)
 		}, wire.StatusAccepted, ""},
-		{"cannot be read", false, 28, (*fixture).neverAccepted, wire.StatusUnavailable, reasonTypesUnread},
+		{"cannot be read", false, 28, (*fixture).respondNeverAccepted, wire.StatusUnavailable, reasonTypesUnconfirmed},
 		{"cannot be read, but accepted before", false, 28, func(f *fixture) {
 			f.flush()
-			f.answer(activeTarget, kv.OK, activeEntry())
+			f.respondKV(activeTarget, kv.OK, activeEntry())
 		}, wire.StatusOK, ""},
 		{"cannot be read, but a copy has a new one", false, 64, func(f *fixture) {
 			f.flush()
-			f.answer(commitTarget, kv.OK, nil)
+			f.respondKV(commitTarget, kv.OK, nil)
 		}, wire.StatusAccepted, ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -287,9 +287,9 @@
 			if confirm == nil || len(f.calls) > 0 || len(f.responses) > 0 {
 				t.Fatalf("%d calls, responses %+v before the types are read", len(f.calls), f.responses)
 			}
-			f.types[0].Size = sched.NewResources(c.offered, 0, 112)
+			f.types[0].Size = sched.NewResources(c.offeredCPUs, 0, 112)
 			confirm(c.confirmed)
-			c.answer(f)
+			c.respondKV(f)
 			f.checkResponse(c.status, c.reason)
 		})
 	}
--- a/internal/jobview/dependency_check_test.go
+++ b/internal/jobview/dependency_check_test.go
@@ -24,11 +24,11 @@
 		want    DependencyResult
 	}{
 		{
-			name: "active", listed: acceptance(jobA, 8<<10), written: acceptance(jobB, 8<<10),
+			name: "active", listed: acceptanceWrites(jobA, 8<<10), written: acceptanceWrites(jobB, 8<<10),
 			ids: []string{jobA, jobB}, want: DependencyResult{Status: DependenciesOpen},
 		},
 		{
-			name: "done", listed: ending(jobA, done), written: ending(jobB, done),
+			name: "done", listed: terminalStateWrites(jobA, done), written: terminalStateWrites(jobB, done),
 			ids: []string{jobA, jobB}, want: DependencyResult{Status: DependenciesOpen},
 		},
 		{
@@ -39,33 +39,33 @@
 			ids: []string{jobA}, want: DependencyResult{Status: DependenciesOpen},
 		},
 		{
-			name: "never accepted", listed: slices.Concat(acceptance(jobA, 8<<10), ending(jobB, cancelled)),
+			name: "never accepted", listed: slices.Concat(acceptanceWrites(jobA, 8<<10), terminalStateWrites(jobB, cancelled)),
 			ids: []string{jobA, jobB, jobC}, want: DependencyResult{Status: DependenciesNeverAccepted},
 		},
 		{
-			name: "cancelled by its user", listed: acceptance(jobA, 8<<10), written: ending(jobA, cancelled),
+			name: "cancelled by its user", listed: acceptanceWrites(jobA, 8<<10), written: terminalStateWrites(jobA, cancelled),
 			ids: []string{jobA}, want: DependencyResult{Status: DependenciesCancelled, CancelledRoot: jobA},
 		},
 		{
 			name:   "cancelled with an upstream job",
-			listed: ending(jobB, record.TerminalState{Status: record.StatusCancelled, CancelledDependency: jobA}),
+			listed: terminalStateWrites(jobB, record.TerminalState{Status: record.StatusCancelled, CancelledDependency: jobA}),
 			ids:    []string{jobB}, want: DependencyResult{Status: DependenciesCancelled, CancelledRoot: jobA},
 		},
 		{
 			name:    "upstream job cancelled, downstream job still active",
-			listed:  slices.Concat(acceptance(jobA, 8<<10), acceptance(jobB, 8<<10, jobA), acceptance(jobC, 8<<10, jobB)),
-			written: ending(jobA, cancelled),
+			listed:  slices.Concat(acceptanceWrites(jobA, 8<<10), acceptanceWrites(jobB, 8<<10, jobA), acceptanceWrites(jobC, 8<<10, jobB)),
+			written: terminalStateWrites(jobA, cancelled),
 			ids:     []string{jobC}, want: DependencyResult{Status: DependenciesCancelled, CancelledRoot: jobA},
 		},
 		{
 			name:    "upstream job cancelled, dependencies in parts",
-			listed:  slices.Concat(acceptance(jobA, 8<<10), acceptance(jobB, 1, jobA), acceptance(jobC, 1, jobB)),
-			written: ending(jobA, cancelled),
+			listed:  slices.Concat(acceptanceWrites(jobA, 8<<10), acceptanceWrites(jobB, 1, jobA), acceptanceWrites(jobC, 1, jobB)),
+			written: terminalStateWrites(jobA, cancelled),
 			ids:     []string{jobC}, want: DependencyResult{Status: DependenciesCancelled, CancelledRoot: jobA},
 		},
 		{
 			name:   "part missing",
-			listed: slices.Concat(acceptance(jobA, 8<<10), acceptance(jobB, 1, jobA)[:1]),
+			listed: slices.Concat(acceptanceWrites(jobA, 8<<10), acceptanceWrites(jobB, 1, jobA)[:1]),
 			ids:    []string{jobB}, want: DependencyResult{Status: DependenciesUnknown},
 		},
 		{
@@ -74,7 +74,7 @@
 			ids:    []string{jobA}, want: DependencyResult{Status: DependenciesUnknown},
 		},
 		{
-			name: "store unavailable", listed: acceptance(jobA, 8<<10),
+			name: "store unavailable", listed: acceptanceWrites(jobA, 8<<10),
 			setUp: func(_ *View, node *testNode) { node.kvStore.Unavailable = true },
 			ids:   []string{jobA}, want: DependencyResult{Status: DependenciesUnknown},
 		},
@@ -101,7 +101,7 @@
 // TestResolveDependenciesRejectsReset checks that a question does not continue on a graph that a
 // listing has replaced meanwhile.
 func TestResolveDependenciesRejectsReset(t *testing.T) {
-	v, node := newSyncedView(t, slices.Concat(acceptance(jobA, 8<<10), acceptance(jobB, 1, jobA))...)
+	v, node := newSyncedView(t, slices.Concat(acceptanceWrites(jobA, 8<<10), acceptanceWrites(jobB, 1, jobA))...)
 	var results []bool
 	v.ResolveDependencies([]string{jobB}, node.now+micros.Second, func(ok bool) { results = append(results, ok) })
 	v.Graph().Reset(nil, v.Graph().Revision())
--- a/internal/jobview/fixture_test.go
+++ b/internal/jobview/fixture_test.go
@@ -24,12 +24,12 @@
 
 // Names of jobs in tests, in the form that submissions require.
 const (
-	jobA      = "req-000001"
-	jobB      = "req-000002"
-	jobC      = "req-000003"
-	jobAfterA = "req-000011"
-	jobAfterB = "req-000012"
-	jobAfterC = "req-000013"
+	jobA         = "req-000001"
+	jobB         = "req-000002"
+	jobC         = "req-000003"
+	dependentOfA = "req-000011"
+	dependentOfB = "req-000012"
+	dependentOfC = "req-000013"
 )
 
 func jobName(i int) string { return fmt.Sprintf("req-%06d", i) }
@@ -88,9 +88,9 @@
 	return v, node
 }
 
-// acceptance returns the writes that accept a job. A small valueBytes stores its dependencies in
+// acceptanceWrites returns the writes that accept a job. A small valueBytes stores its dependencies in
 // parts.
-func acceptance(id string, valueBytes int, dependencies ...string) []kv.Write {
+func acceptanceWrites(id string, valueBytes int, dependencies ...string) []kv.Write {
 	writes, _ := record.JobWrites(&sched.Job{
 		ID: id, Class: "work", Team: "red", Priority: sched.Normal, Tasks: 3, Need: sched.NewResources(2, 0, 2),
 		Image: "img", ImageGB: 1, Estimate: 10 * micros.Second, Dependencies: dependencies,
@@ -98,8 +98,8 @@
 	return writes
 }
 
-// ending returns the writes that record how an active job ended.
-func ending(id string, state record.TerminalState) []kv.Write {
+// terminalStateWrites returns the writes that record how an active job ended.
+func terminalStateWrites(id string, state record.TerminalState) []kv.Write {
 	return []kv.Write{
 		{Delete: record.ActiveJobKey(id)},
 		{Put: record.TerminalStateKey(id), Value: state},
--- a/internal/jobview/view.go
+++ b/internal/jobview/view.go
@@ -68,7 +68,7 @@
 	// cancellationsKnownUntil is the time at which the last answered read of the watch was sent.
 	cancellationsKnownUntil micros.Micros
 
-	follower   follower
+	watcher    watcher
 	refreshes  refreshQueue
 	resolution terminalStateResolution
 }
--- a/internal/jobview/view_test.go
+++ b/internal/jobview/view_test.go
@@ -10,15 +10,15 @@
 	"tamarindlead/micros"
 )
 
-// TestFollow checks that a node without teams lists the active jobs, applies their changes, and
+// TestWatch checks that a node without teams lists the active jobs, applies their changes, and
 // leaves both to the owner once it has one.
-func TestFollow(t *testing.T) {
-	v, node := newSyncedView(t, acceptance(jobA, 8<<10)...)
+func TestWatch(t *testing.T) {
+	v, node := newSyncedView(t, acceptanceWrites(jobA, 8<<10)...)
 	if !v.Graph().IsActive(jobA) || v.CancellationsKnownUntil() != node.now {
 		t.Fatalf("listed: %v, known until %v", v.Graph().IsActive(jobA), v.CancellationsKnownUntil())
 	}
-	node.commit(acceptance(jobB, 8<<10)...)
-	node.advance(followDelay)
+	node.commit(acceptanceWrites(jobB, 8<<10)...)
+	node.advance(watchInterval)
 	sentAt := node.now
 	node.advance(micros.Second)
 	node.respondAll()
@@ -28,7 +28,7 @@
 	node.ownsTeams = true
 	requests := node.requests
 	for range 3 {
-		node.advance(followDelay)
+		node.advance(watchInterval)
 		v.Tick()
 	}
 	if node.requests != requests || len(node.timers) > 0 {
@@ -36,19 +36,19 @@
 	}
 	node.ownsTeams = false
 	v.Tick()
-	node.advance(followDelay)
+	node.advance(watchInterval)
 	if node.requests != requests+1 {
 		t.Fatal("the watch is not resumed")
 	}
 }
 
-// TestFollowAfterFailure checks that a watch whose changes were compacted is replaced by a listing
+// TestWatchAfterFailure checks that a watch whose changes were compacted is replaced by a listing
 // after a pause.
-func TestFollowAfterFailure(t *testing.T) {
+func TestWatchAfterFailure(t *testing.T) {
 	v, node := newSyncedView(t)
 	node.kvStore.CompactHistory = true
-	node.commit(acceptance(jobA, 8<<10)...)
-	node.advance(followDelay)
+	node.commit(acceptanceWrites(jobA, 8<<10)...)
+	node.advance(watchInterval)
 	node.respondAll()
 	if v.Graph().IsSynced() {
 		t.Fatal("synced although changes were missed")
@@ -57,7 +57,7 @@
 	if len(node.unanswered) > 0 {
 		t.Fatal("listed without a pause")
 	}
-	node.advance(followDelay)
+	node.advance(watchInterval)
 	v.Tick()
 	node.respondAll()
 	if !v.Graph().IsSynced() || !v.Graph().IsActive(jobA) || node.changesMissed > 0 {
@@ -70,7 +70,7 @@
 func TestRefreshSharesReads(t *testing.T) {
 	v, node := newSyncedView(t)
 	var order []string
-	ask := func(name, job string) {
+	refresh := func(name, job string) {
 		v.Refresh(func(ok bool) {
 			if !ok || !v.Graph().IsActive(job) {
 				t.Errorf("%s: ok %v, job %s active %v", name, ok, job, v.Graph().IsActive(job))
@@ -78,11 +78,11 @@
 			order = append(order, name)
 		})
 	}
-	node.commit(acceptance(jobA, 8<<10)...)
-	ask("first", jobA)
-	node.commit(acceptance(jobB, 8<<10)...)
-	ask("second", jobB)
-	ask("third", jobB)
+	node.commit(acceptanceWrites(jobA, 8<<10)...)
+	refresh("first", jobA)
+	node.commit(acceptanceWrites(jobB, 8<<10)...)
+	refresh("second", jobB)
+	refresh("third", jobB)
 	if node.requests != 1 {
 		t.Fatalf("%d requests before the first answer", node.requests)
 	}
@@ -106,7 +106,7 @@
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			v, node := newSyncedView(t)
-			node.commit(acceptance(jobA, 8<<10)...)
+			node.commit(acceptanceWrites(jobA, 8<<10)...)
 			test.prepare(v, node)
 			var results []bool
 			v.Refresh(func(ok bool) { results = append(results, ok) })
@@ -159,8 +159,8 @@
 // are cancelled, by at most one read at a time and with a pause after a read without a finding.
 func TestResolveBlockedJobs(t *testing.T) {
 	v, node := newSyncedView(t, slices.Concat(
-		acceptance(jobA, 8<<10), acceptance(jobB, 8<<10), acceptance(jobC, 8<<10),
-		acceptance(jobAfterA, 8<<10, jobA), acceptance(jobAfterB, 8<<10, jobB), acceptance(jobAfterC, 1, jobC),
+		acceptanceWrites(jobA, 8<<10), acceptanceWrites(jobB, 8<<10), acceptanceWrites(jobC, 8<<10),
+		acceptanceWrites(dependentOfA, 8<<10, jobA), acceptanceWrites(dependentOfB, 8<<10, jobB), acceptanceWrites(dependentOfC, 1, jobC),
 	)...)
 	step := func() {
 		t.Helper()
@@ -176,14 +176,14 @@
 		t.Fatalf("%d requests, incomplete: %v", node.requests, v.Graph().FirstIncomplete())
 	}
 	node.commit(slices.Concat(
-		ending(jobA, record.TerminalState{Status: record.StatusDone, FinishedAt: 1}),
-		ending(jobB, record.TerminalState{Status: record.StatusCancelled}),
+		terminalStateWrites(jobA, record.TerminalState{Status: record.StatusDone, FinishedAt: 1}),
+		terminalStateWrites(jobB, record.TerminalState{Status: record.StatusCancelled}),
 		[]kv.Write{{Delete: record.ActiveJobKey(jobC)}},
 	)...)
 	v.Refresh(func(bool) {})
 	node.respondAll()
 	step()
-	if !slices.Equal(node.ready, []string{jobAfterA}) || !slices.Equal(node.cancelled, []string{jobAfterB}) {
+	if !slices.Equal(node.ready, []string{dependentOfA}) || !slices.Equal(node.cancelled, []string{dependentOfB}) {
 		t.Fatalf("ready %v, cancelled %v", node.ready, node.cancelled)
 	}
 	node.advance(testSettings.TickInterval)
--- a/internal/jobview/follow.go
+++ b/internal/jobview/watch.go
@@ -7,28 +7,28 @@
 	"tamarindlead/micros"
 )
 
-// followDelay is the least time between two watches, and the pause after one that failed. A node
+// watchInterval is the least time between two watches, and the pause after one that failed. A node
 // that owns no teams need not be up to date: what its view shows is always confirmed by a read.
-const followDelay = micros.Second
+const watchInterval = micros.Second
 
-// follower is the state of the watch of the active jobs at a node that owns no teams.
-type follower struct {
+// watcher is the state of the watch of the active jobs at a node that owns no teams.
+type watcher struct {
 	running bool
 	retryAt micros.Micros
 }
 
 // stop ends the watch until a pause is over.
-func (f *follower) stop(now micros.Micros) {
+func (f *watcher) stop(now micros.Micros) {
 	f.running = false
-	f.retryAt = now + followDelay
+	f.retryAt = now + watchInterval
 }
 
 // Tick starts the watch of the active jobs if none is running at a node that owns no teams.
 func (v *View) Tick() {
-	if v.follower.running || v.host.Now() < v.follower.retryAt || v.host.OwnsTeams() {
+	if v.watcher.running || v.host.Now() < v.watcher.retryAt || v.host.OwnsTeams() {
 		return
 	}
-	v.follower.running = true
+	v.watcher.running = true
 	if v.graph.IsSynced() {
 		v.watch()
 		return
@@ -41,7 +41,7 @@
 	requestedAt := v.host.Now()
 	v.store.ListAll(record.ActiveJobPrefix, func(listing kv.Listing, err error) {
 		if err != nil { // a later Tick lists again
-			v.follower.stop(v.host.Now())
+			v.watcher.stop(v.host.Now())
 			return
 		}
 		if !v.host.OwnsTeams() { // a new owner feeds the graph with its own listing
@@ -54,15 +54,15 @@
 
 // watch sends the next watch, from the graph's revision on, after a pause.
 func (v *View) watch() {
-	v.host.After(followDelay, func() {
+	v.host.After(watchInterval, func() {
 		if v.host.OwnsTeams() {
-			v.follower.running = false
+			v.watcher.running = false
 			return
 		}
 		requestedAt, after := v.host.Now(), v.graph.Revision()
 		v.store.Watch(budget.Reads, record.ActiveJobPrefix, after, v.host.WatchWait(), func(result kv.Result) {
 			if !v.ApplyWatchResult(after, result) {
-				v.follower.stop(v.host.Now())
+				v.watcher.stop(v.host.Now())
 				return
 			}
 			v.cancellationsKnownUntil = requestedAt
