--- a/internal/cancellation/announcement.go
+++ b/internal/cancellation/announcement.go
@@ -3,7 +3,7 @@
 import "tamarindlead/micros"
 
 const (
-	// resendInterval is the time between announcements to a peer that has not acknowledged.
+	// resendInterval is the time between two sends of an announcement to peers that have not acknowledged it.
 	resendInterval = 500 * micros.Millisecond
 	// maxAnnouncements bounds the cancelled jobs whose acknowledgements are pending.
 	maxAnnouncements = 512
@@ -26,9 +26,9 @@
 	done     func(mayAcknowledge bool)
 }
 
-// Announce announces to the peers that a job is cancelled, and calls done once it is decided
-// whether the cancellation may be acknowledged to the user. After the deadline the caller has no
-// use for the answer.
+// Announce announces to the peers that a job is cancelled, and calls done after it is decided whether
+// the cancellation may be acknowledged to the user. The caller has no use for a decision after the
+// deadline.
 func (t *Tracker) Announce(job string, deadline, now micros.Micros, done func(mayAcknowledge bool)) {
 	a := t.announcements[job]
 	if a == nil {
@@ -47,11 +47,11 @@
 // Pending reports whether any announcement lacks a required acknowledgement.
 func (t *Tracker) Pending() bool { return len(t.announcements) > 0 }
 
-// advance removes an announcement once no acknowledgement is required any more; otherwise it
-// sends it again to the peers that must acknowledge it.
+// advance removes an announcement if no further acknowledgement is required. Otherwise it sends the
+// announcement again, when that is due, to the peers that must acknowledge it.
 func (t *Tracker) advance(a *announcement, now micros.Micros) {
 	if t.announcements[a.job] != a {
-		return // complete
+		return // the announcement is already complete
 	}
 	complete := t.mayAcknowledge(a, now)
 	if complete {
@@ -65,7 +65,7 @@
 	}
 }
 
-// mayAcknowledge reports whether the cancellation may be acknowledged to users.
+// mayAcknowledge reports whether the announced cancellation may be acknowledged to users.
 func (t *Tracker) mayAcknowledge(a *announcement, now micros.Micros) bool {
 	if now < t.withholdUntil {
 		return false
@@ -78,8 +78,8 @@
 	return true
 }
 
-// recordUnacknowledged records, for each peer that has not acknowledged the announcement, that
-// the cancellation is acknowledged to users now.
+// recordUnacknowledged records, for each peer that has not acknowledged the announcement, that the
+// cancellation is acknowledged to users now without the peer's acknowledgement.
 func (t *Tracker) recordUnacknowledged(a *announcement, now micros.Micros) {
 	for _, p := range t.peers {
 		if !a.acknowledged[p.name] {
@@ -88,7 +88,8 @@
 	}
 }
 
-// answerRequests answers the requests that have no reason to stay pending.
+// answerRequests calls done for the requests of a complete announcement, and for those that cannot be
+// acknowledged before their deadline.
 func (t *Tracker) answerRequests(a *announcement, complete bool, now micros.Micros) {
 	pending := a.requests[:0]
 	for _, r := range a.requests {
@@ -104,9 +105,9 @@
 	a.requests = pending
 }
 
-// send sends an announcement to the peers that have not acknowledged it: the first time to all,
-// because an owner should stop the tasks at once, later to those whose acknowledgement is
-// required.
+// send sends an announcement to the peers that have not acknowledged it: the first time to all of them,
+// because the job's owner should stop the tasks at once, and later only to those whose acknowledgement
+// is required.
 func (t *Tracker) send(a *announcement, now micros.Micros) {
 	a.nextSend = now + resendInterval
 	for _, name := range t.settings.Peers {
--- a/internal/cancellation/lease_bound.go
+++ b/internal/cancellation/lease_bound.go
@@ -2,20 +2,20 @@
 
 import "tamarindlead/micros"
 
-// Grant is what a node grants a peer with the answer to the peer's heartbeat.
+// Grant is a promise to a peer that a node sends with the response to the peer's heartbeat.
 type Grant struct {
-	// Period is how long from now on the node acknowledges to users no cancellation that the
-	// peer has not acknowledged; 0 if the node grants nothing.
+	// Period is the time from now on during which the node acknowledges a cancellation to users
+	// only after the peer has acknowledged it. 0 means that there is no grant.
 	Period micros.Micros
-	// SinceUserAcknowledged is how long ago the node last acknowledged a cancellation to users
-	// without the peer's acknowledgement, or how long ago it started.
+	// SinceUserAcknowledged is the time since the node last acknowledged a cancellation to users
+	// without the peer's acknowledgement, or since the node started.
 	SinceUserAcknowledged micros.Micros
 }
 
-// Grant returns the grant for the answer to a peer's heartbeat. It is empty if the peer has left
-// a cancellation unacknowledged for ackPeriod, as a peer does that reaches this node but gets
-// neither messages nor answers from it. So no user waits for a peer longer than until the
-// last grant to it expires.
+// Grant returns the grant for the response to a peer's heartbeat. It is empty if the peer has not
+// acknowledged a cancellation for longer than grantPeriod, as happens if the peer's messages reach this
+// node but the peer receives neither messages nor responses from it. Users therefore wait for a peer no
+// longer than until the last grant to it expires.
 func (t *Tracker) Grant(peer string, now micros.Micros) Grant {
 	for _, a := range t.announcements {
 		if !a.acknowledged[peer] && now-max(a.announcedAt, t.withholdUntil) > grantPeriod {
@@ -27,10 +27,10 @@
 	return Grant{Period: grantPeriod, SinceUserAcknowledged: now - p.lastUserAckWithoutPeer}
 }
 
-// ApplyGrant extends the time up to which this node knows all cancellations that a peer
-// acknowledged to users. The grant counts only if this node knows the last cancellation that the
-// peer acknowledged without it: if its own reads, or an earlier grant of any incarnation of the
-// peer, reach that far. sentAt is when the heartbeat was sent, readUntil the time up to which
+// ApplyGrant extends the time up to which this node knows all cancellations that a peer acknowledged
+// to users. The grant counts only if this node knows the last cancellation that the peer acknowledged
+// without this node's acknowledgement, either by its own reads or by an earlier grant of any
+// incarnation of the peer. sentAt is when the heartbeat was sent; readUntil is the time up to which
 // this node's own reads show all cancellations.
 func (t *Tracker) ApplyGrant(peer string, grant Grant, sentAt, readUntil, now micros.Micros) {
 	if grant.Period == 0 {
@@ -44,23 +44,23 @@
 	p.cancellationsKnownUntil = max(p.cancellationsKnownUntil, sentAt+minLocalDuration(grant.Period))
 }
 
-// minLocalDuration returns the least duration on this node's clock that a duration on a peer's clock may
-// correspond to.
+// minLocalDuration returns the shortest duration on this node's clock that a duration on a peer's
+// clock may correspond to, given the bound on clock drift.
 func minLocalDuration(duration micros.Micros) micros.Micros { return duration - duration/driftFraction }
 
-// MaxStaleness returns how far the time up to which all cancellations are known may lie in the
-// past for leases to be renewed.
+// MaxStaleness returns the maximum age of the time up to which all cancellations are known. Leases are
+// not renewed if it is older.
 func (t *Tracker) MaxStaleness() micros.Micros {
 	return t.settings.CancelWithin - t.settings.Lease - stopMargin
 }
 
-// MayRenewLease reports whether a worker's lease may be renewed now. readUntil is the time up to
-// which this node's own reads show all cancellations.
+// MayRenewLease reports whether workers' leases may be renewed now. readUntil is the time up to which
+// this node's own reads show all cancellations.
 func (t *Tracker) MayRenewLease(readUntil, now micros.Micros) bool {
 	return now <= max(readUntil, t.grantedUntil(now))+t.MaxStaleness()
 }
 
-// grantedUntil returns the time up to which the peers' grants show all cancellations.
+// grantedUntil returns the time up to which, by the peers' grants, this node knows all cancellations.
 func (t *Tracker) grantedUntil(now micros.Micros) micros.Micros {
 	if len(t.peers) == 0 {
 		return now // no other node acknowledges cancellations
--- a/internal/cancellation/simulation_test.go
+++ b/internal/cancellation/simulation_test.go
@@ -9,10 +9,10 @@
 	"tamarindlead/micros"
 )
 
-// TestLeaseBoundUnderFaults plays random message losses, delays, restarts and clocks of different
-// rates in a cluster whose key-value store does not answer. The rule: when a node renews a
-// lease, the worker's tasks end in time even for the earliest job whose cancellation was
-// acknowledged to users and that the node does not know.
+// TestLeaseBoundUnderFaults simulates a cluster with random message losses, delays, restarts, partitions
+// and clock drift, whose nodes rarely read the records. The rule: when a node renews a worker's lease,
+// the lease ends within the time limit of every job whose cancellation was acknowledged to users but is
+// not known to the node.
 func TestLeaseBoundUnderFaults(t *testing.T) {
 	for seed := range uint64(100) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
@@ -25,7 +25,7 @@
 	nodeCount = 3
 	// stepDuration is the simulated time between two steps.
 	stepDuration = 100 * micros.Millisecond
-	// steps is the length of a simulation.
+	// steps is the number of steps of a simulation.
 	steps = 3000
 	// heartbeatSteps is the number of steps between two heartbeats of a node.
 	heartbeatSteps = 10
@@ -41,8 +41,8 @@
 	rng          *rand.Rand
 	now          micros.Micros // true time
 	nodes        []*node
-	acknowledged map[string]micros.Micros // by job: when its cancellation was acknowledged to users
-	jobs         int                      // cancelled so far
+	acknowledged map[string]micros.Micros // by job: when its cancellation was first acknowledged to users
+	jobs         int                      // number of jobs cancelled so far
 	renewals     int
 	pending      []message
 }
@@ -61,9 +61,9 @@
 	drift            int64 // error of the clock's rate, in parts per million
 	offset           micros.Micros
 	tracker          *Tracker
-	knownCancelled   map[string]bool // ended jobs
-	partitionedUntil micros.Micros   // true time; until then all messages are lost
-	readUntil        micros.Micros   // true time
+	knownCancelled   map[string]bool // jobs whose cancellation the node knows
+	partitionedUntil micros.Micros   // true time; before it all messages are lost
+	readUntil        micros.Micros   // true time up to which the node has read all cancellations
 }
 
 func newCluster(t *testing.T, seed uint64) *cluster {
@@ -128,8 +128,8 @@
 	})
 }
 
-// call sends a message to a peer, and the response that handle returns back, unless one of them
-// is lost.
+// call sends a message to a peer and then the response that handle returns, unless one of the two is
+// lost.
 func (n *node) call(peer string, handle func(to *node) (respond func())) {
 	nodes := n.cluster.nodes
 	to := nodes[slices.IndexFunc(nodes, func(n *node) bool { return n.name == peer })]
@@ -200,8 +200,8 @@
 	}
 }
 
-// injectFault occasionally partitions a node or restarts it, or has it cancel a job or read the
-// records.
+// injectFault occasionally partitions or restarts a node, cancels a job at the node, or lets the node
+// read the records.
 func (c *cluster) injectFault(n *node) {
 	switch c.rng.IntN(400) {
 	case 0, 1, 2:
@@ -222,7 +222,8 @@
 	}
 }
 
-// readRecords reads the records of all jobs: a cancellation is recorded before it is announced.
+// readRecords reads the records of all jobs. The node then knows all cancellations, since a cancellation
+// is recorded before it is announced.
 func (n *node) readRecords() {
 	n.readUntil = n.cluster.now
 	for i := range n.cluster.jobs {
@@ -230,8 +231,8 @@
 	}
 }
 
-// checkRenewal fails the test if the node renews a lease that may outlast the time limit of a
-// cancelled job that it does not know.
+// checkRenewal fails the test if the node renews a lease that ends after the time limit of a job whose
+// cancellation it does not know.
 func (n *node) checkRenewal() {
 	c := n.cluster
 	if !n.tracker.MayRenewLease(n.clockAt(n.readUntil), n.clock()) {
@@ -240,7 +241,7 @@
 	c.renewals++
 	for job, at := range c.acknowledged {
 		if !n.knownCancelled[job] && c.now+lease > at+cancelWithin {
-			c.t.Fatalf("%s renews at %v, %v after the cancellation of %s was acknowledged to users", n.name, c.now, c.now-at, job)
+			c.t.Fatalf("%s renews a lease at %v, %v after the cancellation of %s was acknowledged to users", n.name, c.now, c.now-at, job)
 		}
 	}
 }
--- a/internal/cancellation/tracker_test.go
+++ b/internal/cancellation/tracker_test.go
@@ -14,7 +14,7 @@
 	cancelWithin = 60 * micros.Second
 )
 
-// afterRestart is when a tracker that began at start no longer withholds acknowledgements.
+// afterRestart is when a tracker that was created at start no longer withholds acknowledgements.
 const afterRestart = start + grantPeriod + grantPeriod/driftFraction
 
 func inSeconds(s int) micros.Micros { return micros.Micros(s) * micros.Second }
@@ -23,8 +23,8 @@
 type recorder struct {
 	cancelled       []string
 	acknowledgeable []string
-	sent            []string                  // "peer job"
-	responses       []func(now micros.Micros) // of the peers, in the order of sent
+	sent            []string                  // announcements as "peer job"
+	responses       []func(now micros.Micros) // callbacks of the announcements in sent, in the same order
 }
 
 // HandleCancelled implements Host.
@@ -47,10 +47,10 @@
 	return New(Settings{Peers: peers, Lease: lease, CancelWithin: cancelWithin}, host, start), host
 }
 
-// result records the answers to a request.
+// result records the calls of a request's callback.
 type result struct {
 	count          int
-	mayAcknowledge bool // the last
+	mayAcknowledge bool // of the last call
 }
 
 func (a *result) done(mayAcknowledge bool) { a.count, a.mayAcknowledge = a.count+1, mayAcknowledge }
@@ -60,16 +60,16 @@
 	var got result
 	tracker.Announce("j", start+micros.Second, start, got.done)
 	if got != (result{1, true}) || tracker.Pending() || !slices.Equal(host.acknowledgeable, []string{"j"}) {
-		t.Fatalf("answer %+v, acknowledged to users %v", got, host.acknowledgeable)
+		t.Fatalf("result %+v, acknowledged to users %v", got, host.acknowledgeable)
 	}
 	if !tracker.MayRenewLease(0, start) {
-		t.Fatal("a node without peers does not renew, although it knows all cancellations")
+		t.Fatal("a node without peers does not renew leases, although it knows all cancellations")
 	}
 }
 
-// TestRestartWithholds checks that a node that starts honors the grants of an earlier
-// incarnation: it withholds all acknowledgements to users, whether peers have acknowledged or
-// not, and refuses requests at once whose deadline is earlier.
+// TestRestartWithholds checks that a node that starts honors the grants of an earlier incarnation. Until
+// they have expired, it withholds all acknowledgements to users, whether peers have acknowledged or not.
+// Requests whose deadline is before that time are refused at once.
 func TestRestartWithholds(t *testing.T) {
 	tracker, host := newTracker("b")
 	var early, late result
@@ -92,21 +92,21 @@
 	}
 }
 
-// checkGrant checks a grant's time since users got an acknowledgement without the peer's.
+// checkGrant checks the time since users got an acknowledgement without the peer's, as a grant states it.
 func checkGrant(t *testing.T, tracker *Tracker, peer string, now, want micros.Micros) {
 	t.Helper()
 	if since := tracker.Grant(peer, now).SinceUserAcknowledged; since != want {
-		t.Errorf("acknowledged to users %v ago without %s; want %v", since, peer, want)
+		t.Errorf("acknowledged to users without %[2]s %[1]v ago; want %[3]v", since, peer, want)
 	}
 }
 
-// TestWaitsForAcknowledgement checks that a cancellation is acknowledged to users only once a
-// peer that holds a grant has acknowledged it, or the grant has expired.
+// TestWaitsForAcknowledgement checks that a cancellation is acknowledged to users only after a peer with
+// a grant has acknowledged it or the grant has expired.
 func TestWaitsForAcknowledgement(t *testing.T) {
 	now := start + inSeconds(60)
 	cases := []struct {
 		name        string
-		acknowledge bool // by b; c holds no grant
+		acknowledge bool // by b; c has no grant
 		completeAt  micros.Micros
 		sinceB      micros.Micros // at the next grant, one second later
 	}{
@@ -135,7 +135,7 @@
 				tracker.Tick(c.completeAt)
 			}
 			if got != (result{1, true}) || tracker.Pending() {
-				t.Fatalf("answer %+v, pending %t", got, tracker.Pending())
+				t.Fatalf("result %+v, pending %t", got, tracker.Pending())
 			}
 			// The next grants show which peers have not acknowledged.
 			checkGrant(t, tracker, "b", c.completeAt+inSeconds(1), c.sinceB)
@@ -160,10 +160,10 @@
 		t.Fatalf("sent %v; want %v", host.sent, want)
 	}
 	if got != (result{1, false}) || !tracker.Pending() {
-		t.Fatalf("after the deadline: %+v", got)
+		t.Fatalf("after the deadline: result %+v, or the announcement is no longer pending", got)
 	}
 	if !slices.Equal(host.cancelled, []string{"j"}) || !tracker.IsCancelled("j") {
-		t.Fatal("the end of the job is not recorded exactly once")
+		t.Fatal("the cancellation is not recorded exactly once")
 	}
 }
 
@@ -179,7 +179,7 @@
 	receiver, host := newTracker("a")
 	receiver.HandlePeerHeartbeat("a", tracker.Unacknowledged("b"), nil, now)
 	if !slices.Equal(host.cancelled, []string{"j"}) || !receiver.IsCancelled("j") {
-		t.Fatal("the receiver does not record the end of the job")
+		t.Fatal("the receiver does not record the cancellation")
 	}
 	tracker.HandlePeerHeartbeat("b", nil, receiver.PendingAcknowledgements("a"), now+micros.Second)
 	if got != (result{1, true}) || len(tracker.Unacknowledged("b")) != 0 {
@@ -188,7 +188,7 @@
 }
 
 // TestNoGrantWhileUnacknowledged checks that a peer that does not acknowledge gets no new grant,
-// so that users do not wait for it forever.
+// so that users do not wait for it indefinitely.
 func TestNoGrantWhileUnacknowledged(t *testing.T) {
 	now := start + inSeconds(60)
 	tracker, _ := newTracker("b")
@@ -202,7 +202,7 @@
 		tracker.Tick(now)
 	}
 	if limit := announcedAt + 2*grantPeriod + inSeconds(2); got != (result{1, true}) || now > limit {
-		t.Fatalf("after %v: %+v", now-announcedAt, got)
+		t.Fatalf("after %v: result %+v", now-announcedAt, got)
 	}
 }
 
@@ -216,21 +216,21 @@
 	var got result
 	tracker.Announce("one more", now+micros.Second, now, got.done)
 	if got != (result{1, false}) {
-		t.Fatalf("beyond the bound: %+v", got)
+		t.Fatalf("beyond the bound: result %+v", got)
 	}
 	if n := len(tracker.Unacknowledged("b")); n != maxInHeartbeat {
-		t.Fatalf("a heartbeat lists %d jobs", n)
+		t.Fatalf("a heartbeat lists %d jobs, want maxInHeartbeat", n)
 	}
 	tracker.PruneCancelled(now + cancelledRetention)
 	if !tracker.IsCancelled("0") {
-		t.Fatal("pruned too early")
+		t.Fatal("pruned before the retention time")
 	}
 	if tracker.PruneCancelled(now + cancelledRetention + 1); tracker.IsCancelled("0") {
-		t.Fatal("never pruned")
+		t.Fatal("not pruned after the retention time")
 	}
 }
 
-// TestLeaseBound checks up to when leases are renewed after the last read and the last grant.
+// TestLeaseBound checks until when leases are renewed after the last read and after the last grants.
 func TestLeaseBound(t *testing.T) {
 	tracker, _ := newTracker("b", "c")
 	staleness := cancelWithin - lease - stopMargin
@@ -242,7 +242,7 @@
 	grant := Grant{Period: grantPeriod, SinceUserAcknowledged: inSeconds(11)}
 	tracker.ApplyGrant("b", grant, sentAt, readUntil, now)
 	if tracker.MayRenewLease(0, now+staleness) {
-		t.Fatal("leases are renewed by the grant of one peer of two")
+		t.Fatal("leases are renewed with the grant of only one of two peers")
 	}
 	tracker.ApplyGrant("c", grant, sentAt, readUntil, now)
 	until := sentAt + grantPeriod - grantPeriod/driftFraction
@@ -251,9 +251,9 @@
 	}
 }
 
-// TestGrantAfterUnknownUserAcknowledgement checks that a grant does not count if the peer
-// acknowledged a cancellation to users, without this node's acknowledgement, after the time up to
-// which this node knows all cancellations.
+// TestGrantAfterUnknownUserAcknowledgement checks that a grant does not count if the peer acknowledged a
+// cancellation to users without this node's acknowledgement, after the time up to which this node knows
+// all cancellations.
 func TestGrantAfterUnknownUserAcknowledgement(t *testing.T) {
 	readUntil, now := start+inSeconds(5), start+inSeconds(100)
 	cases := []struct {
@@ -264,7 +264,7 @@
 		{"acknowledged before the last read", Grant{grantPeriod, inSeconds(96)}, true},
 		{"acknowledged after the last read", Grant{grantPeriod, inSeconds(94)}, false},
 		{"acknowledged within the clock drift", Grant{grantPeriod, inSeconds(95)}, false},
-		{"nothing granted", Grant{0, inSeconds(96)}, false},
+		{"no grant", Grant{0, inSeconds(96)}, false},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -277,15 +277,15 @@
 	}
 }
 
-// TestGrantExtendsEarlierGrant checks that a grant counts, without any read, if an earlier grant of the
-// same peer reaches the time at which the peer last acknowledged a cancellation to users.
+// TestGrantExtendsEarlierGrant checks that a grant counts without any read, if an earlier grant of the
+// same peer covers the time at which the peer last acknowledged a cancellation to users.
 func TestGrantExtendsEarlierGrant(t *testing.T) {
 	tracker, _ := newTracker("b")
 	tracker.ApplyGrant("b", Grant{grantPeriod, inSeconds(10)}, start, start, start)
 	for now := start; now < start+inSeconds(300); now += inSeconds(5) {
 		tracker.ApplyGrant("b", Grant{grantPeriod, inSeconds(10)}, now, 0, now)
 		if !tracker.MayRenewLease(0, now) {
-			t.Fatalf("not renewed after %v", now-start)
+			t.Fatalf("leases are not renewed after %v", now-start)
 		}
 	}
 }
--- a/internal/freshness/freshness_test.go
+++ b/internal/freshness/freshness_test.go
@@ -7,13 +7,13 @@
 	"tamarindlead/micros"
 )
 
-// TestCovers checks each kind of knowledge against requests that arrived before, with and after
-// the read that it rests on.
+// TestCovers checks each basis against requests that arrived before the read was sent, at the same time
+// and afterwards.
 func TestCovers(t *testing.T) {
 	const sentAt = 10 * micros.Second
 	for _, c := range []struct {
 		basis                Basis
-		before, equal, after bool // whether a request that arrived then is covered
+		before, equal, after bool // whether a request is covered that arrived then, relative to SentAt
 	}{
 		{NoBasis, false, false, false},
 		{RecordRead, true, true, false},
@@ -39,19 +39,19 @@
 	}
 }
 
-// TestTerminalStateEvidence checks that a terminal state answers every request.
+// TestTerminalStateEvidence checks that a terminal state covers every request.
 func TestTerminalStateEvidence(t *testing.T) {
 	if !TerminalStateEvidence().Covers(1 << 60) {
 		t.Error("a terminal state does not cover a late request")
 	}
 }
 
-// TestBasisString checks that logs distinguish the kinds of knowledge.
+// TestBasisString checks that the names of all kinds of knowledge are distinct.
 func TestBasisString(t *testing.T) {
 	seen := map[string]Basis{}
 	for b := range TerminalState + 2 {
 		if other, ok := seen[b.String()]; ok {
-			t.Errorf("kinds %d and %d are both %q", other, b, b)
+			t.Errorf("bases %d and %d are both %q", other, b, b)
 		}
 		seen[b.String()] = b
 	}
--- a/internal/frontend/admission.go
+++ b/internal/frontend/admission.go
@@ -32,7 +32,7 @@
 	f.queueOrRefuse(request, job, writes, refused)
 }
 
-// queueOrRefuse continues with a submission that was checked.
+// queueOrRefuse queues a checked submission for its commit if refused is nil, and otherwise refuses it.
 func (f *Frontend) queueOrRefuse(request userRequest, job *sched.Job, writes []kv.Write, refused *refusal) {
 	if refused != nil {
 		f.refuseUnlessAccepted(request, job.ID, refused)
@@ -41,9 +41,9 @@
 	f.submissions.add(request, job, len(writes))
 }
 
-// confirmRefusal checks a submission again that no known machine type fits, by the types that the cloud
-// offers now: a refusal is final, so it rests on a read that was sent after the request arrived. If they
-// cannot be read, the submission is refused for now.
+// confirmRefusal checks a submission that fits no known machine type again, against the types that the
+// cloud offers now. A permanent refusal must be based on a read that was sent after the request arrived.
+// If the types cannot be read, the submission is refused temporarily.
 func (f *Frontend) confirmRefusal(request userRequest, job *sched.Job, writes []kv.Write, size int) {
 	f.node.Host.ConfirmMachineTypes(func(confirmed bool) {
 		refused := f.node.checkAdmission(job, writes, size)
@@ -58,16 +58,16 @@
 	})
 }
 
-// refuseUnlessAccepted refuses a submission for good, unless its job is known: the machine types on
-// offer and the limits may have changed since it was accepted.
+// refuseUnlessAccepted refuses a submission, unless its job was accepted before: the machine types on
+// offer and the quota limits may have changed since then.
 func (f *Frontend) refuseUnlessAccepted(request userRequest, job string, refused *refusal) {
 	f.lookups.add(job, func(result lookupResult) {
 		f.responder.respondDuplicateOrRefuse(request, job, result, refused)
 	})
 }
 
-// respondDuplicateOrRefuse answers a submission by the lookup of its job: with the job's state
-// if it was accepted before, and else with a refusal.
+// respondDuplicateOrRefuse responds to a submission after the lookup of its job: with the job's state
+// if the job was accepted before, and otherwise with a refusal.
 func (r *responder) respondDuplicateOrRefuse(request userRequest, job string, result lookupResult, refused *refusal) {
 	switch {
 	case result.outcome == lookupFound:
@@ -114,7 +114,7 @@
 	return nil
 }
 
-// withinQuotaLimit reports whether resources are within a quota limit; a limit of 0 is none.
+// withinQuotaLimit reports whether resources are within a quota limit. 0 means that there is no limit.
 func withinQuotaLimit(used, limit sched.Resources) bool {
 	return (limit.CPU == 0 || used.CPU <= limit.CPU) && (limit.GPU == 0 || used.GPU <= limit.GPU)
 }
--- a/internal/frontend/cancellations.go
+++ b/internal/frontend/cancellations.go
@@ -22,8 +22,8 @@
 	deadline micros.Micros // for further attempts to commit
 }
 
-// handleCancellation handles a user's request to cancel a job. A job that has ended stays as it
-// is, and the response holds its terminal state.
+// handleCancellation handles a user's request to cancel a job. A job that has ended keeps
+// its terminal state, which the response contains.
 func (f *Frontend) handleCancellation(request userRequest, job string) {
 	if !wire.ValidJobID(job) {
 		f.responder.respondRefusal(request, noSuchJob())
@@ -38,7 +38,7 @@
 		return
 	}
 	if f.node.Budget.AvailableWrites(budget.UserRequests, f.node.now()) < CancellationWrites {
-		f.responder.refuseOverload(request, reasonTooManyCancellations) // a read would be wasted
+		f.responder.refuseOverload(request, reasonTooManyCancellations) // reading the record would be wasted
 		return
 	}
 	c := &cancellation{
@@ -52,7 +52,7 @@
 	c.readRecord()
 }
 
-// readRecord reads the job's record, and then cancels the job.
+// readRecord reads the version of the job's record, and then commits the cancellation.
 func (c *cancellation) readRecord() {
 	c.node.KV.Get(budget.UserRequests, record.ActiveJobKey(c.job), func(outcome kv.Outcome, entry kv.Entry) {
 		switch outcome {
@@ -66,7 +66,7 @@
 	})
 }
 
-// handleNotActive answers about a job that has no record of an active job.
+// handleNotActive responds after the lookup of a job that has no record of an active job.
 func (c *cancellation) handleNotActive(result lookupResult) {
 	switch {
 	case result.outcome == lookupNotFound:
@@ -78,7 +78,7 @@
 	}
 }
 
-// commit records that the job is cancelled, if its record still has the version.
+// commit records that the job is cancelled, provided that its record still has the given version.
 func (c *cancellation) commit(version uint64) {
 	terminal := record.TerminalState{Status: record.StatusCancelled, FinishedAt: c.node.Host.WallClock()}
 	preconditions := []kv.Precondition{{Key: record.ActiveJobKey(c.job), Version: version}}
@@ -91,9 +91,9 @@
 	})
 }
 
-// handleCommitResult announces the cancellation, or tries again if it is in doubt.
+// handleCommitResult announces a committed cancellation, or retries one whose outcome is in doubt.
 func (c *cancellation) handleCommitResult(outcome kv.Outcome) {
-	// The job has ended meanwhile, or the transaction may have been executed.
+	// The job has ended or its record has changed meanwhile, or the transaction may have been executed.
 	inDoubt := outcome == kv.PreconditionFailed || outcome == kv.Unknown
 	switch {
 	case outcome == kv.OK:
@@ -105,8 +105,8 @@
 	}
 }
 
-// handleAnnounced answers the user. A cancellation that may not be acknowledged yet stays in
-// effect; the user learns of it by sending the request again.
+// handleAnnounced responds to the user. A cancellation that may not be acknowledged yet stays in
+// effect; the user is told of it when the request is sent again.
 func (c *cancellation) handleAnnounced(mayAcknowledge bool) {
 	if !mayAcknowledge {
 		c.refuse(reasonUnacknowledged)
--- a/internal/frontend/cancellations_test.go
+++ b/internal/frontend/cancellations_test.go
@@ -26,7 +26,8 @@
 	return kv.Entry{Value: wire.Encode(record.TerminalState{Status: status}), Version: 9}
 }
 
-// TestCancellation plays the answers of the state service to a cancellation.
+// TestCancellation checks the response to a cancellation for different responses of the key-value
+// store and the peers.
 func TestCancellation(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -34,15 +35,15 @@
 		status wire.Status
 		reason wire.RefusalReason
 	}{
-		{"known to have ended", func(f *fixture) {
+		{"terminal state known", func(f *fixture) {
 			f.terminal[testJobID] = wire.JobDone
 			f.cancel()
 		}, wire.StatusOK, ""},
-		{"state service unavailable", func(f *fixture) {
+		{"key-value store unavailable", func(f *fixture) {
 			f.unavailable = true
 			f.cancel()
 		}, wire.StatusUnavailable, "state service does not answer"},
-		{"no writes left", func(f *fixture) {
+		{"no writes available", func(f *fixture) {
 			f.writes = CancellationWrites - 1
 			f.cancel()
 		}, wire.StatusTooManyRequests, "too many cancellations"},
@@ -72,7 +73,7 @@
 			f.respondKV(commitTarget, kv.OK, nil)
 			f.announcements[0](true)
 		}, wire.StatusOK, ""},
-		{"in doubt for too long", func(f *fixture) {
+		{"in doubt until the deadline", func(f *fixture) {
 			f.graph.versions[testJobID] = 7
 			f.cancel()
 			f.time += SubmissionTimeout
@@ -98,14 +99,14 @@
 			c.run(f)
 			f.checkResponse(c.status, c.reason)
 			if f.violations != 0 || len(f.calls) != 0 {
-				t.Errorf("%d violations, %d calls left", f.violations, len(f.calls))
+				t.Errorf("%d violations, %d unanswered calls", f.violations, len(f.calls))
 			}
 		})
 	}
 }
 
-// TestCancellationIsAnsweredOnceAcknowledged checks that a user learns nothing of a cancellation
-// between its commit and its acknowledgement.
+// TestCancellationIsAnsweredOnceAcknowledged checks that the user gets no response between the commit
+// of a cancellation and its acknowledgement by the peers.
 func TestCancellationIsAnsweredOnceAcknowledged(t *testing.T) {
 	f := newFixture(t)
 	f.graph.versions[testJobID] = 7
@@ -116,6 +117,6 @@
 	}
 	f.announcements[0](true)
 	if state, ok := f.onlyResponse().body.(wire.JobState); !ok || state.Status != wire.JobCancelled {
-		t.Errorf("answered %+v, want %s", f.onlyResponse(), wire.JobCancelled)
+		t.Errorf("response %+v, want %s", f.onlyResponse(), wire.JobCancelled)
 	}
 }
--- a/internal/frontend/fixture_test.go
+++ b/internal/frontend/fixture_test.go
@@ -32,7 +32,7 @@
 	retryAfter bool // with Retry-After
 }
 
-// reason returns the text by which a request was refused, or "".
+// reason returns the reason for which a request was refused, or "".
 func (r response) reason() string {
 	if body, ok := r.body.(wire.ErrorResponse); ok {
 		return body.Error
@@ -40,14 +40,15 @@
 	return ""
 }
 
-// kvCall is a call to the state service that has not been answered.
+// kvCall is a call to the key-value store without a response.
 type kvCall struct {
 	request kv.Request
 	done    func(kv.Result)
 }
 
-// fixture is a frontend on a fake node, which is connected, knows one machine type and has no jobs.
-// It implements the interfaces that need no names of their own.
+// fixture is a frontend on a fake node, which is connected, knows one machine type and has no jobs. It
+// implements the interfaces of the node whose methods have distinct names; the other interfaces have
+// fakes of their own.
 type fixture struct {
 	t        *testing.T
 	frontend *Frontend
@@ -55,12 +56,12 @@
 	time     micros.Micros
 	isolated bool
 	types    []sched.MachineType
-	// confirm answers a confirmation of the machine types; nil: they are as they were.
+	// confirm replaces ConfirmMachineTypes. If it is nil, the machine types are confirmed unchanged.
 	confirm    func(done func(confirmed bool))
 	violations int
 	responses  []response
 
-	// The state service and the budget of calls to it.
+	// The key-value store and the budget of calls to it.
 	unavailable bool
 	calls       []kvCall
 	writes      int
@@ -113,11 +114,11 @@
 	f.t.Helper()
 	got := f.onlyResponse()
 	if got.status != status || got.reason() != string(reason) {
-		f.t.Errorf("answered %d %q, want %d %q", got.status, got.reason(), status, reason)
+		f.t.Errorf("response %d %q, want %d %q", got.status, got.reason(), status, reason)
 	}
 	temporary := status == wire.StatusUnavailable || status == wire.StatusTooManyRequests
 	if got.retryAfter != temporary {
-		f.t.Errorf("answered %d with Retry-After %t", got.status, got.retryAfter)
+		f.t.Errorf("response %d with Retry-After %t", got.status, got.retryAfter)
 	}
 }
 
@@ -126,18 +127,19 @@
 	f.frontend.HandleRequest(Request{ID: 1, Method: method, Path: path, Body: body})
 }
 
-// flush lets the batch interval of lookups pass and sends what is pending.
+// flush advances the time by the batch interval of lookups and sends what is pending.
 func (f *fixture) flush() {
 	f.time += LookupBatchInterval
 	f.frontend.FlushSubmissions()
 	f.frontend.FlushLookups()
 }
 
-// respondKV answers the oldest call to the state service, with a body unless it is nil.
+// respondKV responds to the oldest call to the key-value store, whose target is checked, with a body
+// unless it is nil.
 func (f *fixture) respondKV(target string, outcome kv.Outcome, body any) {
 	f.t.Helper()
 	if len(f.calls) == 0 {
-		f.t.Fatalf("no call to the state service, want one of %s", target)
+		f.t.Fatalf("no call to the key-value store, want a call of %s", target)
 	}
 	call := f.calls[0]
 	f.calls = f.calls[1:]
--- a/internal/frontend/frontend.go
+++ b/internal/frontend/frontend.go
@@ -13,7 +13,7 @@
 	submissions *submissionQueue
 }
 
-// New returns a frontend without requests.
+// New returns a frontend without pending requests.
 func New(cfg Config, services Services, writer ResponseWriter) *Frontend {
 	n := &node{Services: services, Config: cfg}
 	r := &responder{node: n, writer: writer, debug: cfg.Log.Enabled(context.Background(), slog.LevelDebug)}
@@ -28,11 +28,11 @@
 // event.
 func (f *Frontend) FlushLookups() { f.lookups.flush() }
 
-// PendingSubmissions returns the number of submissions that wait for their commit to be sent.
+// PendingSubmissions returns the number of submissions whose commit has not been sent yet.
 func (f *Frontend) PendingSubmissions() int { return len(f.submissions.pending) }
 
-// HasPending reports whether a submission or lookup waits to be sent, so that time must be
-// passed to the node at short intervals.
+// HasPending reports whether a submission or lookup has not been sent yet, so that the node needs
+// ticks at short intervals.
 func (f *Frontend) HasPending() bool {
 	return len(f.submissions.pending) > 0 || len(f.lookups.pending) > 0
 }
--- a/internal/frontend/lookup_batches.go
+++ b/internal/frontend/lookup_batches.go
@@ -8,18 +8,19 @@
 	"tamarindlead/internal/record"
 )
 
-// comparisonsPerOp is how many versions one transaction compares for each write that it could
-// hold, which bounds its size.
+// comparisonsPerOp bounds the size of a transaction that only compares versions: it has at most
+// comparisonsPerOp comparisons for each write that another transaction may have.
 const comparisonsPerOp = 4
 
-// lookupBatch holds lookups of which one request answers many.
+// lookupBatch holds lookups that are served together: all in compared by one transaction, and all in
+// derived by one refresh of the view.
 type lookupBatch struct {
-	compared []*lookup         // of jobs whose versions are compared
-	versions map[string]uint64 // to compare, by key
-	derived  []*lookup         // of jobs whose state depends on others
+	compared []*lookup         // of jobs whose record versions are compared
+	versions map[string]uint64 // record versions to compare, by key
+	derived  []*lookup         // of jobs whose state depends on that of other jobs
 }
 
-// takeBatch takes the pending lookups that can be answered together.
+// takeBatch removes from the queue the lookups that can be served together.
 func (q *lookupQueue) takeBatch() *lookupBatch {
 	batch := &lookupBatch{versions: map[string]uint64{}}
 	var rest []*lookup
@@ -39,14 +40,14 @@
 	return batch
 }
 
-// canCompare reports whether a batch has room for the comparison of a job's version.
+// canCompare reports whether the comparison of a job's version fits into a batch.
 func (q *lookupQueue) canCompare(batch *lookupBatch, job string, version uint64) bool {
 	return batch.versions[record.ActiveJobKey(job)] == version ||
 		len(batch.versions) < comparisonsPerOp*q.node.Settings.MaxTransactionOps
 }
 
-// sendBatch sends what the budget allows of a batch and returns the rest, in the order in which
-// it was requested.
+// sendBatch sends as much of a batch as the budget allows. It returns the lookups that were not sent,
+// in the order in which they were requested.
 func (q *lookupQueue) sendBatch(batch *lookupBatch) (unsent []*lookup) {
 	type part struct {
 		lookups []*lookup
@@ -72,17 +73,17 @@
 	return unsent
 }
 
-// oldestIsDerived reports whether the oldest lookup of the batch is one of those that are derived.
+// oldestIsDerived reports whether the oldest lookup of the batch is in derived.
 func (b *lookupBatch) oldestIsDerived() bool {
 	return len(b.derived) > 0 && (len(b.compared) == 0 || b.derived[0].requestedAt < b.compared[0].requestedAt)
 }
 
-// readIndividually reads the records of jobs that the view does not hold, as the budget allows.
+// readIndividually reads, as the budget allows, the records of jobs that are not in the node's view.
 func (q *lookupQueue) readIndividually() {
 	for len(q.pending) > 0 && q.node.Budget.MayRequest(budget.Reads, q.node.now()) {
 		first := q.pending[0]
 		if q.node.knownVersion(first.job) != 0 || q.node.Graph.HasOpenDependencies(first.job) {
-			break // it is part of the next batch
+			break // it belongs to the next batch
 		}
 		q.pending = q.pending[1:]
 		q.inFlight++
--- a/internal/frontend/lookup_dependencies.go
+++ b/internal/frontend/lookup_dependencies.go
@@ -2,8 +2,8 @@
 
 import "tamarindlead/internal/wire"
 
-// deriveStates looks up blocked jobs, whose state follows from the terminal states of their
-// dependencies: one read serves them all.
+// deriveStates looks up blocked jobs, whose states are derived from the terminal states of their
+// dependencies. One refresh of the view serves them all.
 func (q *lookupQueue) deriveStates(lookups []*lookup) {
 	q.inFlight += len(lookups)
 	q.recordReadSent(lookups...)
@@ -18,7 +18,8 @@
 	})
 }
 
-// retryDerivation derives the state of a job whose record was read before the view held it.
+// retryDerivation derives the state of a job from the view, after its record was read and showed that
+// the job has dependencies.
 func (q *lookupQueue) retryDerivation(l *lookup) {
 	if l.expired(q.node.now()) {
 		q.finish(l, lookupResult{})
@@ -28,13 +29,13 @@
 	q.deriveStates([]*lookup{l})
 }
 
-// finishDerived answers from the view, once it holds what the job's state depends on.
+// finishDerived finishes a lookup from the view, after the job's dependencies were resolved.
 func (q *lookupQueue) finishDerived(l *lookup, ok bool) {
 	switch job := q.node.Graph.Blocked(l.job); {
 	case !ok:
 		q.finish(l, lookupResult{})
 	case job == nil:
-		q.readActive(l) // it has ended meanwhile
+		q.readActive(l) // the job has ended meanwhile
 	case job.Cancelled():
 		q.finishTerminal(l, wire.JobCancelled, job.CancelledRoot)
 	default:
--- a/internal/frontend/lookup_reads.go
+++ b/internal/frontend/lookup_reads.go
@@ -29,7 +29,7 @@
 	})
 }
 
-// applyComparison answers the lookups of a batch if no key failed. Otherwise it reads the records
+// applyComparison finishes the lookups of a batch if no key failed. Otherwise it reads the records
 // whose keys failed, and queues the other lookups again, since the list of failed keys may be
 // incomplete.
 func (q *lookupQueue) applyComparison(batch *lookupBatch, failedKeys []string) {
@@ -56,15 +56,17 @@
 	q.pending = append(requeued, q.pending...)
 }
 
-// recordReadSent records that a read is sent for lookups now, or as soon as the budget allows.
-// Later reads of the same lookup continue it, so its result is certain as of the first.
+// recordReadSent records that a read is sent for lookups now, or as soon as the budget allows. The
+// result may combine this read with later ones, such as that of the terminal state, so it is
+// guaranteed to reflect only the changes before this read.
 func (q *lookupQueue) recordReadSent(lookups ...*lookup) {
 	for _, l := range lookups {
 		l.readEvidence = q.node.evidenceNow(freshness.RecordRead)
 	}
 }
 
-// readActive looks a job up by its records, first by that of an active job.
+// readActive reads the record that a job has while it is active, and then the terminal state if there
+// is no such record.
 func (q *lookupQueue) readActive(l *lookup) {
 	q.recordReadSent(l)
 	q.node.KV.Get(budget.Reads, record.ActiveJobKey(l.job), func(outcome kv.Outcome, entry kv.Entry) {
@@ -79,7 +81,8 @@
 	})
 }
 
-// handleActiveRead answers from the record of an active job, unless its state depends on others.
+// handleActiveRead finishes a lookup from the record of an active job, unless the job's state depends
+// on that of other jobs.
 func (q *lookupQueue) handleActiveRead(l *lookup, entry kv.Entry) {
 	hasDependencies, err := dag.HasDependencies(entry.Value)
 	if err != nil {
@@ -87,14 +90,14 @@
 		return
 	}
 	if job := q.node.Graph.Blocked(l.job); hasDependencies && (job == nil || !job.Ready()) {
-		q.retryDerivation(l) // this node's view is behind
+		q.retryDerivation(l) // this node's view is not up to date
 		return
 	}
 	q.node.Graph.SetVersion(l.job, entry.Version)
 	q.finish(l, activeResult(entry.Version, l.readEvidence))
 }
 
-// readTerminalState looks up a job that is not active.
+// readTerminalState reads the terminal state of a job that is not active.
 func (q *lookupQueue) readTerminalState(l *lookup) {
 	q.node.KV.Get(budget.Reads, record.TerminalStateKey(l.job), func(outcome kv.Outcome, entry kv.Entry) {
 		var terminal record.TerminalState
--- a/internal/frontend/lookups.go
+++ b/internal/frontend/lookups.go
@@ -6,31 +6,31 @@
 	"tamarindlead/micros"
 )
 
-// This file queues lookups of jobs' states. A state that is not terminal is found only by a read
-// that is sent after the lookup was requested, since another node may have ended the job a
-// moment ago. A node that knows the version of a job's record need not read the record: a
-// transaction without writes compares the versions of many at once.
+// This file queues lookups of jobs' states. A state that is not terminal must come from a read that
+// was sent after the lookup was requested, since another node may have ended the job just before. A
+// node that knows the version of a job's record need not read the record: one transaction without
+// writes compares the versions of many records.
 
-// Bounds of the queue of lookups. What cannot be looked up in time is refused at once and
-// requested again by the user; the rest is served in the order in which it was requested.
+// Bounds of the queue of lookups. A lookup beyond a bound fails, so that its request is refused and
+// the user sends it again. The other lookups are served in the order in which they were requested.
 const (
 	maxPendingLookups = 512
-	lookupTimeout     = 1500 * micros.Millisecond // users wait for 2 s
+	lookupTimeout     = 1500 * micros.Millisecond // users wait 2 s for a response
 )
 
 // LookupBatchInterval is the time for which lookups are collected before they are sent.
 const LookupBatchInterval = 60 * micros.Millisecond
 
-// lookupOutcome is how a lookup ended.
+// lookupOutcome is the outcome of a lookup.
 type lookupOutcome int
 
 const (
-	lookupFailed   lookupOutcome = iota // the job's state cannot be read now
+	lookupFailed   lookupOutcome = iota // the job's state could not be read
 	lookupNotFound                      // the job was never accepted
 	lookupFound
 )
 
-// String returns the outcome as tests show it.
+// String returns the outcome as tests print it.
 func (o lookupOutcome) String() string {
 	switch o {
 	case lookupFailed:
@@ -43,7 +43,7 @@
 	return "invalid"
 }
 
-// lookupResult is the result of a lookup; the zero value is that of one that failed.
+// lookupResult is the result of a lookup. The zero value is the result of a failed lookup.
 type lookupResult struct {
 	outcome  lookupOutcome
 	phase    wire.JobPhase      // of a job that was found
@@ -53,7 +53,7 @@
 // isTerminal reports whether the result can never change.
 func (r lookupResult) isTerminal() bool { return r.evidence.Basis == freshness.TerminalState }
 
-// activeResult returns the result for a job that has not ended, whose record has a version.
+// activeResult returns the result for a job that has not ended and whose record has the version.
 func activeResult(version uint64, readEvidence freshness.Evidence) lookupResult {
 	readEvidence.Version = version
 	return lookupResult{lookupFound, wire.JobQueued, readEvidence}
@@ -64,30 +64,31 @@
 	return lookupResult{lookupFound, phase, freshness.TerminalStateEvidence()}
 }
 
-// lookup is a question for a job's state.
+// lookup is a query of a job's state.
 type lookup struct {
 	job          string
 	requestedAt  micros.Micros
-	readEvidence freshness.Evidence // of the first read that was sent for it
+	readEvidence freshness.Evidence // of the first read of the present attempt
 	done         func(lookupResult)
 }
 
-// expired reports whether the answer is of no use any more.
+// expired reports whether the deadline has passed.
 func (l *lookup) expired(now micros.Micros) bool { return now-l.requestedAt > lookupTimeout }
 
-// deadline returns the last time at which the answer is of use.
+// deadline returns the time after which the result is no longer useful.
 func (l *lookup) deadline() micros.Micros { return l.requestedAt + lookupTimeout }
 
-// lookupQueue holds the lookups that have not been answered.
+// lookupQueue holds the lookups that have not finished.
 type lookupQueue struct {
 	node     *node
 	pending  []*lookup
 	inFlight int // lookups whose reads or comparisons have been sent
 	sendAt   micros.Micros
-	count    int // lookups since the last report of the node's status
+	count    int // lookups since the node's status was last logged
 }
 
-// add looks up a job's state in the records, which alone are never outdated.
+// add looks up a job's state in the cached terminal states or queues a lookup in the records. Other
+// knowledge of the node may be outdated.
 func (q *lookupQueue) add(job string, done func(lookupResult)) {
 	q.count++
 	if phase := q.node.TerminalStates.Of(job); phase != "" {
@@ -119,7 +120,7 @@
 	q.readIndividually()
 }
 
-// failExpired ends the lookups that have waited for too long.
+// failExpired fails the pending lookups whose deadline has passed.
 func (q *lookupQueue) failExpired() {
 	for len(q.pending) > 0 && q.pending[0].expired(q.node.now()) {
 		first := q.pending[0]
@@ -128,7 +129,8 @@
 	}
 }
 
-// finish passes on the result of a lookup that was sent.
+// finish passes the result of a lookup that was sent to its callback, unless the job ended after the
+// read was sent.
 func (q *lookupQueue) finish(l *lookup, result lookupResult) {
 	q.inFlight--
 	switch phase := q.node.TerminalStates.Of(l.job); {
@@ -141,7 +143,7 @@
 	l.done(result)
 }
 
-// retry queues a lookup for a new read, unless its answer is of no use any more.
+// retry queues a lookup for a new read, or fails it if its deadline has passed.
 func (q *lookupQueue) retry(l *lookup) {
 	if l.expired(q.node.now()) {
 		l.done(lookupResult{})
@@ -150,9 +152,9 @@
 	q.pending = append([]*lookup{l}, q.pending...)
 }
 
-// finishTerminal ends a lookup with a terminal state. A cancellation is acknowledged only once the
-// peers know of it: see Cancellations.Announce. What they know of is the job that its user
-// cancelled, the root.
+// finishTerminal finishes a lookup with a terminal state. A cancellation is acknowledged only after it
+// was announced to the peers: see Cancellations.Announce. The announcement names root, the job that
+// its user cancelled.
 func (q *lookupQueue) finishTerminal(l *lookup, phase wire.JobPhase, root string) {
 	if phase != wire.JobCancelled {
 		q.node.TerminalStates.Remember(l.job, phase)
--- a/internal/frontend/lookups_test.go
+++ b/internal/frontend/lookups_test.go
@@ -12,12 +12,13 @@
 
 func (f *fixture) query() { f.request("GET", "/api/jobs/"+testJobID, nil) }
 
-// TestQuery plays the answers of the state service to a query.
+// TestQuery checks the response to a query for different responses of the key-value store, the view
+// and the peers.
 func TestQuery(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		run  func(f *fixture)
-		want wire.JobStatus // or else the request is refused
+		want wire.JobStatus // zero: the request is refused
 	}{
 		{"version compared", func(f *fixture) {
 			f.graph.versions[testJobID] = 7
@@ -25,7 +26,7 @@
 			f.flush()
 			f.respondKV(commitTarget, kv.OK, nil)
 		}, wire.JobStatus{ID: testJobID, Status: wire.JobQueued}},
-		{"own counts before those of peers", func(f *fixture) {
+		{"own counts override counts of peers", func(f *fixture) {
 			f.ownedVersions[testJobID] = 7
 			f.ownedCounts[testJobID], f.peerCounts[testJobID] = TaskCounts{2, 1}, TaskCounts{1, 2}
 			f.query()
@@ -83,14 +84,14 @@
 			f.flush()
 			f.refreshes[0](false)
 		}, wire.JobStatus{}},
-		{"blocked by a cancelled job", func(f *fixture) {
+		{"depends on a cancelled job", func(f *fixture) {
 			f.graph.blocked[testJobID] = &dag.BlockedJob{ID: testJobID, Version: 7, CancelledRoot: "req-000002"}
 			f.query()
 			f.flush()
 			f.refreshes[0](true)
 			f.announcements[0](true)
 		}, wire.JobStatus{ID: testJobID, Status: wire.JobCancelled}},
-		{"no budget in time", func(f *fixture) {
+		{"no budget before the deadline", func(f *fixture) {
 			f.noRequests = true
 			f.query()
 			f.flush()
@@ -104,16 +105,16 @@
 			if c.want.ID == "" {
 				f.checkResponse(wire.StatusUnavailable, "state service does not answer")
 			} else if got := f.onlyResponse(); got.status != wire.StatusOK || got.body != any(c.want) {
-				t.Errorf("answered %+v, want %+v", got, c.want)
+				t.Errorf("response %+v, want %+v", got, c.want)
 			}
 			if f.violations != 0 || len(f.calls) != 0 || f.frontend.lookups.inFlight != 0 || f.frontend.HasPending() {
-				t.Errorf("%d violations, %d calls left, %d lookups in flight", f.violations, len(f.calls), f.frontend.lookups.inFlight)
+				t.Errorf("%d violations, %d unanswered calls, %d lookups in flight", f.violations, len(f.calls), f.frontend.lookups.inFlight)
 			}
 		})
 	}
 }
 
-// TestLookupCount checks that lookups are counted once.
+// TestLookupCount checks that each lookup is counted once.
 func TestLookupCount(t *testing.T) {
 	f := newFixture(t)
 	f.query()
--- a/internal/frontend/node.go
+++ b/internal/frontend/node.go
@@ -11,7 +11,7 @@
 // Config holds the settings of the frontend.
 type Config struct {
 	Settings *config.Settings
-	// MaxTransactionBytes bounds the records of one job, which one transaction must hold.
+	// MaxTransactionBytes bounds the size of one job's records, which are written by one transaction.
 	MaxTransactionBytes int
 	Log                 *slog.Logger
 }
@@ -22,7 +22,7 @@
 	Config
 }
 
-// now returns the steady time of the present event.
+// now returns the monotonic time of the present event.
 func (n *node) now() micros.Micros { return n.Host.Now() }
 
 // knownVersion returns the version of an active job's record as this node last saw it, or 0.
--- a/internal/frontend/queries.go
+++ b/internal/frontend/queries.go
@@ -20,8 +20,8 @@
 	})
 }
 
-// userFacingStatus returns the state of a job as users see it: one that has not ended may be
-// running, and shows how many of its tasks are done and running.
+// userFacingStatus returns the state of a job as it is shown to users. A job that has not ended is
+// shown with the numbers of its done and running tasks, and as running if any task is running.
 func (n *node) userFacingStatus(job string, phase wire.JobPhase) wire.JobStatus {
 	shown := wire.JobStatus{ID: job, Status: phase}
 	if phase != wire.JobQueued {
@@ -35,9 +35,9 @@
 	return shown
 }
 
-// taskCounts returns the numbers of a job's tasks by the node's own records, or else by what
-// peers report. Theirs may be those of an earlier owner and out of date; besides the counts, only the
-// choice between queued and running depends on them.
+// taskCounts returns the numbers of a job's tasks that this node knows as the job's owner, or
+// otherwise those from the heartbeats of peers. The latter may come from an earlier owner and be out
+// of date; besides the counts, only the choice between queued and running depends on them.
 func (n *node) taskCounts(job string) TaskCounts {
 	if counts, owned := n.Owner.TaskCounts(job); owned {
 		return counts
--- a/internal/frontend/refusals.go
+++ b/internal/frontend/refusals.go
@@ -5,7 +5,7 @@
 // ReasonMethodNotAllowed refuses a request whose path requires another method.
 const ReasonMethodNotAllowed wire.RefusalReason = "method not allowed"
 
-// Reasons why a user's request cannot be served now. It may be sent again.
+// Reasons why a user's request cannot be served now. The user may send it again.
 const (
 	reasonIsolated         wire.RefusalReason = "reaches neither the state service nor a peer"
 	reasonKVUnresponsive   wire.RefusalReason = "state service does not answer"
@@ -29,10 +29,10 @@
 	reasonDependencyNotAccepted wire.RefusalReason = "awaits a job that was never accepted"
 )
 
-// Reasons why a request names nothing that exists.
+// Reasons why the path or job that a request names does not exist.
 const (
 	reasonNoSuchPath wire.RefusalReason = "no such path"
-	reasonNoSuchJob  wire.RefusalReason = "no such job" // it was never accepted
+	reasonNoSuchJob  wire.RefusalReason = "no such job" // the job was never accepted
 )
 
 // refusal is the response that refuses a request.
@@ -59,7 +59,8 @@
 // noSuchJob returns the refusal of a request that names a job which was never accepted.
 func noSuchJob() *refusal { return &refusal{wire.StatusNotFound, reasonNoSuchJob} }
 
-// dependsOnMachineTypes reports whether there is a refusal, and the reason is what the cloud offers.
+// dependsOnMachineTypes reports whether a submission is refused because of the machine types that the
+// cloud offers. r may be nil.
 func (r *refusal) dependsOnMachineTypes() bool { return r != nil && r.reason == reasonFitsNoType }
 
 // isPermanent reports whether the same request would always be refused.
--- a/internal/frontend/responses.go
+++ b/internal/frontend/responses.go
@@ -6,24 +6,24 @@
 	"tamarindlead/micros"
 )
 
-// userRequest is a user's request that has not been answered.
+// userRequest is a user's request without a response.
 type userRequest struct {
 	id         uint64
 	receivedAt micros.Micros
 }
 
-// responder answers users' requests. Every answer with the state of a job passes checkResponse,
-// whichever handler it comes from.
+// responder sends the responses to users' requests. Every response that contains the state of a job
+// passes checkResponse, whichever handler it comes from.
 type responder struct {
 	node   *node
 	writer ResponseWriter
-	debug  bool // the log takes debug messages
+	debug  bool // whether debug messages are logged
 }
 
-// mayRespond reports whether evidence about a job is recent enough for the answer to a request:
-// its read must have been sent after the request was received, and a job that is known to be
-// cancelled has no state that is not terminal. If it is not, a submission's job is looked
-// up again, and other answers are refused by checkResponse.
+// mayRespond reports whether evidence about a job is recent enough for the response to a request: the
+// read must not have been sent before the request was received, and a job that is known to be
+// cancelled must be in a terminal state. If the evidence is not recent enough, the job of a submission
+// is looked up again, and other requests are refused by checkResponse.
 func (r *responder) mayRespond(request userRequest, job string, evidence freshness.Evidence) bool {
 	if evidence.Basis != freshness.TerminalState && r.node.Cancellations.IsCancelled(job) {
 		return false
@@ -31,7 +31,7 @@
 	return evidence.Covers(request.receivedAt)
 }
 
-// checkResponse asserts mayRespond for an answer that is about to be sent. If it fails, the request
+// checkResponse asserts mayRespond for a response that is about to be sent. If it fails, the request
 // is refused, and the violation is logged and counted.
 func (r *responder) checkResponse(request userRequest, job, answer string, evidence freshness.Evidence) bool {
 	if r.mayRespond(request, job, evidence) {
@@ -47,7 +47,7 @@
 	return false
 }
 
-// respondSubmission answers a submission with the state of its job.
+// respondSubmission responds to a submission with the state of its job.
 func (r *responder) respondSubmission(request userRequest, httpStatus wire.Status, job string, phase wire.JobPhase, evidence freshness.Evidence) {
 	shown := r.node.userFacingStatus(job, phase).Status
 	if r.checkResponse(request, job, string(shown), evidence) {
@@ -55,7 +55,7 @@
 	}
 }
 
-// respondQuery answers a query with the state of a job and the counts of its tasks.
+// respondQuery responds to a query with the state of a job and the counts of its tasks.
 func (r *responder) respondQuery(request userRequest, job string, result lookupResult) {
 	shown := r.node.userFacingStatus(job, result.phase)
 	if r.checkResponse(request, job, string(shown.Status), result.evidence) {
@@ -63,36 +63,36 @@
 	}
 }
 
-// respondCancellation answers a cancellation with the terminal state of its job.
+// respondCancellation responds to a cancellation with the terminal state of its job.
 func (r *responder) respondCancellation(request userRequest, job string, phase wire.JobPhase) {
 	if r.checkResponse(request, job, string(phase), freshness.TerminalStateEvidence()) {
 		r.writer.Respond(request.id, wire.StatusOK, wire.JobState{ID: job, Status: phase})
 	}
 }
 
-// rejectUnaccepted refuses a request for good, since its job was never accepted.
+// rejectUnaccepted refuses a request permanently because its job was never accepted.
 func (r *responder) rejectUnaccepted(request userRequest, job string, refused *refusal, evidence freshness.Evidence) {
 	if r.checkResponse(request, job, string(refused.reason), evidence) {
 		r.respondRefusal(request, refused)
 	}
 }
 
-// respondHealthy answers a health check.
+// respondHealthy responds to a successful health check.
 func (r *responder) respondHealthy(request userRequest) {
 	r.writer.Respond(request.id, wire.StatusOK, nil)
 }
 
-// respondRefusal answers that a request will never be served.
+// respondRefusal responds that a request will never be served.
 func (r *responder) respondRefusal(request userRequest, refused *refusal) {
 	r.writer.Respond(request.id, refused.status, wire.ErrorResponse{Error: string(refused.reason)})
 }
 
-// refuse answers that a request cannot be served now.
+// refuse responds that a request cannot be served now.
 func (r *responder) refuse(request userRequest, reason wire.RefusalReason) {
 	r.writer.Refuse(request.id, wire.StatusUnavailable, reason)
 }
 
-// refuseOverload answers that there are too many requests of a kind.
+// refuseOverload responds that there are too many requests of a kind.
 func (r *responder) refuseOverload(request userRequest, reason wire.RefusalReason) {
 	r.writer.Refuse(request.id, wire.StatusTooManyRequests, reason)
 }
--- a/internal/frontend/routes.go
+++ b/internal/frontend/routes.go
@@ -7,9 +7,9 @@
 	"tamarindlead/internal/wire"
 )
 
-// Paths of the users' interface.
+// Paths of the HTTP API for users.
 const (
-	PathJobs     = "/api/jobs" // submissions; below it the jobs by ID
+	PathJobs     = "/api/jobs" // submissions; a job's path is PathJobs/ID
 	pathHealth   = "/up"
 	cancelSuffix = "/cancel" // after the path of a job
 )
@@ -22,7 +22,7 @@
 	Body   []byte
 }
 
-// HandleRequest handles a request, which is answered by this or a later event.
+// HandleRequest handles a request. The response is sent during this event or a later one.
 func (f *Frontend) HandleRequest(r Request) {
 	user := userRequest{r.ID, f.node.now()}
 	switch r.Path {
@@ -58,7 +58,7 @@
 	handler()
 }
 
-// handleHealthCheck answers whether this node can serve requests at all.
+// handleHealthCheck responds whether this node can serve requests at all.
 func (f *Frontend) handleHealthCheck(user userRequest) {
 	if f.node.Host.IsIsolated() {
 		f.responder.refuse(user, reasonIsolated)
--- a/internal/frontend/routes_test.go
+++ b/internal/frontend/routes_test.go
@@ -6,7 +6,7 @@
 	"tamarindlead/internal/wire"
 )
 
-// TestRoutes checks the paths and methods that are served without a job's state.
+// TestRoutes checks the responses for paths and methods that do not require the state of a job.
 func TestRoutes(t *testing.T) {
 	for _, c := range []struct {
 		name, method, path string
@@ -33,7 +33,7 @@
 			f.request(c.method, c.path, nil)
 			f.checkResponse(c.status, c.reason)
 			if len(f.calls) != 0 || f.frontend.HasPending() {
-				t.Error("the request is not over")
+				t.Error("calls or submissions are left after the response")
 			}
 		})
 	}
--- a/internal/frontend/services.go
+++ b/internal/frontend/services.go
@@ -10,7 +10,7 @@
 	"tamarindlead/sched"
 )
 
-// Services are the parts of the node that users' requests are served from.
+// Services are the parts of the node that the frontend uses to serve requests.
 type Services struct {
 	Host           Host
 	KV             KVClient
@@ -25,41 +25,41 @@
 
 // Host is the node that the frontend runs on.
 type Host interface {
-	// Now returns the steady time of the present event.
+	// Now returns the monotonic time of the present event.
 	Now() micros.Micros
-	// WallClock returns the time of day of the present event, which records hold.
+	// WallClock returns the time of day of the present event, which is used in records.
 	WallClock() micros.Micros
 	// IsIsolated reports whether the node reaches neither the key-value store nor any peer.
 	IsIsolated() bool
 	// MachineTypes returns the machine types on offer, none while they are unknown.
 	MachineTypes() []sched.MachineType
-	// ConfirmMachineTypes calls done with true once MachineTypes shows what the cloud offers as of a
-	// request sent after this call, or with false if that cannot be read soon.
+	// ConfirmMachineTypes calls done with true after MachineTypes reflects a request to the cloud that
+	// was sent after this call, or with false if the machine types cannot be read soon.
 	ConfirmMachineTypes(done func(confirmed bool))
-	// MachineTypesOrigin returns from where the machine types are and how old, for logs.
+	// MachineTypesOrigin returns the source and the age of the known machine types, for logs.
 	MachineTypesOrigin() (source string, age micros.Micros)
 	// ReportViolation reports that an invariant of the program does not hold.
 	ReportViolation(what string, args ...any)
 }
 
-// ResponseWriter sends the responses to users. Only the responder has it, so that no response
+// ResponseWriter sends the responses to users. Only the responder uses it, so that no response
 // bypasses the check for stale answers.
 type ResponseWriter interface {
-	// Respond answers a request, with a body unless it is nil.
+	// Respond responds to a request, with a body unless it is nil.
 	Respond(request uint64, status wire.Status, body any)
-	// Refuse answers that a request cannot be served now and may be sent again.
+	// Refuse responds that a request cannot be served now and may be sent again.
 	Refuse(request uint64, status wire.Status, reason wire.RefusalReason)
 }
 
 // KVClient is the client of the key-value store.
 type KVClient interface {
-	// Do sends a request once the budget allows.
+	// Do sends a request as soon as the budget allows.
 	Do(purpose budget.Purpose, request kv.Request, done func(kv.Result))
 	// Get reads a key.
 	Get(purpose budget.Purpose, key string, done func(kv.Outcome, kv.Entry))
-	// Unavailable reports whether the key-value store is out of reach.
+	// Unavailable reports whether the key-value store cannot be reached.
 	Unavailable() bool
-	// UsesPeerRoute reports whether calls pass through a peer.
+	// UsesPeerRoute reports whether a peer relays the calls.
 	UsesPeerRoute() bool
 }
 
@@ -91,12 +91,12 @@
 
 // JobView brings the graph up to date by reads of the records.
 type JobView interface {
-	// Refresh calls done once the graph is at least as recent as the call, or with false if the
-	// present state cannot be read.
+	// Refresh calls done with true after the graph contains all changes from before this call, or
+	// with false if the present state cannot be read.
 	Refresh(done func(ok bool))
-	// ResolveDependencies calls done once the terminal states of all upstream jobs are known
-	// that are no longer active, or with false if that fails by the deadline. It continues a
-	// view that was refreshed.
+	// ResolveDependencies calls done with true after the graph knows the terminal states of all
+	// upstream jobs that are no longer active, or with false if they cannot be read before the
+	// deadline. Refresh must have been called for the same jobs before.
 	ResolveDependencies(jobs []string, deadline micros.Micros, done func(ok bool))
 	// CheckDependencies reads the states of the jobs that a submission depends on.
 	CheckDependencies(jobs []string, deadline micros.Micros, done func(jobview.DependencyResult))
@@ -115,8 +115,8 @@
 	// IsCancelled reports whether the node knows that a job has been cancelled, even if that
 	// may not be acknowledged to users yet.
 	IsCancelled(job string) bool
-	// Announce calls done once it is certain whether the cancellation of a job may be
-	// acknowledged to users. An answer after the deadline is of no use to the caller.
+	// Announce calls done after it is decided whether the cancellation of a job may be
+	// acknowledged to users. The caller has no use for a decision after the deadline.
 	Announce(job string, deadline micros.Micros, done func(mayAcknowledge bool))
 }
 
@@ -130,9 +130,9 @@
 	TaskCounts(job string) (counts TaskCounts, owned bool)
 }
 
-// PeerJobs are the jobs that peers report on in their heartbeats.
+// PeerJobs are the jobs whose task counts peers report in their heartbeats.
 type PeerJobs interface {
-	// TaskCounts returns the numbers of a job's tasks by the latest heartbeat that holds them.
+	// TaskCounts returns the numbers of a job's tasks from the latest heartbeat that contains them.
 	TaskCounts(job string) TaskCounts
 }
 
--- a/internal/frontend/submission_commits.go
+++ b/internal/frontend/submission_commits.go
@@ -8,13 +8,13 @@
 	"tamarindlead/internal/wire"
 )
 
-// This file records submissions: the acceptance of a job is acknowledged to its users only after
-// the commit of its records.
+// This file commits submissions. The acceptance of a job is acknowledged to users only after its
+// records have been committed.
 
 // maxSubmissionCommitBytes bounds the size of the records of one commit that accepts several jobs.
 const maxSubmissionCommitBytes = wire.MaxBody / 2
 
-// flush commits pending submissions, as many as one transaction takes.
+// flush commits as many pending submissions as fit into one transaction and the budget.
 func (s *submissionQueue) flush() {
 	if s.committing || len(s.pending) == 0 {
 		return
@@ -29,7 +29,7 @@
 	}
 }
 
-// refuseExpired refuses the submissions that have waited for too long.
+// refuseExpired refuses the submissions that have been pending for longer than SubmissionTimeout.
 func (s *submissionQueue) refuseExpired() {
 	var remaining []*submission
 	for _, sub := range s.pending {
@@ -42,9 +42,9 @@
 	s.pending = remaining
 }
 
-// takeBatch takes the submissions whose writes have room, in the order in which they were
-// received. One that needs more room than there can ever be is taken when the room is largest:
-// its writes beyond that are a debt of the budget.
+// takeBatch removes from the queue the submissions whose writes are available, in the order in which
+// they were received. A first submission that needs more writes than the budget's burst is taken when
+// the full burst is available; its other writes become a debt of the budget.
 func (s *submissionQueue) takeBatch(availableWrites int) []*submission {
 	if first := s.pending[0]; first.writeCount > availableWrites && availableWrites >= s.node.Budget.WriteBurst() {
 		availableWrites = first.writeCount
@@ -62,8 +62,8 @@
 	return batch
 }
 
-// commit records a batch of submissions. Those that would make the transaction too large are
-// queued again.
+// commit commits the records of a batch of submissions. Submissions that would make the transaction
+// too large are queued again.
 func (s *submissionQueue) commit(batch []*submission) {
 	var preconditions []kv.Precondition
 	var writes []kv.Write
@@ -87,7 +87,7 @@
 	})
 }
 
-// requeue puts submissions back before those that were received later.
+// requeue puts submissions back at the front of the queue.
 func (s *submissionQueue) requeue(batch []*submission) {
 	s.pending = append(batch[:len(batch):len(batch)], s.pending...)
 }
@@ -106,7 +106,8 @@
 		s.requeue(batch)
 		s.nextCommit = s.node.now() + kv.ThrottledPause
 	case kv.Unknown:
-		// It may have been executed: the preconditions of the same commit show whether it was.
+		// The transaction may have been executed. If it was, the preconditions of the repeated
+		// commit fail.
 		s.requeue(batch)
 	default:
 		for _, sub := range batch {
@@ -115,7 +116,7 @@
 	}
 }
 
-// handlePreconditionFailed looks up the jobs of a batch that are known already and queues the
+// handlePreconditionFailed looks up the jobs of a batch that were accepted before and queues the
 // others again.
 func (s *submissionQueue) handlePreconditionFailed(batch []*submission, result kv.Result) {
 	var committed kv.TransactionResult
@@ -134,8 +135,8 @@
 	}
 }
 
-// handleAccepted answers a submission that was just committed. One that is cancelled because of an
-// upstream job is answered once that cancellation may be acknowledged.
+// handleAccepted responds to a submission that was just committed. If its job is cancelled because of
+// an upstream job, the response is sent after the cancellation may be acknowledged.
 func (s *submissionQueue) handleAccepted(sub *submission, evidence freshness.Evidence) {
 	if sub.phase != wire.JobCancelled {
 		s.respondAccepted(sub, evidence)
@@ -151,7 +152,7 @@
 	})
 }
 
-// respondAccepted answers the requests of a submission that was accepted.
+// respondAccepted responds to the requests of a submission that was accepted.
 func (s *submissionQueue) respondAccepted(sub *submission, evidence freshness.Evidence) {
 	s.respondOrLookUp(sub, evidence, func(r userRequest) {
 		s.responder.respondSubmission(r, wire.StatusAccepted, sub.job.ID, sub.phase, evidence)
--- a/internal/frontend/submission_dependencies.go
+++ b/internal/frontend/submission_dependencies.go
@@ -30,7 +30,7 @@
 	})
 }
 
-// handleDependenciesChecked queues a submission for its commit if its dependencies allow.
+// handleDependenciesChecked queues a submission for its commit, or refuses it because of its dependencies.
 func (s *submissionQueue) handleDependenciesChecked(sub *submission, result jobview.DependencyResult) {
 	switch result.Status {
 	case jobview.DependenciesUnknown:
--- a/internal/frontend/submissions.go
+++ b/internal/frontend/submissions.go
@@ -8,10 +8,11 @@
 )
 
 // maxPendingSubmissions bounds the submissions that are pending or whose dependencies are being
-// checked. Those beyond it are refused at once: users retry, and no longer queue grows here.
+// checked. Further submissions are refused at once: users retry, and the queue does not
+// grow further.
 const maxPendingSubmissions = 128
 
-// SubmissionTimeout is the time after which a submission or cancellation is given up.
+// SubmissionTimeout is the time after which a pending submission or cancellation is refused.
 const SubmissionTimeout = micros.Second
 
 // submissionQueue holds the submissions that have not been committed.
@@ -20,8 +21,8 @@
 	responder *responder
 	lookups   *lookupQueue
 
-	pending              []*submission          // to be committed
-	byJob                map[string]*submission // all that have not been answered
+	pending              []*submission          // submissions to be committed
+	byJob                map[string]*submission // all submissions without a response
 	committing           bool
 	checkingDependencies int // number of submissions whose dependencies are being checked
 	nextCommit           micros.Micros
@@ -32,11 +33,11 @@
 	job        *sched.Job
 	requests   []userRequest
 	receivedAt micros.Micros
-	writeCount int // of its records
-	// dependenciesReadAt is when the last read of its dependencies was sent, 0 if none was.
+	writeCount int // number of writes of its records
+	// dependenciesReadAt is when the last read of its dependencies was sent, or 0 if none was sent.
 	dependenciesReadAt micros.Micros
-	// phase is the job's state once it is accepted: it may be cancelled already, because of the
-	// upstream job cancelledRoot.
+	// phase is the job's state when it is accepted. The job may already be cancelled, because the
+	// upstream job cancelledRoot is.
 	phase         wire.JobPhase
 	cancelledRoot string
 }
@@ -45,9 +46,9 @@
 	return &submissionQueue{node: n, responder: r, lookups: lookups, byJob: map[string]*submission{}}
 }
 
-// add adds a submission, or adds the request to the submission of the same job. Whether the
-// answer to that one may also answer this request is decided once the answer is there: see
-// answer.
+// add adds a submission, or adds the request to the pending submission of the same job. Whether the
+// response to that submission may also be sent for this request is decided when the response is
+// known: see respondOrLookUp.
 func (s *submissionQueue) add(request userRequest, job *sched.Job, writes int) {
 	if known := s.byJob[job.ID]; known != nil {
 		known.requests = append(known.requests, request)
@@ -69,8 +70,8 @@
 	s.pending = append(s.pending, added)
 }
 
-// refuseUnlessAccepted answers a submission with the state of the job if it was accepted
-// before, whatever became of its dependencies, and else with a refusal.
+// refuseUnlessAccepted responds to a submission with the state of the job if the job was accepted
+// before, whatever the state of its dependencies, and otherwise with a refusal.
 func (s *submissionQueue) refuseUnlessAccepted(sub *submission, refused *refusal) {
 	s.lookups.add(sub.job.ID, func(result lookupResult) {
 		respond := func(r userRequest) { s.responder.respondDuplicateOrRefuse(r, sub.job.ID, result, refused) }
@@ -79,16 +80,16 @@
 			return
 		}
 		evidence := result.evidence
-		if result.outcome == lookupNotFound && sub.dependenciesReadAt != 0 { // the refusal rests on that read too
+		if result.outcome == lookupNotFound && sub.dependenciesReadAt != 0 { // the refusal is also based on that read
 			evidence.SentAt = min(evidence.SentAt, sub.dependenciesReadAt)
 		}
 		s.respondOrLookUp(sub, evidence, respond)
 	})
 }
 
-// respondOrLookUp ends a submission whose requests are answered by the evidence. Requests that joined it
-// after the read or commit was sent are looked up separately: meanwhile another node may have
-// given users a more recent answer.
+// respondOrLookUp ends a submission. It responds to the requests for which the evidence is recent
+// enough. The job of requests that joined the submission after the read or commit was sent is looked
+// up again, since another node may have sent users a more recent response in the meantime.
 func (s *submissionQueue) respondOrLookUp(sub *submission, evidence freshness.Evidence, respond func(r userRequest)) {
 	job := sub.job.ID
 	var stale []userRequest
@@ -109,7 +110,7 @@
 	})
 }
 
-// finish ends a submission by answering all its requests.
+// finish ends a submission by responding to all its requests.
 func (s *submissionQueue) finish(sub *submission, respond func(r userRequest)) {
 	delete(s.byJob, sub.job.ID)
 	for _, r := range sub.requests {
@@ -117,7 +118,7 @@
 	}
 }
 
-// refuse ends a submission that cannot be recorded now.
+// refuse ends a submission that cannot be committed now by refusing its requests.
 func (s *submissionQueue) refuse(sub *submission, reason wire.RefusalReason) {
 	s.finish(sub, func(r userRequest) { s.responder.refuse(r, reason) })
 }
--- a/internal/frontend/submissions_test.go
+++ b/internal/frontend/submissions_test.go
@@ -18,14 +18,14 @@
 	f.request("POST", "/api/jobs", wire.Encode(wire.FromJob(job)))
 }
 
-// respondNeverAccepted answers the lookup of the fixture's job.
+// respondNeverAccepted responds to the lookup of the fixture's job: it was never accepted.
 func (f *fixture) respondNeverAccepted() {
 	f.flush()
 	f.respondKV(activeTarget, kv.NotFound, nil)
 	f.respondKV(terminalTarget, kv.NotFound, nil)
 }
 
-// TestSubmission plays the answers of the state service to a submission.
+// TestSubmission checks the response to a submission for different responses of the key-value store.
 func TestSubmission(t *testing.T) {
 	known := kv.TransactionResult{FailedPreconditions: []string{record.TerminalStateKey(testJobID)}}
 	for _, c := range []struct {
@@ -62,18 +62,18 @@
 			f.respondKV(commitTarget, kv.Throttled, nil)
 			f.flush()
 			if len(f.calls) != 0 {
-				f.t.Error("the commit is sent again without a pause")
+				f.t.Error("the commit is retried without a pause")
 			}
 			f.time += kv.ThrottledPause
 			f.flush()
 			f.respondKV(commitTarget, kv.OK, nil)
 		}, wire.StatusAccepted, ""},
-		{"refused by the state service", func(f *fixture) {
+		{"refused by the key-value store", func(f *fixture) {
 			f.submit(newSmallJob())
 			f.flush()
 			f.respondKV(commitTarget, kv.InvalidRequest, nil)
 		}, wire.StatusUnavailable, "state service refuses"},
-		{"no writes in time", func(f *fixture) {
+		{"no writes available before the timeout", func(f *fixture) {
 			f.writes = 0
 			f.submit(newSmallJob())
 			f.flush()
@@ -84,11 +84,11 @@
 			f.types = nil
 			f.submit(newSmallJob())
 		}, wire.StatusUnavailable, "machine types are not known yet"},
-		{"state service unavailable", func(f *fixture) {
+		{"key-value store unavailable", func(f *fixture) {
 			f.unavailable = true
 			f.submit(newSmallJob())
 		}, wire.StatusUnavailable, "state service does not answer"},
-		{"would never be accepted, but was", func(f *fixture) {
+		{"no longer acceptable, but accepted before", func(f *fixture) {
 			job := newSmallJob()
 			job.Team = "blue"
 			f.submit(job)
@@ -105,12 +105,12 @@
 	}
 }
 
-// checkIdle checks that no request is left.
+// checkIdle checks that nothing is pending and that there was no violation.
 func (f *fixture) checkIdle() {
 	f.t.Helper()
 	submissions := f.frontend.submissions
 	if f.violations != 0 || len(f.calls) != 0 || f.frontend.HasPending() || len(submissions.byJob) != 0 || submissions.checkingDependencies != 0 {
-		f.t.Errorf("%d violations, %d calls and %d submissions left", f.violations, len(f.calls), len(submissions.byJob))
+		f.t.Errorf("%d violations, %d unanswered calls and %d submissions left", f.violations, len(f.calls), len(submissions.byJob))
 	}
 }
 
@@ -140,7 +140,8 @@
 	}
 }
 
-// TestSubmissionWithDependencies plays the results of the check of dependencies.
+// TestSubmissionWithDependencies checks the response to a submission for each result of the check of
+// its dependencies.
 func TestSubmissionWithDependencies(t *testing.T) {
 	const root = "req-000002"
 	for _, c := range []struct {
@@ -196,7 +197,8 @@
 	}
 }
 
-// TestDuplicateRequestsShareOneCommit checks that requests for the same job are answered together.
+// TestDuplicateRequestsShareOneCommit checks that one commit is the response to several requests for the
+// same job.
 func TestDuplicateRequestsShareOneCommit(t *testing.T) {
 	f := newFixture(t)
 	f.submit(newSmallJob())
@@ -207,7 +209,7 @@
 	f.flush()
 	f.respondKV(commitTarget, kv.OK, nil)
 	if len(f.responses) != 2 || f.responses[0].status != wire.StatusAccepted || f.responses[1].status != wire.StatusAccepted {
-		t.Errorf("responses %+v, want two of %d", f.responses, wire.StatusAccepted)
+		t.Errorf("responses %+v, want two with status %d", f.responses, wire.StatusAccepted)
 	}
 	f.checkIdle()
 }
@@ -228,13 +230,13 @@
 	for _, c := range []struct {
 		name            string
 		availableWrites int
-		counts          []int // of writes of the pending submissions
+		counts          []int // of writes, by pending submission
 		taken           int
 	}{
 		{"all fit", 5, []int{1, 1, 3}, 3},
-		{"a small one passes a large one", 3, []int{1, 3, 2}, 2},
-		{"the first waits for more room", 11, []int{20}, 0},
-		{"the first needs more than there ever is", 12, []int{20, 1}, 1},
+		{"a small submission passes a large one", 3, []int{1, 3, 2}, 2},
+		{"the first waits for more available writes", 11, []int{20}, 0},
+		{"the first needs more writes than the burst", 12, []int{20, 1}, 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			submissions := newFixture(t).frontend.submissions
@@ -242,15 +244,15 @@
 				submissions.pending = append(submissions.pending, &submission{writeCount: count, receivedAt: micros.Micros(i)})
 			}
 			if batch := submissions.takeBatch(c.availableWrites); len(batch) != c.taken || len(submissions.pending) != len(c.counts)-c.taken {
-				t.Errorf("%d are taken and %d left, want %d taken of %d", len(batch), len(submissions.pending), c.taken, len(c.counts))
+				t.Errorf("%d taken and %d left, want %d taken of %d", len(batch), len(submissions.pending), c.taken, len(c.counts))
 			}
 		})
 	}
 }
 
-// TestRefusalRequiresCurrentMachineTypes checks that a job is refused for good because no machine type fits only
-// by types that were read after the request arrived. If they cannot be read, it is refused for now, unless
-// it was accepted before.
+// TestRefusalRequiresCurrentMachineTypes checks that a job that fits no machine type is refused permanently
+// only if the types were read after the request arrived. If they cannot be read, the job is refused
+// temporarily, unless it was accepted before.
 func TestRefusalRequiresCurrentMachineTypes(t *testing.T) {
 	for _, c := range []struct {
 		name        string
@@ -260,8 +262,8 @@
 		status      wire.Status
 		reason      wire.RefusalReason
 	}{
-		{"fits none", true, 28, (*fixture).respondNeverAccepted, wire.StatusUnprocessable, reasonFitsNoType},
-		{"fits a new one", true, 64, func(f *fixture) {
+		{"fits no type", true, 28, (*fixture).respondNeverAccepted, wire.StatusUnprocessable, reasonFitsNoType},
+		{"fits a new type", true, 64, func(f *fixture) {
 			f.flush()
 			f.respondKV(commitTarget, kv.OK, nil)
 		}, wire.StatusAccepted, ""},
@@ -270,7 +272,7 @@
 			f.flush()
 			f.respondKV(activeTarget, kv.OK, activeEntry())
 		}, wire.StatusOK, ""},
-		{"cannot be read, but a copy has a new one", false, 64, func(f *fixture) {
+		{"cannot be read, but a copy contains a new type", false, 64, func(f *fixture) {
 			f.flush()
 			f.respondKV(commitTarget, kv.OK, nil)
 		}, wire.StatusAccepted, ""},
--- a/internal/jobview/dependency_check.go
+++ b/internal/jobview/dependency_check.go
@@ -14,7 +14,7 @@
 
 // The states of a submission's dependencies.
 const (
-	DependenciesUnknown       DependencyStatus = iota // cannot be found out now
+	DependenciesUnknown       DependencyStatus = iota // cannot be determined now
 	DependenciesNeverAccepted                         // some dependency was never accepted
 	DependenciesOpen                                  // all were accepted, none is known to be cancelled
 	DependenciesCancelled                             // some upstream job is cancelled
@@ -43,23 +43,23 @@
 	CancelledRoot string
 }
 
-// dependencyCheck finds out the state of a submission's dependencies by reads made for it.
+// dependencyCheck determines the state of a submission's dependencies by reads of its own.
 type dependencyCheck struct {
 	view     *View
 	ids      []string
 	deadline micros.Micros
-	resets   int // of the graph when it was refreshed
+	resets   int // count of the graph's resets when the view was refreshed
 	done     func(DependencyResult)
 }
 
-// CheckDependencies finds out the state of the dependencies of a submission, by reads that are
-// sent from now on.
+// CheckDependencies determines the state of the dependencies of a submission, by reads that are sent
+// after this call.
 func (v *View) CheckDependencies(ids []string, deadline micros.Micros, done func(DependencyResult)) {
 	check := &dependencyCheck{view: v, ids: ids, deadline: deadline, done: done}
 	v.Refresh(check.handleRefreshed)
 }
 
-// fail ends the check without a finding.
+// fail ends the check with an unknown state.
 func (d *dependencyCheck) fail() { d.done(DependencyResult{Status: DependenciesUnknown}) }
 
 // handleRefreshed reads the terminal states of the dependencies that are not active.
@@ -84,7 +84,7 @@
 	})
 }
 
-// handleTerminalStatesRead ends the check if a terminal state decides it, and else resolves the
+// handleTerminalStatesRead ends the check if a terminal state decides it, and otherwise resolves the
 // upstream jobs of the active dependencies.
 func (d *dependencyCheck) handleTerminalStatesRead(inactive []string, found map[string]record.TerminalState) {
 	root := ""
@@ -105,7 +105,7 @@
 	d.view.resolveDependenciesSince(d.resets, d.ids, d.deadline, d.handleResolved)
 }
 
-// handleResolved ends the check by what the graph shows.
+// handleResolved ends the check with the state that the graph shows.
 func (d *dependencyCheck) handleResolved(ok bool) {
 	if !ok {
 		d.fail()
--- a/internal/jobview/dependency_check_test.go
+++ b/internal/jobview/dependency_check_test.go
@@ -10,8 +10,8 @@
 	"tamarindlead/micros"
 )
 
-// TestCheckDependencies checks what a submission learns of its dependencies, changes after the
-// last listing included.
+// TestCheckDependencies checks the state that is found for the dependencies of a submission, including
+// changes after the last listing.
 func TestCheckDependencies(t *testing.T) {
 	done := record.TerminalState{Status: record.StatusDone, FinishedAt: 1}
 	cancelled := record.TerminalState{Status: record.StatusCancelled}
@@ -74,7 +74,7 @@
 			ids:    []string{jobA}, want: DependencyResult{Status: DependenciesUnknown},
 		},
 		{
-			name: "store unavailable", listed: acceptanceWrites(jobA, 8<<10),
+			name: "key-value store unavailable", listed: acceptanceWrites(jobA, 8<<10),
 			setUp: func(_ *View, node *testNode) { node.kvStore.Unavailable = true },
 			ids:   []string{jobA}, want: DependencyResult{Status: DependenciesUnknown},
 		},
@@ -98,8 +98,8 @@
 	}
 }
 
-// TestResolveDependenciesRejectsReset checks that a question does not continue on a graph that a
-// listing has replaced meanwhile.
+// TestResolveDependenciesRejectsReset checks that a query fails if a listing replaces the graph before
+// the query ends.
 func TestResolveDependenciesRejectsReset(t *testing.T) {
 	v, node := newSyncedView(t, slices.Concat(acceptanceWrites(jobA, 8<<10), acceptanceWrites(jobB, 1, jobA))...)
 	var results []bool
@@ -107,7 +107,7 @@
 	v.Graph().Reset(nil, v.Graph().Revision())
 	node.respondAll()
 	if !slices.Equal(results, []bool{false}) {
-		t.Fatalf("results %v", results)
+		t.Fatalf("results %v, want false", results)
 	}
 }
 
--- a/internal/jobview/dependency_parts.go
+++ b/internal/jobview/dependency_parts.go
@@ -13,7 +13,7 @@
 func (v *View) readDependencyParts(job *dag.BlockedJob, done func(ok bool)) {
 	v.store.Do(budget.UserRequests, kv.List(record.DependencyPartsPrefix(job.ID), ""), func(result kv.Result) {
 		var page kv.Page
-		if err := result.DecodeOK(&page); err != nil { // the caller repeats the read or its user does
+		if err := result.DecodeOK(&page); err != nil { // the caller or the user retries
 			done(false)
 			return
 		}
@@ -21,8 +21,8 @@
 	})
 }
 
-// applyDependencyParts sets a job's dependencies, unless they became known meanwhile. It reports
-// whether no part was missing or unreadable.
+// applyDependencyParts sets a job's dependencies, unless they became known meanwhile. It returns false
+// if a part is missing or cannot be decoded.
 func (v *View) applyDependencyParts(job *dag.BlockedJob, parts []kv.Entry) bool {
 	if v.graph.Blocked(job.ID) != job || job.DependenciesKnown() {
 		return true
@@ -36,7 +36,7 @@
 		}
 		ids = append(ids, rec.JobIDs...)
 	}
-	if len(parts) != job.DependencyParts { // the job has ended, which the view is about to show
+	if len(parts) != job.DependencyParts { // the job has ended, but the graph does not show it yet
 		return false
 	}
 	v.graph.SetDependencies(job, ids)
--- a/internal/jobview/dependency_resolution.go
+++ b/internal/jobview/dependency_resolution.go
@@ -4,7 +4,7 @@
 	"tamarindlead/micros"
 )
 
-// maxResolutionReads bounds the reads for one question: each may show further jobs whose state is
+// maxResolutionReads bounds the reads for one query: each read may reveal further jobs whose state is
 // unknown.
 const maxResolutionReads = 8
 
@@ -14,20 +14,21 @@
 	view      *View
 	ids       []string
 	deadline  micros.Micros
-	resets    int // of the graph when the question began: an answer must not mix two listings
+	resets    int // count of the graph's resets when the query began: its result must not mix two listings
 	readsLeft int
 	done      func(ok bool)
 }
 
-// ResolveDependencies calls done once the graph knows the terminal states of all jobs that the
-// given ones depend on, directly or through others, and that are no longer active. The view must
-// have been refreshed for the same question. ok is false if that cannot be found out by the
+// ResolveDependencies calls done with true after the graph knows the terminal states of all upstream
+// jobs of the given jobs (direct and transitive dependencies) that are no longer active. The view must
+// have been refreshed for the same query. ok is false if the states cannot be determined before the
 // deadline.
 func (v *View) ResolveDependencies(ids []string, deadline micros.Micros, done func(ok bool)) {
 	v.resolveDependenciesSince(v.graph.Resets(), ids, deadline, done)
 }
 
-// resolveDependenciesSince is ResolveDependencies for a question that began at a count of resets.
+// resolveDependenciesSince is ResolveDependencies for a query that began when the graph's count of resets
+// was resets.
 func (v *View) resolveDependenciesSince(resets int, ids []string, deadline micros.Micros, done func(ok bool)) {
 	resolution := &dependencyResolution{
 		view:      v,
--- a/internal/jobview/fixture_test.go
+++ b/internal/jobview/fixture_test.go
@@ -34,8 +34,8 @@
 
 func jobName(i int) string { return fmt.Sprintf("req-%06d", i) }
 
-// testNode is a Host and an Observer with a key-value store of its own. It answers requests when
-// the test says so.
+// testNode is a Host and an Observer with a key-value store of its own. Requests get a response when
+// the test calls respondFirst or respondAll.
 type testNode struct {
 	t              testing.TB
 	now            micros.Micros
@@ -66,7 +66,7 @@
 	return newLimitedView(t, budget.Limits{Requests: 1e6, Writes: 1e6})
 }
 
-// newLimitedView returns a view that is not synced, with its node's limits.
+// newLimitedView returns a view that is not synced, with the given limits.
 func newLimitedView(t testing.TB, limits budget.Limits) (*View, *testNode) {
 	node := &testNode{t: t, now: micros.Hour, kvStore: fake.NewKVStore()}
 	log := slog.New(slog.NewTextHandler(t.Output(), nil))
@@ -74,7 +74,7 @@
 	return New(node, node, testSettings, kv.New(node, limit, record.LeaderKey, log), limit, log), node
 }
 
-// newSyncedView returns a view that has listed the active jobs that some writes accept.
+// newSyncedView returns a view that has listed the active jobs after the given writes.
 func newSyncedView(t testing.TB, writes ...kv.Write) (*View, *testNode) {
 	t.Helper()
 	v, node := newTestView(t)
@@ -88,8 +88,8 @@
 	return v, node
 }
 
-// acceptanceWrites returns the writes that accept a job. A small valueBytes stores its dependencies in
-// parts.
+// acceptanceWrites returns the writes that accept a job. If valueBytes is small, its
+// dependencies are stored in parts.
 func acceptanceWrites(id string, valueBytes int, dependencies ...string) []kv.Write {
 	writes, _ := record.JobWrites(&sched.Job{
 		ID: id, Class: "work", Team: "red", Priority: sched.Normal, Tasks: 3, Need: sched.NewResources(2, 0, 2),
@@ -98,7 +98,7 @@
 	return writes
 }
 
-// terminalStateWrites returns the writes that record how an active job ended.
+// terminalStateWrites returns the writes that replace the record of an active job by its terminal state.
 func terminalStateWrites(id string, state record.TerminalState) []kv.Write {
 	return []kv.Write{
 		{Delete: record.ActiveJobKey(id)},
@@ -116,14 +116,14 @@
 	}
 }
 
-// respondAll answers all requests, and those that the answers give rise to.
+// respondAll responds to all requests, including those that are sent because of the responses.
 func (n *testNode) respondAll() {
 	for len(n.unanswered) > 0 {
 		n.respondFirst()
 	}
 }
 
-// respondFirst answers the request that was sent first.
+// respondFirst responds to the oldest request.
 func (n *testNode) respondFirst() {
 	n.t.Helper()
 	sent := n.unanswered[0]
@@ -136,7 +136,7 @@
 	sent.done(kv.Response{Status: response.Status, Body: response.Body, Sent: true})
 }
 
-// advance passes time and calls the timers that are due, in the order in which they were set.
+// advance advances the time and calls the timers that are due, in the order in which they were set.
 func (n *testNode) advance(d micros.Micros) {
 	n.now += d
 	timers := n.timers
@@ -178,7 +178,7 @@
 
 // SendViaPeer implements kv.Host.
 func (n *testNode) SendViaPeer(peer string, _ kv.Request, _ micros.Micros, _ func(kv.Response)) {
-	n.t.Errorf("request through peer %q", peer)
+	n.t.Errorf("request relayed by peer %q", peer)
 }
 
 // JobPut implements Observer.
--- a/internal/jobview/refresh.go
+++ b/internal/jobview/refresh.go
@@ -7,16 +7,16 @@
 	"tamarindlead/micros"
 )
 
-// refreshQueue holds the questions that need a view of the present state. One read serves all
-// questions that were queued before it is sent.
+// refreshQueue holds the callbacks of queries that need a view of the present state. One read serves
+// all queries that were queued before it is sent.
 type refreshQueue struct {
 	callbacks   []func(ok bool)
-	requestedAt micros.Micros // time of the first of the callbacks
+	requestedAt micros.Micros // when the first of the callbacks was queued
 	reading     bool
 }
 
-// Refresh calls done once the view is at least as new as the call; ok is false if the present
-// state cannot be read now.
+// Refresh calls done after the view contains all changes from before this call. ok is false if the
+// present state cannot be read now.
 func (v *View) Refresh(done func(ok bool)) {
 	queue := &v.refreshes
 	if len(queue.callbacks) == 0 {
@@ -26,7 +26,7 @@
 	v.sendRefresh()
 }
 
-// sendRefresh reads the changes up to now for all queued questions, as the budget allows.
+// sendRefresh reads the changes up to now for all queued queries, as the budget allows.
 func (v *View) sendRefresh() {
 	queue := &v.refreshes
 	if queue.reading || len(queue.callbacks) == 0 {
@@ -49,11 +49,11 @@
 	})
 }
 
-// handleRefreshed applies the changes that a refresh has read and calls the questions' callbacks.
+// handleRefreshed applies the changes that a refresh has read and calls the callbacks of its queries.
 func (v *View) handleRefreshed(callbacks []func(ok bool), after uint64, result kv.Result) {
 	queue := &v.refreshes
 	queue.reading = false
-	queue.requestedAt = v.host.Now() // questions that were queued meanwhile are sent now
+	queue.requestedAt = v.host.Now() // queries that were queued during the read start to wait for the budget now
 	ok := v.ApplyWatchResult(after, result)
 	if result.Outcome == kv.Compacted {
 		v.observer.ChangesMissed()
@@ -62,7 +62,7 @@
 	v.sendRefresh()
 }
 
-// callAll passes one outcome to several callbacks, in order.
+// callAll calls several callbacks with the same outcome, in order.
 func callAll(callbacks []func(ok bool), ok bool) {
 	for _, callback := range callbacks {
 		callback(ok)
--- a/internal/jobview/terminal_state_reads.go
+++ b/internal/jobview/terminal_state_reads.go
@@ -11,23 +11,23 @@
 	"tamarindlead/micros"
 )
 
-// maxSingleReads is the number of terminal states up to which each is read by its key. More take
-// fewer requests by listing pages of neighbouring keys.
+// maxSingleReads is the largest number of terminal states that are read one by one by their keys. For
+// more terminal states, it takes fewer requests to list pages of neighbouring keys.
 const maxSingleReads = 2
 
 // terminalStatesRead is a read of the terminal states of several jobs.
 type terminalStatesRead struct {
 	view      *View
 	purpose   budget.Purpose
-	remaining []string // jobs that are not read yet, in order
+	remaining []string // jobs that are not read yet, sorted
 	deadline  micros.Micros
 	found     map[string]record.TerminalState
 	done      func(found map[string]record.TerminalState, ok bool)
 }
 
-// readTerminalStates reads the terminal states of jobs, given in order, in at most as many
-// requests as there are jobs. found lacks the jobs that have none; if ok is false, further ones may
-// be missing.
+// readTerminalStates reads the terminal states of jobs, whose IDs must be sorted, in at most as many
+// requests as there are jobs. found contains only the jobs that have a terminal state; if ok is false,
+// it may be incomplete.
 func (v *View) readTerminalStates(purpose budget.Purpose, ids []string, deadline micros.Micros, done func(found map[string]record.TerminalState, ok bool)) {
 	read := &terminalStatesRead{
 		view:      v,
@@ -69,7 +69,7 @@
 	list := kv.List(record.TerminalStatePrefix, keyBefore(record.TerminalStateKey(r.remaining[0])))
 	r.view.store.Do(r.purpose, list, func(result kv.Result) {
 		var page kv.Page
-		if err := result.DecodeOK(&page); err != nil { // a retry or the end of the read handles it
+		if err := result.DecodeOK(&page); err != nil { // handleFailure retries or ends the read
 			r.handleFailure(result.Outcome)
 			return
 		}
@@ -119,7 +119,7 @@
 	r.done(r.found, false)
 }
 
-// keyBefore returns a key that sorts before the given one and after all other keys that do.
+// keyBefore returns a key that sorts directly before the given one: no record has a key between the two.
 func keyBefore(key string) string {
 	last := len(key) - 1
 	return key[:last] + string(key[last]-1) + "~"
--- a/internal/jobview/terminal_state_reads_test.go
+++ b/internal/jobview/terminal_state_reads_test.go
@@ -32,7 +32,7 @@
 		var found map[string]record.TerminalState
 		v.readTerminalStates(budget.UserRequests, slices.Clone(ids), node.now+micros.Second, func(f map[string]record.TerminalState, ok bool) {
 			if !ok {
-				t.Fatal("not read")
+				t.Fatal("the read failed")
 			}
 			found = f
 		})
@@ -45,7 +45,7 @@
 		}
 		for _, id := range ids {
 			if _, ok := found[id]; ok != want[id] {
-				t.Fatalf("%s is found: %v", id, ok)
+				t.Fatalf("%s found: %v, contrary to what was written", id, ok)
 			}
 		}
 	}
@@ -57,7 +57,7 @@
 		name          string
 		throttledFor  micros.Micros
 		wantOK        bool
-		wantEndedWhen micros.Micros // after the start
+		wantEndedWhen micros.Micros // relative to the start
 	}{
 		{"short", 3 * kv.ThrottledPause, true, 3 * kv.ThrottledPause},
 		{"beyond the deadline", 100 * micros.Second, false, micros.Second},
@@ -85,13 +85,13 @@
 	}
 }
 
-// TestKeyBefore checks the key from which a listing must start to return a given key first.
+// TestKeyBefore checks the key after which a listing must start to return a given key first.
 func TestKeyBefore(t *testing.T) {
 	for _, id := range []string{"req-000000", "req-000010", "req-000019", "req-0000190"} {
 		key := record.TerminalStateKey(id)
 		from := keyBefore(key)
 		if from >= key || from < key[:len(key)-1] {
-			t.Errorf("%s from %s", id, from)
+			t.Errorf("%s: listing starts after %s", id, from)
 		}
 	}
 }
--- a/internal/jobview/terminal_state_resolution.go
+++ b/internal/jobview/terminal_state_resolution.go
@@ -7,8 +7,8 @@
 	"tamarindlead/micros"
 )
 
-// terminalStateResolution is the state of the reads that find out how dependencies ended that are
-// no longer active.
+// terminalStateResolution is the state of the reads of the terminal states of dependencies that are no
+// longer active.
 type terminalStateResolution struct {
 	reading   bool
 	callbacks []func(ok bool)
@@ -20,7 +20,7 @@
 	switch rec.Status {
 	case record.StatusDone:
 		finishedAt := rec.FinishedAt
-		if finishedAt == 0 { // records of older versions lack the time
+		if finishedAt == 0 { // records written by older versions do not contain the time
 			finishedAt = v.host.WallClock()
 		}
 		v.graph.MarkDone(id, min(finishedAt, v.host.WallClock()))
@@ -51,8 +51,8 @@
 	}
 }
 
-// resolveTerminalStates reads how dependencies ended that are no longer active, for a question. It
-// shares a read that is in flight.
+// resolveTerminalStates reads, for a query, the terminal states of dependencies that are no longer
+// active. If such a read is in flight, the query shares it.
 func (v *View) resolveTerminalStates(done func(ok bool)) {
 	v.resolution.callbacks = append(v.resolution.callbacks, done)
 	if !v.resolution.reading {
@@ -67,8 +67,8 @@
 	v.readTerminalStates(purpose, v.graph.UnresolvedJobs(), deadline, v.handleUnresolvedRead)
 }
 
-// handleUnresolvedRead applies the terminal states that were found, also those of a read that
-// failed later on.
+// handleUnresolvedRead applies the terminal states that were found, even if the read failed before it
+// was complete.
 func (v *View) handleUnresolvedRead(found map[string]record.TerminalState, ok bool) {
 	resolution := &v.resolution
 	resolution.reading = false
--- a/internal/jobview/terminal_states.go
+++ b/internal/jobview/terminal_states.go
@@ -2,11 +2,11 @@
 
 import "tamarindlead/internal/wire"
 
-// maxTerminalStates bounds the terminal states that are kept in memory.
+// maxTerminalStates bounds the number of cached terminal states.
 const maxTerminalStates = 2048
 
-// TerminalStates is a bounded memory of the terminal states of jobs that users may be told of. A
-// terminal state never changes, so a question about one needs no read.
+// TerminalStates is a bounded cache of the terminal states that may be acknowledged to users. A
+// terminal state never changes, so a query of a cached one needs no read.
 type TerminalStates struct {
 	byJob map[string]wire.JobPhase
 	order []string // jobs, the oldest first
@@ -16,10 +16,10 @@
 	return &TerminalStates{byJob: map[string]wire.JobPhase{}}
 }
 
-// Of returns a job's terminal state, or "" if it is not kept.
+// Of returns a job's terminal state, or "" if it is not cached.
 func (s *TerminalStates) Of(job string) wire.JobPhase { return s.byJob[job] }
 
-// Remember keeps a job's terminal state, in place of the oldest one if the memory is full.
+// Remember caches a job's terminal state, and evicts the oldest one if the cache is full.
 func (s *TerminalStates) Remember(job string, status wire.JobPhase) {
 	if s.byJob[job] != "" {
 		return
--- a/internal/jobview/terminal_states_test.go
+++ b/internal/jobview/terminal_states_test.go
@@ -7,22 +7,22 @@
 	"tamarindlead/internal/wire"
 )
 
-// TestTerminalStates checks that a terminal state never changes, and that the oldest go first.
+// TestTerminalStates checks that a cached terminal state never changes, and that the oldest is evicted first.
 func TestTerminalStates(t *testing.T) {
 	states := newTerminalStates()
 	states.Remember("first", wire.JobDone)
 	states.Remember("first", wire.JobCancelled)
 	if states.Of("first") != wire.JobDone || states.Of("other") != "" {
-		t.Fatalf("%q and %q", states.Of("first"), states.Of("other"))
+		t.Fatalf("first: %q, want done; other: %q, want none", states.Of("first"), states.Of("other"))
 	}
 	for i := range maxTerminalStates - 1 {
 		states.Remember(fmt.Sprint(i), wire.JobDone)
 	}
 	if states.Of("first") == "" {
-		t.Fatal("forgotten although there is room")
+		t.Fatal("evicted although the cache is not full")
 	}
 	states.Remember("last", wire.JobCancelled)
 	if states.Of("first") != "" || states.Of("0") == "" || states.Of("last") != wire.JobCancelled || len(states.byJob) != maxTerminalStates {
-		t.Fatalf("%d states are kept", len(states.byJob))
+		t.Fatalf("a wrong state was evicted, or %d states are cached", len(states.byJob))
 	}
 }
--- a/internal/jobview/view.go
+++ b/internal/jobview/view.go
@@ -14,39 +14,40 @@
 type Host interface {
 	// Now returns the current time.
 	Now() micros.Micros
-	// WallClock returns the time of day, which records hold.
+	// WallClock returns the time of day, which is used in records.
 	WallClock() micros.Micros
-	// After calls do once d has passed.
+	// After calls do when d has passed.
 	After(d micros.Micros, do func())
 	// WatchWait returns how long a watch of the active jobs may wait for changes.
 	WatchWait() micros.Micros
-	// OwnsTeams reports whether the node owns teams. Its owner then lists and watches the active
-	// jobs itself and feeds the View's graph.
+	// OwnsTeams reports whether the node owns teams. An owner lists and watches the active jobs
+	// itself and updates the View's graph.
 	OwnsTeams() bool
 }
 
 // Observer is notified of changes while the view applies them, and estimates run times.
 type Observer interface {
-	// JobPut is called when the graph has applied a job's record that was written.
+	// JobPut is called when the graph has applied the write of a job's record.
 	JobPut(key string, value []byte, version uint64)
 	// JobDeleted is called when a job is no longer active.
 	JobDeleted(id string)
 	// JobReady is called when all dependencies of a blocked job are done.
 	JobReady(job *dag.BlockedJob)
-	// JobCancelled is called when a blocked job is cancelled because an upstream job is.
+	// JobCancelled is called when a blocked job is cancelled because an upstream job is cancelled.
 	JobCancelled(id string)
-	// InheritanceChanged is called when the inheritance of a job has changed.
+	// InheritanceChanged is called when the priority or deadline that a job inherits from its
+	// downstream jobs has changed.
 	InheritanceChanged(id string)
 	// EstimateOf returns the expected run time of a blocked job from its start.
 	EstimateOf(job *dag.BlockedJob) micros.Micros
 	// ChangesMissed is called when a refresh finds that the key-value store has compacted changes
-	// that the graph lacks, before the refresh fails.
+	// that the graph has not applied, before the refresh fails.
 	ChangesMissed()
 }
 
-// Settings are the intervals that a View shares with its node.
+// Settings are the intervals that a View has in common with its node.
 type Settings struct {
-	// RequestTimeout is the time after which a user's request is given up.
+	// RequestTimeout is the time after which a user's request fails.
 	RequestTimeout micros.Micros
 	// TickInterval is the time between the node's ticks while something is pending.
 	TickInterval micros.Micros
@@ -54,7 +55,7 @@
 	ReadRetryDelay micros.Micros
 }
 
-// View is a node's view of the active jobs and of how jobs ended.
+// View is a node's view of the active jobs and of the terminal states of jobs.
 type View struct {
 	host     Host
 	observer Observer
@@ -65,7 +66,8 @@
 
 	graph          *dag.Graph
 	terminalStates *TerminalStates
-	// cancellationsKnownUntil is the time at which the last answered read of the watch was sent.
+	// cancellationsKnownUntil is when the last successful listing or watch was sent: the view shows
+	// all cancellations before that time.
 	cancellationsKnownUntil micros.Micros
 
 	watcher    watcher
@@ -88,7 +90,7 @@
 	return v
 }
 
-// graphObserver adds to an Observer what the view itself knows.
+// graphObserver extends an Observer by the terminal states that the view has cached.
 type graphObserver struct {
 	Observer
 	terminalStates *TerminalStates
@@ -100,15 +102,15 @@
 // Graph returns the graph of the active jobs.
 func (v *View) Graph() *dag.Graph { return v.graph }
 
-// TerminalStates returns the memory of the terminal states that users may be told of.
+// TerminalStates returns the cache of the terminal states that may be acknowledged to users.
 func (v *View) TerminalStates() *TerminalStates { return v.terminalStates }
 
 // CancellationsKnownUntil returns the time up to which the view's own watch shows all
 // cancellations.
 func (v *View) CancellationsKnownUntil() micros.Micros { return v.cancellationsKnownUntil }
 
-// ApplyWatchResult applies the result of a watch of the active jobs that began after a revision.
-// It reports whether the result could be read and continues the graph.
+// ApplyWatchResult applies the result of a watch of the active jobs that began after a revision. It
+// reports whether the result could be decoded and continues from the graph's revision.
 func (v *View) ApplyWatchResult(after uint64, result kv.Result) bool {
 	if result.Outcome == kv.Compacted {
 		v.graph.MarkUnsynced()
--- a/internal/jobview/view_test.go
+++ b/internal/jobview/view_test.go
@@ -10,8 +10,8 @@
 	"tamarindlead/micros"
 )
 
-// TestWatch checks that a node without teams lists the active jobs, applies their changes, and
-// leaves both to the owner once it has one.
+// TestWatch checks that a node without teams lists the active jobs and applies their changes, and that
+// it does neither while it owns teams.
 func TestWatch(t *testing.T) {
 	v, node := newSyncedView(t, acceptanceWrites(jobA, 8<<10)...)
 	if !v.Graph().IsActive(jobA) || v.CancellationsKnownUntil() != node.now {
@@ -32,13 +32,13 @@
 		v.Tick()
 	}
 	if node.requests != requests || len(node.timers) > 0 {
-		t.Fatalf("%d requests at an owner, %d timers", node.requests-requests, len(node.timers))
+		t.Fatalf("%d requests of an owner, %d timers", node.requests-requests, len(node.timers))
 	}
 	node.ownsTeams = false
 	v.Tick()
 	node.advance(watchInterval)
 	if node.requests != requests+1 {
-		t.Fatal("the watch is not resumed")
+		t.Fatal("the watch was not resumed")
 	}
 }
 
@@ -51,11 +51,11 @@
 	node.advance(watchInterval)
 	node.respondAll()
 	if v.Graph().IsSynced() {
-		t.Fatal("synced although changes were missed")
+		t.Fatal("still synced after missed changes")
 	}
 	v.Tick()
 	if len(node.unanswered) > 0 {
-		t.Fatal("listed without a pause")
+		t.Fatal("listed again without a pause")
 	}
 	node.advance(watchInterval)
 	v.Tick()
@@ -65,8 +65,8 @@
 	}
 }
 
-// TestRefreshSharesReads checks that one read serves the questions that were queued before it was
-// sent, and that later ones get a newer read.
+// TestRefreshSharesReads checks that one read serves all queries that were queued before it was sent,
+// and that later queries get a newer read.
 func TestRefreshSharesReads(t *testing.T) {
 	v, node := newSyncedView(t)
 	var order []string
@@ -84,15 +84,15 @@
 	refresh("second", jobB)
 	refresh("third", jobB)
 	if node.requests != 1 {
-		t.Fatalf("%d requests before the first answer", node.requests)
+		t.Fatalf("%d requests before the first response, want 1", node.requests)
 	}
 	node.respondAll()
 	if want := []string{"first", "second", "third"}; !slices.Equal(order, want) || node.requests != 2 {
-		t.Fatalf("answered %v in %d requests", order, node.requests)
+		t.Fatalf("callbacks %v after %d requests, want three after 2", order, node.requests)
 	}
 }
 
-// TestRefreshFails checks that questions are answered also if the present state cannot be read.
+// TestRefreshFails checks that the callback is called even if the present state cannot be read.
 func TestRefreshFails(t *testing.T) {
 	tests := []struct {
 		name       string
@@ -118,8 +118,8 @@
 	}
 }
 
-// TestRefreshWaitsForBudget checks that a question waits for the budget, and fails once a user's
-// request has been given up.
+// TestRefreshWaitsForBudget checks that a refresh waits for the budget, and fails after the timeout of a
+// user's request.
 func TestRefreshWaitsForBudget(t *testing.T) {
 	tests := []struct {
 		name     string
@@ -127,8 +127,8 @@
 		wantOK   bool
 		wantWait micros.Micros
 	}{
-		{"regained in time", 2, true, 500 * micros.Millisecond},
-		{"regained too late", 0.5, false, micros.Second},
+		{"regained before the timeout", 2, true, 500 * micros.Millisecond},
+		{"regained after the timeout", 0.5, false, micros.Second},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -149,14 +149,14 @@
 				node.respondAll()
 			}
 			if ended != 1 || endedAt != start+test.wantWait {
-				t.Fatalf("%d answers, after %v", ended, endedAt-start)
+				t.Fatalf("%d callbacks, after %v", ended, endedAt-start)
 			}
 		})
 	}
 }
 
-// TestResolveBlockedJobs checks that an owner's reads show which blocked jobs are ready and which
-// are cancelled, by at most one read at a time and with a pause after a read without a finding.
+// TestResolveBlockedJobs checks that an owner reads which blocked jobs are ready and which are cancelled,
+// with at most one read in flight, and with a pause after a read that found nothing.
 func TestResolveBlockedJobs(t *testing.T) {
 	v, node := newSyncedView(t, slices.Concat(
 		acceptanceWrites(jobA, 8<<10), acceptanceWrites(jobB, 8<<10), acceptanceWrites(jobC, 8<<10),
@@ -167,11 +167,11 @@
 		v.ResolveBlockedJobs()
 		v.ResolveBlockedJobs()
 		if len(node.unanswered) > 1 {
-			t.Fatalf("%d reads in flight", len(node.unanswered))
+			t.Fatalf("%d reads in flight, want at most 1", len(node.unanswered))
 		}
 		node.respondAll()
 	}
-	step() // the parts of jobAfterC
+	step() // reads the parts of dependentOfC
 	if v.Graph().FirstIncomplete() != nil || node.requests != 1 {
 		t.Fatalf("%d requests, incomplete: %v", node.requests, v.Graph().FirstIncomplete())
 	}
@@ -187,7 +187,7 @@
 		t.Fatalf("ready %v, cancelled %v", node.ready, node.cancelled)
 	}
 	node.advance(testSettings.TickInterval)
-	step() // finds nothing of jobC
+	step() // finds no terminal state of jobC
 	requests := node.requests
 	node.advance(testSettings.TickInterval)
 	step()
--- a/internal/jobview/watch.go
+++ b/internal/jobview/watch.go
@@ -7,8 +7,8 @@
 	"tamarindlead/micros"
 )
 
-// watchInterval is the least time between two watches, and the pause after one that failed. A node
-// that owns no teams need not be up to date: what its view shows is always confirmed by a read.
+// watchInterval is the minimum time between two watches, and the pause after a watch that failed. The
+// view of a node that owns no teams need not be up to date: it is always confirmed by a read.
 const watchInterval = micros.Second
 
 // watcher is the state of the watch of the active jobs at a node that owns no teams.
@@ -17,13 +17,13 @@
 	retryAt micros.Micros
 }
 
-// stop ends the watch until a pause is over.
+// stop ends the watch. It may start again after watchInterval.
 func (f *watcher) stop(now micros.Micros) {
 	f.running = false
 	f.retryAt = now + watchInterval
 }
 
-// Tick starts the watch of the active jobs if none is running at a node that owns no teams.
+// Tick starts the watch of the active jobs at a node that owns no teams, unless it is running.
 func (v *View) Tick() {
 	if v.watcher.running || v.host.Now() < v.watcher.retryAt || v.host.OwnsTeams() {
 		return
@@ -36,7 +36,7 @@
 	v.list()
 }
 
-// list resets the graph to a listing and watches the changes from there.
+// list resets the graph to a listing and then watches the changes after it.
 func (v *View) list() {
 	requestedAt := v.host.Now()
 	v.store.ListAll(record.ActiveJobPrefix, func(listing kv.Listing, err error) {
@@ -44,7 +44,7 @@
 			v.watcher.stop(v.host.Now())
 			return
 		}
-		if !v.host.OwnsTeams() { // a new owner feeds the graph with its own listing
+		if !v.host.OwnsTeams() { // a node that has become an owner updates the graph itself
 			v.graph.Reset(listing.Entries, listing.Revision)
 			v.cancellationsKnownUntil = requestedAt
 		}
@@ -52,7 +52,7 @@
 	})
 }
 
-// watch sends the next watch, from the graph's revision on, after a pause.
+// watch waits for watchInterval and then watches the changes after the graph's revision.
 func (v *View) watch() {
 	v.host.After(watchInterval, func() {
 		if v.host.OwnsTeams() {
