--- a/internal/frontend/admission.go
+++ b/internal/frontend/admission.go
@@ -12,7 +12,7 @@
 	job, err := wire.DecodeJob(body)
 	if err != nil {
 		f.node.Log.Info("submission refused as malformed", "error", err)
-		f.responder.respondRefusal(request, malformed(err))
+		f.responder.reject(request, malformed(err))
 		return
 	}
 	if len(f.node.Host.MachineTypes()) == 0 {
--- a/internal/frontend/cancellations.go
+++ b/internal/frontend/cancellations.go
@@ -26,7 +26,7 @@
 // its terminal state, which the response contains.
 func (f *Frontend) handleCancellation(request userRequest, job string) {
 	if !wire.ValidJobID(job) {
-		f.responder.respondRefusal(request, noSuchJob())
+		f.responder.reject(request, noSuchJob())
 		return
 	}
 	if phase := f.node.TerminalStates.Of(job); phase != "" {
--- a/internal/frontend/queries.go
+++ b/internal/frontend/queries.go
@@ -5,7 +5,7 @@
 // handleQuery handles a query of the state of a job.
 func (f *Frontend) handleQuery(request userRequest, job string) {
 	if !wire.ValidJobID(job) {
-		f.responder.respondRefusal(request, noSuchJob())
+		f.responder.reject(request, noSuchJob())
 		return
 	}
 	f.lookups.add(job, func(result lookupResult) {
--- a/internal/frontend/responses.go
+++ b/internal/frontend/responses.go
@@ -13,7 +13,8 @@
 }
 
 // responder sends the responses to users' requests. Every response that contains the state of a job
-// passes checkResponse, whichever handler it comes from.
+// passes checkResponse, whichever handler it comes from. A request is refused if it may be sent again
+// later, and rejected if it will never be served.
 type responder struct {
 	node   *node
 	writer ResponseWriter
@@ -70,10 +71,10 @@
 	}
 }
 
-// rejectUnaccepted refuses a request permanently because its job was never accepted.
+// rejectUnaccepted rejects a request because its job was never accepted.
 func (r *responder) rejectUnaccepted(request userRequest, job string, refused *refusal, evidence freshness.Evidence) {
 	if r.checkResponse(request, job, string(refused.reason), evidence) {
-		r.respondRefusal(request, refused)
+		r.reject(request, refused)
 	}
 }
 
@@ -82,8 +83,8 @@
 	r.writer.Respond(request.id, wire.StatusOK, nil)
 }
 
-// respondRefusal responds that a request will never be served.
-func (r *responder) respondRefusal(request userRequest, refused *refusal) {
+// reject responds that a request will never be served.
+func (r *responder) reject(request userRequest, refused *refusal) {
 	r.writer.Respond(request.id, refused.status, wire.ErrorResponse{Error: string(refused.reason)})
 }
 
--- a/internal/frontend/routes.go
+++ b/internal/frontend/routes.go
@@ -41,7 +41,7 @@
 	job, cancel := strings.CutSuffix(rest, cancelSuffix)
 	switch {
 	case !found || strings.Contains(job, "/"):
-		f.responder.respondRefusal(user, &refusal{wire.StatusNotFound, reasonNoSuchPath})
+		f.responder.reject(user, &refusal{wire.StatusNotFound, reasonNoSuchPath})
 	case cancel:
 		f.handleMethod(r, user, http.MethodPost, func() { f.handleCancellation(user, job) })
 	default:
@@ -52,7 +52,7 @@
 // handleMethod calls the handler if the request has the method that the path requires.
 func (f *Frontend) handleMethod(r Request, user userRequest, method string, handler func()) {
 	if r.Method != method {
-		f.responder.respondRefusal(user, &refusal{wire.StatusMethodNotAllowed, ReasonMethodNotAllowed})
+		f.responder.reject(user, &refusal{wire.StatusMethodNotAllowed, ReasonMethodNotAllowed})
 		return
 	}
 	handler()
