--- a/internal/cancellation/simulation_test.go
+++ b/internal/cancellation/simulation_test.go
@@ -9,23 +9,23 @@
 	"tamarindlead/micros"
 )
 
-// TestLeaseBoundUnderFaults plays random message losses, delays, restarts and clocks of different
-// rates in a cluster whose key-value store does not answer. The rule: when a node renews a
-// lease, the worker's tasks end in time even for the earliest job whose cancellation was
-// acknowledged to users and that the node does not know.
+// TestLeaseBoundUnderFaults simulates a cluster with random message losses, delays, restarts, partitions
+// and clock drift, whose nodes rarely read the records. The rule: when a node renews a worker's lease,
+// the lease ends within the time limit of every job whose cancellation was acknowledged to users but is
+// not known to the node.
 func TestLeaseBoundUnderFaults(t *testing.T) {
 	for seed := range uint64(100) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
-			newCluster(t, seed).play()
+			newCluster(t, seed).run()
 		})
 	}
 }
 
 const (
 	nodeCount = 3
-	// stepTime is the simulated time between two steps.
-	stepTime = 100 * micros.Millisecond
-	// steps is the length of a simulation.
+	// stepDuration is the simulated time between two steps.
+	stepDuration = 100 * micros.Millisecond
+	// steps is the number of steps of a simulation.
 	steps = 3000
 	// heartbeatSteps is the number of steps between two heartbeats of a node.
 	heartbeatSteps = 10
@@ -41,8 +41,8 @@
 	rng          *rand.Rand
 	now          micros.Micros // true time
 	nodes        []*node
-	acknowledged map[string]micros.Micros // by job: when its cancellation was acknowledged to users
-	jobs         int                      // cancelled so far
+	acknowledged map[string]micros.Micros // by job: when its cancellation was first acknowledged to users
+	jobs         int                      // number of jobs cancelled so far
 	renewals     int
 	pending      []message
 }
@@ -61,9 +61,9 @@
 	drift            int64 // error of the clock's rate, in parts per million
 	offset           micros.Micros
 	tracker          *Tracker
-	knows            map[string]bool // ended jobs
-	partitionedUntil micros.Micros   // true time; until then all messages are lost
-	readUntil        micros.Micros   // true time
+	knownCancelled   map[string]bool // jobs whose cancellation the node knows
+	partitionedUntil micros.Micros   // true time; before it all messages are lost
+	readUntil        micros.Micros   // true time up to which the node has read all cancellations
 }
 
 func newCluster(t *testing.T, seed uint64) *cluster {
@@ -95,7 +95,7 @@
 }
 
 func (n *node) restart() {
-	n.knows, n.readUntil = map[string]bool{}, 0
+	n.knownCancelled, n.readUntil = map[string]bool{}, 0
 	var peers []string
 	for i := range nodeCount {
 		if i != n.index {
@@ -106,7 +106,7 @@
 }
 
 // HandleCancelled implements Host.
-func (n *node) HandleCancelled(job string) { n.knows[job] = true }
+func (n *node) HandleCancelled(job string) { n.knownCancelled[job] = true }
 
 // HandleAcknowledgeable implements Host.
 func (n *node) HandleAcknowledgeable(job string) {
@@ -128,19 +128,19 @@
 	})
 }
 
-// call sends a message to a peer, and the response that handle returns back, unless one of them
-// is lost.
+// call sends a message to a peer and then the response that handle returns, unless one of the two is
+// lost.
 func (n *node) call(peer string, handle func(to *node) (respond func())) {
 	nodes := n.cluster.nodes
 	to := nodes[slices.IndexFunc(nodes, func(n *node) bool { return n.name == peer })]
-	n.post(to, func() {
+	n.send(to, func() {
 		if respond := handle(to); respond != nil {
-			to.post(n, respond)
+			to.send(n, respond)
 		}
 	})
 }
 
-func (n *node) post(to *node, deliver func()) {
+func (n *node) send(to *node, deliver func()) {
 	c := n.cluster
 	if c.now < n.partitionedUntil || c.now < to.partitionedUntil || c.rng.IntN(10) == 0 {
 		return
@@ -167,11 +167,11 @@
 	})
 }
 
-// play runs the simulation.
-func (c *cluster) play() {
+// run runs the simulation.
+func (c *cluster) run() {
 	c.t.Helper()
 	for step := range steps {
-		c.now += stepTime
+		c.now += stepDuration
 		c.deliver()
 		c.injectFault(c.nodes[c.rng.IntN(len(c.nodes))])
 		for _, n := range c.nodes {
@@ -200,8 +200,8 @@
 	}
 }
 
-// injectFault occasionally partitions a node or restarts it, or has it cancel a job or read the
-// records.
+// injectFault occasionally partitions or restarts a node, cancels a job at the node, or lets the node
+// read the records.
 func (c *cluster) injectFault(n *node) {
 	switch c.rng.IntN(400) {
 	case 0, 1, 2:
@@ -222,16 +222,17 @@
 	}
 }
 
-// readRecords reads the records of all jobs: a cancellation is recorded before it is announced.
+// readRecords reads the records of all jobs. The node then knows all cancellations, since a cancellation
+// is recorded before it is announced.
 func (n *node) readRecords() {
 	n.readUntil = n.cluster.now
 	for i := range n.cluster.jobs {
-		n.knows[jobName(i+1)] = true
+		n.knownCancelled[jobName(i+1)] = true
 	}
 }
 
-// checkRenewal fails the test if the node renews a lease that may outlast the time limit of a
-// cancelled job that it does not know.
+// checkRenewal fails the test if the node renews a lease that ends after the time limit of a job whose
+// cancellation it does not know.
 func (n *node) checkRenewal() {
 	c := n.cluster
 	if !n.tracker.MayRenewLease(n.clockAt(n.readUntil), n.clock()) {
@@ -239,8 +240,8 @@
 	}
 	c.renewals++
 	for job, at := range c.acknowledged {
-		if !n.knows[job] && c.now+lease > at+cancelWithin {
-			c.t.Fatalf("%s renews at %v, %v after the cancellation of %s was acknowledged to users", n.name, c.now, c.now-at, job)
+		if !n.knownCancelled[job] && c.now+lease > at+cancelWithin {
+			c.t.Fatalf("%s renews a lease at %v, %v after the cancellation of %s was acknowledged to users", n.name, c.now, c.now-at, job)
 		}
 	}
 }
--- a/internal/frontend/admission.go
+++ b/internal/frontend/admission.go
@@ -12,7 +12,7 @@
 	job, err := wire.DecodeJob(body)
 	if err != nil {
 		f.node.Log.Info("submission refused as malformed", "error", err)
-		f.responder.respondRefusal(request, malformed(err))
+		f.responder.reject(request, malformed(err))
 		return
 	}
 	if len(f.node.Host.MachineTypes()) == 0 {
@@ -25,49 +25,49 @@
 	}
 	writes, size := record.JobWrites(job, f.node.Host.WallClock(), f.node.Settings.MaxValueBytes)
 	refused := f.node.checkAdmission(job, writes, size)
-	if refused.restsOnMachineTypes() {
+	if refused.dependsOnMachineTypes() {
 		f.confirmRefusal(request, job, writes, size)
 		return
 	}
-	f.acceptOrRefuse(request, job, writes, refused)
+	f.queueOrRefuse(request, job, writes, refused)
 }
 
-// acceptOrRefuse continues with a submission that was checked.
-func (f *Frontend) acceptOrRefuse(request userRequest, job *sched.Job, writes []kv.Write, refused *refusal) {
+// queueOrRefuse queues a checked submission for its commit if refused is nil, and otherwise refuses it.
+func (f *Frontend) queueOrRefuse(request userRequest, job *sched.Job, writes []kv.Write, refused *refusal) {
 	if refused != nil {
-		f.refuseUnlessKnown(request, job.ID, refused)
+		f.refuseUnlessAccepted(request, job.ID, refused)
 		return
 	}
 	f.submissions.add(request, job, len(writes))
 }
 
-// confirmRefusal checks a submission again that no known machine type fits, by the types that the cloud
-// offers now: a refusal is final, so it rests on a read that was sent after the request arrived. If they
-// cannot be read, the submission is refused for now.
+// confirmRefusal checks a submission that fits no known machine type again, against the types that the
+// cloud offers now. A permanent refusal must be based on a read that was sent after the request arrived.
+// If the types cannot be read, the submission is refused temporarily.
 func (f *Frontend) confirmRefusal(request userRequest, job *sched.Job, writes []kv.Write, size int) {
 	f.node.Host.ConfirmMachineTypes(func(confirmed bool) {
 		refused := f.node.checkAdmission(job, writes, size)
-		if refused.restsOnMachineTypes() {
+		if refused.dependsOnMachineTypes() {
 			source, age := f.node.Host.MachineTypesOrigin()
 			f.node.Log.Info("submission fits no machine type", "job", job.ID, "confirmed", confirmed, "source", source, "age_us", int64(age))
 			if !confirmed {
-				refused = temporaryRefusal(reasonTypesUnread)
+				refused = temporaryRefusal(reasonTypesUnconfirmed)
 			}
 		}
-		f.acceptOrRefuse(request, job, writes, refused)
+		f.queueOrRefuse(request, job, writes, refused)
 	})
 }
 
-// refuseUnlessKnown refuses a submission for good, unless its job is known: the machine types on
-// offer and the limits may have changed since it was accepted.
-func (f *Frontend) refuseUnlessKnown(request userRequest, job string, refused *refusal) {
+// refuseUnlessAccepted refuses a submission, unless its job was accepted before: the machine types on
+// offer and the quota limits may have changed since then.
+func (f *Frontend) refuseUnlessAccepted(request userRequest, job string, refused *refusal) {
 	f.lookups.add(job, func(result lookupResult) {
 		f.responder.respondDuplicateOrRefuse(request, job, result, refused)
 	})
 }
 
-// respondDuplicateOrRefuse answers a submission by the lookup of its job: with the job's state
-// if it was accepted before, and else with a refusal.
+// respondDuplicateOrRefuse responds to a submission after the lookup of its job: with the job's state
+// if the job was accepted before, and otherwise with a refusal.
 func (r *responder) respondDuplicateOrRefuse(request userRequest, job string, result lookupResult, refused *refusal) {
 	switch {
 	case result.outcome == lookupFound:
@@ -114,7 +114,7 @@
 	return nil
 }
 
-// withinQuotaLimit reports whether resources are within a quota limit; a limit of 0 is none.
+// withinQuotaLimit reports whether resources are within a quota limit. 0 means that there is no limit.
 func withinQuotaLimit(used, limit sched.Resources) bool {
 	return (limit.CPU == 0 || used.CPU <= limit.CPU) && (limit.GPU == 0 || used.GPU <= limit.GPU)
 }
--- a/internal/frontend/cancellations_test.go
+++ b/internal/frontend/cancellations_test.go
@@ -26,96 +26,97 @@
 	return kv.Entry{Value: wire.Encode(record.TerminalState{Status: status}), Version: 9}
 }
 
-// TestCancellation plays the answers of the state service to a cancellation.
+// TestCancellation checks the response to a cancellation for different responses of the key-value
+// store and the peers.
 func TestCancellation(t *testing.T) {
 	for _, c := range []struct {
 		name   string
-		play   func(f *fixture)
+		run    func(f *fixture)
 		status wire.Status
 		reason wire.RefusalReason
 	}{
-		{"known to have ended", func(f *fixture) {
+		{"terminal state known", func(f *fixture) {
 			f.terminal[testJobID] = wire.JobDone
 			f.cancel()
 		}, wire.StatusOK, ""},
-		{"state service unavailable", func(f *fixture) {
+		{"key-value store unavailable", func(f *fixture) {
 			f.unavailable = true
 			f.cancel()
 		}, wire.StatusUnavailable, "state service does not answer"},
-		{"no writes left", func(f *fixture) {
+		{"no writes available", func(f *fixture) {
 			f.writes = CancellationWrites - 1
 			f.cancel()
 		}, wire.StatusTooManyRequests, "too many cancellations"},
 		{"version known", func(f *fixture) {
 			f.graph.versions[testJobID] = 7
 			f.cancel()
-			f.answer(commitTarget, kv.OK, nil)
+			f.respondKV(commitTarget, kv.OK, nil)
 			f.announcements[0](true)
 		}, wire.StatusOK, ""},
 		{"not acknowledged by a peer", func(f *fixture) {
 			f.ownedVersions[testJobID] = 7
 			f.cancel()
-			f.answer(commitTarget, kv.OK, nil)
+			f.respondKV(commitTarget, kv.OK, nil)
 			f.announcements[0](false)
 		}, wire.StatusUnavailable, "a controller has not confirmed yet"},
 		{"version read", func(f *fixture) {
 			f.cancel()
-			f.answer(activeTarget, kv.OK, activeEntry())
-			f.answer(commitTarget, kv.OK, nil)
+			f.respondKV(activeTarget, kv.OK, activeEntry())
+			f.respondKV(commitTarget, kv.OK, nil)
 			f.announcements[0](true)
 		}, wire.StatusOK, ""},
 		{"in doubt, and not executed", func(f *fixture) {
 			f.graph.versions[testJobID] = 7
 			f.cancel()
-			f.answer(commitTarget, kv.Unknown, nil)
-			f.answer(activeTarget, kv.OK, activeEntry())
-			f.answer(commitTarget, kv.OK, nil)
+			f.respondKV(commitTarget, kv.Unknown, nil)
+			f.respondKV(activeTarget, kv.OK, activeEntry())
+			f.respondKV(commitTarget, kv.OK, nil)
 			f.announcements[0](true)
 		}, wire.StatusOK, ""},
-		{"in doubt for too long", func(f *fixture) {
+		{"in doubt until the deadline", func(f *fixture) {
 			f.graph.versions[testJobID] = 7
 			f.cancel()
 			f.time += SubmissionTimeout
-			f.answer(commitTarget, kv.Unknown, nil)
+			f.respondKV(commitTarget, kv.Unknown, nil)
 		}, wire.StatusUnavailable, "state service does not answer"},
 		{"done meanwhile", func(f *fixture) {
 			f.cancel()
-			f.answer(activeTarget, kv.NotFound, nil)
+			f.respondKV(activeTarget, kv.NotFound, nil)
 			f.flush()
-			f.answer(activeTarget, kv.NotFound, nil)
-			f.answer(terminalTarget, kv.OK, terminalEntry(record.StatusDone))
+			f.respondKV(activeTarget, kv.NotFound, nil)
+			f.respondKV(terminalTarget, kv.OK, terminalEntry(record.StatusDone))
 		}, wire.StatusOK, ""},
 		{"never accepted", func(f *fixture) {
 			f.cancel()
-			f.answer(activeTarget, kv.NotFound, nil)
+			f.respondKV(activeTarget, kv.NotFound, nil)
 			f.flush()
-			f.answer(activeTarget, kv.NotFound, nil)
-			f.answer(terminalTarget, kv.NotFound, nil)
+			f.respondKV(activeTarget, kv.NotFound, nil)
+			f.respondKV(terminalTarget, kv.NotFound, nil)
 		}, wire.StatusNotFound, "no such job"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			f := newFixture(t)
-			c.play(f)
+			c.run(f)
 			f.checkResponse(c.status, c.reason)
 			if f.violations != 0 || len(f.calls) != 0 {
-				t.Errorf("%d violations, %d calls left", f.violations, len(f.calls))
+				t.Errorf("%d violations, %d unanswered calls", f.violations, len(f.calls))
 			}
 		})
 	}
 }
 
-// TestCancellationIsAnsweredOnceAcknowledged checks that a user learns nothing of a cancellation
-// between its commit and its acknowledgement.
+// TestCancellationIsAnsweredOnceAcknowledged checks that the user gets no response between the commit
+// of a cancellation and its acknowledgement by the peers.
 func TestCancellationIsAnsweredOnceAcknowledged(t *testing.T) {
 	f := newFixture(t)
 	f.graph.versions[testJobID] = 7
 	f.cancel()
-	f.answer(commitTarget, kv.OK, nil)
+	f.respondKV(commitTarget, kv.OK, nil)
 	if len(f.responses) != 0 || len(f.announcements) != 1 {
 		t.Fatalf("%d responses and %d announcements, want 0 and 1", len(f.responses), len(f.announcements))
 	}
 	f.announcements[0](true)
 	if state, ok := f.onlyResponse().body.(wire.JobState); !ok || state.Status != wire.JobCancelled {
-		t.Errorf("answered %+v, want %s", f.onlyResponse(), wire.JobCancelled)
+		t.Errorf("response %+v, want %s", f.onlyResponse(), wire.JobCancelled)
 	}
 }
--- a/internal/frontend/lookups_test.go
+++ b/internal/frontend/lookups_test.go
@@ -12,63 +12,64 @@
 
 func (f *fixture) query() { f.request("GET", "/api/jobs/"+testJobID, nil) }
 
-// TestQuery plays the answers of the state service to a query.
+// TestQuery checks the response to a query for different responses of the key-value store, the view
+// and the peers.
 func TestQuery(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		play func(f *fixture)
-		want wire.JobStatus // or else the request is refused
+		run  func(f *fixture)
+		want wire.JobStatus // zero: the request is refused
 	}{
 		{"version compared", func(f *fixture) {
 			f.graph.versions[testJobID] = 7
 			f.query()
 			f.flush()
-			f.answer(commitTarget, kv.OK, nil)
+			f.respondKV(commitTarget, kv.OK, nil)
 		}, wire.JobStatus{ID: testJobID, Status: wire.JobQueued}},
-		{"own counts before those of peers", func(f *fixture) {
+		{"own counts override counts of peers", func(f *fixture) {
 			f.ownedVersions[testJobID] = 7
 			f.ownedCounts[testJobID], f.peerCounts[testJobID] = TaskCounts{2, 1}, TaskCounts{1, 2}
 			f.query()
 			f.flush()
-			f.answer(commitTarget, kv.OK, nil)
+			f.respondKV(commitTarget, kv.OK, nil)
 		}, wire.JobStatus{ID: testJobID, Status: wire.JobRunning, Done: 2, Running: 1}},
 		{"counts of peers", func(f *fixture) {
 			f.peerCounts[testJobID] = TaskCounts{1, 2}
 			f.query()
 			f.flush()
-			f.answer(activeTarget, kv.OK, activeEntry())
+			f.respondKV(activeTarget, kv.OK, activeEntry())
 		}, wire.JobStatus{ID: testJobID, Status: wire.JobRunning, Done: 1, Running: 2}},
 		{"version outdated, done meanwhile", func(f *fixture) {
 			f.graph.versions[testJobID] = 7
 			f.query()
 			f.flush()
-			f.answer(commitTarget, kv.PreconditionFailed, kv.TransactionResult{FailedPreconditions: []string{record.ActiveJobKey(testJobID)}})
-			f.answer(activeTarget, kv.NotFound, nil)
-			f.answer(terminalTarget, kv.OK, terminalEntry(record.StatusDone))
+			f.respondKV(commitTarget, kv.PreconditionFailed, kv.TransactionResult{FailedPreconditions: []string{record.ActiveJobKey(testJobID)}})
+			f.respondKV(activeTarget, kv.NotFound, nil)
+			f.respondKV(terminalTarget, kv.OK, terminalEntry(record.StatusDone))
 		}, wire.JobStatus{ID: testJobID, Status: wire.JobDone}},
 		{"cancelled, acknowledged", func(f *fixture) {
 			f.query()
 			f.flush()
-			f.answer(activeTarget, kv.NotFound, nil)
-			f.answer(terminalTarget, kv.OK, terminalEntry(record.StatusCancelled))
+			f.respondKV(activeTarget, kv.NotFound, nil)
+			f.respondKV(terminalTarget, kv.OK, terminalEntry(record.StatusCancelled))
 			f.announcements[0](true)
 		}, wire.JobStatus{ID: testJobID, Status: wire.JobCancelled}},
 		{"cancelled, not acknowledged", func(f *fixture) {
 			f.query()
 			f.flush()
-			f.answer(activeTarget, kv.NotFound, nil)
-			f.answer(terminalTarget, kv.OK, terminalEntry(record.StatusCancelled))
+			f.respondKV(activeTarget, kv.NotFound, nil)
+			f.respondKV(terminalTarget, kv.OK, terminalEntry(record.StatusCancelled))
 			f.announcements[0](false)
 		}, wire.JobStatus{}},
 		{"cancelled since the read was sent", func(f *fixture) {
 			f.query()
 			f.flush()
 			f.cancelled[testJobID] = true
-			f.answer(activeTarget, kv.OK, activeEntry())
+			f.respondKV(activeTarget, kv.OK, activeEntry())
 			f.graph.ForgetVersion(testJobID)
 			f.flush()
-			f.answer(activeTarget, kv.NotFound, nil)
-			f.answer(terminalTarget, kv.OK, terminalEntry(record.StatusCancelled))
+			f.respondKV(activeTarget, kv.NotFound, nil)
+			f.respondKV(terminalTarget, kv.OK, terminalEntry(record.StatusCancelled))
 			f.announcements[0](true)
 		}, wire.JobStatus{ID: testJobID, Status: wire.JobCancelled}},
 		{"blocked", func(f *fixture) {
@@ -83,14 +84,14 @@
 			f.flush()
 			f.refreshes[0](false)
 		}, wire.JobStatus{}},
-		{"blocked by a cancelled job", func(f *fixture) {
+		{"depends on a cancelled job", func(f *fixture) {
 			f.graph.blocked[testJobID] = &dag.BlockedJob{ID: testJobID, Version: 7, CancelledRoot: "req-000002"}
 			f.query()
 			f.flush()
 			f.refreshes[0](true)
 			f.announcements[0](true)
 		}, wire.JobStatus{ID: testJobID, Status: wire.JobCancelled}},
-		{"no budget in time", func(f *fixture) {
+		{"no budget before the deadline", func(f *fixture) {
 			f.noRequests = true
 			f.query()
 			f.flush()
@@ -100,20 +101,20 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			f := newFixture(t)
-			c.play(f)
+			c.run(f)
 			if c.want.ID == "" {
 				f.checkResponse(wire.StatusUnavailable, "state service does not answer")
 			} else if got := f.onlyResponse(); got.status != wire.StatusOK || got.body != any(c.want) {
-				t.Errorf("answered %+v, want %+v", got, c.want)
+				t.Errorf("response %+v, want %+v", got, c.want)
 			}
 			if f.violations != 0 || len(f.calls) != 0 || f.frontend.lookups.inFlight != 0 || f.frontend.HasPending() {
-				t.Errorf("%d violations, %d calls left, %d lookups in flight", f.violations, len(f.calls), f.frontend.lookups.inFlight)
+				t.Errorf("%d violations, %d unanswered calls, %d lookups in flight", f.violations, len(f.calls), f.frontend.lookups.inFlight)
 			}
 		})
 	}
 }
 
-// TestLookupCount checks that lookups are counted once.
+// TestLookupCount checks that each lookup is counted once.
 func TestLookupCount(t *testing.T) {
 	f := newFixture(t)
 	f.query()
--- a/internal/frontend/routes.go
+++ b/internal/frontend/routes.go
@@ -7,9 +7,9 @@
 	"tamarindlead/internal/wire"
 )
 
-// Paths of the users' interface.
+// Paths of the HTTP API for users.
 const (
-	PathJobs     = "/api/jobs" // submissions; below it the jobs by ID
+	PathJobs     = "/api/jobs" // submissions; a job's path is PathJobs/ID
 	pathHealth   = "/up"
 	cancelSuffix = "/cancel" // after the path of a job
 )
@@ -22,7 +22,7 @@
 	Body   []byte
 }
 
-// HandleRequest handles a request, which is answered by this or a later event.
+// HandleRequest handles a request. The response is sent during this event or a later one.
 func (f *Frontend) HandleRequest(r Request) {
 	user := userRequest{r.ID, f.node.now()}
 	switch r.Path {
@@ -41,7 +41,7 @@
 	job, cancel := strings.CutSuffix(rest, cancelSuffix)
 	switch {
 	case !found || strings.Contains(job, "/"):
-		f.responder.respondRefusal(user, &refusal{wire.StatusNotFound, reasonNoSuchPath})
+		f.responder.reject(user, &refusal{wire.StatusNotFound, reasonNoSuchPath})
 	case cancel:
 		f.handleMethod(r, user, http.MethodPost, func() { f.handleCancellation(user, job) })
 	default:
@@ -52,13 +52,13 @@
 // handleMethod calls the handler if the request has the method that the path requires.
 func (f *Frontend) handleMethod(r Request, user userRequest, method string, handler func()) {
 	if r.Method != method {
-		f.responder.respondRefusal(user, &refusal{wire.StatusMethodNotAllowed, ReasonMethodNotAllowed})
+		f.responder.reject(user, &refusal{wire.StatusMethodNotAllowed, ReasonMethodNotAllowed})
 		return
 	}
 	handler()
 }
 
-// handleHealthCheck answers whether this node can serve requests at all.
+// handleHealthCheck responds whether this node can serve requests at all.
 func (f *Frontend) handleHealthCheck(user userRequest) {
 	if f.node.Host.IsIsolated() {
 		f.responder.refuse(user, reasonIsolated)
--- a/internal/frontend/submissions_test.go
+++ b/internal/frontend/submissions_test.go
@@ -18,62 +18,62 @@
 	f.request("POST", "/api/jobs", wire.Encode(wire.FromJob(job)))
 }
 
-// neverAccepted answers the lookup of the fixture's job.
-func (f *fixture) neverAccepted() {
+// respondNeverAccepted responds to the lookup of the fixture's job: it was never accepted.
+func (f *fixture) respondNeverAccepted() {
 	f.flush()
-	f.answer(activeTarget, kv.NotFound, nil)
-	f.answer(terminalTarget, kv.NotFound, nil)
+	f.respondKV(activeTarget, kv.NotFound, nil)
+	f.respondKV(terminalTarget, kv.NotFound, nil)
 }
 
-// TestSubmission plays the answers of the state service to a submission.
+// TestSubmission checks the response to a submission for different responses of the key-value store.
 func TestSubmission(t *testing.T) {
 	known := kv.TransactionResult{FailedPreconditions: []string{record.TerminalStateKey(testJobID)}}
 	for _, c := range []struct {
 		name   string
-		play   func(f *fixture)
+		run    func(f *fixture)
 		status wire.Status
 		reason wire.RefusalReason
 	}{
 		{"accepted", func(f *fixture) {
 			f.submit(newSmallJob())
 			f.flush()
-			f.answer(commitTarget, kv.OK, nil)
+			f.respondKV(commitTarget, kv.OK, nil)
 		}, wire.StatusAccepted, ""},
 		{"in doubt, and executed", func(f *fixture) {
 			f.submit(newSmallJob())
 			f.flush()
-			f.answer(commitTarget, kv.Unknown, nil)
+			f.respondKV(commitTarget, kv.Unknown, nil)
 			f.flush()
-			f.answer(commitTarget, kv.PreconditionFailed, kv.TransactionResult{FailedPreconditions: []string{record.ActiveJobKey(testJobID)}})
+			f.respondKV(commitTarget, kv.PreconditionFailed, kv.TransactionResult{FailedPreconditions: []string{record.ActiveJobKey(testJobID)}})
 			f.flush()
-			f.answer(activeTarget, kv.OK, activeEntry())
+			f.respondKV(activeTarget, kv.OK, activeEntry())
 		}, wire.StatusOK, ""},
 		{"duplicate of a job that has ended", func(f *fixture) {
 			f.submit(newSmallJob())
 			f.flush()
-			f.answer(commitTarget, kv.PreconditionFailed, known)
+			f.respondKV(commitTarget, kv.PreconditionFailed, known)
 			f.flush()
-			f.answer(activeTarget, kv.NotFound, nil)
-			f.answer(terminalTarget, kv.OK, terminalEntry(record.StatusDone))
+			f.respondKV(activeTarget, kv.NotFound, nil)
+			f.respondKV(terminalTarget, kv.OK, terminalEntry(record.StatusDone))
 		}, wire.StatusOK, ""},
 		{"throttled", func(f *fixture) {
 			f.submit(newSmallJob())
 			f.flush()
-			f.answer(commitTarget, kv.Throttled, nil)
+			f.respondKV(commitTarget, kv.Throttled, nil)
 			f.flush()
 			if len(f.calls) != 0 {
-				f.t.Error("the commit is sent again without a pause")
+				f.t.Error("the commit is retried without a pause")
 			}
 			f.time += kv.ThrottledPause
 			f.flush()
-			f.answer(commitTarget, kv.OK, nil)
+			f.respondKV(commitTarget, kv.OK, nil)
 		}, wire.StatusAccepted, ""},
-		{"refused by the state service", func(f *fixture) {
+		{"refused by the key-value store", func(f *fixture) {
 			f.submit(newSmallJob())
 			f.flush()
-			f.answer(commitTarget, kv.InvalidRequest, nil)
+			f.respondKV(commitTarget, kv.InvalidRequest, nil)
 		}, wire.StatusUnavailable, "state service refuses"},
-		{"no writes in time", func(f *fixture) {
+		{"no writes available before the timeout", func(f *fixture) {
 			f.writes = 0
 			f.submit(newSmallJob())
 			f.flush()
@@ -84,33 +84,33 @@
 			f.types = nil
 			f.submit(newSmallJob())
 		}, wire.StatusUnavailable, "machine types are not known yet"},
-		{"state service unavailable", func(f *fixture) {
+		{"key-value store unavailable", func(f *fixture) {
 			f.unavailable = true
 			f.submit(newSmallJob())
 		}, wire.StatusUnavailable, "state service does not answer"},
-		{"would never be accepted, but was", func(f *fixture) {
+		{"no longer acceptable, but accepted before", func(f *fixture) {
 			job := newSmallJob()
 			job.Team = "blue"
 			f.submit(job)
 			f.flush()
-			f.answer(activeTarget, kv.OK, activeEntry())
+			f.respondKV(activeTarget, kv.OK, activeEntry())
 		}, wire.StatusOK, ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			f := newFixture(t)
-			c.play(f)
+			c.run(f)
 			f.checkResponse(c.status, c.reason)
 			f.checkIdle()
 		})
 	}
 }
 
-// checkIdle checks that no request is left.
+// checkIdle checks that nothing is pending and that there was no violation.
 func (f *fixture) checkIdle() {
 	f.t.Helper()
 	submissions := f.frontend.submissions
 	if f.violations != 0 || len(f.calls) != 0 || f.frontend.HasPending() || len(submissions.byJob) != 0 || submissions.checkingDependencies != 0 {
-		f.t.Errorf("%d violations, %d calls and %d submissions left", f.violations, len(f.calls), len(submissions.byJob))
+		f.t.Errorf("%d violations, %d unanswered calls and %d submissions left", f.violations, len(f.calls), len(submissions.byJob))
 	}
 }
 
@@ -133,19 +133,20 @@
 			job := newSmallJob()
 			c.change(job)
 			f.submit(job)
-			f.neverAccepted()
+			f.respondNeverAccepted()
 			f.checkResponse(c.status, c.reason)
 			f.checkIdle()
 		})
 	}
 }
 
-// TestSubmissionWithDependencies plays the results of the check of dependencies.
+// TestSubmissionWithDependencies checks the response to a submission for each result of the check of
+// its dependencies.
 func TestSubmissionWithDependencies(t *testing.T) {
 	const root = "req-000002"
 	for _, c := range []struct {
 		name   string
-		play   func(f *fixture, job *sched.Job)
+		run    func(f *fixture, job *sched.Job)
 		status wire.Status
 		reason wire.RefusalReason
 	}{
@@ -153,50 +154,51 @@
 			f.submit(job)
 			f.dependencyCheck(jobview.DependencyResult{Status: jobview.DependenciesOpen})
 			f.flush()
-			f.answer(commitTarget, kv.OK, nil)
+			f.respondKV(commitTarget, kv.OK, nil)
 		}, wire.StatusAccepted, ""},
 		{"cancelled, acknowledged", func(f *fixture, job *sched.Job) {
 			f.submit(job)
 			f.dependencyCheck(jobview.DependencyResult{Status: jobview.DependenciesCancelled, CancelledRoot: root})
 			f.flush()
-			f.answer(commitTarget, kv.OK, nil)
+			f.respondKV(commitTarget, kv.OK, nil)
 			f.announcements[0](true)
 		}, wire.StatusAccepted, ""},
 		{"cancelled, not acknowledged", func(f *fixture, job *sched.Job) {
 			f.submit(job)
 			f.dependencyCheck(jobview.DependencyResult{Status: jobview.DependenciesCancelled, CancelledRoot: root})
 			f.flush()
-			f.answer(commitTarget, kv.OK, nil)
+			f.respondKV(commitTarget, kv.OK, nil)
 			f.announcements[0](false)
 		}, wire.StatusUnavailable, "a controller has not confirmed yet"},
 		{"never accepted", func(f *fixture, job *sched.Job) {
 			f.submit(job)
 			f.dependencyCheck(jobview.DependencyResult{Status: jobview.DependenciesNeverAccepted})
-			f.neverAccepted()
+			f.respondNeverAccepted()
 		}, wire.StatusUnprocessable, "awaits a job that was never accepted"},
 		{"unknown", func(f *fixture, job *sched.Job) {
 			f.submit(job)
 			f.dependencyCheck(jobview.DependencyResult{})
-			f.neverAccepted()
+			f.respondNeverAccepted()
 		}, wire.StatusUnavailable, "state service does not answer"},
 		{"view not synced", func(f *fixture, job *sched.Job) {
 			f.graph.synced = false
 			f.submit(job)
-			f.neverAccepted()
+			f.respondNeverAccepted()
 		}, wire.StatusUnavailable, "the jobs are not known yet"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			f := newFixture(t)
 			job := newSmallJob()
 			job.Dependencies = []string{root}
-			c.play(f, job)
+			c.run(f, job)
 			f.checkResponse(c.status, c.reason)
 			f.checkIdle()
 		})
 	}
 }
 
-// TestDuplicateRequestsShareOneCommit checks that requests for the same job are answered together.
+// TestDuplicateRequestsShareOneCommit checks that one commit is the response to several requests for the
+// same job.
 func TestDuplicateRequestsShareOneCommit(t *testing.T) {
 	f := newFixture(t)
 	f.submit(newSmallJob())
@@ -205,9 +207,9 @@
 		t.Fatalf("%d submissions are pending, want 1", pending)
 	}
 	f.flush()
-	f.answer(commitTarget, kv.OK, nil)
+	f.respondKV(commitTarget, kv.OK, nil)
 	if len(f.responses) != 2 || f.responses[0].status != wire.StatusAccepted || f.responses[1].status != wire.StatusAccepted {
-		t.Errorf("responses %+v, want two of %d", f.responses, wire.StatusAccepted)
+		t.Errorf("responses %+v, want two with status %d", f.responses, wire.StatusAccepted)
 	}
 	f.checkIdle()
 }
@@ -226,53 +228,53 @@
 // TestTakeBatch checks which submissions one transaction takes.
 func TestTakeBatch(t *testing.T) {
 	for _, c := range []struct {
-		name   string
-		room   int
-		counts []int // of writes of the pending submissions
-		taken  int
+		name            string
+		availableWrites int
+		counts          []int // of writes, by pending submission
+		taken           int
 	}{
 		{"all fit", 5, []int{1, 1, 3}, 3},
-		{"a small one passes a large one", 3, []int{1, 3, 2}, 2},
-		{"the first waits for more room", 11, []int{20}, 0},
-		{"the first needs more than there ever is", 12, []int{20, 1}, 1},
+		{"a small submission passes a large one", 3, []int{1, 3, 2}, 2},
+		{"the first waits for more available writes", 11, []int{20}, 0},
+		{"the first needs more writes than the burst", 12, []int{20, 1}, 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			submissions := newFixture(t).frontend.submissions
 			for i, count := range c.counts {
 				submissions.pending = append(submissions.pending, &submission{writeCount: count, receivedAt: micros.Micros(i)})
 			}
-			if batch := submissions.takeBatch(c.room); len(batch) != c.taken || len(submissions.pending) != len(c.counts)-c.taken {
-				t.Errorf("%d are taken and %d left, want %d taken of %d", len(batch), len(submissions.pending), c.taken, len(c.counts))
+			if batch := submissions.takeBatch(c.availableWrites); len(batch) != c.taken || len(submissions.pending) != len(c.counts)-c.taken {
+				t.Errorf("%d taken and %d left, want %d taken of %d", len(batch), len(submissions.pending), c.taken, len(c.counts))
 			}
 		})
 	}
 }
 
-// TestRefusalRestsOnPresentTypes checks that a job is refused for good because no machine type fits only
-// by types that were read after the request arrived. If they cannot be read, it is refused for now, unless
-// it was accepted before.
-func TestRefusalRestsOnPresentTypes(t *testing.T) {
+// TestRefusalRequiresCurrentMachineTypes checks that a job that fits no machine type is refused permanently
+// only if the types were read after the request arrived. If they cannot be read, the job is refused
+// temporarily, unless it was accepted before.
+func TestRefusalRequiresCurrentMachineTypes(t *testing.T) {
 	for _, c := range []struct {
-		name      string
-		confirmed bool
-		offered   float64 // CPUs of the type that the read finds
-		answer    func(f *fixture)
-		status    wire.Status
-		reason    wire.RefusalReason
+		name        string
+		confirmed   bool
+		offeredCPUs float64 // CPUs of the type that the read finds
+		respondKV   func(f *fixture)
+		status      wire.Status
+		reason      wire.RefusalReason
 	}{
-		{"fits none", true, 28, (*fixture).neverAccepted, wire.StatusUnprocessable, reasonFitsNoType},
-		{"fits a new one", true, 64, func(f *fixture) {
+		{"fits no type", true, 28, (*fixture).respondNeverAccepted, wire.StatusUnprocessable, reasonFitsNoType},
+		{"fits a new type", true, 64, func(f *fixture) {
 			f.flush()
-			f.answer(commitTarget, kv.OK, nil)
+			f.respondKV(commitTarget, kv.OK, nil)
 		}, wire.StatusAccepted, ""},
-		{"cannot be read", false, 28, (*fixture).neverAccepted, wire.StatusUnavailable, reasonTypesUnread},
+		{"cannot be read", false, 28, (*fixture).respondNeverAccepted, wire.StatusUnavailable, reasonTypesUnconfirmed},
 		{"cannot be read, but accepted before", false, 28, func(f *fixture) {
 			f.flush()
-			f.answer(activeTarget, kv.OK, activeEntry())
+			f.respondKV(activeTarget, kv.OK, activeEntry())
 		}, wire.StatusOK, ""},
-		{"cannot be read, but a copy has a new one", false, 64, func(f *fixture) {
+		{"cannot be read, but a copy contains a new type", false, 64, func(f *fixture) {
 			f.flush()
-			f.answer(commitTarget, kv.OK, nil)
+			f.respondKV(commitTarget, kv.OK, nil)
 		}, wire.StatusAccepted, ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -287,9 +289,9 @@
 			if confirm == nil || len(f.calls) > 0 || len(f.responses) > 0 {
 				t.Fatalf("%d calls, responses %+v before the types are read", len(f.calls), f.responses)
 			}
-			f.types[0].Size = sched.NewResources(c.offered, 0, 112)
+			f.types[0].Size = sched.NewResources(c.offeredCPUs, 0, 112)
 			confirm(c.confirmed)
-			c.answer(f)
+			c.respondKV(f)
 			f.checkResponse(c.status, c.reason)
 		})
 	}
