--- a/controller/adoption_interleavings_test.go
+++ b/controller/adoption_interleavings_test.go
@@ -44,7 +44,7 @@
 					adopter := fmt.Sprintf("crash-adopter after=%g %s", after, interruption)
 					t.Run(fmt.Sprintf("%d, %s, %s", seed, ownerFault, adopter), func(t *testing.T) {
 						t.Parallel()
-						playAdoption(t, seed, ownerFault, adopter)
+						runAdoption(t, seed, ownerFault, adopter)
 					})
 				}
 			}
@@ -52,11 +52,11 @@
 	}
 }
 
-// playAdoption plays one adoption: jobs run on rented machines of all owners, among them a gang, a job
+// runAdoption plays one adoption: jobs run on rented machines of all owners, among them a gang, a job
 // that is cancelled as the faults begin, and teams near their limits.
-func playAdoption(t *testing.T, seed int, ownerFault, adopter string) {
+func runAdoption(t *testing.T, seed int, ownerFault, adopter string) {
 	t.Helper()
-	sim := playSteps(t, []string{
+	sim := runSteps(t, []string{
 		fmt.Sprintf("cluster machines=0 max-machines=12 teams=6 quota-limit=6 spread-teams seed=%d", seed),
 		"run for=6",
 		"submit-jobs first-job=1 count=12 round-robin-teams=6 tasks=1 cpus=2.5 duration=60",
@@ -77,9 +77,9 @@
 	}
 }
 
-// playSteps plays commands of scenarios. No machine may be in blocks of two owners meanwhile, and the
+// runSteps plays commands of scenarios. No machine may be in blocks of two owners meanwhile, and the
 // last command must print that all jobs are done.
-func playSteps(t *testing.T, steps []string) *simulation {
+func runSteps(t *testing.T, steps []string) *simulation {
 	t.Helper()
 	var sim *simulation
 	out := ""
--- a/controller/fault_pairs_faults_test.go
+++ b/controller/fault_pairs_faults_test.go
@@ -162,9 +162,9 @@
 		}
 	}),
 	newClusterFault("messages lost, late and twice", 15, 40, func(sim *simulation, on bool) {
-		sim.lossRate, sim.lateRequestRate, sim.duplicateRequestRate = 0, 0, 0
+		sim.lossRate, sim.delayedRequestRate, sim.duplicateRequestRate = 0, 0, 0
 		if on {
-			sim.lossRate, sim.lateRequestRate, sim.duplicateRequestRate = 0.03, 0.03, 0.03
+			sim.lossRate, sim.delayedRequestRate, sim.duplicateRequestRate = 0.03, 0.03, 0.03
 		}
 	}),
 	newClusterFault("messages between controllers lost", 15, 50, func(sim *simulation, on bool) {
--- a/controller/faults_adoption_test.go
+++ b/controller/faults_adoption_test.go
@@ -45,9 +45,9 @@
 }
 
 // interruptAdopter crashes a node, or has it reread its records.
-func (sim *simulation) interruptAdopter(node *simNode, restartOnly bool, down micros.Micros) {
+func (sim *simulation) interruptAdopter(node *simNode, reloadOnly bool, down micros.Micros) {
 	switch {
-	case !restartOnly:
+	case !reloadOnly:
 		sim.crash(node, down)
 	case node.up && node.core != nil && node.core.owner != nil:
 		node.core.owner.restartRecovery("test")
--- a/controller/faults_heartbeats_test.go
+++ b/controller/faults_heartbeats_test.go
@@ -15,11 +15,11 @@
 	sim.sendRequest(sim.nodes[node], Request{Method: "POST", Path: PathHeartbeat, Body: body}, micros.Second, func(Respond) {})
 }
 
-// duplicateHeartbeat schedules the copies of a heartbeat that arrive later, and reports whether the
+// interceptHeartbeat schedules the copies of a heartbeat that arrive later, and reports whether the
 // heartbeat itself is held back.
-func (sim *simulation) duplicateHeartbeat(worker *fake.Worker, body []byte) bool {
-	if sim.duplicateHeartbeatRate > 0 && sim.rng.Float64() < sim.duplicateHeartbeatRate {
-		if sim.replayToNextOwner {
+func (sim *simulation) interceptHeartbeat(worker *fake.Worker, body []byte) bool {
+	if sim.heartbeatReplayRate > 0 && sim.rng.Float64() < sim.heartbeatReplayRate {
+		if sim.replayToSuccessor {
 			if sim.replayHeartbeats = append(sim.replayHeartbeats, body); len(sim.replayHeartbeats) > maxSavedHeartbeats {
 				sim.replayHeartbeats = sim.replayHeartbeats[1:]
 			}
@@ -37,9 +37,9 @@
 	return true
 }
 
-// replayToNewOwners delivers the heartbeats that were kept for a new owner: copies to every
+// replayToSuccessors delivers the heartbeats that were kept for a new owner: copies to every
 // controller when it starts and again when it becomes active, delayed ones some time after that.
-func (sim *simulation) replayToNewOwners() {
+func (sim *simulation) replayToSuccessors() {
 	if sim.owners == nil {
 		sim.owners, sim.activeOwners = map[int]any{}, map[int]any{}
 	}
--- a/controller/faults_leaders_test.go
+++ b/controller/faults_leaders_test.go
@@ -35,7 +35,7 @@
 
 // cancelDuringFaults has users cancel running jobs within a fifth of a second, while some of their
 // machines hang or are partitioned.
-func (sim *simulation) cancelDuringFaults(count int, hang micros.Micros, cut bool) {
+func (sim *simulation) cancelDuringFaults(count int, hang micros.Micros, partition bool) {
 	var jobs []string
 	for task := range sim.runningOn {
 		if id, _, _ := wire.SplitTaskName(task); !sim.cancelRequested[id] && !slices.Contains(jobs, id) {
@@ -53,7 +53,7 @@
 		}
 		hung[name] = true
 		worker := sim.workers[name]
-		if cut {
+		if partition {
 			worker.Partitioned = true
 			sim.after(hang, func() { worker.Partitioned = false })
 			continue
--- a/controller/faults_response_delay_test.go
+++ b/controller/faults_response_delay_test.go
@@ -31,9 +31,9 @@
 
 // delayResponse returns answer, or a function that calls it later if the response is drawn to be
 // delayed.
-func (d *responseDelay) delayResponse(sim *simulation, node *simNode, answer func(fake.Response)) func(fake.Response) {
+func (d *responseDelay) delayResponse(sim *simulation, node *simNode, respond func(fake.Response)) func(fake.Response) {
 	if d.share == 0 || d.node != allNodes && d.node != node.index || d.rng.Float64() >= d.share {
-		return answer
+		return respond
 	}
 	delay := d.maxDelay
 	if !d.fixed {
@@ -41,7 +41,7 @@
 	}
 	return func(response fake.Response) {
 		d.delayedCount++
-		sim.after(delay, func() { answer(response) })
+		sim.after(delay, func() { respond(response) })
 	}
 }
 
--- a/controller/faults_state_test.go
+++ b/controller/faults_state_test.go
@@ -14,15 +14,15 @@
 // kvFaults are faults between the controllers and the state service, and among the controllers.
 // They have their own random stream, so that scenarios without them stay as they are.
 type kvFaults struct {
-	rng                     *rand.Rand
-	lateTransactionRate     float64       // share of the transactions that are applied late, without a response
-	responseLostOnly        bool          // they are applied at once, only their response is lost
-	responseDelay           micros.Micros // of the state service, for calls other than watches
-	peerLossRate            float64       // share of the peer messages that are lost
-	peerResponsesOnly       bool          // only responses are lost
-	peerHeartbeatsSpared    bool          // neither peer heartbeats nor forwarded store calls are lost
-	lateTransactionsApplied int           // transactions that were applied late and succeeded
-	lostResponses           int           // transactions that succeeded without a response
+	rng                  *rand.Rand
+	unansweredCommitRate float64       // share of the transactions that are applied late, without a response
+	responseLostOnly     bool          // they are applied at once, only their response is lost
+	responseDelay        micros.Micros // of the state service, for calls other than watches
+	peerLossRate         float64       // share of the peer messages that are lost
+	peerResponsesOnly    bool          // only responses are lost
+	peerHeartbeatsSpared bool          // neither peer heartbeats nor forwarded store calls are lost
+	delayedCommits       int           // transactions that were applied late and succeeded
+	lostResponses        int           // transactions that succeeded without a response
 
 	kvResponseDelay   responseDelay // of the responses of the state service
 	peerResponseDelay responseDelay // of the responses of other controllers
@@ -38,40 +38,40 @@
 
 // Transactions without a response are applied within these times.
 const (
-	minLateWrite = 2 * micros.Second
-	maxLateWrite = 12 * micros.Second
+	minUnansweredCommitDelay = 2 * micros.Second
+	maxUnansweredCommitDelay = 12 * micros.Second
 )
 
 // callKVStore executes a call at the state service, with the present faults.
-func (sim *simulation) callKVStore(node *simNode, call Call, answer func(fake.Response)) {
+func (sim *simulation) callKVStore(node *simNode, call Call, respond func(fake.Response)) {
 	faults := &sim.kvFaults
-	delayed := faults.kvResponseDelay.delayResponse(sim, node, answer)
-	answer = func(response fake.Response) {
+	delayed := faults.kvResponseDelay.delayResponse(sim, node, respond)
+	respond = func(response fake.Response) {
 		if !node.onlyWorkersReachable { // responses are lost too, those of open watches included
 			delayed(response)
 		}
 	}
 	deliver := func(answer func(fake.Response)) { sim.executeKV(node, call, sim.now, answer) }
 	commit := strings.HasPrefix(call.Target, "/commit")
-	if commit && faults.lateTransactionRate > 0 && faults.rng.Float64() < faults.lateTransactionRate {
+	if commit && faults.unansweredCommitRate > 0 && faults.rng.Float64() < faults.unansweredCommitRate {
 		if faults.responseLostOnly {
 			deliver(func(response fake.Response) { faults.lostResponses += committedCount(response) })
 			return
 		}
-		span := int64(maxLateWrite - minLateWrite)
-		sim.after(minLateWrite+micros.Micros(faults.rng.Int64N(span)), func() {
-			deliver(func(response fake.Response) { faults.lateTransactionsApplied += committedCount(response) })
+		span := int64(maxUnansweredCommitDelay - minUnansweredCommitDelay)
+		sim.after(minUnansweredCommitDelay+micros.Micros(faults.rng.Int64N(span)), func() {
+			deliver(func(response fake.Response) { faults.delayedCommits += committedCount(response) })
 		})
 		return
 	}
 	if faults.responseDelay > 0 && !strings.HasPrefix(call.Target, "/changes") {
 		half := faults.responseDelay / 2
 		sim.after(half, func() {
-			deliver(func(response fake.Response) { sim.after(half, func() { answer(response) }) })
+			deliver(func(response fake.Response) { sim.after(half, func() { respond(response) }) })
 		})
 		return
 	}
-	deliver(answer)
+	deliver(respond)
 }
 
 func committedCount(response fake.Response) int {
@@ -82,9 +82,9 @@
 }
 
 // dropPeerMessage draws whether a peer message, or the response to it, is lost.
-func (sim *simulation) dropPeerMessage(call Call, answer bool) bool {
+func (sim *simulation) dropPeerMessage(call Call, isResponse bool) bool {
 	faults := &sim.kvFaults
-	if faults.peerLossRate == 0 || faults.peerResponsesOnly != answer {
+	if faults.peerLossRate == 0 || faults.peerResponsesOnly != isResponse {
 		return false
 	}
 	if faults.peerHeartbeatsSpared {
@@ -101,8 +101,8 @@
 var kvFaultCommands = commandTable{
 	"unanswered-commits": silent(func(c *command) {
 		faults := &c.sim.kvFaults
-		faults.lateTransactionRate, faults.responseLostOnly = c.number("share", 1), c.HasArg("apply-immediately")
-		c.revertLater(func() { faults.lateTransactionRate = 0 })
+		faults.unansweredCommitRate, faults.responseLostOnly = c.number("share", 1), c.HasArg("apply-immediately")
+		c.revertLater(func() { faults.unansweredCommitRate = 0 })
 	}),
 	"kv-latency": silent(func(c *command) {
 		c.sim.kvFaults.responseDelay = micros.FromMillis(c.number("ms", 1000))
--- a/controller/faults_workers_test.go
+++ b/controller/faults_workers_test.go
@@ -12,20 +12,20 @@
 
 // workerFaults are faults of heartbeats, direct commands, machines and leaders.
 type workerFaults struct {
-	taskStagger            map[string]micros.Micros // by how much each task of a job takes longer than the previous one
-	duplicateHeartbeatRate float64                  // share of the heartbeats of which copies arrive late
-	replayToNextOwner      bool                     // the copies are kept for the next owner instead
-	replayHeartbeats       [][]byte                 // copies for the next owner
-	delayNextHeartbeatOf   []string                 // the next heartbeats of these machines are delayed
-	delayedHeartbeats      [][]byte                 // until some time after the next owner becomes active
-	capturedHeartbeats     [][]byte                 // heartbeats that a scenario replays
-	commandDelayRate       float64                  // share of the direct commands whose request or response is delayed
-	minCommandDelay        micros.Micros
-	commandDelay           micros.Micros
-	delayRequestOnly       bool          // no responses
-	commitDelay            micros.Micros // of commits
-	owners                 map[int]any   // ownership of each node in the last step
-	activeOwners           map[int]any   // the same, once it is active
+	taskStagger          map[string]micros.Micros // by how much each task of a job takes longer than the previous one
+	heartbeatReplayRate  float64                  // share of the heartbeats of which copies arrive late
+	replayToSuccessor    bool                     // the copies are kept for the next owner instead
+	replayHeartbeats     [][]byte                 // copies for the next owner
+	delayNextHeartbeatOf []string                 // the next heartbeats of these machines are delayed
+	delayedHeartbeats    [][]byte                 // until some time after the next owner becomes active
+	capturedHeartbeats   [][]byte                 // heartbeats that a scenario replays
+	commandDelayRate     float64                  // share of the direct commands whose request or response is delayed
+	minCommandDelay      micros.Micros
+	commandDelay         micros.Micros
+	delayRequestOnly     bool          // no responses
+	commitDelay          micros.Micros // of commits
+	owners               map[int]any   // ownership of each node in the last step
+	activeOwners         map[int]any   // the same, once it is active
 }
 
 // setTaskStagger has each task of a job take longer than the previous one.
@@ -45,17 +45,17 @@
 
 // delayCommand delays a direct command or its response, if it is drawn to. It returns the function
 // that answers the command, or nil if the command itself is delayed.
-func (sim *simulation) delayCommand(call Call, answer func(fake.Response)) func(fake.Response) {
+func (sim *simulation) delayCommand(call Call, respond func(fake.Response)) func(fake.Response) {
 	if sim.commandDelayRate == 0 || sim.rng.Float64() >= sim.commandDelayRate {
-		return answer
+		return respond
 	}
 	wait := sim.randomDuration(sim.minCommandDelay, sim.commandDelay)
 	if sim.delayRequestOnly || sim.rng.IntN(2) == 0 {
 		worker := sim.workers[strings.TrimPrefix(call.Addr, workerAddrPrefix)]
-		sim.after(wait, func() { sim.executeWhenResumed(worker, call, answer) })
+		sim.after(wait, func() { sim.executeWhenResumed(worker, call, respond) })
 		return nil
 	}
-	return func(response fake.Response) { sim.after(wait, func() { answer(response) }) }
+	return func(response fake.Response) { sim.after(wait, func() { respond(response) }) }
 }
 
 // executeWhenResumed executes a delayed command once the machine is reachable again.
@@ -109,8 +109,8 @@
 // workerFaultCommands cause faults of heartbeats, direct commands, machines and leaders.
 var workerFaultCommands = commandTable{
 	"replay-heartbeats": silent(func(c *command) {
-		c.sim.duplicateHeartbeatRate, c.sim.replayToNextOwner = c.number("share", 0), c.HasArg("to-successor")
-		c.revertLater(func() { c.sim.duplicateHeartbeatRate = 0 })
+		c.sim.heartbeatReplayRate, c.sim.replayToSuccessor = c.number("share", 0), c.HasArg("to-successor")
+		c.revertLater(func() { c.sim.heartbeatReplayRate = 0 })
 	}),
 	"delay-heartbeat-until-failover": silent(func(c *command) {
 		c.sim.delayNextHeartbeatOf = append(c.sim.delayNextHeartbeatOf, c.text("machine", c.sim.workerNames()[0]))
--- a/controller/pipelines_rules_test.go
+++ b/controller/pipelines_rules_test.go
@@ -60,11 +60,11 @@
 // checkDependencyRefusal checks that a job is refused for good because of its dependencies only if
 // one of them was not accepted before the request.
 func (sim *simulation) checkDependencyRefusal(id string, status int, sent micros.Micros) {
-	awaits := sim.pipelines.dependencies[id]
-	if len(awaits) == 0 || status == 404 || sim.rejectionReason(sim.submitted[id]) != "" {
+	dependencies := sim.pipelines.dependencies[id]
+	if len(dependencies) == 0 || status == 404 || sim.rejectionReason(sim.submitted[id]) != "" {
 		return
 	}
-	for _, other := range awaits {
+	for _, other := range dependencies {
 		if at, ok := sim.users.acceptedAt[other]; !ok || at > sent {
 			return
 		}
@@ -94,11 +94,11 @@
 			sim.reportViolation("orphaned: %s is called %s %v after the user of %s was told that it is cancelled", id, status, sim.now-at, a)
 		}
 	}
-	waits := slices.ContainsFunc(pipelines.dependencies[id], func(other string) bool { return !sim.allTasksDone(other) })
-	if waits {
+	blocked := slices.ContainsFunc(pipelines.dependencies[id], func(other string) bool { return !sim.allTasksDone(other) })
+	if blocked {
 		pipelines.queuedResponses[id]++
 	}
-	if waits && status != wire.JobQueued {
+	if blocked && status != wire.JobQueued {
 		sim.reportViolation("answer: %s is called %s while it waits for others", id, status)
 	}
 }
@@ -106,9 +106,9 @@
 // checkPipelinesCompleted checks at the end of a day that jobs with dependencies are done, run, or
 // still depend on a job that runs.
 func (sim *simulation) checkPipelinesCompleted() {
-	goesOn := func(id string) bool { return sim.reportedTerminal[id] == wire.JobDone || sim.runningTasks(id) > 0 }
+	doneOrRunning := func(id string) bool { return sim.reportedTerminal[id] == wire.JobDone || sim.runningTasks(id) > 0 }
 	for _, id := range ordered.Keys(sim.pipelines.dependencies) {
-		if !sim.accepted[id] || sim.cancelRequested[id] || sim.taskInfos[id].Fails || sim.hasFailedDependency(id) || goesOn(id) {
+		if !sim.accepted[id] || sim.cancelRequested[id] || sim.taskInfos[id].Fails || sim.hasFailedDependency(id) || doneOrRunning(id) {
 			continue
 		}
 		open := slices.DeleteFunc(slices.Clone(sim.pipelines.ancestors[id]), func(a string) bool { return sim.reportedTerminal[a] == wire.JobDone })
--- a/controller/pipelines_test.go
+++ b/controller/pipelines_test.go
@@ -31,11 +31,11 @@
 
 // setDependencies sets the dependencies of a job, which must be known already, and adds them to its
 // submission. "null" stands for a null list and "none" for an empty one.
-func (sim *simulation) setDependencies(id string, awaits []string) {
-	if len(awaits) == 0 {
+func (sim *simulation) setDependencies(id string, dependencies []string) {
+	if len(dependencies) == 0 {
 		return
 	}
-	switch awaits[0] {
+	switch dependencies[0] {
 	case "null":
 		sim.submissions[id] = withDependencyField(sim.submissions[id], nil)
 		return
@@ -44,16 +44,16 @@
 		return
 	}
 	pipelines := &sim.pipelines
-	pipelines.dependencies[id] = awaits
+	pipelines.dependencies[id] = dependencies
 	seen := map[string]bool{}
-	for _, other := range awaits {
+	for _, other := range dependencies {
 		seen[other] = true
 		for _, a := range pipelines.ancestors[other] {
 			seen[a] = true
 		}
 	}
 	pipelines.ancestors[id] = ordered.Keys(seen)
-	sim.submissions[id] = withDependencyField(sim.submissions[id], awaits)
+	sim.submissions[id] = withDependencyField(sim.submissions[id], dependencies)
 }
 
 // withDependencyField adds the dependencies to a submission, as the protocol names them.
@@ -130,9 +130,9 @@
 
 // submitAfterDependencies submits a job as soon as its dependencies are accepted or, with over, have
 // a terminal state, and polls it.
-func (sim *simulation) submitAfterDependencies(id string, to int, over bool) {
+func (sim *simulation) submitAfterDependencies(id string, to int, afterFinish bool) {
 	when := sim.whenAccepted
-	if over {
+	if afterFinish {
 		when = sim.whenTerminal
 	}
 	when(sim.pipelines.dependencies[id], func() {
--- a/controller/scenario_nodes_test.go
+++ b/controller/scenario_nodes_test.go
@@ -88,7 +88,7 @@
 func (c *command) setMessageFaults() {
 	c.t.Helper()
 	sim := c.sim
-	sim.lossRate, sim.lateRequestRate, sim.duplicateRequestRate = c.number("loss-rate", 0), c.number("delay-rate", 0), c.number("duplicate-rate", 0)
+	sim.lossRate, sim.delayedRequestRate, sim.duplicateRequestRate = c.number("loss-rate", 0), c.number("delay-rate", 0), c.number("duplicate-rate", 0)
 }
 
 // exhaustNumbers has a node use up nearly all numbers of its record's version.
--- a/controller/scenario_pipelines_test.go
+++ b/controller/scenario_pipelines_test.go
@@ -81,8 +81,8 @@
 	return *got
 }
 
-// watchJobs asks all nodes about jobs at an interval.
-func (sim *simulation) watchJobs(ids []string, every, until micros.Micros) {
+// pollJobs asks all nodes about jobs at an interval.
+func (sim *simulation) pollJobs(ids []string, every, until micros.Micros) {
 	if sim.now > until {
 		return
 	}
@@ -95,7 +95,7 @@
 			sim.sendUserRequest(n, "GET", "/api/jobs/"+id, nil, func(response Respond) { sim.checkResponse(id, response, sent) })
 		}
 	}
-	sim.after(every, func() { sim.watchJobs(ids, every, until) })
+	sim.after(every, func() { sim.pollJobs(ids, every, until) })
 }
 
 // sendInvalidDependencies submits jobs with invalid dependencies to a node and returns the statuses
@@ -165,7 +165,7 @@
 	},
 	"query-state-all-nodes": (*command).queryAllNodes,
 	"poll-jobs": silent(func(c *command) {
-		c.sim.watchJobs(c.jobIDs(1), c.seconds("interval", 1), c.sim.now+c.seconds("for", 60))
+		c.sim.pollJobs(c.jobIDs(1), c.seconds("interval", 1), c.sim.now+c.seconds("for", 60))
 	}),
 	"reported-states": (*command).countReportedStates,
 	"submit-invalid-dependencies": func(c *command) string {
@@ -213,15 +213,15 @@
 	c.t.Helper()
 	sim, id := c.sim, c.jobID()
 	states := make([]string, len(sim.nodes))
-	open, sent := len(states), sim.now
+	outstanding, sent := len(states), sim.now
 	for i := range sim.nodes {
 		sim.sendUserRequest(i, "GET", "/api/jobs/"+id, nil, func(response Respond) {
 			sim.checkResponse(id, response, sent)
 			states[i] = responseState(response)
-			open--
+			outstanding--
 		})
 	}
-	for open > 0 {
+	for outstanding > 0 {
 		sim.run(simulationStep)
 	}
 	return strings.Join(states, " ")
--- a/controller/scenario_figures_test.go
+++ b/controller/scenario_queries_test.go
@@ -59,25 +59,25 @@
 func (c *command) count() string {
 	c.t.Helper()
 	what := c.text("what", "running-tasks")
-	if figure := figures[what]; figure != nil {
-		return fmt.Sprint(figure(c))
+	if metric := metrics[what]; metric != nil {
+		return fmt.Sprint(metric(c))
 	}
 	if what == "records-above-size" { // a size, in the form in which the limits count it
 		return c.sim.countRecordsAbove(c.text("prefix", ""), c.integer("bytes", 0), c.integer("at-least", 0))
 	}
-	figure := figuresWithMinimum[what]
-	if figure == nil {
-		c.fail("unknown figure %s", what)
+	metric := metricsWithMinimum[what]
+	if metric == nil {
+		c.fail("unknown metric %s", what)
 	}
-	n := figure(c)
+	n := metric(c)
 	if least := c.integer("at-least", 0); least > 0 && n >= least {
 		return "true"
 	}
 	return fmt.Sprint(n)
 }
 
-// figures are printed as they are.
-var figures = map[string]func(c *command) int{
+// metrics are printed as they are.
+var metrics = map[string]func(c *command) int{
 	"running-tasks":              func(c *command) int { return len(c.sim.runningOn) },
 	"delayed-heartbeats":         func(c *command) int { return len(c.sim.delayedHeartbeats) + len(c.sim.delayNextHeartbeatOf) },
 	"cancelled-tasks-running":    func(c *command) int { return c.sim.countCancelledRunning() },
@@ -88,16 +88,16 @@
 	"launched-machines":          func(c *command) int { return len(c.sim.cloud.Machines) },
 	"acknowledged-cancellations": func(c *command) int { return len(c.sim.acknowledgedCancellations) },
 	"starts-after-cancellation":  func(c *command) int { return c.sim.users.startsAfterCancel },
-	"cancelled-at-completion":    func(c *command) int { return c.sim.users.cancelledAtEnd },
+	"cancelled-at-completion":    func(c *command) int { return c.sim.users.cancelledAtCompletion },
 	"throttled-kv-requests":      func(c *command) int { return c.sim.kvStore.Throttled },
 	"records":                    func(c *command) int { return len(c.sim.kvStore.Keys(c.text("prefix", ""))) },
 }
 
-// figuresWithMinimum count how often a condition that a scenario aims at occurred.
-var figuresWithMinimum = map[string]func(c *command) int{
+// metricsWithMinimum count how often a condition that a scenario aims at occurred.
+var metricsWithMinimum = map[string]func(c *command) int{
 	"consistency-checks":           func(c *command) int { return c.sim.users.consistencyChecks },
-	"invalid-or-repeated-requests": func(c *command) int { return c.sim.users.unusualRequestsSent },
-	"delayed-commits":              func(c *command) int { return c.sim.kvFaults.lateTransactionsApplied },
+	"invalid-or-repeated-requests": func(c *command) int { return c.sim.users.invalidOrRepeatedSent },
+	"delayed-commits":              func(c *command) int { return c.sim.kvFaults.delayedCommits },
 	"lost-responses":               func(c *command) int { return c.sim.kvFaults.lostResponses },
 	"delayed-responses":            func(c *command) int { return c.sim.kvFaults.delayedResponses() },
 	"responses":                    func(c *command) int { return c.sim.users.responseCount[c.text("job", "")] },
--- a/controller/scenario_setup_test.go
+++ b/controller/scenario_setup_test.go
@@ -26,7 +26,7 @@
 	for i := range arg(t, d, "machines", 4) {
 		sim.cloud.Add(arg(t, d, "machine-type", "small"), cfg.Zones[i%len(cfg.Zones)], false, 0)
 	}
-	sim.lossRate, sim.lateRequestRate, sim.duplicateRequestRate = argNumber(t, d, "loss-rate", 0), argNumber(t, d, "delay-rate", 0), argNumber(t, d, "duplicate-rate", 0)
+	sim.lossRate, sim.delayedRequestRate, sim.duplicateRequestRate = argNumber(t, d, "loss-rate", 0), argNumber(t, d, "delay-rate", 0), argNumber(t, d, "duplicate-rate", 0)
 	if nodes := arg(t, d, "production-nodes", -1); nodes >= 0 {
 		sim.startWithProduction(t, nodes)
 	}
--- a/controller/simulation_network_test.go
+++ b/controller/simulation_network_test.go
@@ -55,7 +55,7 @@
 	if !node.up {
 		return
 	}
-	life := node.incarnation
+	incarnation := node.incarnation
 	effects := node.handle(sim, ev)
 	if sim.onEffects != nil {
 		sim.onEffects(node, ev, effects)
@@ -63,12 +63,12 @@
 	for _, e := range effects {
 		switch e := e.(type) {
 		case Respond:
-			if answer := node.pending[e.ID]; answer != nil {
+			if respond := node.pending[e.ID]; respond != nil {
 				delete(node.pending, e.ID)
-				answer(e)
+				respond(e)
 			}
 		case Call:
-			sim.startCall(node, life, e)
+			sim.startCall(node, incarnation, e)
 		}
 	}
 }
@@ -76,10 +76,10 @@
 // sendRequest sends a request to a node and calls done with the response, whose status is 0 if there
 // is none in time.
 func (sim *simulation) sendRequest(node *simNode, request Request, timeout micros.Micros, done func(Respond)) {
-	answered := false
+	finished := false
 	finish := func(response Respond) {
-		if !answered {
-			answered = true
+		if !finished {
+			finished = true
 			done(response)
 		}
 	}
@@ -90,11 +90,11 @@
 		}
 		node.nextID++
 		request.ID = node.nextID
-		life, came := node.incarnation, sim.now
+		incarnation, receivedAt := node.incarnation, sim.now
 		node.pending[request.ID] = func(response Respond) {
-			sim.checkRefusal(request, response, sim.now-came)
+			sim.checkRefusal(request, response, sim.now-receivedAt)
 			sim.after(sim.randomLatency(), func() {
-				if !node.partitioned && (life == node.incarnation || response.Status == 0) {
+				if !node.partitioned && (incarnation == node.incarnation || response.Status == 0) {
 					finish(response)
 				}
 			})
@@ -135,7 +135,7 @@
 // deliverCall executes a call at its target, unless the network loses, delays or duplicates it.
 func (sim *simulation) deliverCall(node *simNode, call Call, respond func(fake.Response)) {
 	executeUnanswered := func() { sim.executeCall(node, call, func(fake.Response) {}) }
-	executeLate := func() {
+	executeDelayed := func() {
 		delay := 2*micros.Second + micros.Micros(sim.rng.Int64N(int64(20*micros.Second)))
 		sim.after(delay, executeUnanswered)
 	}
@@ -145,10 +145,10 @@
 	case node.partitioned && node.delaysOutbound:
 		sim.afterPartition(node, executeUnanswered)
 	case node.partitioned || p < sim.lossRate:
-	case p < sim.lossRate+sim.lateRequestRate && !watch:
-		executeLate()
-	case p < sim.lossRate+sim.lateRequestRate+sim.duplicateRequestRate && !watch:
-		executeLate()
+	case p < sim.lossRate+sim.delayedRequestRate && !watch:
+		executeDelayed()
+	case p < sim.lossRate+sim.delayedRequestRate+sim.duplicateRequestRate && !watch:
+		executeDelayed()
 		sim.executeCall(node, call, respond)
 	default:
 		sim.executeCall(node, call, respond)
--- a/controller/simulation_scheduling_test.go
+++ b/controller/simulation_scheduling_test.go
@@ -53,27 +53,27 @@
 	if limit := team.QuotaLimit.CPUs(); limit > 0 && used+float64(need)*info.CPU > limit+1e-6 {
 		return false
 	}
-	return sim.roomFor(job) >= need
+	return sim.freeTaskSlotsFor(job) >= need
 }
 
-// roomFor returns how many tasks of a job of which none runs yet fit on the machines.
-func (sim *simulation) roomFor(job *sched.Job) int {
+// freeTaskSlotsFor returns how many tasks of a job of which none runs yet fit on the machines.
+func (sim *simulation) freeTaskSlotsFor(job *sched.Job) int {
 	byZone := map[string]int{}
 	for _, worker := range sim.workers {
 		if canRunTasks(worker, job) {
 			byZone[worker.Machine.Zone] += freeTaskSlots(worker, sim.taskInfos[job.ID])
 		}
 	}
-	room := 0
+	slots := 0
 	for _, n := range byZone {
 		n = min(n, job.ZoneCap())
 		if job.OneZone {
-			room = max(room, n)
+			slots = max(slots, n)
 		} else {
-			room += n
+			slots += n
 		}
 	}
-	return room
+	return slots
 }
 
 // remainingTasks returns how many tasks of a job have not completed.
--- a/controller/simulation_test.go
+++ b/controller/simulation_test.go
@@ -81,7 +81,7 @@
 // messageFaults are faults of the network.
 type messageFaults struct {
 	lossRate                float64 // share of the messages that are lost
-	lateRequestRate         float64 // share of the requests that are executed long after their timeout
+	delayedRequestRate      float64 // share of the requests that are executed long after their timeout
 	duplicateRequestRate    float64 // share of the requests that are executed twice, the second time late
 	duplicateHeartbeatShare float64 // share of the heartbeats of which a copy arrives late
 	maxCopyDelay            micros.Micros
@@ -149,7 +149,7 @@
 				sim.handleEvent(node, Tick{})
 			}
 		}
-		sim.replayToNewOwners()
+		sim.replayToSuccessors()
 		sim.bootMachines()
 		for _, name := range sim.workerNames() {
 			sim.stepWorker(sim.workers[name])
--- a/controller/simulation_workers_test.go
+++ b/controller/simulation_workers_test.go
@@ -113,7 +113,7 @@
 		return
 	}
 	worker.HeartbeatSent(sim.now, sim.cfg.HeartbeatInterval)
-	session := worker.AgentEpoch
+	agentEpoch := worker.AgentEpoch
 	node := sim.nodes[worker.Controller]
 	body := wire.Encode(worker.BuildHeartbeat())
 	if sim.rng.Float64() < sim.duplicateHeartbeatShare {
@@ -122,18 +122,18 @@
 			sim.sendRequest(copyTo, Request{Method: "POST", Path: "/hello", Body: body}, micros.Second, func(Respond) {})
 		})
 	}
-	if sim.duplicateHeartbeat(worker, body) || worker.HeartbeatsBlocked || node.workersUnreachable || sim.zonesPartitioned(sim.nodeZone(worker.Controller), worker.Machine.Zone) || sim.rng.Float64() < sim.lossRate {
-		sim.after(4*micros.Second, func() { worker.HandleHeartbeatResponse(sim.now, 0, nil, session, sim.nodeIndex, len(sim.nodes)) })
+	if sim.interceptHeartbeat(worker, body) || worker.HeartbeatsBlocked || node.workersUnreachable || sim.zonesPartitioned(sim.nodeZone(worker.Controller), worker.Machine.Zone) || sim.rng.Float64() < sim.lossRate {
+		sim.after(4*micros.Second, func() { worker.HandleHeartbeatResponse(sim.now, 0, nil, agentEpoch, sim.nodeIndex, len(sim.nodes)) })
 		return
 	}
 	sim.sendRequest(node, Request{Method: "POST", Path: "/hello", Body: body}, 4*micros.Second, func(response Respond) {
 		if worker.InboundBlocked {
-			sim.after(4*micros.Second, func() { worker.HandleHeartbeatResponse(sim.now, 0, nil, session, sim.nodeIndex, len(sim.nodes)) })
+			sim.after(4*micros.Second, func() { worker.HandleHeartbeatResponse(sim.now, 0, nil, agentEpoch, sim.nodeIndex, len(sim.nodes)) })
 			return
 		}
 		if worker.Partitioned || worker.Hung || worker.Machine.Gone {
 			response = Respond{}
 		}
-		worker.HandleHeartbeatResponse(sim.now, response.Status, response.Body, session, sim.nodeIndex, len(sim.nodes))
+		worker.HandleHeartbeatResponse(sim.now, response.Status, response.Body, agentEpoch, sim.nodeIndex, len(sim.nodes))
 	})
 }
--- a/controller/users_completion_test.go
+++ b/controller/users_completion_test.go
@@ -89,11 +89,11 @@
 
 // checkStartDeadline checks that one of the largest jobs started in time.
 func (sim *simulation) checkStartDeadline(id string) {
-	began, ok := sim.startedAt[id]
+	started, ok := sim.startedAt[id]
 	if !ok {
-		began = sim.now
+		started = sim.now
 	}
-	if began-sim.eligibleSince(id) > largestJobsDeadline {
+	if started-sim.eligibleSince(id) > largestJobsDeadline {
 		sim.reportViolation("late: %s, of the largest of its class, has not begun after %v", id, largestJobsDeadline)
 	}
 }
--- a/controller/users_requests_test.go
+++ b/controller/users_requests_test.go
@@ -5,14 +5,14 @@
 	"tamarindlead/micros"
 )
 
-// sendUnusualRequests sends unusual requests of five kinds in turn.
-func (sim *simulation) sendUnusualRequests() {
+// sendInvalidOrRepeatedRequests sends unusual requests of five kinds in turn.
+func (sim *simulation) sendInvalidOrRepeatedRequests() {
 	users := &sim.users
-	if sim.now > users.unusualRequestsUntil {
+	if sim.now > users.invalidOrRepeatedUntil {
 		return
 	}
-	sim.after(200*micros.Millisecond, sim.sendUnusualRequests)
-	users.unusualRequestsSent++
+	sim.after(200*micros.Millisecond, sim.sendInvalidOrRepeatedRequests)
+	users.invalidOrRepeatedSent++
 	to, sent := users.rng.IntN(len(sim.nodes)), sim.now
 	pick := func(is func(id string) bool) string {
 		var ids []string
@@ -26,7 +26,7 @@
 		}
 		return ids[users.rng.IntN(len(ids))]
 	}
-	switch users.unusualRequestsSent % 5 {
+	switch users.invalidOrRepeatedSent % 5 {
 	case 0: // a duplicate submission of an unfinished job
 		if id := pick(func(id string) bool { return sim.reportedTerminal[id] == "" }); id != "" {
 			sim.sendUserRequest(to, "POST", "/api/jobs", sim.submissions[id], func(response Respond) { sim.checkResponse(id, response, sent) })
@@ -36,14 +36,14 @@
 			sim.sendUserRequest(to, "POST", "/api/jobs/"+id+"/cancel", nil, func(response Respond) { sim.checkResponse(id, response, sent) })
 		}
 	case 2: // a job that was never submitted
-		id := "req-99" + jobName(users.unusualRequestsSent)[len("req-00"):]
+		id := "req-99" + jobName(users.invalidOrRepeatedSent)[len("req-00"):]
 		path := "/api/jobs/" + id
 		sim.sendUserRequest(to, "GET", path, nil, func(response Respond) { sim.checkResponse(id, response, sent) })
 		sim.sendUserRequest(to, "POST", path+"/cancel", nil, func(response Respond) { sim.checkResponse(id, response, sent) })
 	case 3:
-		sim.sendInvalidJob(to, sim.malformedJob(users.unusualRequestsSent/5), 400)
+		sim.sendInvalidJob(to, sim.malformedJob(users.invalidOrRepeatedSent/5), 400)
 	case 4:
-		sim.sendInvalidJob(to, sim.unrunnableJob(users.unusualRequestsSent/5), 422)
+		sim.sendInvalidJob(to, sim.unrunnableJob(users.invalidOrRepeatedSent/5), 422)
 	}
 }
 
@@ -53,12 +53,12 @@
 		c.sim.users.consistencyChecksUntil, c.sim.users.cancelShare = c.sim.now+c.span(), c.number("cancel-share", 0)
 	}),
 	"cancel-share-at-completion": silent(func(c *command) {
-		c.sim.users.cancelAtEndShare = c.number("share", 1)
-		c.sim.after(c.span(), func() { c.sim.users.cancelAtEndShare = 0 })
+		c.sim.users.cancelAtCompletionShare = c.number("share", 1)
+		c.sim.after(c.span(), func() { c.sim.users.cancelAtCompletionShare = 0 })
 	}),
 	"send-invalid-or-repeated-requests": silent(func(c *command) {
-		c.sim.users.unusualRequestsUntil = c.sim.now + c.span()
-		c.sim.sendUnusualRequests()
+		c.sim.users.invalidOrRepeatedUntil = c.sim.now + c.span()
+		c.sim.sendInvalidOrRepeatedRequests()
 	}),
 	"submit-burst": silent((*command).submitBurst),
 	"final-checks": silent(func(c *command) {
--- a/controller/users_test.go
+++ b/controller/users_test.go
@@ -9,23 +9,23 @@
 // userLoad is what users do beyond submitting, asking and cancelling once, and when what was reported
 // to them. It has its own random stream, so that scenarios without it stay as they are.
 type userLoad struct {
-	rng                    *rand.Rand
-	consistencyChecksUntil micros.Micros // users check responses at all nodes until then
-	consistencyChecks      int           // answered requests of these checks
-	unusualRequestsUntil   micros.Micros // sent until then
-	unusualRequestsSent    int
-	cancelShare            float64                  // share of the accepted jobs that are cancelled at once
-	cancelAtEndShare       float64                  // share of the jobs that are cancelled when they complete
-	cancelledAtEnd         int                      // jobs that were cancelled when they completed
-	cancelAfter            map[string]micros.Micros // jobs that are cancelled some time after their acceptance
-	startsAfterCancel      int                      // starts after an acknowledged cancellation
-	mustRefuse             map[string]string        // why these jobs must not be accepted
-	acceptedAt             map[string]micros.Micros // when a job's acceptance was first reported
-	terminalSeenAt         map[string]micros.Micros // when a job's terminal state was first reported
-	responseCount          map[string]int           // responses about a job in which it was known
-	refusals               map[int]int              // by status
-	schedulableSince       map[string]micros.Micros // since when a pending job fits
-	nextSchedulingCheck    micros.Micros
+	rng                     *rand.Rand
+	consistencyChecksUntil  micros.Micros // users check responses at all nodes until then
+	consistencyChecks       int           // answered requests of these checks
+	invalidOrRepeatedUntil  micros.Micros // sent until then
+	invalidOrRepeatedSent   int
+	cancelShare             float64                  // share of the accepted jobs that are cancelled at once
+	cancelAtCompletionShare float64                  // share of the jobs that are cancelled when they complete
+	cancelledAtCompletion   int                      // jobs that were cancelled when they completed
+	cancelAfter             map[string]micros.Micros // jobs that are cancelled some time after their acceptance
+	startsAfterCancel       int                      // starts after an acknowledged cancellation
+	mustRefuse              map[string]string        // why these jobs must not be accepted
+	acceptedAt              map[string]micros.Micros // when a job's acceptance was first reported
+	terminalSeenAt          map[string]micros.Micros // when a job's terminal state was first reported
+	responseCount           map[string]int           // responses about a job in which it was known
+	refusals                map[int]int              // by status
+	schedulableSince        map[string]micros.Micros // since when a pending job fits
+	nextSchedulingCheck     micros.Micros
 }
 
 func newUserLoad(seed uint64) userLoad {
@@ -84,11 +84,11 @@
 // at the moment at which its last task completes.
 func (sim *simulation) cancelCompletedJob(id string) {
 	users := &sim.users
-	if users.cancelAtEndShare == 0 || sim.cancelRequested[id] || !sim.allTasksDone(id) {
+	if users.cancelAtCompletionShare == 0 || sim.cancelRequested[id] || !sim.allTasksDone(id) {
 		return
 	}
-	if users.rng.Float64() < users.cancelAtEndShare {
-		users.cancelledAtEnd++
+	if users.rng.Float64() < users.cancelAtCompletionShare {
+		users.cancelledAtCompletion++
 		sim.cancel(id, users.rng.IntN(len(sim.nodes)))
 		sim.queryAllNodes(id)
 	}
