--- a/controller/adoption_interleavings_test.go
+++ b/controller/adoption_interleavings_test.go
@@ -11,17 +11,17 @@
 	"tamarindlead/internal/wire"
 )
 
-// TestAdoptionInterleavings plays adoptions of a machine that another owner has recorded with tasks,
-// each ended at another moment.
+// TestAdoptionInterleavings interrupts adoptions of a machine that another owner has recorded with
+// tasks, at different times.
 //
-// What happens: the teams have several owners. Node 1 is not heard by its peers for some seconds, and
-// its workers cannot reach it (or it crashes), so they send their heartbeats to another owner, which
+// Each run: the teams have several owners. For some seconds node 1 cannot reach its peers and its
+// workers cannot reach it (or it crashes), so the workers send their heartbeats to another owner, which
 // adopts their machines. That owner crashes or reads its records again within milliseconds of writing
-// the machine's block; in some cases node 1 crashes too, so that one successor recovers both blocks.
+// the machine's block. In some runs node 1 crashes too, so that one successor recovers both blocks.
 //
-// Why it was a fault: the block of the adopter was written before the other blocks were read. A
-// successor trusted the newer block, which has no attempts, and the attempts in the block of node 1
-// were forgotten. Seen with the machine out of reach and other machines free:
+// The failure that this test guards against: the adopter wrote its block before it had read the other
+// blocks. A successor trusted the newer block, which has no attempts, and lost the attempts in the
+// block of node 1. Seen with the machine unreachable and other machines free:
 //
 //	time=17.06s msg="attempt state changed" node=n1 task=req-000006/0 attempt=2097156 machine=m-000000 from=assumed to=recorded
 //	time=41.56s msg="machine adopted" node=n2 machine=m-000000
@@ -29,16 +29,17 @@
 //	time=45.17s msg="attempt state changed" node=n0 task=req-000006/0 attempt=3145738 machine=m-000005 from=assumed to=recorded
 //	48.09s: ran_twice: req-000006/0 starts on m-000005 while on m-000000
 //
-// and with the machine in reach, where its tasks were stopped and begun again:
+// and with the machine reachable, whose tasks were stopped and started again:
 //
 //	3 tasks were stopped
 //
-// One seed is always played; SCENARIO_SEEDS=20 plays the seeds 1 to 20.
+// One seed is always run; SCENARIO_SEEDS=20 runs the seeds 1 to 20.
 func TestAdoptionInterleavings(t *testing.T) {
 	for seed := 1; seed <= seedsOnDemand(t, 1); seed++ {
 		for _, ownerFault := range []string{"partition-node-from-workers node=1 for=8", "crash-node node=1 for=20"} {
 			for _, interruption := range []string{
-				"reload-only", "for=0.2", "for=4", "for=4 times=2", "for=20 also-crash-node=1", "for=4 also-crash-node=1 partition=12 extra-machines=3",
+				"reload-only", "for=0.2", "for=4", "for=4 times=2", "for=20 also-crash-node=1",
+				"for=4 also-crash-node=1 partition=12 extra-machines=3",
 			} {
 				for _, after := range []float64{0, 0.005, 0.02, 0.3} {
 					adopter := fmt.Sprintf("crash-adopter after=%g %s", after, interruption)
@@ -52,8 +53,8 @@
 	}
 }
 
-// runAdoption plays one adoption: jobs run on rented machines of all owners, among them a gang, a job
-// that is cancelled as the faults begin, and teams near their limits.
+// runAdoption runs one adoption. Jobs run on launched machines of all owners, among them a gang and a
+// job that is cancelled when the faults start; the teams are near their quota limits.
 func runAdoption(t *testing.T, seed int, ownerFault, adopter string) {
 	t.Helper()
 	sim := runSteps(t, []string{
@@ -77,8 +78,8 @@
 	}
 }
 
-// runSteps plays commands of scenarios. No machine may be in blocks of two owners meanwhile, and the
-// last command must print that all jobs are done.
+// runSteps runs scenario commands. No machine may be in blocks of two owners at any time, and the last
+// command must print that all jobs are done.
 func runSteps(t *testing.T, steps []string) *simulation {
 	t.Helper()
 	var sim *simulation
--- a/controller/adoption_test.go
+++ b/controller/adoption_test.go
@@ -10,8 +10,8 @@
 	"tamarindlead/internal/wire"
 )
 
-// TestMachinesWithTasksAreNotDropped checks the assertion that a machine with recorded tasks is not
-// left to another owner, by which they would be forgotten.
+// TestMachinesWithTasksAreNotDropped checks the assertion that an owner does not leave a machine with
+// recorded tasks to another owner: the tasks would be lost.
 func TestMachinesWithTasksAreNotDropped(t *testing.T) {
 	o, a := activeOwner()
 	o.dropOwnedElsewhere(a.Machine, "other")
@@ -26,7 +26,8 @@
 }
 
 // TestLateAdoptedBlock checks that an owner reads its records again when its own block of an adopted
-// machine was written late, and not when the block is another owner's or known.
+// machine was written with a delay, but not when it already knows the block or the block belongs to
+// another owner.
 func TestLateAdoptedBlock(t *testing.T) {
 	const name = inventory.AdoptedPrefix + "m-000009"
 	for _, c := range []struct {
@@ -34,7 +35,7 @@
 		own, known bool
 		recovers   bool
 	}{
-		{"own, late", true, false, true},
+		{"own, delayed", true, false, true},
 		{"own, known", true, true, false},
 		{"of another owner", false, false, false},
 	} {
--- a/controller/faults_adoption_test.go
+++ b/controller/faults_adoption_test.go
@@ -9,15 +9,16 @@
 	"tamarindlead/micros"
 )
 
-// adoptedKeyPrefix is the prefix of the blocks by which owners adopt machines.
+// adoptedKeyPrefix is the key prefix of the blocks that owners write when they adopt machines.
 const adoptedKeyPrefix = record.BlockPrefix + inventory.AdoptedPrefix
 
-// adoptionCommands cause faults at the moment at which an owner adopts a machine.
+// adoptionCommands cause faults while an owner adopts a machine.
 var adoptionCommands = commandTable{
-	// crash-adopter crashes the next owners that write the block of an adopted machine, "times" of
-	// them, each some time "after" its write. With "reload-only" they reread their records instead.
-	// With "also-crash-node" that node crashes at the same moment, with "partition" the machine is partitioned for some
-	// time, and with "extra-machines" that many machines of a late rental appear.
+	// crash-adopter crashes the next "times" owners that write the block of an adopted machine, each
+	// "after" seconds after its write. With "reload-only" they read their records again instead. With
+	// "also-crash-node" that node crashes at the same time. With "partition" the machine is partitioned
+	// for that many seconds. With "extra-machines" that many machines appear in the cloud, as if a
+	// launch request were executed with a delay.
 	"crash-adopter": silent(func(c *command) {
 		left, after, down := c.integer("times", 1), c.seconds("after", 0), c.downtime()
 		c.sim.onBlockPut(func(key string, owner record.OwnerID) {
@@ -44,7 +45,7 @@
 	}),
 }
 
-// interruptAdopter crashes a node, or has it reread its records.
+// interruptAdopter crashes a node, or has it read its records again.
 func (sim *simulation) interruptAdopter(node *simNode, reloadOnly bool, down micros.Micros) {
 	switch {
 	case !reloadOnly:
@@ -54,7 +55,7 @@
 	}
 }
 
-// onBlockPut calls do with the key and the owner of each block that is written from now on.
+// onBlockPut calls do with the key and the owner of each block that is written after this call.
 func (sim *simulation) onBlockPut(do func(key string, owner record.OwnerID)) {
 	next := sim.kvStore.OnPut
 	sim.kvStore.OnPut = func(key string, value []byte, version uint64) {
--- a/controller/faults_leaders_test.go
+++ b/controller/faults_leaders_test.go
@@ -8,8 +8,8 @@
 	"tamarindlead/micros"
 )
 
-// changeLeader makes the leader lose its role: in turn it crashes briefly, is partitioned, loses the
-// state service and its siblings, or crashes for longer.
+// changeLeader makes the leader lose its leadership. Depending on the turn, the leader crashes briefly,
+// is partitioned, loses its connections to the KV store and its peers, or crashes for longer.
 func (sim *simulation) changeLeader(turn int, every micros.Micros) {
 	i := sim.leader()
 	if i < 0 {
@@ -30,11 +30,11 @@
 	}
 }
 
-// maxHungMachines limits how many machines of cancelled jobs hang.
+// maxHungMachines limits how many machines of cancelled jobs hang or are partitioned.
 const maxHungMachines = 8
 
-// cancelDuringFaults has users cancel running jobs within a fifth of a second, while some of their
-// machines hang or are partitioned.
+// cancelDuringFaults has users cancel up to count running jobs within a fifth of a second, while some
+// machines of these jobs hang, or are partitioned, for the duration hang.
 func (sim *simulation) cancelDuringFaults(count int, hang micros.Micros, partition bool) {
 	var jobs []string
 	for task := range sim.runningOn {
@@ -66,7 +66,8 @@
 	}
 }
 
-// countCancelledRunning returns how many tasks run whose cancellation was acknowledged.
+// countCancelledRunning returns how many tasks still run although their jobs' cancellation was
+// acknowledged.
 func (sim *simulation) countCancelledRunning() int {
 	n := 0
 	for task := range sim.runningOn {
--- a/controller/faults_response_delay_test.go
+++ b/controller/faults_response_delay_test.go
@@ -10,16 +10,16 @@
 	"tamarindlead/micros"
 )
 
-// responseDelay delays some responses, each by a time of its own, so that a response to one node may
-// overtake an older response to another. It has its own random stream, so that scenarios without it
-// stay as they are.
+// responseDelay delays some responses, each by a random duration, so that a response to one node may
+// arrive before an older response to another node. It has its own random stream, so that it does not
+// change the random draws of scenarios without it.
 type responseDelay struct {
 	rng          *rand.Rand
-	share        float64       // of the responses that are delayed
-	maxDelay     micros.Micros // of one response
-	fixed        bool          // each response is delayed by maxDelay
-	node         int           // whose responses are delayed, or allNodes
-	delayedCount int           // responses delayed so far
+	share        float64       // share of the responses that are delayed
+	maxDelay     micros.Micros // of a response
+	fixed        bool          // delayed responses are delayed by exactly maxDelay
+	node         int           // the node whose responses are delayed, or allNodes
+	delayedCount int           // number of delayed responses
 }
 
 // allNodes selects the responses to all nodes.
@@ -29,8 +29,8 @@
 	return responseDelay{rng: rand.New(rand.NewPCG(seed, stream)), node: allNodes}
 }
 
-// delayResponse returns answer, or a function that calls it later if the response is drawn to be
-// delayed.
+// delayResponse returns respond or, for the random share of the responses that are delayed, a function
+// that calls it after a delay.
 func (d *responseDelay) delayResponse(sim *simulation, node *simNode, respond func(fake.Response)) func(fake.Response) {
 	if d.share == 0 || d.node != allNodes && d.node != node.index || d.rng.Float64() >= d.share {
 		return respond
@@ -45,7 +45,8 @@
 	}
 }
 
-// configure applies the arguments of a command, such as share=0.3 max-delay-ms=300 fixed-delay for=60 node=0.
+// configure applies the arguments of a command, such as
+// share=0.3 max-delay-ms=300 fixed-delay for=60 node=0.
 func (d *responseDelay) configure(c *command) {
 	c.t.Helper()
 	d.share = c.number("share", 0.3)
@@ -55,14 +56,14 @@
 	c.revertLater(func() { d.share = 0 })
 }
 
-// responseDelayCommands delay responses.
+// responseDelayCommands delay responses of the KV store or of other controllers.
 var responseDelayCommands = commandTable{
 	"delay-kv-responses":   silent(func(c *command) { c.sim.kvFaults.kvResponseDelay.configure(c) }),
 	"delay-peer-responses": silent(func(c *command) { c.sim.kvFaults.peerResponseDelay.configure(c) }),
 }
 
-// applyResponseDelayFromEnv delays responses in any scenario: SCENARIO_UNEVEN=0.3 delays that share
-// of the responses of the state service.
+// applyResponseDelayFromEnv delays responses in any scenario: SCENARIO_UNEVEN=0.3 delays that share of
+// the KV store's responses.
 func (sim *simulation) applyResponseDelayFromEnv(t *testing.T) {
 	text := os.Getenv("SCENARIO_UNEVEN")
 	if text == "" {
--- a/controller/faults_state_test.go
+++ b/controller/faults_state_test.go
@@ -11,20 +11,20 @@
 	"tamarindlead/micros"
 )
 
-// kvFaults are faults between the controllers and the state service, and among the controllers.
-// They have their own random stream, so that scenarios without them stay as they are.
+// kvFaults are faults between the controllers and the KV store, and among the controllers. They have
+// their own random stream, so that they do not change the random draws of scenarios without them.
 type kvFaults struct {
 	rng                  *rand.Rand
-	unansweredCommitRate float64       // share of the transactions that are applied late, without a response
-	responseLostOnly     bool          // they are applied at once, only their response is lost
-	responseDelay        micros.Micros // of the state service, for calls other than watches
+	unansweredCommitRate float64       // share of the commits that are applied with a delay, without a response
+	responseLostOnly     bool          // these commits are applied immediately; only their responses are lost
+	responseDelay        micros.Micros // of the KV store, for calls other than watches
 	peerLossRate         float64       // share of the peer messages that are lost
 	peerResponsesOnly    bool          // only responses are lost
-	peerHeartbeatsSpared bool          // neither peer heartbeats nor forwarded store calls are lost
-	delayedCommits       int           // transactions that were applied late and succeeded
-	lostResponses        int           // transactions that succeeded without a response
+	peerHeartbeatsSpared bool          // no peer heartbeats and no forwarded KV calls are lost
+	delayedCommits       int           // commits that were applied with a delay and succeeded
+	lostResponses        int           // commits that were applied immediately, without a response
 
-	kvResponseDelay   responseDelay // of the responses of the state service
+	kvResponseDelay   responseDelay // of the responses of the KV store
 	peerResponseDelay responseDelay // of the responses of other controllers
 }
 
@@ -36,22 +36,22 @@
 	}
 }
 
-// Transactions without a response are applied within these times.
+// Commits without a response are applied after a delay between these bounds.
 const (
 	minUnansweredCommitDelay = 2 * micros.Second
 	maxUnansweredCommitDelay = 12 * micros.Second
 )
 
-// callKVStore executes a call at the state service, with the present faults.
+// callKVStore executes a call at the KV store, subject to the active faults.
 func (sim *simulation) callKVStore(node *simNode, call Call, respond func(fake.Response)) {
 	faults := &sim.kvFaults
 	delayed := faults.kvResponseDelay.delayResponse(sim, node, respond)
 	respond = func(response fake.Response) {
-		if !node.onlyWorkersReachable { // responses are lost too, those of open watches included
+		if !node.onlyWorkersReachable { // an isolated node gets no responses, not even those of open watches
 			delayed(response)
 		}
 	}
-	deliver := func(answer func(fake.Response)) { sim.executeKV(node, call, sim.now, answer) }
+	deliver := func(respond func(fake.Response)) { sim.executeKV(node, call, sim.now, respond) }
 	commit := strings.HasPrefix(call.Target, "/commit")
 	if commit && faults.unansweredCommitRate > 0 && faults.rng.Float64() < faults.unansweredCommitRate {
 		if faults.responseLostOnly {
@@ -81,7 +81,7 @@
 	return 0
 }
 
-// dropPeerMessage draws whether a peer message, or the response to it, is lost.
+// dropPeerMessage decides at random whether a peer message, or the response to it, is lost.
 func (sim *simulation) dropPeerMessage(call Call, isResponse bool) bool {
 	faults := &sim.kvFaults
 	if faults.peerLossRate == 0 || faults.peerResponsesOnly != isResponse {
@@ -96,8 +96,7 @@
 	return faults.rng.Float64() < faults.peerLossRate
 }
 
-// kvFaultCommands cause faults between the controllers and the state service, and among the
-// controllers.
+// kvFaultCommands cause faults between the controllers and the KV store, and among the controllers.
 var kvFaultCommands = commandTable{
 	"unanswered-commits": silent(func(c *command) {
 		faults := &c.sim.kvFaults
@@ -114,7 +113,7 @@
 		faults.peerResponsesOnly = c.HasArg("responses-only")
 		c.revertLater(func() { faults.peerLossRate = 0 })
 	}),
-	"cancel-jobs": silent(func(c *command) { // users cancel jobs one after the other, beginning at one node
+	"cancel-jobs": silent(func(c *command) { // users cancel jobs at an interval, each first at the given node
 		to, every := c.node().index, c.seconds("interval", 0)
 		for i, id := range c.jobIDs(1) {
 			c.sim.after(micros.Micros(i)*every, func() { c.sim.cancel(id, to) })
@@ -122,7 +121,7 @@
 	}),
 }
 
-// delayedResponses returns how many responses were delayed.
+// delayedResponses returns the number of delayed responses of the KV store and of other controllers.
 func (faults *kvFaults) delayedResponses() int {
 	return faults.kvResponseDelay.delayedCount + faults.peerResponseDelay.delayedCount
 }
--- a/controller/faults_workers_test.go
+++ b/controller/faults_workers_test.go
@@ -12,23 +12,23 @@
 
 // workerFaults are faults of heartbeats, direct commands, machines and leaders.
 type workerFaults struct {
-	taskStagger          map[string]micros.Micros // by how much each task of a job takes longer than the previous one
-	heartbeatReplayRate  float64                  // share of the heartbeats of which copies arrive late
-	replayToSuccessor    bool                     // the copies are kept for the next owner instead
-	replayHeartbeats     [][]byte                 // copies for the next owner
-	delayNextHeartbeatOf []string                 // the next heartbeats of these machines are delayed
-	delayedHeartbeats    [][]byte                 // until some time after the next owner becomes active
-	capturedHeartbeats   [][]byte                 // heartbeats that a scenario replays
+	taskStagger          map[string]micros.Micros // by job: how much longer each task runs than the previous one
+	heartbeatReplayRate  float64                  // share of the heartbeats of which a copy is sent later
+	replayToSuccessor    bool                     // the copies are kept for the successor instead
+	replayHeartbeats     [][]byte                 // copies for the successor
+	delayNextHeartbeatOf []string                 // machines whose next heartbeat is delayed
+	delayedHeartbeats    [][]byte                 // until some time after a successor becomes active
+	capturedHeartbeats   [][]byte                 // heartbeats that replay-captured-heartbeats sends
 	commandDelayRate     float64                  // share of the direct commands whose request or response is delayed
 	minCommandDelay      micros.Micros
 	commandDelay         micros.Micros
-	delayRequestOnly     bool          // no responses
-	commitDelay          micros.Micros // of commits
-	owners               map[int]any   // ownership of each node in the last step
-	activeOwners         map[int]any   // the same, once it is active
+	delayRequestOnly     bool          // responses are not delayed
+	commitDelay          micros.Micros // upper bound of the delay of commits
+	owners               map[int]any   // by node: its ownership in the previous step
+	activeOwners         map[int]any   // by node: its active ownership in the previous step
 }
 
-// setTaskStagger has each task of a job take longer than the previous one.
+// setTaskStagger has each task of a job run longer than the previous one, by step.
 func (sim *simulation) setTaskStagger(id string, step micros.Micros) {
 	if step > 0 {
 		if sim.taskStagger == nil {
@@ -38,13 +38,13 @@
 	}
 }
 
-// randomDuration draws a duration.
+// randomDuration draws a duration from low to high.
 func (sim *simulation) randomDuration(low, high micros.Micros) micros.Micros {
 	return low + micros.Micros(sim.rng.Int64N(int64(max(1, high-low))))
 }
 
-// delayCommand delays a direct command or its response, if it is drawn to. It returns the function
-// that answers the command, or nil if the command itself is delayed.
+// delayCommand delays a random share of the direct commands or of their responses. It returns the
+// function with which to respond to the command, or nil if the command itself is delayed.
 func (sim *simulation) delayCommand(call Call, respond func(fake.Response)) func(fake.Response) {
 	if sim.commandDelayRate == 0 || sim.rng.Float64() >= sim.commandDelayRate {
 		return respond
@@ -58,7 +58,8 @@
 	return func(response fake.Response) { sim.after(wait, func() { respond(response) }) }
 }
 
-// executeWhenResumed executes a delayed command once the machine is reachable again.
+// executeWhenResumed executes a delayed command as soon as the machine neither hangs nor is
+// partitioned.
 func (sim *simulation) executeWhenResumed(worker *fake.Worker, call Call, respond func(fake.Response)) {
 	switch {
 	case worker.Machine.Gone:
@@ -69,7 +70,7 @@
 	}
 }
 
-// afterCommitDelay calls do, after the present delay if the call is a commit.
+// afterCommitDelay calls do, with a delay if commits are delayed and the call is one.
 func (sim *simulation) afterCommitDelay(call Call, do func()) {
 	if sim.commitDelay == 0 || call.Target != "/commit" {
 		do()
@@ -78,8 +79,8 @@
 	sim.after(sim.randomDuration(sim.commitDelay/2, sim.commitDelay), do)
 }
 
-// selectMachines returns the machines that a command selects by count, share or zone, those with
-// the most tasks first, or nil if it selects none that way.
+// selectMachines returns the machines that a command selects by count, share or zone, those with the
+// most tasks first, or nil if the command has none of these arguments.
 func (c *command) selectMachines() []string {
 	c.t.Helper()
 	if !c.HasArg("count") && !c.HasArg("share") && !c.HasArg("zone") {
--- a/controller/pipelines_rules_test.go
+++ b/controller/pipelines_rules_test.go
@@ -9,7 +9,7 @@
 	"tamarindlead/micros"
 )
 
-// hasUnreportedDependency reports whether a dependency of a job was not reported to be done yet.
+// hasUnreportedDependency reports whether a dependency of a job has not been reported as done yet.
 func (sim *simulation) hasUnreportedDependency(id string) bool {
 	return slices.ContainsFunc(sim.pipelines.dependencies[id], func(other string) bool { return sim.reportedTerminal[other] != wire.JobDone })
 }
@@ -43,7 +43,7 @@
 	if len(pipelines.dependencies[id]) > 0 {
 		pipelines.dependentStarts++
 		if sim.reportedTerminal[id] == wire.JobCancelled && !sim.cancelRequested[id] {
-			sim.reportViolation("ran_cancelled: %s starts after its user was told that a job before it is cancelled", task)
+			sim.reportViolation("ran_cancelled: %s starts after its job's user was told that an upstream job is cancelled", task)
 		}
 	}
 }
@@ -57,19 +57,19 @@
 	}
 }
 
-// checkDependencyRefusal checks that a job is refused for good because of its dependencies only if
-// one of them was not accepted before the request.
+// checkDependencyRefusal checks that a job is permanently refused because of its dependencies only if
+// one of them had not been accepted when the request was sent.
 func (sim *simulation) checkDependencyRefusal(id string, status int, sent micros.Micros) {
-	dependencies := sim.pipelines.dependencies[id]
-	if len(dependencies) == 0 || status == 404 || sim.rejectionReason(sim.submitted[id]) != "" {
+	dependencyIDs := sim.pipelines.dependencies[id]
+	if len(dependencyIDs) == 0 || status == 404 || sim.rejectionReason(sim.submitted[id]) != "" {
 		return
 	}
-	for _, other := range dependencies {
+	for _, other := range dependencyIDs {
 		if at, ok := sim.users.acceptedAt[other]; !ok || at > sent {
 			return
 		}
 	}
-	sim.reportViolation("refused: %s is answered %d although all jobs that it awaits were accepted", id, status)
+	sim.reportViolation("refused: %s is answered with status %d although all its dependencies were accepted", id, status)
 }
 
 // checkDependencyStatus checks a reported state of a job against the states of its upstream jobs.
@@ -82,7 +82,7 @@
 		for _, other := range pipelines.dependencies[id] {
 			_, active := sim.kvStore.Get(record.ActiveJobPrefix + other)
 			if !active && sim.recordedTerminalState(other) == "" {
-				sim.reportViolation("accepted_bad: %s is accepted, %s that it awaits never was", id, other)
+				sim.reportViolation("accepted_bad: %s is accepted although its dependency %s never was", id, other)
 			}
 		}
 	}
@@ -91,7 +91,7 @@
 	}
 	for _, a := range pipelines.ancestors[id] {
 		if at, ok := sim.acknowledgedCancellations[a]; ok && sim.now > at+sim.cfg.CancellationDeadline {
-			sim.reportViolation("orphaned: %s is called %s %v after the user of %s was told that it is cancelled", id, status, sim.now-at, a)
+			sim.reportViolation("orphaned: %s is reported as %s %v after the cancellation of %s was acknowledged", id, status, sim.now-at, a)
 		}
 	}
 	blocked := slices.ContainsFunc(pipelines.dependencies[id], func(other string) bool { return !sim.allTasksDone(other) })
@@ -99,12 +99,12 @@
 		pipelines.queuedResponses[id]++
 	}
 	if blocked && status != wire.JobQueued {
-		sim.reportViolation("answer: %s is called %s while it waits for others", id, status)
+		sim.reportViolation("answer: %s is reported as %s while it depends on unfinished jobs", id, status)
 	}
 }
 
-// checkPipelinesCompleted checks at the end of a day that jobs with dependencies are done, run, or
-// still depend on a job that runs.
+// checkPipelinesCompleted is a final check: each job with dependencies must be done, run, have been
+// eligible for at most maxSchedulableWait, or depend on a job that runs.
 func (sim *simulation) checkPipelinesCompleted() {
 	doneOrRunning := func(id string) bool { return sim.reportedTerminal[id] == wire.JobDone || sim.runningTasks(id) > 0 }
 	for _, id := range ordered.Keys(sim.pipelines.dependencies) {
@@ -117,7 +117,7 @@
 			last = max(last, sim.eligibleSince(a), sim.pipelines.completedAt[a])
 		}
 		if sim.now-last > maxSchedulableWait && !slices.ContainsFunc(open, func(a string) bool { return sim.runningTasks(a) > 0 }) {
-			sim.reportViolation("unserved: %s is not done, and neither it nor a job that it needs runs", id)
+			sim.reportViolation("unserved: %s is not done, and neither it nor an upstream job runs", id)
 		}
 	}
 }
--- a/controller/pipelines_test.go
+++ b/controller/pipelines_test.go
@@ -10,16 +10,16 @@
 	"tamarindlead/micros"
 )
 
-// pipelineState is what the simulation knows of jobs with dependencies. It has its own random stream,
-// so that scenarios without them stay as they are.
+// pipelineState is the state of the simulation that concerns jobs with dependencies. It has its own
+// random stream, so that it does not change the random draws of scenarios without dependencies.
 type pipelineState struct {
 	rng             *rand.Rand
-	dependencies    map[string][]string      // that a job names
-	ancestors       map[string][]string      // all upstream jobs of a job
-	onDone          map[string][]func()      // called when a job's last task completes
+	dependencies    map[string][]string      // the jobs that the job directly depends on
+	ancestors       map[string][]string      // all upstream jobs of the job
+	onDone          map[string][]func()      // functions to call when the job's last task completes
 	dependentStarts int                      // started tasks of jobs with dependencies
-	queuedResponses map[string]int           // how often a job was reported as queued while it was blocked
-	completedAt     map[string]micros.Micros // when a job's last task completed
+	queuedResponses map[string]int           // how often the job was reported as queued while it was blocked
+	completedAt     map[string]micros.Micros // when the job's last task completed
 }
 
 func newPipelineState(seed uint64) pipelineState {
@@ -29,13 +29,13 @@
 	}
 }
 
-// setDependencies sets the dependencies of a job, which must be known already, and adds them to its
-// submission. "null" stands for a null list and "none" for an empty one.
-func (sim *simulation) setDependencies(id string, dependencies []string) {
-	if len(dependencies) == 0 {
+// setDependencies sets the dependencies of a job, which must be registered already, and adds them to
+// its submission. "null" stands for a null list and "none" for an empty list.
+func (sim *simulation) setDependencies(id string, dependencyIDs []string) {
+	if len(dependencyIDs) == 0 {
 		return
 	}
-	switch dependencies[0] {
+	switch dependencyIDs[0] {
 	case "null":
 		sim.submissions[id] = withDependencyField(sim.submissions[id], nil)
 		return
@@ -44,19 +44,19 @@
 		return
 	}
 	pipelines := &sim.pipelines
-	pipelines.dependencies[id] = dependencies
+	pipelines.dependencies[id] = dependencyIDs
 	seen := map[string]bool{}
-	for _, other := range dependencies {
+	for _, other := range dependencyIDs {
 		seen[other] = true
 		for _, a := range pipelines.ancestors[other] {
 			seen[a] = true
 		}
 	}
 	pipelines.ancestors[id] = ordered.Keys(seen)
-	sim.submissions[id] = withDependencyField(sim.submissions[id], dependencies)
+	sim.submissions[id] = withDependencyField(sim.submissions[id], dependencyIDs)
 }
 
-// withDependencyField adds the dependencies to a submission, as the protocol names them.
+// withDependencyField adds the protocol's dependency field to an encoded submission.
 func withDependencyField(body []byte, value any) []byte {
 	fields := map[string]any{}
 	if err := wire.Decode(body, &fields); err != nil {
@@ -82,12 +82,12 @@
 		Status wire.JobPhase `cbor:"s"`
 	}
 	if err := wire.Decode(value, &f); err != nil {
-		sim.reportViolation("record: the final state of %s cannot be read: %v", id, err)
+		sim.reportViolation("record: the terminal state of %s cannot be decoded: %v", id, err)
 	}
 	return f.Status
 }
 
-// runCompletionHooks calls the functions that wait for the completion of a job's last task.
+// runCompletionHooks calls the functions that are registered for the completion of a job's last task.
 func (sim *simulation) runCompletionHooks(id string) {
 	pipelines := &sim.pipelines
 	if _, ok := pipelines.completedAt[id]; ok || !sim.allTasksDone(id) {
@@ -100,8 +100,8 @@
 	delete(pipelines.onDone, id)
 }
 
-// eligibleSince returns the time from which a job's waiting time counts: when it was submitted or its
-// last dependency completed.
+// eligibleSince returns the time from which a job's waiting time counts: the later of its submission
+// and the completion of its last dependency.
 func (sim *simulation) eligibleSince(id string) micros.Micros {
 	at := sim.submittedAt[id]
 	for _, other := range sim.pipelines.dependencies[id] {
@@ -110,7 +110,7 @@
 	return at
 }
 
-// whenAccepted calls do as soon as all these jobs were reported as accepted.
+// whenAccepted calls do as soon as the acceptance of all given jobs has been reported.
 func (sim *simulation) whenAccepted(ids []string, do func()) {
 	if slices.ContainsFunc(ids, func(id string) bool { return !sim.accepted[id] }) {
 		sim.after(simulationStep, func() { sim.whenAccepted(ids, do) })
@@ -119,7 +119,7 @@
 	do()
 }
 
-// whenTerminal calls do as soon as a terminal state of all these jobs was reported.
+// whenTerminal calls do as soon as the terminal states of all given jobs have been reported.
 func (sim *simulation) whenTerminal(ids []string, do func()) {
 	if slices.ContainsFunc(ids, func(id string) bool { return sim.reportedTerminal[id] == "" }) {
 		sim.after(simulationStep, func() { sim.whenTerminal(ids, do) })
@@ -142,8 +142,7 @@
 	})
 }
 
-// invalidDependencies are lists of dependencies that must be refused, with the status that is
-// expected.
+// invalidDependencies are lists of dependencies that must be refused, with the expected status.
 var invalidDependencies = []struct {
 	name  string
 	value func(id, known string) any
--- a/controller/scenario_commands_test.go
+++ b/controller/scenario_commands_test.go
@@ -41,7 +41,7 @@
 	return merged
 }
 
-// silent returns the handler of a command that prints nothing.
+// silent returns a handler that executes a command and prints nothing.
 func silent(execute func(c *command)) func(c *command) string {
 	return func(c *command) string {
 		execute(c)
@@ -49,7 +49,7 @@
 	}
 }
 
-// arg returns the argument of a command with the given key, or def if the command has none.
+// arg returns a command's argument with the given key, or def if the command does not have it.
 func arg[T any](t *testing.T, d *datadriven.TestData, key string, def T) T {
 	t.Helper()
 	if d.HasArg(key) {
@@ -99,7 +99,7 @@
 	return c.text("job", jobName(1))
 }
 
-// jobIDs returns "count" jobs, the first of which has the number "first-job".
+// jobIDs returns the names of "count" jobs, which are numbered from "first-job".
 func (c *command) jobIDs(defaultCount int) []string {
 	c.t.Helper()
 	var ids []string
@@ -121,7 +121,7 @@
 	c.Fatalf(c.t, format, args...)
 }
 
-// revertLater reverts a fault after the time given by "for"; without it the fault stays.
+// revertLater reverts a fault after the duration "for". Without that argument the fault is permanent.
 func (c *command) revertLater(revert func()) {
 	c.t.Helper()
 	if c.HasArg("for") {
@@ -129,8 +129,7 @@
 	}
 }
 
-// runUntil runs the simulation in steps until a condition holds, for at most the time given by
-// "timeout".
+// runUntil runs the simulation in steps until a condition holds or the time "timeout" has passed.
 func (c *command) runUntil(defaultSeconds float64, step micros.Micros, reached func() bool) {
 	c.t.Helper()
 	for end := c.sim.now + c.seconds("timeout", defaultSeconds); c.sim.now < end && !reached(); {
@@ -138,7 +137,7 @@
 	}
 }
 
-// timeCommands let simulated time pass.
+// timeCommands advance the simulated time and mark the end of the faults.
 var timeCommands = commandTable{
 	"run": silent(func(c *command) { c.sim.run(c.seconds("for", 1)) }),
 	"run-until-done": func(c *command) string {
--- a/controller/scenario_jobs_test.go
+++ b/controller/scenario_jobs_test.go
@@ -20,7 +20,8 @@
 	"cancel":      silent(func(c *command) { c.sim.cancel(c.jobID(), c.to()) }),
 }
 
-// submitMany submits jobs with successive names; with "round-robin-teams", the teams take turns.
+// submitMany submits jobs with consecutive numbers. With "round-robin-teams" they are assigned to
+// that many teams in rotation.
 func (c *command) submitMany() {
 	c.t.Helper()
 	for i, id := range c.jobIDs(10) {
@@ -39,7 +40,8 @@
 	return &command{TestData: &data, t: c.t, sim: c.sim}
 }
 
-// submit submits the job that the arguments describe. It prints something only with "print-status".
+// submit submits the job that the arguments describe. Only with "print-status" does it wait for the
+// response and print its status.
 func (c *command) submit(id string) string {
 	c.t.Helper()
 	sim := c.sim
@@ -57,7 +59,7 @@
 	return ""
 }
 
-// addJob makes the job that the arguments describe known to the simulation.
+// addJob registers the job that the arguments describe with the simulation.
 func (c *command) addJob(id string) {
 	c.t.Helper()
 	sim := c.sim
@@ -72,7 +74,7 @@
 		CheckpointInterval: c.seconds("checkpoint-interval", 0), CheckpointDuration: c.seconds("checkpoint-duration", 0),
 		Zone: c.text("zone", ""), Deadline: c.seconds("deadline", 0),
 	}
-	for i := range c.integer("machine-types", 0) { // only the first of these machine types is offered
+	for i := range c.integer("machine-types", 0) { // the cloud offers only the first of these machine types
 		job.Types = append(job.Types, fmt.Sprintf("type-of-machine-%04d", i))
 	}
 	if job.Types != nil {
@@ -88,8 +90,8 @@
 	sim.setDependencies(id, c.dependencies())
 }
 
-// submitAndWait submits a job and prints the status of the response and, with "print-state", the job's
-// state in it.
+// submitAndWait submits a job and prints the HTTP status of the response and, with "print-state", the
+// job state in it.
 func (c *command) submitAndWait(id string) string {
 	c.t.Helper()
 	sim := c.sim
@@ -111,7 +113,7 @@
 	return fmt.Sprint(status)
 }
 
-// unfinishedJobs returns the submitted jobs of which no terminal state was reported to a user.
+// unfinishedJobs returns the submitted jobs whose terminal state was not reported to a user yet.
 func unfinishedJobs(sim *simulation) []string {
 	var left []string
 	for _, id := range ordered.Keys(sim.submitted) {
--- a/controller/scenario_nodes_test.go
+++ b/controller/scenario_nodes_test.go
@@ -8,7 +8,8 @@
 	"tamarindlead/micros"
 )
 
-// node returns the node that a command names: by its index, as the leader, or as another one.
+// node returns the node that a command names: by its index, as "leader" (the default), or as "other",
+// the node that follows the leader.
 func (c *command) node() *simNode {
 	c.t.Helper()
 	switch text := c.text("node", "leader"); text {
@@ -35,7 +36,7 @@
 	return c.seconds("for", restartDelay.Seconds())
 }
 
-// nodeCommands cause faults of controllers, of their network and of the state service.
+// nodeCommands cause faults of the controllers, of their network and of the KV store.
 var nodeCommands = commandTable{
 	"crash-node": silent(func(c *command) { c.sim.crash(c.node(), c.downtime()) }),
 	"crash-all-nodes": silent(func(c *command) {
@@ -84,14 +85,14 @@
 	"exhaust-sequence-numbers": silent((*command).exhaustNumbers),
 }
 
-// setMessageFaults sets which shares of the messages are lost, late or duplicated.
+// setMessageFaults sets which shares of the messages are lost, delayed or duplicated.
 func (c *command) setMessageFaults() {
 	c.t.Helper()
 	sim := c.sim
 	sim.lossRate, sim.delayedRequestRate, sim.duplicateRequestRate = c.number("loss-rate", 0), c.number("delay-rate", 0), c.number("duplicate-rate", 0)
 }
 
-// exhaustNumbers has a node use up nearly all numbers of its record's version.
+// exhaustNumbers has a node use nearly all sequence numbers of the present version of its record.
 func (c *command) exhaustNumbers() {
 	c.t.Helper()
 	core := c.node().core
@@ -115,8 +116,8 @@
 	return fmt.Sprint(status)
 }
 
-// sendUndecodableMessages sends messages that cannot be decoded to a node, and returns how many were
-// answered with which status.
+// sendUndecodableMessages sends messages that cannot be decoded to a node and returns the number of
+// responses by status.
 func (sim *simulation) sendUndecodableMessages(node *simNode) string {
 	seen := map[int]int{}
 	for i, body := range [][]byte{nil, {0xff}, {0xa1, 0x61}, []byte("hello"), wire.Encode([]int{1}), wire.Encode(map[string]any{"berth": 7, "shift": "x"})} {
--- a/controller/scenario_pipelines_test.go
+++ b/controller/scenario_pipelines_test.go
@@ -12,7 +12,7 @@
 	"tamarindlead/micros"
 )
 
-// dependencies returns the jobs that a command lists, as in (req-000001,req-000004..req-000009).
+// dependencies returns the jobs that depends-on lists, as in (req-000001,req-000004..req-000009).
 func (c *command) dependencies() []string {
 	c.t.Helper()
 	var ids []string
@@ -27,8 +27,8 @@
 	return ids
 }
 
-// expandJobRange returns the jobs of a range such as req-000004..req-000009; any other text
-// stands for itself.
+// expandJobRange returns the jobs of a range such as req-000004..req-000009. Any other text is
+// returned unchanged.
 func (c *command) expandJobRange(text string) []string {
 	c.t.Helper()
 	from, to, isRange := strings.Cut(text, "..")
@@ -37,7 +37,7 @@
 	}
 	var first, last int
 	if _, err := fmt.Sscanf(from+" "+to, "req-%d req-%d", &first, &last); err != nil || last < first {
-		c.fail("depends-on: %s is no range of jobs", text)
+		c.fail("depends-on: %s is not a valid range of jobs", text)
 	}
 	var ids []string
 	for i := first; i <= last; i++ {
@@ -81,7 +81,7 @@
 	return *got
 }
 
-// pollJobs asks all nodes about jobs at an interval.
+// pollJobs queries all nodes about the accepted ones of some jobs at an interval, until a given time.
 func (sim *simulation) pollJobs(ids []string, every, until micros.Micros) {
 	if sim.now > until {
 		return
@@ -98,8 +98,8 @@
 	sim.after(every, func() { sim.pollJobs(ids, every, until) })
 }
 
-// sendInvalidDependencies submits jobs with invalid dependencies to a node and returns the statuses
-// of the responses.
+// sendInvalidDependencies submits a job with each kind of invalid dependencies to a node and returns
+// the statuses of the responses.
 func (sim *simulation) sendInvalidDependencies(to, first int, known string) string {
 	var out []string
 	for i, b := range invalidDependencies {
@@ -108,14 +108,14 @@
 		body := withDependencyField(wire.Encode(sim.validJobFields(id)), b.value(id, known))
 		response := sim.requestAndWait(to, "POST", "/api/jobs", id, body)
 		if b.want == 400 && response.Status != 400 {
-			sim.reportViolation("accepted_bad: awaits of the form %s is answered %d", b.name, response.Status)
+			sim.reportViolation("accepted_bad: a submission with the invalid dependencies %q is answered with status %d", b.name, response.Status)
 		}
 		out = append(out, fmt.Sprintf("%s %d", b.name, response.Status))
 	}
 	return strings.Join(out, "\n")
 }
 
-// pipelineCommands submit, cancel and watch jobs with dependencies.
+// pipelineCommands submit, cancel and query jobs with dependencies.
 var pipelineCommands = commandTable{
 	"submit-chain": silent(func(c *command) { // each job depends on the previous one
 		dependencies := c.dependencies()
@@ -141,7 +141,7 @@
 	},
 	"cancel-at-completion": silent((*command).cancelAtCompletion),
 	"crash-at-completion":  silent((*command).crashAtCompletion),
-	"run-until-completed": func(c *command) string { // all tasks of the job completed, reported or not
+	"run-until-completed": func(c *command) string { // all tasks, whether or not a user knows it
 		completed := func() bool { return c.sim.allTasksDone(c.jobID()) }
 		c.runUntil(240, simulationStep, completed)
 		if !completed() {
@@ -149,7 +149,7 @@
 		}
 		return "completed"
 	},
-	"run-until-recorded": func(c *command) string { // the job's terminal state is recorded, reported or not
+	"run-until-recorded": func(c *command) string { // its terminal state, whether or not a user knows it
 		id := c.jobID()
 		c.runUntil(240, simulationStep, func() bool { return c.sim.recordedTerminalState(id) != "" })
 		return string(c.sim.recordedTerminalState(id))
@@ -171,17 +171,17 @@
 	"submit-invalid-dependencies": func(c *command) string {
 		return c.sim.sendInvalidDependencies(c.to(), c.integer("first-job", 970000), c.jobID())
 	},
-	"started-before": func(c *command) string { // the first task of one job started before that of another
+	"started-before": func(c *command) string { // the first tasks of both jobs are compared
 		first, second := c.sim.startedAt[c.jobID()], c.sim.startedAt[c.text("other-job", "")]
 		return fmt.Sprint(first > 0 && (second == 0 || first < second))
 	},
-	"was-reported-queued": func(c *command) string { // a user saw the job queued while it was blocked
+	"was-reported-queued": func(c *command) string { // at a time when the job was blocked
 		return fmt.Sprint(c.sim.pipelines.queuedResponses[c.jobID()] > 0)
 	},
 }
 
-// cancelAtCompletion has a user cancel a job when the last task of another one completes, or some
-// time after that.
+// cancelAtCompletion has a user cancel a job when the last task of "completed-job" completes, or
+// "delay" after that.
 func (c *command) cancelAtCompletion() {
 	c.t.Helper()
 	sim, pipelines := c.sim, &c.sim.pipelines
@@ -193,7 +193,7 @@
 }
 
 // crashAtCompletion has the leader, or all nodes, crash when the last task of a job completes, or
-// some time after that.
+// "delay" after that.
 func (c *command) crashAtCompletion() {
 	c.t.Helper()
 	sim, pipelines := c.sim, &c.sim.pipelines
@@ -208,7 +208,7 @@
 	pipelines.onDone[id] = append(pipelines.onDone[id], func() { sim.after(delay, crash) })
 }
 
-// queryAllNodes asks all nodes about a job at once and prints the states in their responses.
+// queryAllNodes queries all nodes about a job at the same time and prints the states in the responses.
 func (c *command) queryAllNodes() string {
 	c.t.Helper()
 	sim, id := c.sim, c.jobID()
@@ -235,7 +235,7 @@
 	return "unreported"
 }
 
-// countReportedStates prints how many jobs were reported in which state.
+// countReportedStates prints the number of jobs by the terminal state that was reported to a user.
 func (c *command) countReportedStates() string {
 	c.t.Helper()
 	counts := map[string]int{}
--- a/controller/scenario_queries_test.go
+++ b/controller/scenario_queries_test.go
@@ -38,8 +38,8 @@
 	"has-leader": func(c *command) string { return fmt.Sprint(c.sim.leader() >= 0) },
 }
 
-// atLeast prints "true" if a condition holds for at least as many jobs as "at-least" demands, and
-// their number otherwise.
+// atLeast prints "true" if a condition holds for at least "at-least" of the jobs, and otherwise the
+// number of jobs for which it holds.
 func (c *command) atLeast(holds func(id string) bool) string {
 	c.t.Helper()
 	n := 0
@@ -54,15 +54,15 @@
 	return fmt.Sprint(n)
 }
 
-// count prints a figure of the simulation. For some of them a scenario may demand a least value
-// instead, so that it does not depend on the exact one.
+// count prints a metric of the simulation. Of some metrics a scenario may require a minimum,
+// "at-least", so that it does not depend on the exact value; then "true" is printed.
 func (c *command) count() string {
 	c.t.Helper()
 	what := c.text("what", "running-tasks")
 	if metric := metrics[what]; metric != nil {
 		return fmt.Sprint(metric(c))
 	}
-	if what == "records-above-size" { // a size, in the form in which the limits count it
+	if what == "records-above-size" { // sizes are measured as the value limit measures them
 		return c.sim.countRecordsAbove(c.text("prefix", ""), c.integer("bytes", 0), c.integer("at-least", 0))
 	}
 	metric := metricsWithMinimum[what]
@@ -76,7 +76,7 @@
 	return fmt.Sprint(n)
 }
 
-// metrics are printed as they are.
+// metrics are printed as exact values.
 var metrics = map[string]func(c *command) int{
 	"running-tasks":              func(c *command) int { return len(c.sim.runningOn) },
 	"delayed-heartbeats":         func(c *command) int { return len(c.sim.delayedHeartbeats) + len(c.sim.delayNextHeartbeatOf) },
@@ -93,7 +93,7 @@
 	"records":                    func(c *command) int { return len(c.sim.kvStore.Keys(c.text("prefix", ""))) },
 }
 
-// metricsWithMinimum count how often a condition that a scenario aims at occurred.
+// metricsWithMinimum count how often a condition occurred that a scenario is meant to cause.
 var metricsWithMinimum = map[string]func(c *command) int{
 	"consistency-checks":           func(c *command) int { return c.sim.users.consistencyChecks },
 	"invalid-or-repeated-requests": func(c *command) int { return c.sim.users.invalidOrRepeatedSent },
--- a/controller/scenario_seeds_test.go
+++ b/controller/scenario_seeds_test.go
@@ -11,13 +11,13 @@
 	"github.com/cockroachdb/datadriven"
 )
 
-// seededScenarios are the scenarios of which TestScenarioSeeds plays several seeds: what they guard
-// against depends on which response overtakes which.
+// seededScenarios are the scenarios that TestScenarioSeeds runs with several seeds: the faults that
+// they cover depend on the order in which delayed responses arrive.
 var seededScenarios = []string{"delayed_kv_responses", "delayed_accept_response", "delayed_peer_responses"}
 
-// fixedScenarioSeeds is how many seeds are always played. More are played on demand:
-// SCENARIO_SEEDS=200 plays the seeds 1 to 200 of them, and with SCENARIOS=concurrent_consistency_checks,new_machine_hangs_at_leader_change of
-// these scenarios instead.
+// fixedScenarioSeeds is the number of seeds that are always run. SCENARIO_SEEDS=200 runs the seeds 1
+// to 200, and SCENARIOS=concurrent_consistency_checks,new_machine_hangs_at_leader_change runs these
+// scenarios instead of the default ones.
 const fixedScenarioSeeds = 3
 
 // seedOverride is the argument that overrides the seed of a scenario.
@@ -31,8 +31,8 @@
 	return uint64(arg(t, d, "seed", 1))
 }
 
-// TestScenarioSeeds plays scenarios with other seeds than their own. The rules must hold with each,
-// and the scenario must print the same.
+// TestScenarioSeeds runs scenarios with seeds other than their own. With each seed the rules must hold
+// and the printed results must be the expected ones.
 func TestScenarioSeeds(t *testing.T) {
 	scenarios, seeds := seededScenarios, seedsOnDemand(t, fixedScenarioSeeds)
 	if text := os.Getenv("SCENARIOS"); text != "" {
@@ -48,7 +48,7 @@
 	}
 }
 
-// seedsOnDemand returns how many seeds the environment asks for, or the number that is always played.
+// seedsOnDemand returns the number of seeds that SCENARIO_SEEDS requests, or a default if it is unset.
 func seedsOnDemand(t *testing.T, always int) int {
 	t.Helper()
 	text := os.Getenv("SCENARIO_SEEDS")
@@ -62,7 +62,7 @@
 	return seeds
 }
 
-// runWithSeed plays a scenario with the given seed.
+// runWithSeed runs a scenario with the given seed.
 func runWithSeed(t *testing.T, scenario string, seed int) {
 	override := datadriven.CmdArg{Key: seedOverride, Vals: []string{strconv.Itoa(seed)}}
 	prepare := func(d *datadriven.TestData) { d.CmdArgs = append(d.CmdArgs, override) }
--- a/controller/scenario_setup_test.go
+++ b/controller/scenario_setup_test.go
@@ -12,8 +12,8 @@
 	"tamarindlead/sched"
 )
 
-// newScenarioSimulation returns a simulation as a scenario describes it: its limits, zones, teams,
-// two machine types and a few machines.
+// newScenarioSimulation returns the simulation that a scenario's cluster command describes: its
+// limits, zones, teams, two machine types and a few machines.
 func newScenarioSimulation(t *testing.T, d *datadriven.TestData) *simulation {
 	t.Helper()
 	cfg := scenarioSettings(t, d)
@@ -33,7 +33,7 @@
 	return sim
 }
 
-// scenarioSettings returns the settings of a scenario's nodes.
+// scenarioSettings returns the settings of the nodes that a cluster command describes.
 func scenarioSettings(t *testing.T, d *datadriven.TestData) *config.Settings {
 	t.Helper()
 	team := func(name string) config.Team {
@@ -86,8 +86,8 @@
 	}
 }
 
-// offerMachineTypes has the cloud offer a small and a big machine type, with a capacity of each in
-// each of its zones.
+// offerMachineTypes has the cloud offer a small and a big machine type. onDemand and spot are the
+// numbers of machines of each type that are available per zone.
 func (sim *simulation) offerMachineTypes(smallBootS, bigBootS float64, smallZones, bigZones []string, onDemand, spot int) {
 	sim.cloud.Types = []wire.MachineType{
 		{Name: "small", CPUs: 8, MemGB: 32, CacheGB: 50, FetchGBPerS: 1, HourlyPrice: 1, SpotPrice: 0.3, BootS: smallBootS, Zones: smallZones},
--- a/controller/scenario_test.go
+++ b/controller/scenario_test.go
@@ -8,8 +8,8 @@
 	"github.com/cockroachdb/datadriven"
 )
 
-// TestScenarios plays the files of testdata, each of which describes the fault that it guards
-// against. The rules are checked after every command.
+// TestScenarios runs the scenario files of testdata, whose first lines describe the fault that each
+// covers. The rules must hold after every command.
 func TestScenarios(t *testing.T) {
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
 		t.Parallel()
@@ -17,8 +17,8 @@
 	})
 }
 
-// runScenario plays a scenario file. prepare may change the command that creates the simulation,
-// and created is called with the new simulation.
+// runScenario runs a scenario file. prepare may change the cluster command, which creates the
+// simulation, and created is called with the new simulation.
 func runScenario(t *testing.T, path string, prepare func(d *datadriven.TestData), created func(sim *simulation)) {
 	t.Helper()
 	var sim *simulation
@@ -33,8 +33,8 @@
 	})
 }
 
-// runScenarioCommand executes one command, other than the one that creates the simulation, and
-// fails the test if a rule was violated by then.
+// runScenarioCommand executes one command other than cluster and fails the test if a rule has been
+// violated.
 func runScenarioCommand(t *testing.T, sim *simulation, d *datadriven.TestData) string {
 	t.Helper()
 	out := executeScenarioCommand(t, sim, d)
--- a/controller/simulation_network_test.go
+++ b/controller/simulation_network_test.go
@@ -36,8 +36,8 @@
 	return x
 }
 
-// zonesPartitioned reports whether two zones are partitioned from each other; "" stands for where the
-// state service, the cloud and the users are.
+// zonesPartitioned reports whether two zones are partitioned from each other. "" stands for the
+// location of the KV store, the cloud and the users.
 func (sim *simulation) zonesPartitioned(a, b string) bool {
 	return sim.partitionedZone != "" && (a == sim.partitionedZone) != (b == sim.partitionedZone)
 }
@@ -55,7 +55,7 @@
 	if !node.up {
 		return
 	}
-	incarnation := node.incarnation
+	atIncarnation := node.incarnation
 	effects := node.handle(sim, ev)
 	if sim.onEffects != nil {
 		sim.onEffects(node, ev, effects)
@@ -68,13 +68,13 @@
 				respond(e)
 			}
 		case Call:
-			sim.startCall(node, incarnation, e)
+			sim.startCall(node, atIncarnation, e)
 		}
 	}
 }
 
-// sendRequest sends a request to a node and calls done with the response, whose status is 0 if there
-// is none in time.
+// sendRequest sends a request to a node and calls done with the response. Its status is 0 if no
+// response arrives before the timeout.
 func (sim *simulation) sendRequest(node *simNode, request Request, timeout micros.Micros, done func(Respond)) {
 	finished := false
 	finish := func(response Respond) {
@@ -90,11 +90,11 @@
 		}
 		node.nextID++
 		request.ID = node.nextID
-		incarnation, receivedAt := node.incarnation, sim.now
+		atIncarnation, receivedAt := node.incarnation, sim.now
 		node.pending[request.ID] = func(response Respond) {
 			sim.checkRefusal(request, response, sim.now-receivedAt)
 			sim.after(sim.randomLatency(), func() {
-				if !node.partitioned && (incarnation == node.incarnation || response.Status == 0) {
+				if !node.partitioned && (atIncarnation == node.incarnation || response.Status == 0) {
 					finish(response)
 				}
 			})
@@ -104,10 +104,10 @@
 	sim.after(timeout, func() { finish(Respond{}) })
 }
 
-// startCall plays an outbound call of a node from its request to its response or timeout.
+// startCall simulates an outbound call of a node, from its request to its response or timeout.
 func (sim *simulation) startCall(node *simNode, incarnation int, call Call) {
 	if node.openCalls++; node.openCalls > sim.cfg.Sockets/4 {
-		sim.reportViolation("sockets: node %d has %d calls under way", node.index, node.openCalls)
+		sim.reportViolation("sockets: node %d has %d open calls", node.index, node.openCalls)
 	}
 	finished := false
 	finish := func(response fake.Response) {
@@ -170,7 +170,7 @@
 	workerAddrPrefix = "worker:"
 )
 
-// executeCall executes a call at its target, unless a fault keeps it from getting there.
+// executeCall executes a call at its target, unless a fault makes the target unreachable.
 func (sim *simulation) executeCall(node *simNode, call Call, respond func(fake.Response)) {
 	switch {
 	case strings.HasPrefix(call.Addr, peerAddrPrefix):
@@ -190,11 +190,11 @@
 	}
 }
 
-// executePeerCall passes a call on to another controller.
+// executePeerCall delivers a call to another controller.
 func (sim *simulation) executePeerCall(node *simNode, call Call, respond func(fake.Response)) {
 	i, err := strconv.Atoi(strings.TrimPrefix(call.Addr, peerAddrPrefix))
 	if err != nil {
-		panic(err) // start makes these addresses
+		panic(err) // start creates these addresses
 	}
 	peer := sim.nodes[i]
 	if node.onlyWorkersReachable || peer.onlyWorkersReachable || sim.dropPeerMessage(call, false) ||
@@ -212,7 +212,7 @@
 	})
 }
 
-// executeWorkerCall executes a direct command at a worker; a hung worker does so once it continues.
+// executeWorkerCall executes a direct command at a worker. A hung worker executes it when it resumes.
 func (sim *simulation) executeWorkerCall(node *simNode, call Call, respond func(fake.Response)) {
 	worker := sim.workers[strings.TrimPrefix(call.Addr, workerAddrPrefix)]
 	if worker == nil || worker.Machine.Gone || worker.Partitioned || worker.InboundBlocked || node.workersUnreachable ||
@@ -236,8 +236,8 @@
 	return worker.ExecuteDirect(sim.now, call.Body)
 }
 
-// executeKV executes a call of the state service. A watch without changes is answered once it has
-// waited for as long as it asks for.
+// executeKV executes a call at the KV store. A watch without changes is answered after the waiting
+// time that it requests.
 func (sim *simulation) executeKV(node *simNode, call Call, since micros.Micros, respond func(fake.Response)) {
 	sim.kvStore.Now = sim.now
 	waited := sim.now-since >= sim.watchTimeout(call)
@@ -249,7 +249,7 @@
 	sim.after(simulationStep, func() { sim.executeKV(node, call, since, respond) })
 }
 
-// watchTimeout returns for how long a call waits for changes.
+// watchTimeout returns how long a call waits for changes, 0 if it is not a watch.
 func (sim *simulation) watchTimeout(call Call) micros.Micros {
 	target, err := url.ParseRequestURI(call.Target)
 	if err != nil {
--- a/controller/simulation_nodes_test.go
+++ b/controller/simulation_nodes_test.go
@@ -15,33 +15,33 @@
 
 type simNode struct {
 	index                int
-	core                 *Core           // nil while the node runs the version in production
+	core                 *Core           // nil while the node runs the production version
 	productionCore       *productionCore // nil otherwise
-	version              version         // of the next start
+	version              version         // that the node runs from its next start
 	incarnation          int
 	downUntil            micros.Micros
 	up                   bool
 	partitioned          bool // from everything
-	delaysOutbound       bool // calls of a partitioned node are delivered afterwards
+	delaysOutbound       bool // calls made during the partition are delivered after it
 	workersUnreachable   bool // in both directions
-	onlyWorkersReachable bool // neither the state service nor siblings are
+	onlyWorkersReachable bool // the KV store and the peers are not
 	cloudUnreachable     bool
 	nextTimer            micros.Micros
 	pending              map[uint64]func(Respond)
 	nextID               uint64
-	openCalls            int // of this incarnation
+	openCalls            int // of the present incarnation
 }
 
 func nodeName(i int) string { return fmt.Sprintf("n%d", i) }
 
-// nodeZone returns the zone of a node: nodes are spread over the zones in turn.
+// nodeZone returns the zone of a node. Nodes are assigned to the zones in rotation.
 func (sim *simulation) nodeZone(i int) string { return sim.cfg.Zones[i%len(sim.cfg.Zones)] }
 
 func (sim *simulation) start(node *simNode) {
 	cfg := *sim.cfg
 	cfg.Zone = sim.nodeZone(node.index)
 	cfg.Node = nodeName(node.index)
-	if node.version != productionVersion { // which does not know these limits
+	if node.version != productionVersion { // the production version does not have these settings
 		sim.nextLimits.apply(&cfg)
 	}
 	cfg.Siblings = nil
@@ -65,7 +65,7 @@
 	node.core = New(&cfg, sim.rng.Uint64(), log, sim.now, sim.now)
 }
 
-// replaceLogTime replaces the time of log lines by the simulated time.
+// replaceLogTime replaces the wall-clock time of log lines by the simulated time.
 func (sim *simulation) replaceLogTime(_ []string, a slog.Attr) slog.Attr {
 	if a.Key == slog.TimeKey {
 		return slog.String(a.Key, fmt.Sprint(sim.now-micros.Hour))
@@ -90,7 +90,7 @@
 	return 0, false
 }
 
-// leader returns the index of the node that owns teams, or -1.
+// leader returns the index of the first node that owns teams, or -1 if none does.
 func (sim *simulation) leader() int {
 	return slices.IndexFunc(sim.nodes, func(node *simNode) bool { by, _ := node.ownership(); return by != nil })
 }
--- a/controller/simulation_rules_test.go
+++ b/controller/simulation_rules_test.go
@@ -7,6 +7,7 @@
 	"tamarindlead/micros"
 )
 
+// checkRules checks the rules that must hold at every step of a simulation.
 func (sim *simulation) checkRules() {
 	used := sim.usedCPUs()
 	for task := range sim.runningOn {
@@ -22,12 +23,13 @@
 		}
 	}
 	if sim.kvStore.OversizedTransactions > 0 {
-		sim.reportViolation("limits: a commit was too large")
+		sim.reportViolation("limits: a transaction exceeded the limit of the KV store")
 	}
-	// After the faults, a job is forgotten if no request about it is answered.
+	// After the faults have ended, a job counts as forgotten if no request about it is answered for
+	// maxUnansweredTime.
 	for id := range sim.accepted {
 		if sim.faultsEndedAt > 0 && sim.reportedTerminal[id] == "" && sim.now-max(sim.lastAnsweredAt[id], sim.faultsEndedAt) > maxUnansweredTime {
-			sim.reportViolation("forgotten: nobody answers about %s", id)
+			sim.reportViolation("forgotten: no request about %s is answered", id)
 		}
 	}
 	sim.checkSchedulingDelay()
--- a/controller/simulation_scheduling_test.go
+++ b/controller/simulation_scheduling_test.go
@@ -12,8 +12,8 @@
 	"tamarindlead/sched"
 )
 
-// checkSchedulingDelay checks that after the faults no job is pending for long while it fits on a
-// machine and into its team's limit.
+// checkSchedulingDelay checks that, after the faults have ended, no job is pending for longer than
+// maxSchedulableWait while it fits on the machines and within its team's quota limit.
 func (sim *simulation) checkSchedulingDelay() {
 	users := &sim.users
 	if sim.faultsEndedAt == 0 || sim.now < users.nextSchedulingCheck {
@@ -29,13 +29,13 @@
 		if !ok {
 			users.schedulableSince[id] = sim.now
 		} else if sim.now-since > maxSchedulableWait {
-			sim.reportViolation("waits: %s has waited since %v beside room for it", id, since-micros.Hour)
+			sim.reportViolation("waits: %s is pending since %v although it fits on the machines", id, since-micros.Hour)
 		}
 	}
 }
 
-// isSchedulable reports whether a job that has started nothing fits on the machines and into its
-// team's limit.
+// isSchedulable reports whether a job without running tasks can start: it fits on the machines and
+// within its team's quota limit.
 func (sim *simulation) isSchedulable(id string) bool {
 	job, info := sim.submitted[id], sim.taskInfos[id]
 	if sim.reportedTerminal[id] != "" || sim.cancelRequested[id] || info.Fails || sim.runningTasks(id) > 0 || sim.hasUnreportedDependency(id) {
@@ -56,7 +56,7 @@
 	return sim.freeTaskSlotsFor(job) >= need
 }
 
-// freeTaskSlotsFor returns how many tasks of a job of which none runs yet fit on the machines.
+// freeTaskSlotsFor returns how many tasks of a job without running tasks fit on the machines.
 func (sim *simulation) freeTaskSlotsFor(job *sched.Job) int {
 	byZone := map[string]int{}
 	for _, worker := range sim.workers {
@@ -87,7 +87,7 @@
 	return n
 }
 
-// usedCPUs returns the processors that the running tasks of each team use.
+// usedCPUs returns the number of CPUs that the running tasks of each team use.
 func (sim *simulation) usedCPUs() map[string]float64 {
 	used := map[string]float64{}
 	for task := range sim.runningOn {
@@ -97,7 +97,7 @@
 	return used
 }
 
-// canRunTasks reports whether a healthy machine is of a kind that a job allows.
+// canRunTasks reports whether a machine is healthy and a job may run on a machine of its kind.
 func canRunTasks(worker *fake.Worker, job *sched.Job) bool {
 	machine := worker.Machine
 	healthy := !machine.Gone && !worker.Hung && !worker.Partitioned && !worker.InboundBlocked && !worker.FailsTasks && worker.PreemptionNotice == nil
--- a/controller/simulation_test.go
+++ b/controller/simulation_test.go
@@ -11,8 +11,8 @@
 	"tamarindlead/sched"
 )
 
-// simulation runs controllers against fakes of the state service, the cloud and the workers on a
-// simulated clock, and checks the rules of the service at every step.
+// simulation runs controllers against fakes of the KV store, the cloud and the workers on a simulated
+// clock, and checks the rules of the service at every step.
 type simulation struct {
 	now           micros.Micros
 	rng           *rand.Rand
@@ -21,10 +21,10 @@
 	kvStore       *fake.KVStore
 	cloud         *fake.Cloud
 	fleet         *fake.Fleet
-	workers       map[string]*fake.Worker // those of the fleet
+	workers       map[string]*fake.Worker // the workers of the fleet
 	events        eventQueue
 	eventSeq      int
-	faultsEndedAt micros.Micros // 0 while faults go on
+	faultsEndedAt micros.Micros // 0 until the faults have ended
 	violations    []string
 
 	jobLedger
@@ -36,12 +36,12 @@
 	pipelines  pipelineState
 	nextLimits nextLimits
 
-	production *productionProcess // runs the nodes of the version in production
+	production *productionProcess // runs the nodes of the production version
 	onMessage  func(body []byte)  // called with each peer message
 	onEffects  func(node *simNode, ev Event, effects []Effect)
 }
 
-// jobLedger is what the simulation's users know of their jobs, by job.
+// jobLedger records what users know about their jobs. The keys of the maps are job names.
 type jobLedger struct {
 	taskInfos                 map[string]fake.TaskInfo
 	submitted                 map[string]*sched.Job
@@ -50,9 +50,9 @@
 	accepted                  map[string]bool
 	cancelRequested           map[string]bool
 	acknowledgedCancellations map[string]micros.Micros
-	reportedTerminal          map[string]wire.JobPhase // first terminal state that was reported to a user
-	lastAnsweredAt            map[string]micros.Micros // when a request about a job was answered last
-	startedAt                 map[string]micros.Micros // when a job's first task, or its whole gang, started
+	reportedTerminal          map[string]wire.JobPhase // the terminal state that was reported to a user first
+	lastAnsweredAt            map[string]micros.Micros // when a request about the job was answered last
+	startedAt                 map[string]micros.Micros // when the job's first task, or its whole gang, started
 }
 
 func newJobLedger() jobLedger {
@@ -70,9 +70,9 @@
 	}
 }
 
-// taskLedger is what happened to the tasks on the machines.
+// taskLedger records what happened to the tasks on the machines.
 type taskLedger struct {
-	completedTasks map[string]bool   // those of the fleet
+	completedTasks map[string]bool   // the map of the fleet
 	runningOn      map[string]string // machine by task
 	startedTasks   int
 	exitsByCause   map[string]int
@@ -81,16 +81,16 @@
 // messageFaults are faults of the network.
 type messageFaults struct {
 	lossRate                float64 // share of the messages that are lost
-	delayedRequestRate      float64 // share of the requests that are executed long after their timeout
-	duplicateRequestRate    float64 // share of the requests that are executed twice, the second time late
-	duplicateHeartbeatShare float64 // share of the heartbeats of which a copy arrives late
+	delayedRequestRate      float64 // share of the requests that are executed seconds later, without a response
+	duplicateRequestRate    float64 // share of the requests that are executed again seconds later
+	duplicateHeartbeatShare float64 // share of the heartbeats that are duplicated; the copy is delayed
 	maxCopyDelay            micros.Micros
-	partitionedZone         string // partitioned from everything else
+	partitionedZone         string // from all other zones, the KV store, the cloud and the users
 }
 
-// The random streams of a seed. Each purpose has its own, so that its draws do not change those
-// of the others. Only kvFaultStream and faultPairStream are the same: another number would change
-// the runs of all seeds.
+// The random streams of a seed. Each purpose has its own stream, so that its draws do not change the
+// draws of other purposes. Only kvFaultStream and faultPairStream have the same number: a different
+// one would change the runs of all seeds.
 const (
 	simulationStream = 1
 	kvFaultStream    = 2
--- a/controller/simulation_users_test.go
+++ b/controller/simulation_users_test.go
@@ -13,7 +13,7 @@
 	sim.sendRequest(sim.nodes[node], Request{Method: method, Path: path, Body: body}, 5*micros.Second, done)
 }
 
-// submit submits a job and retries at the next node until it is accepted or refused for good.
+// submit submits a job and retries at the next node until the job is accepted or permanently refused.
 func (sim *simulation) submit(id string, node int) {
 	sent := sim.now
 	sim.sendUserRequest(node, "POST", "/api/jobs", sim.submissions[id], func(response Respond) {
@@ -35,7 +35,7 @@
 	})
 }
 
-// poll asks for a job at an interval until its terminal state is reported.
+// poll queries a job at an interval until its terminal state is reported.
 func (sim *simulation) poll(id string, node int) {
 	sent := sim.now
 	sim.sendRequest(sim.nodes[node], Request{Method: "GET", Path: "/api/jobs/" + id}, 2*micros.Second, func(response Respond) {
--- a/controller/users_completion_test.go
+++ b/controller/users_completion_test.go
@@ -8,7 +8,7 @@
 	"tamarindlead/sched"
 )
 
-// completionGroup counts the jobs of a group and those that were served.
+// completionGroup counts the jobs of a group and how many of them were served.
 type completionGroup struct{ total, served int }
 
 // completionGroups counts jobs by group.
@@ -24,9 +24,10 @@
 	}
 }
 
-// checkCompletion checks what must hold at the end of a day for all jobs that their users did not
-// cancel: requests about each are answered, at least half of each class, of each team and of the
-// largest jobs of each class are served, and the largest started in time.
+// checkCompletion performs the final checks of a run, on all jobs that can be expected to be served:
+// requests about each job are answered; at least half of the jobs of each class, of each team and of
+// the largest jobs of each class are done or running; and the largest jobs started before their
+// deadline.
 func (sim *simulation) checkCompletion() {
 	groups := completionGroups{}
 	ids := sim.jobsToServe()
@@ -34,7 +35,7 @@
 	for _, id := range ids {
 		job := sim.submitted[id]
 		if sim.accepted[id] && sim.reportedTerminal[id] == "" && sim.now-max(sim.lastAnsweredAt[id], sim.faultsEndedAt) > maxUnansweredTime {
-			sim.reportViolation("forgotten: nobody answers about %s", id)
+			sim.reportViolation("forgotten: no request about %s is answered", id)
 		}
 		served := sim.reportedTerminal[id] == wire.JobDone || sim.runningTasks(id) > 0
 		groups.add("class "+job.Class, served)
@@ -52,7 +53,8 @@
 	}
 }
 
-// jobsToServe returns the jobs that can be expected to be served.
+// jobsToServe returns the jobs that can be expected to be served: valid jobs whose tasks do not fail,
+// that were not cancelled and whose dependencies were reported as done.
 func (sim *simulation) jobsToServe() []string {
 	var ids []string
 	for _, id := range ordered.Keys(sim.submitted) {
@@ -64,7 +66,7 @@
 	return ids
 }
 
-// jobCPUs returns the number of processors that all tasks of a job need.
+// jobCPUs returns the number of CPUs that all tasks of a job need together.
 func jobCPUs(job *sched.Job) float64 { return job.Need.CPUs() * float64(job.Tasks) }
 
 // sizesByClass returns the sorted sizes of the jobs of each class.
@@ -80,20 +82,20 @@
 	return sizes
 }
 
-// isAmongLargest reports whether a job is one of the largest of its class, given the sorted sizes of
-// the class, and those are much larger than the median.
+// isAmongLargest reports whether a job is one of the largest of its class and the class has jobs much
+// larger than its median. sizes are the sorted sizes of the jobs of the class.
 func isAmongLargest(job *sched.Job, sizes []float64) bool {
 	most, median := sizes[len(sizes)-1], sizes[len(sizes)/2]
 	return jobCPUs(job) >= 0.9*most && most > 1.5*median
 }
 
-// checkStartDeadline checks that one of the largest jobs started in time.
+// checkStartDeadline checks that one of the largest jobs started within largestJobsDeadline.
 func (sim *simulation) checkStartDeadline(id string) {
 	started, ok := sim.startedAt[id]
 	if !ok {
 		started = sim.now
 	}
 	if started-sim.eligibleSince(id) > largestJobsDeadline {
-		sim.reportViolation("late: %s, of the largest of its class, has not begun after %v", id, largestJobsDeadline)
+		sim.reportViolation("late: %s, one of the largest jobs of its class, has not started after %v", id, largestJobsDeadline)
 	}
 }
--- a/controller/users_invalid_jobs_test.go
+++ b/controller/users_invalid_jobs_test.go
@@ -14,7 +14,7 @@
 	body       []byte
 }
 
-// invalidValues are values that fields must not have.
+// invalidValues are invalid values of fields of a submission.
 var invalidValues = []struct {
 	field string
 	value any
@@ -50,22 +50,23 @@
 	{"bundle", false},
 }
 
-// sendInvalidJob submits a job that must be refused for good: with 400 in any case if it is malformed,
-// with 422 if it can never run, unless the node cannot decide that.
+// sendInvalidJob submits a job that must be permanently refused: with 400 if it is malformed, and with
+// 422 if it can never run. In the latter case 429 and 503 are allowed too, since a node may be unable
+// to decide that.
 func (sim *simulation) sendInvalidJob(to int, b invalidJob, want int) {
 	users := &sim.users
 	users.mustRefuse[b.id] = b.reason
 	sim.sendUserRequest(to, "POST", "/api/jobs", b.body, func(response Respond) {
 		undecided := response.Status == 0 || want == 422 && (response.Status == 503 || response.Status == 429)
 		if response.Status != want && !undecided {
-			sim.reportViolation("accepted_bad: a submission must be answered %d, is answered %d: %s", want, response.Status, b.reason)
+			sim.reportViolation("accepted_bad: a submission must be answered with status %d, is answered with %d: %s", want, response.Status, b.reason)
 		}
 		sent := sim.now
 		sim.sendUserRequest(to, "GET", "/api/jobs/"+b.id, nil, func(response Respond) { sim.checkResponse(b.id, response, sent) })
 	})
 }
 
-// validJobFields returns the encoded fields of a job that could run; the invalid ones differ in one.
+// validJobFields returns the fields of a valid submission. Invalid submissions are made by changing it.
 func (sim *simulation) validJobFields(id string) map[string]any {
 	job := &sched.Job{
 		ID: id, Class: "work", Team: sim.cfg.Teams[0].Name, Priority: sched.Normal, Tasks: 2,
@@ -73,7 +74,7 @@
 	}
 	fields := map[string]any{}
 	if err := wire.Decode(wire.Encode(wire.FromJob(job)), &fields); err != nil {
-		panic(err) // it was encoded just now
+		panic(err) // the fields were encoded by this function
 	}
 	return fields
 }
@@ -99,10 +100,10 @@
 	case i == len(needed)+len(invalidValues)+1:
 		return invalidJob{id, "not CBOR", []byte{0xff, 0x00}}
 	case i == len(needed)+len(invalidValues)+2:
-		return invalidJob{id, "a list", wire.Encode([]any{fields})}
+		return invalidJob{id, "a list instead of a map", wire.Encode([]any{fields})}
 	default:
 		body := wire.Encode(fields)
-		return invalidJob{id, "cut short", body[:len(body)-3]}
+		return invalidJob{id, "truncated", body[:len(body)-3]}
 	}
 }
 
@@ -118,19 +119,19 @@
 	limit := sim.cfg.Teams[0].QuotaLimit.CPUs()
 	switch n % 6 {
 	case 0:
-		return set("no such team", "desk", "green")
+		return set("unknown team", "desk", "green")
 	case 1:
-		return set("too many cpus for any machine", "cpus", 64.0)
+		return set("more CPUs than any machine type has", "cpus", 64.0)
 	case 2:
-		return set("too much memory for any machine", "memGb", 4096.0)
+		return set("more memory than any machine type has", "memGb", 4096.0)
 	case 3:
-		return set("no such machine type", "builds", []string{"none"})
+		return set("unknown machine type", "builds", []string{"none"})
 	case 4:
-		return set("cards that no machine has", "cards", 1.0)
+		return set("GPUs, which no machine type has", "cards", 1.0)
 	default:
 		if limit == 0 {
 			return set("no machine type allowed", "builds", []string{})
 		}
-		return set("a gang above the limit", "shape", "group", "legs", 1+int(limit/2), "cpus", 2.0)
+		return set("a gang above the quota limit", "shape", "group", "legs", 1+int(limit/2), "cpus", 2.0)
 	}
 }
--- a/controller/users_requests_test.go
+++ b/controller/users_requests_test.go
@@ -5,7 +5,7 @@
 	"tamarindlead/micros"
 )
 
-// sendInvalidOrRepeatedRequests sends unusual requests of five kinds in turn.
+// sendInvalidOrRepeatedRequests sends five kinds of invalid or repeated requests in rotation.
 func (sim *simulation) sendInvalidOrRepeatedRequests() {
 	users := &sim.users
 	if sim.now > users.invalidOrRepeatedUntil {
@@ -47,7 +47,7 @@
 	}
 }
 
-// userCommands cause what users do beyond submitting, asking and cancelling once.
+// userCommands make users send more than one submission, one cancellation and the usual queries.
 var userCommands = commandTable{
 	"consistency-checks": silent(func(c *command) {
 		c.sim.users.consistencyChecksUntil, c.sim.users.cancelShare = c.sim.now+c.span(), c.number("cancel-share", 0)
@@ -69,14 +69,14 @@
 	}),
 }
 
-// span returns for how long a command's users act: by default to the end of the scenario.
+// span returns how long users act on a command: by default until the end of the scenario.
 func (c *command) span() micros.Micros {
 	c.t.Helper()
 	return c.seconds("for", simulationHorizon.Seconds())
 }
 
-// submitBurst submits jobs at a constant rate, a share of which is cancelled soon after it was
-// accepted.
+// submitBurst submits jobs at a constant rate. A share of the jobs is cancelled within ten seconds of
+// their acceptance.
 func (c *command) submitBurst() {
 	c.t.Helper()
 	users := &c.sim.users
--- a/controller/users_responses_test.go
+++ b/controller/users_responses_test.go
@@ -10,27 +10,28 @@
 	"tamarindlead/sched"
 )
 
-// checkRefusal checks that a refusal has a Retry-After, and that throttling is immediate.
+// checkRefusal checks that a temporary refusal has a Retry-After header, and that throttling with 429
+// is immediate.
 func (sim *simulation) checkRefusal(request Request, response Respond, took micros.Micros) {
 	if request.Peer || !strings.HasPrefix(request.Path, "/api/jobs") || response.Status != 429 && response.Status != 503 {
 		return
 	}
 	sim.users.refusals[response.Status]++
 	if response.RetryAfter < 1 {
-		sim.reportViolation("refused: %s %s is answered %d without Retry-After", request.Method, request.Path, response.Status)
+		sim.reportViolation("refused: %s %s is answered with status %d without Retry-After", request.Method, request.Path, response.Status)
 	}
 	if response.Status == 429 && took > maxRefusalLatency {
-		sim.reportViolation("refused: %s %s is answered 429 after %v", request.Method, request.Path, took)
+		sim.reportViolation("refused: %s %s is answered with status 429 only after %v", request.Method, request.Path, took)
 	}
 }
 
-// checkResponse checks a response against those that arrived before its request was sent. Concurrent
-// requests may be answered in any order, but two terminal states never differ.
+// checkResponse checks a response against the responses that arrived before its request was sent.
+// Concurrent requests may be answered in any order, but all must report the same terminal state.
 func (sim *simulation) checkResponse(id string, response Respond, sent micros.Micros) {
 	switch response.Status {
 	case wire.StatusNotFound, wire.StatusBadRequest, wire.StatusUnprocessable:
 		if at, known := sim.users.acceptedAt[id]; known && at <= sent {
-			sim.reportViolation("forgotten: %s is answered %d", id, response.Status)
+			sim.reportViolation("forgotten: a request about %s is answered with status %d", id, response.Status)
 		}
 		sim.checkDependencyRefusal(id, response.Status, sent)
 	case wire.StatusOK, wire.StatusAccepted:
@@ -47,7 +48,7 @@
 	}
 	job := sim.submitted[id]
 	if job == nil {
-		sim.reportViolation("invented: %s", id)
+		sim.reportViolation("invented: %s was never submitted", id)
 		return
 	}
 	if why := sim.rejectionReason(job); why != "" && !sim.accepted[id] {
@@ -57,7 +58,7 @@
 	sim.accepted[id], sim.lastAnsweredAt[id] = true, sim.now
 	var state wire.JobState
 	if wire.Decode(body, &state) != nil || state.ID != id {
-		sim.reportViolation("answer: that for %s cannot be read", id)
+		sim.reportViolation("answer: the response about %s cannot be decoded", id)
 		return
 	}
 	sim.checkDependencyStatus(id, state.Status)
@@ -93,7 +94,7 @@
 		sim.checkTasksDone(job)
 	} else {
 		if !sim.mayBeCancelled(id) {
-			sim.reportViolation("went_back: %s was not cancelled by its user, nor was a job that it needs", id)
+			sim.reportViolation("went_back: neither %s nor an upstream job was cancelled by a user", id)
 		}
 		if _, ok := sim.acknowledgedCancellations[id]; !ok {
 			sim.acknowledgedCancellations[id] = sim.now
@@ -114,21 +115,21 @@
 	}
 }
 
-// rejectionReason returns why a job must not be accepted, or "".
+// rejectionReason returns why a job must not be accepted, or "" if it may be accepted.
 func (sim *simulation) rejectionReason(job *sched.Job) string {
 	i := slices.IndexFunc(sim.cfg.Teams, func(team config.Team) bool { return team.Name == job.Team })
 	if i < 0 {
-		return "no such team"
+		return "unknown team"
 	}
 	need := job.Need.CPUs()
 	if job.Gang {
 		need *= float64(job.Tasks)
 	}
 	if limit := sim.cfg.Teams[i].QuotaLimit; limit.CPU > 0 && need > limit.CPUs() {
-		return "more than the team's limit"
+		return "needs more than the team's quota limit"
 	}
 	if job.Tasks < 1 || job.Tasks > 100000 {
-		return "so many tasks are not allowed"
+		return "invalid number of tasks"
 	}
 	for _, machineType := range sim.cloud.Types {
 		if job.Need.CPUs() > machineType.CPUs || sim.taskInfos[job.ID].Mem > machineType.MemGB {
--- a/controller/users_test.go
+++ b/controller/users_test.go
@@ -6,25 +6,26 @@
 	"tamarindlead/micros"
 )
 
-// userLoad is what users do beyond submitting, asking and cancelling once, and when what was reported
-// to them. It has its own random stream, so that scenarios without it stay as they are.
+// userLoad holds the additional requests of users, beyond one submission, one cancellation and the
+// usual queries, and what was reported to users at which time. It has its own random stream, so that
+// it does not change the random draws of scenarios without such requests.
 type userLoad struct {
 	rng                     *rand.Rand
-	consistencyChecksUntil  micros.Micros // users check responses at all nodes until then
-	consistencyChecks       int           // answered requests of these checks
-	invalidOrRepeatedUntil  micros.Micros // sent until then
+	consistencyChecksUntil  micros.Micros // until then users check the responses of all nodes
+	consistencyChecks       int           // successful responses to these checks
+	invalidOrRepeatedUntil  micros.Micros // until then users send such requests
 	invalidOrRepeatedSent   int
-	cancelShare             float64                  // share of the accepted jobs that are cancelled at once
-	cancelAtCompletionShare float64                  // share of the jobs that are cancelled when they complete
-	cancelledAtCompletion   int                      // jobs that were cancelled when they completed
-	cancelAfter             map[string]micros.Micros // jobs that are cancelled some time after their acceptance
-	startsAfterCancel       int                      // starts after an acknowledged cancellation
-	mustRefuse              map[string]string        // why these jobs must not be accepted
-	acceptedAt              map[string]micros.Micros // when a job's acceptance was first reported
-	terminalSeenAt          map[string]micros.Micros // when a job's terminal state was first reported
-	responseCount           map[string]int           // responses about a job in which it was known
-	refusals                map[int]int              // by status
-	schedulableSince        map[string]micros.Micros // since when a pending job fits
+	cancelShare             float64                  // share of the jobs cancelled as soon as they are accepted
+	cancelAtCompletionShare float64                  // share of the jobs cancelled when their last task completes
+	cancelledAtCompletion   int                      // number of jobs cancelled in this way
+	cancelAfter             map[string]micros.Micros // jobs that are cancelled this long after their acceptance
+	startsAfterCancel       int                      // tasks started after an acknowledged cancellation
+	mustRefuse              map[string]string        // by job that must not be accepted: the reason
+	acceptedAt              map[string]micros.Micros // when the job's acceptance was first reported
+	terminalSeenAt          map[string]micros.Micros // when the job's terminal state was first reported
+	responseCount           map[string]int           // responses that show that the job was accepted
+	refusals                map[int]int              // number of refusals by status
+	schedulableSince        map[string]micros.Micros // since when the pending job could be scheduled
 	nextSchedulingCheck     micros.Micros
 }
 
@@ -37,21 +38,21 @@
 }
 
 const (
-	maxRefusalLatency   = 100 * micros.Millisecond // throttling is immediate
-	maxUnansweredTime   = 75 * micros.Second       // a job is forgotten if no request is answered for so long
-	maxSchedulableWait  = 90 * micros.Second       // no job that fits is pending for longer
-	largestJobsDeadline = 240 * micros.Second      // the largest jobs start within this
+	maxRefusalLatency   = 100 * micros.Millisecond // bound of the time until a request is throttled
+	maxUnansweredTime   = 75 * micros.Second       // a job without an answered request for this long is forgotten
+	maxSchedulableWait  = 90 * micros.Second       // a job that can be scheduled starts within this time
+	largestJobsDeadline = 240 * micros.Second      // the largest jobs of a class start within this time
 )
 
-// consistencyCheckDelays are the delays after which a report to a user is checked at all nodes.
+// consistencyCheckDelays are the delays after which a state reported to a user is checked at all nodes.
 var consistencyCheckDelays = []micros.Micros{
 	0, 2 * micros.Millisecond, 5 * micros.Millisecond, 10 * micros.Millisecond,
 
 	30 * micros.Millisecond, 100 * micros.Millisecond, 300 * micros.Millisecond,
 }
 
-// checkConsistency repeatedly asks all nodes about a job whose state was just reported, and repeats
-// its submission.
+// checkConsistency repeatedly queries all nodes about a job whose state was just reported, and repeats
+// the job's submission.
 func (sim *simulation) checkConsistency(id string) {
 	users := &sim.users
 	if sim.now > users.consistencyChecksUntil {
@@ -65,7 +66,7 @@
 	}
 }
 
-// queryAllNodes asks all nodes about a job and sends each a duplicate submission.
+// queryAllNodes queries all nodes about a job and repeats the job's submission at each node.
 func (sim *simulation) queryAllNodes(id string) {
 	sent := sim.now
 	see := func(response Respond) {
@@ -80,8 +81,8 @@
 	}
 }
 
-// cancelCompletedJob is called when a task completes: some users cancel, ask for and resubmit a job
-// at the moment at which its last task completes.
+// cancelCompletedJob is called when a task completes. Some users cancel, query and resubmit a job at the
+// time at which its last task completes.
 func (sim *simulation) cancelCompletedJob(id string) {
 	users := &sim.users
 	if users.cancelAtCompletionShare == 0 || sim.cancelRequested[id] || !sim.allTasksDone(id) {
