--- a/controller/scenario_figures_test.go
+++ b/controller/scenario_queries_test.go
@@ -38,8 +38,8 @@
 	"has-leader": func(c *command) string { return fmt.Sprint(c.sim.leader() >= 0) },
 }
 
-// atLeast prints "true" if a condition holds for at least as many jobs as "at-least" demands, and
-// their number otherwise.
+// atLeast prints "true" if a condition holds for at least "at-least" of the jobs, and otherwise the
+// number of jobs for which it holds.
 func (c *command) atLeast(holds func(id string) bool) string {
 	c.t.Helper()
 	n := 0
@@ -54,30 +54,30 @@
 	return fmt.Sprint(n)
 }
 
-// count prints a figure of the simulation. For some of them a scenario may demand a least value
-// instead, so that it does not depend on the exact one.
+// count prints a metric of the simulation. Of some metrics a scenario may require a minimum,
+// "at-least", so that it does not depend on the exact value; then "true" is printed.
 func (c *command) count() string {
 	c.t.Helper()
 	what := c.text("what", "running-tasks")
-	if figure := figures[what]; figure != nil {
-		return fmt.Sprint(figure(c))
+	if metric := metrics[what]; metric != nil {
+		return fmt.Sprint(metric(c))
 	}
-	if what == "records-above-size" { // a size, in the form in which the limits count it
+	if what == "records-above-size" { // sizes are measured as the value limit measures them
 		return c.sim.countRecordsAbove(c.text("prefix", ""), c.integer("bytes", 0), c.integer("at-least", 0))
 	}
-	figure := figuresWithMinimum[what]
-	if figure == nil {
-		c.fail("unknown figure %s", what)
+	metric := metricsWithMinimum[what]
+	if metric == nil {
+		c.fail("unknown metric %s", what)
 	}
-	n := figure(c)
+	n := metric(c)
 	if least := c.integer("at-least", 0); least > 0 && n >= least {
 		return "true"
 	}
 	return fmt.Sprint(n)
 }
 
-// figures are printed as they are.
-var figures = map[string]func(c *command) int{
+// metrics are printed as exact values.
+var metrics = map[string]func(c *command) int{
 	"running-tasks":              func(c *command) int { return len(c.sim.runningOn) },
 	"delayed-heartbeats":         func(c *command) int { return len(c.sim.delayedHeartbeats) + len(c.sim.delayNextHeartbeatOf) },
 	"cancelled-tasks-running":    func(c *command) int { return c.sim.countCancelledRunning() },
@@ -88,16 +88,16 @@
 	"launched-machines":          func(c *command) int { return len(c.sim.cloud.Machines) },
 	"acknowledged-cancellations": func(c *command) int { return len(c.sim.acknowledgedCancellations) },
 	"starts-after-cancellation":  func(c *command) int { return c.sim.users.startsAfterCancel },
-	"cancelled-at-completion":    func(c *command) int { return c.sim.users.cancelledAtEnd },
+	"cancelled-at-completion":    func(c *command) int { return c.sim.users.cancelledAtCompletion },
 	"throttled-kv-requests":      func(c *command) int { return c.sim.kvStore.Throttled },
 	"records":                    func(c *command) int { return len(c.sim.kvStore.Keys(c.text("prefix", ""))) },
 }
 
-// figuresWithMinimum count how often a condition that a scenario aims at occurred.
-var figuresWithMinimum = map[string]func(c *command) int{
+// metricsWithMinimum count how often a condition occurred that a scenario is meant to cause.
+var metricsWithMinimum = map[string]func(c *command) int{
 	"consistency-checks":           func(c *command) int { return c.sim.users.consistencyChecks },
-	"invalid-or-repeated-requests": func(c *command) int { return c.sim.users.unusualRequestsSent },
-	"delayed-commits":              func(c *command) int { return c.sim.kvFaults.lateTransactionsApplied },
+	"invalid-or-repeated-requests": func(c *command) int { return c.sim.users.invalidOrRepeatedSent },
+	"delayed-commits":              func(c *command) int { return c.sim.kvFaults.delayedCommits },
 	"lost-responses":               func(c *command) int { return c.sim.kvFaults.lostResponses },
 	"delayed-responses":            func(c *command) int { return c.sim.kvFaults.delayedResponses() },
 	"responses":                    func(c *command) int { return c.sim.users.responseCount[c.text("job", "")] },
