--- a/internal/peer/doc.go
+++ b/internal/peer/doc.go
@@ -8,3 +8,5 @@
 // key-value store, a JobEnded the announcement of a cancellation, a Want a machine request
 // and a Given a machine transfer.
 package peer
+
+//go:generate go run -C ../../tools ./peergen
