--- a/controller/effects_test.go
+++ b/controller/effects_test.go
@@ -167,10 +167,10 @@
 	if proto.Unmarshal(body, &message) != nil {
 		return body
 	}
-	if call := message.GetStoreCall(); call != nil {
+	if call := message.GetKVRequest(); call != nil {
 		call.Body = canonical(call.Body)
 	}
-	if reply := message.GetStoreReply(); reply != nil {
+	if reply := message.GetKVResponse(); reply != nil {
 		reply.Body = canonical(reply.Body)
 	}
 	ordered, err := proto.MarshalOptions{Deterministic: true}.Marshal(&message)
--- a/controller/faults_state_test.go
+++ b/controller/faults_state_test.go
@@ -89,7 +89,7 @@
 	}
 	if faults.peerHeartbeatsSpared {
 		var m peer.Message
-		if proto.Unmarshal(call.Body, &m) == nil && (m.GetBeat() != nil || m.GetStoreCall() != nil) {
+		if proto.Unmarshal(call.Body, &m) == nil && (m.GetHeartbeat() != nil || m.GetKVRequest() != nil) {
 			return false
 		}
 	}
--- a/controller/frontend_adapter_test.go
+++ b/controller/frontend_adapter_test.go
@@ -46,11 +46,11 @@
 	core.peers, core.cancellations = peers.New(core.cfg, peersHost{core}), newCancellationTracker(core)
 	start := core.now
 	for i, node := range nodes {
-		heartbeat := &peer.Beat{Jobs: []*peer.JobCount{{Id: job, Done: uint32(i), Running: uint32(10 * i)}}}
+		heartbeat := &peer.Heartbeat{Jobs: []*peer.JobCount{{Id: job, Done: uint32(i), Running: uint32(10 * i)}}}
 		if node == "n3" {
 			heartbeat.Jobs = nil
 		}
-		body, err := proto.Marshal(&peer.Message{From: node, Body: &peer.Message_Beat{Beat: heartbeat}})
+		body, err := proto.Marshal(&peer.Message{From: node, Body: &peer.Message_Heartbeat{Heartbeat: heartbeat}})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/controller/kv_host.go
+++ b/controller/kv_host.go
@@ -26,8 +26,8 @@
 func (h kvHost) ConnectedPeer() string { return h.c.peers.KVRelay() }
 
 func (h kvHost) SendViaPeer(through string, request kv.Request, timeout micros.Micros, done func(kv.Response)) {
-	call := &peer.StoreCall{Method: request.Method, Target: request.Target, Body: request.Body}
-	h.c.peers.RelayKV(through, call, timeout, kv.MaxResponseBytes, func(reply *peer.StoreReply, sent bool) {
+	call := &peer.KVRequest{Method: request.Method, Target: request.Target, Body: request.Body}
+	h.c.peers.RelayKV(through, call, timeout, kv.MaxResponseBytes, func(reply *peer.KVResponse, sent bool) {
 		if reply == nil {
 			h.c.peers.MarkKVUnreachable(through)
 			done(kv.Response{Sent: sent})
@@ -38,10 +38,10 @@
 }
 
 // relayToKV sends a peer's request to the key-value store and responds with the result.
-func (c *Core) relayToKV(id uint64, call *peer.StoreCall) {
+func (c *Core) relayToKV(id uint64, call *peer.KVRequest) {
 	request := kv.Request{Method: call.Method, Target: call.Target, Body: call.Body}
 	c.store.Relay(request, func(r kv.Response) {
-		c.peers.Respond(id, &peer.Message{Body: &peer.Message_StoreReply{StoreReply: &peer.StoreReply{
+		c.peers.Respond(id, &peer.Message{Body: &peer.Message_KVResponse{KVResponse: &peer.KVResponse{
 			Status: uint32(r.Status), Body: r.Body,
 		}}})
 	})
--- a/controller/machine_requests.go
+++ b/controller/machine_requests.go
@@ -25,7 +25,7 @@
 	}
 	o.nextMachineRequest = o.c.now + machineRequestInterval
 	request := newMachineRequest(job, tasks)
-	request.Owner, request.Reclaim = string(o.c.node.ID()), reclaim
+	request.Owner, request.AllowPreemption = string(o.c.node.ID()), reclaim
 	if o.c.node.IsLeader() {
 		o.c.handleMachineRequest(request)
 		return
@@ -35,8 +35,8 @@
 }
 
 // newMachineRequest returns a request for machines for some tasks of a job, without its owner.
-func newMachineRequest(job *sched.Job, tasks int) *peer.Want {
-	return &peer.Want{
+func newMachineRequest(job *sched.Job, tasks int) *peer.MachineRequest {
+	return &peer.MachineRequest{
 		Job: job.ID, Team: job.Team, Tasks: int32(tasks), Priority: int32(job.Priority),
 		Cpu: job.Need.CPU, Gpu: job.Need.GPU, Mem: job.Need.Mem,
 		OneZone: job.OneZone && job.Gang, Spread: job.Spread && job.Gang, Spot: job.Spot, Zone: job.Zone,
@@ -45,7 +45,7 @@
 }
 
 // requestedJob returns the job of a machine request, as far as the source of a transfer must know it.
-func requestedJob(request *peer.Want) *sched.Job {
+func requestedJob(request *peer.MachineRequest) *sched.Job {
 	job := &sched.Job{
 		ID: request.Job, Team: request.Team, Gang: true,
 		Priority: sched.Priority(request.Priority), Tasks: max(1, int(request.Tasks)),
@@ -59,16 +59,16 @@
 }
 
 // sendMachineRequest sends a machine request to a peer.
-func (c *Core) sendMachineRequest(to string, request *peer.Want) {
-	c.peers.Send(to, &peer.Message{Body: &peer.Message_Want{Want: request}})
+func (c *Core) sendMachineRequest(to string, request *peer.MachineRequest) {
+	c.peers.Send(to, &peer.Message{Body: &peer.Message_MachineRequest{MachineRequest: request}})
 }
 
 // handleMachineRequest handles a machine request: the leader receives it from the owner that needs
 // machines and chooses the source, the source receives it from the leader and transfers machines.
-func (c *Core) handleMachineRequest(request *peer.Want) {
+func (c *Core) handleMachineRequest(request *peer.MachineRequest) {
 	requester := record.OwnerID(request.Owner)
 	switch {
-	case request.Give:
+	case request.Assigned:
 		if c.owner != nil && c.owner.state == ownerActive && requester != c.node.ID() {
 			c.owner.transferMachines(request)
 		}
@@ -78,13 +78,13 @@
 }
 
 // assignMachineRequest passes a machine request to the source of the transfer, if there is one.
-func (c *Core) assignMachineRequest(request *peer.Want) {
+func (c *Core) assignMachineRequest(request *peer.MachineRequest) {
 	source := c.chooseTransferSource(request)
 	if source == "" {
 		return
 	}
-	c.log.Info("machine request assigned", "job", request.Job, "owner", request.Owner, "source", source, "reclaim", request.Reclaim)
-	request.Give = true
+	c.log.Info("machine request assigned", "job", request.Job, "owner", request.Owner, "source", source, "reclaim", request.AllowPreemption)
+	request.Assigned = true
 	if source == c.cfg.Node {
 		c.handleMachineRequest(request)
 		return
@@ -93,7 +93,7 @@
 }
 
 // chooseTransferSource returns the node that is to transfer machines, or "".
-func (c *Core) chooseTransferSource(request *peer.Want) string {
+func (c *Core) chooseTransferSource(request *peer.MachineRequest) string {
 	job := requestedJob(request)
 	chosen, maxExcess := "", 0.0
 	for _, node := range c.cluster.Members() {
@@ -101,10 +101,10 @@
 			continue
 		}
 		summary := c.ownerSummary(node)
-		if c.hasIdleMachineFor(summary.Idle, job) {
+		if c.hasIdleMachineFor(summary.IdleMachines, job) {
 			return node
 		}
-		if excess := c.maxGuaranteeExcess(summary.Teams, request.Team); request.Reclaim && excess > maxExcess {
+		if excess := c.maxGuaranteeExcess(summary.Teams, request.Team); request.AllowPreemption && excess > maxExcess {
 			chosen, maxExcess = node, excess
 		}
 	}
@@ -112,12 +112,12 @@
 }
 
 // ownerSummary returns the idle machines and the use of teams of a node, as far as they are known.
-func (c *Core) ownerSummary(node string) *peer.Beat {
-	summary := &peer.Beat{}
+func (c *Core) ownerSummary(node string) *peer.Heartbeat {
+	summary := &peer.Heartbeat{}
 	if node == c.cfg.Node && c.owner != nil {
 		c.owner.describeOwner(summary)
 	} else {
-		summary.Idle, summary.Teams = c.peers.OwnerSummary(node)
+		summary.IdleMachines, summary.Teams = c.peers.OwnerSummary(node)
 	}
 	return summary
 }
@@ -135,7 +135,7 @@
 
 // maxGuaranteeExcess returns the largest ratio by which a team other than the requesting one exceeds
 // its guaranteed quota.
-func (c *Core) maxGuaranteeExcess(teams []*peer.TeamUse, requesting string) float64 {
+func (c *Core) maxGuaranteeExcess(teams []*peer.TeamUsage, requesting string) float64 {
 	most := 0.0
 	for _, team := range teams {
 		settings, ok := c.cfg.Team(team.Team)
@@ -149,7 +149,7 @@
 }
 
 // describeOwner adds to a heartbeat what peers must know of this owner.
-func (o *owner) describeOwner(heartbeat *peer.Beat) {
+func (o *owner) describeOwner(heartbeat *peer.Heartbeat) {
 	heartbeat.Jobs = o.jobCounts()
 	if o.commits.OwnsAllTeams() {
 		return // no other owner requests machines
@@ -157,11 +157,11 @@
 	for _, m := range o.SortedMachines {
 		heartbeat.Machines = append(heartbeat.Machines, m.Name)
 		if o.isIdle(m) {
-			heartbeat.Idle = append(heartbeat.Idle, &peer.IdleMachine{Type: m.Type, Zone: m.Zone, Spot: m.Spot})
+			heartbeat.IdleMachines = append(heartbeat.IdleMachines, &peer.IdleMachine{Type: m.Type, Zone: m.Zone, Spot: m.Spot})
 		}
 	}
 	for _, name := range ordered.Keys(o.Teams) {
 		used := scheduler.Usage(o.Teams[name]).Used
-		heartbeat.Teams = append(heartbeat.Teams, &peer.TeamUse{Team: name, Cpu: used.CPU, Gpu: used.GPU})
+		heartbeat.Teams = append(heartbeat.Teams, &peer.TeamUsage{Team: name, Cpu: used.CPU, Gpu: used.GPU})
 	}
 }
--- a/controller/machine_transfers.go
+++ b/controller/machine_transfers.go
@@ -24,10 +24,10 @@
 
 // transferMachines transfers machines for another owner's job: idle ones, or else, if the request
 // allows it, machines from which tasks are evicted.
-func (o *owner) transferMachines(request *peer.Want) {
+func (o *owner) transferMachines(request *peer.MachineRequest) {
 	job := requestedJob(request)
 	newOwner := record.OwnerID(request.Owner)
-	if o.transferIdleMachines(job, newOwner) == 0 && request.Reclaim {
+	if o.transferIdleMachines(job, newOwner) == 0 && request.AllowPreemption {
 		o.reclaimMachines(job, newOwner)
 	}
 }
@@ -126,8 +126,8 @@
 func (o *owner) completeTransfer(m *inventory.Machine) {
 	o.markOwnedElsewhere(m.Name)
 	o.forgetMachine(m)
-	o.c.peers.Send(m.TransferTo.Node(), &peer.Message{Body: &peer.Message_Given{
-		Given: &peer.Given{Block: transferBlockName(m)},
+	o.c.peers.Send(m.TransferTo.Node(), &peer.Message{Body: &peer.Message_TransferNotice{
+		TransferNotice: &peer.TransferNotice{Block: transferBlockName(m)},
 	}})
 }
 
--- a/controller/peers_adapter.go
+++ b/controller/peers_adapter.go
@@ -26,13 +26,13 @@
 	h.c.effects = append(h.c.effects, Respond{ID: request, Status: status, Body: body})
 }
 
-func (h peersHost) NewHeartbeat(to string) *peer.Beat {
+func (h peersHost) NewHeartbeat(to string) *peer.Heartbeat {
 	c := h.c
 	leader, term := c.node.Leader()
-	heartbeat := &peer.Beat{
+	heartbeat := &peer.Heartbeat{
 		Term: term, Leader: leader,
-		WorkersHeard: uint32(c.workerHeartbeats.recentCount()), StoreOk: c.store.DirectlyConnected(),
-		Ended: c.cancellations.Unacknowledged(to), KnowsEnded: c.cancellations.PendingAcknowledgements(to),
+		ReachableWorkers: uint32(c.workerHeartbeats.recentCount()), KVReachable: c.store.DirectlyConnected(),
+		UnacknowledgedCancellations: c.cancellations.Unacknowledged(to), AcknowledgedCancellations: c.cancellations.PendingAcknowledgements(to),
 	}
 	if c.owner != nil {
 		c.owner.describeOwner(heartbeat)
@@ -40,9 +40,9 @@
 	return heartbeat
 }
 
-func (h peersHost) HandleHeartbeat(from string, heartbeat *peer.Beat) {
+func (h peersHost) HandleHeartbeat(from string, heartbeat *peer.Heartbeat) {
 	c := h.c
-	c.cancellations.HandlePeerHeartbeat(from, heartbeat.Ended, heartbeat.KnowsEnded, c.now)
+	c.cancellations.HandlePeerHeartbeat(from, heartbeat.UnacknowledgedCancellations, heartbeat.AcknowledgedCancellations, c.now)
 	c.node.ObserveTerm(c.now, heartbeat.Term, heartbeat.Leader)
 }
 
@@ -54,11 +54,13 @@
 	h.c.cancellations.ApplyGrant(from, grant, sentAt, h.c.cancellationsKnownUntil(), h.c.now)
 }
 
-func (h peersHost) RelayToKV(request uint64, call *peer.StoreCall) { h.c.relayToKV(request, call) }
+func (h peersHost) RelayToKV(request uint64, call *peer.KVRequest) { h.c.relayToKV(request, call) }
 
 func (h peersHost) HandleJobCancelled(job string) { h.c.cancellations.MarkCancelled(job, h.c.now) }
 
-func (h peersHost) HandleMachineRequest(request *peer.Want) { h.c.handleMachineRequest(request) }
+func (h peersHost) HandleMachineRequest(request *peer.MachineRequest) {
+	h.c.handleMachineRequest(request)
+}
 
 func (h peersHost) HandleTransfer(block string) {
 	if h.c.owner != nil {
--- a/internal/peers/heartbeats.go
+++ b/internal/peers/heartbeats.go
@@ -28,38 +28,38 @@
 func (p *Peers) sendHeartbeat(to *node) {
 	sentAt := p.host.Now()
 	to.heartbeatInFlight, to.nextHeartbeat = true, sentAt+heartbeatInterval
-	message := &peer.Message{Body: &peer.Message_Beat{Beat: p.host.NewHeartbeat(to.Node)}}
+	message := &peer.Message{Body: &peer.Message_Heartbeat{Heartbeat: p.host.NewHeartbeat(to.Node)}}
 	p.call(to, message, messageTimeout, maxMessageBytes, func(response *peer.Message, _ bool) {
 		to.heartbeatInFlight = false
-		heartbeat := response.GetBeat()
+		heartbeat := response.GetHeartbeat()
 		if heartbeat == nil {
 			return
 		}
 		p.applyHeartbeat(to, heartbeat)
 		p.host.ApplyGrant(to.Node, cancellation.Grant{
-			Period: micros.Micros(heartbeat.PromiseUs), SinceUserAcknowledged: micros.Micros(heartbeat.ToldAgoUs),
+			Period: micros.Micros(heartbeat.GrantPeriodUs), SinceUserAcknowledged: micros.Micros(heartbeat.SinceUserAcknowledgedUs),
 		}, sentAt)
 	})
 }
 
 // handleHeartbeat applies a peer's heartbeat and responds with one of this node.
-func (p *Peers) handleHeartbeat(request uint64, from *node, received *peer.Beat) {
+func (p *Peers) handleHeartbeat(request uint64, from *node, received *peer.Heartbeat) {
 	p.applyHeartbeat(from, received)
 	heartbeat := p.host.NewHeartbeat(from.Node)
 	grant := p.host.NewGrant(from.Node)
-	heartbeat.PromiseUs, heartbeat.ToldAgoUs = uint64(grant.Period), uint64(grant.SinceUserAcknowledged)
-	p.Respond(request, &peer.Message{Body: &peer.Message_Beat{Beat: heartbeat}})
+	heartbeat.GrantPeriodUs, heartbeat.SinceUserAcknowledgedUs = uint64(grant.Period), uint64(grant.SinceUserAcknowledged)
+	p.Respond(request, &peer.Message{Body: &peer.Message_Heartbeat{Heartbeat: heartbeat}})
 }
 
 // applyHeartbeat replaces what is known of a peer.
-func (p *Peers) applyHeartbeat(n *node, heartbeat *peer.Beat) {
+func (p *Peers) applyHeartbeat(n *node, heartbeat *peer.Heartbeat) {
 	n.lastHeartbeat = p.host.Now()
-	n.workerHeartbeats, n.kvReachable = int(heartbeat.WorkersHeard), heartbeat.StoreOk
+	n.workerHeartbeats, n.kvReachable = int(heartbeat.ReachableWorkers), heartbeat.KVReachable
 	n.jobCounts = make(map[string]*peer.JobCount, len(heartbeat.Jobs))
 	for _, count := range heartbeat.Jobs {
 		n.jobCounts[count.Id] = count
 	}
-	n.idleMachines, n.teams = heartbeat.Idle, heartbeat.Teams
+	n.idleMachines, n.teams = heartbeat.IdleMachines, heartbeat.Teams
 	n.ownsMachine = make(map[string]bool, len(heartbeat.Machines))
 	for _, name := range heartbeat.Machines {
 		n.ownsMachine[name] = true
--- a/internal/peers/host.go
+++ b/internal/peers/host.go
@@ -27,9 +27,9 @@
 // HeartbeatHandler provides and applies the parts of heartbeats that concern the whole node.
 type HeartbeatHandler interface {
 	// NewHeartbeat returns what a peer must know of this node.
-	NewHeartbeat(to string) *peer.Beat
+	NewHeartbeat(to string) *peer.Heartbeat
 	// HandleHeartbeat applies the leader, the term and the cancellations that a peer knows.
-	HandleHeartbeat(from string, heartbeat *peer.Beat)
+	HandleHeartbeat(from string, heartbeat *peer.Heartbeat)
 	// NewGrant grants a peer a period in which its acknowledgement of cancellations is needed.
 	NewGrant(to string) cancellation.Grant
 	// ApplyGrant applies the grant in the response to a heartbeat that was sent at a time.
@@ -39,11 +39,11 @@
 // MessageHandler handles the messages of peers other than heartbeats.
 type MessageHandler interface {
 	// RelayToKV sends a peer's request to the key-value store and responds with the result.
-	RelayToKV(request uint64, call *peer.StoreCall)
+	RelayToKV(request uint64, call *peer.KVRequest)
 	// HandleJobCancelled handles the announcement of a cancelled job.
 	HandleJobCancelled(job string)
 	// HandleMachineRequest handles an owner's request for machines.
-	HandleMachineRequest(request *peer.Want)
+	HandleMachineRequest(request *peer.MachineRequest)
 	// HandleTransfer handles the notification that a block transfers a machine to this node.
 	HandleTransfer(block string)
 }
--- a/internal/peers/messages.go
+++ b/internal/peers/messages.go
@@ -27,7 +27,7 @@
 // AnnounceCancelled announces a cancelled job to a peer and calls acknowledged once the peer has
 // acknowledged it.
 func (p *Peers) AnnounceCancelled(to, job string, acknowledged func()) {
-	message := &peer.Message{Body: &peer.Message_JobEnded{JobEnded: &peer.JobEnded{Id: job}}}
+	message := &peer.Message{Body: &peer.Message_CancellationNotice{CancellationNotice: &peer.CancellationNotice{Id: job}}}
 	p.call(p.byName[to], message, messageTimeout, maxMessageBytes, func(response *peer.Message, _ bool) {
 		if response != nil {
 			acknowledged()
@@ -37,10 +37,10 @@
 
 // RelayKV sends a request for the key-value store to a peer. done gets the reply, or nil if there is
 // none; sent reports whether the request may have reached the peer.
-func (p *Peers) RelayKV(through string, call *peer.StoreCall, timeout micros.Micros, maxResponse int, done func(reply *peer.StoreReply, sent bool)) {
-	message := &peer.Message{Body: &peer.Message_StoreCall{StoreCall: call}}
+func (p *Peers) RelayKV(through string, call *peer.KVRequest, timeout micros.Micros, maxResponse int, done func(reply *peer.KVResponse, sent bool)) {
+	message := &peer.Message{Body: &peer.Message_KVRequest{KVRequest: call}}
 	p.call(p.byName[through], message, timeout, maxResponse, func(response *peer.Message, sent bool) {
-		done(response.GetStoreReply(), sent)
+		done(response.GetKVResponse(), sent)
 	})
 }
 
@@ -83,18 +83,18 @@
 
 func (p *Peers) handleMessage(request uint64, from *node, message *peer.Message) {
 	switch body := message.Body.(type) {
-	case *peer.Message_Beat:
-		p.handleHeartbeat(request, from, body.Beat)
+	case *peer.Message_Heartbeat:
+		p.handleHeartbeat(request, from, body.Heartbeat)
 		return
-	case *peer.Message_StoreCall:
-		p.host.RelayToKV(request, body.StoreCall)
+	case *peer.Message_KVRequest:
+		p.host.RelayToKV(request, body.KVRequest)
 		return
-	case *peer.Message_JobEnded:
-		p.host.HandleJobCancelled(body.JobEnded.Id)
-	case *peer.Message_Want:
-		p.host.HandleMachineRequest(body.Want)
-	case *peer.Message_Given:
-		p.host.HandleTransfer(body.Given.Block)
+	case *peer.Message_CancellationNotice:
+		p.host.HandleJobCancelled(body.CancellationNotice.Id)
+	case *peer.Message_MachineRequest:
+		p.host.HandleMachineRequest(body.MachineRequest)
+	case *peer.Message_TransferNotice:
+		p.host.HandleTransfer(body.TransferNotice.Block)
 	default:
 		p.host.Respond(request, wire.StatusBadRequest, nil)
 		return
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -27,7 +27,7 @@
 	jobCounts         map[string]*peer.JobCount
 	ownsMachine       map[string]bool
 	idleMachines      []*peer.IdleMachine
-	teams             []*peer.TeamUse
+	teams             []*peer.TeamUsage
 }
 
 // New returns the peers of a node, none of which has sent a heartbeat.
@@ -98,7 +98,7 @@
 
 // OwnerSummary returns the idle machines and the use of teams of a peer. Both are empty if the peer
 // is not reachable.
-func (p *Peers) OwnerSummary(name string) (idle []*peer.IdleMachine, teams []*peer.TeamUse) {
+func (p *Peers) OwnerSummary(name string) (idle []*peer.IdleMachine, teams []*peer.TeamUsage) {
 	n := p.byName[name]
 	if n == nil || !n.reachable(p.host.Now()) {
 		return nil, nil
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -16,7 +16,7 @@
 // fakeHost records what the peers under test do.
 type fakeHost struct {
 	now        micros.Micros
-	heartbeat  peer.Beat // of this node
+	heartbeat  peer.Heartbeat // of this node
 	grant      cancellation.Grant
 	calls      []Call
 	done       []func(Response)
@@ -38,12 +38,12 @@
 	h.status, h.responses = append(h.status, status), append(h.responses, body)
 }
 
-func (h *fakeHost) NewHeartbeat(to string) *peer.Beat {
+func (h *fakeHost) NewHeartbeat(to string) *peer.Heartbeat {
 	h.handled = append(h.handled, "describe to "+to)
-	return proto.Clone(&h.heartbeat).(*peer.Beat)
+	return proto.Clone(&h.heartbeat).(*peer.Heartbeat)
 }
 
-func (h *fakeHost) HandleHeartbeat(from string, _ *peer.Beat) {
+func (h *fakeHost) HandleHeartbeat(from string, _ *peer.Heartbeat) {
 	h.handled = append(h.handled, "heartbeat of "+from)
 }
 
@@ -56,13 +56,13 @@
 	h.applied, h.appliedAt = append(h.applied, grant), append(h.appliedAt, sentAt)
 }
 
-func (h *fakeHost) RelayToKV(request uint64, _ *peer.StoreCall) {
+func (h *fakeHost) RelayToKV(request uint64, _ *peer.KVRequest) {
 	h.kvRequests = append(h.kvRequests, request)
 }
 
 func (h *fakeHost) HandleJobCancelled(job string) { h.handled = append(h.handled, "ended "+job) }
 
-func (h *fakeHost) HandleMachineRequest(request *peer.Want) {
+func (h *fakeHost) HandleMachineRequest(request *peer.MachineRequest) {
 	h.handled = append(h.handled, "machines for "+request.Job)
 }
 
@@ -86,12 +86,12 @@
 	return data
 }
 
-func heartbeatMessage(from string, heartbeat *peer.Beat) *peer.Message {
-	return &peer.Message{From: from, Body: &peer.Message_Beat{Beat: heartbeat}}
+func heartbeatMessage(from string, heartbeat *peer.Heartbeat) *peer.Message {
+	return &peer.Message{From: from, Body: &peer.Message_Heartbeat{Heartbeat: heartbeat}}
 }
 
 // receive has the peers handle a heartbeat of a peer.
-func receive(t *testing.T, p *Peers, from string, heartbeat *peer.Beat) {
+func receive(t *testing.T, p *Peers, from string, heartbeat *peer.Heartbeat) {
 	t.Helper()
 	p.HandleRequest(1, "POST", "/peer", encode(t, heartbeatMessage(from, heartbeat)))
 }
@@ -103,7 +103,7 @@
 	p, host := newPeers()
 	for i, node := range []string{"n1", "n2", "n3"} {
 		host.now = micros.Hour + []micros.Micros{5, 9, 12}[i]
-		heartbeat := &peer.Beat{Jobs: []*peer.JobCount{{Id: job, Done: uint32(i), Running: uint32(10 * i)}}}
+		heartbeat := &peer.Heartbeat{Jobs: []*peer.JobCount{{Id: job, Done: uint32(i), Running: uint32(10 * i)}}}
 		if node == "n3" {
 			heartbeat.Jobs = nil
 		}
@@ -124,8 +124,8 @@
 // ends, and that the first peer in the order of the configuration is chosen.
 func TestHeartbeatContentExpires(t *testing.T) {
 	p, host := newPeers()
-	content := &peer.Beat{
-		Machines: []string{"m1"}, StoreOk: true, WorkersHeard: 1, Idle: []*peer.IdleMachine{{Type: "mid"}}, Teams: []*peer.TeamUse{{Team: "red"}},
+	content := &peer.Heartbeat{
+		Machines: []string{"m1"}, KVReachable: true, ReachableWorkers: 1, IdleMachines: []*peer.IdleMachine{{Type: "mid"}}, Teams: []*peer.TeamUsage{{Team: "red"}},
 	}
 	if p.AnyReachable() {
 		t.Fatal("a peer is reachable before its first heartbeat")
@@ -169,12 +169,12 @@
 // TestKVRelay checks that a peer that failed as a relay is used again after its next heartbeat.
 func TestKVRelay(t *testing.T) {
 	p, _ := newPeers()
-	receive(t, p, "n1", &peer.Beat{StoreOk: true})
+	receive(t, p, "n1", &peer.Heartbeat{KVReachable: true})
 	p.MarkKVUnreachable("n1")
 	if got := p.KVRelay(); got != "" {
 		t.Errorf("relay %q after it failed", got)
 	}
-	receive(t, p, "n1", &peer.Beat{StoreOk: true})
+	receive(t, p, "n1", &peer.Heartbeat{KVReachable: true})
 	if got := p.KVRelay(); got != "n1" {
 		t.Errorf("relay %q after its heartbeat, want n1", got)
 	}
@@ -191,7 +191,7 @@
 	}
 	sentAt := host.now
 	host.now += heartbeatInterval
-	host.done[0](Response{Status: wire.StatusOK, Body: encode(t, heartbeatMessage("n1", &peer.Beat{PromiseUs: 7, ToldAgoUs: 8, Machines: []string{"m1"}}))})
+	host.done[0](Response{Status: wire.StatusOK, Body: encode(t, heartbeatMessage("n1", &peer.Heartbeat{GrantPeriodUs: 7, SinceUserAcknowledgedUs: 8, Machines: []string{"m1"}}))})
 	host.done[1](Response{Sent: true})
 	if want := []cancellation.Grant{{Period: 7, SinceUserAcknowledged: 8}}; !slices.Equal(host.applied, want) || host.appliedAt[0] != sentAt {
 		t.Errorf("grants %+v at %v, want %+v at %v", host.applied, host.appliedAt, want, sentAt)
@@ -214,31 +214,31 @@
 		handled      []string
 		status       []wire.Status
 	}{
-		{"method", "GET", "/peer", heartbeatMessage("n1", &peer.Beat{}), nil, []wire.Status{wire.StatusBadRequest}},
-		{"path", "POST", "/", heartbeatMessage("n1", &peer.Beat{}), nil, []wire.Status{wire.StatusBadRequest}},
-		{"unknown sender", "POST", "/peer", heartbeatMessage("n9", &peer.Beat{}), nil, []wire.Status{wire.StatusBadRequest}},
+		{"method", "GET", "/peer", heartbeatMessage("n1", &peer.Heartbeat{}), nil, []wire.Status{wire.StatusBadRequest}},
+		{"path", "POST", "/", heartbeatMessage("n1", &peer.Heartbeat{}), nil, []wire.Status{wire.StatusBadRequest}},
+		{"unknown sender", "POST", "/peer", heartbeatMessage("n9", &peer.Heartbeat{}), nil, []wire.Status{wire.StatusBadRequest}},
 		{"no body", "POST", "/peer", &peer.Message{From: "n1"}, nil, []wire.Status{wire.StatusBadRequest}},
 		{
-			"heartbeat", "POST", "/peer", heartbeatMessage("n1", &peer.Beat{}),
+			"heartbeat", "POST", "/peer", heartbeatMessage("n1", &peer.Heartbeat{}),
 			[]string{"heartbeat of n1", "describe to n1", "grant to n1"},
 			[]wire.Status{wire.StatusOK},
 		},
 		{
-			"ended job", "POST", "/peer", &peer.Message{From: "n1", Body: &peer.Message_JobEnded{JobEnded: &peer.JobEnded{Id: "j"}}},
+			"ended job", "POST", "/peer", &peer.Message{From: "n1", Body: &peer.Message_CancellationNotice{CancellationNotice: &peer.CancellationNotice{Id: "j"}}},
 			[]string{"ended j"},
 			[]wire.Status{wire.StatusOK},
 		},
 		{
-			"machine request", "POST", "/peer", &peer.Message{From: "n1", Body: &peer.Message_Want{Want: &peer.Want{Job: "j"}}},
+			"machine request", "POST", "/peer", &peer.Message{From: "n1", Body: &peer.Message_MachineRequest{MachineRequest: &peer.MachineRequest{Job: "j"}}},
 			[]string{"machines for j"},
 			[]wire.Status{wire.StatusOK},
 		},
 		{
-			"transfer", "POST", "/peer", &peer.Message{From: "n1", Body: &peer.Message_Given{Given: &peer.Given{Block: "b"}}},
+			"transfer", "POST", "/peer", &peer.Message{From: "n1", Body: &peer.Message_TransferNotice{TransferNotice: &peer.TransferNotice{Block: "b"}}},
 			[]string{"transfer b"},
 			[]wire.Status{wire.StatusOK},
 		},
-		{"request for the key-value store", "POST", "/peer", &peer.Message{From: "n1", Body: &peer.Message_StoreCall{StoreCall: &peer.StoreCall{}}}, nil, nil},
+		{"request for the key-value store", "POST", "/peer", &peer.Message{From: "n1", Body: &peer.Message_KVRequest{KVRequest: &peer.KVRequest{}}}, nil, nil},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			p, host := newPeers()
@@ -247,7 +247,7 @@
 			if !slices.Equal(host.handled, c.handled) || !slices.Equal(host.status, c.status) {
 				t.Errorf("handled %q, status %v; want %q, %v", host.handled, host.status, c.handled, c.status)
 			}
-			if relayed := slices.Equal(host.kvRequests, []uint64{3}); relayed != (c.message.GetStoreCall() != nil) {
+			if relayed := slices.Equal(host.kvRequests, []uint64{3}); relayed != (c.message.GetKVRequest() != nil) {
 				t.Errorf("requests for the key-value store: %v", host.kvRequests)
 			}
 			if c.name != "heartbeat" {
@@ -257,7 +257,7 @@
 			if err := proto.Unmarshal(host.responses[0], &response); err != nil {
 				t.Fatal(err)
 			}
-			if got := response.GetBeat(); response.From != "n0" || got.GetPromiseUs() != 7 || got.GetToldAgoUs() != 8 {
+			if got := response.GetHeartbeat(); response.From != "n0" || got.GetGrantPeriodUs() != 7 || got.GetSinceUserAcknowledgedUs() != 8 {
 				t.Errorf("response %v, want one of n0 with the grant", &response)
 			}
 		})
@@ -273,7 +273,7 @@
 	if len(host.calls) != 0 {
 		t.Fatalf("message sent to an unknown node: %+v", host.calls)
 	}
-	reply := encode(t, &peer.Message{Body: &peer.Message_StoreReply{StoreReply: &peer.StoreReply{Status: 200}}})
+	reply := encode(t, &peer.Message{Body: &peer.Message_KVResponse{KVResponse: &peer.KVResponse{Status: 200}}})
 	for _, c := range []struct {
 		name                    string
 		response                Response
@@ -288,7 +288,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			p, host := newPeers()
 			acknowledged := false
-			p.RelayKV("n2", &peer.StoreCall{}, micros.Second, 9, func(got *peer.StoreReply, sent bool) {
+			p.RelayKV("n2", &peer.KVRequest{}, micros.Second, 9, func(got *peer.KVResponse, sent bool) {
 				if (got != nil) != c.replied || sent != c.sent {
 					t.Errorf("reply %v, sent %v; want %v, %v", got, sent, c.replied, c.sent)
 				}
--- a/tools/peergen/main.go
+++ b/tools/peergen/main.go
@@ -31,7 +31,36 @@
 
 // goNames maps the names of messages and fields (as MESSAGE.FIELD) in the .proto file to their names
 // in Go. Messages and fields that are not listed keep the name that protoc-gen-go derives.
-var goNames = map[string]string{}
+var goNames = map[string]string{
+	"Message.beat":        "Heartbeat",
+	"Message.store_call":  "KVRequest",
+	"Message.store_reply": "KVResponse",
+	"Message.job_ended":   "CancellationNotice",
+	"Message.want":        "MachineRequest",
+	"Message.given":       "TransferNotice",
+
+	"Beat":               "Heartbeat",
+	"Beat.workers_heard": "ReachableWorkers",
+	"Beat.store_ok":      "KVReachable",
+	"Beat.idle":          "IdleMachines",
+	"Beat.promise_us":    "GrantPeriodUs",
+	"Beat.told_ago_us":   "SinceUserAcknowledgedUs",
+	"Beat.ended":         "UnacknowledgedCancellations",
+	"Beat.knows_ended":   "AcknowledgedCancellations",
+
+	"StoreCall":  "KVRequest",
+	"StoreReply": "KVResponse",
+
+	"JobEnded": "CancellationNotice",
+
+	"TeamUse": "TeamUsage",
+
+	"Want":         "MachineRequest",
+	"Want.reclaim": "AllowPreemption",
+	"Want.give":    "Assigned",
+
+	"Given": "TransferNotice",
+}
 
 func main() {
 	if err := run(); err != nil {
