--- a/controller/machine_requests.go
+++ b/controller/machine_requests.go
@@ -9,10 +9,10 @@
 	"tamarindlead/sched"
 )
 
-// This file requests machines of other owners. An owner whose machines cannot hold a job sends a
+// This file requests machines from other owners. An owner whose machines cannot hold a job sends a
 // machine request to the leader. The leader chooses the source of the transfer: an owner with a
 // suitable idle machine, or else, if the job's team is below its guaranteed quota, the owner of the
-// team that exceeds its own most. machine_transfers.go is the part of the source.
+// team that exceeds its own guaranteed quota the most. machine_transfers.go implements the source.
 
 // machineRequestInterval is the minimum time between two requests of an owner.
 const machineRequestInterval = 2 * micros.Second
@@ -44,7 +44,7 @@
 	}
 }
 
-// requestedJob returns the job of a machine request, as far as the source of a transfer must know it.
+// requestedJob returns the job of a machine request, with the fields that the source of a transfer needs.
 func requestedJob(request *peer.MachineRequest) *sched.Job {
 	job := &sched.Job{
 		ID: request.Job, Team: request.Team, Gang: true,
@@ -63,8 +63,8 @@
 	c.peers.Send(to, &peer.Message{Body: &peer.Message_MachineRequest{MachineRequest: request}})
 }
 
-// handleMachineRequest handles a machine request: the leader receives it from the owner that needs
-// machines and chooses the source, the source receives it from the leader and transfers machines.
+// handleMachineRequest handles a machine request. The leader receives it from the owner that needs
+// machines, and chooses the source. The source receives it from the leader, and transfers machines.
 func (c *Core) handleMachineRequest(request *peer.MachineRequest) {
 	requester := record.OwnerID(request.Owner)
 	switch {
@@ -111,11 +111,11 @@
 	return chosen
 }
 
-// ownerSummary returns the idle machines and the use of teams of a node, as far as they are known.
+// ownerSummary returns the idle machines of a node and the usage of its teams, as far as they are known.
 func (c *Core) ownerSummary(node string) *peer.Heartbeat {
 	summary := &peer.Heartbeat{}
 	if node == c.cfg.Node && c.owner != nil {
-		c.owner.describeOwner(summary)
+		c.owner.addOwnerSummary(summary)
 	} else {
 		summary.IdleMachines, summary.Teams = c.peers.OwnerSummary(node)
 	}
@@ -136,20 +136,21 @@
 // maxGuaranteeExcess returns the largest ratio by which a team other than the requesting one exceeds
 // its guaranteed quota.
 func (c *Core) maxGuaranteeExcess(teams []*peer.TeamUsage, requesting string) float64 {
-	most := 0.0
+	maxRatio := 0.0
 	for _, team := range teams {
 		settings, ok := c.cfg.Team(team.Team)
 		if !ok || team.Team == requesting {
 			continue
 		}
 		usage := sched.TeamUsage{Used: sched.Resources{CPU: team.Cpu, GPU: team.Gpu}, GuaranteedQuota: settings.GuaranteedQuota}
-		most = max(most, usage.OverQuotaRatio())
+		maxRatio = max(maxRatio, usage.OverQuotaRatio())
 	}
-	return most
+	return maxRatio
 }
 
-// describeOwner adds to a heartbeat what peers must know of this owner.
-func (o *owner) describeOwner(heartbeat *peer.Heartbeat) {
+// addOwnerSummary adds this owner's job counts to a heartbeat and, if there are other owners, its
+// machines and the usage of its teams.
+func (o *owner) addOwnerSummary(heartbeat *peer.Heartbeat) {
 	heartbeat.Jobs = o.jobCounts()
 	if o.commits.OwnsAllTeams() {
 		return // no other owner requests machines
--- a/controller/peers_adapter.go
+++ b/controller/peers_adapter.go
@@ -35,7 +35,7 @@
 		UnacknowledgedCancellations: c.cancellations.Unacknowledged(to), AcknowledgedCancellations: c.cancellations.PendingAcknowledgements(to),
 	}
 	if c.owner != nil {
-		c.owner.describeOwner(heartbeat)
+		c.owner.addOwnerSummary(heartbeat)
 	}
 	return heartbeat
 }
@@ -68,5 +68,5 @@
 	}
 }
 
-// claimant returns the peer that owns a machine by its heartbeat, or "".
+// claimant returns the peer whose heartbeat lists a machine as its own, or "".
 func (c *Core) claimant(machine string) string { return c.peers.Claimant(machine) }
--- a/internal/autoscaler/scale_out_gang.go
+++ b/internal/autoscaler/scale_out_gang.go
@@ -5,8 +5,8 @@
 	"tamarindlead/sched"
 )
 
-// scaleOutGangs requests machines for gangs that the present ones will not run in time, and
-// for the warm pool of gangs that are expected.
+// scaleOutGangs requests machines for pending gangs that would otherwise not start within the maximum
+// wait, and for the warm pool of expected gangs.
 func (p *Planner) scaleOutGangs(d *Demand) {
 	class := d.Representative.Class
 	if len(d.Gangs) == 0 && !p.Classes.hasGangs(class) {
@@ -24,97 +24,100 @@
 	}
 }
 
-// gangCapacityFor adds up the room for tasks of gangs that there will be in time.
+// gangCapacityFor adds up the capacity for tasks of gangs that will be free within the demand's maximum
+// wait, including machines that are booting or requested.
 func (p *Planner) gangCapacityFor(d *Demand) gangCapacity {
 	capacity := gangCapacity{}
 	for _, m := range p.Machines {
 		if d.usableCPUs(p.Catalog, m.Offer) == 0 {
 			continue
 		}
-		if m.State == MachineBooting || m.State == MachineReady && hasCapacityInTime(m, d) {
+		if m.State == MachineBooting || m.State == MachineReady && hasCapacityWithinMaxWait(m, d) {
 			capacity.add(m.Offer, p.tasksOn(d.Representative, m.Size))
 		}
 	}
 	for _, pending := range p.PendingScaleOuts {
 		if d.usableCPUs(p.Catalog, pending.Offer) > 0 {
-			tasks := p.tasksOn(d.Representative, p.find(pending.Type).Size)
-			capacity.add(pending.Offer, pending.Number*tasks)
+			tasks := p.tasksOn(d.Representative, p.findType(pending.Type).Size)
+			capacity.add(pending.Offer, pending.Count*tasks)
 		}
 	}
 	return capacity
 }
 
-// hasCapacityInTime reports whether a machine will have room for a task soon enough.
-func hasCapacityInTime(m *Machine, d *Demand) bool {
+// hasCapacityWithinMaxWait reports whether a machine has free resources for a task, or will be empty
+// within the demand's maximum wait.
+func hasCapacityWithinMaxWait(m *Machine, d *Demand) bool {
 	return d.Representative.Need.Fits(m.free()) || m.BusyFor <= d.MaxWait
 }
 
-// gangScaleOut is the search for machines for one gang.
+// gangScaleOut is the state of finding capacity and requesting machines for one gang, or for the warm
+// pool of its class.
 type gangScaleOut struct {
-	job          *sched.Job
-	capacity     gangCapacity
-	zone         string         // the only one, or ""
-	tasks        int            // that have no place yet
-	spotMax      int            // of them that may be on spot machines
-	placedByZone map[string]int // tasks that have a place
+	job           *sched.Job
+	capacity      gangCapacity
+	zone          string         // zone to which the tasks are restricted, or ""
+	unplacedTasks int            // tasks for which neither capacity nor a request exists yet
+	maxSpotTasks  int            // maximum number of further tasks on spot machines
+	placedByZone  map[string]int // tasks with capacity or a request, by zone
 }
 
-func newGangScaleOut(job *sched.Job, capacity gangCapacity, tasks, spotMax int) *gangScaleOut {
-	return &gangScaleOut{job: job, capacity: capacity, tasks: tasks, spotMax: spotMax, placedByZone: map[string]int{}}
+func newGangScaleOut(job *sched.Job, capacity gangCapacity, unplacedTasks, maxSpotTasks int) *gangScaleOut {
+	return &gangScaleOut{job: job, capacity: capacity, unplacedTasks: unplacedTasks, maxSpotTasks: maxSpotTasks, placedByZone: map[string]int{}}
 }
 
-// scaleOutForGang uses present capacity for tasks of a gang, in one zone if it must be in
-// one, and requests machines for the rest.
+// scaleOutForGang allocates existing capacity for the tasks of a gang and requests machines for the rest.
+// If all tasks must be in the same zone, it selects the zone first.
 func (p *Planner) scaleOutForGang(g *gangScaleOut) {
 	if g.job.OneZone {
-		g.zone = p.bestZone(g.job, g.capacity, g.tasks)
+		g.zone = p.bestZone(g.job, g.capacity, g.unplacedTasks)
 	}
 	g.useExistingCapacity()
-	for g.tasks > 0 && p.canRequest() {
+	for g.unplacedTasks > 0 && p.canRequest() {
 		if !p.requestForGang(g) {
 			break
 		}
 	}
 }
 
-// useExistingCapacity uses capacity of present machines and pending requests.
+// useExistingCapacity allocates capacity of present machines and pending requests.
 func (g *gangScaleOut) useExistingCapacity() {
 	switch {
 	case !g.job.OneZone:
 		for _, zone := range ordered.Keys(g.capacity) {
-			g.placedByZone[zone] += g.take(zone, g.zoneMax(zone))
+			g.placedByZone[zone] += g.allocate(zone, g.zoneMax(zone))
 		}
 	case g.zone != "":
-		g.take(g.zone, g.tasks)
+		g.allocate(g.zone, g.unplacedTasks)
 	}
 }
 
-// take uses capacity of one zone for at most limit tasks, and returns for how many it had room.
-func (g *gangScaleOut) take(zone string, limit int) int {
-	onDemand, spot := g.capacity.zone(zone).take(limit, g.spotMax)
-	g.tasks -= onDemand + spot
-	g.spotMax -= spot
+// allocate allocates capacity of one zone for at most limit tasks, and returns the number of tasks.
+func (g *gangScaleOut) allocate(zone string, limit int) int {
+	onDemand, spot := g.capacity.zone(zone).allocate(limit, g.maxSpotTasks)
+	g.unplacedTasks -= onDemand + spot
+	g.maxSpotTasks -= spot
 	return onDemand + spot
 }
 
-// zoneMax returns how many more tasks a zone may hold: at most half of a gang that must be
-// spread.
+// zoneMax returns how many more tasks may be in a zone. A gang that must be spread may have at most half
+// of its tasks in one zone.
 func (g *gangScaleOut) zoneMax(zone string) int {
 	if !g.job.Spread {
-		return g.tasks
+		return g.unplacedTasks
 	}
-	return min(g.tasks, g.job.ZoneCap()-g.placedByZone[zone])
+	return min(g.unplacedTasks, g.job.ZoneCap()-g.placedByZone[zone])
 }
 
-// suits reports whether machines of an offer may run further tasks of the gang.
+// suits reports whether machines of an offer may run more tasks of the gang.
 func (g *gangScaleOut) suits(offer Offer) bool {
 	if g.zone != "" && offer.Zone != g.zone {
 		return false
 	}
-	return g.zoneMax(offer.Zone) > 0 && (!offer.Spot || g.spotMax > 0)
+	return g.zoneMax(offer.Zone) > 0 && (!offer.Spot || g.maxSpotTasks > 0)
 }
 
-// requestForGang makes one request for a gang and reports whether it could.
+// requestForGang adds one request for a gang to the plan and reports whether it could.
 func (p *Planner) requestForGang(g *gangScaleOut) bool {
 	best := p.cheapest(g.job, func(offer Offer) bool {
 		return p.notRequested(offer) && g.suits(offer)
@@ -124,20 +127,20 @@
 	}
 	wanted := g.zoneMax(best.Zone)
 	if best.Spot {
-		wanted = min(wanted, g.spotMax)
+		wanted = min(wanted, g.maxSpotTasks)
 	}
 	taskCPUs := TaskCPUs(g.job)
-	// Half a task less: requestScaleOut rounds up to a whole machine.
+	// Half a task is subtracted because requestScaleOut always rounds up to the next whole machine.
 	requestedCPUs := p.requestScaleOut(g.job, best, float64(wanted)*taskCPUs-taskCPUs/2)
 	requested := int(requestedCPUs / taskCPUs)
 	if requested <= 0 {
 		return false
 	}
 	if best.Spot {
-		g.spotMax -= requested
+		g.maxSpotTasks -= requested
 	}
 	placed := min(requested, wanted)
-	g.tasks -= placed
+	g.unplacedTasks -= placed
 	g.placedByZone[best.Zone] += placed
 	g.capacity.add(best.Offer, requested-placed)
 	return true
--- a/internal/recovery/unresolved_jobs.go
+++ b/internal/recovery/unresolved_jobs.go
@@ -51,5 +51,5 @@
 	if terminal.FinishedAt == 0 { // older versions did not record the time: assume the earliest possible
 		sinceEnd = r.settings.CancellationDeadline
 	}
-	j.EndedAt = max(1, r.host.Now()-sinceEnd)
+	j.CancelledAt = max(1, r.host.Now()-sinceEnd)
 }
--- a/sched/resources.go
+++ b/sched/resources.go
@@ -2,7 +2,7 @@
 
 import "math"
 
-// Resources are amounts in whole millionths, so that sums are exact.
+// Resources are amounts in integer millionths of a unit, so that sums are exact.
 type Resources struct {
 	CPU, GPU, Mem int64
 }
@@ -10,8 +10,8 @@
 // resourceUnit is the number of parts of one processor, one GPU or one GB.
 const resourceUnit = 1e6
 
-// roundingTolerance is the part of a resource unit that is taken for a floating point error
-// when decimals are converted.
+// roundingTolerance is the fraction of a millionth that is regarded as a floating-point error when
+// decimal amounts are converted.
 const roundingTolerance = 1e-3
 
 // NewResources converts decimal amounts. It rounds up, so that what a task uses is never
@@ -52,8 +52,8 @@
 // Count returns how many times r fits into free, at most limit.
 func (r Resources) Count(free Resources, limit int) int {
 	n := int64(limit)
-	available := free.each()
-	for i, needed := range r.each() {
+	available := free.asArray()
+	for i, needed := range r.asArray() {
 		if available[i] < 0 {
 			return 0
 		}
@@ -64,8 +64,8 @@
 	return int(n)
 }
 
-// each returns the amounts of all kinds of resources, always in the same order.
-func (r Resources) each() [3]int64 { return [3]int64{r.CPU, r.GPU, r.Mem} }
+// asArray returns the amounts of all kinds of resources, always in the same order.
+func (r Resources) asArray() [3]int64 { return [3]int64{r.CPU, r.GPU, r.Mem} }
 
 // total returns the sum of the amounts over all kinds of resources.
 func (r Resources) total() int64 { return r.CPU + r.GPU + r.Mem }
