--- a/internal/cluster/assign_test.go
+++ b/internal/cluster/assign_test.go
@@ -82,7 +82,7 @@
 			if !slices.Contains(body.Preconditions, kv.Precondition{Key: "c/t/red", Version: 5}) {
 				t.Errorf("preconditions %v lack the team's version", body.Preconditions)
 			}
-			f.answer(call, kv.TransactionResult{Revision: 30})
+			f.respond(call, kv.TransactionResult{Revision: 30})
 		})
 	}
 }
@@ -102,7 +102,7 @@
 	}
 }
 
-func TestTeamsAreSpreadOnceNodesHaveJoined(t *testing.T) {
+func TestTeamsAreSpreadAfterNodesHaveJoined(t *testing.T) {
 	settings := testSettings("blue", "green", "red")
 	settings.Tuning.SpreadTeams = true
 	f := newFixture(t, settings)
--- a/internal/cluster/fixture_test.go
+++ b/internal/cluster/fixture_test.go
@@ -109,8 +109,8 @@
 	}
 }
 
-// answer completes a call with a body.
-func (f *fixture) answer(call stubCall, body any) {
+// respond completes a call with a body.
+func (f *fixture) respond(call stubCall, body any) {
 	call.done(f.now, kv.Result{Outcome: kv.OK, Body: wire.Encode(body)})
 }
 
@@ -159,11 +159,11 @@
 	read := f.expect("GET", memberTarget)
 	list := f.expect("GET", listTarget)
 	f.fail(read, kv.NotFound)
-	f.answer(f.expect("POST", "/leases"), kv.LeaseGrant{Lease: testLease})
+	f.respond(f.expect("POST", "/leases"), kv.LeaseGrant{Lease: testLease})
 	transaction, _ := f.expectTransaction()
-	f.answer(transaction, kv.TransactionResult{Revision: joinRevision})
+	f.respond(transaction, kv.TransactionResult{Revision: joinRevision})
 	entries = append([]kv.Entry{f.ownEntry()}, entries...)
-	f.answer(list, kv.Page{Entries: entries, Revision: joinRevision})
+	f.respond(list, kv.Page{Entries: entries, Revision: joinRevision})
 }
 
 // lead makes the node a member and the leader.
@@ -172,7 +172,7 @@
 	f.join(entries...)
 	f.tick(campaignJitter)
 	transaction, _ := f.expectTransaction()
-	f.answer(transaction, kv.TransactionResult{Revision: leaderRevision})
+	f.respond(transaction, kv.TransactionResult{Revision: leaderRevision})
 	if !f.node.IsLeader() {
 		f.t.Fatal("the node does not lead")
 	}
@@ -205,22 +205,22 @@
 		changes.Events = append(changes.Events, kv.Change{Put: entry.Key, Value: entry.Value, Version: entry.Version})
 		changes.Revision = max(changes.Revision, entry.Version)
 	}
-	f.answerWatch(changes)
+	f.respondToWatch(changes)
 }
 
 // delete completes the pending watch with a record that was deleted.
 func (f *fixture) delete(key string, revision uint64) {
 	f.t.Helper()
-	f.answerWatch(kv.WatchResult{Events: []kv.Change{{Delete: key, Version: revision}}, Revision: revision})
+	f.respondToWatch(kv.WatchResult{Events: []kv.Change{{Delete: key, Version: revision}}, Revision: revision})
 }
 
-// answerWatch completes the pending watch.
-func (f *fixture) answerWatch(changes kv.WatchResult) {
+// respondToWatch completes the pending watch.
+func (f *fixture) respondToWatch(changes kv.WatchResult) {
 	f.t.Helper()
 	if len(f.kvClient.watches) != 1 {
 		f.t.Fatalf("%d watches are pending; want 1", len(f.kvClient.watches))
 	}
 	watch := f.kvClient.watches[0]
 	f.kvClient.watches = nil
-	f.answer(watch, changes)
+	f.respond(watch, changes)
 }
--- a/internal/cluster/leadership_test.go
+++ b/internal/cluster/leadership_test.go
@@ -35,7 +35,7 @@
 		body.Writes[0].Value["n"] != "n0" || body.Writes[0].Value["i"] != f.node.Incarnation() {
 		t.Errorf("writes %v", body.Writes)
 	}
-	f.answer(transaction, kv.TransactionResult{Revision: leaderRevision})
+	f.respond(transaction, kv.TransactionResult{Revision: leaderRevision})
 	f.expectLeadState(leadLeading, "n0", leaderRevision)
 }
 
@@ -55,7 +55,7 @@
 	f := newFixture(t, testSettings("red"))
 	f.tick(0)
 	f.expect("GET", memberTarget)
-	f.answer(f.expect("GET", listTarget), kv.Page{Revision: 1})
+	f.respond(f.expect("GET", listTarget), kv.Page{Revision: 1})
 	f.expectLeadState(leadVacant, "", 0)
 	f.tick(campaignJitter)
 	f.expectNoCall()
@@ -66,7 +66,7 @@
 	transaction, _ := f.campaign()
 	f.fail(transaction, kv.PreconditionFailed)
 	f.expectLeadState(leadVacant, "", 0)
-	f.answer(f.expect("GET", leaderTarget), leaderEntry("n1", 1, 15))
+	f.respond(f.expect("GET", leaderTarget), leaderEntry("n1", 1, 15))
 	f.expectLeadState(leadFollower, "n1", 15)
 }
 
@@ -102,7 +102,7 @@
 	transaction, _ := f.campaign()
 	f.put(leaderEntry("n0", f.node.Incarnation(), leaderRevision))
 	f.expectLeadState(leadCampaigning, "n0", leaderRevision)
-	f.answer(transaction, kv.TransactionResult{Revision: leaderRevision})
+	f.respond(transaction, kv.TransactionResult{Revision: leaderRevision})
 	f.expectLeadState(leadLeading, "n0", leaderRevision)
 }
 
@@ -159,7 +159,7 @@
 	f.fail(f.kvClient.watches[0], kv.Unknown)
 	f.kvClient.watches = nil
 	f.tick(0)
-	f.answer(f.expect("GET", listTarget), kv.Page{Revision: 40, Entries: []kv.Entry{f.ownEntry()}})
+	f.respond(f.expect("GET", listTarget), kv.Page{Revision: 40, Entries: []kv.Entry{f.ownEntry()}})
 	f.expectLeadState(leadVacant, "", 0)
 	if f.node.View().IsMember("n1") {
 		t.Error("a record that was deleted is still known")
@@ -189,7 +189,7 @@
 func TestWatchNeverGoesBack(t *testing.T) {
 	f := newFixture(t, testSettings("red"))
 	f.join(leaderEntry("n1", 1, 3))
-	f.answerWatch(kv.WatchResult{Revision: joinRevision - 1})
+	f.respondToWatch(kv.WatchResult{Revision: joinRevision - 1})
 	want := kv.Watch(record.ClusterPrefix, joinRevision, 0).Target
 	if len(f.kvClient.watches) != 1 || f.kvClient.watches[0].request.Target != want {
 		t.Errorf("watches %v; want %s", f.kvClient.watches, want)
--- a/internal/cluster/membership_test.go
+++ b/internal/cluster/membership_test.go
@@ -31,7 +31,7 @@
 	f.tick(0)
 	f.fail(f.expect("GET", memberTarget), kv.NotFound)
 	f.expect("GET", listTarget)
-	f.answer(f.expect("POST", "/leases"), kv.LeaseGrant{Lease: testLease})
+	f.respond(f.expect("POST", "/leases"), kv.LeaseGrant{Lease: testLease})
 	transaction, body := f.expectTransaction()
 	if want := []kv.Precondition{{Key: "c/n/n0", Version: 0}}; fmt.Sprint(body.Preconditions) != fmt.Sprint(want) {
 		t.Errorf("preconditions %v; want %v", body.Preconditions, want)
@@ -40,7 +40,7 @@
 		body.Writes[0].Value["i"] != f.node.Incarnation() {
 		t.Errorf("writes %v", body.Writes)
 	}
-	f.answer(transaction, kv.TransactionResult{Revision: joinRevision})
+	f.respond(transaction, kv.TransactionResult{Revision: joinRevision})
 	if f.node.membership.state != memberJoined || f.node.RecordVersion() != joinRevision {
 		t.Errorf("state %s, version %d", f.node.membership.state, f.node.RecordVersion())
 	}
@@ -58,9 +58,9 @@
 func TestJoinReplacesEarlierIncarnation(t *testing.T) {
 	f := newFixture(t, testSettings("red"))
 	f.tick(0)
-	f.answer(f.expect("GET", memberTarget), memberEntry("n0", 1, 7))
+	f.respond(f.expect("GET", memberTarget), memberEntry("n0", 1, 7))
 	f.expect("GET", listTarget)
-	f.answer(f.expect("POST", "/leases"), kv.LeaseGrant{Lease: testLease})
+	f.respond(f.expect("POST", "/leases"), kv.LeaseGrant{Lease: testLease})
 	transaction, body := f.expectTransaction()
 	if body.Preconditions[0].Version != 7 {
 		t.Errorf("precondition on version %d; want 7", body.Preconditions[0].Version)
@@ -84,7 +84,7 @@
 				call = f.expect("POST", "/leases")
 			}
 			if step > 1 {
-				f.answer(call, kv.LeaseGrant{Lease: testLease})
+				f.respond(call, kv.LeaseGrant{Lease: testLease})
 				call, _ = f.expectTransaction()
 			}
 			f.fail(call, kv.Unknown)
@@ -112,7 +112,7 @@
 		t.Fatal("a failed renewal ends membership")
 	}
 	f.tick(renewRetryDelay)
-	f.answer(f.expect("POST", renewal), nil)
+	f.respond(f.expect("POST", renewal), nil)
 	f.tick(testTTL/3 - 1)
 	f.expectNoCall()
 }
@@ -138,20 +138,20 @@
 	f.expect("GET", memberTarget)
 }
 
-// TestLateRenewal checks that the result of renewing an earlier lease does not affect the current
+// TestDelayedRenewalResult checks that the result of renewing an earlier lease does not affect the current
 // one.
-func TestLateRenewal(t *testing.T) {
+func TestDelayedRenewalResult(t *testing.T) {
 	f := newFixture(t, testSettings("red"))
 	f.join(leaderEntry("n1", 1, 3))
 	f.tick(testTTL / 3)
-	late := f.expect("POST", fmt.Sprintf("/leases/%d/extend", testLease))
+	delayed := f.expect("POST", fmt.Sprintf("/leases/%d/extend", testLease))
 	f.node.RecordLost(f.now)
 	f.tick(joinRetryDelay)
 	f.fail(f.expect("GET", memberTarget), kv.NotFound)
-	f.answer(f.expect("POST", "/leases"), kv.LeaseGrant{Lease: testLease + 1})
+	f.respond(f.expect("POST", "/leases"), kv.LeaseGrant{Lease: testLease + 1})
 	transaction, _ := f.expectTransaction()
-	f.answer(transaction, kv.TransactionResult{Revision: 30})
-	f.fail(late, kv.NotFound)
+	f.respond(transaction, kv.TransactionResult{Revision: 30})
+	f.fail(delayed, kv.NotFound)
 	if f.node.membership.state != memberJoined || f.node.RecordVersion() != 30 {
 		t.Errorf("state %s, version %d", f.node.membership.state, f.node.RecordVersion())
 	}
--- a/internal/dag/changes.go
+++ b/internal/dag/changes.go
@@ -15,12 +15,12 @@
 	g.revision = revision
 	g.synced = true
 	for _, entry := range entries {
-		id := jobOf(entry.Key)
+		id := jobIDFromKey(entry.Key)
 		g.SetVersion(id, entry.Version)
 		g.active[id] = true
 	}
 	for _, entry := range entries {
-		id := jobOf(entry.Key)
+		id := jobIDFromKey(entry.Key)
 		job, before := g.addBlocked(id, entry.Value, entry.Version), previous[id]
 		if job != nil && before != nil && before.Version == job.Version {
 			g.restore(job, before)
@@ -58,7 +58,7 @@
 		case change.Put != "":
 			g.put(change.Put, change.Value, change.Version)
 		default:
-			g.delete(jobOf(change.Delete), wallClock)
+			g.delete(jobIDFromKey(change.Delete), wallClock)
 		}
 	}
 	return true
@@ -66,7 +66,7 @@
 
 // put applies a job's record that was written.
 func (g *Graph) put(key string, value []byte, version uint64) {
-	id := jobOf(key)
+	id := jobIDFromKey(key)
 	g.SetVersion(id, version)
 	g.active[id] = true
 	delete(g.unresolvedJobs, id) // a dependent may have been applied first
--- a/internal/dag/graph.go
+++ b/internal/dag/graph.go
@@ -133,4 +133,4 @@
 // ForgetVersion removes a version that may be outdated.
 func (g *Graph) ForgetVersion(id string) { delete(g.versions, id) }
 
-func jobOf(key string) string { return strings.TrimPrefix(key, record.ActiveJobPrefix) }
+func jobIDFromKey(key string) string { return strings.TrimPrefix(key, record.ActiveJobPrefix) }
--- a/internal/dag/simulation_test.go
+++ b/internal/dag/simulation_test.go
@@ -128,7 +128,7 @@
 	for seed := range uint64(60) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			newSimulation(t, seed).play()
+			newSimulation(t, seed).run()
 		})
 	}
 }
@@ -149,7 +149,7 @@
 	return &simulation{t: t, rng: rand.New(rand.NewPCG(seed, 9)), graph: g, records: newRecords()}
 }
 
-func (s *simulation) play() {
+func (s *simulation) run() {
 	for s.step = range 400 {
 		s.changeRecords()
 		if s.rng.IntN(3) == 0 {
--- a/internal/peers/heartbeats.go
+++ b/internal/peers/heartbeats.go
@@ -54,7 +54,7 @@
 // applyHeartbeat replaces what is known of a peer.
 func (p *Peers) applyHeartbeat(n *node, heartbeat *peer.Heartbeat) {
 	n.lastHeartbeat = p.host.Now()
-	n.workerHeartbeats, n.kvReachable = int(heartbeat.ReachableWorkers), heartbeat.KVReachable
+	n.reachableWorkers, n.kvReachable = int(heartbeat.ReachableWorkers), heartbeat.KVReachable
 	n.jobCounts = make(map[string]*peer.JobCount, len(heartbeat.Jobs))
 	for _, count := range heartbeat.Jobs {
 		n.jobCounts[count.Id] = count
--- a/internal/peers/host.go
+++ b/internal/peers/host.go
@@ -39,7 +39,7 @@
 // MessageHandler handles the messages of peers other than heartbeats.
 type MessageHandler interface {
 	// RelayToKV sends a peer's request to the key-value store and responds with the result.
-	RelayToKV(request uint64, call *peer.KVRequest)
+	RelayToKV(request uint64, kvRequest *peer.KVRequest)
 	// HandleJobCancelled handles the announcement of a cancelled job.
 	HandleJobCancelled(job string)
 	// HandleMachineRequest handles an owner's request for machines.
--- a/internal/peers/messages.go
+++ b/internal/peers/messages.go
@@ -37,8 +37,8 @@
 
 // RelayKV sends a request for the key-value store to a peer. done gets the reply, or nil if there is
 // none; sent reports whether the request may have reached the peer.
-func (p *Peers) RelayKV(through string, call *peer.KVRequest, timeout micros.Micros, maxResponse int, done func(reply *peer.KVResponse, sent bool)) {
-	message := &peer.Message{Body: &peer.Message_KVRequest{KVRequest: call}}
+func (p *Peers) RelayKV(through string, request *peer.KVRequest, timeout micros.Micros, maxResponse int, done func(response *peer.KVResponse, sent bool)) {
+	message := &peer.Message{Body: &peer.Message_KVRequest{KVRequest: request}}
 	p.call(p.byName[through], message, timeout, maxResponse, func(response *peer.Message, sent bool) {
 		done(response.GetKVResponse(), sent)
 	})
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -22,7 +22,7 @@
 	heartbeatInFlight bool
 	nextHeartbeat     micros.Micros
 	lastHeartbeat     micros.Micros
-	workerHeartbeats  int // that the peer has received lately
+	reachableWorkers  int // that the peer has received lately
 	kvReachable       bool
 	jobCounts         map[string]*peer.JobCount
 	ownsMachine       map[string]bool
@@ -46,8 +46,8 @@
 	return n.lastHeartbeat > 0 && now-n.lastHeartbeat < heartbeatValidity
 }
 
-// first returns the first reachable peer that satisfies a condition, or nil.
-func (p *Peers) first(satisfies func(*node) bool) *node {
+// firstReachable returns the first reachable peer that satisfies a condition, or nil.
+func (p *Peers) firstReachable(satisfies func(*node) bool) *node {
 	for _, n := range p.ordered {
 		if n.reachable(p.host.Now()) && satisfies(n) {
 			return n
@@ -56,9 +56,9 @@
 	return nil
 }
 
-// firstName returns the name of the first reachable peer that satisfies a condition, or "".
-func (p *Peers) firstName(satisfies func(*node) bool) string {
-	if n := p.first(satisfies); n != nil {
+// firstReachableName returns the name of the first reachable peer that satisfies a condition, or "".
+func (p *Peers) firstReachableName(satisfies func(*node) bool) string {
+	if n := p.firstReachable(satisfies); n != nil {
 		return n.Node
 	}
 	return ""
@@ -66,22 +66,22 @@
 
 // AnyReachable reports whether any peer is reachable.
 func (p *Peers) AnyReachable() bool {
-	return p.first(func(*node) bool { return true }) != nil
+	return p.firstReachable(func(*node) bool { return true }) != nil
 }
 
 // AnyReachableOutside reports whether a peer outside a zone is reachable.
 func (p *Peers) AnyReachableOutside(zone string) bool {
-	return p.first(func(n *node) bool { return n.Zone != zone }) != nil
+	return p.firstReachable(func(n *node) bool { return n.Zone != zone }) != nil
 }
 
 // AnyReceivesHeartbeats reports whether a reachable peer has received heartbeats of workers lately.
 func (p *Peers) AnyReceivesHeartbeats() bool {
-	return p.first(func(n *node) bool { return n.workerHeartbeats > 0 }) != nil
+	return p.firstReachable(func(n *node) bool { return n.reachableWorkers > 0 }) != nil
 }
 
 // KVRelay returns a reachable peer that reaches the key-value store, or "".
 func (p *Peers) KVRelay() string {
-	return p.firstName(func(n *node) bool { return n.kvReachable })
+	return p.firstReachableName(func(n *node) bool { return n.kvReachable })
 }
 
 // MarkKVUnreachable excludes a peer as a relay to the key-value store until its next heartbeat.
@@ -93,7 +93,7 @@
 
 // Claimant returns the reachable peer that owns a machine by its heartbeat, or "".
 func (p *Peers) Claimant(machine string) string {
-	return p.firstName(func(n *node) bool { return n.ownsMachine[machine] })
+	return p.firstReachableName(func(n *node) bool { return n.ownsMachine[machine] })
 }
 
 // OwnerSummary returns the idle machines and the use of teams of a peer. Both are empty if the peer
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -273,13 +273,13 @@
 	if len(host.calls) != 0 {
 		t.Fatalf("message sent to an unknown node: %+v", host.calls)
 	}
-	reply := encode(t, &peer.Message{Body: &peer.Message_KVResponse{KVResponse: &peer.KVResponse{Status: 200}}})
+	response := encode(t, &peer.Message{Body: &peer.Message_KVResponse{KVResponse: &peer.KVResponse{Status: 200}}})
 	for _, c := range []struct {
-		name                    string
-		response                Response
-		replied, sent, answered bool
+		name                          string
+		response                      Response
+		responded, sent, acknowledged bool
 	}{
-		{"reply", Response{Status: wire.StatusOK, Body: reply}, true, true, true},
+		{"reply", Response{Status: wire.StatusOK, Body: response}, true, true, true},
 		{"not sent", Response{}, false, false, false},
 		{"no response", Response{Sent: true}, false, true, false},
 		{"refused", Response{Status: wire.StatusUnavailable}, false, true, false},
@@ -289,8 +289,8 @@
 			p, host := newPeers()
 			acknowledged := false
 			p.RelayKV("n2", &peer.KVRequest{}, micros.Second, 9, func(got *peer.KVResponse, sent bool) {
-				if (got != nil) != c.replied || sent != c.sent {
-					t.Errorf("reply %v, sent %v; want %v, %v", got, sent, c.replied, c.sent)
+				if (got != nil) != c.responded || sent != c.sent {
+					t.Errorf("reply %v, sent %v; want %v, %v", got, sent, c.responded, c.sent)
 				}
 			})
 			p.AnnounceCancelled("n2", "j", func() { acknowledged = true })
@@ -300,8 +300,8 @@
 			for _, done := range host.done {
 				done(c.response)
 			}
-			if acknowledged != c.answered {
-				t.Errorf("acknowledged %v, want %v", acknowledged, c.answered)
+			if acknowledged != c.acknowledged {
+				t.Errorf("acknowledged %v, want %v", acknowledged, c.acknowledged)
 			}
 		})
 	}
