--- a/internal/cluster/assign.go
+++ b/internal/cluster/assign.go
@@ -13,24 +13,24 @@
 	// memberJoinGracePeriod is how long a new leader waits for the other nodes to join before it
 	// spreads teams that were never assigned.
 	memberJoinGracePeriod = 1500 * micros.Millisecond
-	// assignRetryInterval is the minimum time between two transactions: meanwhile the watch
-	// shows the changes of the first one.
+	// assignRetryInterval is the minimum time between two transactions, so that the watch shows
+	// the changes of the first one before the next is planned.
 	assignRetryInterval = 500 * micros.Millisecond
-	// maxPredecessors bounds the list of earlier owners whose machines an owner recovers.
+	// maxPredecessors bounds the number of earlier owners whose machines an owner recovers.
 	maxPredecessors = 12
 )
 
 // assignment is the state of the leader's assignment of teams to members.
 type assignment struct {
-	committing bool
-	nextAt     micros.Micros
+	committing bool          // a transaction is in flight
+	nextAt     micros.Micros // earliest time of the next transaction
 }
 
 // noOwner is the owner of teams that were never assigned.
 const noOwner record.OwnerID = ""
 
-// assign gives orphaned teams to members. All teams of one failed owner go to one successor, which
-// takes over its machines and their tasks.
+// assign assigns orphaned teams to members. All teams of a failed owner are assigned to one
+// successor, which takes over the failed owner's machines and their tasks.
 func (n *Node) assign(now micros.Micros) {
 	if n.assignment.committing || now < n.assignment.nextAt || !n.watching {
 		return
@@ -47,14 +47,14 @@
 	n.assignment.committing = true
 	transaction := kv.Transaction(kv.SortedPreconditions(preconditions), writes)
 	n.kvClient.Call(transaction, func(now micros.Micros, _ kv.Result) {
-		// The result does not matter: the watch shows what was assigned, and teams that are
+		// The result does not matter: the watch shows the new assignments, and teams that are
 		// still orphaned are assigned by a later tick.
 		n.assignment.committing = false
 		n.assignment.nextAt = now + assignRetryInterval
 	})
 }
 
-// orphanedTeams returns the teams without a live owner by their earlier owner.
+// orphanedTeams returns the teams without a live owner, grouped by their previous owner.
 func (n *Node) orphanedTeams() map[record.OwnerID][]string {
 	orphaned := map[record.OwnerID][]string{}
 	for _, name := range n.view.teamNames {
@@ -69,7 +69,8 @@
 	return orphaned
 }
 
-// awaitingMembers reports whether teams are spread and more nodes may join soon.
+// awaitingMembers reports whether teams are to be spread and more nodes may still join within the
+// grace period.
 func (n *Node) awaitingMembers(now micros.Micros) bool {
 	return n.config.Tuning.SpreadTeams && len(n.view.members) <= len(n.config.Siblings) &&
 		now-n.leadership.leadingSince < memberJoinGracePeriod
@@ -100,7 +101,7 @@
 	return preconditions, writes
 }
 
-// assignedTeam returns a team's record with a new owner, which recovers from the earlier owners.
+// assignedTeam returns a team's record with a new owner and the earlier owners as its predecessors.
 func (n *Node) assignedTeam(name, owner string) record.Team {
 	assigned := record.Team{Owner: owner, Incarnation: n.view.members[owner].Incarnation, Term: n.leadership.term}
 	if team, ok := n.view.teams[name]; ok {
@@ -110,9 +111,10 @@
 	return assigned
 }
 
-// chooseOwner returns the member to own a team, or "" if there are no members: the member with
-// the fewest teams if teams are spread, else the one with the most, so that one node owns all.
-// Among equals the leader itself is preferred, then the first by name.
+// chooseOwner returns the member that is to own a team, or "" if there are no members. It chooses
+// the member with the fewest teams if teams are spread, and otherwise the member with the most
+// teams, so that one node owns all of them. Among members with equally many teams it prefers the
+// leader, which is this node, and then the first by name.
 func (n *Node) chooseOwner(assigned map[string]int) string {
 	owned := maps.Clone(assigned)
 	for _, team := range n.view.teams {
--- a/internal/cluster/assign_test.go
+++ b/internal/cluster/assign_test.go
@@ -55,16 +55,16 @@
 	f.expectTransaction()
 }
 
-// TestTeamsOfFailedOwnerGoToOneSuccessor checks that also spread teams of one failed owner stay
-// together, because its machines go with them.
+// TestTeamsOfFailedOwnerGoToOneSuccessor checks that all teams of a failed owner are assigned to one
+// successor even if teams are spread, because the successor takes over the failed owner's machines.
 func TestTeamsOfFailedOwnerGoToOneSuccessor(t *testing.T) {
 	cases := []struct {
 		name   string
 		spread bool
 		want   string
 	}{
-		{"together", false, "n1"}, // which owns a team
-		{"spread", true, "n0"},    // which owns none
+		{"together", false, "n1"}, // n1 owns a team
+		{"spread", true, "n0"},    // n0 owns no team
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -141,8 +141,8 @@
 	f.expectNoCall()
 }
 
-// TestChooseOwnerPrefersLeader checks that a node without an advantage over the leader is not
-// chosen, even if its name comes first.
+// TestChooseOwnerPrefersLeader checks that the leader is chosen among members with equally many
+// teams, even if the name of another member comes first.
 func TestChooseOwnerPrefersLeader(t *testing.T) {
 	for _, spread := range []bool{false, true} {
 		t.Run(fmt.Sprintf("spread %t", spread), func(t *testing.T) {
--- a/internal/cluster/fixture_test.go
+++ b/internal/cluster/fixture_test.go
@@ -21,7 +21,7 @@
 	done    func(micros.Micros, kv.Result)
 }
 
-// stubKVClient records calls until a test answers them.
+// stubKVClient records calls until a test completes them.
 type stubKVClient struct {
 	calls   []stubCall
 	watches []stubCall
@@ -53,7 +53,7 @@
 // UnreachableByWorkers implements Host.
 func (h *stubHost) UnreachableByWorkers() bool { return h.unreachable }
 
-// fixture is node n0 of a cluster of three, with stubs of what it depends on.
+// fixture is node n0 of a cluster of three nodes, with stubs of its KVClient and its Host.
 type fixture struct {
 	t        *testing.T
 	now      micros.Micros
@@ -81,13 +81,14 @@
 	return f
 }
 
-// tick advances the time and ticks the node.
+// tick advances the time and calls the node's Tick.
 func (f *fixture) tick(after micros.Micros) {
 	f.now += after
 	f.node.Tick(f.now)
 }
 
-// expect removes the earliest pending call, which must have a method and target.
+// expect removes the earliest pending call and returns it. It fails the test if the call has
+// another method or target.
 func (f *fixture) expect(method, target string) stubCall {
 	f.t.Helper()
 	if len(f.kvClient.calls) == 0 {
@@ -109,7 +110,7 @@
 	}
 }
 
-// respond completes a call with a body.
+// respond completes a call successfully, with a body.
 func (f *fixture) respond(call stubCall, body any) {
 	call.done(f.now, kv.Result{Outcome: kv.OK, Body: wire.Encode(body)})
 }
@@ -119,7 +120,7 @@
 	call.done(f.now, kv.Result{Outcome: outcome})
 }
 
-// transactionBody is the body of a transaction's request.
+// transactionBody is the body of the request for a transaction.
 type transactionBody struct {
 	Preconditions []kv.Precondition `cbor:"guards"`
 	Writes        []struct {
@@ -129,7 +130,8 @@
 	} `cbor:"writes"`
 }
 
-// expectTransaction removes the earliest pending call, which must be a transaction.
+// expectTransaction removes the earliest pending call, which must be a transaction, and returns it
+// with its body.
 func (f *fixture) expectTransaction() (stubCall, transactionBody) {
 	f.t.Helper()
 	call := f.expect("POST", "/commit")
@@ -145,14 +147,14 @@
 	leaderTarget = "/kv/c/leader"
 	testLease    = 5
 
-	joinRevision   = 10 // of the transaction that makes the node a member
-	leaderRevision = 20 // of the transaction that makes the node the leader
+	joinRevision   = 10 // revision of the transaction that makes the node a member
+	leaderRevision = 20 // revision of the transaction that makes the node the leader
 )
 
 // listTarget is the target of the request that lists the cluster's records.
 var listTarget = kv.List(record.ClusterPrefix, "").Target
 
-// join makes the node a member, whose listing shows its own record and further entries.
+// join makes the node a member. Its listing contains its own record and the given entries.
 func (f *fixture) join(entries ...kv.Entry) {
 	f.t.Helper()
 	f.tick(0)
@@ -197,7 +199,7 @@
 	return kv.Entry{Key: record.TeamKey(name), Value: wire.Encode(team), Version: version}
 }
 
-// put completes the pending watch with records that were written.
+// put completes the pending watch with writes of records.
 func (f *fixture) put(entries ...kv.Entry) {
 	f.t.Helper()
 	var changes kv.WatchResult
@@ -208,7 +210,7 @@
 	f.respondToWatch(changes)
 }
 
-// delete completes the pending watch with a record that was deleted.
+// delete completes the pending watch with the deletion of a record.
 func (f *fixture) delete(key string, revision uint64) {
 	f.t.Helper()
 	f.respondToWatch(kv.WatchResult{Events: []kv.Change{{Delete: key, Version: revision}}, Revision: revision})
--- a/internal/cluster/leadership.go
+++ b/internal/cluster/leadership.go
@@ -17,7 +17,7 @@
 type leadState int
 
 const (
-	leadUnknown     leadState = iota // no record was read yet
+	leadUnknown     leadState = iota // the cluster's records were not read yet
 	leadFollower                     // another node leads
 	leadVacant                       // no node leads
 	leadCampaigning                  // this node tries to become the leader
@@ -42,7 +42,7 @@
 	}
 }
 
-// leadership is what a node knows of the leader, and the state of its own campaign.
+// leadership is a node's knowledge of the leader, and the state of its own campaign.
 type leadership struct {
 	state        leadState
 	leader       string        // node, or ""
@@ -58,7 +58,7 @@
 // Leader returns the last known leader, or "", and its term.
 func (n *Node) Leader() (node string, term uint64) { return n.leadership.leader, n.leadership.term }
 
-// setLeadState changes the state of leadership; nothing else does.
+// setLeadState changes the state of leadership. No other function sets this state.
 func (n *Node) setLeadState(now micros.Micros, to leadState) {
 	l := &n.leadership
 	if l.state == to {
@@ -106,14 +106,14 @@
 	case leader.Incarnation == n.incarnation && l.state == leadCampaigning:
 		// The watch shows this node's own transaction before its result arrives.
 	default:
-		// An earlier incarnation of this node led, or a transaction of this one was executed
-		// although it seemed to have failed. There is no need to wait until that lease
-		// expires: transactions of that term fail on their preconditions.
+		// An earlier incarnation of this node led, or a transaction of this incarnation was
+		// executed although it seemed to have failed. The node need not wait until the lease
+		// of that record expires: transactions of that term fail on their preconditions.
 		n.setLeadState(now, leadVacant)
 	}
 }
 
-// handleLeaderAbsence applies that there was no leader's record at a revision.
+// handleLeaderAbsence applies the absence of the leader's record at a revision.
 func (n *Node) handleLeaderAbsence(now micros.Micros, revision uint64) {
 	l := &n.leadership
 	if revision >= l.term && l.state != leadCampaigning {
@@ -122,8 +122,8 @@
 	}
 }
 
-// ObserveTerm applies the leader that another node knows, if its term is newer: this node then
-// stops leading before the watch shows the record.
+// ObserveTerm applies the leader and term that another node reported, if the term is newer: this
+// node then stops leading before the watch shows the leader's record.
 func (n *Node) ObserveTerm(now micros.Micros, term uint64, leader string) {
 	l := &n.leadership
 	if term > l.term && l.state == leadLeading && leader != n.config.Node {
@@ -141,7 +141,7 @@
 	}
 }
 
-// campaign tries to put the leader's record on this node's lease. If a rival has written the
+// campaign tries to put the leader's record on this node's lease. If another node has written the
 // record meanwhile, the transaction fails on its precondition on the record's version.
 func (n *Node) campaign(now micros.Micros) {
 	l := &n.leadership
@@ -160,8 +160,8 @@
 	})
 }
 
-// handleCampaignFailure prepares the next campaign. The transaction may have been executed although no
-// result arrived: reading the record shows that.
+// handleCampaignFailure prepares the next campaign. The transaction may have been executed although
+// no result arrived, so the leader's record is read.
 func (n *Node) handleCampaignFailure(now micros.Micros) {
 	l := &n.leadership
 	if l.state != leadCampaigning {
--- a/internal/cluster/leadership_test.go
+++ b/internal/cluster/leadership_test.go
@@ -85,8 +85,8 @@
 	}
 }
 
-// TestRivalSeenWhileCampaigning checks a transaction that lost against a rival and whose result
-// arrives after the watch has shown the rival.
+// TestRivalSeenWhileCampaigning checks a campaign that fails because another node became the leader.
+// The watch shows the other node's record before the result of the transaction arrives.
 func TestRivalSeenWhileCampaigning(t *testing.T) {
 	f := newFixture(t, testSettings("red"))
 	transaction, _ := f.campaign()
@@ -106,8 +106,9 @@
 	f.expectLeadState(leadLeading, "n0", leaderRevision)
 }
 
-// TestTransactionExecutedAfterItFailed checks that the node does not lead by a record of its own
-// transaction if that seemed to have failed: it campaigns against that record.
+// TestTransactionExecutedAfterItFailed checks a campaign whose result is unknown, but whose
+// transaction was executed. The node does not become the leader by that record; its next campaign
+// has the record's version as a precondition.
 func TestTransactionExecutedAfterItFailed(t *testing.T) {
 	f := newFixture(t, testSettings("red"))
 	transaction, _ := f.campaign()
@@ -169,9 +170,9 @@
 	}
 }
 
-// TestEarlierIncarnationSeenWhileCampaigning checks a campaign that fails because a late
-// transaction of an earlier incarnation wrote the leader's record: the next campaign is against
-// that record.
+// TestEarlierIncarnationSeenWhileCampaigning checks a campaign that fails because a delayed
+// transaction of an earlier incarnation wrote the leader's record. The next campaign has that
+// record's version as a precondition.
 func TestEarlierIncarnationSeenWhileCampaigning(t *testing.T) {
 	f := newFixture(t, testSettings("red"))
 	transaction, _ := f.campaign()
@@ -185,7 +186,8 @@
 	}
 }
 
-// TestWatchNeverGoesBack checks that a result of an older revision does not set the watch back.
+// TestWatchNeverGoesBack checks that the watch continues from the same revision after a result with
+// an older revision.
 func TestWatchNeverGoesBack(t *testing.T) {
 	f := newFixture(t, testSettings("red"))
 	f.join(leaderEntry("n1", 1, 3))
--- a/internal/cluster/membership.go
+++ b/internal/cluster/membership.go
@@ -11,11 +11,12 @@
 const (
 	// joinRetryDelay is the delay before joining again after a failure or the loss of the record.
 	joinRetryDelay = 300 * micros.Millisecond
-	// renewalsPerLease is the number of renewals within the duration of a lease: two may fail.
+	// renewalsPerLease is the number of renewals within the duration of a lease, so that two may
+	// fail.
 	renewalsPerLease = 3
 	// renewRetryDelay is the delay before renewing again after a failure.
 	renewRetryDelay = 250 * micros.Millisecond
-	// leaveDuration is how long a node that left because workers cannot reach it stays absent.
+	// leaveDuration is how long a node stays absent after it left because workers cannot reach it.
 	leaveDuration = 20 * micros.Second
 )
 
@@ -24,7 +25,7 @@
 
 const (
 	memberAbsent  memberState = iota // the node has no lease
-	memberJoining                    // the node is getting a lease
+	memberJoining                    // the node requests a lease and writes its record
 	memberJoined                     // the node's record is on its lease
 )
 
@@ -43,7 +44,8 @@
 }
 
 // membership is the state of this node's own record. The record is on a lease, as is the leader's
-// record if this node leads. All that the node writes as an owner has it as a precondition.
+// record if this node leads. Everything that the node writes as an owner has the version of this
+// record as a precondition.
 type membership struct {
 	state       memberState
 	lease       uint64
@@ -62,7 +64,7 @@
 	return kv.Precondition{Key: record.MemberKey(n.config.Node), Version: n.membership.version}
 }
 
-// setMemberState changes the state of membership; nothing else does.
+// setMemberState changes the state of membership. No other function sets this state.
 func (n *Node) setMemberState(now micros.Micros, to memberState, reason string) {
 	m := &n.membership
 	if m.state == to {
@@ -88,7 +90,7 @@
 		if n.host.UnreachableByWorkers() {
 			n.leave(now)
 		}
-	case memberJoining: // each result starts the next step
+	case memberJoining: // the result of each call starts the next step
 	}
 }
 
@@ -116,8 +118,9 @@
 	})
 }
 
-// putRecord writes this node's record. Its precondition on the version that was read before the
-// lease was granted rejects it if a late transaction of an earlier incarnation came first.
+// putRecord writes this node's record. The precondition on the version that was read before the
+// lease was granted rejects the write if a delayed transaction of an earlier incarnation was
+// executed first.
 func (n *Node) putRecord(lease, earlierVersion uint64) {
 	key := record.MemberKey(n.config.Node)
 	preconditions := []kv.Precondition{{Key: key, Version: earlierVersion}}
@@ -142,7 +145,7 @@
 
 func (n *Node) renewInterval() micros.Micros { return n.config.Tuning.LeaderTTL / renewalsPerLease }
 
-// renew renews the lease when that is due.
+// renew renews the lease if a renewal is due.
 func (n *Node) renew(now micros.Micros) {
 	m := &n.membership
 	if m.renewing || now < m.renewAt {
@@ -161,15 +164,16 @@
 		case kv.NotFound:
 			n.setMemberState(now, memberAbsent, "lease expired")
 		default:
-			// In an outage, or if only this node is refused, it does not know whether the
-			// lease has expired. It stays a member: after a failover, the fencing tokens of
-			// machines and the preconditions of transactions reject its actions.
+			// During an outage of the key-value store, or if it refuses only this node's
+			// requests, the node does not know whether the lease has expired. It stays a
+			// member: after a failover, the fencing tokens of machines and the preconditions
+			// of transactions reject its actions.
 			m.renewAt = now + renewRetryDelay
 		}
 	})
 }
 
-// leave gives up membership, and with it leadership and teams, so that a node that workers can
+// leave gives up membership, and thereby leadership and teams, so that a node that workers can
 // reach takes over.
 func (n *Node) leave(now micros.Micros) {
 	n.log.Warn("leaving the cluster: workers reach a peer but not this node")
--- a/internal/cluster/membership_test.go
+++ b/internal/cluster/membership_test.go
@@ -9,7 +9,7 @@
 	"tamarindlead/micros"
 )
 
-// expectJoinAfter checks that the node begins to join after a delay, not earlier.
+// expectJoinAfter checks that the node starts to join after a delay, and not earlier.
 func (f *fixture) expectJoinAfter(delay micros.Micros) {
 	f.t.Helper()
 	f.tick(delay - 1)
@@ -18,7 +18,7 @@
 	f.expect("GET", memberTarget)
 }
 
-// expectAbsent checks that the node neither is a member nor leads.
+// expectAbsent checks that the node is neither a member nor the leader.
 func (f *fixture) expectAbsent() {
 	f.t.Helper()
 	if f.node.membership.state != memberAbsent || f.node.IsLeader() {
@@ -52,9 +52,9 @@
 	}
 }
 
-// TestJoinReplacesEarlierIncarnation checks that the transaction has the version that was read
-// first as its precondition, so that it fails if one of the earlier incarnation is executed
-// meanwhile.
+// TestJoinReplacesEarlierIncarnation checks that the transaction has the record's version that was
+// read before as its precondition, so that it fails if a delayed transaction of an earlier
+// incarnation is executed in between.
 func TestJoinReplacesEarlierIncarnation(t *testing.T) {
 	f := newFixture(t, testSettings("red"))
 	f.tick(0)
--- a/internal/cluster/node.go
+++ b/internal/cluster/node.go
@@ -5,7 +5,7 @@
 //
 // It owns the node's lease and record, its incarnation, and the view of the cluster's records.
 // It has no clock and does no I/O: the time is passed in, and requests are sent through a
-// KVClient. It must not know what owners do with their teams: jobs, machines and workers.
+// KVClient. It must not know about the jobs, machines and workers of the teams' owners.
 package cluster
 
 import (
@@ -20,10 +20,11 @@
 
 // KVClient sends a Node's requests to the key-value store.
 type KVClient interface {
-	// Call sends a request. Once the call has ended, done gets the time and the result; that
-	// is at once if the request cannot be sent now.
+	// Call sends a request and calls done with the time and the result when the request has
+	// ended. If the request cannot be sent now, Call calls done before it returns.
 	Call(request kv.Request, done func(now micros.Micros, result kv.Result))
-	// Watch waits for changes of keys with a prefix after a revision.
+	// Watch waits for changes of keys with a prefix after a revision, and calls done with the
+	// time and the result.
 	Watch(prefix string, after uint64, done func(now micros.Micros, result kv.Result))
 }
 
@@ -48,7 +49,7 @@
 	incarnation uint64
 
 	view       View
-	watching   bool // the records were read, or are being read, and are watched from then on
+	watching   bool // the cluster's records are being read or watched
 	membership membership
 	leadership leadership
 	assignment assignment
@@ -71,13 +72,14 @@
 	}
 }
 
-// Tick does what is due: it joins the cluster, renews the lease, campaigns and assigns teams.
+// Tick performs the actions that are due: it joins the cluster, renews the lease, campaigns for
+// leadership and assigns teams.
 func (n *Node) Tick(now micros.Micros) {
 	n.tickMembership(now)
 	n.tickLeadership(now)
 }
 
-// View returns the view of the cluster's records, which follows later changes.
+// View returns the view of the cluster's records. The view is updated when the records change.
 func (n *Node) View() *View { return &n.view }
 
 // ID returns the identity of this incarnation of the node as an owner.
@@ -86,7 +88,8 @@
 // Incarnation returns the number that distinguishes this incarnation of the node from others.
 func (n *Node) Incarnation() uint64 { return n.incarnation }
 
-// OwnTeams returns the teams that this node owns, by name: none unless it is a member.
+// OwnTeams returns the teams that this node owns, by name. It returns none if the node is not a
+// member.
 func (n *Node) OwnTeams() map[string]Team {
 	own := map[string]Team{}
 	if n.membership.state != memberJoined {
--- a/internal/cluster/view.go
+++ b/internal/cluster/view.go
@@ -87,12 +87,14 @@
 	return record.NewOwnerID(node, v.members[node].Incarnation)
 }
 
-// MemberPrecondition returns the precondition that a node's record still has its known version.
+// MemberPrecondition returns the precondition that a node's record still has the version in the
+// view.
 func (v *View) MemberPrecondition(node string) kv.Precondition {
 	return kv.Precondition{Key: record.MemberKey(node), Version: v.members[node].Version}
 }
 
-// OwnerCount returns the number of nodes that own teams, members or not; at least 1.
+// OwnerCount returns the number of nodes that own teams, whether they are members or not. It
+// returns at least 1.
 func (v *View) OwnerCount() int {
 	owners := map[string]bool{}
 	for _, team := range v.teams {
@@ -113,7 +115,7 @@
 }
 
 // FirstOwner returns the node that is responsible for objects without an owner: the owner of the
-// first team by name that has a live owner, or "" if no team has one.
+// first team, ordered by name, that has a live owner. It returns "" if no team has one.
 func (v *View) FirstOwner() string {
 	for _, name := range slices.Sorted(maps.Keys(v.teams)) {
 		if team := v.teams[name]; v.IsLive(team.OwnerID()) {
@@ -123,8 +125,8 @@
 	return ""
 }
 
-// HasSuccessor reports whether an owner still owns a team, or the current owner of a team is a
-// successor of it.
+// HasSuccessor reports whether an owner still owns a team, or the current owner of a team is its
+// successor.
 func (v *View) HasSuccessor(owner record.OwnerID) bool {
 	for _, team := range v.teams {
 		if slices.Contains(team.Predecessors, owner) || team.OwnerID() == owner {
--- a/internal/cluster/view_test.go
+++ b/internal/cluster/view_test.go
@@ -42,7 +42,7 @@
 		t.Errorf("%d owners, %d live; want 2, 1", view.OwnerCount(), view.LiveOwnerCount())
 	}
 	if got := view.FirstOwner(); got != "n1" {
-		t.Errorf("first owner %q; want n1: the owner of blue is no member", got)
+		t.Errorf("first owner %q; want n1, because the owner of blue is not a member", got)
 	}
 	for id, want := range map[record.OwnerID]bool{"n0/1": true, "n2/5": true, "n1/4": true, "n2/4": false} {
 		if view.HasSuccessor(id) != want {
@@ -65,7 +65,7 @@
 	}
 }
 
-// TestOwnTeams checks that a node does not own the teams of another incarnation of it.
+// TestOwnTeams checks that a node does not own the teams of another incarnation of the same node.
 func TestOwnTeams(t *testing.T) {
 	f := newFixture(t, testSettings("blue", "red"))
 	f.join(leaderEntry("n1", 1, 3), teamEntry("blue", record.Team{Owner: "n0", Incarnation: 1}, 4))
--- a/internal/cluster/watch.go
+++ b/internal/cluster/watch.go
@@ -7,7 +7,7 @@
 )
 
 // decode decodes the body of a successful call's result into a value. It reports whether the call
-// succeeded and its body was valid: callers treat both failures alike.
+// succeeded and its body was valid; callers treat both kinds of failure the same.
 func decode(result kv.Result, into any) bool {
 	return result.DecodeOK(into) == nil
 }
@@ -27,7 +27,7 @@
 	})
 }
 
-// watch applies the changes of the cluster's records after a revision, until a watch fails.
+// watch applies the changes of the cluster's records after a revision, until a request fails.
 func (n *Node) watch(after uint64) {
 	n.kvClient.Watch(record.ClusterPrefix, after, func(now micros.Micros, result kv.Result) {
 		var changes kv.WatchResult
--- a/internal/dag/blocked.go
+++ b/internal/dag/blocked.go
@@ -10,24 +10,25 @@
 )
 
 // BlockedJob is an active job that was submitted with dependencies. Its priority, estimate and
-// deadline are the job's own; what it propagates upstream is computed from them.
+// deadline are those of its own submission; the inheritance that it propagates upstream is
+// computed from them.
 type BlockedJob struct {
 	ID                   string
-	Version              uint64 // of its record
+	Version              uint64 // of the job's record
 	Class                string
 	Estimate             micros.Micros // as submitted
-	DependencyParts      int           // number of keys that hold the list of dependencies; 0: the record itself holds it
-	LatestDependencyDone micros.Micros // latest wall clock time at which a dependency was done
-	CancelledRoot        string        // upstream job that its user cancelled, or ""
+	DependencyParts      int           // number of keys with the list of dependencies; 0: in the record
+	LatestDependencyDone micros.Micros // latest wall clock time at which a dependency became done
+	CancelledRoot        string        // upstream job that a user cancelled, or ""
 
 	priority            sched.Priority
-	accepted            micros.Micros
-	deadline            micros.Micros   // from submission, 0 for none
+	accepted            micros.Micros   // time of acceptance
+	deadline            micros.Micros   // relative to acceptance, 0 for none
 	dependenciesKnown   bool            // the list of dependencies is known
 	pendingDependencies map[string]bool // dependencies that are not known to be done
 
-	correctedEstimate micros.Micros // as of when the job began to propagate
-	propagated        Inheritance   // what it propagates to its dependencies, while propagating
+	correctedEstimate micros.Micros // observer's estimate when the job began to propagate
+	propagated        Inheritance   // propagated to the dependencies, valid while propagating
 	propagating       bool
 	queued            bool // in the propagation queue
 }
@@ -40,11 +41,11 @@
 // DependenciesKnown reports whether the job's list of dependencies is known.
 func (b *BlockedJob) DependenciesKnown() bool { return b.dependenciesKnown }
 
-// Cancelled reports whether the job is cancelled because an upstream job is.
+// Cancelled reports whether the job is cancelled because an upstream job was cancelled.
 func (b *BlockedJob) Cancelled() bool { return b.CancelledRoot != "" }
 
-// dependencyFields are the fields of a record.Job that concern dependencies. Most jobs have
-// none: not decoding their descriptions here saves much time.
+// dependencyFields are the fields of a record.Job that concern dependencies. Most jobs have no
+// dependencies; leaving the descriptions of those jobs undecoded saves much time.
 type dependencyFields struct {
 	Accepted        micros.Micros    `cbor:"at"`
 	Blocked         *wire.Submission `cbor:"w"`
@@ -60,7 +61,8 @@
 	return fields.Blocked != nil, nil
 }
 
-// addBlocked adds a job with dependencies and returns it; it returns nil for any other job.
+// addBlocked adds a job with dependencies and returns it. It returns nil for a job without
+// dependencies, and for a record that cannot be decoded.
 func (g *Graph) addBlocked(id string, value []byte, version uint64) *BlockedJob {
 	if job := g.blocked[id]; job != nil && job.Version == version {
 		return job
@@ -80,7 +82,7 @@
 	spec, err := fields.Blocked.Job()
 	if err != nil {
 		g.log.Error("record cannot be read", "key", record.ActiveJobKey(id), "error", err)
-		return job // with unknown dependencies, so that it never becomes ready
+		return job // its dependencies stay unknown, so that it never becomes ready
 	}
 	job.Class = spec.Class
 	job.Estimate = spec.Estimate
@@ -146,8 +148,8 @@
 	}
 }
 
-// removeBlocked removes a blocked job that has ended. Its edges are removed in any order: each
-// concerns another dependency.
+// removeBlocked removes a blocked job that has ended. The order in which its edges are removed
+// does not matter, because each edge leads to a different dependency.
 func (g *Graph) removeBlocked(job *BlockedJob) {
 	g.stopPropagating(job)
 	for id := range job.pendingDependencies {
--- a/internal/dag/changes.go
+++ b/internal/dag/changes.go
@@ -6,8 +6,9 @@
 	"tamarindlead/micros"
 )
 
-// Reset replaces the graph by a listing, which may be older than what was known: a caller that
-// needs the current state applies the changes since. What is known of terminal states is kept.
+// Reset replaces the graph by a listing. The listing may be older than the state of the graph: a
+// caller that needs the current state then applies the changes since the listing's revision.
+// Known terminal states of dependencies are kept.
 func (g *Graph) Reset(entries []kv.Entry, revision uint64) {
 	previous := g.blocked
 	g.clear()
@@ -28,7 +29,7 @@
 	}
 }
 
-// restore applies to a job what was known of it before a listing.
+// restore applies to a job the state of its dependencies that was known before a listing.
 func (g *Graph) restore(job, before *BlockedJob) {
 	if before.dependenciesKnown && !job.dependenciesKnown {
 		g.setPendingDependencies(job, ordered.Keys(before.pendingDependencies))
@@ -44,8 +45,9 @@
 	}
 }
 
-// Apply applies the changes after a revision, each once: two reads may deliver the same changes.
-// It reports whether the changes continue the graph's revision; if not, none is applied.
+// Apply applies the changes after a revision. Changes that were applied before are skipped,
+// because two reads may deliver the same changes. If changes between the graph's revision and the
+// given one are missing, or the graph is not synced, Apply applies nothing and returns false.
 func (g *Graph) Apply(after uint64, changes *kv.WatchResult, wallClock micros.Micros) bool {
 	if !g.synced || after > g.revision {
 		return false
@@ -64,17 +66,17 @@
 	return true
 }
 
-// put applies a job's record that was written.
+// put applies a write of a job's record.
 func (g *Graph) put(key string, value []byte, version uint64) {
 	id := jobIDFromKey(key)
 	g.SetVersion(id, version)
 	g.active[id] = true
-	delete(g.unresolvedJobs, id) // a dependent may have been applied first
+	delete(g.unresolvedJobs, id) // set if a dependent's record was applied first
 	g.addBlocked(id, value, version)
 	g.observer.JobPut(key, value, version)
 }
 
-// delete applies that a job is no longer active.
+// delete applies the deletion of a job's record: the job is no longer active.
 func (g *Graph) delete(id string, wallClock micros.Micros) {
 	delete(g.versions, id)
 	delete(g.active, id)
@@ -82,7 +84,8 @@
 	if job != nil {
 		g.removeBlocked(job)
 	}
-	// The dependents of a cancelled job are known to be cancelled.
+	// If the graph knows that the job is cancelled, its dependents are already marked as
+	// cancelled, and its terminal state need not be read.
 	if len(g.dependents[id]) > 0 && (job == nil || !job.Cancelled()) {
 		g.unresolvedJobs[id] = true
 		if g.observer.IsDone(id) {
--- a/internal/dag/fixture_test.go
+++ b/internal/dag/fixture_test.go
@@ -12,7 +12,7 @@
 	"tamarindlead/sched"
 )
 
-// wallClock is the time of all changes that tests apply.
+// wallClock is the wall clock time of all changes that tests apply.
 const wallClock = micros.Hour
 
 func jobName(n int) string { return fmt.Sprintf("req-%06d", n) }
@@ -26,11 +26,11 @@
 
 // encodeJob returns a job's record with all its dependencies.
 func encodeJob(job *sched.Job, accepted micros.Micros) []byte {
-	writes, _ := record.JobWrites(job, accepted, 1<<20) // the bound avoids dependency parts
+	writes, _ := record.JobWrites(job, accepted, 1<<20) // the size limit is high enough that no dependency parts are needed
 	return wire.Encode(writes[0].Value)
 }
 
-// encodeIncompleteJob returns a job's record whose dependencies are in a part of their own.
+// encodeIncompleteJob returns a job's record whose dependencies are stored in a dependency part.
 func encodeIncompleteJob(job *sched.Job) []byte {
 	description := wire.FromJob(job)
 	return wire.Encode(record.Job{AcceptedAt: 2, Blocked: &description, DependencyParts: 1})
@@ -47,7 +47,7 @@
 	ready              []string
 	cancelled          []string
 	inheritanceChanges int
-	done               map[string]bool // jobs that it reports as done
+	done               map[string]bool // jobs that IsDone reports as done
 }
 
 func newRecorder() *recorder { return &recorder{active: map[string]bool{}, done: map[string]bool{}} }
@@ -86,25 +86,25 @@
 	return g, observer
 }
 
-// submit applies the record of a job that is accepted.
+// submit applies the record of an accepted job.
 func submit(t testing.TB, g *Graph, job *sched.Job, accepted micros.Micros) {
 	t.Helper()
 	apply(t, g, kv.Change{Put: record.ActiveJobKey(job.ID), Value: encodeJob(job, accepted)})
 }
 
-// submitIncomplete applies the record of a job whose dependencies are in a part of their own.
+// submitIncomplete applies the record of a job whose dependencies are stored in a dependency part.
 func submitIncomplete(t testing.TB, g *Graph, id string) {
 	t.Helper()
 	apply(t, g, kv.Change{Put: record.ActiveJobKey(id), Value: encodeIncompleteJob(testJob(id))})
 }
 
-// end applies that a job is no longer active.
+// end applies the deletion of a job's record.
 func end(t testing.TB, g *Graph, id string) {
 	t.Helper()
 	apply(t, g, kv.Change{Delete: record.ActiveJobKey(id)})
 }
 
-// apply applies one change at the revision that follows the graph's.
+// apply applies one change at the revision after the graph's.
 func apply(t testing.TB, g *Graph, change kv.Change) {
 	t.Helper()
 	after := g.Revision()
--- a/internal/dag/graph.go
+++ b/internal/dag/graph.go
@@ -2,18 +2,18 @@
 // jobs are active, the versions of their records, which jobs are blocked by which others, and
 // the priorities and deadlines that jobs inherit from their dependents.
 //
-// It owns the graph, a deterministic data structure without I/O: the caller feeds it with
-// listings, with changes in the order of their revisions, and with the terminal states of jobs
-// that others depend on. The cost of an event is proportional to the jobs that it affects, not
-// to the number of blocked jobs.
+// It owns the graph, a deterministic data structure without I/O: the caller passes in listings,
+// changes in the order of their revisions, and the terminal states of jobs that other jobs depend
+// on. The cost of an event is proportional to the number of jobs that it affects, not to the
+// number of blocked jobs.
 //
-// The state of a blocked job follows from records alone: it is ready once the terminal states of
-// all its dependencies say done, and cancelled once any upstream job is. Terminal states never
-// change, so neither do these, and what is known of a dependency's end stays valid across
-// listings.
+// The state of a blocked job is determined by records alone: it is ready after all its
+// dependencies have ended as done, and cancelled after any upstream job was cancelled. Terminal
+// states never change. A blocked job therefore stays ready or cancelled, and the known terminal
+// state of a dependency stays valid when a new listing is applied.
 //
-// The package must not know of owners, placement, users or the network; an Observer learns of
-// changes and answers the graph's questions about jobs.
+// The package must not know of owners, placement, users or the network; an Observer is notified
+// of changes and provides the information about jobs that the graph needs.
 package dag
 
 import (
@@ -24,23 +24,24 @@
 	"tamarindlead/micros"
 )
 
-// maxVersions bounds the record versions that are kept: further jobs are read one by one.
+// maxVersions bounds the number of record versions that are kept. Records of further jobs must be
+// read one by one.
 const maxVersions = 20000
 
-// Observer is notified of changes while the graph applies them, and answers the graph's
-// questions about jobs.
+// Observer is notified of changes while the graph applies them, and provides information about
+// jobs to the graph.
 type Observer interface {
-	// JobPut is called when the graph has applied a job's record that was written.
+	// JobPut is called after the graph has applied a write of a job's record.
 	JobPut(key string, value []byte, version uint64)
 	// JobDeleted is called when a job is no longer active.
 	JobDeleted(id string)
 	// JobReady is called when all dependencies of a blocked job are done.
 	JobReady(job *BlockedJob)
-	// JobCancelled is called when a blocked job is cancelled because an upstream job is.
+	// JobCancelled is called when a blocked job is cancelled because an upstream job was.
 	JobCancelled(id string)
 	// InheritanceChanged is called when the inheritance of a job has changed.
 	InheritanceChanged(id string)
-	// EstimateOf returns the expected run time of a blocked job from its start.
+	// EstimateOf returns the expected run time of a blocked job, counted from its start.
 	EstimateOf(job *BlockedJob) micros.Micros
 	// IsDone reports whether a job is known to be done.
 	IsDone(id string) bool
@@ -51,15 +52,15 @@
 	observer Observer
 	log      *slog.Logger
 
-	// versions of active jobs' records, for comparisons; they may be outdated.
+	// versions holds the last known versions of active jobs' records; they may be outdated.
 	versions map[string]uint64
 
-	// The fields below are as of revision while the graph is synced.
+	// While the graph is synced, the fields below show the state as of revision.
 	active         map[string]bool
 	blocked        map[string]*BlockedJob
-	dependents     map[string]map[string]*BlockedJob // by dependency that is not known to be done, by job
-	unresolvedJobs map[string]bool                   // dependencies that are no longer active, in an unknown terminal state
-	incomplete     map[string]bool                   // blocked jobs with parts of their dependencies unread
+	dependents     map[string]map[string]*BlockedJob // by dependency not known to be done, by ID
+	unresolvedJobs map[string]bool                   // dependencies that ended with an unknown terminal state
+	incomplete     map[string]bool                   // blocked jobs whose dependency parts were not read yet
 	revision       uint64
 	synced         bool
 	resets         int
@@ -68,9 +69,10 @@
 	work      Work
 }
 
-// Work counts the objects that the graph visited, so that tests can bound the cost of an event.
+// Work counts the jobs and edges that the graph visited, so that tests can bound the cost of an
+// event.
 type Work struct {
-	Jobs  int // blocked jobs that became ready or cancelled, or lost a dependency
+	Jobs  int // jobs that were cancelled, and dependencies that were removed from jobs
 	Edges int // edges visited for inheritance
 }
 
@@ -95,11 +97,11 @@
 // revision.
 func (g *Graph) IsSynced() bool { return g.synced }
 
-// MarkUnsynced records that changes were missed: the graph rejects further ones until the next
-// listing.
+// MarkUnsynced records that changes were missed: the graph rejects further changes until the
+// next listing.
 func (g *Graph) MarkUnsynced() { g.synced = false }
 
-// Revision returns the revision up to which changes were applied.
+// Revision returns the revision up to which all changes were applied.
 func (g *Graph) Revision() uint64 { return g.revision }
 
 // Resets returns the number of listings that were applied.
@@ -111,10 +113,12 @@
 // IsActive reports whether a job was active at the graph's revision.
 func (g *Graph) IsActive(id string) bool { return g.active[id] }
 
-// Blocked returns an active job that was submitted with dependencies, ready or not, or nil.
+// Blocked returns an active job that was submitted with dependencies, whether it is ready or not.
+// It returns nil for any other job.
 func (g *Graph) Blocked(id string) *BlockedJob { return g.blocked[id] }
 
-// HasOpenDependencies reports whether a job's state depends on other jobs.
+// HasOpenDependencies reports whether a job was submitted with dependencies and is not ready, so
+// that its state depends on other jobs.
 func (g *Graph) HasOpenDependencies(id string) bool {
 	job := g.blocked[id]
 	return job != nil && !job.Ready()
@@ -123,14 +127,15 @@
 // Version returns the last known version of an active job's record, or 0.
 func (g *Graph) Version(id string) uint64 { return g.versions[id] }
 
-// SetVersion records the version of an active job's record.
+// SetVersion records the version of an active job's record, unless maxVersions versions of other
+// jobs are kept.
 func (g *Graph) SetVersion(id string, version uint64) {
 	if _, known := g.versions[id]; known || len(g.versions) < maxVersions {
 		g.versions[id] = version
 	}
 }
 
-// ForgetVersion removes a version that may be outdated.
+// ForgetVersion removes the recorded version of a job, which may be outdated.
 func (g *Graph) ForgetVersion(id string) { delete(g.versions, id) }
 
 func jobIDFromKey(key string) string { return strings.TrimPrefix(key, record.ActiveJobPrefix) }
--- a/internal/dag/graph_test.go
+++ b/internal/dag/graph_test.go
@@ -9,8 +9,8 @@
 	"tamarindlead/sched"
 )
 
-// TestObserver checks that the observer is notified once, in order, of each job that becomes
-// ready or is cancelled.
+// TestObserver checks that the observer is notified exactly once, and in order, of each job that
+// becomes ready or is cancelled.
 func TestObserver(t *testing.T) {
 	g, observer := newTestGraph(t)
 	if g.Apply(0, &kv.WatchResult{Revision: 1}, wallClock) || g.IsSynced() {
@@ -28,7 +28,7 @@
 
 	end(t, g, a)
 	if got := g.UnresolvedJobs(); !slices.Equal(got, []string{a}) || len(observer.ready) > 0 {
-		t.Fatalf("%s ended in an unknown state: unresolved %v, ready %v", a, got, observer.ready)
+		t.Fatalf("%s ended with an unknown terminal state: unresolved %v, ready %v", a, got, observer.ready)
 	}
 	g.MarkDone(a, 77)
 	if !slices.Equal(observer.ready, []string{b}) || g.Blocked(b).LatestDependencyDone != 77 || g.HasUnresolvedJobs() {
@@ -47,9 +47,9 @@
 	}
 }
 
-// TestReset checks that a listing keeps the known terminal states and dependencies. Only the
-// terminal state of a cancelled job is read again, because the listing does not show why its
-// dependents are blocked.
+// TestReset checks that the known terminal states and dependencies are kept when a listing is
+// applied. Only a cancelled dependency becomes unresolved again and its terminal state must be read
+// again, because the listing does not show why its dependents are blocked.
 func TestReset(t *testing.T) {
 	g, _ := newTestGraph(t)
 	a, b, c, d, e, other := jobName(1), jobName(2), jobName(3), jobName(4), jobName(5), jobName(9)
@@ -68,7 +68,7 @@
 
 	g.Reset(entries[2:], 8)
 	if job := g.Blocked(c); job.LatestDependencyDone != 55 || len(job.pendingDependencies) != 1 || !slices.Equal(g.UnresolvedJobs(), []string{b}) {
-		t.Errorf("the end of a done job is lost: %+v, unresolved %v", job, g.UnresolvedJobs())
+		t.Errorf("the terminal state of a done job is lost: %+v, unresolved %v", job, g.UnresolvedJobs())
 	}
 	if job := g.Blocked(d); !job.DependenciesKnown() || !job.pendingDependencies[other] {
 		t.Errorf("dependencies are lost: %+v", job)
@@ -77,14 +77,15 @@
 		t.Errorf("a cancellation is lost: %+v", job)
 	}
 
-	entries[3].Version = 9 // the same name, but a different job
+	entries[3].Version = 9 // a different job with the same name
 	g.Reset(entries[2:], 9)
 	if job := g.Blocked(c); job.LatestDependencyDone != 0 || len(job.pendingDependencies) != 2 {
 		t.Errorf("the state of another job of the same name is kept: %+v", job)
 	}
 }
 
-// TestVersions checks the bound of the versions that are kept.
+// TestVersions checks that at most maxVersions versions are kept, and that a version that is kept
+// can be replaced and removed.
 func TestVersions(t *testing.T) {
 	g, _ := newTestGraph(t)
 	for i := range maxVersions + 5 {
@@ -94,10 +95,10 @@
 		t.Errorf("%d versions are kept; want %d", len(g.versions), maxVersions)
 	}
 	if g.SetVersion(jobName(0), 7); g.Version(jobName(0)) != 7 {
-		t.Error("a version that is kept is not replaced")
+		t.Error("a recorded version was not replaced")
 	}
 	if g.ForgetVersion(jobName(0)); g.Version(jobName(0)) != 0 {
-		t.Error("a version is not removed")
+		t.Error("a recorded version was not removed")
 	}
 }
 
--- a/internal/dag/inheritance.go
+++ b/internal/dag/inheritance.go
@@ -8,18 +8,18 @@
 )
 
 // This file implements priority inheritance along dependencies: a job gets the highest priority
-// of itself and all its active downstream jobs, and a latest finish that lets each of them meet
-// its deadline. Inheritance is kept for all dependencies, of any team and owner.
+// of itself and all its active downstream jobs, and a latest finish time that lets each of them
+// meet its deadline. Inheritance is computed for all dependencies, of any team and owner.
 //
-// An event visits the jobs whose inheritance it changes and their dependencies. A job is accepted
-// after its dependencies, so that its record has a higher version than theirs: visited in
-// descending order of versions, each job is visited once per event, whatever the shape of the
-// graph.
+// An event visits the jobs whose inheritance it changes, and the dependencies of these jobs. A job
+// is accepted after its dependencies, so its record has a higher version than theirs. Jobs are
+// visited in descending order of versions; therefore each job is visited once per event, regardless
+// of the shape of the graph.
 
 // Inheritance is what a job inherits from its downstream jobs.
 type Inheritance struct {
 	Priority     sched.Priority
-	LatestFinish micros.Micros // latest end that lets all of them meet their deadlines, 0 for none
+	LatestFinish micros.Micros // latest finish time that lets them meet their deadlines, 0 for none
 }
 
 // merge returns the inheritance from two sources.
@@ -27,8 +27,9 @@
 	return Inheritance{max(i.Priority, other.Priority), EarlierDeadline(i.LatestFinish, other.LatestFinish)}
 }
 
-// mayDetermine reports whether one dependent's contribution i may have determined the merged
-// inheritance in a way that its new contribution does not.
+// mayDetermine reports whether i, the former contribution of a dependent, may have determined the
+// merged priority or latest finish while its replacement does not, so that the merged inheritance
+// must be computed again.
 func (i Inheritance) mayDetermine(merged, replacement Inheritance) bool {
 	if i.Priority == merged.Priority && replacement.Priority < i.Priority {
 		return true
@@ -37,7 +38,7 @@
 		EarlierDeadline(i.LatestFinish, replacement.LatestFinish) != replacement.LatestFinish
 }
 
-// EarlierDeadline returns the earlier of two times, each of which may be 0 for none.
+// EarlierDeadline returns the earlier of two times, where 0 means none. It returns 0 if both are 0.
 func EarlierDeadline(a, b micros.Micros) micros.Micros {
 	if a == 0 || b == 0 {
 		return max(a, b)
@@ -46,7 +47,7 @@
 }
 
 // AbsoluteDeadline returns the time by which a job must have ended, or 0 for no deadline. The
-// deadline counts from acceptance, however long the job is blocked.
+// deadline is relative to the acceptance of the job, regardless of how long the job is blocked.
 func AbsoluteDeadline(accepted, deadline micros.Micros) micros.Micros {
 	if deadline == 0 {
 		return 0
@@ -60,7 +61,7 @@
 	return inherited, isDependency
 }
 
-// propagatedBy returns what a job propagates to its dependencies.
+// propagatedBy returns the inheritance that a job propagates to its dependencies.
 func (g *Graph) propagatedBy(job *BlockedJob) Inheritance {
 	own := Inheritance{job.priority, AbsoluteDeadline(job.accepted, job.deadline)}
 	merged := own.merge(g.inherited[job.ID])
@@ -70,8 +71,8 @@
 	return merged
 }
 
-// propagationQueue is a heap of jobs in descending order of versions: each job comes before its
-// dependencies.
+// propagationQueue is a heap of jobs in descending order of versions, so that each job is visited
+// before its dependencies.
 type propagationQueue []*BlockedJob
 
 // Len implements heap.Interface.
@@ -94,7 +95,7 @@
 	return job
 }
 
-// startPropagating makes a job propagate its current inheritance upstream.
+// startPropagating makes a job propagate its priority, deadline and inheritance upstream.
 func (g *Graph) startPropagating(job *BlockedJob) {
 	if !job.propagating {
 		job.correctedEstimate = g.observer.EstimateOf(job)
@@ -119,7 +120,8 @@
 		if change.isEmpty() {
 			continue
 		}
-		// The order does not matter: the change applies to each dependency by itself.
+		// The order does not matter, because the change is applied to each dependency
+		// independently.
 		for id := range job.pendingDependencies {
 			if !g.applyPropagation(id, change) {
 				continue
@@ -132,19 +134,19 @@
 	}
 }
 
-// propagationChange is a change of what a job propagates.
+// propagationChange is a change of the inheritance that a job propagates.
 type propagationChange struct {
 	propagatedBefore, propagates bool
-	before                       Inheritance // meaningful if propagatedBefore
+	before                       Inheritance // valid if propagatedBefore
 	after                        Inheritance // zero if the job no longer propagates
 }
 
-// isEmpty reports whether the job propagates the same as before.
+// isEmpty reports whether the job propagates the same inheritance as before.
 func (c propagationChange) isEmpty() bool {
 	return c.propagatedBefore && c.propagates && c.before == c.after
 }
 
-// updatePropagated recomputes what a job propagates and returns the change.
+// updatePropagated recomputes the inheritance that a job propagates and returns the change.
 func (g *Graph) updatePropagated(job *BlockedJob, propagates bool) propagationChange {
 	change := propagationChange{
 		propagatedBefore: job.propagating,
@@ -159,8 +161,8 @@
 	return change
 }
 
-// applyPropagation applies a change of what one dependent of a job propagates; it reports whether
-// the job's inheritance changed.
+// applyPropagation applies a change of the inheritance that one dependent of a job propagates. It
+// reports whether the job's inheritance changed.
 func (g *Graph) applyPropagation(id string, change propagationChange) bool {
 	g.work.Edges++
 	before, known := g.inherited[id]
@@ -179,9 +181,9 @@
 	return true
 }
 
-// inheritedBy returns a job's inheritance from all its dependents after one of them lowered its
-// contribution. limit is the previous inheritance, which the result cannot exceed: the search
-// ends where it is reached.
+// inheritedBy returns a job's inheritance from all its dependents after the contribution of one of
+// them became lower. limit is the previous inheritance, which the result cannot exceed: the loop
+// ends early when it reaches the limit.
 func (g *Graph) inheritedBy(id string, limit Inheritance) Inheritance {
 	var merged Inheritance
 	for _, dependent := range g.dependents[id] {
@@ -197,7 +199,7 @@
 	return merged
 }
 
-// disinherit removes the inheritance of a job without dependents.
+// disinherit removes the inheritance of a job that has no more dependents.
 func (g *Graph) disinherit(id string) {
 	if _, known := g.inherited[id]; known {
 		delete(g.inherited, id)
--- a/internal/dag/inheritance_test.go
+++ b/internal/dag/inheritance_test.go
@@ -7,7 +7,7 @@
 	"tamarindlead/sched"
 )
 
-// fanFixture is a graph of jobs that all run as long as estimated.
+// fanFixture is a graph whose observer returns the submitted estimates of jobs.
 type fanFixture struct {
 	*testing.T
 	graph *Graph
@@ -49,7 +49,7 @@
 	}
 }
 
-// checkCost checks how many edges an operation visits.
+// checkCost checks that an operation visits at most limit edges.
 func (f *fanFixture) checkCost(limit int, name string, operation func()) {
 	f.Helper()
 	before := f.graph.work.Edges
@@ -70,8 +70,8 @@
 // fan is the number of jobs in a fan-in or fan-out.
 const fan = 600
 
-// TestInheritanceCostOfFans bounds the cost of an event for a job with 600 dependencies, and for
-// 600 jobs with one common dependency. It fails without the early exit in inheritedBy.
+// TestInheritanceCostOfFans checks the cost of an event for a job with 600 dependencies, and for
+// 600 jobs with one common dependency. It fails without the early exit of the loop in inheritedBy.
 func TestInheritanceCostOfFans(t *testing.T) {
 	f := newFanFixture(t)
 	var dependencies []string
@@ -101,8 +101,8 @@
 	f.checkInherited(shared, 0, 0)
 }
 
-// TestInheritanceCostOfDiamonds bounds the cost of an event in a chain of diamonds, where the
-// number of paths doubles with each. It fails without the order of versions in propagationQueue.
+// TestInheritanceCostOfDiamonds checks the cost of an event in a chain of diamonds, where each
+// diamond doubles the number of paths. It fails if propagationQueue is not ordered by versions.
 func TestInheritanceCostOfDiamonds(t *testing.T) {
 	const diamonds = 40
 	f := newFanFixture(t)
--- a/internal/dag/resolution.go
+++ b/internal/dag/resolution.go
@@ -7,7 +7,7 @@
 	"tamarindlead/micros"
 )
 
-// MarkDone applies to a job's dependents that the job was done at a wall clock time.
+// MarkDone updates a job's dependents after the job was done at a wall clock time.
 func (g *Graph) MarkDone(id string, at micros.Micros) {
 	for _, dependentID := range ordered.Keys(g.dependents[id]) {
 		job := g.dependents[id][dependentID]
@@ -22,8 +22,8 @@
 	}
 }
 
-// MarkCancelled applies to a job's dependents that the job ended as cancelled. root is the job
-// that a user cancelled: the job itself or one upstream of it.
+// MarkCancelled updates a job's dependents after the job ended as cancelled. root is the job that
+// a user cancelled: the job itself or one upstream of it.
 func (g *Graph) MarkCancelled(id, root string) {
 	delete(g.unresolvedJobs, id)
 	for _, dependentID := range ordered.Keys(g.dependents[id]) {
@@ -33,7 +33,7 @@
 	}
 }
 
-// cancel marks a job and all its downstream jobs as cancelled with a root.
+// cancel marks a job and all its downstream jobs as cancelled because of root.
 func (g *Graph) cancel(job *BlockedJob, root string) {
 	job.CancelledRoot = root
 	queue := []*BlockedJob{job}
@@ -52,8 +52,8 @@
 	}
 }
 
-// AssumeDone marks all dependencies of a blocked job as done, because an owner that had read
-// their terminal states has placed the job.
+// AssumeDone marks all dependencies of a blocked job as done, because the job was placed: the
+// owner that placed it had read their terminal states.
 func (g *Graph) AssumeDone(job *BlockedJob) {
 	for _, id := range ordered.Keys(job.pendingDependencies) {
 		g.unlink(job, id)
@@ -62,13 +62,14 @@
 	delete(g.incomplete, job.ID)
 }
 
-// HasUnresolvedJobs reports whether any dependency has ended in an unknown terminal state.
+// HasUnresolvedJobs reports whether any dependency has ended with an unknown terminal state.
 func (g *Graph) HasUnresolvedJobs() bool { return len(g.unresolvedJobs) > 0 }
 
-// UnresolvedJobs returns the dependencies that have ended in an unknown terminal state, sorted.
+// UnresolvedJobs returns the dependencies that have ended with an unknown terminal state, sorted.
 func (g *Graph) UnresolvedJobs() []string { return ordered.Keys(g.unresolvedJobs) }
 
-// FirstIncomplete returns the first blocked job whose list of dependencies is not known, or nil.
+// FirstIncomplete returns the first blocked job, ordered by ID, that has an unknown list of
+// dependencies, or nil.
 func (g *Graph) FirstIncomplete() *BlockedJob {
 	if len(g.incomplete) == 0 {
 		return nil
@@ -76,10 +77,10 @@
 	return g.blocked[ordered.Keys(g.incomplete)[0]]
 }
 
-// FindUnresolved returns what must be read before the state of some jobs is known: it searches
-// them and their upstream jobs for one whose list of dependencies is unknown, and reports
-// whether any of them has ended in an unknown terminal state. If incomplete is not nil, the search
-// ended there and unresolved is false.
+// FindUnresolved reports which records must be read before the states of some jobs are known. It
+// searches these jobs and their upstream jobs: incomplete is a job whose list of dependencies is
+// unknown, and unresolved reports whether any job has ended with an unknown terminal state. The
+// search ends at the first incomplete job, and unresolved is then false.
 func (g *Graph) FindUnresolved(ids []string) (incomplete *BlockedJob, unresolved bool) {
 	if len(g.unresolvedJobs) == 0 && len(g.incomplete) == 0 {
 		return nil, false
--- a/internal/dag/resolution_test.go
+++ b/internal/dag/resolution_test.go
@@ -7,7 +7,7 @@
 	"tamarindlead/sched"
 )
 
-// TestIsDone checks that a dependency which the observer knows to be done blocks no job.
+// TestIsDone checks that a dependency does not block a job if the observer reports it as done.
 func TestIsDone(t *testing.T) {
 	g, observer := newSyncedGraph(t)
 	a, b, c := jobName(1), jobName(2), jobName(3)
@@ -21,8 +21,8 @@
 	}
 }
 
-// TestIncompleteDependencies checks that nothing is concluded about a job whose dependencies were
-// not read.
+// TestIncompleteDependencies checks that the state of a job stays unknown until its dependencies
+// were read.
 func TestIncompleteDependencies(t *testing.T) {
 	g, observer := newSyncedGraph(t)
 	a, b, c := jobName(1), jobName(2), jobName(3)
@@ -39,7 +39,7 @@
 	}
 	end(t, g, a)
 	if _, unresolved = g.FindUnresolved([]string{c}); !unresolved {
-		t.Fatal("the end of an indirect dependency is not reported as unresolved")
+		t.Fatal("an indirect dependency that ended is not reported as unresolved")
 	}
 	g.AssumeDone(g.Blocked(b))
 	if !g.Blocked(b).Ready() || g.HasUnresolvedJobs() || len(observer.ready) > 0 {
@@ -47,19 +47,19 @@
 	}
 }
 
-// TestAssumeDone checks that a job is ready that was placed before its dependencies were read.
+// TestAssumeDone checks that AssumeDone makes a job ready whose dependencies were not read.
 func TestAssumeDone(t *testing.T) {
 	g, _ := newSyncedGraph(t)
 	id := jobName(1)
 	submitIncomplete(t, g, id)
 	g.AssumeDone(g.Blocked(id))
 	if !g.Blocked(id).Ready() || g.FirstIncomplete() != nil {
-		t.Error("a job that was placed is not ready")
+		t.Error("a job is not ready after AssumeDone")
 	}
 }
 
-// TestCancelledDependent checks that the terminal state of a job is not unresolved if its
-// dependents are known to be cancelled with it, and that a cancelled job propagates nothing.
+// TestCancelledDependent checks that a job that was cancelled with its upstream jobs is not
+// reported as unresolved when it ends, and that a cancelled job propagates no inheritance.
 func TestCancelledDependent(t *testing.T) {
 	g, _ := newSyncedGraph(t)
 	a, b, c, d := jobName(1), jobName(2), jobName(3), jobName(4)
--- a/internal/dag/simulation_test.go
+++ b/internal/dag/simulation_test.go
@@ -19,11 +19,11 @@
 	phaseReady   wire.JobPhase = "ready"
 )
 
-// terminalState is how a job ended.
+// terminalState describes how and when a job ended.
 type terminalState struct {
 	phase wire.JobPhase
 	at    micros.Micros
-	root  string // of a cancelled job: the job that its user cancelled
+	root  string // for a cancelled job: the job that a user cancelled
 }
 
 // applyTo applies a job's terminal state to a graph.
@@ -35,11 +35,11 @@
 	}
 }
 
-// records are the jobs' records in a key-value store, with their history.
+// records holds the jobs' records of a simulated key-value store, with their history.
 type records struct {
 	revision       uint64
 	dependencies   map[string][]string // of all accepted jobs
-	active         map[string]uint64   // versions
+	active         map[string]uint64   // versions of the active jobs' records
 	terminalStates map[string]terminalState
 	history        []kv.Change
 }
@@ -90,7 +90,7 @@
 	return entries
 }
 
-// phaseOf returns a job's phase as a function of records alone.
+// phaseOf returns a job's phase, computed from the records alone.
 func (r *records) phaseOf(id string) wire.JobPhase {
 	if state, ended := r.terminalStates[id]; ended {
 		return state.phase
@@ -108,7 +108,7 @@
 	return phase
 }
 
-// rootOf returns an upstream job that its user cancelled, or "".
+// rootOf returns an upstream job that a user cancelled, or "".
 func (r *records) rootOf(id string) string {
 	for _, dependency := range r.dependencies[id] {
 		state, ended := r.terminalStates[dependency]
@@ -122,8 +122,8 @@
 	return ""
 }
 
-// TestGraph plays random histories of records, with stale listings and with changes that are
-// delivered twice or from too early on, and compares the graph with the records.
+// TestGraph applies random histories of records, with stale listings, and with changes that are
+// delivered twice or from a revision before the graph's. It compares the graph with the records.
 func TestGraph(t *testing.T) {
 	for seed := range uint64(60) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -153,7 +153,7 @@
 	for s.step = range 400 {
 		s.changeRecords()
 		if s.rng.IntN(3) == 0 {
-			continue // the changes are delivered with later ones
+			continue // the changes are delivered together with later ones
 		}
 		s.deliverChanges()
 		s.resolve()
@@ -164,7 +164,7 @@
 	}
 }
 
-// changeRecords accepts or ends a job, or delivers a listing.
+// changeRecords accepts or ends a job, or reads or delivers a listing.
 func (s *simulation) changeRecords() {
 	switch p := s.rng.IntN(10); {
 	case p < 4 || len(s.records.dependencies) < 3:
@@ -199,7 +199,7 @@
 	s.records.accept(jobName(s.step), slices.Compact(dependencies))
 }
 
-// cancel ends a job as cancelled: by its user, or as downstream of a cancelled job.
+// cancel ends a job as cancelled: by a user, or because an upstream job is cancelled.
 func (s *simulation) cancel(id string) {
 	state := terminalState{phase: wire.JobCancelled, root: id}
 	if s.records.phaseOf(id) == wire.JobCancelled && s.rng.IntN(2) == 0 {
@@ -208,7 +208,8 @@
 	s.records.end(id, state)
 }
 
-// list takes a listing for later use, or delivers the last one with its later pages read now.
+// list reads a listing for later use, or delivers the last listing, whose entries from a random key
+// on are read only now, as the later pages of a long listing are.
 func (s *simulation) list() {
 	if s.rng.IntN(2) == 0 {
 		s.stale, s.staleAt = s.records.list(), s.records.revision
@@ -224,7 +225,8 @@
 	s.graph.Reset(entries, s.staleAt)
 }
 
-// deliverChanges delivers changes with a gap, then all changes twice.
+// deliverChanges delivers changes that follow a gap, which the graph must refuse, and then all
+// changes twice.
 func (s *simulation) deliverChanges() {
 	if ahead := s.graph.revision + 1; s.graph.Apply(ahead, s.records.since(ahead), wallClock) {
 		s.t.Fatalf("step %d: changes after a gap were applied", s.step)
@@ -237,7 +239,7 @@
 	}
 }
 
-// resolve applies the terminal states that the graph lacks.
+// resolve applies the terminal states that are unknown to the graph.
 func (s *simulation) resolve() {
 	for _, id := range ordered.Keys(s.graph.unresolvedJobs) {
 		state, ended := s.records.terminalStates[id]
@@ -248,11 +250,12 @@
 	}
 	s.graph.Apply(0, s.records.since(0), wallClock)
 	if len(s.graph.unresolvedJobs) > 0 {
-		s.t.Fatalf("step %d: changes were applied again: unresolved %v", s.step, s.graph.UnresolvedJobs())
+		s.t.Fatalf("step %d: changes were applied a second time: unresolved %v", s.step, s.graph.UnresolvedJobs())
 	}
 }
 
-// checkDependents checks that each edge is known at both its ends.
+// checkDependents checks that each dependent of a job is a blocked job that has the job as a pending
+// dependency.
 func (s *simulation) checkDependents() {
 	for dependency, dependents := range s.graph.dependents {
 		for id, job := range dependents {
@@ -281,12 +284,12 @@
 	case job.Cancelled():
 		got = wire.JobCancelled
 		if root := s.records.terminalStates[job.CancelledRoot]; root.phase != wire.JobCancelled {
-			s.t.Fatalf("step %d: %s is cancelled with %s, whose phase is %q", s.step, id, job.CancelledRoot, root.phase)
+			s.t.Fatalf("step %d: %s is cancelled because of %s, whose phase is %q", s.step, id, job.CancelledRoot, root.phase)
 		}
 	case job.Ready():
 		got = phaseReady
 	}
 	if want := s.records.phaseOf(id); got != want {
-		s.t.Fatalf("step %d: %s is %s; want %s as the records say", s.step, id, got, want)
+		s.t.Fatalf("step %d: %s is %s; want %s according to the records", s.step, id, got, want)
 	}
 }
--- a/internal/peers/heartbeats.go
+++ b/internal/peers/heartbeats.go
@@ -7,11 +7,12 @@
 )
 
 const (
+	// heartbeatInterval is the time between the heartbeats to a peer.
 	heartbeatInterval = micros.Second
 	// messageTimeout bounds the wait for the response to a heartbeat or another short message.
 	messageTimeout = 1500 * micros.Millisecond
-	// heartbeatValidity is how long the content of a heartbeat is relied on: three intervals and
-	// some delay.
+	// heartbeatValidity is how long the content of a heartbeat is considered valid: three
+	// intervals, plus 500 ms for delays.
 	heartbeatValidity = 3500 * micros.Millisecond
 )
 
@@ -24,7 +25,7 @@
 	}
 }
 
-// sendHeartbeat sends a heartbeat to a peer and applies the one in its response.
+// sendHeartbeat sends a heartbeat to a peer and applies the peer's heartbeat in the response.
 func (p *Peers) sendHeartbeat(to *node) {
 	sentAt := p.host.Now()
 	to.heartbeatInFlight, to.nextHeartbeat = true, sentAt+heartbeatInterval
@@ -51,7 +52,7 @@
 	p.Respond(request, &peer.Message{Body: &peer.Message_Heartbeat{Heartbeat: heartbeat}})
 }
 
-// applyHeartbeat replaces what is known of a peer.
+// applyHeartbeat replaces the stored state of a peer with that of its heartbeat.
 func (p *Peers) applyHeartbeat(n *node, heartbeat *peer.Heartbeat) {
 	n.lastHeartbeat = p.host.Now()
 	n.reachableWorkers, n.kvReachable = int(heartbeat.ReachableWorkers), heartbeat.KVReachable
--- a/internal/peers/host.go
+++ b/internal/peers/host.go
@@ -16,7 +16,7 @@
 
 // Transport sends requests to peers and responds to theirs.
 type Transport interface {
-	// Now returns the time of the present event.
+	// Now returns the time of the current event.
 	Now() micros.Micros
 	// Call sends a request to a peer and calls done with the response.
 	Call(call Call, done func(Response))
@@ -26,13 +26,14 @@
 
 // HeartbeatHandler provides and applies the parts of heartbeats that concern the whole node.
 type HeartbeatHandler interface {
-	// NewHeartbeat returns what a peer must know of this node.
+	// NewHeartbeat returns a heartbeat with the state of this node, to be sent to a peer.
 	NewHeartbeat(to string) *peer.Heartbeat
-	// HandleHeartbeat applies the leader, the term and the cancellations that a peer knows.
+	// HandleHeartbeat applies the leader, the term and the cancellations in a peer's heartbeat.
 	HandleHeartbeat(from string, heartbeat *peer.Heartbeat)
-	// NewGrant grants a peer a period in which its acknowledgement of cancellations is needed.
+	// NewGrant returns a grant for a peer: during its period, this node acknowledges no cancellation
+	// to a user without that peer's confirmation.
 	NewGrant(to string) cancellation.Grant
-	// ApplyGrant applies the grant in the response to a heartbeat that was sent at a time.
+	// ApplyGrant applies a peer's grant in the response to the heartbeat that was sent at sentAt.
 	ApplyGrant(from string, grant cancellation.Grant, sentAt micros.Micros)
 }
 
@@ -40,7 +41,7 @@
 type MessageHandler interface {
 	// RelayToKV sends a peer's request to the key-value store and responds with the result.
 	RelayToKV(request uint64, kvRequest *peer.KVRequest)
-	// HandleJobCancelled handles the announcement of a cancelled job.
+	// HandleJobCancelled handles a peer's announcement that a job is cancelled.
 	HandleJobCancelled(job string)
 	// HandleMachineRequest handles an owner's request for machines.
 	HandleMachineRequest(request *peer.MachineRequest)
@@ -64,6 +65,6 @@
 	// Status is 0 if no response was received.
 	Status wire.Status
 	Body   []byte
-	// Sent reports, without a response, whether the request may have reached the peer.
+	// Sent reports whether the request may have reached the peer, if no response was received.
 	Sent bool
 }
--- a/internal/peers/messages.go
+++ b/internal/peers/messages.go
@@ -24,8 +24,8 @@
 	}
 }
 
-// AnnounceCancelled announces a cancelled job to a peer and calls acknowledged once the peer has
-// acknowledged it.
+// AnnounceCancelled announces a cancelled job to a peer and calls acknowledged when the peer has
+// responded.
 func (p *Peers) AnnounceCancelled(to, job string, acknowledged func()) {
 	message := &peer.Message{Body: &peer.Message_CancellationNotice{CancellationNotice: &peer.CancellationNotice{Id: job}}}
 	p.call(p.byName[to], message, messageTimeout, maxMessageBytes, func(response *peer.Message, _ bool) {
@@ -35,8 +35,8 @@
 	})
 }
 
-// RelayKV sends a request for the key-value store to a peer. done gets the reply, or nil if there is
-// none; sent reports whether the request may have reached the peer.
+// RelayKV sends a request to the key-value store through a peer. done receives the response, or nil
+// if there is none; sent reports whether the request may have reached the peer.
 func (p *Peers) RelayKV(through string, request *peer.KVRequest, timeout micros.Micros, maxResponse int, done func(response *peer.KVResponse, sent bool)) {
 	message := &peer.Message{Body: &peer.Message_KVRequest{KVRequest: request}}
 	p.call(p.byName[through], message, timeout, maxResponse, func(response *peer.Message, sent bool) {
@@ -44,13 +44,13 @@
 	})
 }
 
-// call sends a message to a peer. done gets the response, or nil if no valid one was received; sent
-// reports whether the message may have reached the peer.
+// call sends a message to a peer. done receives the response, or nil if no valid response was
+// received; sent reports whether the message may have reached the peer.
 func (p *Peers) call(to *node, message *peer.Message, timeout micros.Micros, maxResponse int, done func(response *peer.Message, sent bool)) {
 	message.From = p.self
 	data, err := proto.Marshal(message)
 	if err != nil {
-		done(nil, false) // an invalid string in the message; it is handled as a lost one
+		done(nil, false) // the message contains an invalid string; handled like a message not sent
 		return
 	}
 	p.host.Call(Call{
@@ -102,7 +102,7 @@
 	p.Respond(request, &peer.Message{})
 }
 
-// Respond responds to a peer's message with another one.
+// Respond sends a message as the response to a peer's request.
 func (p *Peers) Respond(request uint64, message *peer.Message) {
 	message.From = p.self
 	data, err := proto.Marshal(message)
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -16,13 +16,13 @@
 	byName  map[string]*node
 }
 
-// node is what is known of a peer, by its latest heartbeat.
+// node is a peer and its state according to its latest heartbeat.
 type node struct {
 	config.Sibling
 	heartbeatInFlight bool
 	nextHeartbeat     micros.Micros
 	lastHeartbeat     micros.Micros
-	reachableWorkers  int // that the peer has received lately
+	reachableWorkers  int // workers whose heartbeats the peer received recently
 	kvReachable       bool
 	jobCounts         map[string]*peer.JobCount
 	ownsMachine       map[string]bool
@@ -30,7 +30,7 @@
 	teams             []*peer.TeamUsage
 }
 
-// New returns the peers of a node, none of which has sent a heartbeat.
+// New returns the peers of a node, which are unreachable until their first heartbeat.
 func New(settings *config.Settings, host Host) *Peers {
 	p := &Peers{host: host, self: settings.Node, byName: make(map[string]*node, len(settings.Siblings))}
 	for _, sibling := range settings.Siblings {
@@ -41,7 +41,7 @@
 	return p
 }
 
-// reachable reports whether the latest heartbeat of a peer is recent enough to rely on it.
+// reachable reports whether the latest heartbeat of a peer is still valid.
 func (n *node) reachable(now micros.Micros) bool {
 	return n.lastHeartbeat > 0 && now-n.lastHeartbeat < heartbeatValidity
 }
@@ -74,7 +74,7 @@
 	return p.firstReachable(func(n *node) bool { return n.Zone != zone }) != nil
 }
 
-// AnyReceivesHeartbeats reports whether a reachable peer has received heartbeats of workers lately.
+// AnyReceivesHeartbeats reports whether a reachable peer recently received heartbeats from workers.
 func (p *Peers) AnyReceivesHeartbeats() bool {
 	return p.firstReachable(func(n *node) bool { return n.reachableWorkers > 0 }) != nil
 }
@@ -91,13 +91,13 @@
 	}
 }
 
-// Claimant returns the reachable peer that owns a machine by its heartbeat, or "".
+// Claimant returns the reachable peer that owns a machine according to its heartbeat, or "".
 func (p *Peers) Claimant(machine string) string {
 	return p.firstReachableName(func(n *node) bool { return n.ownsMachine[machine] })
 }
 
-// OwnerSummary returns the idle machines and the use of teams of a peer. Both are empty if the peer
-// is not reachable.
+// OwnerSummary returns the idle machines of a peer and the usage of its teams. Both are empty if the
+// peer is not reachable.
 func (p *Peers) OwnerSummary(name string) (idle []*peer.IdleMachine, teams []*peer.TeamUsage) {
 	n := p.byName[name]
 	if n == nil || !n.reachable(p.host.Now()) {
@@ -106,8 +106,8 @@
 	return n.idleMachines, n.teams
 }
 
-// JobCount returns the latest counts of a job's tasks in a peer's heartbeat, or nil. Progress is
-// shown to users even if the peer is no longer reachable.
+// JobCount returns the counts of a job's tasks in the most recent heartbeat that contains the job, or
+// nil. Users are shown these counts even if the peer that sent them is no longer reachable.
 func (p *Peers) JobCount(job string) *peer.JobCount {
 	var latest *peer.JobCount
 	var latestAt micros.Micros
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -13,10 +13,10 @@
 	"tamarindlead/micros"
 )
 
-// fakeHost records what the peers under test do.
+// fakeHost is a Host that records the calls to it.
 type fakeHost struct {
 	now        micros.Micros
-	heartbeat  peer.Heartbeat // of this node
+	heartbeat  peer.Heartbeat // returned by NewHeartbeat
 	grant      cancellation.Grant
 	calls      []Call
 	done       []func(Response)
@@ -39,12 +39,12 @@
 }
 
 func (h *fakeHost) NewHeartbeat(to string) *peer.Heartbeat {
-	h.handled = append(h.handled, "describe to "+to)
+	h.handled = append(h.handled, "heartbeat to "+to)
 	return proto.Clone(&h.heartbeat).(*peer.Heartbeat)
 }
 
 func (h *fakeHost) HandleHeartbeat(from string, _ *peer.Heartbeat) {
-	h.handled = append(h.handled, "heartbeat of "+from)
+	h.handled = append(h.handled, "heartbeat from "+from)
 }
 
 func (h *fakeHost) NewGrant(to string) cancellation.Grant {
@@ -60,7 +60,7 @@
 	h.kvRequests = append(h.kvRequests, request)
 }
 
-func (h *fakeHost) HandleJobCancelled(job string) { h.handled = append(h.handled, "ended "+job) }
+func (h *fakeHost) HandleJobCancelled(job string) { h.handled = append(h.handled, "cancelled "+job) }
 
 func (h *fakeHost) HandleMachineRequest(request *peer.MachineRequest) {
 	h.handled = append(h.handled, "machines for "+request.Job)
@@ -96,8 +96,8 @@
 	p.HandleRequest(1, "POST", "/peer", encode(t, heartbeatMessage(from, heartbeat)))
 }
 
-// TestJobCount checks that of the counts which peers report the latest is returned, also after
-// the peer became unreachable.
+// TestJobCount checks that the most recent counts that peers reported are returned, also after the
+// peers became unreachable.
 func TestJobCount(t *testing.T) {
 	const job = "req-000001"
 	p, host := newPeers()
@@ -120,8 +120,8 @@
 	}
 }
 
-// TestHeartbeatContentExpires checks that the content of a heartbeat is relied on until its validity
-// ends, and that the first peer in the order of the configuration is chosen.
+// TestHeartbeatContentExpires checks that the content of a heartbeat is used until its validity ends,
+// and that the first peer in the order of the configuration is chosen.
 func TestHeartbeatContentExpires(t *testing.T) {
 	p, host := newPeers()
 	content := &peer.Heartbeat{
@@ -138,7 +138,7 @@
 		valid bool
 	}{
 		{"new", 0, true},
-		{"last moment", heartbeatValidity - 1, true},
+		{"just before expiry", heartbeatValidity - 1, true},
 		{"expired", heartbeatValidity, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -160,13 +160,14 @@
 				}
 			}
 			if p.AnyReachableOutside("b") || p.Claimant("m2") != "" {
-				t.Error("n1 is reachable, or a machine that no peer owns has a claimant")
+				t.Error("a peer in zone a is reachable, or a machine that no peer owns has a claimant")
 			}
 		})
 	}
 }
 
-// TestKVRelay checks that a peer that failed as a relay is used again after its next heartbeat.
+// TestKVRelay checks that a peer that could not reach the key-value store is used as a relay again
+// after its next heartbeat.
 func TestKVRelay(t *testing.T) {
 	p, _ := newPeers()
 	receive(t, p, "n1", &peer.Heartbeat{KVReachable: true})
@@ -180,8 +181,9 @@
 	}
 }
 
-// TestSendHeartbeats checks that every peer gets one heartbeat a second, none while one is in flight,
-// and that the response and its grant are applied with the time of sending.
+// TestSendHeartbeats checks that every peer is sent one heartbeat per second but none while one is in
+// flight, and that the heartbeat and the grant in a response are applied, the grant with the time at
+// which the heartbeat was sent.
 func TestSendHeartbeats(t *testing.T) {
 	p, host := newPeers()
 	p.Tick()
@@ -205,7 +207,7 @@
 	}
 }
 
-// TestHandleRequest checks which requests of peers are handled and how they are responded to.
+// TestHandleRequest checks which requests of peers are handled, and the responses to them.
 func TestHandleRequest(t *testing.T) {
 	for _, c := range []struct {
 		name         string
@@ -220,12 +222,12 @@
 		{"no body", "POST", "/peer", &peer.Message{From: "n1"}, nil, []wire.Status{wire.StatusBadRequest}},
 		{
 			"heartbeat", "POST", "/peer", heartbeatMessage("n1", &peer.Heartbeat{}),
-			[]string{"heartbeat of n1", "describe to n1", "grant to n1"},
+			[]string{"heartbeat from n1", "heartbeat to n1", "grant to n1"},
 			[]wire.Status{wire.StatusOK},
 		},
 		{
-			"ended job", "POST", "/peer", &peer.Message{From: "n1", Body: &peer.Message_CancellationNotice{CancellationNotice: &peer.CancellationNotice{Id: "j"}}},
-			[]string{"ended j"},
+			"cancellation notice", "POST", "/peer", &peer.Message{From: "n1", Body: &peer.Message_CancellationNotice{CancellationNotice: &peer.CancellationNotice{Id: "j"}}},
+			[]string{"cancelled j"},
 			[]wire.Status{wire.StatusOK},
 		},
 		{
@@ -264,9 +266,9 @@
 	}
 }
 
-// TestCalls checks that a message without a valid response is reported with whether it may have
-// reached the peer, that an announcement counts as acknowledged only with a response, and that a
-// message to an unknown node is not sent.
+// TestCalls checks that done reports for a message without a valid response whether the message may
+// have reached the peer, that an announcement counts as acknowledged only after a response, and that
+// a message to an unknown node is not sent.
 func TestCalls(t *testing.T) {
 	p, host := newPeers()
 	p.Send("n9", &peer.Message{})
@@ -279,7 +281,7 @@
 		response                      Response
 		responded, sent, acknowledged bool
 	}{
-		{"reply", Response{Status: wire.StatusOK, Body: response}, true, true, true},
+		{"response", Response{Status: wire.StatusOK, Body: response}, true, true, true},
 		{"not sent", Response{}, false, false, false},
 		{"no response", Response{Sent: true}, false, true, false},
 		{"refused", Response{Status: wire.StatusUnavailable}, false, true, false},
@@ -290,7 +292,7 @@
 			acknowledged := false
 			p.RelayKV("n2", &peer.KVRequest{}, micros.Second, 9, func(got *peer.KVResponse, sent bool) {
 				if (got != nil) != c.responded || sent != c.sent {
-					t.Errorf("reply %v, sent %v; want %v, %v", got, sent, c.responded, c.sent)
+					t.Errorf("response %v, sent %v; want %v, %v", got, sent, c.responded, c.sent)
 				}
 			})
 			p.AnnounceCancelled("n2", "j", func() { acknowledged = true })
