--- a/internal/cluster/fixture_test.go
+++ b/internal/cluster/fixture_test.go
@@ -21,7 +21,7 @@
 	done    func(micros.Micros, kv.Result)
 }
 
-// stubKVClient records calls until a test answers them.
+// stubKVClient records calls until a test completes them.
 type stubKVClient struct {
 	calls   []stubCall
 	watches []stubCall
@@ -53,7 +53,7 @@
 // UnreachableByWorkers implements Host.
 func (h *stubHost) UnreachableByWorkers() bool { return h.unreachable }
 
-// fixture is node n0 of a cluster of three, with stubs of what it depends on.
+// fixture is node n0 of a cluster of three nodes, with stubs of its KVClient and its Host.
 type fixture struct {
 	t        *testing.T
 	now      micros.Micros
@@ -81,13 +81,14 @@
 	return f
 }
 
-// tick advances the time and ticks the node.
+// tick advances the time and calls the node's Tick.
 func (f *fixture) tick(after micros.Micros) {
 	f.now += after
 	f.node.Tick(f.now)
 }
 
-// expect removes the earliest pending call, which must have a method and target.
+// expect removes the earliest pending call and returns it. It fails the test if the call has
+// another method or target.
 func (f *fixture) expect(method, target string) stubCall {
 	f.t.Helper()
 	if len(f.kvClient.calls) == 0 {
@@ -109,8 +110,8 @@
 	}
 }
 
-// answer completes a call with a body.
-func (f *fixture) answer(call stubCall, body any) {
+// respond completes a call successfully, with a body.
+func (f *fixture) respond(call stubCall, body any) {
 	call.done(f.now, kv.Result{Outcome: kv.OK, Body: wire.Encode(body)})
 }
 
@@ -119,7 +120,7 @@
 	call.done(f.now, kv.Result{Outcome: outcome})
 }
 
-// transactionBody is the body of a transaction's request.
+// transactionBody is the body of the request for a transaction.
 type transactionBody struct {
 	Preconditions []kv.Precondition `cbor:"guards"`
 	Writes        []struct {
@@ -129,7 +130,8 @@
 	} `cbor:"writes"`
 }
 
-// expectTransaction removes the earliest pending call, which must be a transaction.
+// expectTransaction removes the earliest pending call, which must be a transaction, and returns it
+// with its body.
 func (f *fixture) expectTransaction() (stubCall, transactionBody) {
 	f.t.Helper()
 	call := f.expect("POST", "/commit")
@@ -145,25 +147,25 @@
 	leaderTarget = "/kv/c/leader"
 	testLease    = 5
 
-	joinRevision   = 10 // of the transaction that makes the node a member
-	leaderRevision = 20 // of the transaction that makes the node the leader
+	joinRevision   = 10 // revision of the transaction that makes the node a member
+	leaderRevision = 20 // revision of the transaction that makes the node the leader
 )
 
 // listTarget is the target of the request that lists the cluster's records.
 var listTarget = kv.List(record.ClusterPrefix, "").Target
 
-// join makes the node a member, whose listing shows its own record and further entries.
+// join makes the node a member. Its listing contains its own record and the given entries.
 func (f *fixture) join(entries ...kv.Entry) {
 	f.t.Helper()
 	f.tick(0)
 	read := f.expect("GET", memberTarget)
 	list := f.expect("GET", listTarget)
 	f.fail(read, kv.NotFound)
-	f.answer(f.expect("POST", "/leases"), kv.LeaseGrant{Lease: testLease})
+	f.respond(f.expect("POST", "/leases"), kv.LeaseGrant{Lease: testLease})
 	transaction, _ := f.expectTransaction()
-	f.answer(transaction, kv.TransactionResult{Revision: joinRevision})
+	f.respond(transaction, kv.TransactionResult{Revision: joinRevision})
 	entries = append([]kv.Entry{f.ownEntry()}, entries...)
-	f.answer(list, kv.Page{Entries: entries, Revision: joinRevision})
+	f.respond(list, kv.Page{Entries: entries, Revision: joinRevision})
 }
 
 // lead makes the node a member and the leader.
@@ -172,7 +174,7 @@
 	f.join(entries...)
 	f.tick(campaignJitter)
 	transaction, _ := f.expectTransaction()
-	f.answer(transaction, kv.TransactionResult{Revision: leaderRevision})
+	f.respond(transaction, kv.TransactionResult{Revision: leaderRevision})
 	if !f.node.IsLeader() {
 		f.t.Fatal("the node does not lead")
 	}
@@ -197,7 +199,7 @@
 	return kv.Entry{Key: record.TeamKey(name), Value: wire.Encode(team), Version: version}
 }
 
-// put completes the pending watch with records that were written.
+// put completes the pending watch with writes of records.
 func (f *fixture) put(entries ...kv.Entry) {
 	f.t.Helper()
 	var changes kv.WatchResult
@@ -205,22 +207,22 @@
 		changes.Events = append(changes.Events, kv.Change{Put: entry.Key, Value: entry.Value, Version: entry.Version})
 		changes.Revision = max(changes.Revision, entry.Version)
 	}
-	f.answerWatch(changes)
+	f.respondToWatch(changes)
 }
 
-// delete completes the pending watch with a record that was deleted.
+// delete completes the pending watch with the deletion of a record.
 func (f *fixture) delete(key string, revision uint64) {
 	f.t.Helper()
-	f.answerWatch(kv.WatchResult{Events: []kv.Change{{Delete: key, Version: revision}}, Revision: revision})
+	f.respondToWatch(kv.WatchResult{Events: []kv.Change{{Delete: key, Version: revision}}, Revision: revision})
 }
 
-// answerWatch completes the pending watch.
-func (f *fixture) answerWatch(changes kv.WatchResult) {
+// respondToWatch completes the pending watch.
+func (f *fixture) respondToWatch(changes kv.WatchResult) {
 	f.t.Helper()
 	if len(f.kvClient.watches) != 1 {
 		f.t.Fatalf("%d watches are pending; want 1", len(f.kvClient.watches))
 	}
 	watch := f.kvClient.watches[0]
 	f.kvClient.watches = nil
-	f.answer(watch, changes)
+	f.respond(watch, changes)
 }
--- a/internal/peers/messages.go
+++ b/internal/peers/messages.go
@@ -24,10 +24,10 @@
 	}
 }
 
-// AnnounceCancelled announces a cancelled job to a peer and calls acknowledged once the peer has
-// acknowledged it.
+// AnnounceCancelled announces a cancelled job to a peer and calls acknowledged when the peer has
+// responded.
 func (p *Peers) AnnounceCancelled(to, job string, acknowledged func()) {
-	message := &peer.Message{Body: &peer.Message_JobEnded{JobEnded: &peer.JobEnded{Id: job}}}
+	message := &peer.Message{Body: &peer.Message_CancellationNotice{CancellationNotice: &peer.CancellationNotice{Id: job}}}
 	p.call(p.byName[to], message, messageTimeout, maxMessageBytes, func(response *peer.Message, _ bool) {
 		if response != nil {
 			acknowledged()
@@ -35,22 +35,22 @@
 	})
 }
 
-// RelayKV sends a request for the key-value store to a peer. done gets the reply, or nil if there is
-// none; sent reports whether the request may have reached the peer.
-func (p *Peers) RelayKV(through string, call *peer.StoreCall, timeout micros.Micros, maxResponse int, done func(reply *peer.StoreReply, sent bool)) {
-	message := &peer.Message{Body: &peer.Message_StoreCall{StoreCall: call}}
+// RelayKV sends a request to the key-value store through a peer. done receives the response, or nil
+// if there is none; sent reports whether the request may have reached the peer.
+func (p *Peers) RelayKV(through string, request *peer.KVRequest, timeout micros.Micros, maxResponse int, done func(response *peer.KVResponse, sent bool)) {
+	message := &peer.Message{Body: &peer.Message_KVRequest{KVRequest: request}}
 	p.call(p.byName[through], message, timeout, maxResponse, func(response *peer.Message, sent bool) {
-		done(response.GetStoreReply(), sent)
+		done(response.GetKVResponse(), sent)
 	})
 }
 
-// call sends a message to a peer. done gets the response, or nil if no valid one was received; sent
-// reports whether the message may have reached the peer.
+// call sends a message to a peer. done receives the response, or nil if no valid response was
+// received; sent reports whether the message may have reached the peer.
 func (p *Peers) call(to *node, message *peer.Message, timeout micros.Micros, maxResponse int, done func(response *peer.Message, sent bool)) {
 	message.From = p.self
 	data, err := proto.Marshal(message)
 	if err != nil {
-		done(nil, false) // an invalid string in the message; it is handled as a lost one
+		done(nil, false) // the message contains an invalid string; handled like a message not sent
 		return
 	}
 	p.host.Call(Call{
@@ -83,18 +83,18 @@
 
 func (p *Peers) handleMessage(request uint64, from *node, message *peer.Message) {
 	switch body := message.Body.(type) {
-	case *peer.Message_Beat:
-		p.handleHeartbeat(request, from, body.Beat)
+	case *peer.Message_Heartbeat:
+		p.handleHeartbeat(request, from, body.Heartbeat)
 		return
-	case *peer.Message_StoreCall:
-		p.host.RelayToKV(request, body.StoreCall)
+	case *peer.Message_KVRequest:
+		p.host.RelayToKV(request, body.KVRequest)
 		return
-	case *peer.Message_JobEnded:
-		p.host.HandleJobCancelled(body.JobEnded.Id)
-	case *peer.Message_Want:
-		p.host.HandleMachineRequest(body.Want)
-	case *peer.Message_Given:
-		p.host.HandleTransfer(body.Given.Block)
+	case *peer.Message_CancellationNotice:
+		p.host.HandleJobCancelled(body.CancellationNotice.Id)
+	case *peer.Message_MachineRequest:
+		p.host.HandleMachineRequest(body.MachineRequest)
+	case *peer.Message_TransferNotice:
+		p.host.HandleTransfer(body.TransferNotice.Block)
 	default:
 		p.host.Respond(request, wire.StatusBadRequest, nil)
 		return
@@ -102,7 +102,7 @@
 	p.Respond(request, &peer.Message{})
 }
 
-// Respond responds to a peer's message with another one.
+// Respond sends a message as the response to a peer's request.
 func (p *Peers) Respond(request uint64, message *peer.Message) {
 	message.From = p.self
 	data, err := proto.Marshal(message)
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -16,21 +16,21 @@
 	byName  map[string]*node
 }
 
-// node is what is known of a peer, by its latest heartbeat.
+// node is a peer and its state according to its latest heartbeat.
 type node struct {
 	config.Sibling
 	heartbeatInFlight bool
 	nextHeartbeat     micros.Micros
 	lastHeartbeat     micros.Micros
-	workerHeartbeats  int // that the peer has received lately
+	reachableWorkers  int // workers whose heartbeats the peer received recently
 	kvReachable       bool
 	jobCounts         map[string]*peer.JobCount
 	ownsMachine       map[string]bool
 	idleMachines      []*peer.IdleMachine
-	teams             []*peer.TeamUse
+	teams             []*peer.TeamUsage
 }
 
-// New returns the peers of a node, none of which has sent a heartbeat.
+// New returns the peers of a node, which are unreachable until their first heartbeat.
 func New(settings *config.Settings, host Host) *Peers {
 	p := &Peers{host: host, self: settings.Node, byName: make(map[string]*node, len(settings.Siblings))}
 	for _, sibling := range settings.Siblings {
@@ -41,13 +41,13 @@
 	return p
 }
 
-// reachable reports whether the latest heartbeat of a peer is recent enough to rely on it.
+// reachable reports whether the latest heartbeat of a peer is still valid.
 func (n *node) reachable(now micros.Micros) bool {
 	return n.lastHeartbeat > 0 && now-n.lastHeartbeat < heartbeatValidity
 }
 
-// first returns the first reachable peer that satisfies a condition, or nil.
-func (p *Peers) first(satisfies func(*node) bool) *node {
+// firstReachable returns the first reachable peer that satisfies a condition, or nil.
+func (p *Peers) firstReachable(satisfies func(*node) bool) *node {
 	for _, n := range p.ordered {
 		if n.reachable(p.host.Now()) && satisfies(n) {
 			return n
@@ -56,9 +56,9 @@
 	return nil
 }
 
-// firstName returns the name of the first reachable peer that satisfies a condition, or "".
-func (p *Peers) firstName(satisfies func(*node) bool) string {
-	if n := p.first(satisfies); n != nil {
+// firstReachableName returns the name of the first reachable peer that satisfies a condition, or "".
+func (p *Peers) firstReachableName(satisfies func(*node) bool) string {
+	if n := p.firstReachable(satisfies); n != nil {
 		return n.Node
 	}
 	return ""
@@ -66,22 +66,22 @@
 
 // AnyReachable reports whether any peer is reachable.
 func (p *Peers) AnyReachable() bool {
-	return p.first(func(*node) bool { return true }) != nil
+	return p.firstReachable(func(*node) bool { return true }) != nil
 }
 
 // AnyReachableOutside reports whether a peer outside a zone is reachable.
 func (p *Peers) AnyReachableOutside(zone string) bool {
-	return p.first(func(n *node) bool { return n.Zone != zone }) != nil
+	return p.firstReachable(func(n *node) bool { return n.Zone != zone }) != nil
 }
 
-// AnyReceivesHeartbeats reports whether a reachable peer has received heartbeats of workers lately.
+// AnyReceivesHeartbeats reports whether a reachable peer recently received heartbeats from workers.
 func (p *Peers) AnyReceivesHeartbeats() bool {
-	return p.first(func(n *node) bool { return n.workerHeartbeats > 0 }) != nil
+	return p.firstReachable(func(n *node) bool { return n.reachableWorkers > 0 }) != nil
 }
 
 // KVRelay returns a reachable peer that reaches the key-value store, or "".
 func (p *Peers) KVRelay() string {
-	return p.firstName(func(n *node) bool { return n.kvReachable })
+	return p.firstReachableName(func(n *node) bool { return n.kvReachable })
 }
 
 // MarkKVUnreachable excludes a peer as a relay to the key-value store until its next heartbeat.
@@ -91,14 +91,14 @@
 	}
 }
 
-// Claimant returns the reachable peer that owns a machine by its heartbeat, or "".
+// Claimant returns the reachable peer that owns a machine according to its heartbeat, or "".
 func (p *Peers) Claimant(machine string) string {
-	return p.firstName(func(n *node) bool { return n.ownsMachine[machine] })
+	return p.firstReachableName(func(n *node) bool { return n.ownsMachine[machine] })
 }
 
-// OwnerSummary returns the idle machines and the use of teams of a peer. Both are empty if the peer
-// is not reachable.
-func (p *Peers) OwnerSummary(name string) (idle []*peer.IdleMachine, teams []*peer.TeamUse) {
+// OwnerSummary returns the idle machines of a peer and the usage of its teams. Both are empty if the
+// peer is not reachable.
+func (p *Peers) OwnerSummary(name string) (idle []*peer.IdleMachine, teams []*peer.TeamUsage) {
 	n := p.byName[name]
 	if n == nil || !n.reachable(p.host.Now()) {
 		return nil, nil
@@ -106,8 +106,8 @@
 	return n.idleMachines, n.teams
 }
 
-// JobCount returns the latest counts of a job's tasks in a peer's heartbeat, or nil. Progress is
-// shown to users even if the peer is no longer reachable.
+// JobCount returns the counts of a job's tasks in the most recent heartbeat that contains the job, or
+// nil. Users are shown these counts even if the peer that sent them is no longer reachable.
 func (p *Peers) JobCount(job string) *peer.JobCount {
 	var latest *peer.JobCount
 	var latestAt micros.Micros
