--- a/cmd/tamarindlead/main_test.go
+++ b/cmd/tamarindlead/main_test.go
@@ -20,12 +20,12 @@
 	"tamarindlead/micros"
 )
 
-// runMainVariable makes the test binary behave as the program.
-const runMainVariable = "TAMARINDLEAD_BE_PROGRAM"
+// runProgramVariable makes the test binary behave as the program.
+const runProgramVariable = "TAMARINDLEAD_BE_PROGRAM"
 
 // TestMain lets the test binary be the program itself, so that tests can start it.
 func TestMain(m *testing.M) {
-	if os.Getenv(runMainVariable) != "" {
+	if os.Getenv(runProgramVariable) != "" {
 		main()
 		os.Exit(0)
 	}
@@ -35,7 +35,7 @@
 // newProgram returns a command that runs the program.
 func newProgram(args ...string) *exec.Cmd {
 	cmd := exec.Command(os.Args[0], args...)
-	cmd.Env = append(os.Environ(), runMainVariable+"=1", "LOG_LEVEL=error")
+	cmd.Env = append(os.Environ(), runProgramVariable+"=1", "LOG_LEVEL=error")
 	return cmd
 }
 
@@ -139,10 +139,10 @@
 	for since := time.Now(); ; time.Sleep(10 * time.Millisecond) {
 		s.mu.Lock()
 		s.kv.Advance(s.now())
-		answer, ok := s.kv.Handle("n0", r.Method, r.URL.RequestURI(), body, time.Since(since) > time.Second)
+		response, ok := s.kv.Handle("n0", r.Method, r.URL.RequestURI(), body, time.Since(since) > time.Second)
 		s.mu.Unlock()
 		if ok {
-			writeAnswer(w, answer.Status, answer.Body)
+			writeResponse(w, response.Status, response.Body)
 			return
 		}
 	}
@@ -155,12 +155,12 @@
 	}
 	s.mu.Lock()
 	s.cloud.Now = s.now()
-	answer := s.cloud.Handle(r.Method, r.URL.RequestURI(), body)
+	response := s.cloud.Handle(r.Method, r.URL.RequestURI(), body)
 	s.mu.Unlock()
-	writeAnswer(w, answer.Status, answer.Body)
+	writeResponse(w, response.Status, response.Body)
 }
 
-func writeAnswer(w http.ResponseWriter, status int, body []byte) {
+func writeResponse(w http.ResponseWriter, status int, body []byte) {
 	w.WriteHeader(status)
 	_, _ = w.Write(body) // fails only if the program has closed the connection
 }
@@ -237,8 +237,8 @@
 	return string(response)
 }
 
-// newJob returns the submission of a job of two tasks.
-func newJob(id string) []byte {
+// newSubmission returns the submission of a job of two tasks.
+func newSubmission(id string) []byte {
 	return wire.Encode(map[string]any{
 		"ref": id, "queue": "q", "desk": "red", "shape": "array", "urgency": "normal", "legs": 2,
 		"cpus": 1.0, "cards": 0.0, "memGb": 1.0, "bundle": "i", "sizeGb": 0.1, "samePlace": false, "apart": false,
@@ -258,7 +258,7 @@
 		t.Fatalf("the response to a body over the limit is %q", response)
 	}
 
-	job := newJob("req-000001")
+	job := newSubmission("req-000001")
 	waitFor(t, "the job to be accepted", func() bool { return p.call(t, "POST", "/api/jobs", job) == 201 })
 	tests := []struct {
 		name, method, path string
--- a/config/platform.go
+++ b/config/platform.go
@@ -103,7 +103,7 @@
 	var c checker
 	s := &Settings{}
 	c.addresses(s, &f)
-	c.heartbeats(s, &f)
+	c.workerTimeouts(s, &f)
 	c.serviceLimits(s, &f)
 	c.processQuota(s, &f)
 	c.limitBounds(s, &f)
@@ -136,8 +136,8 @@
 	s.Zones = f.Params.Zones
 }
 
-// heartbeats reads the timeouts that controllers and workers agree on.
-func (c *checker) heartbeats(s *Settings, f *file) {
+// workerTimeouts reads the timeouts that controllers and workers agree on.
+func (c *checker) workerTimeouts(s *Settings, f *file) {
 	workers := &f.Params.Workers
 	s.MaxClockError = micros.FromMillis(c.atLeastZero("params.time_bound_ms", f.Params.TimeBoundMS))
 	s.HeartbeatInterval = c.seconds("params.workers.report_s", workers.ReportS)
--- a/config/properties_test.go
+++ b/config/properties_test.go
@@ -43,8 +43,8 @@
 	}
 }
 
-// TestOperatingListsAll keeps the operators' page complete.
-func TestOperatingListsAll(t *testing.T) {
+// TestPropertiesDocumented keeps the operators' page complete.
+func TestPropertiesDocumented(t *testing.T) {
 	page, err := os.ReadFile(filepath.Join("..", "docs", "operating.md"))
 	if err != nil {
 		t.Fatal(err)
--- a/controller/users_responses_test.go
+++ b/controller/users_responses_test.go
@@ -33,7 +33,7 @@
 			sim.reportViolation("forgotten: %s is answered %d", id, response.Status)
 		}
 		sim.checkDependencyRefusal(id, response.Status, sent)
-	case wire.StatusOK, wire.StatusAccepted:
+	case wire.StatusOK, wire.StatusCreated:
 		sim.checkAcceptedResponse(id, response.Body, sent)
 	}
 }
--- a/internal/fake/task.go
+++ b/internal/fake/task.go
@@ -103,7 +103,7 @@
 	case !info.Gang || w.GangReady(t.Name, t.Attempt):
 		t.Phase, t.phaseEndsAt, w.Changed = wire.PhaseRunning, now+info.Run, true
 	case now-t.gangWaitSince > w.GangWaitTimeout:
-		w.exit(t, wire.CauseAlone)
+		w.exit(t, wire.CauseGangStartTimeout)
 	}
 }
 
--- a/internal/frontend/responses_test.go
+++ b/internal/frontend/responses_test.go
@@ -47,8 +47,8 @@
 	sub := &submission{job: job, requests: []userRequest{{1, f.time - 1}, {2, f.time + 1}}, phase: wire.JobQueued}
 	submissions.byJob[job.ID] = sub
 	submissions.handleAccepted(sub, freshness.Evidence{Basis: freshness.OwnTransaction, SentAt: f.time})
-	if got := f.onlyResponse(); got.status != wire.StatusAccepted || got.request != 1 {
-		t.Errorf("request %d is answered %d, want request 1 to be answered %d", got.request, got.status, wire.StatusAccepted)
+	if got := f.onlyResponse(); got.status != wire.StatusCreated || got.request != 1 {
+		t.Errorf("request %d is answered %d, want request 1 to be answered %d", got.request, got.status, wire.StatusCreated)
 	}
 	if pending := f.frontend.lookups.pending; len(pending) != 1 || pending[0].job != job.ID {
 		t.Errorf("%d lookups are pending for the other request, want 1", len(pending))
--- a/internal/frontend/submission_commits.go
+++ b/internal/frontend/submission_commits.go
@@ -104,7 +104,7 @@
 		s.handlePreconditionFailed(batch, result)
 	case kv.Throttled:
 		s.requeue(batch)
-		s.nextCommit = s.node.now() + kv.ThrottledPause
+		s.nextCommit = s.node.now() + kv.ThrottledRetryDelay
 	case kv.Unknown:
 		// It may have been executed: the preconditions of the same commit show whether it was.
 		s.requeue(batch)
@@ -154,6 +154,6 @@
 // respondAccepted answers the requests of a submission that was accepted.
 func (s *submissionQueue) respondAccepted(sub *submission, evidence freshness.Evidence) {
 	s.answer(sub, evidence, func(r userRequest) {
-		s.responder.respondSubmission(r, wire.StatusAccepted, sub.job.ID, sub.phase, evidence)
+		s.responder.respondSubmission(r, wire.StatusCreated, sub.job.ID, sub.phase, evidence)
 	})
 }
--- a/internal/frontend/submissions_test.go
+++ b/internal/frontend/submissions_test.go
@@ -38,7 +38,7 @@
 			f.submit(newSmallJob())
 			f.flush()
 			f.answer(commitTarget, kv.OK, nil)
-		}, wire.StatusAccepted, ""},
+		}, wire.StatusCreated, ""},
 		{"in doubt, and executed", func(f *fixture) {
 			f.submit(newSmallJob())
 			f.flush()
@@ -64,10 +64,10 @@
 			if len(f.calls) != 0 {
 				f.t.Error("the commit is sent again without a pause")
 			}
-			f.time += kv.ThrottledPause
+			f.time += kv.ThrottledRetryDelay
 			f.flush()
 			f.answer(commitTarget, kv.OK, nil)
-		}, wire.StatusAccepted, ""},
+		}, wire.StatusCreated, ""},
 		{"refused by the state service", func(f *fixture) {
 			f.submit(newSmallJob())
 			f.flush()
@@ -154,14 +154,14 @@
 			f.dependencyCheck(jobview.DependencyResult{Status: jobview.DependenciesOpen})
 			f.flush()
 			f.answer(commitTarget, kv.OK, nil)
-		}, wire.StatusAccepted, ""},
+		}, wire.StatusCreated, ""},
 		{"cancelled, acknowledged", func(f *fixture, job *sched.Job) {
 			f.submit(job)
 			f.dependencyCheck(jobview.DependencyResult{Status: jobview.DependenciesCancelled, CancelledRoot: root})
 			f.flush()
 			f.answer(commitTarget, kv.OK, nil)
 			f.announcements[0](true)
-		}, wire.StatusAccepted, ""},
+		}, wire.StatusCreated, ""},
 		{"cancelled, not acknowledged", func(f *fixture, job *sched.Job) {
 			f.submit(job)
 			f.dependencyCheck(jobview.DependencyResult{Status: jobview.DependenciesCancelled, CancelledRoot: root})
@@ -206,8 +206,8 @@
 	}
 	f.flush()
 	f.answer(commitTarget, kv.OK, nil)
-	if len(f.responses) != 2 || f.responses[0].status != wire.StatusAccepted || f.responses[1].status != wire.StatusAccepted {
-		t.Errorf("responses %+v, want two of %d", f.responses, wire.StatusAccepted)
+	if len(f.responses) != 2 || f.responses[0].status != wire.StatusCreated || f.responses[1].status != wire.StatusCreated {
+		t.Errorf("responses %+v, want two of %d", f.responses, wire.StatusCreated)
 	}
 	f.checkIdle()
 }
@@ -264,7 +264,7 @@
 		{"fits a new one", true, 64, func(f *fixture) {
 			f.flush()
 			f.answer(commitTarget, kv.OK, nil)
-		}, wire.StatusAccepted, ""},
+		}, wire.StatusCreated, ""},
 		{"cannot be read", false, 28, (*fixture).neverAccepted, wire.StatusUnavailable, reasonTypesUnread},
 		{"cannot be read, but accepted before", false, 28, func(f *fixture) {
 			f.flush()
@@ -273,7 +273,7 @@
 		{"cannot be read, but a copy has a new one", false, 64, func(f *fixture) {
 			f.flush()
 			f.answer(commitTarget, kv.OK, nil)
-		}, wire.StatusAccepted, ""},
+		}, wire.StatusCreated, ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			f := newFixture(t)
--- a/internal/httpwire/parse.go
+++ b/internal/httpwire/parse.go
@@ -131,7 +131,7 @@
 	window := buf[:min(len(buf), MaxHead)]
 	end := bytes.Index(window, []byte("\r\n\r\n"))
 	if end < 0 {
-		return head{}, unfinishedHead(window)
+		return head{}, incompleteHeadError(window)
 	}
 	lines := strings.Split(string(window[:end]), "\r\n")
 	if len(lines) > MaxHeaders+1 {
@@ -149,9 +149,9 @@
 	return h, nil
 }
 
-// unfinishedHead returns the error for a head whose end was not found in the window, which
+// incompleteHeadError returns the error for a head whose end was not found in the window, which
 // is cut off at MaxHead.
-func unfinishedHead(window []byte) error {
+func incompleteHeadError(window []byte) error {
 	if len(window) >= MaxHead {
 		return ErrTooLarge
 	}
--- a/internal/jobview/terminal_state_reads.go
+++ b/internal/jobview/terminal_state_reads.go
@@ -113,7 +113,7 @@
 // handleFailure repeats a throttled request before the deadline, and ends the read otherwise.
 func (r *terminalStatesRead) handleFailure(outcome kv.Outcome) {
 	if outcome == kv.Throttled && r.view.host.Now() < r.deadline {
-		r.view.host.After(kv.ThrottledPause, r.readNext)
+		r.view.host.After(kv.ThrottledRetryDelay, r.readNext)
 		return
 	}
 	r.done(r.found, false)
--- a/internal/jobview/terminal_state_reads_test.go
+++ b/internal/jobview/terminal_state_reads_test.go
@@ -59,7 +59,7 @@
 		wantOK        bool
 		wantEndedWhen micros.Micros // after the start
 	}{
-		{"short", 3 * kv.ThrottledPause, true, 3 * kv.ThrottledPause},
+		{"short", 3 * kv.ThrottledRetryDelay, true, 3 * kv.ThrottledRetryDelay},
 		{"beyond the deadline", 100 * micros.Second, false, micros.Second},
 	}
 	for _, test := range tests {
--- a/internal/kv/client.go
+++ b/internal/kv/client.go
@@ -18,8 +18,8 @@
 	WatchTimeout = 6 * micros.Second
 	// relayDelay is added to the timeout of a call that goes through a peer.
 	relayDelay = 500 * micros.Millisecond
-	// ThrottledPause is the time to wait before a call that ended with Throttled is retried.
-	ThrottledPause = 100 * micros.Millisecond
+	// ThrottledRetryDelay is the time to wait before a call that ended with Throttled is retried.
+	ThrottledRetryDelay = 100 * micros.Millisecond
 	// MaxResponseBytes bounds the size of a response, in bytes.
 	MaxResponseBytes = 8 << 20
 )
--- a/internal/kv/list.go
+++ b/internal/kv/list.go
@@ -33,7 +33,7 @@
 	l.client.doWithTimeout(budget.Ownership, List(l.prefix, after), listTimeout, func(result Result) {
 		if result.Outcome == Throttled {
 			// Starting over would exhaust the budget again before the last page.
-			l.client.host.After(ThrottledPause, func() { l.readPage(after) })
+			l.client.host.After(ThrottledRetryDelay, func() { l.readPage(after) })
 			return
 		}
 		l.handlePage(result)
--- a/internal/kv/result.go
+++ b/internal/kv/result.go
@@ -81,9 +81,9 @@
 	Sent   bool // for status 0: the request may have reached the store
 }
 
-// answered reports whether the store itself responded. Status 503 doesn't count, as an
+// storeResponded reports whether the store itself responded. Status 503 doesn't count, as an
 // overloaded intermediary sends it too.
-func (r Response) answered() bool {
+func (r Response) storeResponded() bool {
 	return r.Status != 0 && r.Status != http.StatusServiceUnavailable
 }
 
--- a/internal/kv/route.go
+++ b/internal/kv/route.go
@@ -72,7 +72,7 @@
 // recordDirectResponse records the end of a call by the direct route. Any response of the store
 // returns the client to that route.
 func (c *Client) recordDirectResponse(r Response) {
-	if !r.answered() {
+	if !r.storeResponded() {
 		c.directFailures++
 		return
 	}
--- a/internal/reactor/exchange.go
+++ b/internal/reactor/exchange.go
@@ -26,7 +26,7 @@
 // Loop that Handle received; from any other goroutine loop must be nil. Whether the
 // connection is closed afterwards is up to the server: it overwrites resp.Close.
 func (e *Exchange) Reply(loop *Loop, resp httpwire.OutgoingResponse) {
-	if e.shouldRelease(resp.Status) {
+	if e.shouldClose(resp.Status) {
 		e.Request.Close = true
 	}
 	resp.Close = e.Request.Close
@@ -47,10 +47,10 @@
 	e.finish(err)
 }
 
-// shouldRelease reports whether an evictable connection is to be closed with the response to
+// shouldClose reports whether an evictable connection is to be closed with the response to
 // make room: a client that is not served goes elsewhere, and beyond MaxKeepAliveConns none is
 // kept alive.
-func (e *Exchange) shouldRelease(status int) bool {
+func (e *Exchange) shouldClose(status int) bool {
 	return e.state.evictable &&
 		(status != http.StatusOK || e.server.openConns.Load() > int64(e.server.opts.MaxKeepAliveConns))
 }
--- a/internal/soaktest/responses.go
+++ b/internal/soaktest/responses.go
@@ -48,7 +48,7 @@
 
 // accepted reports whether the response shows that the job was accepted.
 func (o *operation) accepted() bool {
-	return o.status == wire.StatusOK || o.status == wire.StatusAccepted
+	return o.status == wire.StatusOK || o.status == wire.StatusCreated
 }
 
 // conclusive reports whether the response depends on the state of the job.
--- a/internal/soaktest/responses_test.go
+++ b/internal/soaktest/responses_test.go
@@ -14,7 +14,7 @@
 
 // TestCheckerResponses checks which rules the responses to users violate.
 func TestCheckerResponses(t *testing.T) {
-	accepted := newOperation(opSubmit, 1, 1.1, wire.StatusAccepted, wire.JobQueued)
+	accepted := newOperation(opSubmit, 1, 1.1, wire.StatusCreated, wire.JobQueued)
 	cancelled := newOperation(opCancel, 2, 2.1, wire.StatusOK, wire.JobCancelled)
 	unknownJob := newOperation(opQuery, 3, 3.1, wire.StatusOK, wire.JobQueued)
 	unknownJob.job = "req-900001"
@@ -26,7 +26,7 @@
 		{"valid", []operation{accepted, cancelled, newOperation(opQuery, 2.2, 2.3, wire.StatusOK, wire.JobCancelled)}, nil},
 		{"query concurrent with the cancellation", []operation{accepted, cancelled, newOperation(opQuery, 2.05, 2.3, wire.StatusOK, wire.JobRunning)}, nil},
 		{"running after cancelled", []operation{accepted, cancelled, newOperation(opSubmit, 2.2, 2.3, wire.StatusOK, wire.JobRunning)}, []Rule{RuleWentBack, RuleNotLinearizable}},
-		{"accepted after cancelled", []operation{accepted, cancelled, newOperation(opSubmit, 2.2, 2.3, wire.StatusAccepted, wire.JobQueued)}, []Rule{RuleWentBack, RuleNotLinearizable}},
+		{"accepted after cancelled", []operation{accepted, cancelled, newOperation(opSubmit, 2.2, 2.3, wire.StatusCreated, wire.JobQueued)}, []Rule{RuleWentBack, RuleNotLinearizable}},
 		{"done after cancelled", []operation{accepted, cancelled, newOperation(opQuery, 2.05, 2.3, wire.StatusOK, wire.JobDone)}, []Rule{RuleWentBack, RuleNotLinearizable}},
 		{"unknown after accepted", []operation{accepted, newOperation(opQuery, 1.2, 1.3, wire.StatusNotFound, "")}, []Rule{RuleForgotten, RuleNotLinearizable}},
 		{"valid submission refused as unprocessable", []operation{newOperation(opSubmit, 1, 1.1, wire.StatusUnprocessable, "")}, []Rule{RuleForgotten}},
@@ -65,7 +65,7 @@
 // TestLinearizabilityOfPendingOperations checks that a cancellation without a response may have taken
 // effect, while one that was never sent has not.
 func TestLinearizabilityOfPendingOperations(t *testing.T) {
-	submit := newOperation(opSubmit, 1, 1.1, wire.StatusAccepted, wire.JobQueued)
+	submit := newOperation(opSubmit, 1, 1.1, wire.StatusCreated, wire.JobQueued)
 	cancelWithoutResponse := newOperation(opCancel, 2, 4, 0, "")
 	query := newOperation(opQuery, 5, 5.1, wire.StatusOK, wire.JobCancelled)
 	for _, test := range []struct {
--- a/internal/wire/doc_test.go
+++ b/internal/wire/doc_test.go
@@ -13,7 +13,7 @@
 )
 
 // messages are the types whose fields have words of the protocol. The bodies of kv.Transaction
-// and kv.GrantLease are not exported; their words are in otherWords.
+// and kv.GrantLease are not exported; their words are in unexportedWireNames.
 var messages = []any{
 	wire.Submission{},
 	wire.JobStatus{},
@@ -41,12 +41,12 @@
 	kv.LeaseGrant{},
 }
 
-var otherWords = map[string][]string{"guards": {"Preconditions"}, "ttlMs": {"TTLMillis"}}
+var unexportedWireNames = map[string][]string{"guards": {"Preconditions"}, "ttlMs": {"TTLMillis"}}
 
 var tableRow = regexp.MustCompile(`(?m)^//\t(\w+) +(\w+(?:, \w+)*)$`)
 
-// TestWordTable checks that the table of the package comment is complete and correct.
-func TestWordTable(t *testing.T) {
+// TestWireNameTable checks that the table of the package comment is complete and correct.
+func TestWireNameTable(t *testing.T) {
 	source, err := os.ReadFile("doc.go")
 	if err != nil {
 		t.Fatal(err)
@@ -55,37 +55,37 @@
 	for _, row := range tableRow.FindAllStringSubmatch(string(source), -1) {
 		table[row[1]] = strings.Split(row[2], ", ")
 	}
-	want := protocolWords()
-	for word, terms := range want {
-		got := table[word]
+	want := wireNames()
+	for name, terms := range want {
+		got := table[name]
 		slices.Sort(got)
 		if !slices.Equal(got, terms) {
-			t.Errorf("%s is listed as %v, want %v", word, got, terms)
+			t.Errorf("%s is listed as %v, want %v", name, got, terms)
 		}
 	}
-	for word := range table {
-		if _, ok := want[word]; !ok {
-			t.Errorf("%s is listed, and is the tag of no field", word)
+	for name := range table {
+		if _, ok := want[name]; !ok {
+			t.Errorf("%s is listed, and is the tag of no field", name)
 		}
 	}
 }
 
-// protocolWords returns the Go terms, sorted, of each word that differs from them in more than
+// wireNames returns the Go terms, sorted, of each word that differs from them in more than
 // case.
-func protocolWords() map[string][]string {
-	words := map[string][]string{}
-	for word, terms := range otherWords {
-		words[word] = slices.Clone(terms)
+func wireNames() map[string][]string {
+	names := map[string][]string{}
+	for name, terms := range unexportedWireNames {
+		names[name] = slices.Clone(terms)
 	}
 	for _, message := range messages {
 		for _, field := range reflect.VisibleFields(reflect.TypeOf(message)) {
-			word, _, _ := strings.Cut(field.Tag.Get("cbor"), ",")
-			if strings.EqualFold(word, field.Name) || slices.Contains(words[word], field.Name) {
+			name, _, _ := strings.Cut(field.Tag.Get("cbor"), ",")
+			if strings.EqualFold(name, field.Name) || slices.Contains(names[name], field.Name) {
 				continue
 			}
-			words[word] = append(words[word], field.Name)
-			slices.Sort(words[word])
+			names[name] = append(names[name], field.Name)
+			slices.Sort(names[name])
 		}
 	}
-	return words
+	return names
 }
--- a/internal/wire/from_job.go
+++ b/internal/wire/from_job.go
@@ -4,7 +4,7 @@
 
 // FromJob returns the submission that describes a job. It is the inverse of Submission.Job.
 func FromJob(job *sched.Job) Submission {
-	shape, priority, tasks := shapeOf(job), priorityWord(job.Priority), int64(job.Tasks)
+	shape, priority, tasks := shapeName(job), priorityName(job.Priority), int64(job.Tasks)
 	cpus, gpus, memGB := job.Need.Amounts()
 	estimate := job.Estimate.Seconds()
 	checkpointInterval, checkpointDuration := job.CheckpointInterval.Seconds(), job.CheckpointDuration.Seconds()
@@ -48,8 +48,8 @@
 	}
 }
 
-// shapeOf returns the word for a job's shape.
-func shapeOf(job *sched.Job) string {
+// shapeName returns the word for a job's shape.
+func shapeName(job *sched.Job) string {
 	switch {
 	case job.Gang:
 		return shapeGang
@@ -59,11 +59,11 @@
 	return shapeArray
 }
 
-// priorityWord returns the word for a priority, or "" if it has none.
-func priorityWord(priority sched.Priority) string {
-	for word, p := range priorities {
+// priorityName returns the word for a priority, or "" if it has none.
+func priorityName(priority sched.Priority) string {
+	for name, p := range priorities {
 		if p == priority {
-			return word
+			return name
 		}
 	}
 	return ""
--- a/internal/wire/http.go
+++ b/internal/wire/http.go
@@ -19,7 +19,7 @@
 // Statuses that the protocol uses.
 const (
 	StatusOK               Status = 200
-	StatusAccepted         Status = 201 // a new job was accepted
+	StatusCreated          Status = 201 // a new job was accepted
 	StatusBadRequest       Status = 400
 	StatusNotFound         Status = 404
 	StatusMethodNotAllowed Status = 405
--- a/internal/wire/worker.go
+++ b/internal/wire/worker.go
@@ -22,7 +22,7 @@
 	CauseDone                  ExitCause = "done"
 	CauseStopped               ExitCause = "stopped"
 	CauseGangMemberLost        ExitCause = "mates_gone"
-	CauseAlone                 ExitCause = "alone"
+	CauseGangStartTimeout      ExitCause = "alone"
 	CauseError                 ExitCause = "error"
 	CauseInsufficientResources ExitCause = "no_room"
 	CauseBusy                  ExitCause = "in_use"
--- a/internal/workers/task_exits.go
+++ b/internal/workers/task_exits.go
@@ -33,7 +33,7 @@
 		w.handleTaskFailed(a, task.Cause)
 	case wire.CauseInsufficientResources, wire.CauseBusy:
 		a.Machine.QuarantinedUntil = w.host.Now() + startRefusalQuarantine
-	case wire.CauseStopped, wire.CauseGangMemberLost, wire.CauseAlone:
+	case wire.CauseStopped, wire.CauseGangMemberLost, wire.CauseGangStartTimeout:
 		// Counted neither against the job nor against the machine.
 	}
 	w.log.Info("task exited", "task", task.Task, "machine", a.Machine.Name, "cause", task.Cause,
--- a/internal/workers/task_exits_test.go
+++ b/internal/workers/task_exits_test.go
@@ -26,7 +26,7 @@
 		{wire.CauseBusy, inventory.AttemptRemoving, 1, 1, true},
 		{wire.CauseStopped, inventory.AttemptRemoving, 1, 1, false},
 		{wire.CauseGangMemberLost, inventory.AttemptRemoving, 1, 1, false},
-		{wire.CauseAlone, inventory.AttemptRemoving, 1, 1, false},
+		{wire.CauseGangStartTimeout, inventory.AttemptRemoving, 1, 1, false},
 		{"of a later version", inventory.AttemptRemoving, 1, 1, false},
 	} {
 		t.Run(string(c.cause), func(t *testing.T) {
