--- a/cmd/tamarindlead/main.go
+++ b/cmd/tamarindlead/main.go
@@ -1,5 +1,5 @@
-// Command tamarindlead is a controller of the cluster scheduler. It owns the command line,
-// the log and the reaction to signals; everything else is up to packages config and daemon.
+// Command tamarindlead is a controller of the cluster scheduler. It handles the command line,
+// the log and signals; packages config and daemon do everything else.
 package main
 
 import (
@@ -18,7 +18,7 @@
 	"tamarindlead/daemon"
 )
 
-// logLevelVariable is the environment variable with the least level that is logged.
+// logLevelVariable is the environment variable with the lowest level that is logged.
 const logLevelVariable = "LOG_LEVEL"
 
 func main() {
@@ -74,7 +74,7 @@
 			if err != nil {
 				return err
 			}
-			// The exit status is the result, so a failure to print changes nothing.
+			// The exit status is the result of the command, so an error of printing is ignored.
 			_, _ = fmt.Fprintf(cmd.OutOrStdout(), "%s: settings are valid (%d siblings, %d teams)\n",
 				cfg.Node, len(cfg.Siblings), len(cfg.Teams))
 			return nil
@@ -82,7 +82,7 @@
 	}
 }
 
-// run runs the controller until the process is asked to end.
+// run runs the controller until the process receives an interrupt or termination signal.
 func run(ctx context.Context, flags *settingsFlags) error {
 	cfg, err := flags.load()
 	if err != nil {
@@ -97,7 +97,7 @@
 	return daemon.Run(ctx, cfg, log)
 }
 
-// newLogger returns a logger to standard error that logs from the named level on.
+// newLogger returns a logger that writes messages of at least the named level to standard error.
 func newLogger(levelName string) (*slog.Logger, error) {
 	var level slog.Level
 	switch strings.ToLower(levelName) {
--- a/cmd/tamarindlead/main_test.go
+++ b/cmd/tamarindlead/main_test.go
@@ -20,10 +20,11 @@
 	"tamarindlead/micros"
 )
 
-// runProgramVariable makes the test binary behave as the program.
+// runProgramVariable is the environment variable that makes the test binary run the program.
 const runProgramVariable = "TAMARINDLEAD_BE_PROGRAM"
 
-// TestMain lets the test binary be the program itself, so that tests can start it.
+// TestMain runs the program instead of the tests if runProgramVariable is set, so that tests can
+// start the test binary as the program.
 func TestMain(m *testing.M) {
 	if os.Getenv(runProgramVariable) != "" {
 		main()
@@ -129,7 +130,7 @@
 
 func (s *services) now() micros.Micros { return micros.FromDuration(time.Since(s.start)) }
 
-// serveKV answers a request to the key-value store. A watch waits for a change, for at most
+// serveKV responds to a request to the key-value store. A watch waits for a change, for at most
 // a second.
 func (s *services) serveKV(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
@@ -178,7 +179,7 @@
 	return ok
 }
 
-// runningProgram is the program as its users reach it.
+// runningProgram is a started program, with the address on which it serves users.
 type runningProgram struct{ addr string }
 
 // startProgram starts the program against the services and kills it when the test ends.
@@ -193,7 +194,7 @@
 	}
 	t.Cleanup(func() {
 		if err := cmd.Process.Kill(); err != nil {
-			t.Errorf("the program has ended by itself: %v", err)
+			t.Errorf("the program ended before it was killed: %v", err)
 		}
 		_ = cmd.Wait() // returns that the program was killed
 	})
@@ -212,14 +213,14 @@
 		return 0
 	}
 	defer func() { _ = resp.Body.Close() }()
-	// Only a body that was read leaves the connection to the next call.
+	// The connection is reused for the next call only if the body has been read.
 	if _, err := io.Copy(io.Discard, resp.Body); err != nil {
 		return 0
 	}
 	return resp.StatusCode
 }
 
-// exchange sends bytes on a connection of its own and returns all that is received.
+// exchange sends a request on a new connection and returns all bytes that are received.
 func (p *runningProgram) exchange(t *testing.T, request string) string {
 	t.Helper()
 	conn, err := net.Dial("tcp4", p.addr)
@@ -246,8 +247,9 @@
 	})
 }
 
-// TestProgram starts the real program on loopback against fakes: it accepts a job, requests
-// a machine for it, records its cancellation, and keeps answering after bad input.
+// TestProgram starts the real program on loopback with fake services. It checks that the program
+// accepts a job, requests a machine for it, records its cancellation, and keeps responding after
+// invalid requests.
 func TestProgram(t *testing.T) {
 	s := newServices()
 	p := startProgram(t, s)
@@ -274,7 +276,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			// A node may refuse for a moment; clients are expected to retry.
+			// A node may refuse requests for a short time; clients are expected to retry.
 			got := 503
 			waitFor(t, tt.method+" "+tt.path, func() bool {
 				got = p.call(t, tt.method, tt.path, tt.body)
@@ -302,8 +304,8 @@
 	t.Fatalf("timed out waiting for %s", what)
 }
 
-// TestInvalidSettings checks that the program and its check refuse invalid settings with one
-// line that names the setting, and that the check accepts valid ones.
+// TestInvalidSettings checks that the program and its check command reject invalid settings with
+// one line that names the setting, and that the check command accepts valid settings.
 func TestInvalidSettings(t *testing.T) {
 	invalid := writeSettings(t, "nowhere", "127.0.0.1:1", "127.0.0.1:2")
 	valid := writeSettings(t, "127.0.0.1:1", "127.0.0.1:1", "127.0.0.1:2")
--- a/config/checker.go
+++ b/config/checker.go
@@ -9,7 +9,7 @@
 )
 
 // checker validates values and keeps the first error, so that callers can read a whole
-// file and check once.
+// file and check for an error at the end.
 type checker struct{ err error }
 
 // require records an error unless the condition holds.
--- a/config/config.go
+++ b/config/config.go
@@ -1,8 +1,8 @@
 // Package config reads the two settings files of a controller: the platform's TOML file,
 // which describes the deployment (addresses, siblings, teams, limits of the services), and
-// the operators' properties file, which tunes policies (Tuning). It owns the keys, defaults
+// the operators' properties file, which tunes policies (Tuning). It defines the keys, defaults
 // and bounds of both; every value is checked, and every error names its key (KeyError). It
-// must not know how the settings are used.
+// must not depend on how the settings are used.
 package config
 
 import (
@@ -14,7 +14,7 @@
 func Load(platformPath, propertiesPath string) (*Settings, error) {
 	data, err := os.ReadFile(platformPath)
 	if err != nil {
-		return nil, err // names the path already
+		return nil, err // the error contains the path
 	}
 	settings, err := Parse(data)
 	if err != nil {
--- a/config/config_test.go
+++ b/config/config_test.go
@@ -106,8 +106,7 @@
 	return strings.Replace(platform, "[params.cloud]", "[params.state.next]\n"+lines+"\n\n[params.cloud]", 1)
 }
 
-// TestParseUpcomingLimits guards against records and requests that the upcoming limits would
-// not allow.
+// TestParseUpcomingLimits guards against records and requests that exceed the upcoming limits.
 func TestParseUpcomingLimits(t *testing.T) {
 	type limits struct {
 		rps, writes float64
@@ -123,7 +122,8 @@
 		{"rps = 100.0", limits{100, 20, 8192, 16}},
 		{"rps = 100", limits{100, 20, 8192, 16}},
 		{"value_kb = 2.5", limits{150, 20, 2560, 16}},
-		{"rps = 500.0\nwrite_rps = 90.0\nvalue_kb = 64.0\ntxn_ops = 64", present}, // larger limits apply only once in effect
+		// Larger limits apply only after they take effect.
+		{"rps = 500.0\nwrite_rps = 90.0\nvalue_kb = 64.0\ntxn_ops = 64", present},
 		{"other = 1", present},
 	} {
 		t.Run(c.lines, func(t *testing.T) {
@@ -151,7 +151,7 @@
 	}
 }
 
-// TestTimeoutsFollowHeartbeatInterval guards against giving up machines whose heartbeat
+// TestTimeoutsFollowHeartbeatInterval guards against terminating healthy machines whose heartbeat
 // interval is too long for the default timeouts.
 func TestTimeoutsFollowHeartbeatInterval(t *testing.T) {
 	for _, c := range []struct{ interval, timeout, grace float64 }{{3, 10, 8}, {5, 10, 8}, {10, 20, 16}} {
--- a/config/platform.go
+++ b/config/platform.go
@@ -23,9 +23,9 @@
 	bytesPerMB = 1e6 // the platform counts memory in decimal megabytes
 )
 
-// nextLimits are limits of the key-value store that take effect at some later moment,
-// without notice. Each may be absent. Decoding errors show the names of the type and its
-// fields.
+// nextLimits are limits of the key-value store that take effect at an unknown later time,
+// without notice. Each may be absent. Decoding errors contain the names of the type and its
+// fields, as with file.
 type nextLimits struct {
 	RPS      *float64 `toml:"rps"`
 	WriteRPS *float64 `toml:"write_rps"`
@@ -33,9 +33,9 @@
 	TxnOps   *int     `toml:"txn_ops"`
 }
 
-// file is the platform's file. Decoding errors show the names of its types and fields, also
-// the literal text of its unnamed types, so changing any of them changes the messages that
-// operators see.
+// file is the content of the platform's file. Decoding errors contain the names of its types
+// and fields, and the source text of its unnamed types, so changing any of them changes the
+// messages that operators see.
 type file struct {
 	Node          string `toml:"node"`
 	Zone          string `toml:"zone"`
@@ -93,8 +93,8 @@
 	} `toml:"params"`
 }
 
-// Parse reads the platform's settings. Of several errors it returns the first in the order
-// of the checks below.
+// Parse reads the platform's settings. If there are several errors, it returns the first one in
+// the order of its checks.
 func Parse(data []byte) (*Settings, error) {
 	var f file
 	if err := toml.Unmarshal(data, &f); err != nil {
@@ -116,7 +116,7 @@
 	return s, nil
 }
 
-// decodingError adds the key to an error of the TOML decoder, if it is about one.
+// decodingError adds the key to an error of the TOML decoder, if the error concerns a key.
 func decodingError(err error) error {
 	var decodeErr *toml.DecodeError
 	if errors.As(err, &decodeErr) && len(decodeErr.Key()) > 0 {
@@ -125,7 +125,8 @@
 	return err
 }
 
-// addresses reads what identifies this controller and where it finds the services.
+// addresses reads the name, zone and listen addresses of this controller, the addresses of the
+// services, and all zones.
 func (c *checker) addresses(s *Settings, f *file) {
 	s.Node = c.text("node", f.Node)
 	s.Zone = c.text("zone", f.Zone)
@@ -166,8 +167,8 @@
 	s.Sockets = quota.Sockets
 }
 
-// limitBounds checks values against each other and against what a controller needs, and
-// applies the upcoming limits.
+// limitBounds checks that values are consistent with each other and meet the minimum limits of a
+// controller, and applies the upcoming limits.
 func (c *checker) limitBounds(s *Settings, f *file) {
 	c.require(len(s.Zones) > 0, "params.zones", "missing")
 	c.require(f.Params.Count == len(f.Siblings)+1, "params.count", "must be the number of siblings and this node")
@@ -178,9 +179,9 @@
 	c.require(s.WorkerLease > s.HeartbeatInterval, "params.workers.lease_s", "must be above params.workers.report_s")
 }
 
-// applyUpcomingLimits lowers the present limits to the upcoming ones. They hold from the
-// start, because a record that is written under the larger limits could not be rewritten
-// once the smaller ones are in effect.
+// applyUpcomingLimits lowers the present limits to the upcoming ones. The lower limits apply
+// from the start, because a record written under the larger limits could not be rewritten after
+// the smaller ones take effect.
 func (c *checker) applyUpcomingLimits(s *Settings, upcoming *nextLimits) {
 	const table = "params.state.next."
 	s.KVRequestRate = c.lowerRate(table+"rps", s.KVRequestRate, upcoming.RPS)
@@ -222,7 +223,7 @@
 	return siblings
 }
 
-// unique requires a name that was not seen before, and adds it to those seen.
+// unique requires a name that is not in seen, and adds it.
 func (c *checker) unique(key, name string, seen map[string]bool) {
 	c.require(!seen[name], key, "must be unique")
 	seen[name] = true
--- a/config/properties.go
+++ b/config/properties.go
@@ -43,8 +43,8 @@
 	"machine.most":       keyMaxMachines,
 }
 
-// tuningProperties are all keys of the operators' file. Their descriptions are those of
-// docs/operating.md.
+// tuningProperties are all keys of the operators' file. docs/operating.md contains their
+// descriptions letter for letter.
 var tuningProperties = map[string]property{
 	"leader.ttl_s":          {"time to live of the leader's lease", seconds(func(t *Tuning) *micros.Micros { return &t.LeaderTTL }, 1, 60)},
 	"machine.silent_s":      {"time without a heartbeat after which a machine is terminated", seconds(func(t *Tuning) *micros.Micros { return &t.HeartbeatTimeout }, 2, 600)},
@@ -115,8 +115,8 @@
 	}
 }
 
-// ParseTuning reads the operators' properties over the defaults. Unknown keys are errors:
-// a misspelt one would have no effect without anyone noticing.
+// ParseTuning returns the defaults, overridden by the operators' properties. Unknown keys are
+// errors, because a misspelt key would otherwise be ignored without anyone noticing.
 func ParseTuning(data []byte) (Tuning, error) {
 	loader := properties.Loader{Encoding: properties.UTF8, DisableExpansion: true}
 	file, err := loader.LoadBytes(data)
@@ -126,7 +126,7 @@
 	tuning := DefaultTuning()
 	seen := map[string]bool{}
 	keys := file.Keys()
-	slices.Sort(keys) // so that of several errors always the same one is returned
+	slices.Sort(keys) // so that the same one of several errors is always returned
 	for _, key := range keys {
 		text, _ := file.Get(key) // present: the key is from Keys
 		if err := tuning.setProperty(key, text, seen); err != nil {
@@ -136,8 +136,8 @@
 	return tuning, nil
 }
 
-// setProperty stores one property under its current or a deprecated key. Current keys that
-// were set are added to seen.
+// setProperty sets the property with the given key, which may be deprecated. It adds the current
+// key to seen.
 func (t *Tuning) setProperty(key, text string, seen map[string]bool) error {
 	if current, deprecated := deprecatedKeys[key]; deprecated {
 		key = current
--- a/config/properties_test.go
+++ b/config/properties_test.go
@@ -43,7 +43,8 @@
 	}
 }
 
-// TestPropertiesDocumented keeps the operators' page complete.
+// TestPropertiesDocumented checks that the operators' page describes all properties and lists all
+// deprecated keys.
 func TestPropertiesDocumented(t *testing.T) {
 	page, err := os.ReadFile(filepath.Join("..", "docs", "operating.md"))
 	if err != nil {
@@ -61,7 +62,7 @@
 	}
 }
 
-// TestDeprecatedKeys keeps files with old keys of properties valid.
+// TestDeprecatedKeys checks that files with deprecated keys of properties stay valid.
 func TestDeprecatedKeys(t *testing.T) {
 	for deprecated, current := range deprecatedKeys {
 		t.Run(deprecated, func(t *testing.T) {
--- a/config/settings.go
+++ b/config/settings.go
@@ -5,7 +5,7 @@
 	"tamarindlead/sched"
 )
 
-// Sibling is another controller of the cluster.
+// Sibling is a peer: another controller of the cluster. The platform's file calls peers siblings.
 type Sibling struct {
 	Node     string
 	Zone     string
@@ -26,7 +26,7 @@
 // Kinds of SLOs that scheduling takes into account.
 const (
 	SLOWaitTime       SLOKind = "wait"     // from submission to the start of a task
-	SLOCompletionTime SLOKind = "finished" // from submission to the end of the job
+	SLOCompletionTime SLOKind = "finished" // from submission to the completion of the job
 )
 
 // SLO is a service level objective of a class of jobs.
@@ -64,9 +64,10 @@
 	WorkerLease micros.Micros
 	// GangStartTimeout is how long a task waits for the other tasks of its gang.
 	GangStartTimeout micros.Micros
-	// GangFailureTimeout is the time within which tasks notice that their gang lost one.
+	// GangFailureTimeout is the time within which the tasks of a gang detect that one of them is
+	// lost.
 	GangFailureTimeout micros.Micros
-	// CancellationDeadline is the time within which the tasks of a cancelled job must be gone.
+	// CancellationDeadline is the time within which the tasks of a cancelled job must have stopped.
 	CancellationDeadline micros.Micros
 	// KVRequestRate and KVWriteRate limit the requests and writes per second to the
 	// key-value store.
@@ -84,18 +85,19 @@
 	MemoryBytes int64
 	Cores       float64
 	Sockets     int
-	// Tuning holds the operators' own settings.
+	// Tuning holds the settings from the operators' file.
 	Tuning Tuning
 }
 
-// HeartbeatTimeout returns the time without a heartbeat after which a machine is given up:
-// never less than two intervals, since one heartbeat may be lost.
+// HeartbeatTimeout returns the time without a heartbeat after which a machine is terminated. It
+// is at least two heartbeat intervals, since one heartbeat may be lost.
 func (s *Settings) HeartbeatTimeout() micros.Micros {
 	return max(s.Tuning.HeartbeatTimeout, 2*s.HeartbeatInterval)
 }
 
-// FailoverGrace returns the time that is added to HeartbeatTimeout after a failover: a worker
-// that first tries controllers that are down needs at least the time of a second heartbeat.
+// FailoverGrace returns the time that is added to HeartbeatTimeout after a failover. It is at
+// least 1.6 heartbeat intervals, since a worker that first tries controllers that are down needs
+// at least the time until its second heartbeat.
 func (s *Settings) FailoverGrace() micros.Micros {
 	return max(s.Tuning.FailoverGrace, s.HeartbeatInterval*8/5)
 }
--- a/config/tuning.go
+++ b/config/tuning.go
@@ -2,11 +2,11 @@
 
 import "tamarindlead/micros"
 
-// Tuning holds the operators' own settings, as set by the properties file.
+// Tuning holds the settings from the operators' properties file.
 type Tuning struct {
 	// LeaderTTL is the time to live of the leader's lease in the key-value store.
 	LeaderTTL micros.Micros
-	// HeartbeatTimeout is the time without a heartbeat after which a machine is given up.
+	// HeartbeatTimeout is the time without a heartbeat after which a machine is terminated.
 	HeartbeatTimeout micros.Micros
 	// FailoverGrace is added to HeartbeatTimeout after a failover.
 	FailoverGrace micros.Micros
@@ -18,9 +18,9 @@
 	// QueueTarget is the queueing delay up to which no machine is added.
 	QueueTarget micros.Micros
 	// BootTimeoutFactor is the multiple of the nominal boot time after which a machine that
-	// is not ready is given up.
+	// is not ready is terminated.
 	BootTimeoutFactor float64
-	// ScaleOutRetryDelay is the pause after a scale-out request was refused for lack of capacity.
+	// ScaleOutRetryDelay is the delay after a scale-out request was refused for lack of capacity.
 	ScaleOutRetryDelay micros.Micros
 	// QuarantineThreshold is the number of consecutive failures after which a machine is
 	// quarantined.
@@ -34,12 +34,13 @@
 	ROIThreshold float64
 	// MaxMachines bounds the number of machines; 0 means no bound.
 	MaxMachines int
-	// StarvationTimeout is the wait after which a job that has not started is placed first.
+	// StarvationTimeout is the queueing delay after which a job that has not started is placed
+	// first.
 	StarvationTimeout micros.Micros
 	// SpotLossesPerHour is the assumed number of losses of a spot machine per hour until
 	// enough losses were observed.
 	SpotLossesPerHour float64
-	// SpreadTeams distributes the teams over all controllers instead of gathering them on one.
+	// SpreadTeams assigns the teams to all controllers instead of one.
 	SpreadTeams bool
 }
 
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -1,7 +1,7 @@
 // Package daemon runs a controller node: it connects the core of package controller, which
-// does no I/O, to sockets and clocks. It owns the node's event loop, its outbound calls, the
-// division of the node's sockets and memory, and the random seed; it does not know what
-// requests mean or why the core makes a call.
+// does no I/O, to sockets and clocks. It runs the node's event loop, makes its outbound calls,
+// divides its sockets and memory, and generates the random seed. It does not interpret requests
+// or calls.
 package daemon
 
 import (
@@ -24,8 +24,8 @@
 // Division of the node's sockets.
 const (
 	outboundFraction  = 0.25 // of all sockets: for outbound connections
-	keepAliveFraction = 0.8  // of the inbound ones: beyond it workers reconnect for each heartbeat
-	idleFraction      = 0.1  // of all sockets: for outbound connections that are idle
+	keepAliveFraction = 0.8  // of the inbound sockets: above it, workers reconnect for each heartbeat
+	idleFraction      = 0.1  // of all sockets: for idle outbound connections
 	minIdleConns      = 8
 	maxIdlePerAddr    = 6
 )
@@ -37,12 +37,13 @@
 	partialRequestTimeout = 10 * micros.Second
 )
 
-// memoryFraction is the part of the node's memory that the heap may use before the garbage
-// collector works harder; the rest is for stacks, code and the system.
+// memoryFraction is the fraction of the node's memory that the heap may use before the garbage
+// collector runs more often; the rest is for stacks, code and the system.
 const memoryFraction = 0.6
 
-// Run runs a node until ctx ends, and returns nil then. Calls that are in flight at that
-// time are abandoned: a restarted node recovers from its records, whatever came of them.
+// Run runs a node until ctx is cancelled, and then returns nil. Calls that are in flight at that
+// time are abandoned: a restarted node recovers from its records, regardless of the results of
+// these calls.
 func Run(ctx context.Context, cfg *config.Settings, log *slog.Logger) error {
 	limitResources(cfg)
 	n := newNode(cfg, log)
@@ -78,7 +79,7 @@
 
 func randomSeed() uint64 {
 	var seed [8]byte
-	_, _ = rand.Read(seed[:]) // never returns an error, by its documentation
+	_, _ = rand.Read(seed[:]) // documented never to return an error
 	return binary.LittleEndian.Uint64(seed[:])
 }
 
@@ -97,11 +98,11 @@
 	}
 }
 
-// isHeartbeat reports whether a request is a worker's heartbeat. Workers are many and
-// reconnect by themselves, so their connections may be closed in favour of others.
+// isHeartbeat reports whether a request is a worker's heartbeat. There are many workers, and
+// they reconnect by themselves, so their connections may be closed to accept others.
 func isHeartbeat(req *httpwire.Request) bool { return req.Path == wire.PathHeartbeat }
 
-// maxBody returns the largest body of a request to a listen address.
+// maxBody returns the maximum size of the body of a request to a listen address, in bytes.
 func (n *node) maxBody(listenAddr string) int {
 	if listenAddr == n.cfg.PeerListen {
 		return maxPeerBody
--- a/daemon/daemon_test.go
+++ b/daemon/daemon_test.go
@@ -21,7 +21,7 @@
 // testTimeout bounds every wait of a test; on an idle machine each takes milliseconds.
 const testTimeout = 10 * time.Second
 
-// testSettings are those of a node without siblings; the addresses are filled in.
+// testSettings are the settings of a node without siblings, as a format for the addresses.
 const testSettings = `
 node = "n0"
 zone = "a"
@@ -69,7 +69,8 @@
 	return addr
 }
 
-// startRecorder serves as a key-value store that answers 503 and passes the requests on.
+// startRecorder starts a key-value store that responds to all requests with 503 and sends the
+// first request to a channel.
 func startRecorder(t *testing.T) (addr string, requests <-chan *http.Request) {
 	t.Helper()
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -80,7 +81,7 @@
 	server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		select {
 		case received <- r:
-		default: // the test wants the first one only
+		default: // the test needs only the first request
 		}
 		w.WriteHeader(http.StatusServiceUnavailable)
 	})}
@@ -121,7 +122,7 @@
 	return cfg
 }
 
-// roundTrip sends a request on a connection of its own and returns the response's status, and
+// roundTrip sends a request on a new connection and returns the response's status, and
 // whether the connection is kept alive. It waits until something listens on the address.
 func roundTrip(t *testing.T, addr, request string) (status int, keptAlive bool) {
 	t.Helper()
@@ -152,16 +153,16 @@
 	return fmt.Sprintf("POST /nowhere HTTP/1.1\r\nContent-Length: %d\r\n\r\n", size)
 }
 
-// TestRun checks the connection of the core with the sockets: requests on both listeners are
-// answered by the core, within the listener's limit on bodies; the core's calls are made; and
-// the node ends with its context.
+// TestRun checks that the core is connected to the sockets: the core responds to requests on both
+// listeners, up to each listener's limit on bodies; the core's calls are sent; and Run returns
+// after its context is cancelled.
 func TestRun(t *testing.T) {
 	kvAddr, kvRequests := startRecorder(t)
 	cfg := startNode(t, kvAddr)
 	tests := []struct {
 		name, addr, request string
 		want                int
-		wantKeptAlive       bool // so the core has answered, not the HTTP parser
+		wantKeptAlive       bool // the core responded, not the HTTP parser, which closes the connection
 	}{
 		{"health", cfg.Listen, "GET /up HTTP/1.1\r\n\r\n", http.StatusOK, true},
 		{"unknown path", cfg.Listen, "GET /nowhere HTTP/1.1\r\n\r\n", http.StatusNotFound, true},
--- a/daemon/node.go
+++ b/daemon/node.go
@@ -16,15 +16,15 @@
 )
 
 const (
-	// clockOffset keeps the monotonic clock away from zero, which means never.
+	// clockOffset is added to the monotonic clock, because a time of zero means "never".
 	clockOffset = 24 * micros.Hour
 	// closeExpiredInterval is how often idle outbound connections are checked.
 	closeExpiredInterval = 10 * time.Second
 )
 
-// node passes events to the core, one at a time, and carries out the effects that the core
-// returns. Events come from several goroutines: requests from the event loop, so that most
-// are answered without waking another thread.
+// node passes events to the core, one at a time, and executes the effects that the core
+// returns. Events come from several goroutines. Requests come from the event loop, so that most
+// get their responses without waking another thread.
 type node struct {
 	cfg    *config.Settings
 	log    *slog.Logger
@@ -33,7 +33,7 @@
 
 	mu      sync.Mutex // guards the fields below
 	core    *controller.Core
-	pending map[uint64]*reactor.Exchange // unanswered requests by ID
+	pending map[uint64]*reactor.Exchange // requests without a response, by ID
 	lastID  uint64
 }
 
@@ -42,11 +42,11 @@
 	return clockOffset + micros.FromDuration(time.Since(n.start))
 }
 
-// wallClock returns the time of day.
+// wallClock returns the wall clock time.
 func (n *node) wallClock() micros.Micros { return micros.Micros(time.Now().UnixMicro()) }
 
 // handleExchange passes a request to the core. It is called on the event loop and does no
-// I/O but for the response.
+// I/O except for the response.
 func (n *node) handleExchange(exchange *reactor.Exchange, loop *reactor.Loop) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -61,7 +61,8 @@
 	})
 }
 
-// runTicks passes the time to the core, as often as the core asks for, until ctx ends.
+// runTicks passes the time to the core, at the intervals that the core requests, until ctx is
+// cancelled.
 func (n *node) runTicks(ctx context.Context) {
 	tick := time.NewTimer(0)
 	defer tick.Stop()
@@ -87,7 +88,7 @@
 	return n.core.TickInterval().Duration()
 }
 
-// handle passes an event to the core and carries out the effects. The caller holds the lock;
+// handle passes an event to the core and executes the effects. The caller holds the lock;
 // loop is nil except on the event loop.
 func (n *node) handle(loop *reactor.Loop, event controller.Event) {
 	for _, effect := range n.core.Handle(n.now(), n.wallClock(), event) {
@@ -101,11 +102,11 @@
 	}
 }
 
-// respond answers a pending request. The caller holds the lock.
+// respond sends the response to a pending request. The caller holds the lock.
 func (n *node) respond(loop *reactor.Loop, response controller.Respond) {
 	exchange, ok := n.pending[response.ID]
 	if !ok {
-		return // answered before
+		return // has had its response
 	}
 	delete(n.pending, response.ID)
 	exchange.Reply(loop, httpwire.OutgoingResponse{
@@ -128,8 +129,8 @@
 	})
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	// The core handles every failure alike, so of the error it gets only whether the call may
-	// have taken effect. Without a response the status is 0.
+	// The core handles all failures in the same way, so it does not get the error, but only
+	// whether the call may have taken effect. Without a response the status is 0.
 	n.handle(nil, controller.CallDone{
 		ID:     call.ID,
 		Status: resp.Status,
--- a/internal/budget/budget.go
+++ b/internal/budget/budget.go
@@ -1,8 +1,8 @@
 // Package budget keeps a controller within its share of the key-value store's rate limits. Each
 // call has a purpose; less urgent purposes leave a reserve to more urgent ones.
 //
-// The package owns the division of the limits by roles and the token buckets of one node. It
-// knows nothing of the calls themselves, and has no clock: the caller passes the time.
+// The package divides the limits by the roles of the nodes and holds the token buckets of one
+// node. It does not depend on the content of calls, and has no clock: the caller passes the time.
 package budget
 
 import (
@@ -21,8 +21,8 @@
 	role     Role
 }
 
-// New returns the budget of a node that starts in a cluster with the given number of nodes. It
-// begins with a full burst, since the node must read the records at once.
+// New returns the budget of a node that starts in a cluster with the given number of nodes. Its
+// token buckets are full, since the node reads the records as soon as it starts.
 func New(limits Limits, nodes int) *Budget {
 	requests, writes := limits.shares(Role{Nodes: nodes, Owners: 1})
 	return &Budget{
@@ -62,7 +62,7 @@
 	return max(0, int(unreserved(b.writes, purpose, now)))
 }
 
-// WriteBurst returns the largest number of writes that the budget ever has at once.
+// WriteBurst returns the maximum number of writes that the budget can accumulate.
 func (b *Budget) WriteBurst() int { return b.writes.Burst() }
 
 // Take takes one request with the given number of writes from the budget, and reports whether
@@ -71,8 +71,8 @@
 	if !b.MayRequest(purpose, now) {
 		return false
 	}
-	// A single survivor that spends all its writes on accepting jobs must still be able to
-	// lead: the few writes of Leadership become a debt.
+	// The few writes of Leadership may become a debt: if only one node is left and has used all
+	// its writes to accept jobs, it must still be able to become the leader.
 	if writes > 0 && purpose != Leadership && !leavesReserve(b.writes, purpose, writes, now) {
 		return false
 	}
@@ -87,8 +87,8 @@
 }
 
 // leavesReserve reports whether a limiter has n tokens above the reserve that a purpose must
-// leave. An n above the largest possible number is granted once that number is available, since
-// it would wait forever otherwise.
+// leave. An n above the number of tokens that can ever be available is granted when that number
+// is available; otherwise it would never be granted.
 func leavesReserve(limiter *rate.Limiter, purpose Purpose, n int, now micros.Micros) bool {
 	largest := max(1, math.Floor(float64(limiter.Burst())-reserve(limiter, purpose)))
 	return unreserved(limiter, purpose, now) >= min(float64(n), largest)
--- a/internal/budget/budget_test.go
+++ b/internal/budget/budget_test.go
@@ -15,8 +15,9 @@
 	return New(Limits{Requests: requests, Writes: writes, MinWriteBurst: userWrites + 1}, nodes)
 }
 
-// TestLargeTransactionBecomesDebt checks that a transaction larger than a burst is granted, since
-// it would wait forever otherwise, that its excess delays later ones, and that the debt ends.
+// TestLargeTransactionBecomesDebt checks that a transaction larger than a burst is granted, which
+// would wait forever otherwise, that its excess writes delay later transactions, and that this
+// delay ends.
 func TestLargeTransactionBecomesDebt(t *testing.T) {
 	b := newBudget(100, 15, 5)
 	now := start
@@ -27,7 +28,7 @@
 			t.Fatalf("%v: %d writes are refused with a full burst of %d", purpose, writes, b.WriteBurst())
 		}
 		if b.Take(purpose, 1, now+100*micros.Millisecond) {
-			t.Fatalf("%v: a write is granted in spite of the debt", purpose)
+			t.Fatalf("%v: a write is granted despite the debt", purpose)
 		}
 	}
 	// A transaction for users fits even in the burst of a much smaller share.
@@ -41,7 +42,8 @@
 	}
 }
 
-// TestReserves checks that a purpose stops where the reserve of more urgent ones begins.
+// TestReserves checks that calls for a purpose are refused when only the reserve for more urgent
+// purposes is left.
 func TestReserves(t *testing.T) {
 	for _, c := range []struct {
 		purpose Purpose
@@ -67,17 +69,17 @@
 	}
 }
 
-// TestReadsLeaveUserRequests checks that queries cannot use up the requests that transactions
-// for users need.
+// TestReadsLeaveUserRequests checks that reads cannot use up the requests that transactions for
+// users need.
 func TestReadsLeaveUserRequests(t *testing.T) {
 	b := newBudget(10, 10, 1)
 	for b.Take(Reads, 0, start) {
 	}
 	if b.MayRequest(Reads, start) {
-		t.Error("reads are within the budget that they have used up")
+		t.Error("a read is granted although reads have used up their budget")
 	}
 	if !b.MayRequest(UserRequests, start) || b.AvailableWrites(UserRequests, start) == 0 {
-		t.Error("reads leave nothing to user requests")
+		t.Error("reads leave no budget for user requests")
 	}
 }
 
@@ -94,7 +96,7 @@
 	}
 }
 
-// TestPurposeString checks that logs distinguish the purposes.
+// TestPurposeString checks that all purposes have different names in logs.
 func TestPurposeString(t *testing.T) {
 	seen := map[string]Purpose{}
 	for p := range Cleanup + 2 {
--- a/internal/budget/purpose.go
+++ b/internal/budget/purpose.go
@@ -11,7 +11,7 @@
 	Ownership                   // reading records during a failover, claiming machines
 	UserRequests                // accepting and cancelling jobs
 	TaskUpdates                 // placements and completions
-	Reads                       // answering queries
+	Reads                       // responding to queries
 	Cleanup                     // deleting records that are no longer read
 )
 
--- a/internal/budget/shares.go
+++ b/internal/budget/shares.go
@@ -16,22 +16,23 @@
 }
 
 const (
-	// reservedUserWrites is the fraction of the write limit that owners, which record
-	// placements and completions, leave to accepting and cancelling jobs.
+	// reservedUserWrites is the fraction of the write limit that is reserved for accepting and
+	// cancelling jobs. Owners share the rest, to record placements and completions.
 	reservedUserWrites = 0.2
 	// maxUserWrites is the fraction of the write limit that all nodes together may use for
 	// accepting and cancelling jobs. It exceeds reservedUserWrites since user requests come in
 	// bursts; the store refuses the excess, which is retried.
 	maxUserWrites = 0.4
 	// writeBurstSeconds is the write burst of a node, in seconds of the cluster's write limit.
-	// The jobs of a pipeline arrive in sequence at one node; with a burst of its own share of
-	// the limit alone, the last of them would wait for seconds. Several nodes rarely use their
-	// bursts in the same second; the store then refuses some writes, which are retried.
+	// The jobs of a pipeline arrive in sequence at one node; if the burst were only the node's
+	// share of the limit, the last of these jobs would wait for seconds. If several nodes use
+	// their bursts in the same second, which is rare, the store refuses some writes, and they
+	// are retried.
 	writeBurstSeconds = 0.5
 )
 
-// shares returns the rates of this node. Nodes that are down leave theirs to the others: a
-// single survivor serves all users.
+// shares returns the rates of this node. The limits are divided among the live nodes only: if
+// all other nodes are down, one node serves all users with the full limits.
 func (l Limits) shares(role Role) (requests, writes float64) {
 	nodes := float64(max(1, role.Nodes))
 	requests, writes = l.Requests/nodes, l.Writes*maxUserWrites/nodes
--- a/internal/httpwire/httpwire.go
+++ b/internal/httpwire/httpwire.go
@@ -1,25 +1,25 @@
 // Package httpwire parses and writes HTTP/1.1 messages in both directions: requests that
-// arrive and responses to them, requests to other services and their responses. It owns
-// the syntax of the messages and the limits on their heads; it knows neither connections
-// nor the meaning of paths and bodies.
+// arrive and responses to them, requests to other services and their responses. It implements
+// the syntax of the messages and the limits on their heads; it does not handle connections or
+// interpret paths and bodies.
 //
-// The parsers are incremental and stateless: from the bytes received up to now they return
-// either a whole message with its length, ErrIncomplete, or an error that is final for the
-// connection. They never read beyond the given bytes and never retain them.
+// The parsers are incremental and stateless: from the bytes received so far they return either
+// a complete message with its length, ErrIncomplete, or an error after which the connection must
+// be closed. They never read beyond the given bytes and never retain them.
 //
-// The package exists beside net/http because the event loop needs a parser that works on
+// The package exists in addition to net/http because the event loop needs a parser that works on
 // buffered bytes: net/http would cost one goroutine and its buffers per connection.
 package httpwire
 
 import "errors"
 
-// Limits on the head of a message. A peer that exceeds them gets ErrTooLarge.
+// Limits on the head of a message. The parsers return ErrTooLarge for a head that exceeds them.
 const (
 	MaxHead    = 8 << 10 // bytes of the start line and all headers
 	MaxHeaders = 64
 )
 
-// Errors of the parsers. All but ErrIncomplete are final for the connection.
+// Errors of the parsers. After any of them except ErrIncomplete the connection must be closed.
 var (
 	ErrIncomplete = errors.New("httpwire: message incomplete")
 	ErrMalformed  = errors.New("httpwire: malformed message")
@@ -36,7 +36,7 @@
 	Close  bool // the connection must be closed after the response
 }
 
-// Response is a parsed response. Like a Request it holds copies.
+// Response is a parsed response. Like a Request, it holds copies of the buffer's content.
 type Response struct {
 	Status int
 	Body   []byte
--- a/internal/httpwire/parse.go
+++ b/internal/httpwire/parse.go
@@ -11,7 +11,7 @@
 	maxMethodLength = 16
 	// maxChunkHeader bounds the line with a chunk's size and extensions.
 	maxChunkHeader = 256
-	// unknownLength is the content length of a head that states none.
+	// unknownLength is the content length of a head without a Content-Length header.
 	unknownLength = -1
 )
 
@@ -49,9 +49,9 @@
 	return Request{Method: parts[0], Path: path, Query: query, Close: h.closesConnection(version)}, nil
 }
 
-// ParseResponse parses the response at the start of buf and returns it with its length,
-// which includes interim responses. A response that states no length ends with the
-// connection; eof reports whether the connection has ended.
+// ParseResponse parses the response at the start of buf and returns it with its length, which
+// includes interim responses before it. The body of a response without a length extends to the
+// end of the connection; eof reports whether the connection has ended.
 func ParseResponse(buf []byte, maxBody int, eof bool) (Response, int, error) {
 	start := 0 // of the response after the interim ones
 	for {
@@ -94,7 +94,7 @@
 func (r *Response) parseBody(buf []byte, h head, maxBody int, eof bool) (int, error) {
 	switch {
 	case r.Status == http.StatusNoContent || r.Status == http.StatusNotModified:
-		return 0, nil // never have a body, whatever length they state
+		return 0, nil // never have a body, regardless of their headers
 	case h.hasBodyLength():
 		body, size, err := parseBody(buf, h, maxBody)
 		r.Body = body
@@ -109,20 +109,20 @@
 	}
 }
 
-// head is the start line of a message and what its headers say about framing.
+// head is the start line of a message and the framing information of its headers.
 type head struct {
 	startLine     string
-	size          int // with the empty line that ends it
+	size          int // in bytes, with the empty line at the end
 	contentLength int // or unknownLength
 	chunked       bool
 	close         bool
 	keepAlive     bool
 }
 
-// hasBodyLength reports whether the headers say where the body ends.
+// hasBodyLength reports whether the headers determine where the body ends.
 func (h *head) hasBodyLength() bool { return h.chunked || h.contentLength != unknownLength }
 
-// closesConnection reports whether the sender ends the connection after this exchange.
+// closesConnection reports whether the sender closes the connection after this exchange.
 func (h *head) closesConnection(v version) bool {
 	return h.close || (v == http10 && !h.keepAlive)
 }
@@ -144,13 +144,13 @@
 		}
 	}
 	if h.chunked && h.contentLength != unknownLength {
-		return head{}, ErrMalformed // two lengths: a known way to smuggle requests
+		return head{}, ErrMalformed // two lengths allow request smuggling
 	}
 	return h, nil
 }
 
 // incompleteHeadError returns the error for a head whose end was not found in the window, which
-// is cut off at MaxHead.
+// has at most MaxHead bytes.
 func incompleteHeadError(window []byte) error {
 	if len(window) >= MaxHead {
 		return ErrTooLarge
@@ -181,8 +181,8 @@
 	return nil
 }
 
-// setContentLength refuses lengths that differ: two readers of the message could disagree
-// about its end.
+// setContentLength sets the content length. It rejects a second header with another length,
+// since two readers of the message could disagree about its end.
 func (h *head) setContentLength(value string) error {
 	length, err := strconv.ParseUint(value, 10, 31)
 	if err != nil {
@@ -318,7 +318,7 @@
 type version string
 
 const (
-	http10 version = "HTTP/1.0" // connections end with the response unless kept alive
+	http10 version = "HTTP/1.0" // connections are closed after the response unless kept alive
 	http11 version = "HTTP/1.1"
 )
 
--- a/internal/httpwire/parse_test.go
+++ b/internal/httpwire/parse_test.go
@@ -97,7 +97,7 @@
 			return
 		}
 		if n <= 0 || n > len(in) {
-			t.Fatalf("length %d of %d", n, len(in))
+			t.Fatalf("length %d of a request in %d bytes", n, len(in))
 		}
 		again, againLength, err := ParseRequest(append(bytes.Clone(in), "GET / HTTP/1.1\r\n\r\n"...), 1<<10)
 		if err != nil || againLength != n || again.Path != req.Path || !bytes.Equal(again.Body, req.Body) {
--- a/internal/httpwire/write.go
+++ b/internal/httpwire/write.go
@@ -43,8 +43,8 @@
 	return append(dst, body...)
 }
 
-// reasonPhrase returns the text after the status. http.StatusText differs for some: peers
-// have always received these.
+// reasonPhrase returns the text after the status. It does not use http.StatusText, which returns
+// other texts for some statuses, since peers have always received these texts.
 func reasonPhrase(status int) string {
 	switch status {
 	case http.StatusOK:
--- a/internal/httpwire/write_test.go
+++ b/internal/httpwire/write_test.go
@@ -22,7 +22,7 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			if got := string(AppendRequest([]byte("before"), tt.req)); got != "before"+tt.want {
-				t.Errorf("got %q, want it after \"before\": %q", got, tt.want)
+				t.Errorf("got %q, want \"before\" followed by %q", got, tt.want)
 			}
 		})
 	}
@@ -58,7 +58,7 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			if got := string(AppendResponse([]byte("before"), tt.resp)); got != "before"+tt.want {
-				t.Errorf("got %q, want it after \"before\": %q", got, tt.want)
+				t.Errorf("got %q, want \"before\" followed by %q", got, tt.want)
 			}
 		})
 	}
--- a/internal/kv/client.go
+++ b/internal/kv/client.go
@@ -28,7 +28,7 @@
 type Host interface {
 	// Now returns the current time.
 	Now() micros.Micros
-	// After calls do once d has passed.
+	// After calls do after d has passed.
 	After(d micros.Micros, do func())
 	// Send sends a request to the store directly.
 	Send(request Request, timeout micros.Micros, done func(Response))
@@ -60,14 +60,14 @@
 	Writes   int
 }
 
-// New returns a client that starts on the direct route. probeKey is the key that is read to
+// New returns a client that uses the direct route at first. probeKey is the key that is read to
 // test that route while calls go through a peer.
 func New(host Host, budget *budget.Budget, probeKey string, log *slog.Logger) *Client {
 	return &Client{host: host, budget: budget, probe: Get(probeKey), log: log, lastSuccess: host.Now()}
 }
 
-// Do sends a request within the budget. If the budget does not allow it, done is called at
-// once with Throttled.
+// Do sends a request within the budget. If the budget does not allow it, done is called
+// immediately with Throttled.
 func (c *Client) Do(purpose budget.Purpose, request Request, done func(Result)) {
 	c.doWithTimeout(purpose, request, CallTimeout, done)
 }
@@ -115,7 +115,7 @@
 // node's budget, since the peer has counted it already.
 func (c *Client) Relay(request Request, done func(Response)) {
 	timeout := CallTimeout
-	if len(request.Body) == 0 { // a read, which may be a watch
+	if len(request.Body) == 0 { // a read, which may be a watch, or an extension or end of a lease
 		timeout = WatchTimeout
 	}
 	c.sendDirect(request, timeout, done)
--- a/internal/kv/client_test.go
+++ b/internal/kv/client_test.go
@@ -27,8 +27,8 @@
 	}
 }
 
-// TestRelayIsOutsideBudget checks that requests of peers are sent beyond this node's budget,
-// and with the timeouts of reads and writes.
+// TestRelayIsOutsideBudget checks that requests relayed for peers are not limited by this node's
+// budget, that relayed reads have the timeout of a watch, and relayed writes that of a call.
 func TestRelayIsOutsideBudget(t *testing.T) {
 	client, host := newClient(1)
 	status := 0
--- a/internal/kv/host_test.go
+++ b/internal/kv/host_test.go
@@ -17,7 +17,7 @@
 	timers []func()
 }
 
-// call is an open call.
+// call is a call that waits for its response.
 type call struct {
 	request Request
 	viaPeer string // "" for a direct call
--- a/internal/kv/list.go
+++ b/internal/kv/list.go
@@ -7,8 +7,8 @@
 )
 
 // Listing is the result of ListAll. Revision is that of the first page, so that a watch from
-// there misses no change. LastRevision is that of the last page: if it is another one, entries may
-// have changed between the pages.
+// this revision misses no change. LastRevision is that of the last page: if it differs from
+// Revision, entries may have changed between the pages.
 type Listing struct {
 	Entries                []Entry
 	Revision, LastRevision uint64
@@ -22,8 +22,8 @@
 	done    func(Listing, error)
 }
 
-// ListAll reads all keys with a prefix, page by page. A page that fails, other than by throttling,
-// fails the listing.
+// ListAll reads all keys with a prefix, page by page. Throttled reads of a page are retried; any
+// other failure of a page fails the listing.
 func (c *Client) ListAll(prefix string, done func(Listing, error)) {
 	l := &listRequest{client: c, prefix: prefix, done: done}
 	l.readPage("")
--- a/internal/kv/list_test.go
+++ b/internal/kv/list_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// TestListAll checks that a throttled listing continues where it stopped, and that it returns
-// the revision of its first page.
+// TestListAll checks that a throttled listing continues with the page that was throttled, and
+// that it returns the revision of its first page.
 func TestListAll(t *testing.T) {
 	client, host := newClient(100)
 	var listing Listing
@@ -40,7 +40,7 @@
 	}
 }
 
-// TestListingRevisions checks that a listing tells whether its pages were read at one revision.
+// TestListingRevisions checks that a listing shows whether all its pages have the same revision.
 func TestListingRevisions(t *testing.T) {
 	for _, last := range []uint64{10, 20} {
 		client, host := newClient(100)
--- a/internal/kv/messages.go
+++ b/internal/kv/messages.go
@@ -27,7 +27,7 @@
 type Write struct {
 	Put    string `cbor:"put,omitempty"` // key
 	Value  any    `cbor:"data,omitempty"`
-	Lease  uint64 `cbor:"tenancy,omitempty"` // deletes the key when it ends; 0 for none
+	Lease  uint64 `cbor:"tenancy,omitempty"` // the key is deleted when this lease ends; 0 for none
 	Delete string `cbor:"delete,omitempty"`  // key
 }
 
--- a/internal/kv/request.go
+++ b/internal/kv/request.go
@@ -71,8 +71,8 @@
 
 // The store counts a value's size in its JSON form.
 const (
-	jsonExpansion     = 2  // bounds the JSON bytes for a byte of CBOR
-	jsonOverheadBytes = 64 // bounds the rest of a value's JSON form
+	jsonExpansion     = 2  // upper bound of the bytes of JSON per byte of CBOR
+	jsonOverheadBytes = 64 // upper bound of the rest of a value's JSON form
 )
 
 // EncodedSizeBound returns an upper bound of a value's size as the store counts it.
--- a/internal/kv/request_test.go
+++ b/internal/kv/request_test.go
@@ -11,7 +11,7 @@
 	"tamarindlead/micros"
 )
 
-// TestRequests pins the requests to the store's protocol.
+// TestRequests checks that requests have the form that the store's protocol requires.
 func TestRequests(t *testing.T) {
 	type fields = map[string]any
 	for _, c := range []struct {
--- a/internal/kv/result.go
+++ b/internal/kv/result.go
@@ -18,7 +18,7 @@
 	Compacted                  // the revision is too old to watch from
 	Throttled                  // over the store's rate limit or this node's budget: not executed
 	Refused                    // refused, or never sent: not executed
-	Unknown                    // no response: executed, not executed, or yet to be executed
+	Unknown                    // no response: the request may have been executed, or may be later
 	InvalidRequest             // the store rejects the request as malformed
 )
 
@@ -45,13 +45,13 @@
 	return fmt.Sprintf("Outcome(%d)", int(o))
 }
 
-// Result is the end of a call. Body is the store's response, if there was one.
+// Result is the result of a call. Body is the store's response, if there was one.
 type Result struct {
 	Outcome Outcome
 	Body    []byte
 }
 
-// Decode decodes the body into v, whatever the outcome.
+// Decode decodes the body into v, regardless of the outcome.
 func (r Result) Decode(v any) error {
 	if err := wire.Decode(r.Body, v); err != nil {
 		return fmt.Errorf("decode response (%v): %w", r.Outcome, err)
@@ -76,13 +76,13 @@
 
 // Response is what the network returned for a request.
 type Response struct {
-	Status int // of HTTP; 0 if no response came
+	Status int // HTTP status; 0 if there was no response
 	Body   []byte
 	Sent   bool // for status 0: the request may have reached the store
 }
 
-// storeResponded reports whether the store itself responded. Status 503 doesn't count, as an
-// overloaded intermediary sends it too.
+// storeResponded reports whether the store itself responded. Status 503 doesn't count, since
+// overloaded intermediaries send it too.
 func (r Response) storeResponded() bool {
 	return r.Status != 0 && r.Status != http.StatusServiceUnavailable
 }
@@ -109,7 +109,7 @@
 		}
 		return Unknown
 	}
-	if r.Status >= http.StatusInternalServerError { // nothing tells whether it was executed
+	if r.Status >= http.StatusInternalServerError { // it is unknown whether the request was executed
 		return Unknown
 	}
 	return InvalidRequest
--- a/internal/kv/result_test.go
+++ b/internal/kv/result_test.go
@@ -36,7 +36,7 @@
 	}
 }
 
-// TestOutcomeString checks that logs distinguish the outcomes.
+// TestOutcomeString checks that all outcomes have different names in logs.
 func TestOutcomeString(t *testing.T) {
 	seen := map[string]Outcome{}
 	for o := OK; o <= InvalidRequest+1; o++ {
@@ -77,7 +77,7 @@
 	}
 }
 
-// TestDecode checks that the body is decoded whatever the outcome is.
+// TestDecode checks that the body is decoded regardless of the outcome.
 func TestDecode(t *testing.T) {
 	var result TransactionResult
 	r := Result{PreconditionFailed, body(TransactionResult{FailedPreconditions: []string{"k"}})}
--- a/internal/kv/route.go
+++ b/internal/kv/route.go
@@ -10,10 +10,10 @@
 	routePeer
 )
 
-// Thresholds for leaving the direct route and returning to it.
+// Thresholds for switching from the direct route to a peer and back.
 const (
-	maxDirectFailures    = 2                        // consecutive failures before the route is left
-	directFailureTimeout = 500 * micros.Millisecond // time without a success before it is left
+	maxDirectFailures    = 2                        // consecutive failures before the switch to a peer
+	directFailureTimeout = 500 * micros.Millisecond // time without a success before that switch
 	probeInterval        = micros.Second            // time between probes of the direct route
 )
 
@@ -33,9 +33,9 @@
 	return c.host.ConnectedPeer()
 }
 
-// Unavailable reports whether the store serves neither this node nor a peer that could relay.
-// Users are refused at once then. Renewals of the node's lease continue and detect when the
-// store responds again.
+// Unavailable reports whether the store serves neither this node nor a peer that could relay
+// calls. User requests are then refused immediately. Renewals of the node's lease continue and
+// detect when the store responds again.
 func (c *Client) Unavailable() bool {
 	return c.directFailures >= 2*maxDirectFailures && c.sinceSuccess() >= 2*directFailureTimeout && c.host.ConnectedPeer() == ""
 }
@@ -45,7 +45,8 @@
 
 func (c *Client) sinceSuccess() micros.Micros { return c.host.Now() - c.lastSuccess }
 
-// Tick leaves the direct route if it fails, and probes it while it is left.
+// Tick switches to the route through a peer if the direct route fails, and probes the direct
+// route after that.
 func (c *Client) Tick() {
 	switch c.route {
 	case routeDirect:
@@ -69,8 +70,8 @@
 	})
 }
 
-// recordDirectResponse records the end of a call by the direct route. Any response of the store
-// returns the client to that route.
+// recordDirectResponse records the result of a call by the direct route. After any response of
+// the store, the client uses that route again.
 func (c *Client) recordDirectResponse(r Response) {
 	if !r.storeResponded() {
 		c.directFailures++
--- a/internal/kv/route_test.go
+++ b/internal/kv/route_test.go
@@ -7,7 +7,7 @@
 	"tamarindlead/micros"
 )
 
-// failDirect makes direct calls fail, with time between them.
+// failDirect makes direct calls that fail, 400 ms apart.
 func failDirect(t *testing.T, client *Client, host *fakeHost, times int) {
 	t.Helper()
 	for range times {
@@ -46,7 +46,7 @@
 	host.now += probeInterval
 	client.Tick()
 	if client.Tick(); len(host.calls) != 1 {
-		t.Fatalf("%d probes at a time", len(host.calls))
+		t.Fatalf("%d probes are in flight, want 1", len(host.calls))
 	}
 	host.respond(t, Response{Status: 404})
 	if !client.DirectlyConnected() || client.LastSuccess() != host.now {
@@ -70,7 +70,7 @@
 }
 
 // TestUnavailable checks that the store counts as unavailable only after several failures over
-// some time, and only if no peer could relay.
+// some time, and only if no peer could relay calls.
 func TestUnavailable(t *testing.T) {
 	client, host := newClient(100)
 	failDirect(t, client, host, 2*maxDirectFailures-1)
--- a/internal/reactor/client.go
+++ b/internal/reactor/client.go
@@ -12,10 +12,11 @@
 	"tamarindlead/micros"
 )
 
-// initialReadBuffer holds most responses, so that the buffer rarely grows.
+// initialReadBuffer is the initial size of a read buffer. Most responses fit in it, so that it
+// rarely grows.
 const initialReadBuffer = 4 << 10
 
-// ErrNotSent is in the chain of an error of Client.Do if no byte of the request was sent.
+// ErrNotSent is wrapped by the errors of Client.Do if no byte of the request was sent.
 var ErrNotSent = errors.New("reactor: request not sent")
 
 // Call is one outbound request.
@@ -25,10 +26,10 @@
 	Target  string
 	Body    []byte
 	Timeout micros.Micros
-	MaxBody int // largest body of the response
+	MaxBody int // maximum size of the response's body, in bytes
 }
 
-// Client makes calls over reusable connections. It may be used by several goroutines.
+// Client makes calls over reusable connections. It is safe for concurrent use.
 type Client struct {
 	contentType string
 	idle        *idlePool
@@ -41,10 +42,10 @@
 }
 
 // Do makes the call and returns the response, or an error if there was none by the call's
-// deadline. Unless the error is ErrNotSent, the request may have taken effect.
+// deadline. Unless the error wraps ErrNotSent, the request may have taken effect.
 //
-// Do takes no context: calls are never cancelled, and a context would cost a timer and a
-// watcher for each, where the connection's deadline does.
+// Do takes no context: calls are never cancelled, and the deadline of the connection is
+// sufficient, whereas a context would cost a timer and a watcher for each call.
 func (c *Client) Do(call Call) (httpwire.Response, error) {
 	deadline := time.Now().Add(call.Timeout.Duration())
 	for {
@@ -54,7 +55,7 @@
 		}
 		resp, err := c.exchange(conn, call, deadline)
 		if reused && errors.Is(err, ErrNotSent) && time.Now().Before(deadline) {
-			// The peer closed the idle connection in the meantime. Nothing was sent, so
+			// The other side closed the connection while it was idle. Nothing was sent, so
 			// another connection can be tried.
 			continue
 		}
@@ -62,8 +63,8 @@
 	}
 }
 
-// CloseExpired closes idle connections that have not been used for idleConnTimeout. It is to
-// be called regularly: otherwise those to addresses that are not called again stay open.
+// CloseExpired closes idle connections that have not been used for idleConnTimeout. It must be
+// called regularly: otherwise connections to addresses that are not called again stay open.
 func (c *Client) CloseExpired() { c.idle.closeExpired() }
 
 // connect returns an idle connection to addr, or else a new one.
@@ -116,8 +117,8 @@
 	}
 }
 
-// receive reads the response. Its Close also covers what was seen on the connection: the end
-// of the stream, or bytes after the response.
+// receive reads the response. It also sets the response's Close if the connection has ended, or
+// has received bytes after the response.
 func receive(conn net.Conn, maxBody int) (httpwire.Response, error) {
 	buf := make([]byte, 0, initialReadBuffer)
 	for {
@@ -139,6 +140,6 @@
 	}
 }
 
-// discard closes a connection that is not used again. An error of Close is dropped, since
-// everything that was wanted from the connection has been read or has failed already.
+// discard closes a connection that is not used again. It ignores the error of Close, since the
+// response has been read from the connection or has failed already.
 func discard(conn net.Conn) { _ = conn.Close() }
--- a/internal/reactor/client_test.go
+++ b/internal/reactor/client_test.go
@@ -14,8 +14,8 @@
 	"tamarindlead/micros"
 )
 
-// startPeer accepts connections on a loopback address until the test ends and has each
-// handled by a goroutine.
+// startPeer accepts connections on a loopback address until the test ends and handles each
+// of them in a goroutine.
 func startPeer(t *testing.T, handle func(net.Conn)) string {
 	t.Helper()
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -38,7 +38,7 @@
 	return listener.Addr().String()
 }
 
-// respond answers one request with a text, and reports whether there was one.
+// respond reads one request and writes a response, and reports whether both succeeded.
 func respond(conn net.Conn, response string) bool {
 	req, err := http.ReadRequest(bufio.NewReader(conn))
 	if err != nil {
@@ -90,15 +90,16 @@
 				t.Fatalf("status %d, %v", resp.Status, err)
 			}
 			if client.idle.total != 0 {
-				t.Error("the connection is kept")
+				t.Error("the connection is kept for reuse")
 			}
 		})
 	}
 }
 
-// refusingAddr returns a loopback address that refuses connections until the test ends. A socket is
-// bound to it, so that no server of the same test gets the address, as happened with one that was
-// merely free: "is ErrNotSent: false, want true: receive response: EOF" in 10 of 40,000 runs.
+// refusingAddr returns a loopback address that refuses connections until the test ends. A socket
+// is bound to it, so that no server of the same test gets the address. With a free address to
+// which no socket was bound, this happened in 10 of 40,000 runs ("is ErrNotSent: false, want
+// true: receive response: EOF").
 func refusingAddr(t *testing.T) string {
 	t.Helper()
 	socket, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
--- a/internal/reactor/connection.go
+++ b/internal/reactor/connection.go
@@ -12,32 +12,32 @@
 	"tamarindlead/internal/httpwire"
 )
 
-// rejectedRetryAfter is how many seconds clients are asked to wait if there is no connection
-// left for them.
+// rejectedRetryAfter is the Retry-After header, in seconds, of the response to a client whose
+// connection is refused.
 const rejectedRetryAfter = 1
 
-// connState is what the server knows of an open connection. It belongs to the event loop.
+// connState is the server's state of an open connection. It is changed only on the event loop.
 type connState struct {
 	listenAddr       string
-	awaitingResponse bool // a request has been passed to Handle and not been answered
+	awaitingResponse bool // a request has been passed to Handle and has no response yet
 	partialRequest   bool // the buffer holds the beginning of a request
-	evictable        bool // the latest request was one that Options.Evictable selects
+	evictable        bool // the result of Options.Evictable for the latest request
 	closing          bool // no further requests are accepted
 	closed           bool
-	// lastActive is when the connection was opened, a request began or became complete, or
-	// its response was written, whichever was last.
+	// lastActive is the time of the latest of these events: the connection was opened, a request
+	// began, a request became complete, a response was written.
 	lastActive time.Time
 }
 
-// idleEvictable is a connection that may be closed in favour of another one, unless it was
-// used after it became idle.
+// idleEvictable is a connection that may be closed to accept another one, unless it was used
+// after idleSince.
 type idleEvictable struct {
 	conn      gnet.Conn
 	state     *connState
 	idleSince time.Time
 }
 
-// stillIdle reports whether the connection is open and was not used in the meantime.
+// stillIdle reports whether the connection is open and was not used after idleSince.
 func (e idleEvictable) stillIdle() bool {
 	return !e.state.closed && !e.state.awaitingResponse && !e.state.partialRequest &&
 		e.state.lastActive.Equal(e.idleSince)
@@ -74,8 +74,8 @@
 	return gnet.None
 }
 
-// OnTick implements gnet.EventHandler. gnet calls it on a goroutine of its own, so it has the
-// loop check the timeouts.
+// OnTick implements gnet.EventHandler. gnet calls it on a separate goroutine, so it schedules
+// the check of the timeouts on the event loop.
 func (s *server) OnTick() (time.Duration, gnet.Action) {
 	if loop := s.loop.Load(); loop != nil {
 		// Execute fails only if the loop ends or can't be woken; the next tick tries again.
@@ -108,11 +108,11 @@
 	}
 	if state.awaitingResponse {
 		if conn.InboundBuffered() > 2*httpwire.MaxHead+s.opts.MaxBody(state.listenAddr) {
-			return gnet.Close // no client pipelines requests, so this one floods
+			return gnet.Close // clients never pipeline requests, so this one misbehaves
 		}
 		return gnet.None
 	}
-	buf, _ := conn.Peek(allInput) // fails only if a number of bytes is asked for
+	buf, _ := conn.Peek(allInput) // fails only if a specific number of bytes is requested
 	if len(buf) == 0 {
 		return gnet.None
 	}
@@ -143,8 +143,8 @@
 	return gnet.Close
 }
 
-// handle passes a request to Handle and closes the connection if that wrote a response which
-// ends it.
+// handle passes a request to Handle and closes the connection if Handle wrote a response after
+// which it must be closed.
 func (s *server) handle(conn gnet.Conn, state *connState, req httpwire.Request) gnet.Action {
 	state.awaitingResponse, state.partialRequest, state.lastActive = true, false, time.Now()
 	state.evictable = s.opts.Evictable(&req)
@@ -157,9 +157,9 @@
 	return gnet.None
 }
 
-// evictLongestIdle closes the evictable connection that is idle for the longest, and reports
-// whether there was one: workers' many connections must not keep out users, other controllers
-// and health checks.
+// evictLongestIdle closes the evictable connection that has been idle for the longest time, and
+// reports whether there was one. The many connections of workers must not prevent connections of
+// users, other controllers and health checks.
 func (s *server) evictLongestIdle() bool {
 	for len(s.idle) > 0 {
 		candidate := s.idle[0]
@@ -192,7 +192,7 @@
 
 // closeConn closes a connection after the current event.
 func closeConn(conn gnet.Conn) {
-	// Close fails only if the loop can't be woken: its descriptor for that is broken, and no
-	// other call could close the connection either.
+	// Close fails only if the loop can't be woken because its descriptor for wake-ups is broken;
+	// then no other call could close the connection either.
 	_ = conn.Close()
 }
--- a/internal/reactor/exchange.go
+++ b/internal/reactor/exchange.go
@@ -18,13 +18,13 @@
 	server     *server
 }
 
-// Loop is passed to code that runs on the event loop, where responses are written at once.
-// From other goroutines the loop must be woken for each.
+// Loop is passed to code that runs on the event loop, where responses are written directly.
+// Other goroutines must wake the loop for each response.
 type Loop struct{}
 
 // Reply writes the response and must be called exactly once. On the event loop it takes the
-// Loop that Handle received; from any other goroutine loop must be nil. Whether the
-// connection is closed afterwards is up to the server: it overwrites resp.Close.
+// Loop that Handle received; on any other goroutine loop must be nil. The server decides whether
+// the connection is closed afterwards, and overwrites resp.Close.
 func (e *Exchange) Reply(loop *Loop, resp httpwire.OutgoingResponse) {
 	if e.shouldClose(resp.Status) {
 		e.Request.Close = true
@@ -32,8 +32,8 @@
 	resp.Close = e.Request.Close
 	data := httpwire.AppendResponse(nil, resp)
 	if loop == nil {
-		// AsyncWrite fails only if the loop can't be woken; the connection then ends by the
-		// idle timeout.
+		// AsyncWrite fails only if the loop can't be woken; the connection is then closed by
+		// the idle timeout.
 		_ = e.conn.AsyncWrite(data, func(_ gnet.Conn, err error) error {
 			e.finish(err)
 			return nil
@@ -47,16 +47,18 @@
 	e.finish(err)
 }
 
-// shouldClose reports whether an evictable connection is to be closed with the response to
-// make room: a client that is not served goes elsewhere, and beyond MaxKeepAliveConns none is
-// kept alive.
+// shouldClose reports whether the connection must be closed after the response because it is
+// evictable. A client whose request was not served connects to another server, so its
+// connection is closed, and no evictable connection is kept alive while more than
+// MaxKeepAliveConns are open.
 func (e *Exchange) shouldClose(status int) bool {
 	return e.state.evictable &&
 		(status != http.StatusOK || e.server.openConns.Load() > int64(e.server.opts.MaxKeepAliveConns))
 }
 
-// finish makes the connection ready for its next request after the response was written, or
-// could not be written because of err. It runs on the event loop.
+// finish prepares the connection for its next request after the response was written, or closes
+// it if it must not be reused. err is the error of writing the response. finish runs on the event
+// loop.
 func (e *Exchange) finish(err error) {
 	e.state.awaitingResponse, e.state.lastActive = false, time.Now()
 	switch {
--- a/internal/reactor/idle_pool.go
+++ b/internal/reactor/idle_pool.go
@@ -7,11 +7,11 @@
 	"time"
 )
 
-// idleConnTimeout is how long an idle connection may be reused: servers close those that are
-// idle for longer.
+// idleConnTimeout is the time for which an idle connection may be reused: servers close
+// connections that are idle for longer.
 const idleConnTimeout = 20 * time.Second
 
-// idlePool holds the idle connections of a client by address. It bounds them for each
+// idlePool holds the idle connections of a client by address. It limits their number for each
 // address and in total, since hundreds of machines must not use up the node's sockets.
 type idlePool struct {
 	maxPerAddr int
@@ -20,12 +20,12 @@
 	mu     sync.Mutex
 	byAddr map[string][]idleConn // the most recently used last
 	total  int
-	// order has the address of every connection put, the longest idle first. Entries of
-	// connections that were taken since stay until the next compaction.
+	// order has the address of every connection that was put, the longest idle first. Entries of
+	// connections that have been taken remain until the next compaction.
 	order []string
 }
 
-// idleConn is an idle connection and when it became idle.
+// idleConn is an idle connection and the time at which it became idle.
 type idleConn struct {
 	conn  net.Conn
 	since time.Time
@@ -54,8 +54,8 @@
 	return nil, false
 }
 
-// put adds a connection that has become idle, or closes it if there are enough to its
-// address.
+// put adds a connection that has become idle, or closes it if there are already maxPerAddr
+// connections to its address.
 func (p *idlePool) put(addr string, conn net.Conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -72,8 +72,8 @@
 	}
 }
 
-// evictLongestIdle closes the connections that are idle for the longest until there is room
-// for another one. The caller holds the lock.
+// evictLongestIdle closes the connections that have been idle for the longest time until another
+// one can be added. The caller holds the lock.
 func (p *idlePool) evictLongestIdle() {
 	for len(p.order) > 0 && p.total >= p.maxTotal {
 		addr := p.order[0]
@@ -86,15 +86,15 @@
 	}
 }
 
-// closeExpired closes the connections that are idle for too long.
+// closeExpired closes the connections that have been idle for idleConnTimeout.
 func (p *idlePool) closeExpired() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.compact()
 }
 
-// compact closes expired connections and rebuilds the order from those that are left. The
-// caller holds the lock.
+// compact closes expired connections and rebuilds the order from the remaining ones. The caller
+// holds the lock.
 func (p *idlePool) compact() {
 	type entry struct {
 		addr  string
@@ -120,8 +120,8 @@
 	p.total = len(entries)
 }
 
-// discardExpired closes the expired connections and returns the others in a new slice: the
-// old one may have grown large.
+// discardExpired closes the expired connections and returns the others in a new slice, since the
+// old one may have a large capacity.
 func discardExpired(conns []idleConn) []idleConn {
 	var unexpired []idleConn
 	for _, c := range conns {
--- a/internal/reactor/reactor.go
+++ b/internal/reactor/reactor.go
@@ -1,10 +1,10 @@
-// Package reactor owns the program's connections: a server for inbound requests on one
-// event loop, and a client for outbound calls that keeps connections alive. It owns their
-// limits, timeouts and reuse; it knows neither what the messages mean nor who sends them,
-// and leaves their syntax to package httpwire.
+// Package reactor manages the program's connections: a server for inbound requests on one
+// event loop, and a client for outbound calls that keeps connections alive. It implements their
+// limits, timeouts and reuse. It does not interpret the messages or depend on who sends them;
+// package httpwire parses and writes them.
 //
 // The event loop is gnet's: one goroutine serves all inbound connections, since a goroutine
-// with its buffers for each would take too much of a node's memory. The similar library evio
-// ends its whole loop on any failed accept (a connection reset before it was accepted, no
+// with buffers for each connection would need too much of a node's memory. The similar library
+// evio ends its whole loop on any failed accept (a connection reset before it was accepted, no
 // free descriptor); gnet retries the former, and Options.MaxConns prevents the latter.
 package reactor
--- a/internal/reactor/server.go
+++ b/internal/reactor/server.go
@@ -22,19 +22,19 @@
 	connBufferCap = 16 << 10
 )
 
-// Options of a server.
+// Options are the options of a server.
 type Options struct {
 	// Addrs are the addresses to listen on.
 	Addrs []string
-	// MaxConns is the largest number of open connections.
+	// MaxConns is the maximum number of open connections.
 	MaxConns int
-	// MaxKeepAliveConns is how many connections may be open before evictable ones are closed
-	// with their response, so that there is always room for others.
+	// MaxKeepAliveConns is the number of open connections above which evictable ones are closed
+	// after their response, so that others can always connect.
 	MaxKeepAliveConns int
-	// Evictable reports, by a connection's latest request, whether the connection may be
-	// closed in favour of others.
+	// Evictable reports for a connection's latest request whether the connection may be closed
+	// to accept others.
 	Evictable func(*httpwire.Request) bool
-	// MaxBody returns the largest body of a request to a listen address.
+	// MaxBody returns the maximum size of the body of a request to a listen address, in bytes.
 	MaxBody func(listenAddr string) int
 	// IdleTimeout is the time without a request after which a connection is closed.
 	IdleTimeout micros.Micros
@@ -49,8 +49,8 @@
 	Log *slog.Logger
 }
 
-// Serve runs a server until ctx ends, and returns nil then. A failed event loop is started
-// again: one bad descriptor must not end a controller.
+// Serve runs a server until ctx is cancelled, and then returns nil. It restarts a failed event
+// loop, since one bad descriptor must not stop a controller.
 func Serve(ctx context.Context, opts Options) error {
 	for {
 		err := serveOnce(ctx, opts)
@@ -66,7 +66,7 @@
 	}
 }
 
-// serveOnce runs one event loop until it fails or ctx ends.
+// serveOnce runs one event loop until it fails or ctx is cancelled.
 func serveOnce(ctx context.Context, opts Options) error {
 	s := &server{opts: opts, conns: map[gnet.Conn]*connState{}}
 	unregister := context.AfterFunc(ctx, s.stop)
@@ -86,31 +86,32 @@
 		gnet.WithLogLevel(logging.ErrorLevel))
 }
 
-// server handles the events of gnet's loop. Its fields belong to the loop's goroutine, but
-// for those that are atomic.
+// server handles the events of gnet's loop. Its fields are used only on the loop's goroutine,
+// except for opts, which is constant, and the atomic fields.
 type server struct {
 	gnet.BuiltinEventEngine
 	opts  Options
 	conns map[gnet.Conn]*connState
 	// openConns is the size of conns, for other goroutines.
 	openConns atomic.Int64
-	// idle has the evictable connections that became idle, the longest idle first. Those that
-	// were used since, or closed, stay until they are reached or compacted.
+	// idle has the evictable connections that became idle, the longest idle first. Entries of
+	// connections that have been used or closed since then are removed when they reach the front,
+	// or when trackIdle compacts the list.
 	idle []idleEvictable
 	// current is the connection whose request is being handled.
 	current gnet.Conn
-	// engine is set by OnBoot or by stop, whichever is first: another goroutine may stop the
-	// server before the loop has started.
+	// engine is set by OnBoot, or by stop if it is called before OnBoot: another goroutine may
+	// stop the server before the loop has started.
 	engine atomic.Pointer[gnet.Engine]
-	// loop is set with the first connection and read by gnet's goroutine for ticks.
+	// loop is set when the first connection is opened, and read by gnet's goroutine for ticks.
 	loop atomic.Pointer[gnet.EventLoop]
 }
 
-// stop ends the event loop, or keeps it from being started.
+// stop stops the event loop, or prevents its start.
 func (s *server) stop() {
 	engine := s.engine.Swap(&gnet.Engine{})
 	if engine == nil {
-		return // OnBoot sees the empty engine
+		return // OnBoot finds the empty engine and shuts down
 	}
 	// Without a deadline Stop fails only if the loop has stopped by itself.
 	_ = engine.Stop(context.Background())
--- a/internal/reactor/server_test.go
+++ b/internal/reactor/server_test.go
@@ -31,8 +31,8 @@
 	return addr
 }
 
-// startServer serves on a loopback address until the test ends. Unless opts says otherwise,
-// every request is answered at once, and no limit or timeout is reached.
+// startServer serves on a loopback address until the test ends. For options that are not set,
+// every request gets a response immediately, and limits and timeouts are too large to be reached.
 func startServer(t *testing.T, opts Options) string {
 	t.Helper()
 	addr := freeAddr(t)
@@ -68,7 +68,7 @@
 
 var okResponse = httpwire.OutgoingResponse{Status: http.StatusOK, ContentType: "text/plain", Body: []byte("ok")}
 
-// dial connects to an address, once something listens there.
+// dial connects to an address as soon as a server listens on it.
 func dial(t *testing.T, addr string) net.Conn {
 	t.Helper()
 	for end := time.Now().Add(5 * time.Second); ; time.Sleep(5 * time.Millisecond) {
@@ -109,9 +109,9 @@
 	}
 }
 
-// TestConnectionLimits guards against workers that occupy all connections: beyond
-// MaxKeepAliveConns theirs are closed with the response, and beyond MaxConns an idle one of
-// theirs is closed for a user.
+// TestConnectionLimits guards against workers that occupy all connections. If more than
+// MaxKeepAliveConns connections are open, those of workers are closed after their response. If
+// MaxConns are open, an idle connection of a worker is closed to accept one of a user.
 func TestConnectionLimits(t *testing.T) {
 	const maxKeepAlive, maxConns = 5, 8
 	addr := startServer(t, Options{
@@ -123,26 +123,26 @@
 			t.Fatalf("heartbeat %d: status %d, kept alive %t", i, status, keptAlive)
 		}
 	}
-	for range 3 * maxConns { // each is closed with its response, so there is room for the next
+	for range 3 * maxConns { // each is closed after its response, so that the next is accepted
 		conn := dial(t, addr)
 		if status, keptAlive := get(t, conn, "/report"); status != 200 || keptAlive {
 			t.Fatalf("heartbeat beyond the limit: status %d, kept alive %t", status, keptAlive)
 		}
 		wantClosed(t, conn)
 	}
-	// Users take the place of idle workers, up to the last one; then there is no room.
+	// Connections of users replace all idle ones of workers; after that a user is refused.
 	for i := range maxConns {
 		if status, keptAlive := get(t, dial(t, addr), "/jobs"); status != 200 || !keptAlive {
 			t.Fatalf("user %d: status %d, kept alive %t", i, status, keptAlive)
 		}
 	}
 	if status, _ := get(t, dial(t, addr), "/jobs"); status != 503 {
-		t.Fatalf("beyond all connections: status %d", status)
+		t.Fatalf("status %d with the maximum number of connections, want 503", status)
 	}
 }
 
-// TestReplyFromOtherGoroutine checks that a response may be written after Handle has returned
-// and that the connection then serves the next request, also one that has arrived before.
+// TestReplyFromOtherGoroutine checks that a response may be written after Handle has returned,
+// and that the connection then serves the next request, even if it arrived before the response.
 func TestReplyFromOtherGoroutine(t *testing.T) {
 	addr := startServer(t, Options{
 		Handle: func(e *Exchange, _ *Loop) { go e.Reply(nil, okResponse) },
@@ -162,8 +162,9 @@
 	}
 }
 
-// TestTimeouts checks that connections are closed when they are idle, or a request stays
-// incomplete, for too long. It takes as long as the interval of the checks.
+// TestTimeouts checks that connections are closed when they are idle for too long, or when a
+// request stays incomplete for too long. It takes at least tickInterval, the interval at which
+// the timeouts are checked.
 func TestTimeouts(t *testing.T) {
 	const short = 50 * micros.Millisecond
 	tests := []struct {
@@ -184,7 +185,7 @@
 			if _, err := io.WriteString(conn, tt.input); err != nil {
 				t.Fatal(err)
 			}
-			if !tt.wantClosed { // otherwise dial's deadline is late enough for a busy machine
+			if !tt.wantClosed { // otherwise the deadline set by dial leaves enough time on a busy machine
 				if err := conn.SetDeadline(time.Now().Add(2 * tickInterval)); err != nil {
 					t.Fatal(err)
 				}
@@ -197,8 +198,8 @@
 	}
 }
 
-// TestStopBeforeStart checks that a server whose context ends before the loop has started does
-// not start.
+// TestStopBeforeStart checks that a server does not start if its context is cancelled before the
+// loop has started.
 func TestStopBeforeStart(t *testing.T) {
 	s := &server{}
 	s.stop()
@@ -207,7 +208,7 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
-	for range 100 { // whether the loop or the end of the context comes first varies
+	for range 100 { // the order of the loop's start and the stop of the server varies
 		served := make(chan error, 1)
 		go func() {
 			served <- Serve(ctx, Options{Addrs: []string{"127.0.0.1:0"}, Log: slog.New(slog.DiscardHandler)})
--- a/internal/record/block.go
+++ b/internal/record/block.go
@@ -7,8 +7,9 @@
 	"tamarindlead/internal/wire"
 )
 
-// Block holds the entries of several machines of one owner. They share a record since writes
-// are scarce. Each machine has a fencing token of its own, which only grows.
+// Block holds the entries of several machines of one owner. They share a record because the
+// key-value store limits the rate of writes. Each machine has its own fencing token, which never
+// decreases.
 type Block struct {
 	Owner OwnerID `cbor:"o"`
 	Data  string  `cbor:"d"` // BlockData in CBOR, compressed, in base64, since values must be text
@@ -25,7 +26,7 @@
 	Machines       []BlockMachine
 }
 
-// BlockMachineType is a machine type, in a zone, on demand or spot.
+// BlockMachineType is a machine type in a zone, either on-demand or spot.
 type BlockMachineType struct {
 	_    struct{} `cbor:",toarray"`
 	Type string
@@ -34,7 +35,7 @@
 }
 
 // BlockJob holds the resources that a task of a job needs. Tasks of a job that has ended count
-// against its team's quota until they have left their machines.
+// against its team's quota until they are removed from their machines.
 type BlockJob struct {
 	_             struct{} `cbor:",toarray"`
 	ID, Team      string
@@ -42,8 +43,8 @@
 	CPU, GPU, Mem int64 // of one task
 }
 
-// BlockMachine is the entry of a machine. A machine that moves between blocks has an entry in
-// both for a while, of which the newer one is valid.
+// BlockMachine is the entry of a machine. While a machine moves between blocks, both blocks have
+// an entry for it, and the newer entry is valid.
 type BlockMachine struct {
 	_               struct{} `cbor:",toarray"`
 	Name            string
@@ -51,7 +52,7 @@
 	Endpoint        string
 	MachineType     int      // index in BlockData.MachineTypes
 	LaunchedAt      int64    // wall clock time in microseconds, relative to BlockData.LaunchTimeBase
-	Decommissioning bool     // termination is decided
+	Decommissioning bool     // the machine is to be terminated
 	Tasks           []uint64 // as written by BlockData.Pack
 }
 
--- a/internal/record/block_property_test.go
+++ b/internal/record/block_property_test.go
@@ -11,8 +11,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestMain fixes the seed of the drawn cases, so that the result is reproducible. A flag on the
-// command line overrides it.
+// TestMain sets a fixed seed for the random test cases, so that the result is reproducible. The
+// flag -rapid.seed on the command line overrides it.
 func TestMain(m *testing.M) {
 	if err := flag.Set("rapid.seed", "1"); err != nil {
 		panic(err)
@@ -20,7 +20,7 @@
 	os.Exit(m.Run())
 }
 
-// drawTasks draws attempts, sorted as BlockData.Pack requires.
+// drawTasks returns random attempts, sorted as BlockData.Pack requires.
 func drawTasks(t *rapid.T, jobs int, base uint64) []BlockTask {
 	tasks := rapid.SliceOfDistinct(rapid.Custom(func(t *rapid.T) BlockTask {
 		return BlockTask{
@@ -71,7 +71,7 @@
 	})
 }
 
-// TestCorruptBlock checks that a randomly damaged block is either decoded or rejected with
+// TestCorruptBlock checks that a randomly corrupted block is either decoded or rejected with
 // ErrCorrupt.
 func TestCorruptBlock(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
--- a/internal/record/block_tasks.go
+++ b/internal/record/block_tasks.go
@@ -14,9 +14,9 @@
 
 // Pack appends attempts, sorted by job, attempt number and index, to a machine's entry.
 //
-// Attempts of one job with one number form a group: a header of job, number and length, and
-// then the differences between successive indexes, which are small since tasks that were placed
-// together have close indexes.
+// Attempts with the same job and attempt number form a group. It is encoded as a header (job,
+// attempt number, number of tasks), followed by the differences between successive task indexes.
+// The differences are small, since tasks that were placed together have close indexes.
 func (d *BlockData) Pack(m *BlockMachine, tasks []BlockTask) {
 	for len(tasks) > 0 {
 		first := tasks[0]
--- a/internal/record/block_test.go
+++ b/internal/record/block_test.go
@@ -8,7 +8,7 @@
 	"tamarindlead/internal/wire"
 )
 
-// TestDecodeCorrupt checks that damage at each layer of the encoding is rejected.
+// TestDecodeCorrupt checks that corruption at each layer of the encoding is rejected.
 func TestDecodeCorrupt(t *testing.T) {
 	encode := func(data []byte) string { return base64.RawStdEncoding.EncodeToString(Compress(data)) }
 	types := []BlockMachineType{{Type: "mid"}}
--- a/internal/record/completions.go
+++ b/internal/record/completions.go
@@ -12,7 +12,7 @@
 var ErrChunkRange = errors.New("chunk is out of range")
 
 // CompletionSegment records completed tasks of a team's active jobs. It holds chunks of several
-// jobs, since writes are scarce.
+// jobs, because the key-value store limits the rate of writes.
 type CompletionSegment struct {
 	Chunks map[string]string `cbor:"d"` // ChunkName -> Bitmap.Chunk
 }
@@ -47,7 +47,7 @@
 // NewBitmap returns an empty set for a job with the given number of tasks.
 func NewBitmap(tasks int) Bitmap { return make(Bitmap, (tasks+7)/8) }
 
-// Has reports whether the set contains an index. No set contains an index out of range.
+// Has reports whether the set contains an index. It returns false for an index out of range.
 func (b Bitmap) Has(index int) bool { return index/8 < len(b) && b[index/8]&(1<<(index%8)) != 0 }
 
 // Set adds an index, which must be in range.
@@ -59,8 +59,8 @@
 	return base64.StdEncoding.EncodeToString(b[low:high])
 }
 
-// MergeChunk adds the indexes of an encoded chunk. It removes none: a chunk may be in two
-// records, each of which lacks some completions.
+// MergeChunk adds the indexes of an encoded chunk. It removes none, because two records may hold
+// the same chunk, and each of them may lack some completions.
 func (b Bitmap) MergeChunk(chunk int, encoded string) error {
 	bits, err := base64.StdEncoding.DecodeString(encoded)
 	if err != nil {
--- a/internal/record/completions_test.go
+++ b/internal/record/completions_test.go
@@ -8,7 +8,8 @@
 	"tamarindlead/internal/wire"
 )
 
-// TestChunks checks that the chunks of a set, the last of which is shorter, hold all of it.
+// TestChunks checks that the chunks of a set hold all its indexes, also those of the last chunk,
+// which is shorter than the others.
 func TestChunks(t *testing.T) {
 	const tasks = 2*TasksPerChunk + 100
 	want := []int{0, 7, 8, TasksPerChunk - 1, TasksPerChunk, 2 * TasksPerChunk, tasks - 1}
@@ -40,7 +41,7 @@
 	if err := a.MergeChunk(0, b.Chunk(0)); err != nil || !a.Has(3) || !a.Has(17) {
 		t.Fatalf("merged to %v: %v", a, err)
 	}
-	if err := a.MergeChunk(0, NewBitmap(8000).Chunk(0)); err != nil || !a.Has(3) { // of a larger job
+	if err := a.MergeChunk(0, NewBitmap(8000).Chunk(0)); err != nil || !a.Has(3) { // from a larger job
 		t.Fatalf("merged to %v: %v", a, err)
 	}
 	if err := a.MergeChunk(0, "*"); !errors.Is(err, ErrCorrupt) {
--- a/internal/record/compress.go
+++ b/internal/record/compress.go
@@ -7,7 +7,7 @@
 	"sync"
 )
 
-// compressors holds idle writers, since a writer is expensive to allocate.
+// compressors holds writers for reuse, since a writer is expensive to allocate.
 var compressors = sync.Pool{New: func() any {
 	w, err := flate.NewWriter(nil, flate.BestSpeed)
 	if err != nil {
@@ -16,7 +16,7 @@
 	return w
 }}
 
-// maxDecompressedBytes bounds the size of decompressed data, so that a damaged value cannot
+// maxDecompressedBytes bounds the size of decompressed data, so that a corrupt value cannot
 // exhaust the memory.
 const maxDecompressedBytes = 4 << 20
 
@@ -26,7 +26,7 @@
 	w := compressors.Get().(*flate.Writer)
 	defer compressors.Put(w)
 	w.Reset(&out)
-	// A flate.Writer returns only the errors of the writer below it, and a buffer has none.
+	// A flate.Writer returns only errors of its underlying writer, and a bytes.Buffer returns none.
 	_, _ = w.Write(data)
 	_ = w.Close()
 	return out.Bytes()
--- a/internal/record/compress_test.go
+++ b/internal/record/compress_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// TestCompress checks that data survives compression, and that a small value cannot exhaust the
-// memory.
+// TestCompress checks that data survives compression, and that the size of decompressed data is
+// limited, so that a small value cannot exhaust the memory.
 func TestCompress(t *testing.T) {
 	for _, data := range [][]byte{nil, {1}, make([]byte, 100_000)} {
 		got, err := Decompress(Compress(data))
--- a/internal/record/job.go
+++ b/internal/record/job.go
@@ -11,13 +11,15 @@
 // ErrNoDescription reports a Job without a description.
 var ErrNoDescription = errors.New("job record has no description")
 
-// Job is an accepted job. The description of a job with dependencies has a tag of its own, so
+// Job is an accepted job. The description of a job with dependencies has a different cbor tag, so
 // that a version of the program that doesn't support dependencies cannot place the job.
 type Job struct {
-	Ready           *wire.Submission `cbor:"j,omitempty"`
-	AcceptedAt      micros.Micros    `cbor:"at"` // wall clock time
-	Blocked         *wire.Submission `cbor:"w,omitempty"`
-	DependencyParts int              `cbor:"p,omitempty"` // number of DependencyParts that hold the dependencies; 0: Blocked holds them
+	Ready      *wire.Submission `cbor:"j,omitempty"`
+	AcceptedAt micros.Micros    `cbor:"at"` // wall clock time
+	Blocked    *wire.Submission `cbor:"w,omitempty"`
+	// DependencyParts is the number of DependencyPart records that hold the dependencies. It is 0
+	// if Blocked holds them.
+	DependencyParts int `cbor:"p,omitempty"`
 }
 
 // DependencyPart holds a part of a dependency list that is too long for the value of its Job.
@@ -31,8 +33,8 @@
 	return Job{Ready: &description, AcceptedAt: acceptedAt}
 }
 
-// Description returns the job as its user described it, without the dependencies that
-// DependencyParts hold.
+// Description returns the job as its user described it, without the dependencies that are held by
+// DependencyPart records.
 func (j *Job) Description() (*sched.Job, error) {
 	switch {
 	case j.Blocked != nil:
--- a/internal/record/job_writes.go
+++ b/internal/record/job_writes.go
@@ -31,8 +31,8 @@
 	return writes, partsSize + kv.EncodedSizeBound(rec)
 }
 
-// partWrites returns the writes of the fewest parts that hold the ids, and an upper bound of
-// their size.
+// partWrites returns the writes of as few parts as possible that together hold the ids, and an
+// upper bound of the size of these writes.
 func partWrites(job string, ids []string, valueBytes int) (writes []kv.Write, size int) {
 	for len(ids) > 0 {
 		n, partSize := partLength(ids, valueBytes)
--- a/internal/record/job_writes_test.go
+++ b/internal/record/job_writes_test.go
@@ -11,9 +11,10 @@
 	"tamarindlead/internal/wire"
 )
 
-// TestJobReadableByProductionVersion pins the form that the version in production reads: the
-// record of a job without dependencies has exactly its fields, and the record of a job with
-// dependencies has no description where that version expects one.
+// TestJobReadableByProductionVersion checks that the version in production reads job records
+// correctly: the record of a job without dependencies has exactly the fields that this version
+// expects, and the record of a job with dependencies lacks the field in which it expects the
+// description, so that it cannot place the job.
 func TestJobReadableByProductionVersion(t *testing.T) {
 	type productionJob struct {
 		Job      wire.Submission `cbor:"j"`
--- a/internal/record/keys.go
+++ b/internal/record/keys.go
@@ -5,7 +5,8 @@
 	"strconv"
 )
 
-// Prefixes of keys, one for each type of record. docs/design.md lists who writes which.
+// Prefixes of keys, one for each type of record. docs/design.md lists the writers of
+// each.
 const (
 	ClusterPrefix           = "c/" // watched by every node: the leader, members and teams
 	MemberPrefix            = ClusterPrefix + "n/"
--- a/internal/record/keys_test.go
+++ b/internal/record/keys_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// TestKeys pins the keys, since other versions of the program read them.
+// TestKeys checks that keys do not change, since other versions of the program read them.
 func TestKeys(t *testing.T) {
 	for got, want := range map[string]string{
 		LeaderKey:                             "c/leader",
--- a/internal/record/terminal_state.go
+++ b/internal/record/terminal_state.go
@@ -21,8 +21,8 @@
 	CancelledDependency string        `cbor:"b,omitempty"`  // the dependency whose cancellation cancelled this job
 }
 
-// CancelledRoot returns the job whose cancellation by its user led to this state: a dependency
-// of the cancelled job with the given id, or that job itself.
+// CancelledRoot returns the job that a user cancelled and whose cancellation led to this state.
+// It is either a dependency of the job with the given id, which has this state, or that job itself.
 func (s *TerminalState) CancelledRoot(id string) string {
 	if s.CancelledDependency != "" {
 		return s.CancelledDependency
--- a/internal/wire/checker.go
+++ b/internal/wire/checker.go
@@ -2,7 +2,7 @@
 
 import "math"
 
-// The problems of fields. They are sent to users and workers, and must not change.
+// Problems of a FieldError. They are sent to users and workers, and must not change.
 const (
 	problemMissing          = "missing"
 	problemMissingOrInvalid = "missing or invalid"
--- a/internal/wire/codec.go
+++ b/internal/wire/codec.go
@@ -33,7 +33,7 @@
 // majorTypeMap is the major type of maps in CBOR, in the upper three bits of the first byte.
 const majorTypeMap = 5
 
-// decodeMap decodes a CBOR map into v. Decode alone also accepts null and arrays for a struct.
+// decodeMap decodes a CBOR map into v. Decode would also accept null and arrays for a struct.
 func decodeMap(data []byte, v any) error {
 	if len(data) == 0 || data[0]>>5 != majorTypeMap {
 		return ErrNotMap
@@ -41,8 +41,8 @@
 	return Decode(data, v)
 }
 
-// Encode returns the CBOR form of a value. It panics if there is none, which is a fault of the
-// value's type.
+// Encode returns the CBOR form of a value. It panics if the value cannot be encoded, which means
+// that its type is not suitable for CBOR.
 func Encode(v any) []byte {
 	data, err := cbor.Marshal(v)
 	if err != nil {
@@ -63,7 +63,7 @@
 // Error returns the field and the problem.
 func (e *FieldError) Error() string { return e.Field + ": " + e.Problem }
 
-// RefusalReason is the text by which a user or worker learns why a request is refused.
+// RefusalReason is the text that tells a user or worker why a request is refused.
 type RefusalReason string
 
 // ErrorResponse is the response to a refused request.
--- a/internal/wire/doc.go
+++ b/internal/wire/doc.go
@@ -1,12 +1,12 @@
 // Package wire defines the CBOR messages that controllers exchange with users, workers and the
-// cloud, and validates those that come from users and workers. It owns the encoding and the
-// bounds of messages; it knows neither who sends a message nor what follows from one.
+// cloud, and validates those that come from users and workers. It defines the encoding and the
+// bounds of messages; it does not depend on who sends a message or how it is handled.
 //
-// The package is the edge at which the protocol's words end: they occur here, in tags, constants
-// and error texts, and in the requests and messages of package kv. Everywhere else the code uses
-// the terms of the field. The fields whose names differ from the words are:
+// Some names in the protocol differ from the standard terms that the Go code uses. The names of
+// the protocol occur only here, in tags, constants and error texts, and in the requests and
+// messages of package kv. The fields whose Go names differ from their names in the protocol are:
 //
-//	word            Go term
+//	protocol name   Go name
 //
 //	apart           Spread
 //	awaits          Dependencies
@@ -47,7 +47,7 @@
 //	urgency         Priority
 //	windDownS       GraceS
 //
-// Those of the key-value store, in package kv:
+// The corresponding fields of the key-value store's protocol, in package kv, are:
 //
 //	data            Value
 //	failed          FailedPreconditions
@@ -58,6 +58,6 @@
 //	tenancy         Lease
 //	ttlMs           TTLMillis
 //
-// Words that are values or paths have constants next to the type that they belong to, such as
-// JobCancelled for "withdrawn" and PathHeartbeat for "/hello".
+// Values and paths of the protocol have constants, such as JobCancelled for "withdrawn" and
+// PathHeartbeat for "/hello". The constants of values are next to their type.
 package wire
--- a/internal/wire/doc_test.go
+++ b/internal/wire/doc_test.go
@@ -12,8 +12,8 @@
 	"tamarindlead/internal/wire"
 )
 
-// messages are the types whose fields have words of the protocol. The bodies of kv.Transaction
-// and kv.GrantLease are not exported; their words are in unexportedWireNames.
+// messages are the types whose fields have tags with names of the protocol. The bodies of
+// kv.Transaction and kv.GrantLease are not exported; unexportedWireNames has their names.
 var messages = []any{
 	wire.Submission{},
 	wire.JobStatus{},
@@ -65,13 +65,13 @@
 	}
 	for name := range table {
 		if _, ok := want[name]; !ok {
-			t.Errorf("%s is listed, and is the tag of no field", name)
+			t.Errorf("%s is listed, but is the tag of no field", name)
 		}
 	}
 }
 
-// wireNames returns the Go terms, sorted, of each word that differs from them in more than
-// case.
+// wireNames returns, for each name in the protocol, the sorted Go names of the fields that have
+// it. Fields whose Go name differs only in case are left out.
 func wireNames() map[string][]string {
 	names := map[string][]string{}
 	for name, terms := range unexportedWireNames {
--- a/internal/wire/from_job.go
+++ b/internal/wire/from_job.go
@@ -31,7 +31,7 @@
 	return s
 }
 
-// setOptional sets the fields that a submission may lack.
+// setOptional sets the optional fields of a submission.
 func (s *Submission) setOptional(job *sched.Job) {
 	if job.Types != nil {
 		s.MachineTypes = &job.Types
@@ -48,7 +48,7 @@
 	}
 }
 
-// shapeName returns the word for a job's shape.
+// shapeName returns the protocol's name for a job's shape.
 func shapeName(job *sched.Job) string {
 	switch {
 	case job.Gang:
@@ -59,7 +59,7 @@
 	return shapeArray
 }
 
-// priorityName returns the word for a priority, or "" if it has none.
+// priorityName returns the protocol's name for a priority, or "" if the priority has none.
 func priorityName(priority sched.Priority) string {
 	for name, p := range priorities {
 		if p == priority {
--- a/internal/wire/http.go
+++ b/internal/wire/http.go
@@ -1,6 +1,6 @@
 package wire
 
-// Paths of the interfaces.
+// Paths of the HTTP interfaces of controllers, workers and the cloud.
 const (
 	PathJobs         = "/api/jobs" // on a controller: submissions, and below it jobs by id
 	PathCancelSuffix = "/cancel"   // after a job's path
--- a/internal/wire/submission.go
+++ b/internal/wire/submission.go
@@ -8,7 +8,7 @@
 	"tamarindlead/sched"
 )
 
-// Bounds on the fields of messages. They only keep absurd numbers out of the arithmetic.
+// Bounds on the fields of messages. They only keep absurdly large values out of calculations.
 const (
 	maxTasks    = 100_000
 	maxAmount   = 1e6
@@ -57,7 +57,7 @@
 	return s.Job()
 }
 
-// priorities maps the words for priorities to them.
+// priorities maps the protocol's names of priorities to priorities.
 var priorities = map[string]sched.Priority{
 	"prod": sched.Production, "high": sched.High, "normal": sched.Normal, "idle": sched.Low,
 }
@@ -97,7 +97,7 @@
 	return job, nil
 }
 
-// The words for shapes of jobs.
+// The protocol's names of job shapes.
 const (
 	shapeArray   = "array"
 	shapeGang    = "group"
--- a/internal/wire/submission_test.go
+++ b/internal/wire/submission_test.go
@@ -9,7 +9,7 @@
 	"tamarindlead/sched"
 )
 
-// validSubmission returns the fields of a valid submission, by their words.
+// validSubmission returns the fields of a valid submission, by their names in the protocol.
 func validSubmission() map[string]any {
 	return map[string]any{
 		"ref": "req-000412", "queue": "train", "desk": "vision", "shape": "group", "urgency": "high",
@@ -98,7 +98,7 @@
 	}
 }
 
-// TestDependencies checks that duplicates are removed, that there are three forms of no
+// TestDependencies checks that duplicates are removed, that an absent, null or empty list means no
 // dependencies, and that only a job with dependencies is encoded with the field.
 func TestDependencies(t *testing.T) {
 	plain, err := DecodeJob(Encode(validSubmission()))
--- a/internal/wire/worker.go
+++ b/internal/wire/worker.go
@@ -25,7 +25,7 @@
 	CauseGangStartTimeout      ExitCause = "alone"
 	CauseError                 ExitCause = "error"
 	CauseInsufficientResources ExitCause = "no_room"
-	CauseBusy                  ExitCause = "in_use"
+	CauseBusy                  ExitCause = "in_use" // another attempt of the task has not exited
 	CauseUnknownTask           ExitCause = "no_such"
 )
 
--- a/micros/micros.go
+++ b/micros/micros.go
@@ -1,7 +1,7 @@
 // Package micros defines Micros, the type of all points in time and durations in this
-// project: whole microseconds. Values are converted where they enter or leave the process
-// only (settings, wire formats, the standard library), so that arithmetic in between is
-// exact and a simulated clock needs nothing but an integer. The package reads no clock.
+// project: whole microseconds. Values are converted only where they enter or leave the
+// process (settings, wire formats) and for the standard library, so that arithmetic is exact
+// and a simulated clock is a plain integer. The package reads no clock.
 package micros
 
 import (
