--- a/cmd/tamarindlead/main_test.go
+++ b/cmd/tamarindlead/main_test.go
@@ -20,12 +20,13 @@
 	"tamarindlead/micros"
 )
 
-// runMainVariable makes the test binary behave as the program.
-const runMainVariable = "TAMARINDLEAD_BE_PROGRAM"
+// runProgramVariable is the environment variable that makes the test binary run the program.
+const runProgramVariable = "TAMARINDLEAD_BE_PROGRAM"
 
-// TestMain lets the test binary be the program itself, so that tests can start it.
+// TestMain runs the program instead of the tests if runProgramVariable is set, so that tests can
+// start the test binary as the program.
 func TestMain(m *testing.M) {
-	if os.Getenv(runMainVariable) != "" {
+	if os.Getenv(runProgramVariable) != "" {
 		main()
 		os.Exit(0)
 	}
@@ -35,7 +36,7 @@
 // newProgram returns a command that runs the program.
 func newProgram(args ...string) *exec.Cmd {
 	cmd := exec.Command(os.Args[0], args...)
-	cmd.Env = append(os.Environ(), runMainVariable+"=1", "LOG_LEVEL=error")
+	cmd.Env = append(os.Environ(), runProgramVariable+"=1", "LOG_LEVEL=error")
 	return cmd
 }
 
@@ -129,7 +130,7 @@
 
 func (s *services) now() micros.Micros { return micros.FromDuration(time.Since(s.start)) }
 
-// serveKV answers a request to the key-value store. A watch waits for a change, for at most
+// serveKV responds to a request to the key-value store. A watch waits for a change, for at most
 // a second.
 func (s *services) serveKV(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
@@ -139,10 +140,10 @@
 	for since := time.Now(); ; time.Sleep(10 * time.Millisecond) {
 		s.mu.Lock()
 		s.kv.Advance(s.now())
-		answer, ok := s.kv.Handle("n0", r.Method, r.URL.RequestURI(), body, time.Since(since) > time.Second)
+		response, ok := s.kv.Handle("n0", r.Method, r.URL.RequestURI(), body, time.Since(since) > time.Second)
 		s.mu.Unlock()
 		if ok {
-			writeAnswer(w, answer.Status, answer.Body)
+			writeResponse(w, response.Status, response.Body)
 			return
 		}
 	}
@@ -155,12 +156,12 @@
 	}
 	s.mu.Lock()
 	s.cloud.Now = s.now()
-	answer := s.cloud.Handle(r.Method, r.URL.RequestURI(), body)
+	response := s.cloud.Handle(r.Method, r.URL.RequestURI(), body)
 	s.mu.Unlock()
-	writeAnswer(w, answer.Status, answer.Body)
+	writeResponse(w, response.Status, response.Body)
 }
 
-func writeAnswer(w http.ResponseWriter, status int, body []byte) {
+func writeResponse(w http.ResponseWriter, status int, body []byte) {
 	w.WriteHeader(status)
 	_, _ = w.Write(body) // fails only if the program has closed the connection
 }
@@ -178,7 +179,7 @@
 	return ok
 }
 
-// runningProgram is the program as its users reach it.
+// runningProgram is a started program, with the address on which it serves users.
 type runningProgram struct{ addr string }
 
 // startProgram starts the program against the services and kills it when the test ends.
@@ -193,7 +194,7 @@
 	}
 	t.Cleanup(func() {
 		if err := cmd.Process.Kill(); err != nil {
-			t.Errorf("the program has ended by itself: %v", err)
+			t.Errorf("the program ended before it was killed: %v", err)
 		}
 		_ = cmd.Wait() // returns that the program was killed
 	})
@@ -212,14 +213,14 @@
 		return 0
 	}
 	defer func() { _ = resp.Body.Close() }()
-	// Only a body that was read leaves the connection to the next call.
+	// The connection is reused for the next call only if the body has been read.
 	if _, err := io.Copy(io.Discard, resp.Body); err != nil {
 		return 0
 	}
 	return resp.StatusCode
 }
 
-// exchange sends bytes on a connection of its own and returns all that is received.
+// exchange sends a request on a new connection and returns all bytes that are received.
 func (p *runningProgram) exchange(t *testing.T, request string) string {
 	t.Helper()
 	conn, err := net.Dial("tcp4", p.addr)
@@ -237,8 +238,8 @@
 	return string(response)
 }
 
-// newJob returns the submission of a job of two tasks.
-func newJob(id string) []byte {
+// newSubmission returns the submission of a job of two tasks.
+func newSubmission(id string) []byte {
 	return wire.Encode(map[string]any{
 		"ref": id, "queue": "q", "desk": "red", "shape": "array", "urgency": "normal", "legs": 2,
 		"cpus": 1.0, "cards": 0.0, "memGb": 1.0, "bundle": "i", "sizeGb": 0.1, "samePlace": false, "apart": false,
@@ -246,8 +247,9 @@
 	})
 }
 
-// TestProgram starts the real program on loopback against fakes: it accepts a job, requests
-// a machine for it, records its cancellation, and keeps answering after bad input.
+// TestProgram starts the real program on loopback with fake services. It checks that the program
+// accepts a job, requests a machine for it, records its cancellation, and keeps responding after
+// invalid requests.
 func TestProgram(t *testing.T) {
 	s := newServices()
 	p := startProgram(t, s)
@@ -258,7 +260,7 @@
 		t.Fatalf("the response to a body over the limit is %q", response)
 	}
 
-	job := newJob("req-000001")
+	job := newSubmission("req-000001")
 	waitFor(t, "the job to be accepted", func() bool { return p.call(t, "POST", "/api/jobs", job) == 201 })
 	tests := []struct {
 		name, method, path string
@@ -274,7 +276,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			// A node may refuse for a moment; clients are expected to retry.
+			// A node may refuse requests for a short time; clients are expected to retry.
 			got := 503
 			waitFor(t, tt.method+" "+tt.path, func() bool {
 				got = p.call(t, tt.method, tt.path, tt.body)
@@ -302,8 +304,8 @@
 	t.Fatalf("timed out waiting for %s", what)
 }
 
-// TestInvalidSettings checks that the program and its check refuse invalid settings with one
-// line that names the setting, and that the check accepts valid ones.
+// TestInvalidSettings checks that the program and its check command reject invalid settings with
+// one line that names the setting, and that the check command accepts valid settings.
 func TestInvalidSettings(t *testing.T) {
 	invalid := writeSettings(t, "nowhere", "127.0.0.1:1", "127.0.0.1:2")
 	valid := writeSettings(t, "127.0.0.1:1", "127.0.0.1:1", "127.0.0.1:2")
--- a/config/properties_test.go
+++ b/config/properties_test.go
@@ -43,8 +43,9 @@
 	}
 }
 
-// TestOperatingListsAll keeps the operators' page complete.
-func TestOperatingListsAll(t *testing.T) {
+// TestPropertiesDocumented checks that the operators' page describes all properties and lists all
+// deprecated keys.
+func TestPropertiesDocumented(t *testing.T) {
 	page, err := os.ReadFile(filepath.Join("..", "docs", "operating.md"))
 	if err != nil {
 		t.Fatal(err)
@@ -61,7 +62,7 @@
 	}
 }
 
-// TestDeprecatedKeys keeps files with old keys of properties valid.
+// TestDeprecatedKeys checks that files with deprecated keys of properties stay valid.
 func TestDeprecatedKeys(t *testing.T) {
 	for deprecated, current := range deprecatedKeys {
 		t.Run(deprecated, func(t *testing.T) {
--- a/internal/frontend/submission_commits.go
+++ b/internal/frontend/submission_commits.go
@@ -104,7 +104,7 @@
 		s.handlePreconditionFailed(batch, result)
 	case kv.Throttled:
 		s.requeue(batch)
-		s.nextCommit = s.node.now() + kv.ThrottledPause
+		s.nextCommit = s.node.now() + kv.ThrottledRetryDelay
 	case kv.Unknown:
 		// The transaction may have been executed. If it was, the preconditions of the repeated
 		// commit fail.
@@ -155,6 +155,6 @@
 // respondAccepted responds to the requests of a submission that was accepted.
 func (s *submissionQueue) respondAccepted(sub *submission, evidence freshness.Evidence) {
 	s.respondOrLookUp(sub, evidence, func(r userRequest) {
-		s.responder.respondSubmission(r, wire.StatusAccepted, sub.job.ID, sub.phase, evidence)
+		s.responder.respondSubmission(r, wire.StatusCreated, sub.job.ID, sub.phase, evidence)
 	})
 }
--- a/internal/frontend/submissions_test.go
+++ b/internal/frontend/submissions_test.go
@@ -38,7 +38,7 @@
 			f.submit(newSmallJob())
 			f.flush()
 			f.respondKV(commitTarget, kv.OK, nil)
-		}, wire.StatusAccepted, ""},
+		}, wire.StatusCreated, ""},
 		{"in doubt, and executed", func(f *fixture) {
 			f.submit(newSmallJob())
 			f.flush()
@@ -64,10 +64,10 @@
 			if len(f.calls) != 0 {
 				f.t.Error("the commit is retried without a pause")
 			}
-			f.time += kv.ThrottledPause
+			f.time += kv.ThrottledRetryDelay
 			f.flush()
 			f.respondKV(commitTarget, kv.OK, nil)
-		}, wire.StatusAccepted, ""},
+		}, wire.StatusCreated, ""},
 		{"refused by the key-value store", func(f *fixture) {
 			f.submit(newSmallJob())
 			f.flush()
@@ -155,14 +155,14 @@
 			f.dependencyCheck(jobview.DependencyResult{Status: jobview.DependenciesOpen})
 			f.flush()
 			f.respondKV(commitTarget, kv.OK, nil)
-		}, wire.StatusAccepted, ""},
+		}, wire.StatusCreated, ""},
 		{"cancelled, acknowledged", func(f *fixture, job *sched.Job) {
 			f.submit(job)
 			f.dependencyCheck(jobview.DependencyResult{Status: jobview.DependenciesCancelled, CancelledRoot: root})
 			f.flush()
 			f.respondKV(commitTarget, kv.OK, nil)
 			f.announcements[0](true)
-		}, wire.StatusAccepted, ""},
+		}, wire.StatusCreated, ""},
 		{"cancelled, not acknowledged", func(f *fixture, job *sched.Job) {
 			f.submit(job)
 			f.dependencyCheck(jobview.DependencyResult{Status: jobview.DependenciesCancelled, CancelledRoot: root})
@@ -208,8 +208,8 @@
 	}
 	f.flush()
 	f.respondKV(commitTarget, kv.OK, nil)
-	if len(f.responses) != 2 || f.responses[0].status != wire.StatusAccepted || f.responses[1].status != wire.StatusAccepted {
-		t.Errorf("responses %+v, want two with status %d", f.responses, wire.StatusAccepted)
+	if len(f.responses) != 2 || f.responses[0].status != wire.StatusCreated || f.responses[1].status != wire.StatusCreated {
+		t.Errorf("responses %+v, want two with status %d", f.responses, wire.StatusCreated)
 	}
 	f.checkIdle()
 }
@@ -266,7 +266,7 @@
 		{"fits a new type", true, 64, func(f *fixture) {
 			f.flush()
 			f.respondKV(commitTarget, kv.OK, nil)
-		}, wire.StatusAccepted, ""},
+		}, wire.StatusCreated, ""},
 		{"cannot be read", false, 28, (*fixture).respondNeverAccepted, wire.StatusUnavailable, reasonTypesUnconfirmed},
 		{"cannot be read, but accepted before", false, 28, func(f *fixture) {
 			f.flush()
@@ -275,7 +275,7 @@
 		{"cannot be read, but a copy contains a new type", false, 64, func(f *fixture) {
 			f.flush()
 			f.respondKV(commitTarget, kv.OK, nil)
-		}, wire.StatusAccepted, ""},
+		}, wire.StatusCreated, ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			f := newFixture(t)
--- a/internal/wire/http.go
+++ b/internal/wire/http.go
@@ -1,6 +1,6 @@
 package wire
 
-// Paths of the interfaces.
+// Paths of the HTTP interfaces of controllers, workers and the cloud.
 const (
 	PathJobs         = "/api/jobs" // on a controller: submissions, and below it jobs by id
 	PathCancelSuffix = "/cancel"   // after a job's path
@@ -19,7 +19,7 @@
 // Statuses that the protocol uses.
 const (
 	StatusOK               Status = 200
-	StatusAccepted         Status = 201 // a new job was accepted
+	StatusCreated          Status = 201 // a new job was accepted
 	StatusBadRequest       Status = 400
 	StatusNotFound         Status = 404
 	StatusMethodNotAllowed Status = 405
--- a/internal/wire/worker.go
+++ b/internal/wire/worker.go
@@ -22,10 +22,10 @@
 	CauseDone                  ExitCause = "done"
 	CauseStopped               ExitCause = "stopped"
 	CauseGangMemberLost        ExitCause = "mates_gone"
-	CauseAlone                 ExitCause = "alone"
+	CauseGangStartTimeout      ExitCause = "alone"
 	CauseError                 ExitCause = "error"
 	CauseInsufficientResources ExitCause = "no_room"
-	CauseBusy                  ExitCause = "in_use"
+	CauseBusy                  ExitCause = "in_use" // another attempt of the task has not exited
 	CauseUnknownTask           ExitCause = "no_such"
 )
 
