--- a/internal/fake/fleet.go
+++ b/internal/fake/fleet.go
@@ -37,10 +37,10 @@
 
 // Boot adds the worker of a machine that has booted. Its first heartbeat goes to the controller
 // with index node.
-func (f *Fleet) Boot(m *CloudMachine, t wire.MachineType, node int, now micros.Micros) *Worker {
+func (f *Fleet) Boot(m *CloudMachine, t wire.MachineType, controller int, now micros.Micros) *Worker {
 	w := &Worker{
 		Machine: m, CPU: t.CPUs, Mem: t.MemGB, AgentEpoch: 1, Tasks: map[string]*Task{},
-		Lease: f.Timeouts.Lease, LastAnsweredHeartbeat: now, Changed: true, Controller: node, NextHeartbeat: now,
+		Lease: f.Timeouts.Lease, LastAnsweredHeartbeat: now, Changed: true, Controller: controller, NextHeartbeat: now,
 		Info: f.Info, OnStart: f.OnStart, OnExit: f.taskExited,
 		GangReady: f.gangReady, GangComplete: f.gangComplete, GangStopRequested: f.gangStopRequested,
 		GangPeerTimeout: f.Timeouts.GangPeerTimeout, GangWaitTimeout: f.Timeouts.GangWaitTimeout,
--- a/internal/fake/kvstore.go
+++ b/internal/fake/kvstore.go
@@ -102,14 +102,14 @@
 
 // Handle executes a request. ok is false for a watch without events: the caller retries it until
 // its wait time is over, then with last set.
-func (s *KVStore) Handle(caller, method, target string, body []byte, last bool) (r Response, ok bool) {
+func (s *KVStore) Handle(caller, method, target string, body []byte, timedOut bool) (r Response, ok bool) {
 	u, err := url.ParseRequestURI(target)
 	if err != nil {
 		return newErrorResponse(wire.StatusBadRequest, "target"), true
 	}
 	watch := u.Path == pathWatch
 	if s.Unavailable || s.RefusedCallers[caller] {
-		if watch && !last {
+		if watch && !timedOut {
 			return Response{}, false
 		}
 		return newErrorResponse(wire.StatusUnavailable, "trouble"), true
@@ -119,7 +119,7 @@
 		return s.throttle(), true
 	}
 	if watch && method == "GET" {
-		return s.watchEvents(u.Query(), last)
+		return s.watchEvents(u.Query(), timedOut)
 	}
 	return s.execute(method, u, body), true
 }
@@ -206,7 +206,7 @@
 	}
 )
 
-func (s *KVStore) watchEvents(query url.Values, last bool) (r Response, ok bool) {
+func (s *KVStore) watchEvents(query url.Values, timedOut bool) (r Response, ok bool) {
 	after, _ := strconv.ParseUint(query.Get("after"), 10, 64) // without a number from the start
 	if s.CompactHistory {
 		s.compactHistory()
@@ -225,7 +225,7 @@
 			found.Events = append(found.Events, putEvent{e.key, e.value, e.revision})
 		}
 	}
-	if len(found.Events) == 0 && !last {
+	if len(found.Events) == 0 && !timedOut {
 		return Response{}, false
 	}
 	return newResponse(wire.StatusOK, found), true
--- a/internal/fake/kvstore_test.go
+++ b/internal/fake/kvstore_test.go
@@ -68,7 +68,7 @@
 	const ttl = 10 * micros.Second
 	for _, test := range []struct {
 		name     string
-		play     func(s *KVStore)
+		steps    func(s *KVStore)
 		wantKeys int
 	}{
 		{"before its end", func(s *KVStore) { s.Advance(ttl) }, 1},
@@ -93,7 +93,7 @@
 			if status := commit(t, s, nil, map[string]any{"put": "a", "data": "1", "tenancy": 1}); status != wire.StatusOK {
 				t.Fatalf("put: status %d", status)
 			}
-			test.play(s)
+			test.steps(s)
 			if got := len(s.Keys("")); got != test.wantKeys {
 				t.Errorf("%d keys, want %d", got, test.wantKeys)
 			}
@@ -106,7 +106,7 @@
 	for _, test := range []struct {
 		name       string
 		after      int
-		last       bool
+		timedOut   bool
 		compact    bool
 		wantOK     bool
 		wantStatus wire.Status
@@ -122,7 +122,7 @@
 				t.Fatalf("put: status %d", status)
 			}
 			s.CompactHistory = test.compact
-			response, ok := s.Handle("caller", "GET", fmt.Sprintf("/changes?prefix=a&after=%d", test.after), nil, test.last)
+			response, ok := s.Handle("caller", "GET", fmt.Sprintf("/changes?prefix=a&after=%d", test.after), nil, test.timedOut)
 			if ok != test.wantOK || response.Status != test.wantStatus {
 				t.Errorf("status %d, %t, want %d, %t", response.Status, ok, test.wantStatus, test.wantOK)
 			}
--- a/internal/fake/worker_heartbeat.go
+++ b/internal/fake/worker_heartbeat.go
@@ -49,7 +49,7 @@
 
 // HandleHeartbeatResponse handles the response to a heartbeat that was sent in epoch; status 0
 // stands for none. nodeOf returns the index of a controller, and nodes is the number of controllers.
-func (w *Worker) HandleHeartbeatResponse(now micros.Micros, status int, body []byte, epoch uint64, nodeOf func(string) (int, bool), nodes int) {
+func (w *Worker) HandleHeartbeatResponse(now micros.Micros, status int, body []byte, epoch uint64, indexOf func(string) (int, bool), controllers int) {
 	w.HeartbeatInFlight = false
 	if !w.Hung {
 		w.resume(now)
@@ -59,12 +59,12 @@
 		w.applyHeartbeatResponse(now, body, epoch)
 		return
 	case wire.StatusMisdirected:
-		if node, ok := redirectTarget(body, nodeOf); ok && node != w.Controller {
-			w.Controller, w.NextHeartbeat = node, now
+		if controller, ok := redirectTarget(body, indexOf); ok && controller != w.Controller {
+			w.Controller, w.NextHeartbeat = controller, now
 			return
 		}
 	}
-	w.Controller, w.NextHeartbeat = (w.Controller+1)%nodes, now+heartbeatRetryInterval
+	w.Controller, w.NextHeartbeat = (w.Controller+1)%controllers, now+heartbeatRetryInterval
 }
 
 // applyHeartbeatResponse renews the lease and executes the commands, unless the response has a
@@ -83,10 +83,10 @@
 }
 
 // redirectTarget returns the controller that a response directs the worker to.
-func redirectTarget(body []byte, nodeOf func(string) (int, bool)) (node int, ok bool) {
+func redirectTarget(body []byte, indexOf func(string) (int, bool)) (controller int, ok bool) {
 	var redirect wire.Redirect
 	if wire.Decode(body, &redirect) != nil {
 		return 0, false
 	}
-	return nodeOf(redirect.HeartbeatNode)
+	return indexOf(redirect.HeartbeatNode)
 }
--- a/internal/soaktest/checker_test.go
+++ b/internal/soaktest/checker_test.go
@@ -39,9 +39,9 @@
 // TestCheckerTasks checks which rules the starts of tasks violate.
 func TestCheckerTasks(t *testing.T) {
 	for _, test := range []struct {
-		name string
-		play func(r *taskTest)
-		want []Rule
+		name  string
+		steps func(r *taskTest)
+		want  []Rule
 	}{
 		{"valid", func(r *taskTest) {
 			r.start(r.north, 0, 1)
@@ -87,7 +87,7 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			r := newTaskTest()
-			test.play(r)
+			test.steps(r)
 			checkRules(t, r.checker, test.want)
 		})
 	}
--- a/internal/soaktest/fault_injector.go
+++ b/internal/soaktest/fault_injector.go
@@ -73,16 +73,16 @@
 
 // endExpired undoes the faults whose time is over.
 func (f *faultInjector) endExpired(now time.Time) {
-	var lasting []activeFault
+	var remaining []activeFault
 	for _, a := range f.active {
 		if now.Before(a.endsAt) {
-			lasting = append(lasting, a)
+			remaining = append(remaining, a)
 			continue
 		}
 		f.harness.progress("end: %s", a.name)
 		a.undo()
 	}
-	f.active = lasting
+	f.active = remaining
 }
 
 // drawDuration draws a duration between two numbers of seconds.
@@ -106,22 +106,22 @@
 
 // backgroundFaults are the conditions of links during the whole time of faults.
 type backgroundFaults struct {
-	delay, peerDelay       float64 // probabilities
-	maxDelay, maxPeerDelay time.Duration
-	loss, late, duplicate  float64 // probabilities
-	duplicateHeartbeat     float64 // probability
+	kvDelay, peerDelay              float64 // probabilities
+	maxKVDelay, maxPeerDelay        time.Duration
+	loss, requestDelay, duplication float64 // probabilities
+	duplicateHeartbeat              float64 // probability
 }
 
 // drawBackgroundFaults draws the background faults, except for the duplicate heartbeats.
 func (f *faultInjector) drawBackgroundFaults() backgroundFaults {
 	var b backgroundFaults
-	b.delay = 0.15 + f.drawProbability(0.35)
-	b.maxDelay = f.drawDuration(0.1, 0.5)
+	b.kvDelay = 0.15 + f.drawProbability(0.35)
+	b.maxKVDelay = f.drawDuration(0.1, 0.5)
 	b.peerDelay = f.drawProbability(0.3)
 	b.maxPeerDelay = f.drawDuration(0.02, 0.2)
 	b.loss = f.drawProbability(0.01)
-	b.late = f.drawProbability(0.01)
-	b.duplicate = f.drawProbability(0.02)
+	b.requestDelay = f.drawProbability(0.01)
+	b.duplication = f.drawProbability(0.02)
 	b.duplicateHeartbeat = f.drawProbability(0.1)
 	return b
 }
@@ -130,12 +130,12 @@
 func (f *faultInjector) startBackgroundFaults() {
 	h, b := f.harness, f.drawBackgroundFaults()
 	h.progress("background: %.0f%% of the key-value store's responses delayed by up to %v, %.0f%% of the controllers' by up to %v",
-		100*b.delay, b.maxDelay.Round(time.Millisecond), 100*b.peerDelay, b.maxPeerDelay.Round(time.Millisecond))
+		100*b.kvDelay, b.maxKVDelay.Round(time.Millisecond), 100*b.peerDelay, b.maxPeerDelay.Round(time.Millisecond))
 	for _, l := range h.links.kvStore {
-		l.update(func(c *linkConditions) { b.apply(c, b.delay, b.maxDelay) })
+		l.update(func(c *linkConditions) { b.apply(c, b.kvDelay, b.maxKVDelay) })
 	}
 	for _, l := range h.links.users {
-		l.update(func(c *linkConditions) { c.responseLossProbability, c.lateProbability = b.loss, b.late })
+		l.update(func(c *linkConditions) { c.responseLossProbability, c.requestDelayProbability = b.loss, b.requestDelay })
 	}
 	for _, peers := range h.links.peers {
 		for _, l := range peers {
@@ -146,9 +146,9 @@
 }
 
 // apply sets the conditions of a link between controllers or to the key-value store.
-func (b *backgroundFaults) apply(c *linkConditions, delay float64, maxDelay time.Duration) {
-	c.delayProbability, c.maxDelay = delay, maxDelay
-	c.responseLossProbability, c.lateProbability, c.duplicateProbability = b.loss, b.late, b.duplicate
+func (b *backgroundFaults) apply(c *linkConditions, delay float64, maxResponseDelay time.Duration) {
+	c.responseDelayProbability, c.maxResponseDelay = delay, maxResponseDelay
+	c.responseLossProbability, c.requestDelayProbability, c.duplicateProbability = b.loss, b.requestDelay, b.duplication
 }
 
 // endBackgroundFaults restores the conditions of all links.
--- a/internal/soaktest/linearizability.go
+++ b/internal/soaktest/linearizability.go
@@ -84,9 +84,9 @@
 	return state, true
 }
 
-// checkHistories checks that the operations of each job are linearizable: that they have an order,
+// checkLinearizability checks that the operations of each job are linearizable: that they have an order,
 // consistent with the times of requests and responses, in which every response is correct.
-func (c *checker) checkHistories() {
+func (c *checker) checkLinearizability() {
 	for _, id := range c.jobIDs {
 		history := c.jobs[id]
 		switch porcupine.CheckOperationsTimeout(jobModel, history.linearizableOperations(), linearizabilityTimeout) {
--- a/internal/soaktest/link.go
+++ b/internal/soaktest/link.go
@@ -73,18 +73,18 @@
 
 // linkConditions are the faults of a link.
 type linkConditions struct {
-	partition               partitionMode
-	delayProbability        float64       // a response is delayed, by up to maxDelay
-	maxDelay                time.Duration // 0: no response is delayed
-	responseLossProbability float64       // a request is executed and its response lost
-	lateProbability         float64       // a request is executed late, without a response
-	duplicateProbability    float64       // a request is executed a second time, late
+	partition                partitionMode
+	responseDelayProbability float64       // a response is delayed, by up to maxResponseDelay
+	maxResponseDelay         time.Duration // 0: no response is delayed
+	responseLossProbability  float64       // a request is executed and its response lost
+	requestDelayProbability  float64       // a request is executed late, without a response
+	duplicateProbability     float64       // a request is executed a second time, late
 }
 
 // Late requests are executed within these times.
 const (
-	minLateDelay = 500 * time.Millisecond
-	maxLateDelay = 8 * time.Second
+	minRequestDelay = 500 * time.Millisecond
+	maxRequestDelay = 8 * time.Second
 )
 
 // link is a link from one party to another. Its conditions apply to requests in that direction, and
@@ -94,14 +94,14 @@
 	// onPartitionChange is called when the partition mode changes; it may be nil.
 	onPartitionChange func(partitionMode)
 
-	mu         sync.Mutex // guards the fields below
-	rng        *rand.Rand
-	conditions linkConditions
-	reopened   chan struct{} // closed when a partition ends
+	mu             sync.Mutex // guards the fields below
+	rng            *rand.Rand
+	conditions     linkConditions
+	partitionEnded chan struct{} // closed when a partition ends
 }
 
 func newLink(name string, seed, stream uint64) *link {
-	return &link{name: name, rng: newRandom(seed, stream), reopened: make(chan struct{})}
+	return &link{name: name, rng: newRandom(seed, stream), partitionEnded: make(chan struct{})}
 }
 
 // update changes the conditions of the link.
@@ -119,8 +119,8 @@
 	change(&l.conditions)
 	after = l.conditions.partition
 	if before != partitionNone && after == partitionNone {
-		close(l.reopened)
-		l.reopened = make(chan struct{})
+		close(l.partitionEnded)
+		l.partitionEnded = make(chan struct{})
 	}
 	return before, after
 }
@@ -132,26 +132,26 @@
 
 // transmission is what was drawn for one request.
 type transmission struct {
-	partition    partitionMode
-	reopened     <-chan struct{}
-	late         bool
-	lateDelay    time.Duration
-	duplicate    bool
-	responseLost bool
-	delay        time.Duration
+	partition      partitionMode
+	partitionEnded <-chan struct{}
+	requestDelayed bool
+	requestDelay   time.Duration
+	duplicate      bool
+	responseLost   bool
+	responseDelay  time.Duration
 }
 
 // draw draws the transmission of a request. The order of the draws is part of what a seed determines.
 func (l *link) draw() transmission {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	t := transmission{partition: l.conditions.partition, reopened: l.reopened}
-	t.lateDelay = minLateDelay + time.Duration(l.rng.Int64N(int64(maxLateDelay-minLateDelay)))
-	t.late = l.rng.Float64() < l.conditions.lateProbability
+	t := transmission{partition: l.conditions.partition, partitionEnded: l.partitionEnded}
+	t.requestDelay = minRequestDelay + time.Duration(l.rng.Int64N(int64(maxRequestDelay-minRequestDelay)))
+	t.requestDelayed = l.rng.Float64() < l.conditions.requestDelayProbability
 	t.duplicate = l.rng.Float64() < l.conditions.duplicateProbability
 	t.responseLost = l.rng.Float64() < l.conditions.responseLossProbability
-	if l.conditions.maxDelay > 0 && l.rng.Float64() < l.conditions.delayProbability {
-		t.delay = time.Duration(l.rng.Int64N(int64(l.conditions.maxDelay)))
+	if l.conditions.maxResponseDelay > 0 && l.rng.Float64() < l.conditions.responseDelayProbability {
+		t.responseDelay = time.Duration(l.rng.Int64N(int64(l.conditions.maxResponseDelay)))
 	}
 	return t
 }
@@ -167,9 +167,9 @@
 	case t.partition == partitionReset:
 		return callResult{failure: failureReset}
 	case t.partition == partitionHold:
-		go sendOnceReopened(run, t.reopened, send)
-	case t.late:
-		go sendAfter(run, t.lateDelay, send)
+		go sendAfterPartition(run, t.partitionEnded, send)
+	case t.requestDelayed:
+		go sendAfter(run, t.requestDelay, send)
 	case t.partition == partitionNone:
 		return deliver(sender, run, t, send)
 	}
@@ -180,23 +180,23 @@
 // deliver executes a request now, and delays or drops its response as drawn.
 func deliver(sender, run context.Context, t transmission, send func() callResult) callResult {
 	if t.duplicate {
-		go sendAfter(run, t.lateDelay, send)
+		go sendAfter(run, t.requestDelay, send)
 	}
 	result := send()
 	if t.responseLost {
 		<-sender.Done()
 		return callResult{failure: failureTimeout}
 	}
-	if t.delay > 0 {
-		sleep(sender, t.delay)
+	if t.responseDelay > 0 {
+		sleep(sender, t.responseDelay)
 	}
 	return result
 }
 
-// sendOnceReopened executes a request when the partition of its link has ended.
-func sendOnceReopened(run context.Context, reopened <-chan struct{}, send func() callResult) {
+// sendAfterPartition executes a request when the partition of its link has ended.
+func sendAfterPartition(run context.Context, partitionEnded <-chan struct{}, send func() callResult) {
 	select {
-	case <-reopened:
+	case <-partitionEnded:
 		send()
 	case <-run.Done():
 	}
--- a/internal/soaktest/link_test.go
+++ b/internal/soaktest/link_test.go
@@ -21,9 +21,9 @@
 		{"refuse", func(c *linkConditions) { c.partition = partitionRefuse }, 0, failureRefused},
 		{"reset", func(c *linkConditions) { c.partition = partitionReset }, 0, failureReset},
 		{"response lost", func(c *linkConditions) { c.responseLossProbability = 1 }, 1, failureTimeout},
-		{"late", func(c *linkConditions) { c.lateProbability = 1 }, 1, failureTimeout},
+		{"late", func(c *linkConditions) { c.requestDelayProbability = 1 }, 1, failureTimeout},
 		{"duplicate", func(c *linkConditions) { c.duplicateProbability = 1 }, 2, failureNone},
-		{"response delayed", func(c *linkConditions) { c.delayProbability, c.maxDelay = 1, 50*time.Millisecond }, 1, failureNone},
+		{"response delayed", func(c *linkConditions) { c.responseDelayProbability, c.maxResponseDelay = 1, 50*time.Millisecond }, 1, failureNone},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			t.Parallel()
@@ -39,7 +39,7 @@
 			if result.failure != test.wantFailure {
 				t.Errorf("failure %v, want %v", result.failure, test.wantFailure)
 			}
-			for deadline := time.Now().Add(maxLateDelay + time.Second); executed.Load() < test.wantExecuted && time.Now().Before(deadline); {
+			for deadline := time.Now().Add(maxRequestDelay + time.Second); executed.Load() < test.wantExecuted && time.Now().Before(deadline); {
 				time.Sleep(10 * time.Millisecond)
 			}
 			if got := executed.Load(); got != test.wantExecuted {
--- a/internal/soaktest/responses_test.go
+++ b/internal/soaktest/responses_test.go
@@ -40,7 +40,7 @@
 			for _, o := range test.operations {
 				h.checker.handleResponse(o, callResult{status: o.status})
 			}
-			h.checker.checkHistories()
+			h.checker.checkLinearizability()
 			checkRules(t, h.checker, test.want)
 		})
 	}
@@ -86,7 +86,7 @@
 				}
 				h.checker.handleResponse(o, result)
 			}
-			h.checker.checkHistories()
+			h.checker.checkLinearizability()
 			checkRules(t, h.checker, test.want)
 		})
 	}
--- a/internal/soaktest/run.go
+++ b/internal/soaktest/run.go
@@ -43,7 +43,7 @@
 	if err := h.start(); err != nil {
 		return nil, err
 	}
-	if err := h.playLoad(); err != nil {
+	if err := h.runLoad(); err != nil {
 		return nil, err
 	}
 	h.waitForJobs()
@@ -85,8 +85,8 @@
 	return fmt.Errorf("no controller accepts requests within %v", readyTimeout)
 }
 
-// playLoad submits jobs, and injects faults after the warm-up.
-func (h *harness) playLoad() error {
+// runLoad submits jobs, and injects faults after the warm-up.
+func (h *harness) runLoad() error {
 	load, cancel := context.WithTimeout(h.ctx, warmUp+h.options.Duration)
 	defer cancel()
 	go h.submitJobs(load)
@@ -127,7 +127,7 @@
 	c := h.checker
 	c.stats.Unfinished = c.countUnfinishedJobs()
 	c.checkUnansweredJobs()
-	c.checkHistories()
+	c.checkLinearizability()
 	c.checkLogs()
 	return &Result{Violations: c.violations, DroppedViolations: c.droppedViolations, Stats: c.stats}
 }
--- a/internal/soaktest/run_test.go
+++ b/internal/soaktest/run_test.go
@@ -21,7 +21,7 @@
 	for _, seed := range shortSeeds {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			playShortRun(t, Options{
+			runShortSoak(t, Options{
 				Seed: seed, Duration: 20 * time.Second, SettleTimeout: 15 * time.Second,
 				Controllers: 3, Machines: 12, JobRate: 4, Sockets: 1200, Binary: binary,
 			})
@@ -31,7 +31,7 @@
 	// responses.
 	t.Run("no connection free", func(t *testing.T) {
 		t.Parallel()
-		playShortRun(t, Options{
+		runShortSoak(t, Options{
 			Seed: 1, Duration: 20 * time.Second, SettleTimeout: 15 * time.Second,
 			Controllers: 3, Machines: 160, JobRate: 4, Sockets: 64, NoFaults: true, Binary: binary,
 		})
@@ -49,8 +49,8 @@
 	return binary
 }
 
-// playShortRun plays a run that must not be empty and must not violate any rule.
-func playShortRun(t *testing.T, o Options) {
+// runShortSoak plays a run that must not be empty and must not violate any rule.
+func runShortSoak(t *testing.T, o Options) {
 	t.Helper()
 	o.Dir = t.TempDir()
 	var progress strings.Builder
--- a/internal/soaktest/users.go
+++ b/internal/soaktest/users.go
@@ -19,14 +19,14 @@
 	retryInterval    = time.Second
 	submitGiveUpTime = time.Minute
 	queryInterval    = 3 * time.Second
-	// One user in duplicateSubmissionOneIn submits the job several times at once.
-	duplicateSubmissionOneIn = 3
+	// One user in usersPerDuplicateSubmitter submits the job several times at once.
+	usersPerDuplicateSubmitter = 3
 	// Around a cancellation a user sends duplicate requests for duplicateRequestPeriod, at
 	// intervals of duplicateRequestInterval on average.
 	duplicateRequestPeriod   = 500 * time.Millisecond
 	duplicateRequestInterval = 25 * time.Millisecond
-	// unknownJobOneIn is one request for a job that nobody submitted in so many submissions.
-	unknownJobOneIn = 10
+	// submissionsPerUnknownJobQuery is one request for a job that nobody submitted in so many submissions.
+	submissionsPerUnknownJobQuery = 10
 )
 
 // consistencyCheckDelays are the delays after a response at which users query all controllers.
@@ -53,7 +53,7 @@
 		u := &user{harness: h, rng: forkRandom(rng)}
 		u.history = h.newJob(rng, n)
 		go u.run()
-		if n%unknownJobOneIn == 0 {
+		if n%submissionsPerUnknownJobQuery == 0 {
 			go h.sendRequest(opQuery, fmt.Sprintf("req-9%05d", n), nil, rng.IntN(h.options.Controllers))
 		}
 	}
@@ -85,7 +85,7 @@
 
 // run submits the job, queries it until it has ended, and perhaps cancels it.
 func (u *user) run() {
-	if u.rng.IntN(duplicateSubmissionOneIn) == 0 {
+	if u.rng.IntN(usersPerDuplicateSubmitter) == 0 {
 		for range 2 {
 			go u.send(opSubmit, u.drawController(u.rng))
 		}
@@ -98,7 +98,7 @@
 		go u.cancelLater(forkRandom(u.rng))
 	}
 	for u.harness.sleep(u.jitter(queryInterval)) {
-		if u.knowsEnd() {
+		if u.observedTermination() {
 			return
 		}
 		u.send(opQuery, u.drawController(u.rng))
@@ -129,8 +129,8 @@
 	return false
 }
 
-// knowsEnd reports whether a response has shown that the job has ended.
-func (u *user) knowsEnd() bool {
+// observedTermination reports whether a response has shown that the job has ended.
+func (u *user) observedTermination() bool {
 	u.harness.mu.Lock()
 	defer u.harness.mu.Unlock()
 	return u.history.terminalPhase != ""
