--- a/cmd/soaktest/main.go
+++ b/cmd/soaktest/main.go
@@ -1,8 +1,8 @@
 // Command soaktest runs controllers as real processes over loopback, injects faults at random times,
 // and checks from outside that the rules of the protocol hold. See docs/soaktest.md.
 //
-// It owns the command line, the directory of a run and the output. The run itself is played by
-// internal/soaktest.
+// It owns the command line, the directory of a run and the output. Package internal/soaktest executes
+// the run itself.
 package main
 
 import (
@@ -29,7 +29,7 @@
 	exitOK         = 0 // no violation
 	exitViolations = 1
 	exitBadInput   = 2
-	exitFailed     = 3 // the run could not be played
+	exitFailed     = 3 // the run could not be executed
 )
 
 // errViolations reports that rules were violated.
@@ -58,7 +58,7 @@
 		return exitOK
 	}
 	if errors.Is(err, errViolations) {
-		return exitViolations // they have been printed
+		return exitViolations // printResult has printed them
 	}
 	fmt.Fprintln(os.Stderr, "soaktest:", err)
 	var failed runError
@@ -69,11 +69,11 @@
 }
 
 const help = `Runs controllers as real processes over loopback with fakes of the key-value store, the cloud,
-workers and users. Processes are killed and frozen, links partitioned, messages delayed, lost,
-duplicated and executed late, as drawn by the seed. What users and workers observe, and the
-history of the key-value store, are checked against the rules of the protocol.
+workers and users. Processes are killed and frozen, links partitioned, and messages delayed, lost,
+duplicated and executed after their timeouts, as determined by the seed. What users and workers
+observe, and the history of the key-value store, are checked against the rules of the protocol.
 
-Exit status: 0 no violation, 1 violations, 2 bad input, 3 the run could not be played.`
+Exit status: 0 no violation, 1 violations, 2 bad input, 3 the run could not be executed.`
 
 func newCommand(out io.Writer) *cobra.Command {
 	var o soaktest.Options
@@ -84,21 +84,21 @@
 		RunE: func(cmd *cobra.Command, _ []string) error { return run(cmd.Context(), o, quiet, out) },
 	}
 	flags := root.Flags()
-	flags.Uint64Var(&o.Seed, "seed", 1, "determines which faults and jobs are drawn")
+	flags.Uint64Var(&o.Seed, "seed", 1, "seed of the random choice of faults and jobs")
 	flags.DurationVar(&o.Duration, "duration", time.Minute, "how long faults are injected")
-	flags.DurationVar(&o.SettleTimeout, "settle", time.Minute, "how long at most to wait then until all jobs have ended")
+	flags.DurationVar(&o.SettleTimeout, "settle", time.Minute, "maximum time to wait afterwards until all jobs have ended")
 	flags.IntVar(&o.Controllers, "controllers", 3, "number of controllers")
-	flags.IntVar(&o.Machines, "machines", 40, "largest number of machines")
+	flags.IntVar(&o.Machines, "machines", 40, "maximum number of machines")
 	flags.Float64Var(&o.JobRate, "job-rate", 3, "jobs that users submit per second")
-	flags.IntVar(&o.Sockets, "sockets", 1200, "limit of a controller's connections")
-	flags.BoolVar(&o.NoFaults, "calm", false, "leave out all faults")
-	flags.StringVar(&o.Binary, "binary", "", "path of the controller's program (default: it is built)")
-	flags.StringVar(&o.Dir, "dir", "", "directory for settings and logs (default: a new one, kept after violations)")
+	flags.IntVar(&o.Sockets, "sockets", 1200, "maximum number of connections of a controller")
+	flags.BoolVar(&o.NoFaults, "calm", false, "inject no faults")
+	flags.StringVar(&o.Binary, "binary", "", "path of the controller's program (default: built from the source)")
+	flags.StringVar(&o.Dir, "dir", "", "directory for settings and logs (default: a new one, kept if rules were violated)")
 	flags.BoolVar(&quiet, "quiet", false, "print only the result")
 	return root
 }
 
-// run plays one run and prints its result.
+// run executes one run and prints its result.
 func run(ctx context.Context, o soaktest.Options, quiet bool, out io.Writer) error {
 	if err := validate(o); err != nil {
 		return err
@@ -122,7 +122,7 @@
 		return runError{err}
 	}
 	if temporaryDir {
-		_ = os.RemoveAll(o.Dir) // the result of the run does not depend on it
+		_ = os.RemoveAll(o.Dir) // a failure does not affect the result of the run
 	}
 	return nil
 }
--- a/cmd/soaktest/main_test.go
+++ b/cmd/soaktest/main_test.go
@@ -11,7 +11,7 @@
 	"tamarindlead/internal/soaktest"
 )
 
-// TestBadInput checks that bad input ends with its exit status before anything is started.
+// TestBadInput checks that bad input leads to its exit status before anything is started.
 func TestBadInput(t *testing.T) {
 	for _, args := range [][]string{
 		{"--duration", "1s"},
@@ -71,7 +71,7 @@
 	}
 }
 
-// TestRepeatCommand checks that the command that repeats a run is accepted with the same options.
+// TestRepeatCommand checks that the command that repeats a run parses to the same options.
 func TestRepeatCommand(t *testing.T) {
 	o := soaktest.Options{
 		Seed: 7, Duration: 90 * time.Second,
--- a/internal/fake/cloud.go
+++ b/internal/fake/cloud.go
@@ -21,7 +21,7 @@
 	Types       []wire.MachineType
 	OmitTypes   bool                                       // the list of machine types is empty
 	Capacity    map[string]int                             // machines that may still be created, by CapacityKey
-	FailedBoots int                                        // number of machines, from the next one on, that never boot
+	FailedBoots int                                        // how many of the next machines never boot
 	BootTime    func(standard micros.Micros) micros.Micros // boot time of a machine; nil: the standard time of its type
 	Endpoint    func(machine string) string                // returns the address of a machine's worker
 	Machines    map[string]*CloudMachine
@@ -41,7 +41,7 @@
 	UpAt     micros.Micros // time at which it has booted, 0: never
 	Gone     bool          // terminated
 	GoneAt   micros.Micros
-	Started  bool // its worker was started
+	Started  bool // its worker has been started
 }
 
 // NewCloud returns a cloud without machines.
@@ -57,7 +57,7 @@
 // Endpoint returns the address of a machine's worker in simulations without a network.
 func Endpoint(name string) string { return "worker:" + name }
 
-// Add creates a machine without a scale-out request.
+// Add creates a machine without a scale-out request. boot is its boot time.
 func (c *Cloud) Add(machineType, zone string, spot bool, boot micros.Micros) *CloudMachine {
 	name := fmt.Sprintf("m-%06d", c.nextSequence)
 	c.nextSequence++
@@ -76,7 +76,7 @@
 // MachineNames returns the names of all machines in ascending order.
 func (c *Cloud) MachineNames() []string { return slices.Sorted(maps.Keys(c.Machines)) }
 
-// TypeOf returns the machine type of a name, or nil.
+// TypeOf returns the machine type with a name, or nil.
 func (c *Cloud) TypeOf(name string) *wire.MachineType {
 	for i := range c.Types {
 		if c.Types[i].Name == name {
@@ -119,7 +119,8 @@
 	c.Capacity[CapacityKey(m.Type, m.Zone, m.Spot)]++
 }
 
-// scaleOut creates machines. A duplicate of an earlier request returns the machines of that one.
+// scaleOut creates machines. A duplicate of an earlier request creates none: its response contains the
+// machines of the earlier one.
 func (c *Cloud) scaleOut(body []byte) Response {
 	var request wire.ScaleOutRequest
 	if wire.Decode(body, &request) != nil || request.Number < 1 || request.Number > maxScaleOut {
@@ -151,7 +152,8 @@
 	return boot
 }
 
-// scaleIn terminates machines. Unknown and terminated ones are ignored, as the protocol has it.
+// scaleIn terminates machines. Unknown and already terminated ones are ignored, as the protocol
+// requires.
 func (c *Cloud) scaleIn(body []byte) Response {
 	var request wire.MachineNames
 	if wire.Decode(body, &request) != nil {
@@ -181,7 +183,7 @@
 	return newResponse(wire.StatusOK, list)
 }
 
-// statusAt returns the status that the list of machines shows.
+// statusAt returns the status that the list of machines shows for a time.
 func (m *CloudMachine) statusAt(at micros.Micros) wire.ListStatus {
 	if m.UpAt != 0 && m.UpAt <= at {
 		return wire.ListRunning
--- a/internal/fake/dump.go
+++ b/internal/fake/dump.go
@@ -6,7 +6,7 @@
 	"tamarindlead/micros"
 )
 
-// Record is a key of the key-value store. Its fields are part of the format of dumps.
+// Record is an entry of the key-value store. Its fields are part of the format of dumps.
 type Record struct {
 	Key     string
 	Value   cbor.RawMessage
@@ -36,13 +36,13 @@
 	}
 }
 
-// ScaleOutGrants returns the names of the machines that were created, by scale-out request, and the number
-// of machines created in total.
+// ScaleOutGrants returns the names of the created machines by the ID of the scale-out request, and the
+// total number of machines created.
 func (c *Cloud) ScaleOutGrants() (grants map[string][]string, machines int) {
 	return c.grants, c.nextSequence
 }
 
-// RestoreScaleOutGrants sets what Grants returned for an earlier cloud.
+// RestoreScaleOutGrants restores the values that ScaleOutGrants returned for an earlier cloud.
 func (c *Cloud) RestoreScaleOutGrants(grants map[string][]string, machines int) {
 	if grants != nil {
 		c.grants = grants
@@ -50,11 +50,11 @@
 	c.nextSequence = machines
 }
 
-// PhaseRemaining returns the time until the end of a task's phase.
+// PhaseRemaining returns the time until the end of a task's current phase.
 func (t *Task) PhaseRemaining(now micros.Micros) micros.Micros { return t.phaseEndsAt - now }
 
-// SetPhaseRemaining sets the time until the end of a task's phase. The time for which the task
-// waits for its gang starts anew.
+// SetPhaseRemaining sets the time until the end of a task's current phase, and restarts the time for
+// which the task waits for its gang.
 func (t *Task) SetPhaseRemaining(now, remaining micros.Micros) {
 	t.phaseEndsAt, t.gangWaitSince = now+remaining, now
 }
--- a/internal/fake/fake.go
+++ b/internal/fake/fake.go
@@ -1,9 +1,9 @@
 // Package fake holds fakes of the services that the controller talks to: the key-value store, the
 // cloud and the workers. The simulation and the soak test run controllers against them.
 //
-// The fakes are plain state machines over a time that the caller sets. They own the state of the
-// other side of the protocol and implement it independently of the clients in internal/kv and the
-// controller, so that a mistake in a client is not repeated here. They must not know the
+// The fakes are plain state machines whose time the caller sets. They own the state of the services
+// and implement the server side of the protocol independently of the clients in internal/kv and the
+// controller, so that a mistake in a client is not repeated here. They must not depend on the
 // controller, and they start no goroutine, read no clock and draw no random number: the caller
 // decides which requests are lost, delayed or duplicated.
 package fake
@@ -22,5 +22,5 @@
 	return newResponse(status, wire.ErrorResponse{Error: text})
 }
 
-// emptyMap is the body of responses without content.
+// emptyMap is the body of a response without content.
 type emptyMap struct{}
--- a/internal/fake/fleet.go
+++ b/internal/fake/fleet.go
@@ -15,12 +15,12 @@
 	GangWaitTimeout micros.Micros
 }
 
-// Fleet is the set of a deployment's workers. It keeps the completed tasks, and makes the tasks of
+// Fleet is the set of a deployment's workers. It records the completed tasks, and makes the tasks of
 // a gang start and complete together.
 type Fleet struct {
 	Timeouts       FleetTimeouts
-	Workers        map[string]*Worker // by machine
-	CompletedTasks map[string]bool    // completed tasks
+	Workers        map[string]*Worker // by machine name
+	CompletedTasks map[string]bool    // names of the completed tasks
 	// Info returns what the user uploaded about a task.
 	Info func(task string) (TaskInfo, bool)
 	// OnStart is called when a worker starts a task, OnExit when a task exits, and OnDone when a
@@ -35,8 +35,8 @@
 	return &Fleet{Timeouts: timeouts, Workers: map[string]*Worker{}, CompletedTasks: map[string]bool{}}
 }
 
-// Boot adds the worker of a machine that has booted. Its first heartbeat goes to the controller
-// with index node.
+// Boot adds the worker of a machine that has booted. controller is the index of the controller that
+// receives its first heartbeat.
 func (f *Fleet) Boot(m *CloudMachine, t wire.MachineType, controller int, now micros.Micros) *Worker {
 	w := &Worker{
 		Machine: m, CPU: t.CPUs, Mem: t.MemGB, AgentEpoch: 1, Tasks: map[string]*Task{},
@@ -53,7 +53,7 @@
 // WorkerNames returns the names of all workers' machines in ascending order.
 func (f *Fleet) WorkerNames() []string { return slices.Sorted(maps.Keys(f.Workers)) }
 
-// taskExited records the exit of a task. If one task of a gang completes, all its tasks do.
+// taskExited records the exit of a task. If one task of a gang completes, it completes the others, too.
 func (f *Fleet) taskExited(w *Worker, task string, cause wire.ExitCause) {
 	f.OnExit(w, task, cause)
 	if cause != wire.CauseDone {
@@ -92,8 +92,8 @@
 	})
 }
 
-// gangComplete reports whether all tasks of a gang's attempt make progress, save a checkpoint or
-// have completed.
+// gangComplete reports whether all tasks of a gang's attempt are running, saving a checkpoint or
+// completed. Tasks of a hung worker do not count, since they make no progress.
 func (f *Fleet) gangComplete(task string, attempt uint64) bool {
 	return f.allOfGang(task, attempt, func(w *Worker, t *Task) bool {
 		return !w.Hung && (t.Phase == wire.PhaseRunning || t.Phase == wire.PhaseCheckpointing || t.Cause == wire.CauseDone)
--- a/internal/fake/kvstore.go
+++ b/internal/fake/kvstore.go
@@ -27,20 +27,20 @@
 	Unavailable           bool                                           // all requests get status 503
 	RefusedCallers        map[string]bool                                // callers whose requests get status 503
 	Writes                int                                            // puts and deletes that were committed
-	CompactHistory        bool                                           // the next watch compacts the history: all open watches get status 410
+	CompactHistory        bool                                           // the next watch compacts the history: open watches get status 410
 	MaxOps                int                                            // limit of puts and deletes in a transaction, 0: none
 	MaxValueBytes         int                                            // limit of a value's size as JSON, 0: none
 	OversizedTransactions int                                            // transactions that exceeded these limits
 	OnPut                 func(key string, value []byte, version uint64) // called for each put
 	OnCommit              func(revision uint64)                          // called after all changes of a transaction
-	// RequestRate and WriteRate limit requests and writes a second, with bursts of the amount of
-	// one second; 0: no limit.
+	// RequestRate and WriteRate limit requests and writes per second. Bursts are limited to the
+	// amount of one second. 0: no limit.
 	RequestRate, WriteRate float64
 	Throttled              int // requests that exceeded these rates
 
 	requests, writes  tokenBucket
 	revision          uint64
-	compactedRevision uint64 // watches after an older revision get status 410
+	compactedRevision uint64 // watches from an older revision get status 410
 	entries           map[string]kvEntry
 	events            []kvEvent
 	leases            map[uint64]*kvLease
@@ -54,7 +54,7 @@
 	lease   uint64
 }
 
-// kvEvent is a change in the history.
+// kvEvent is a change of a key in the history.
 type kvEvent struct {
 	revision uint64
 	key      string
@@ -85,7 +85,8 @@
 	return keys
 }
 
-// Advance sets the time and expires leases. During an outage no lease expires.
+// Advance sets the time and expires leases. During an outage no lease expires: afterwards each lease
+// has its full TTL again.
 func (s *KVStore) Advance(now micros.Micros) {
 	if s.Unavailable {
 		for _, l := range s.leases {
@@ -100,8 +101,8 @@
 	}
 }
 
-// Handle executes a request. ok is false for a watch without events: the caller retries it until
-// its wait time is over, then with last set.
+// Handle executes a request. ok is false for a watch that must wait, because there are no events or the
+// store is unavailable: the caller retries it, and sets timedOut when the timeout of the watch is over.
 func (s *KVStore) Handle(caller, method, target string, body []byte, timedOut bool) (r Response, ok bool) {
 	u, err := url.ParseRequestURI(target)
 	if err != nil {
@@ -114,7 +115,7 @@
 		}
 		return newErrorResponse(wire.StatusUnavailable, "trouble"), true
 	}
-	// A watch is retried many times while it waits, so it does not count against the rate.
+	// A watch is retried many times while it waits, so it does not count towards the rate.
 	if !watch && !s.requests.take(1, s.RequestRate, s.Now) {
 		return s.throttle(), true
 	}
@@ -171,7 +172,7 @@
 }
 
 func (s *KVStore) list(query url.Values) Response {
-	limit, _ := strconv.Atoi(query.Get("limit")) // without a number there is no limit
+	limit, _ := strconv.Atoi(query.Get("limit")) // 0, no limit, if missing or invalid
 	page := listResponse{Entries: []entryResponse{}, Revision: s.revision}
 	for _, key := range s.Keys(query.Get("prefix")) {
 		if key <= query.Get("after") {
@@ -187,7 +188,7 @@
 	return newResponse(wire.StatusOK, page)
 }
 
-// watchResponse contains the events after a revision.
+// watchResponse is the body of the response to a watch: the events after a revision.
 type watchResponse struct {
 	Revision uint64 `cbor:"ledger"`
 	Events   []any  `cbor:"events"`
@@ -207,7 +208,7 @@
 )
 
 func (s *KVStore) watchEvents(query url.Values, timedOut bool) (r Response, ok bool) {
-	after, _ := strconv.ParseUint(query.Get("after"), 10, 64) // without a number from the start
+	after, _ := strconv.ParseUint(query.Get("after"), 10, 64) // 0, from the start, if invalid
 	if s.CompactHistory {
 		s.compactHistory()
 	}
@@ -231,7 +232,8 @@
 	return newResponse(wire.StatusOK, found), true
 }
 
-// compactHistory drops all events. The revision is incremented, so that every open watch is too old.
+// compactHistory drops all events. It increments the revision, so that every open watch starts before
+// the compacted revision.
 func (s *KVStore) compactHistory() {
 	s.revision++
 	s.CompactHistory, s.events, s.compactedRevision = false, nil, s.revision
--- a/internal/fake/kvstore_leases.go
+++ b/internal/fake/kvstore_leases.go
@@ -12,7 +12,7 @@
 // kvLease is a lease. Its keys are deleted when it expires.
 type kvLease struct{ ttl, expiresAt micros.Micros }
 
-// leaseRequest asks for a lease, leaseResponse contains its ID.
+// leaseRequest requests a lease, and leaseResponse contains the ID of the granted lease.
 type (
 	leaseRequest struct {
 		TTLMillis int64 `cbor:"ttlMs"`
@@ -33,10 +33,10 @@
 	return newResponse(wire.StatusOK, leaseResponse{s.lastLeaseID})
 }
 
-// updateLease renews or revokes the lease that a path ends in.
+// updateLease renews or revokes a lease. path contains its ID, followed by /extend for a renewal.
 func (s *KVStore) updateLease(method, path string) Response {
 	text, renew := strings.CutSuffix(path, "/extend")
-	id, _ := strconv.ParseUint(text, 10, 64) // what is no number is no lease: IDs start at 1
+	id, _ := strconv.ParseUint(text, 10, 64) // 0 if invalid, but IDs start at 1
 	l := s.leases[id]
 	switch {
 	case l == nil:
--- a/internal/fake/kvstore_test.go
+++ b/internal/fake/kvstore_test.go
@@ -27,7 +27,7 @@
 
 func deleteOf(key string) map[string]any { return map[string]any{"delete": key} }
 
-// TestTransactions checks the status of a transaction after a put of key "a" at revision 1, and which
+// TestTransactions puts key "a" at revision 1, executes a transaction, and checks its status and which
 // keys exist afterwards.
 func TestTransactions(t *testing.T) {
 	for _, test := range []struct {
@@ -71,7 +71,7 @@
 		steps    func(s *KVStore)
 		wantKeys int
 	}{
-		{"before its end", func(s *KVStore) { s.Advance(ttl) }, 1},
+		{"before it expires", func(s *KVStore) { s.Advance(ttl) }, 1},
 		{"expired", func(s *KVStore) { s.Advance(ttl + 1) }, 0},
 		{"renewed", func(s *KVStore) {
 			s.Advance(ttl / 2)
@@ -113,7 +113,7 @@
 	}{
 		{"event", 0, false, false, true, wire.StatusOK},
 		{"no event yet", 1, false, false, false, 0},
-		{"no event until the end", 1, true, false, true, wire.StatusOK},
+		{"no event until the timeout", 1, true, false, true, wire.StatusOK},
 		{"compacted", 1, false, true, true, wire.StatusCompacted},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -130,8 +130,8 @@
 	}
 }
 
-// TestRequestRate checks that requests beyond the rate are throttled, and that tokens come back with
-// time.
+// TestRequestRate checks that requests beyond the rate are throttled, and that the token bucket is
+// refilled over time.
 func TestRequestRate(t *testing.T) {
 	s := NewKVStore()
 	s.RequestRate = 2
--- a/internal/fake/kvstore_transaction.go
+++ b/internal/fake/kvstore_transaction.go
@@ -43,7 +43,7 @@
 }
 
 // commit executes a transaction: all its writes, or none if a precondition fails. A transaction
-// with failed preconditions does not count against the rate of writes.
+// with failed preconditions does not count towards the rate of writes.
 func (s *KVStore) commit(body []byte) Response {
 	var request transactionRequest
 	if wire.Decode(body, &request) != nil {
@@ -62,8 +62,8 @@
 	return newResponse(wire.StatusOK, revisionResponse{s.revision})
 }
 
-// validate checks a transaction against the limits and leases. It returns the text of the refusal,
-// or nothing.
+// validate checks a transaction against the size limits, and that its leases exist. It returns the text
+// of the error response, or "" if the transaction is valid.
 func (s *KVStore) validate(body []byte, request *transactionRequest) (problem string) {
 	tooManyOps := s.MaxOps > 0 && (len(request.Writes) > s.MaxOps || len(request.Preconditions) > maxPreconditionsPerOp*s.MaxOps)
 	if tooManyOps || JSONSize(body) > maxTransactionBytes {
@@ -93,7 +93,7 @@
 	return failed
 }
 
-// applyWrites makes the changes of a transaction at a new revision.
+// applyWrites applies the writes of a transaction at a new revision.
 func (s *KVStore) applyWrites(writes []write) {
 	s.revision++
 	s.Writes += len(writes)
@@ -109,8 +109,8 @@
 	}
 }
 
-// JSONSize returns the size of a CBOR message as JSON, by which the limits are defined. It is 0 for
-// a message that has no JSON form.
+// JSONSize returns the size that a CBOR message has when it is encoded as JSON, since the limits are
+// defined in terms of JSON. It is 0 for a message that cannot be encoded as JSON.
 func JSONSize(data []byte) int {
 	var v any
 	if wire.Decode(data, &v) != nil {
--- a/internal/fake/ratelimit.go
+++ b/internal/fake/ratelimit.go
@@ -5,13 +5,13 @@
 	"tamarindlead/micros"
 )
 
-// tokenBucket limits a rate, with bursts of the amount of one second.
+// tokenBucket limits a rate. Its capacity, which limits bursts, is the amount of one second.
 type tokenBucket struct {
-	used      float64 // of the amount of one second
+	used      float64 // tokens taken and not refilled yet
 	updatedAt micros.Micros
 }
 
-// take takes n tokens, and reports whether that many were left. Without a rate there is no limit.
+// take takes n tokens if that many are left, and reports whether it did. A rate of 0 means no limit.
 func (b *tokenBucket) take(n int, rate float64, now micros.Micros) bool {
 	if rate <= 0 {
 		*b = tokenBucket{updatedAt: now}
@@ -26,7 +26,7 @@
 	return true
 }
 
-// throttle counts a request beyond a rate and returns its response.
+// throttle counts a request that exceeds a rate, and returns its error response.
 func (s *KVStore) throttle() Response {
 	s.Throttled++
 	return newErrorResponse(wire.StatusTooManyRequests, "too many")
--- a/internal/fake/task.go
+++ b/internal/fake/task.go
@@ -5,8 +5,8 @@
 	"tamarindlead/micros"
 )
 
-// causeKilled is the cause of a task whose worker's lease expired. No controller ever sees it,
-// since the worker starts anew without tasks.
+// causeKilled is the exit cause of a task whose worker's lease expired. No controller ever receives
+// it, since the worker restarts without tasks.
 const causeKilled wire.ExitCause = "killed"
 
 // TaskInfo is what a worker learns about a task from its user's upload. Its fields are part of the
@@ -32,7 +32,7 @@
 	StopRequestedAt     micros.Micros // time of the request to save a checkpoint and stop, 0: none
 	phaseEndsAt         micros.Micros
 	gangIncompleteSince micros.Micros // 0: its gang is complete
-	gangWaitSince       micros.Micros // start of PhaseWaitingForGang
+	gangWaitSince       micros.Micros // time at which PhaseWaitingForGang began
 }
 
 // advanceTask moves a task to its next phase if the current one is over.
@@ -77,8 +77,8 @@
 	}
 }
 
-// advanceCheckpointing stops a task that has saved its checkpoint. The checkpoint of a gang is
-// valid once all its tasks have received the request in time.
+// advanceCheckpointing stops a task that has saved its checkpoint. The checkpoint of a gang is valid
+// only if all its tasks receive the stop request within GangPeerTimeout of the first one.
 func (w *Worker) advanceCheckpointing(now micros.Micros, t *Task, info TaskInfo) {
 	if now < t.phaseEndsAt {
 		return
@@ -93,7 +93,8 @@
 	}
 }
 
-// advanceWaiting starts a task whose gang is ready.
+// advanceWaiting starts a task that has fetched its image when its gang is ready. The task exits if the
+// gang is not ready within GangWaitTimeout.
 func (w *Worker) advanceWaiting(now micros.Micros, t *Task, info TaskInfo) {
 	switch {
 	case w.Completed(t.Name):
@@ -107,10 +108,11 @@
 	}
 }
 
-// Complete exits a running task as done, as the tasks of a gang complete together.
+// Complete makes a running task exit as done. The fleet calls it because the tasks of a gang complete
+// together.
 func (w *Worker) Complete(t *Task) { w.exit(t, wire.CauseDone) }
 
-// exit exits a task unless it has exited already.
+// exit makes a task exit, unless it has already exited.
 func (w *Worker) exit(t *Task, cause wire.ExitCause) {
 	if t.Phase == wire.PhaseExited {
 		return
--- a/internal/fake/worker.go
+++ b/internal/fake/worker.go
@@ -13,8 +13,8 @@
 type Worker struct {
 	Machine           *CloudMachine
 	CPU, Mem          float64
-	Hung              bool // it executes nothing and answers nothing
-	Partitioned       bool // it runs, but no message reaches or leaves it
+	Hung              bool // it executes nothing and sends nothing
+	Partitioned       bool // it runs tasks, but no message reaches or leaves it
 	FailsTasks        bool // every task fails
 	InboundBlocked    bool // its heartbeats arrive, but neither responses nor direct commands reach it
 	HeartbeatsBlocked bool // its heartbeats do not arrive, but direct commands reach it
@@ -23,20 +23,20 @@
 	FencingToken      uint64
 	PreemptionNotice  *float64 // seconds until the cloud preempts the machine; nil: no notice
 	Tasks             map[string]*Task
-	PastAttempts      []*Task // exited and refused attempts of tasks with another attempt here
+	PastAttempts      []*Task // exited and refused attempts of tasks that have another attempt in Tasks
 
-	Lease                 micros.Micros // tasks are killed this long after LastAnsweredHeartbeat
+	Lease                 micros.Micros // tasks are killed if LastAnsweredHeartbeat is older than this
 	LastAnsweredHeartbeat micros.Micros // time at which the last answered heartbeat was sent
 	NextHeartbeat         micros.Micros
 	Controller            int  // index of the controller that receives its heartbeats
 	HeartbeatInFlight     bool // a heartbeat has not been answered yet
-	Changed               bool // something must be reported before NextHeartbeat
+	Changed               bool // a change must be reported, even before NextHeartbeat
 
 	Info    func(task string) (TaskInfo, bool)
 	OnStart func(w *Worker, task string, attempt uint64)
 	OnExit  func(w *Worker, task string, cause wire.ExitCause)
 	// GangReady reports whether all tasks of a gang's attempt have fetched their image, and
-	// GangComplete whether all of them run or have completed.
+	// GangComplete whether all of them are running, saving a checkpoint or completed.
 	GangReady    func(task string, attempt uint64) bool
 	GangComplete func(task string, attempt uint64) bool
 	// GangPeerTimeout is how long a running task tolerates an incomplete gang, and GangWaitTimeout
@@ -48,8 +48,8 @@
 	GangStopRequested func(task string, attempt uint64) (first micros.Micros, all bool)
 	Completed         func(task string) bool // reports whether a task's result is stored
 
-	heartbeatSentAt micros.Micros // time of the last heartbeat
-	hungSince       micros.Micros // 0: it does not hang
+	heartbeatSentAt micros.Micros // time at which the last heartbeat was sent
+	hungSince       micros.Micros // start of the current hang, 0: it does not hang
 	tokenChangedAt  micros.Micros // time at which a higher fencing token last set Changed
 }
 
@@ -76,9 +76,9 @@
 	}
 }
 
-// resume extends the phases of tasks by the time of a hang, in which nothing made progress, and
-// restarts the worker if its lease has expired. It precedes everything else that the worker does,
-// including the execution of commands that were sent during the hang.
+// resume extends the phases of tasks by the duration of a hang, during which nothing made progress, and
+// restarts the worker if its lease has expired. It must be called before anything else that the worker
+// does, including the execution of commands that were sent during the hang.
 func (w *Worker) resume(now micros.Micros) {
 	if w.hungSince != 0 {
 		for _, t := range w.Tasks {
@@ -93,7 +93,7 @@
 	}
 }
 
-// restart kills all tasks and begins a new epoch.
+// restart kills all tasks and begins a new agent epoch.
 func (w *Worker) restart(now micros.Micros) {
 	for _, name := range w.taskNames() {
 		w.exit(w.Tasks[name], causeKilled)
@@ -103,7 +103,7 @@
 	w.LastAnsweredHeartbeat, w.Changed = now, true
 }
 
-// observeFencingToken stores a higher token. It sets Changed at most once in half a lease.
+// observeFencingToken stores a higher token. It sets Changed at most once per half of the lease.
 func (w *Worker) observeFencingToken(now micros.Micros, token uint64) {
 	if token <= w.FencingToken {
 		return
--- a/internal/fake/worker_commands.go
+++ b/internal/fake/worker_commands.go
@@ -25,8 +25,9 @@
 	}
 }
 
-// ExecuteDirect executes commands that do not come in the response to a heartbeat. Their fencing
-// token must not be lower than the highest one observed, and their epoch must be the current one.
+// ExecuteDirect executes commands that a controller sends directly instead of in the response to a
+// heartbeat. Their fencing token must not be lower than the highest one observed, and their agent
+// epoch must be the current one.
 func (w *Worker) ExecuteDirect(now micros.Micros, body []byte) Response {
 	var request wire.CommandsRequest
 	if wire.Decode(body, &request) != nil || request.FencingToken == 0 || request.AgentEpoch == 0 {
@@ -54,8 +55,8 @@
 	return nil
 }
 
-// start starts an attempt that the worker does not know, or refuses it. Another attempt that has
-// exited is reported until it is forgotten.
+// start starts an attempt that the worker does not know, or refuses it. An exited attempt that it
+// replaces is reported in heartbeats until a controller sends VerbForget for it.
 func (w *Worker) start(now micros.Micros, c wire.Command) {
 	attempt := &Task{Name: c.Task, Attempt: c.Attempt, Phase: wire.PhaseExited}
 	previous := w.Tasks[c.Task]
@@ -81,7 +82,7 @@
 	w.Tasks[c.Task] = attempt
 }
 
-// fits reports whether a task fits into the resources that the live tasks leave.
+// fits reports whether a task fits into the resources that the live tasks do not use.
 func (w *Worker) fits(info TaskInfo) bool {
 	cpu, mem := info.CPU, info.Mem
 	for name, t := range w.Tasks {
@@ -93,8 +94,8 @@
 	return cpu <= w.CPU+roundingTolerance && mem <= w.Mem+roundingTolerance
 }
 
-// stop stops an attempt. If the grace period suffices, a running task saves a checkpoint first; one
-// that does so already is only stopped without a grace period.
+// stop stops an attempt. A running task saves a checkpoint first if the grace period is long enough.
+// A task that is already saving a checkpoint is stopped only by a command without a grace period.
 func (w *Worker) stop(now micros.Micros, t *Task, graceS *float64) {
 	if t.Phase == wire.PhaseExited {
 		return
@@ -108,7 +109,7 @@
 	}
 }
 
-// forget drops an attempt that has exited.
+// forget removes an attempt that has exited.
 func (w *Worker) forget(t *Task) {
 	if t.Phase != wire.PhaseExited {
 		return
--- a/internal/fake/worker_heartbeat.go
+++ b/internal/fake/worker_heartbeat.go
@@ -12,7 +12,7 @@
 	heartbeatRetryInterval = micros.Second
 )
 
-// BuildHeartbeat builds the next heartbeat: past attempts first, then the tasks by name.
+// BuildHeartbeat builds the next heartbeat. It lists past attempts first, then the tasks by name.
 func (w *Worker) BuildHeartbeat() wire.Heartbeat {
 	w.HeartbeatSeq++
 	heartbeat := wire.Heartbeat{
@@ -34,7 +34,8 @@
 	return wire.TaskStatus{Task: t.Name, Attempt: t.Attempt, Phase: t.Phase, Cause: t.Cause, Checkpointed: t.Checkpointed}
 }
 
-// HeartbeatDue reports whether a heartbeat must be sent now: at its time, or early after a change.
+// HeartbeatDue reports whether a heartbeat must be sent now: at NextHeartbeat, or earlier after a
+// change.
 func (w *Worker) HeartbeatDue(now micros.Micros) bool {
 	if w.Hung || w.HeartbeatInFlight {
 		return false
@@ -47,8 +48,9 @@
 	w.HeartbeatInFlight, w.heartbeatSentAt, w.NextHeartbeat, w.Changed = true, now, now+interval, false
 }
 
-// HandleHeartbeatResponse handles the response to a heartbeat that was sent in epoch; status 0
-// stands for none. nodeOf returns the index of a controller, and nodes is the number of controllers.
+// HandleHeartbeatResponse handles the response to a heartbeat that was sent in epoch; status 0 means
+// that there was no response. indexOf returns the index of a controller by its name, and controllers
+// is the number of controllers.
 func (w *Worker) HandleHeartbeatResponse(now micros.Micros, status int, body []byte, epoch uint64, indexOf func(string) (int, bool), controllers int) {
 	w.HeartbeatInFlight = false
 	if !w.Hung {
--- a/internal/soaktest/addresses.go
+++ b/internal/soaktest/addresses.go
@@ -6,30 +6,31 @@
 	"net"
 )
 
-// Hosts and ports of a run's network. The ports are below those of outgoing connections.
+// Hosts (the last octet of an address) and ports in the network of a run. The ports are below the
+// range from which the system picks the ports of outgoing connections.
 const (
 	fakeHost       = 1
 	workerHost     = 2
-	controllerHost = 10 // of the first controller; the others follow
-	kvStorePort    = 7000
-	cloudPort      = 7100
-	peerPort       = 7200 // of the first pair of controllers; the others follow
+	controllerHost = 10   // first controller; each further one has the next host
+	kvStorePort    = 7000 // plus the index of the controller that connects
+	cloudPort      = 7100 // plus the index of the controller that connects
+	peerPort       = 7200 // plus an offset for each pair of controllers
 	usersPort      = 8080
 	peersPort      = 8081
-	workerPort     = 10000 // of the first worker; the others follow
-	lastWorkerPort = 32000
+	workerPort     = 10000 // first worker; each further one has the next port
+	workerPortEnd  = 32000 // end of the range; worker numbers wrap around before it
 )
 
-// maxNetworkAttempts limits the networks that are tried.
+// maxNetworkAttempts limits how many loopback networks findNetwork tries.
 const maxNetworkAttempts = 50
 
 // errNoNetwork reports that every network that was tried is in use.
 var errNoNetwork = errors.New("no loopback network is free")
 
-// addresses are the addresses of a run's parties, in a loopback network of its own.
+// addresses determines the addresses of a run's parties. Each run has its own loopback network.
 type addresses struct{ network string }
 
-// findNetwork returns a loopback network that no other run uses.
+// findNetwork returns a loopback network that no other run uses. pick returns a random number below n.
 func findNetwork(pick func(n int) int) (addresses, error) {
 	for range maxNetworkAttempts {
 		a := addresses{fmt.Sprintf("127.%d.%d", 1+pick(250), pick(250))}
@@ -66,5 +67,5 @@
 
 // worker returns the address at which the n-th worker listens for commands.
 func (a addresses) worker(n int) string {
-	return a.at(workerHost, workerPort+n%(lastWorkerPort-workerPort))
+	return a.at(workerHost, workerPort+n%(workerPortEnd-workerPort))
 }
--- a/internal/soaktest/checker.go
+++ b/internal/soaktest/checker.go
@@ -10,11 +10,13 @@
 )
 
 const (
-	// maxViolations limits the violations that are kept, since more of them add no information.
+	// maxViolations limits the violations that are kept. Further ones add no information and are
+	// only counted.
 	maxViolations = 50
 	// maxStepInterval is the longest time between two steps that does not count as a stall.
 	maxStepInterval = 200 * micros.Millisecond
-	// maxUnansweredTime is how long users may get no response about a job once faults have ended.
+	// maxUnansweredTime is the longest time after the end of faults in which users may get no
+	// conclusive response about an unfinished job.
 	maxUnansweredTime = 75 * micros.Second
 	// roundingTolerance is how far a sum of CPUs may exceed a limit by rounding.
 	roundingTolerance = 1e-6
@@ -33,21 +35,21 @@
 	blocks            blockOwners
 	terminalStates    map[string]string // statuses of terminal-state records, by job
 	stallTime         micros.Micros     // total time in which the test itself was stalled
-	faultsEndedAt     micros.Micros     // 0: they have not ended
+	faultsEndedAt     micros.Micros     // 0: faults have not ended
 }
 
-// jobHistory is what is certain about a job.
+// jobHistory is what the checker knows about a job from the requests of users and their responses.
 type jobHistory struct {
 	job                 *sched.Job
 	taskInfo            fake.TaskInfo
-	body                []byte        // of its submission
+	body                []byte        // body of its submission request
 	acceptedAt          micros.Micros // time of the first response that shows its acceptance
-	terminalPhase       wire.JobPhase // of the first response that shows its end
-	terminalAt          micros.Micros
-	stallTimeAtTerminal micros.Micros // checker.stallTime at that time
+	terminalPhase       wire.JobPhase // phase in the first response that shows a terminal state, "": none
+	terminalAt          micros.Micros // time of that response
+	stallTimeAtTerminal micros.Micros // checker.stallTime at terminalAt
 	cancelRequested     bool
 	lastResponseAt      micros.Micros // time of the last conclusive response to any user
-	operations          []operation   // with conclusive responses
+	operations          []operation   // those with conclusive responses
 	pending             pendingOperations
 }
 
@@ -82,16 +84,16 @@
 	c.reportViolation(RuleHarness, format, args...)
 }
 
-// processEnded records that a controller exited though the harness did not end it. It acquires the
-// harness's mutex.
+// processEnded records that a controller process exited although the harness did not kill it. It
+// acquires the harness's mutex.
 func (c *checker) processEnded(name string, err error) {
 	c.harness.mu.Lock()
 	defer c.harness.mu.Unlock()
 	c.reportViolation(RuleProcessEnded, "%s exited by itself: %v", name, err)
 }
 
-// recordStall records that the test itself was stalled between two steps, as on a busy machine: the
-// checked time limits are extended by that.
+// recordStall adds the time for which the test itself was stalled between two steps, for example on a
+// busy machine. The time limits of the checks are extended by the total stall time.
 func (c *checker) recordStall(before, now micros.Micros) {
 	if before > 0 && now-before > maxStepInterval {
 		c.stallTime += now - before
@@ -108,14 +110,14 @@
 	return history.taskInfo, true
 }
 
-// taskStarted checks the start of a task.
+// taskStarted records the start of a task and checks it.
 func (c *checker) taskStarted(w *fake.Worker, task string, attempt uint64) {
 	c.stats.Starts++
 	id, _, _ := wire.SplitTaskName(task)
 	history := c.jobs[id]
 	machine := w.Machine
 	if other, ok := c.running[task]; ok && other != machine.Name {
-		c.reportViolation(RuleRanTwice, "%s attempt %d starts on %s while on %s", task, attempt, machine.Name, other)
+		c.reportViolation(RuleRanTwice, "%s attempt %d starts on %s while it is running on %s", task, attempt, machine.Name, other)
 	}
 	c.running[task] = machine.Name
 	if history.terminalPhase == wire.JobCancelled {
@@ -125,11 +127,11 @@
 	c.checkPlacement(task, id, history, machine)
 }
 
-// checkPlacement checks that the constraints of a job allow a task's machine, also with respect to
-// the other running tasks of the job.
+// checkPlacement checks that the placement constraints of a job allow a task's machine, taking the
+// machines of the job's other running tasks into account.
 func (c *checker) checkPlacement(task, id string, history *jobHistory, machine *fake.CloudMachine) {
 	if !history.job.Allows(machine.Type, machine.Zone, machine.Spot) {
-		c.reportViolation(RuleWrongPlace, "%s starts on %s", task, machine.Name)
+		c.reportViolation(RuleWrongPlace, "%s starts on %s, which its constraints do not allow", task, machine.Name)
 	}
 	tasksByZone := map[string]int{}
 	for other, name := range c.running {
@@ -142,17 +144,19 @@
 	}
 }
 
-// checkCancelDeadline checks that a task of a cancelled job is not on a machine after the deadline.
-// It reports whether the deadline, without the extension by stalls, is over.
+// checkCancelDeadline checks that a task of a cancelled job is not on a machine after the cancellation
+// deadline, which is extended by the stall time since the cancellation. It reports whether the
+// deadline without this extension has passed.
 func (c *checker) checkCancelDeadline(task string, history *jobHistory, event string) (overdue bool) {
 	now := c.harness.now()
 	deadline := history.terminalAt + cancelDeadline
 	if now > deadline+c.stallTime-history.stallTimeAtTerminal {
-		c.reportViolation(RuleRanCancelled, "%s %s %v after its user got the confirmation", task, event, now-history.terminalAt)
+		c.reportViolation(RuleRanCancelled, "%s %s %v after its cancellation was confirmed to the user", task, event, now-history.terminalAt)
 	}
 	return now > deadline
 }
 
+// taskExited records that a task is no longer running.
 func (c *checker) taskExited(w *fake.Worker, task string, _ wire.ExitCause) {
 	if c.running[task] == w.Machine.Name {
 		delete(c.running, task)
@@ -177,7 +181,8 @@
 	}
 }
 
-// checkRunningTasks checks the deadlines of cancelled jobs. It returns the CPUs in use by team.
+// checkRunningTasks checks the running tasks of cancelled jobs against the cancellation deadline. It
+// returns the CPUs in use by team.
 func (c *checker) checkRunningTasks() (cpusByTeam map[string]float64) {
 	cpusByTeam = map[string]float64{}
 	for task, machine := range c.running {
@@ -187,14 +192,14 @@
 		if history.terminalPhase != wire.JobCancelled {
 			continue
 		}
-		if c.checkCancelDeadline(task, history, "is still on "+machine) {
-			delete(c.running, task) // it is reported once
+		if c.checkCancelDeadline(task, history, "is still running on "+machine) {
+			delete(c.running, task) // so that it is reported only once
 		}
 	}
 	return cpusByTeam
 }
 
-// checkQuotas checks the teams' limits.
+// checkQuotas checks the quota limits of the teams.
 func (c *checker) checkQuotas(cpusByTeam map[string]float64) {
 	for _, t := range teams(c.harness.options.Machines) {
 		limit, used := t.QuotaLimit.CPUs(), cpusByTeam[t.Name]
@@ -204,8 +209,8 @@
 	}
 }
 
-// checkUnansweredJobs checks that users got a response about each unfinished job after the end of
-// the faults.
+// checkUnansweredJobs checks that users have got a conclusive response about each unfinished job
+// within the last maxUnansweredTime. The time before the end of the faults does not count.
 func (c *checker) checkUnansweredJobs() {
 	for _, id := range c.jobIDs {
 		history := c.jobs[id]
@@ -219,7 +224,7 @@
 	}
 }
 
-// unfinished reports whether the job was accepted and no user knows that it has ended.
+// unfinished reports whether the job was accepted and no response has shown a terminal state.
 func (j *jobHistory) unfinished() bool { return j.acceptedAt != 0 && j.terminalPhase == "" }
 
 // countUnfinishedJobs returns the number of unfinished jobs.
--- a/internal/soaktest/checker_test.go
+++ b/internal/soaktest/checker_test.go
@@ -31,7 +31,7 @@
 // allowAnyZone removes the constraints on zones.
 func (r *taskTest) allowAnyZone() { r.history.job.OneZone, r.history.job.Zone = false, "" }
 
-// cancel cancels the job so long ago that the deadline of its tasks is over.
+// cancel marks the job as cancelled so long ago that the deadline of its tasks has passed.
 func (r *taskTest) cancel() {
 	r.history.terminalPhase, r.history.terminalAt = wire.JobCancelled, r.now()-cancelDeadline-1
 }
@@ -93,7 +93,7 @@
 	}
 }
 
-// TestCheckerStall checks that only a long time between two steps counts as a stall.
+// TestCheckerStall checks that only a time above maxStepInterval between two steps counts as a stall.
 func TestCheckerStall(t *testing.T) {
 	for _, test := range []struct {
 		name        string
@@ -101,8 +101,8 @@
 		want        micros.Micros
 	}{
 		{"first step", 0, atSecond(1), 0},
-		{"step in time", atSecond(1), atSecond(1) + maxStepInterval, 0},
-		{"late step", atSecond(1), atSecond(6), 5 * micros.Second},
+		{"interval at the limit", atSecond(1), atSecond(1) + maxStepInterval, 0},
+		{"interval above the limit", atSecond(1), atSecond(6), 5 * micros.Second},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			h, _ := newTestHarness()
--- a/internal/soaktest/client.go
+++ b/internal/soaktest/client.go
@@ -25,7 +25,7 @@
 	}}}
 }
 
-// send sends a request and returns its result, at the latest after timeout.
+// send sends a request and returns its result. It waits for at most timeout.
 func (h *httpClient) send(ctx context.Context, method, addr, target string, body []byte, timeout time.Duration) callResult {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
--- a/internal/soaktest/controller.go
+++ b/internal/soaktest/controller.go
@@ -10,7 +10,7 @@
 	"syscall"
 )
 
-// errNoProcess reports that a controller has no process that a signal could be sent to.
+// errNoProcess reports that a signal cannot be sent because the controller has no running process.
 var errNoProcess = errors.New("the controller has no process")
 
 // controllerProcess is one controller: its settings, and its process while it runs.
@@ -56,7 +56,7 @@
 	if err != nil {
 		return fmt.Errorf("log of %s: %w", c.name, err)
 	}
-	defer func() { err = errors.Join(err, log.Close()) }() // the process has a descriptor of its own
+	defer func() { err = errors.Join(err, log.Close()) }() // the process keeps its own descriptor
 	command := exec.Command(c.binary, "--config", c.settingsPath, "--properties", c.propertiesPath)
 	command.Env = append(os.Environ(), "LOG_LEVEL=debug")
 	command.Stdout, command.Stderr = log, log
--- a/internal/soaktest/deployment.go
+++ b/internal/soaktest/deployment.go
@@ -9,7 +9,8 @@
 	"tamarindlead/sched"
 )
 
-// The deployment that a run plays. Its times are short, so that much happens in a minute.
+// Parameters of the deployment that a run simulates. Its times are short, so that many events happen
+// within a minute.
 const (
 	heartbeatInterval  = 2 * micros.Second
 	workerLease        = 10 * micros.Second
@@ -37,8 +38,8 @@
 // kvLimits are the limits of the key-value store, in requests and writes per second.
 type kvLimits struct{ requestRate, writeRate float64 }
 
-// drawKVLimits returns the limits of a run. Most are generous, so that many requests are in flight
-// at a time; in a quarter of the runs they are those of small deployments, and requests are
+// drawKVLimits returns the limits of a run. Most runs have high limits, so that many requests are in
+// flight at a time. A quarter of the runs have the limits of small deployments, so that requests are
 // throttled.
 func drawKVLimits(seed uint64) kvLimits {
 	if seed%4 == 3 {
@@ -48,7 +49,7 @@
 }
 
 // teams returns the teams of a deployment with a number of machines: one has a guaranteed quota, and
-// one a limit of half of the machines.
+// the other a quota limit of half of the machines.
 func teams(machines int) []config.Team {
 	half := sched.NewResources(machineCPUs*float64(machines)/2, 0, 0)
 	return []config.Team{
--- a/internal/soaktest/fakes.go
+++ b/internal/soaktest/fakes.go
@@ -10,7 +10,8 @@
 	"tamarindlead/micros"
 )
 
-// forwardTimeout is longer than the timeouts of requests between controllers.
+// forwardTimeout limits how long a request from one controller to another is forwarded. It is longer
+// than the controllers' own timeouts of such requests.
 const forwardTimeout = 10 * time.Second
 
 // stepInterval is the time between two steps of the fakes.
@@ -34,7 +35,7 @@
 }
 
 // serveFakes starts the servers. Each controller reaches the key-value store, the cloud and its peers
-// at addresses of its own, so that its links can fail alone.
+// at its own addresses, so that its links can fail independently of those of other controllers.
 func (h *harness) serveFakes() error {
 	for i := range h.options.Controllers {
 		name := controllerName(i)
@@ -69,7 +70,8 @@
 	return serve(h.ctx, addr, l, execute, onListenError)
 }
 
-// executeKV executes a request to the key-value store. A watch waits for events.
+// executeKV executes a request to the key-value store. A watch is retried until there are events or
+// its timeout is over.
 func (h *harness) executeKV(caller string, r inboundRequest) callResult {
 	deadline := h.now() + watchTimeout(r.target)
 	for {
@@ -92,13 +94,14 @@
 	return h.kvStore.Handle(caller, r.method, r.target, r.body, now >= deadline)
 }
 
-// watchTimeout returns how long a request to the key-value store waits for events.
+// watchTimeout returns how long a request to the key-value store waits for events: 0 unless it is a
+// watch.
 func watchTimeout(target string) micros.Micros {
 	u, err := url.ParseRequestURI(target)
 	if err != nil {
 		return 0
 	}
-	ms, _ := strconv.ParseFloat(u.Query().Get("waitMs"), 64) // only a watch has it
+	ms, _ := strconv.ParseFloat(u.Query().Get("waitMs"), 64) // only watches have this parameter
 	return micros.FromMillis(ms)
 }
 
@@ -111,7 +114,7 @@
 	return callResult{status: response.Status, body: response.Body}
 }
 
-// addMachines adds every other machine. The cloud has capacity for the rest.
+// addMachines creates every second machine, and gives the cloud capacity to launch the others.
 func (h *harness) addMachines() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/soaktest/fault_injector.go
+++ b/internal/soaktest/fault_injector.go
@@ -7,14 +7,14 @@
 )
 
 const (
-	// faultCheckInterval is the time between two checks whether faults begin or end.
+	// faultCheckInterval is the time between two checks whether a fault is due to begin or to end.
 	faultCheckInterval = 20 * time.Millisecond
-	// maxControllerDraws limits the draws for a controller that a fault can apply to.
+	// maxControllerDraws limits how often a controller is drawn until one is neither killed nor frozen.
 	maxControllerDraws = 10
 )
 
-// meanFaultIntervals are the mean times between two faults, of which a run draws one: with few faults
-// requests are answered quickly and race with each other, with many the faults overlap.
+// meanFaultIntervals are the possible mean times between two faults. Each run draws one of them: with
+// few faults, requests are answered quickly and race with each other; with many, the faults overlap.
 var meanFaultIntervals = []time.Duration{1500 * time.Millisecond, 4 * time.Second, 10 * time.Second}
 
 // faultInjector injects faults. Only the goroutine of runFaults uses it.
@@ -25,14 +25,14 @@
 	active      []activeFault
 }
 
-// activeFault is a fault that lasts.
+// activeFault is an injected fault that has not been undone yet.
 type activeFault struct {
 	name   string
 	endsAt time.Time
 	undo   func()
 }
 
-// runFaults injects faults until load ends, and then undoes all that last.
+// runFaults injects faults until load ends, and then undoes the active ones.
 func (h *harness) runFaults(load context.Context) {
 	f := &faultInjector{harness: h, rng: newRandom(h.options.Seed, streamFaults), unavailable: map[int]bool{}}
 	f.startBackgroundFaults()
@@ -52,7 +52,7 @@
 	h.endBackgroundFaults()
 }
 
-// inject draws a type of fault and injects it, unless there is nothing that it can apply to.
+// inject draws a type of fault and injects it. It does nothing if the fault has no possible target.
 func (f *faultInjector) inject(now time.Time) {
 	drawn := faultTypes[f.rng.IntN(len(faultTypes))]
 	injected, ok := drawn.inject(f)
@@ -71,7 +71,7 @@
 	h.checker.stats.Faults++
 }
 
-// endExpired undoes the faults whose time is over.
+// endExpired undoes the faults whose duration is over.
 func (f *faultInjector) endExpired(now time.Time) {
 	var remaining []activeFault
 	for _, a := range f.active {
@@ -90,11 +90,11 @@
 	return time.Duration((from + f.rng.Float64()*(to-from)) * float64(time.Second))
 }
 
-// drawProbability draws a probability.
+// drawProbability draws a probability below limit.
 func (f *faultInjector) drawProbability(limit float64) float64 { return limit * f.rng.Float64() }
 
-// drawController draws a controller that is neither killed nor frozen. It reports false if it has
-// found none.
+// drawController draws a controller that is neither killed nor frozen. It reports false if it finds
+// none within maxControllerDraws draws.
 func (f *faultInjector) drawController() (int, bool) {
 	for range maxControllerDraws {
 		if i := f.rng.IntN(len(f.harness.controllers)); !f.unavailable[i] {
@@ -104,15 +104,15 @@
 	return 0, false
 }
 
-// backgroundFaults are the conditions of links during the whole time of faults.
+// backgroundFaults are the faults that are active during the whole time in which faults are injected.
 type backgroundFaults struct {
-	kvDelay, peerDelay              float64 // probabilities
+	kvDelay, peerDelay              float64 // probabilities that a response is delayed
 	maxKVDelay, maxPeerDelay        time.Duration
-	loss, requestDelay, duplication float64 // probabilities
-	duplicateHeartbeat              float64 // probability
+	loss, requestDelay, duplication float64 // probabilities, as in linkConditions
+	duplicateHeartbeat              float64 // probability that a heartbeat is duplicated
 }
 
-// drawBackgroundFaults draws the background faults, except for the duplicate heartbeats.
+// drawBackgroundFaults draws the background faults of a run.
 func (f *faultInjector) drawBackgroundFaults() backgroundFaults {
 	var b backgroundFaults
 	b.kvDelay = 0.15 + f.drawProbability(0.35)
@@ -126,10 +126,11 @@
 	return b
 }
 
-// startBackgroundFaults delays some responses, and loses, delays and duplicates some messages.
+// startBackgroundFaults sets the probabilities with which responses are delayed or lost, requests are
+// delayed or duplicated, and heartbeats are duplicated.
 func (f *faultInjector) startBackgroundFaults() {
 	h, b := f.harness, f.drawBackgroundFaults()
-	h.progress("background: %.0f%% of the key-value store's responses delayed by up to %v, %.0f%% of the controllers' by up to %v",
+	h.progress("background: %.0f%% of the key-value store's responses delayed by up to %v, %.0f%% of the responses between controllers by up to %v",
 		100*b.kvDelay, b.maxKVDelay.Round(time.Millisecond), 100*b.peerDelay, b.maxPeerDelay.Round(time.Millisecond))
 	for _, l := range h.links.kvStore {
 		l.update(func(c *linkConditions) { b.apply(c, b.kvDelay, b.maxKVDelay) })
@@ -151,7 +152,7 @@
 	c.responseLossProbability, c.requestDelayProbability, c.duplicateProbability = b.loss, b.requestDelay, b.duplication
 }
 
-// endBackgroundFaults restores the conditions of all links.
+// endBackgroundFaults removes the faults of all links and the duplicate heartbeats.
 func (h *harness) endBackgroundFaults() {
 	for _, l := range h.links.all() {
 		l.update(func(c *linkConditions) { *c = linkConditions{} })
--- a/internal/soaktest/faults.go
+++ b/internal/soaktest/faults.go
@@ -10,7 +10,8 @@
 // faultType is a type of fault.
 type faultType struct {
 	name string
-	// inject injects a fault. It reports false if there is nothing that the fault can apply to.
+	// inject injects a fault. It reports false if the fault has no possible target, or is left out at
+	// random.
 	inject func(f *faultInjector) (injection, bool)
 }
 
@@ -21,7 +22,8 @@
 	undo     func()
 }
 
-// faultTypes are the types of faults that are drawn. Their order is part of what a seed determines.
+// faultTypes are the types of faults that are drawn. Changing their order changes the faults that a
+// seed determines.
 var faultTypes = []faultType{
 	{"kill", (*faultInjector).injectKill},
 	{"kill all", (*faultInjector).injectKillAll},
@@ -67,7 +69,7 @@
 	return injection{"", f.drawDowntime(), undo}, true
 }
 
-// killController kills a controller until it is restarted.
+// killController kills a controller. restart starts it again.
 func (f *faultInjector) killController(i int) (restart func()) {
 	f.unavailable[i] = true
 	h := f.harness
@@ -97,21 +99,21 @@
 		return injection{}, false
 	}
 	controller := f.harness.controllers[i]
-	if controller.suspend() != nil { // it has exited by itself, which is a violation already
+	if controller.suspend() != nil { // it has exited by itself, which processEnded has recorded
 		return injection{}, false
 	}
 	f.unavailable[i] = true
 	undo := func() {
 		delete(f.unavailable, i)
-		_ = controller.resume() // fails if the process has exited by itself, which is a violation already
+		_ = controller.resume() // fails if the process has exited by itself, which processEnded has recorded
 	}
 	return injection{controllerName(i), f.drawDuration(0.1, 12), undo}, true
 }
 
-// partitionModes are the modes of partitions between controllers and others.
+// partitionModes are the partition modes that are drawn.
 var partitionModes = []partitionMode{partitionDrop, partitionHold, partitionRefuse, partitionReset}
 
-// partition partitions links in one mode until undo is called.
+// partition partitions all the links in the same mode, which it draws, until undo is called.
 func (f *faultInjector) partition(links ...*link) (mode partitionMode, undo func()) {
 	mode = partitionModes[f.rng.IntN(len(partitionModes))]
 	set := func(mode partitionMode) {
@@ -165,7 +167,7 @@
 	return injection{"", f.drawDuration(0.5, 8), undo}, true
 }
 
-// toggle sets a fault of the fakes until undo is called.
+// toggle turns a fault of the fakes on until undo is called.
 func (f *faultInjector) toggle(set func(on bool)) (undo func()) {
 	locked := func(on bool) {
 		f.harness.mu.Lock()
@@ -193,8 +195,7 @@
 	}}
 }
 
-// drawWorkers draws one to three workers, perhaps one of them several times. Without workers it draws
-// nothing.
+// drawWorkers draws one to three workers, with replacement. It draws nothing if there are no workers.
 func (f *faultInjector) drawWorkers() []*fake.Worker {
 	h := f.harness
 	h.mu.Lock()
--- a/internal/soaktest/harness.go
+++ b/internal/soaktest/harness.go
@@ -11,10 +11,10 @@
 	"tamarindlead/micros"
 )
 
-// startTime is the time at which a run starts, so that zero always means never.
+// startTime is the time at which a run starts. It is not zero, because a time of zero means never.
 const startTime = micros.Hour
 
-// sinceStart returns a time as it is shown in violations and progress.
+// sinceStart returns the time since the start of the run, as violations and progress lines show it.
 func sinceStart(at micros.Micros) micros.Micros { return at - startTime }
 
 // harness is a run: the controllers, the fakes that they talk to, and the checker.
@@ -34,7 +34,7 @@
 	cloud                         *fake.Cloud
 	fleet                         *fake.Fleet
 	checker                       *checker
-	duplicateHeartbeatProbability float64 // a copy of a heartbeat arrives late
+	duplicateHeartbeatProbability float64 // probability that a delayed duplicate of a heartbeat is sent
 	lastStep                      micros.Micros
 }
 
@@ -43,7 +43,7 @@
 	return startTime + micros.FromDuration(time.Since(h.startedAt))
 }
 
-// sleep waits for d, and reports whether the run has not ended before.
+// sleep waits for d. It reports false if the run ends earlier.
 func (h *harness) sleep(d time.Duration) bool { return sleep(h.ctx, d) }
 
 // progress writes a line to the caller's writer.
@@ -52,12 +52,12 @@
 		return
 	}
 	line := fmt.Sprintf("%7.3f ", sinceStart(h.now()).Seconds()) + fmt.Sprintf(format, args...)
-	_, _ = fmt.Fprintln(h.options.Progress, line) // a run does not fail for its progress
+	_, _ = fmt.Fprintln(h.options.Progress, line) // a failed write does not fail the run
 }
 
 // newHarness prepares a run: it starts the servers of the fakes and writes the controllers' settings.
 func newHarness(ctx context.Context, o Options) (*harness, error) {
-	// The network is not drawn by the seed, since two runs with one seed may be played at once.
+	// The network does not depend on the seed, since two runs with the same seed may run concurrently.
 	addrs, err := findNetwork(rand.IntN)
 	if err != nil {
 		return nil, err
--- a/internal/soaktest/harness_test.go
+++ b/internal/soaktest/harness_test.go
@@ -37,7 +37,7 @@
 	return h, history
 }
 
-// checkRules checks which rules were violated, in the order of their first violations.
+// checkRules checks that exactly the rules in want were violated, in the order of their first violations.
 func checkRules(t *testing.T, c *checker, want []Rule) {
 	t.Helper()
 	var got []Rule
--- a/internal/soaktest/linearizability.go
+++ b/internal/soaktest/linearizability.go
@@ -10,7 +10,7 @@
 	"tamarindlead/micros"
 )
 
-// linearizabilityTimeout limits the check of one history.
+// linearizabilityTimeout limits the check of one job's history.
 const linearizabilityTimeout = 5 * time.Second
 
 // registerState is a job's state as users can observe it.
@@ -48,7 +48,8 @@
 	return outcomeActive
 }
 
-// jobModel models a job as a register. While the job is active its tasks may complete at any time.
+// jobModel models a job as a register. An active job may be done at any time, since its tasks complete
+// without an operation of a user.
 var jobModel = porcupine.Model{
 	Init: func() any { return stateUnknown },
 	Step: func(state, input, output any) (bool, any) {
@@ -79,19 +80,19 @@
 		return stateDone, state == stateActive || state == stateDone
 	case outcomeCancelled:
 		return state, state == stateCancelled
-	case outcomeNone: // anything is possible
+	case outcomeNone: // every state is possible
 	}
 	return state, true
 }
 
-// checkLinearizability checks that the operations of each job are linearizable: that they have an order,
-// consistent with the times of requests and responses, in which every response is correct.
+// checkLinearizability checks that the operations of each job are linearizable: that they have an
+// order, consistent with the times of requests and responses, in which every response is correct.
 func (c *checker) checkLinearizability() {
 	for _, id := range c.jobIDs {
 		history := c.jobs[id]
 		switch porcupine.CheckOperationsTimeout(jobModel, history.linearizableOperations(), linearizabilityTimeout) {
 		case porcupine.Illegal:
-			c.reportViolation(RuleNotLinearizable, "no order of its operations explains the %d responses about %s", len(history.operations), id)
+			c.reportViolation(RuleNotLinearizable, "no order of the operations explains the %d responses about %s", len(history.operations), id)
 		case porcupine.Unknown:
 			c.stats.Undecided++
 		case porcupine.Ok:
@@ -99,9 +100,9 @@
 	}
 }
 
-// linearizableOperations returns the operations for the check. All operations without a conclusive
-// response count as one submission and one cancellation that may take effect at any time: more of
-// them would have no further effect.
+// linearizableOperations returns the operations for the check. The operations without a conclusive
+// response are represented by one submission and one cancellation that may take effect at any time
+// after the first of them was sent: more of them would have no further effect.
 func (j *jobHistory) linearizableOperations() []porcupine.Operation {
 	var list []porcupine.Operation
 	for i := range j.operations {
--- a/internal/soaktest/link.go
+++ b/internal/soaktest/link.go
@@ -15,7 +15,7 @@
 const (
 	partitionNone   partitionMode = iota
 	partitionDrop                 // requests are dropped
-	partitionHold                 // requests are executed once the link is open, though their senders have given up
+	partitionHold                 // requests are executed when the partition ends; their senders get no response
 	partitionRefuse               // connections are refused
 	partitionReset                // connections are reset
 )
@@ -44,7 +44,7 @@
 const (
 	failureNone    failure = iota
 	failureTimeout         // there is no response
-	failureRefused         // the request did not reach the other side
+	failureRefused         // the request does not reach the receiver
 	failureReset           // the connection is reset
 )
 
@@ -71,17 +71,17 @@
 	failure    failure
 }
 
-// linkConditions are the faults of a link.
+// linkConditions are the faults of a link: its partition mode, and probabilities for each request.
 type linkConditions struct {
 	partition                partitionMode
-	responseDelayProbability float64       // a response is delayed, by up to maxResponseDelay
+	responseDelayProbability float64       // of delaying a response by up to maxResponseDelay
 	maxResponseDelay         time.Duration // 0: no response is delayed
-	responseLossProbability  float64       // a request is executed and its response lost
-	requestDelayProbability  float64       // a request is executed late, without a response
-	duplicateProbability     float64       // a request is executed a second time, late
+	responseLossProbability  float64       // of executing a request and losing its response
+	requestDelayProbability  float64       // of executing a request after a delay, without a response
+	duplicateProbability     float64       // of executing a request a second time, after a delay
 }
 
-// Late requests are executed within these times.
+// Bounds of the delay of delayed and duplicate requests.
 const (
 	minRequestDelay = 500 * time.Millisecond
 	maxRequestDelay = 8 * time.Second
@@ -130,7 +130,7 @@
 	l.update(func(c *linkConditions) { c.partition = mode })
 }
 
-// transmission is what was drawn for one request.
+// transmission holds the faults that were drawn for one request.
 type transmission struct {
 	partition      partitionMode
 	partitionEnded <-chan struct{}
@@ -141,7 +141,8 @@
 	responseDelay  time.Duration
 }
 
-// draw draws the transmission of a request. The order of the draws is part of what a seed determines.
+// draw draws the transmission of a request. Changing the order of the draws changes what a seed
+// determines.
 func (l *link) draw() transmission {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -156,9 +157,9 @@
 	return t
 }
 
-// transmit transmits a request over the link; send executes it on the other side. sender ends when
-// the sender gives up, and run when the whole run ends: requests that are executed late outlive
-// their sender.
+// transmit transmits a request over the link; send executes it at the receiver. The context sender
+// ends when the sender gives up, and the context run when the whole run ends: a delayed request is
+// executed even if its sender has given up before.
 func (l *link) transmit(sender, run context.Context, send func() callResult) callResult {
 	t := l.draw()
 	switch {
@@ -177,7 +178,7 @@
 	return callResult{failure: failureTimeout}
 }
 
-// deliver executes a request now, and delays or drops its response as drawn.
+// deliver executes a request immediately, and delays or drops its response as drawn.
 func deliver(sender, run context.Context, t transmission, send func() callResult) callResult {
 	if t.duplicate {
 		go sendAfter(run, t.requestDelay, send)
@@ -193,7 +194,7 @@
 	return result
 }
 
-// sendAfterPartition executes a request when the partition of its link has ended.
+// sendAfterPartition executes a request when the partition of its link ends.
 func sendAfterPartition(run context.Context, partitionEnded <-chan struct{}, send func() callResult) {
 	select {
 	case <-partitionEnded:
@@ -209,7 +210,7 @@
 	}
 }
 
-// sleep waits for d, and reports whether ctx did not end before.
+// sleep waits for d. It reports false if ctx ends earlier.
 func sleep(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/internal/soaktest/link_test.go
+++ b/internal/soaktest/link_test.go
@@ -8,20 +8,21 @@
 )
 
 // TestLinkTransmit checks what each condition does to a request: how often it is executed, and what
-// its sender gets. Times are bounded from below only.
+// its sender gets. It allows more time than the longest delay of a request, and does not check how
+// soon a request is executed.
 func TestLinkTransmit(t *testing.T) {
 	for _, test := range []struct {
 		name         string
 		change       func(*linkConditions)
-		wantExecuted int32 // in the end
+		wantExecuted int32 // after all delays
 		wantFailure  failure
 	}{
-		{"open", func(*linkConditions) {}, 1, failureNone},
+		{"no fault", func(*linkConditions) {}, 1, failureNone},
 		{"drop", func(c *linkConditions) { c.partition = partitionDrop }, 0, failureTimeout},
 		{"refuse", func(c *linkConditions) { c.partition = partitionRefuse }, 0, failureRefused},
 		{"reset", func(c *linkConditions) { c.partition = partitionReset }, 0, failureReset},
 		{"response lost", func(c *linkConditions) { c.responseLossProbability = 1 }, 1, failureTimeout},
-		{"late", func(c *linkConditions) { c.requestDelayProbability = 1 }, 1, failureTimeout},
+		{"request delayed", func(c *linkConditions) { c.requestDelayProbability = 1 }, 1, failureTimeout},
 		{"duplicate", func(c *linkConditions) { c.duplicateProbability = 1 }, 2, failureNone},
 		{"response delayed", func(c *linkConditions) { c.responseDelayProbability, c.maxResponseDelay = 1, 50*time.Millisecond }, 1, failureNone},
 	} {
--- a/internal/soaktest/links.go
+++ b/internal/soaktest/links.go
@@ -11,8 +11,8 @@
 	peers      [][]*link // from one controller to another
 }
 
-// newLinks returns the links of a run with a number of controllers. Each draws from a stream of its
-// own, in the order of their creation.
+// newLinks returns the links of a run with a number of controllers. Each link has its own stream of
+// random numbers. The streams are numbered in the order in which the links are created.
 func newLinks(seed uint64, controllers int) links {
 	stream := streamLinks
 	add := func(format string, args ...any) *link {
--- a/internal/soaktest/logs.go
+++ b/internal/soaktest/logs.go
@@ -11,13 +11,15 @@
 	"tamarindlead/internal/fleet"
 )
 
-// invariantViolatedMessage is in a controller's log line about a violation of its own invariants.
+// invariantViolatedMessage is part of the log line by which a controller reports that one of its
+// invariants is violated.
 const invariantViolatedMessage = `msg="invariant violated"`
 
-// machineStateMessage is in a controller's log line about a machine's change of state.
+// machineStateMessage is part of the log line by which a controller reports a state change of a
+// machine.
 const machineStateMessage = `msg="machine state changed"`
 
-// crashPrefixes begin the output of a process that crashes.
+// crashPrefixes are the possible starts of the first line that a crashing process prints.
 var crashPrefixes = []string{"panic:", "fatal error:"}
 
 // machineLostReasons are the reasons for which a controller considers a machine lost.
@@ -27,7 +29,7 @@
 	reasonAttribute(fleet.DecommissionUnlisted),
 }
 
-// reasonAttribute returns a reason as a line of a controller's log has it.
+// reasonAttribute returns a reason in the form in which a controller logs it.
 func reasonAttribute(reason fleet.DecommissionReason) string {
 	return fmt.Sprintf("reason=%q", reason.String())
 }
@@ -41,8 +43,8 @@
 	}
 }
 
-// checkLog checks that a controller reports no violation of its invariants, has not crashed, and, in
-// a run without faults, considers no machine lost.
+// checkLog checks that a controller has reported no violated invariant, has not crashed, and, in a run
+// without faults and stalls, has considered no machine lost.
 func (c *checker) checkLog(controller *controllerProcess) (err error) {
 	file, err := os.Open(controller.logPath)
 	if err != nil {
--- a/internal/soaktest/options.go
+++ b/internal/soaktest/options.go
@@ -3,9 +3,10 @@
 // outside that the rules of the protocol hold.
 //
 // It owns the deployment of a run: its settings, its network, the faults and the users' requests.
-// It must not know the inside of a controller: the checks use only what users and workers see, the
-// history of the key-value store, and the controllers' logs. A seed determines which faults and jobs
-// are drawn. Since processes are real, two runs with the same seed are similar, not the same.
+// It must not depend on the internals of a controller: the checks use only what users and workers see,
+// the history of the key-value store, and the controllers' logs. A seed determines which faults and
+// jobs are drawn. Since the processes are real, two runs with the same seed are similar but not
+// identical.
 package soaktest
 
 import (
@@ -43,7 +44,7 @@
 	JobRate float64
 	// Sockets limits the connections of a controller, a quarter of them outbound.
 	Sockets int
-	// NoFaults leaves out all faults. Then no controller may consider a machine lost, either.
+	// NoFaults disables all faults. In such a run no controller may consider a machine lost.
 	NoFaults bool
 	// Binary is the path of the controller's program.
 	Binary string
@@ -73,7 +74,7 @@
 		return &OptionError{"controllers", fmt.Sprintf("must be from %d to %d", minControllers, maxControllers)}
 	case o.Machines < minMachines || o.Machines > maxMachines:
 		return &OptionError{"machines", fmt.Sprintf("must be from %d to %d", minMachines, maxMachines)}
-	case !(o.JobRate > 0 && o.JobRate <= maxJobRate): // refuses NaN, too
+	case !(o.JobRate > 0 && o.JobRate <= maxJobRate): // also rejects NaN
 		return &OptionError{"job-rate", fmt.Sprintf("must be above 0 and at most %d a second", maxJobRate)}
 	case o.Sockets < minSockets || o.Sockets > maxSockets:
 		return &OptionError{"sockets", fmt.Sprintf("must be from %d to %d", minSockets, maxSockets)}
--- a/internal/soaktest/random.go
+++ b/internal/soaktest/random.go
@@ -2,13 +2,13 @@
 
 import "math/rand/v2"
 
-// The streams of random numbers of a run. Every party has its own stream, so that the draws of one do
-// not depend on the timing of another.
+// The streams of random numbers of a run. Each of its parts has its own stream, so that the draws of
+// one do not depend on the timing of another.
 const (
 	streamHarness uint64 = iota + 1
 	streamFaults
 	streamJobs
-	streamLinks // the first link's is the next one
+	streamLinks // the links use the streams after this one
 )
 
 func newRandom(seed, stream uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, stream)) }
--- a/internal/soaktest/records.go
+++ b/internal/soaktest/records.go
@@ -13,7 +13,7 @@
 
 // blockOwners are the machines and owners of all blocks.
 type blockOwners struct {
-	changed  bool                    // since the last transaction that was checked
+	changed  bool                    // whether a block was put since the last check
 	values   map[string][]byte       // by key
 	contents map[string]blockContent // by key
 }
@@ -28,7 +28,8 @@
 	return blockOwners{values: map[string][]byte{}, contents: map[string]blockContent{}}
 }
 
-// recordWritten checks a record that was put. Further puts of the same transaction may follow.
+// recordWritten handles a record that was put. It checks terminal states immediately, but leaves blocks
+// to transactionCommitted, since further puts of the same transaction may follow.
 func (c *checker) recordWritten(key string, value []byte, _ uint64) {
 	if strings.HasPrefix(key, record.BlockPrefix) {
 		c.blocks.changed = true
@@ -53,8 +54,8 @@
 	c.terminalStates[job] = status
 }
 
-// transactionCommitted checks that no machine is in blocks of two owners. An owner that moves a
-// machine from one of its blocks to another may leave it in both for a while: the newer one holds.
+// transactionCommitted checks that no machine is in blocks of two owners. A machine may be in two
+// blocks of the same owner while the owner moves it from one to the other: the newer block applies.
 func (c *checker) transactionCommitted(revision uint64) {
 	if !c.blocks.changed {
 		return
--- a/internal/soaktest/records_test.go
+++ b/internal/soaktest/records_test.go
@@ -15,7 +15,7 @@
 	const machine, otherMachine = "m-000001", "m-000002"
 	for _, test := range []struct {
 		name    string
-		records []fake.Record // each written by a transaction
+		records []fake.Record // each written by its own transaction
 		want    []Rule
 	}{
 		{"valid", []fake.Record{
@@ -60,7 +60,7 @@
 	return fake.Record{Key: "f/" + testJob, Value: wire.Encode(record.TerminalState{Status: status})}
 }
 
-// commitPut writes a record by a transaction of its own.
+// commitPut writes a record in its own transaction.
 func commitPut(t *testing.T, store *fake.KVStore, r fake.Record) {
 	t.Helper()
 	body := wire.Encode(map[string]any{"writes": []any{map[string]any{"put": r.Key, "data": r.Value}}})
--- a/internal/soaktest/responses.go
+++ b/internal/soaktest/responses.go
@@ -38,10 +38,10 @@
 	sentAt      micros.Micros
 	respondedAt micros.Micros
 	status      wire.Status   // 0: no response
-	phase       wire.JobPhase // of the job, by the response
+	phase       wire.JobPhase // of the job, as the response shows it
 }
 
-// String returns the request as it is named in violations.
+// String describes the request for violations.
 func (o *operation) String() string {
 	return fmt.Sprintf("%v of %s at %s", o.kind, o.job, controllerName(o.controller))
 }
@@ -56,8 +56,9 @@
 	return o.accepted() || o.status == wire.StatusNotFound || o.status == wire.StatusBadRequest || o.status == wire.StatusUnprocessable
 }
 
-// pendingOperations are the times at which the first requests without a conclusive response were
-// sent: they may have taken effect at any time since. 0: there are none.
+// pendingOperations are the times at which the first submission and the first cancellation without a
+// conclusive response were sent; 0: there is none. Such a request may take effect at any time after
+// it was sent.
 type pendingOperations struct{ submit, cancel micros.Micros }
 
 func isTerminal(phase wire.JobPhase) bool { return phase == wire.JobDone || phase == wire.JobCancelled }
@@ -86,7 +87,8 @@
 	c.checkPhase(history, o)
 }
 
-// handleInconclusive records a request without a response, or with a refusal for now.
+// handleInconclusive records a request without a response, or with a refusal that does not depend on
+// the job's state, such as an overload.
 func (c *checker) handleInconclusive(history *jobHistory, o operation) {
 	if o.status == 0 {
 		c.stats.Unanswered++
@@ -102,7 +104,7 @@
 	}
 }
 
-// earliest returns the earlier of two times, where 0 for the first one stands for none.
+// earliest returns the earlier of two times. A known time of 0 means that there is none.
 func earliest(known, at micros.Micros) micros.Micros {
 	if known == 0 {
 		return at
@@ -110,17 +112,17 @@
 	return min(known, at)
 }
 
-// checkUnknownJob checks the response about a job that nobody submitted.
+// checkUnknownJob checks a response about a job that nobody submitted.
 func (c *checker) checkUnknownJob(o operation) {
 	if o.accepted() {
-		c.reportViolation(RuleInvented, "%v, which nobody submitted, got status %d", &o, o.status)
+		c.reportViolation(RuleInvented, "%v got status %d, but nobody submitted the job", &o, o.status)
 	}
 }
 
-// checkNotAccepted checks a response which says that the job does not exist or is invalid.
+// checkNotAccepted checks a response that says that the job does not exist or is invalid.
 func (c *checker) checkNotAccepted(history *jobHistory, o operation) {
 	if history.acceptedAt != 0 && history.acceptedAt < o.sentAt {
-		c.reportViolation(RuleForgotten, "%v, sent at %v, got status %d: it was accepted at %v",
+		c.reportViolation(RuleForgotten, "%v, sent at %v, got status %d, but the job was accepted at %v",
 			&o, sinceStart(o.sentAt), o.status, sinceStart(history.acceptedAt))
 	}
 	if o.kind == opSubmit {
@@ -137,7 +139,7 @@
 	}
 	differs := history.terminalPhase != "" && history.terminalPhase != o.phase
 	if differs && (isTerminal(o.phase) || history.terminalAt < o.sentAt) {
-		c.reportViolation(RuleWentBack, "%s was %s at %v, is %s by a %v at %s, sent at %v, response at %v",
+		c.reportViolation(RuleWentBack, "%s was reported as %s at %v, then as %s in the response to a %v at %s, sent at %v, received at %v",
 			o.job, history.terminalPhase, sinceStart(history.terminalAt),
 			o.phase, o.kind, controllerName(o.controller), sinceStart(o.sentAt), sinceStart(o.respondedAt))
 	}
@@ -146,7 +148,7 @@
 	}
 }
 
-// handleTermination records and checks the first response which shows that a job has ended.
+// handleTermination records and checks the first response that shows a terminal state of a job.
 func (c *checker) handleTermination(history *jobHistory, o operation) {
 	history.terminalPhase, history.terminalAt, history.stallTimeAtTerminal = o.phase, o.respondedAt, c.stallTime
 	if o.phase == wire.JobDone {
@@ -156,7 +158,7 @@
 	}
 	c.stats.Cancelled++
 	if !history.cancelRequested {
-		c.reportViolation(RuleWentBack, "%s is cancelled without a request of its user", o.job)
+		c.reportViolation(RuleWentBack, "%s is reported as cancelled, but its user did not request it", o.job)
 	}
 }
 
@@ -164,7 +166,7 @@
 func (c *checker) checkDone(history *jobHistory) {
 	for i := range history.job.Tasks {
 		if task := wire.TaskName(history.job.ID, i); !c.harness.fleet.CompletedTasks[task] {
-			c.reportViolation(RuleNotDone, "%s is reported as done without %s", history.job.ID, task)
+			c.reportViolation(RuleNotDone, "%s is reported as done, but %s has not completed", history.job.ID, task)
 			return
 		}
 	}
--- a/internal/soaktest/responses_test.go
+++ b/internal/soaktest/responses_test.go
@@ -53,7 +53,8 @@
 	checkRules(t, h.checker, []Rule{RuleWentBack})
 }
 
-// TestCheckerUnansweredJobs checks that a job about which there is no response is detected.
+// TestCheckerUnansweredJobs checks that an unfinished job is detected if users get no response about
+// it for too long after the end of the faults.
 func TestCheckerUnansweredJobs(t *testing.T) {
 	h, history := newTestHarness()
 	history.acceptedAt, history.lastResponseAt = atSecond(1), atSecond(1)
@@ -62,8 +63,8 @@
 	checkRules(t, h.checker, []Rule{RuleForgotten})
 }
 
-// TestLinearizabilityOfPendingOperations checks that a cancellation without a response may have taken
-// effect, while one that was never sent has not.
+// TestLinearizabilityOfPendingOperations checks that a cancelled job is possible after a cancellation
+// without a response, but not if no cancellation was sent.
 func TestLinearizabilityOfPendingOperations(t *testing.T) {
 	submit := newOperation(opSubmit, 1, 1.1, wire.StatusAccepted, wire.JobQueued)
 	cancelWithoutResponse := newOperation(opCancel, 2, 4, 0, "")
--- a/internal/soaktest/run.go
+++ b/internal/soaktest/run.go
@@ -12,7 +12,7 @@
 	// warmUp is the time without faults at the start. Controllers that have just started do not
 	// confirm cancellations for 12 s.
 	warmUp = 13 * time.Second
-	// readyTimeout limits the time until some controller accepts requests.
+	// readyTimeout limits the time until the first controller accepts requests.
 	readyTimeout = time.Minute
 	// healthTimeout limits a request for a controller's health.
 	healthTimeout = time.Second
@@ -23,12 +23,12 @@
 // Result is the result of a run.
 type Result struct {
 	Violations        []Violation
-	DroppedViolations int // violations beyond those
+	DroppedViolations int // further violations, which were only counted
 	Stats             Stats
 }
 
-// Run plays a run. It returns an error only if the run could not be played: violations are part of
-// the result.
+// Run executes a run. It returns an error only if the run could not be executed: violations are part
+// of the result.
 func Run(ctx context.Context, o Options) (*Result, error) {
 	if err := o.Validate(); err != nil {
 		return nil, err
@@ -82,7 +82,7 @@
 			return h.ctx.Err()
 		}
 	}
-	return fmt.Errorf("no controller accepts requests within %v", readyTimeout)
+	return fmt.Errorf("no controller accepted requests within %v", readyTimeout)
 }
 
 // runLoad submits jobs, and injects faults after the warm-up.
@@ -98,11 +98,11 @@
 	} else {
 		h.runFaults(load)
 	}
-	h.progress("end of the faults")
+	h.progress("faults ended")
 	return nil
 }
 
-// waitForJobs waits until all accepted jobs have ended, up to the timeout.
+// waitForJobs waits until all accepted jobs have ended, for at most the settle timeout.
 func (h *harness) waitForJobs() {
 	h.mu.Lock()
 	h.checker.faultsEndedAt = h.now()
@@ -120,7 +120,7 @@
 	return h.checker.countUnfinishedJobs()
 }
 
-// result makes the checks that are possible only at the end, and returns the result.
+// result performs the final checks and returns the result.
 func (h *harness) result() *Result {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/soaktest/run_test.go
+++ b/internal/soaktest/run_test.go
@@ -10,12 +10,12 @@
 	"time"
 )
 
-// shortSeeds are the seeds of the short runs with faults. All are odd: each team has one owner at a
-// time.
+// shortSeeds are the seeds of the short runs with faults. All are odd, so that teams.spread is off and
+// each team has one owner at a time.
 var shortSeeds = []uint64{1, 5}
 
-// TestShortSoak plays short runs on real processes. It checks the rules, and of the amount of work
-// only that a run was not empty.
+// TestShortSoak executes short runs with real processes. It checks that no rule is violated, and that
+// at least some work was done, but not how much.
 func TestShortSoak(t *testing.T) {
 	binary := buildService(t)
 	for _, seed := range shortSeeds {
@@ -27,7 +27,7 @@
 			})
 		})
 	}
-	// With more workers than connections none of the machines is considered lost, and users get
+	// With more workers than connections, no machine may be considered lost, and users must still get
 	// responses.
 	t.Run("no connection free", func(t *testing.T) {
 		t.Parallel()
@@ -49,7 +49,7 @@
 	return binary
 }
 
-// runShortSoak plays a run that must not be empty and must not violate any rule.
+// runShortSoak executes a run, which must not be empty and must not violate any rule.
 func runShortSoak(t *testing.T, o Options) {
 	t.Helper()
 	o.Dir = t.TempDir()
--- a/internal/soaktest/server.go
+++ b/internal/soaktest/server.go
@@ -41,7 +41,7 @@
 }
 
 // serve starts a server. While its link refuses connections it does not listen; onListenError is
-// called if it cannot listen afterwards.
+// called if it cannot listen again afterwards.
 func serve(ctx context.Context, addr string, l *link, execute func(inboundRequest) callResult, onListenError func(error)) error {
 	s := &linkServer{addr: addr, link: l, ctx: ctx, execute: execute}
 	l.onPartitionChange = func(mode partitionMode) {
@@ -70,19 +70,19 @@
 	server := &http.Server{Handler: http.HandlerFunc(s.handle), ErrorLog: discardLog}
 	s.server = server
 	go func() {
-		_ = server.Serve(listener) // it always ends with an error, after stop with http.ErrServerClosed
+		_ = server.Serve(listener) // always returns an error, http.ErrServerClosed after stop
 	}()
 	return nil
 }
 
-// Bounds of the wait for an address that was closed a moment ago.
+// Timeout and retry interval of listenWhenFree.
 const (
 	listenTimeout       = time.Second
 	listenRetryInterval = 2 * time.Millisecond
 )
 
-// listenWhenFree listens at an address, and retries for a short time while it is in use. A process that
-// another goroutine is starting holds a copy of each socket until it executes its program, so that an
+// listenWhenFree listens at an address, and retries for up to listenTimeout while it is in use. A child
+// process that another goroutine is starting holds a copy of each socket between fork and exec, so an
 // address can still be in use just after its listener was closed.
 func listenWhenFree(addr string) (net.Listener, error) {
 	deadline := time.Now().Add(listenTimeout)
@@ -100,7 +100,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.server != nil {
-		_ = s.server.Close() // a connection that is closed already does not matter
+		_ = s.server.Close() // an error for a connection that is already closed is harmless
 		s.server = nil
 	}
 }
@@ -137,14 +137,14 @@
 	if err != nil {
 		panic(http.ErrAbortHandler)
 	}
-	defer func() { _ = conn.Close() }() // a connection that the client has reset before is closed, too
+	defer func() { _ = conn.Close() }() // fails if the client has reset the connection before
 	if tcp, ok := conn.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0) // fails if the client has closed the connection
 	}
 }
 
-// errNotHijackable reports that a connection cannot be taken over from its server.
-var errNotHijackable = errors.New("the connection cannot be taken over")
+// errNotHijackable reports that the server does not let a handler hijack its connection.
+var errNotHijackable = errors.New("the server does not support hijacking of the connection")
 
 func hijack(w http.ResponseWriter) (net.Conn, error) {
 	hijacker, ok := w.(http.Hijacker)
--- a/internal/soaktest/server_listen_test.go
+++ b/internal/soaktest/server_listen_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// TestListenWhenFree checks that an address is listened at once it is free, and that one which stays in
-// use is an error.
+// TestListenWhenFree checks that listenWhenFree succeeds when the address becomes free, and returns an
+// error if the address stays in use.
 func TestListenWhenFree(t *testing.T) {
 	for _, c := range []struct {
 		name  string
--- a/internal/soaktest/settings.go
+++ b/internal/soaktest/settings.go
@@ -39,8 +39,8 @@
 	return b.String()
 }
 
-// operatorProperties returns the operators' properties file: the teams have several owners in the
-// runs with an even seed.
+// operatorProperties returns the operators' properties file. In runs with an even seed, teams.spread is
+// on, and a team can have several owners.
 func operatorProperties(seed uint64) string {
 	return fmt.Sprintf("teams.spread = %t\n", seed%2 == 0)
 }
--- a/internal/soaktest/users.go
+++ b/internal/soaktest/users.go
@@ -12,27 +12,29 @@
 	"tamarindlead/sched"
 )
 
-// How users behave.
+// Timing and frequency of the users' requests.
 const (
 	submitTimeout    = 5 * time.Second
 	queryTimeout     = 2 * time.Second
 	retryInterval    = time.Second
 	submitGiveUpTime = time.Minute
 	queryInterval    = 3 * time.Second
-	// One user in usersPerDuplicateSubmitter submits the job several times at once.
+	// One user in usersPerDuplicateSubmitter submits the job several times concurrently.
 	usersPerDuplicateSubmitter = 3
 	// Around a cancellation a user sends duplicate requests for duplicateRequestPeriod, at
 	// intervals of duplicateRequestInterval on average.
 	duplicateRequestPeriod   = 500 * time.Millisecond
 	duplicateRequestInterval = 25 * time.Millisecond
-	// submissionsPerUnknownJobQuery is one request for a job that nobody submitted in so many submissions.
+	// submissionsPerUnknownJobQuery is the number of submissions for each query of a job that nobody
+	// submitted.
 	submissionsPerUnknownJobQuery = 10
 )
 
 // consistencyCheckDelays are the delays after a response at which users query all controllers.
 var consistencyCheckDelays = []time.Duration{0, 2 * time.Millisecond, 10 * time.Millisecond, 40 * time.Millisecond, 120 * time.Millisecond, 300 * time.Millisecond}
 
-// maxCancelDelays are the longest delays of a cancellation, of which each draws one.
+// maxCancelDelays are the possible upper limits of the delay of a cancellation. Each cancellation
+// draws one of them.
 var maxCancelDelays = []time.Duration{0, 20 * time.Millisecond, time.Second, 10 * time.Second}
 
 // user is the user of one job.
@@ -59,8 +61,8 @@
 	}
 }
 
-// newJob draws a job and registers it: most are small arrays, some are gangs, and a few run for long.
-// The order of the draws is part of what a seed determines.
+// newJob draws a job and registers it. Most jobs are small arrays, some are gangs, and some have a long
+// run time. Changing the order of the draws changes what a seed determines.
 func (h *harness) newJob(rng *rand.Rand, n int) *jobHistory {
 	team := teams(h.options.Machines)[rng.IntN(2)]
 	gang := rng.IntN(5) == 0
@@ -83,7 +85,7 @@
 	return history
 }
 
-// run submits the job, queries it until it has ended, and perhaps cancels it.
+// run submits the job and queries it until it has ended. Half of the users cancel their job.
 func (u *user) run() {
 	if u.rng.IntN(usersPerDuplicateSubmitter) == 0 {
 		for range 2 {
@@ -111,7 +113,7 @@
 // drawController draws the controller of a request.
 func (u *user) drawController(rng *rand.Rand) int { return rng.IntN(u.harness.options.Controllers) }
 
-// jitter draws a time from half of d to one and a half of it.
+// jitter draws a duration between 0.5 and 1.5 times d.
 func (u *user) jitter(d time.Duration) time.Duration {
 	return d/2 + time.Duration(u.rng.Int64N(int64(d)))
 }
@@ -129,15 +131,15 @@
 	return false
 }
 
-// observedTermination reports whether a response has shown that the job has ended.
+// observedTermination reports whether a response has shown a terminal state of the job.
 func (u *user) observedTermination() bool {
 	u.harness.mu.Lock()
 	defer u.harness.mu.Unlock()
 	return u.history.terminalPhase != ""
 }
 
-// cancelLater cancels the job some time after its acceptance, and sends duplicate submissions and
-// queries to all controllers at the same time.
+// cancelLater cancels the job some time after its acceptance, and at the same time sends duplicate
+// submissions and queries to random controllers.
 func (u *user) cancelLater(rng *rand.Rand) {
 	if !u.harness.sleep(time.Duration(rng.Float64() * float64(maxCancelDelays[rng.IntN(len(maxCancelDelays))]))) {
 		return
@@ -160,14 +162,15 @@
 	}
 }
 
-// sendDuplicates sends duplicate submissions and queries to random controllers for a while.
+// sendDuplicates sends duplicate submissions and queries to random controllers for
+// duplicateRequestPeriod.
 func (u *user) sendDuplicates(rng *rand.Rand) {
 	for deadline := time.Now().Add(duplicateRequestPeriod); time.Now().Before(deadline); {
 		kind := opSubmit
 		if rng.IntN(3) == 0 {
 			kind = opQuery
 		}
-		// Queries have a body here, too, which controllers must ignore.
+		// Here queries have a body, too, which controllers must ignore.
 		go u.harness.sendRequest(kind, u.history.job.ID, u.history.body, u.drawController(rng))
 		if !u.harness.sleep(time.Duration(rng.Int64N(int64(2 * duplicateRequestInterval)))) {
 			return
@@ -175,8 +178,8 @@
 	}
 }
 
-// checkConsistency queries the job at all controllers several times after a response, and submits it
-// again at each.
+// checkConsistency queries the job at all controllers several times after a response, and each time
+// also submits it again at all controllers.
 func (u *user) checkConsistency() {
 	since := time.Now()
 	for _, delay := range consistencyCheckDelays {
--- a/internal/soaktest/workers.go
+++ b/internal/soaktest/workers.go
@@ -14,8 +14,8 @@
 const (
 	// heartbeatTimeout is how long a worker waits for the response to a heartbeat.
 	heartbeatTimeout = 4 * time.Second
-	// minDuplicateHeartbeatDelay is the shortest delay of a copy of a heartbeat. The longest one
-	// exceeds it by twice the lease.
+	// minDuplicateHeartbeatDelay is the shortest delay of a duplicate heartbeat. The longest delay
+	// exceeds it by twice the worker's lease.
 	minDuplicateHeartbeatDelay = 2 * time.Second
 )
 
@@ -23,7 +23,7 @@
 func (h *harness) addWorker(machine string) string {
 	n, err := strconv.Atoi(strings.TrimPrefix(machine, "m-"))
 	if err != nil {
-		h.checker.harnessFailed("number of machine %s: %v", machine, err)
+		h.checker.harnessFailed("machine name %s: %v", machine, err)
 	}
 	addr := h.addrs.worker(n)
 	l := newLink("commands to "+machine, h.options.Seed, streamLinks+workerPort+uint64(n))
@@ -34,7 +34,7 @@
 	return addr
 }
 
-// executeCommands executes a direct request to a worker. A worker that hangs executes it afterwards.
+// executeCommands executes a direct request to a worker. A hung worker executes it when it resumes.
 func (h *harness) executeCommands(machine string, r inboundRequest) callResult {
 	for {
 		result, state := h.tryCommands(machine, r)
