--- a/internal/soaktest/link_test.go
+++ b/internal/soaktest/link_test.go
@@ -8,22 +8,23 @@
 )
 
 // TestLinkTransmit checks what each condition does to a request: how often it is executed, and what
-// its sender gets. Times are bounded from below only.
+// its sender gets. It allows more time than the longest delay of a request, and does not check how
+// soon a request is executed.
 func TestLinkTransmit(t *testing.T) {
 	for _, test := range []struct {
 		name         string
 		change       func(*linkConditions)
-		wantExecuted int32 // in the end
+		wantExecuted int32 // after all delays
 		wantFailure  failure
 	}{
-		{"open", func(*linkConditions) {}, 1, failureNone},
+		{"no fault", func(*linkConditions) {}, 1, failureNone},
 		{"drop", func(c *linkConditions) { c.partition = partitionDrop }, 0, failureTimeout},
 		{"refuse", func(c *linkConditions) { c.partition = partitionRefuse }, 0, failureRefused},
 		{"reset", func(c *linkConditions) { c.partition = partitionReset }, 0, failureReset},
 		{"response lost", func(c *linkConditions) { c.responseLossProbability = 1 }, 1, failureTimeout},
-		{"late", func(c *linkConditions) { c.lateProbability = 1 }, 1, failureTimeout},
+		{"request delayed", func(c *linkConditions) { c.requestDelayProbability = 1 }, 1, failureTimeout},
 		{"duplicate", func(c *linkConditions) { c.duplicateProbability = 1 }, 2, failureNone},
-		{"response delayed", func(c *linkConditions) { c.delayProbability, c.maxDelay = 1, 50*time.Millisecond }, 1, failureNone},
+		{"response delayed", func(c *linkConditions) { c.responseDelayProbability, c.maxResponseDelay = 1, 50*time.Millisecond }, 1, failureNone},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			t.Parallel()
@@ -39,7 +40,7 @@
 			if result.failure != test.wantFailure {
 				t.Errorf("failure %v, want %v", result.failure, test.wantFailure)
 			}
-			for deadline := time.Now().Add(maxLateDelay + time.Second); executed.Load() < test.wantExecuted && time.Now().Before(deadline); {
+			for deadline := time.Now().Add(maxRequestDelay + time.Second); executed.Load() < test.wantExecuted && time.Now().Before(deadline); {
 				time.Sleep(10 * time.Millisecond)
 			}
 			if got := executed.Load(); got != test.wantExecuted {
--- a/internal/soaktest/run_test.go
+++ b/internal/soaktest/run_test.go
@@ -10,28 +10,28 @@
 	"time"
 )
 
-// shortSeeds are the seeds of the short runs with faults. All are odd: each team has one owner at a
-// time.
+// shortSeeds are the seeds of the short runs with faults. All are odd, so that teams.spread is off and
+// each team has one owner at a time.
 var shortSeeds = []uint64{1, 5}
 
-// TestShortSoak plays short runs on real processes. It checks the rules, and of the amount of work
-// only that a run was not empty.
+// TestShortSoak executes short runs with real processes. It checks that no rule is violated, and that
+// at least some work was done, but not how much.
 func TestShortSoak(t *testing.T) {
 	binary := buildService(t)
 	for _, seed := range shortSeeds {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			playShortRun(t, Options{
+			runShortSoak(t, Options{
 				Seed: seed, Duration: 20 * time.Second, SettleTimeout: 15 * time.Second,
 				Controllers: 3, Machines: 12, JobRate: 4, Sockets: 1200, Binary: binary,
 			})
 		})
 	}
-	// With more workers than connections none of the machines is considered lost, and users get
+	// With more workers than connections, no machine may be considered lost, and users must still get
 	// responses.
 	t.Run("no connection free", func(t *testing.T) {
 		t.Parallel()
-		playShortRun(t, Options{
+		runShortSoak(t, Options{
 			Seed: 1, Duration: 20 * time.Second, SettleTimeout: 15 * time.Second,
 			Controllers: 3, Machines: 160, JobRate: 4, Sockets: 64, NoFaults: true, Binary: binary,
 		})
@@ -49,8 +49,8 @@
 	return binary
 }
 
-// playShortRun plays a run that must not be empty and must not violate any rule.
-func playShortRun(t *testing.T, o Options) {
+// runShortSoak executes a run, which must not be empty and must not violate any rule.
+func runShortSoak(t *testing.T, o Options) {
 	t.Helper()
 	o.Dir = t.TempDir()
 	var progress strings.Builder
