--- a/controller/dump_play_test.go
+++ b/controller/dump_script_test.go
@@ -13,21 +13,21 @@
 // runDumpScript plays production/script.txt: with nodes of the version in production if save takes
 // the dumps, with nodes of the present version otherwise. begin is called with each simulation
 // before it runs.
-func runDumpScript(t *testing.T, begin func(sim *simulation), save func(sim *simulation, name string)) {
+func runDumpScript(t *testing.T, prepare func(sim *simulation), saveDump func(sim *simulation, name string)) {
 	t.Helper()
 	var sim *simulation
 	datadriven.RunTest(t, "production/script.txt", func(t *testing.T, d *datadriven.TestData) string {
 		if d.Cmd == "cluster" {
 			sim = newScenarioSimulation(t, d)
-			if save != nil {
+			if saveDump != nil {
 				sim.startWithProduction(t, len(sim.nodes))
 			}
-			begin(sim)
+			prepare(sim)
 			return ""
 		}
 		if d.Cmd == "dump" {
-			if save != nil {
-				save(sim, arg(t, d, "name", ""))
+			if saveDump != nil {
+				saveDump(sim, arg(t, d, "name", ""))
 			}
 			return ""
 		}
--- a/controller/effects_test.go
+++ b/controller/effects_test.go
@@ -27,7 +27,7 @@
 		if d.Cmd != "play" {
 			d.Fatalf(t, "unknown command %s", d.Cmd)
 		}
-		return runRecorded(t, arg(t, d, "scenario", "")).String()
+		return runRecordedScenario(t, arg(t, d, "scenario", "")).String()
 	})
 }
 
@@ -40,8 +40,8 @@
 		return record.String()
 	}
 	same := digest(Tick{}, base)
-	if again := digest(Tick{}, base); again != same {
-		t.Fatalf("the same effects differ: %s, %s", same, again)
+	if repeated := digest(Tick{}, base); repeated != same {
+		t.Fatalf("the same effects differ: %s, %s", same, repeated)
 	}
 	changed := map[string]string{
 		"event":       digest(Request{ID: 1}, base),
@@ -93,8 +93,8 @@
 	return recorded
 }
 
-// runRecorded plays a scenario and returns a digest of its nodes' events and effects.
-func runRecorded(t *testing.T, scenario string) *effectDigest {
+// runRecordedScenario plays a scenario and returns a digest of its nodes' events and effects.
+func runRecordedScenario(t *testing.T, scenario string) *effectDigest {
 	record := newEffectDigest()
 	path := filepath.Join("testdata", recordedScenarioFile(scenario)+".txt")
 	runScenario(t, path, func(*datadriven.TestData) {}, func(sim *simulation) {
--- a/controller/fault_pairs_faults_test.go
+++ b/controller/fault_pairs_faults_test.go
@@ -11,16 +11,16 @@
 // nothing is to be reverted, the function that ends it.
 type pairFault struct {
 	name     string
-	start    func(run *faultPairRun) (about string, lasts micros.Micros, end func())
+	start    func(run *faultPairRun) (target string, duration micros.Micros, revert func())
 	kvOutage bool // of the state service
 }
 
 func (run *faultPairRun) startFault(kind pairFault) {
-	about, lasts, end := kind.start(run)
-	run.logf("%s %s for %v", kind.name, about, lasts)
-	run.sim.after(lasts, func() {
-		if end != nil {
-			end()
+	target, duration, revert := kind.start(run)
+	run.logf("%s %s for %v", kind.name, target, duration)
+	run.sim.after(duration, func() {
+		if revert != nil {
+			revert()
 		}
 		run.activeFaults--
 	})
@@ -38,14 +38,14 @@
 // newMachineFault returns a fault of some machines.
 func newMachineFault(name string, from, to float64, set func(worker *fake.Worker, on bool)) pairFault {
 	return pairFault{name: name, start: func(run *faultPairRun) (string, micros.Micros, func()) {
-		list := run.pickMachines()
+		workers := run.pickMachines()
 		var names []string
-		for _, worker := range list {
+		for _, worker := range workers {
 			set(worker, true)
 			names = append(names, worker.Machine.Name)
 		}
 		return strings.Join(names, " "), run.randomSeconds(from, to), func() {
-			for _, worker := range list {
+			for _, worker := range workers {
 				set(worker, false)
 			}
 		}
@@ -62,62 +62,62 @@
 
 // newKVOutage returns an outage of the state service.
 func newKVOutage(name string, from, to float64) pairFault {
-	t := newClusterFault(name, from, to, func(sim *simulation, on bool) { sim.kvStore.Unavailable = on })
-	t.kvOutage = true
-	return t
+	fault := newClusterFault(name, from, to, func(sim *simulation, on bool) { sim.kvStore.Unavailable = on })
+	fault.kvOutage = true
+	return fault
 }
 
-// crashTime draws how long a crashed node stays down.
-func (run *faultPairRun) crashTime() micros.Micros {
+// randomDowntime draws how long a crashed node stays down.
+func (run *faultPairRun) randomDowntime() micros.Micros {
 	return []micros.Micros{micros.Second / 5, restartDelay, 10 * micros.Second}[run.rng.IntN(3)]
 }
 
 var pairFaults = []pairFault{
 	{name: "node crashes", start: func(run *faultPairRun) (string, micros.Micros, func()) {
-		node, away := run.pickNode(), run.crashTime()
-		run.sim.crash(node, away)
-		return nodeName(node.index), away, nil
+		node, downtime := run.pickNode(), run.randomDowntime()
+		run.sim.crash(node, downtime)
+		return nodeName(node.index), downtime, nil
 	}},
 	{name: "all nodes crash", start: func(run *faultPairRun) (string, micros.Micros, func()) {
-		longest := micros.Micros(0)
+		longestDowntime := micros.Micros(0)
 		for _, node := range run.sim.nodes {
-			away := run.crashTime()
+			downtime := run.randomDowntime()
 			if run.rng.IntN(6) == 0 {
-				away = run.randomSeconds(15, 25)
+				downtime = run.randomSeconds(15, 25)
 			}
-			run.sim.crash(node, away)
-			longest = max(longest, away)
+			run.sim.crash(node, downtime)
+			longestDowntime = max(longestDowntime, downtime)
 		}
-		return "", longest, nil
+		return "", longestDowntime, nil
 	}},
 	{name: "leaders crash one after the other", start: func(run *faultPairRun) (string, micros.Micros, func()) {
-		over := run.sim.now + 30*micros.Second
-		var again func()
-		again = func() {
-			if run.sim.now < over {
-				run.sim.crash(run.pickNode(), run.crashTime())
-				run.sim.after(run.randomSeconds(1, 8), again)
+		until := run.sim.now + 30*micros.Second
+		var crashNext func()
+		crashNext = func() {
+			if run.sim.now < until {
+				run.sim.crash(run.pickNode(), run.randomDowntime())
+				run.sim.after(run.randomSeconds(1, 8), crashNext)
 			}
 		}
-		again()
+		crashNext()
 		return "", 40 * micros.Second, nil
 	}},
 	{name: "an owner crashes as a cancellation is told", start: func(run *faultPairRun) (string, micros.Micros, func()) {
 		run.onCancelAcknowledged = func(id string) {
 			node := run.pickNode()
 			run.logf("%s is told to be cancelled: %s crashes", id, nodeName(node.index))
-			run.sim.crash(node, run.crashTime())
+			run.sim.crash(node, run.randomDowntime())
 		}
 		return "", 30 * micros.Second, func() { run.onCancelAcknowledged = nil }
 	}},
 	{name: "an owner is refused by the state service as a cancellation is told", start: func(run *faultPairRun) (string, micros.Micros, func()) {
-		refused := ""
+		refusedNode := ""
 		run.onCancelAcknowledged = func(id string) {
-			refused = nodeName(run.pickNode().index)
-			run.logf("%s is told to be cancelled: %s is refused", id, refused)
-			run.sim.kvStore.RefusedCallers[refused] = true
+			refusedNode = nodeName(run.pickNode().index)
+			run.logf("%s is told to be cancelled: %s is refused", id, refusedNode)
+			run.sim.kvStore.RefusedCallers[refusedNode] = true
 		}
-		return "", 30 * micros.Second, func() { run.onCancelAcknowledged = nil; delete(run.sim.kvStore.RefusedCallers, refused) }
+		return "", 30 * micros.Second, func() { run.onCancelAcknowledged = nil; delete(run.sim.kvStore.RefusedCallers, refusedNode) }
 	}},
 	newNodeFault("node cut off", 2, 30, func(_ *simulation, node *simNode, on bool) { node.partitioned = on }),
 	newNodeFault("node cut off, its messages held", 2, 30, func(_ *simulation, node *simNode, on bool) { node.partitioned, node.delaysOutbound = on, on }),
@@ -180,9 +180,9 @@
 		return "", 30 * micros.Second, nil
 	}},
 	{name: "jobs are cancelled as they end", start: func(run *faultPairRun) (string, micros.Micros, func()) {
-		over := run.sim.now + run.randomSeconds(20, 50)
-		run.cancelFinishingJobs(over, map[string]bool{})
-		return "", over - run.sim.now, nil
+		until := run.sim.now + run.randomSeconds(20, 50)
+		run.cancelFinishingJobs(until, map[string]bool{})
+		return "", until - run.sim.now, nil
 	}},
 	newClusterFault("cloud down", 10, 40, func(sim *simulation, on bool) { sim.cloud.Unavailable = on }),
 	newClusterFault("the next machines never come up", 10, 10, func(sim *simulation, on bool) {
--- a/controller/fault_pairs_generate_test.go
+++ b/controller/fault_pairs_generate_test.go
@@ -14,37 +14,37 @@
 // outage of the state service: what was acknowledged to a user just before must reach the other
 // nodes all the same.
 func (run *faultPairRun) generateFaults() []pairFault {
-	n := 2
+	count := 2
 	if run.rng.IntN(3) == 0 {
-		n++
+		count++
 	}
-	var kinds []pairFault
-	outage := run.rng.IntN(3) == 0
-	for len(kinds) < n {
-		k := pairFaults[run.rng.IntN(len(pairFaults))]
-		if slices.ContainsFunc(kinds, func(o pairFault) bool { return o.name == k.name }) ||
-			outage && len(kinds) == 1 && !k.kvOutage {
+	var faults []pairFault
+	secondIsOutage := run.rng.IntN(3) == 0
+	for len(faults) < count {
+		fault := pairFaults[run.rng.IntN(len(pairFaults))]
+		if slices.ContainsFunc(faults, func(other pairFault) bool { return other.name == fault.name }) ||
+			secondIsOutage && len(faults) == 1 && !fault.kvOutage {
 			continue
 		}
-		kinds = append(kinds, k)
+		faults = append(faults, fault)
 	}
-	return kinds
+	return faults
 }
 
 // generateResponseDelays delays some responses of the state service, of other controllers or of both
 // in three of four runs, until the faults have ended.
 func (run *faultPairRun) generateResponseDelays() {
 	rng := rand.New(rand.NewPCG(run.seed, responseDelayStream))
-	kind := rng.IntN(4)
-	set := func(name string, r *responseDelay) {
-		r.share = 0.1 + 0.4*rng.Float64()
-		r.maxDelay = micros.FromMillis(50 + 450*rng.Float64())
-		run.logf("%s of the %s come late, each by up to %v", fmt.Sprintf("%.0f%%", 100*r.share), name, r.maxDelay)
+	targets := rng.IntN(4)
+	set := func(name string, delay *responseDelay) {
+		delay.share = 0.1 + 0.4*rng.Float64()
+		delay.maxDelay = micros.FromMillis(50 + 450*rng.Float64())
+		run.logf("%s of the %s come late, each by up to %v", fmt.Sprintf("%.0f%%", 100*delay.share), name, delay.maxDelay)
 	}
-	if kind&1 != 0 {
+	if targets&1 != 0 {
 		set("answers of the state service", &run.sim.kvFaults.kvResponseDelay)
 	}
-	if kind&2 != 0 {
+	if targets&2 != 0 {
 		set("answers of other controllers", &run.sim.kvFaults.peerResponseDelay)
 	}
 }
@@ -53,9 +53,9 @@
 // cancelled.
 func (run *faultPairRun) pickNode() *simNode {
 	sim := run.sim
-	var owners, likely []*simNode
+	var owners, preferred []*simNode
 	for _, node := range sim.nodes {
-		if by, _ := node.ownership(); by == nil {
+		if ownerID, _ := node.ownership(); ownerID == nil {
 			continue
 		}
 		owners = append(owners, node)
@@ -64,7 +64,7 @@
 		}
 		for id := range node.core.owner.Jobs {
 			if sim.cancelRequested[id] {
-				likely = append(likely, node)
+				preferred = append(preferred, node)
 				break
 			}
 		}
@@ -72,8 +72,8 @@
 	pick := sim.nodes
 	if run.rng.IntN(4) > 0 && len(owners) > 0 {
 		pick = owners
-		if len(likely) > 0 {
-			pick = likely
+		if len(preferred) > 0 {
+			pick = preferred
 		}
 	}
 	return pick[run.rng.IntN(len(pick))]
@@ -82,7 +82,7 @@
 // pickMachines draws machines: mostly those that run jobs whose cancellation was requested.
 func (run *faultPairRun) pickMachines() []*fake.Worker {
 	sim := run.sim
-	var all, likely []*fake.Worker
+	var all, preferred []*fake.Worker
 	for _, name := range sim.workerNames() {
 		worker := sim.workers[name]
 		if worker.Machine.Gone {
@@ -91,13 +91,13 @@
 		all = append(all, worker)
 		for task := range worker.Tasks {
 			if id, _, _ := wire.SplitTaskName(task); sim.cancelRequested[id] && worker.IsLive(task) {
-				likely = append(likely, worker)
+				preferred = append(preferred, worker)
 				break
 			}
 		}
 	}
-	if len(likely) > 0 && run.rng.IntN(4) > 0 {
-		all = likely
+	if len(preferred) > 0 && run.rng.IntN(4) > 0 {
+		all = preferred
 	}
 	run.rng.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
 	return all[:min(len(all), 1+run.rng.IntN(4))]
--- a/controller/fault_pairs_jobs_test.go
+++ b/controller/fault_pairs_jobs_test.go
@@ -135,13 +135,13 @@
 	sim := run.sim
 	used := sim.usedCPUs()
 	zones := sim.zonesOfRunningTasks()
-	seen := map[string]bool{}
+	schedulable := map[string]bool{}
 	for _, id := range run.openJobs() {
 		if run.mayStartTasks(id, len(zones[id]), used) {
-			run.checkSchedulableJob(seen, id, zones[id])
+			run.checkSchedulableJob(schedulable, id, zones[id])
 		}
 	}
-	maps.DeleteFunc(run.fitsSince, func(key string, _ micros.Micros) bool { return !seen[key] })
+	maps.DeleteFunc(run.fitsSince, func(key string, _ micros.Micros) bool { return !schedulable[key] })
 }
 
 // zonesOfRunningTasks returns the zones of the running tasks of each job.
@@ -172,9 +172,9 @@
 
 // checkSchedulableJob records on which machines a job fits, given the zones of its running tasks,
 // and reports it if it has fitted for too long.
-func (run *faultPairRun) checkSchedulableJob(seen map[string]bool, id string, zones []string) {
+func (run *faultPairRun) checkSchedulableJob(schedulable map[string]bool, id string, zones []string) {
 	job := run.sim.submitted[id]
-	room, roomInZone := 0, map[string]int{}
+	freeSlots, freeSlotsInZone := 0, map[string]int{}
 	for _, name := range run.sim.workerNames() {
 		worker := run.sim.workers[name]
 		zone := worker.Machine.Zone
@@ -183,22 +183,22 @@
 			fits = 0
 		}
 		if job.Spread {
-			fits = min(fits, job.ZoneCap()-countEqual(zones, zone)-roomInZone[zone])
+			fits = min(fits, job.ZoneCap()-countEqual(zones, zone)-freeSlotsInZone[zone])
 		}
 		if fits <= 0 {
 			continue
 		}
-		roomInZone[zone] += fits
-		room += fits
+		freeSlotsInZone[zone] += fits
+		freeSlots += fits
 		if !job.Gang {
-			run.recordSchedulableWait(seen, id, name)
+			run.recordSchedulableWait(schedulable, id, name)
 		}
 	}
 	if job.OneZone {
-		room = slices.Max(append(slices.Collect(maps.Values(roomInZone)), 0))
+		freeSlots = slices.Max(append(slices.Collect(maps.Values(freeSlotsInZone)), 0))
 	}
-	if job.Gang && room >= job.Tasks {
-		run.recordSchedulableWait(seen, id, "")
+	if job.Gang && freeSlots >= job.Tasks {
+		run.recordSchedulableWait(schedulable, id, "")
 	}
 }
 
@@ -220,19 +220,19 @@
 	return freeTaskSlots(worker, run.sim.taskInfos[job.ID])
 }
 
-func (run *faultPairRun) recordSchedulableWait(seen map[string]bool, id, name string) {
-	key := id + " " + name
-	seen[key] = true
+func (run *faultPairRun) recordSchedulableWait(schedulable map[string]bool, id, machine string) {
+	key := id + " " + machine
+	schedulable[key] = true
 	if _, ok := run.fitsSince[key]; !ok {
 		run.fitsSince[key] = run.sim.now
 	}
 	if run.sim.now-run.fitsSince[key] > maxSchedulingDelay {
-		run.sim.reportViolation("left waiting: %s, with room for it on %q", id, name)
+		run.sim.reportViolation("left waiting: %s, with room for it on %q", id, machine)
 	}
 }
 
 // generateSmallJob draws a job of one task that is submitted after some time.
-func (run *faultPairRun) generateSmallJob(i int, in micros.Micros) {
+func (run *faultPairRun) generateSmallJob(i int, delay micros.Micros) {
 	sim, id := run.sim, fmt.Sprintf("req-%06d", i)
 	job := &sched.Job{
 		ID: id, Class: "small", Team: []string{"red", "blue"}[run.rng.IntN(2)], Priority: sched.Priority(run.rng.IntN(4)),
@@ -240,9 +240,9 @@
 	}
 	sim.submitted[id], sim.submissions[id] = job, wire.Encode(wire.FromJob(job))
 	sim.taskInfos[id] = fake.TaskInfo{CPU: 1, Mem: 1, Run: run.randomSeconds(1, 5), Fetch: micros.Second, Tasks: 1}
-	sim.after(in, func() { sim.submittedAt[id] = sim.now; run.submit(id, false) })
-	sim.after(in+2*micros.Second, func() { run.poll(id) })
+	sim.after(delay, func() { sim.submittedAt[id] = sim.now; run.submit(id, false) })
+	sim.after(delay+2*micros.Second, func() { run.poll(id) })
 	if run.rng.IntN(4) == 0 {
-		sim.after(in+run.randomSeconds(0, 6), func() { run.cancel(id) })
+		sim.after(delay+run.randomSeconds(0, 6), func() { run.cancel(id) })
 	}
 }
--- a/controller/fault_pairs_pipelines_test.go
+++ b/controller/fault_pairs_pipelines_test.go
@@ -50,7 +50,7 @@
 	id := jobName(g.nextJob)
 	g.nextJob++
 	p.jobs = append(p.jobs, id)
-	g.run.generateStage(g.rng, id, p.at, dependencies)
+	g.run.generatePipelineJob(g.rng, id, p.at, dependencies)
 	return id
 }
 
@@ -95,16 +95,16 @@
 	if g.rng.IntN(3) == 0 {
 		id = p.jobs[g.rng.IntN(len(p.jobs))]
 	}
-	when := g.first - micros.Second + g.randomSeconds(0, (g.second-g.first).Seconds()+3)
+	cancelAt := g.first - micros.Second + g.randomSeconds(0, (g.second-g.first).Seconds()+3)
 	switch g.rng.IntN(4) {
 	case 0:
-		when = p.at + g.randomSeconds(0, 60)
+		cancelAt = p.at + g.randomSeconds(0, 60)
 	case 1:
 		sim.pipelines.onDone[id] = append(sim.pipelines.onDone[id], func() { g.run.cancel(id) })
 		return fmt.Sprintf(", %s cancelled as it ends", id)
 	}
-	sim.after(when, func() { g.run.cancel(id) })
-	return fmt.Sprintf(", %s cancelled at %v", id, when)
+	sim.after(cancelAt, func() { g.run.cancel(id) })
+	return fmt.Sprintf(", %s cancelled at %v", id, cancelAt)
 }
 
 // generateInvalidDependencies submits, during the faults, a job that depends on one that nobody
@@ -120,8 +120,8 @@
 	}
 }
 
-// generateStage draws a job of a pipeline.
-func (run *faultPairRun) generateStage(rng *rand.Rand, id string, at micros.Micros, dependencies []string) {
+// generatePipelineJob draws a job of a pipeline.
+func (run *faultPairRun) generatePipelineJob(rng *rand.Rand, id string, at micros.Micros, dependencies []string) {
 	sim := run.sim
 	duration := micros.FromSeconds(2 + rng.Float64()*10)
 	if len(dependencies) == 0 && rng.IntN(3) == 0 {
@@ -144,12 +144,12 @@
 		CPU: 1, Mem: 1, Run: duration, Fetch: micros.Second, Save: job.CheckpointDuration, Saves: job.CheckpointInterval > 0, Gang: job.Gang, Tasks: job.Tasks,
 	}
 	sim.setDependencies(id, dependencies)
-	when := sim.whenAccepted
+	submitWhen := sim.whenAccepted
 	if len(dependencies) > 0 && rng.IntN(6) == 0 {
-		when = sim.whenTerminal
+		submitWhen = sim.whenTerminal
 	}
 	sim.after(at, func() {
-		when(dependencies, func() {
+		submitWhen(dependencies, func() {
 			sim.submittedAt[id] = sim.now
 			run.submit(id, false)
 			sim.after(2*micros.Second, func() { run.poll(id) })
--- a/controller/fault_pairs_users_test.go
+++ b/controller/fault_pairs_users_test.go
@@ -30,10 +30,10 @@
 }
 
 // sendJobRequest sends a user's request about a job and checks the response.
-func (run *faultPairRun) sendJobRequest(node int, method, id, end string, done func(Respond)) {
+func (run *faultPairRun) sendJobRequest(node int, method, id, pathSuffix string, done func(Respond)) {
 	sim := run.sim
-	path, body := "/api/jobs/"+id+end, []byte(nil)
-	if method == "POST" && end == "" {
+	path, body := "/api/jobs/"+id+pathSuffix, []byte(nil)
+	if method == "POST" && pathSuffix == "" {
 		path, body = "/api/jobs", sim.submissions[id]
 	}
 	reported, accepted, sent := sim.reportedTerminal[id], sim.accepted[id], sim.now
@@ -60,12 +60,12 @@
 	if (response.Status == 400 || response.Status == 422) && !accepted {
 		sim.reportViolation("refusals: %s is answered %d", id, response.Status)
 	}
-	was := sim.reportedTerminal[id]
+	previous := sim.reportedTerminal[id]
 	sim.checkResponse(id, response, sent)
-	if was == "" && sim.reportedTerminal[id] == wire.JobCancelled && run.onCancelAcknowledged != nil {
-		do := run.onCancelAcknowledged
+	if previous == "" && sim.reportedTerminal[id] == wire.JobCancelled && run.onCancelAcknowledged != nil {
+		notify := run.onCancelAcknowledged
 		run.onCancelAcknowledged = nil
-		do(id)
+		notify(id)
 	}
 }
 
@@ -90,7 +90,7 @@
 	}
 }
 
-func (run *faultPairRun) submit(id string, cancelAtOnce bool) {
+func (run *faultPairRun) submit(id string, cancelOnAcceptance bool) {
 	sim := run.sim
 	if (sim.accepted[id] || sim.reportedTerminal[id] != "") && run.expectedRefusals[id] == 0 {
 		return
@@ -98,12 +98,12 @@
 	run.sendJobRequest(run.rng.IntN(len(sim.nodes)), "POST", id, "", func(response Respond) {
 		switch response.Status {
 		case 200, 201:
-			if cancelAtOnce {
+			if cancelOnAcceptance {
 				run.cancel(id)
 			}
 		case 400, 422:
 		default:
-			sim.after(micros.Second, func() { run.submit(id, cancelAtOnce) })
+			sim.after(micros.Second, func() { run.submit(id, cancelOnAcceptance) })
 		}
 	})
 }
@@ -114,15 +114,15 @@
 	if sim.reportedTerminal[id] != "" {
 		return
 	}
-	again := func() { sim.after(micros.Second, func() { run.cancel(id) }) }
+	retry := func() { sim.after(micros.Second, func() { run.cancel(id) }) }
 	if !sim.accepted[id] {
-		again()
+		retry()
 		return
 	}
 	sim.cancelRequested[id] = true
 	run.sendJobRequest(run.rng.IntN(len(sim.nodes)), "POST", id, "/cancel", func(response Respond) {
 		if response.Status != 200 {
-			again()
+			retry()
 		}
 	})
 }
@@ -140,9 +140,9 @@
 }
 
 // cancelFinishingJobs cancels half of the jobs at the moment of their completion.
-func (run *faultPairRun) cancelFinishingJobs(over micros.Micros, seen map[string]bool) {
+func (run *faultPairRun) cancelFinishingJobs(until micros.Micros, seen map[string]bool) {
 	sim := run.sim
-	if sim.now >= over {
+	if sim.now >= until {
 		return
 	}
 	for _, id := range run.openJobs() {
@@ -154,5 +154,5 @@
 			run.cancel(id)
 		}
 	}
-	sim.after(simulationStep, func() { run.cancelFinishingJobs(over, seen) })
+	sim.after(simulationStep, func() { run.cancelFinishingJobs(until, seen) })
 }
--- a/controller/production_decode_test.go
+++ b/controller/production_decode_test.go
@@ -30,9 +30,9 @@
 // difference while it is not used.
 func withoutDefaults(text string) string {
 	var v any
-	d := json.NewDecoder(strings.NewReader(text))
-	d.UseNumber()
-	if d.Decode(&v) != nil {
+	decoder := json.NewDecoder(strings.NewReader(text))
+	decoder.UseNumber()
+	if decoder.Decode(&v) != nil {
 		return text // an error
 	}
 	out, err := json.Marshal(withoutUnset(v))
@@ -76,7 +76,7 @@
 }
 
 func readRecord(key string, value []byte) (string, error) {
-	into := func(v any) (string, error) {
+	decodeAs := func(v any) (string, error) {
 		if err := wire.Decode(value, v); err != nil {
 			return "", err
 		}
@@ -85,19 +85,19 @@
 	}
 	switch {
 	case key == record.LeaderKey:
-		return into(&record.Leader{})
+		return decodeAs(&record.Leader{})
 	case strings.HasPrefix(key, record.MemberPrefix):
-		return into(&record.Member{})
+		return decodeAs(&record.Member{})
 	case strings.HasPrefix(key, record.TeamPrefix):
-		return into(&record.Team{})
+		return decodeAs(&record.Team{})
 	case key == record.MachineTypesKey:
-		return into(&wire.MachineTypes{})
+		return decodeAs(&wire.MachineTypes{})
 	case strings.HasPrefix(key, record.TerminalStatePrefix):
-		return into(&record.TerminalState{})
+		return decodeAs(&record.TerminalState{})
 	case strings.HasPrefix(key, record.ScaleOutRequestPrefix):
-		return into(&record.ScaleOutRequest{})
+		return decodeAs(&record.ScaleOutRequest{})
 	case strings.HasPrefix(key, record.ReservationPrefix):
-		return into(&record.Reservation{})
+		return decodeAs(&record.Reservation{})
 	case strings.HasPrefix(key, record.ActiveJobPrefix):
 		return readJob(value)
 	case strings.HasPrefix(key, record.BlockPrefix):
--- a/controller/production_names_test.go
+++ b/controller/production_names_test.go
@@ -184,16 +184,16 @@
 }
 
 func copyRenamedFields(to, from reflect.Value, renaming bool) {
-	present := to.Type()
+	presentType := to.Type()
 	if renaming {
-		present = from.Type()
+		presentType = from.Type()
 	}
-	for i := range present.NumField() {
-		field := present.Field(i)
+	for i := range presentType.NumField() {
+		field := presentType.Field(i)
 		if !field.IsExported() {
 			continue
 		}
-		old, ok := productionFields[present][field.Name]
+		old, ok := productionFields[presentType][field.Name]
 		if !ok {
 			old = field.Name
 		}
--- a/controller/production_records_test.go
+++ b/controller/production_records_test.go
@@ -51,9 +51,9 @@
 	}
 }
 
-// TestProductionOwnerEnds continues from the dumps with an owner of the version in production, which
+// TestProductionOwnerCrashes continues from the dumps with an owner of the version in production, which
 // leads until it crashes; the other nodes are of the present version.
-func TestProductionOwnerEnds(t *testing.T) {
+func TestProductionOwnerCrashes(t *testing.T) {
 	for name, d := range readDumps(t) {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -89,14 +89,14 @@
 
 // TestDumpsCoverAllKinds checks that the dumps hold every kind of record and message.
 func TestDumpsCoverAllKinds(t *testing.T) {
-	seen, said := map[string]bool{}, ""
+	seen, messages := map[string]bool{}, ""
 	condemned := false
 	for _, d := range readDumps(t) {
 		for i, r := range d.Records {
 			seen[recordKind(r.Key)] = true
 			condemned = condemned || strings.Contains(d.DecodedRecords[i], `"condemned":true`)
 		}
-		said += strings.Join(d.DecodedMessages, "\n")
+		messages += strings.Join(d.DecodedMessages, "\n")
 	}
 	for _, k := range recordKinds {
 		if !seen[k] {
@@ -107,7 +107,7 @@
 		t.Error("no condemned machine")
 	}
 	for _, m := range messageKinds {
-		if !strings.Contains(said, `"`+m+`":`) {
+		if !strings.Contains(messages, `"`+m+`":`) {
 			t.Errorf("no message %s", m)
 		}
 	}
@@ -190,9 +190,9 @@
 	statuses := map[string]int{}
 	for i := range sim.nodes {
 		for _, request := range []Request{{Method: "GET", Path: "/api/jobs/" + id}, {Method: "POST", Path: "/api/jobs", Body: sim.submissions[id]}} {
-			sim.sendRequest(sim.nodes[i], request, 5*micros.Second, func(a Respond) {
+			sim.sendRequest(sim.nodes[i], request, 5*micros.Second, func(response Respond) {
 				var state wire.JobState
-				if wire.Decode(a.Body, &state) != nil {
+				if wire.Decode(response.Body, &state) != nil {
 					state.Status = "unreadable"
 				}
 				statuses[strings.Join([]string{request.Method, string(state.Status)}, " ")]++
