--- a/controller/production/_node/main.go
+++ b/controller/production/_node/main.go
@@ -1,6 +1,6 @@
-// Command node runs controller cores of the version whose tree it is built in, for tests of
-// a later one: events come in on the standard input, effects go out on the standard output.
-// The tests build it in a copy of the tree of the version in production.
+// Command node runs controller cores of the version whose source tree it is built in, for tests of
+// a later version. It reads events from standard input and writes their effects to standard output.
+// The tests build it in a copy of the source tree of the version in production.
 package main
 
 import (
@@ -14,30 +14,30 @@
 	"tamarindlead/micros"
 )
 
-// Ask is one order of a test; what is set tells what is asked.
-type Ask struct {
+// NodeRequest is a request of a test. The fields that are set select the operation.
+type NodeRequest struct {
 	Node     int
 	Now      micros.Micros
-	Settings *config.Settings // a node starts
+	Settings *config.Settings // set: start a node
 	Seed     uint64
 	Debug    bool
 	Request  *controller.Request  // an event for the node
-	Done     *controller.CallDone // another one; none: the time passes
-	Read     bool                 // a record is to be read
+	Done     *controller.CallDone // an event for the node; without Request and Done, the event is a Tick
+	Read     bool                 // decode the record with key Key and value Value
 	Key      string
 	Value    []byte
-	Message  bool // Value is a message between siblings, to be read
+	Message  bool // decode Value, a message between peers
 }
 
-// Answer is what became of it.
-type Answer struct {
+// NodeResponse is the result of a request.
+type NodeResponse struct {
 	Effects []Effect
-	Owner   int // a number that changes with every new owner, 0: it owns nothing
+	Owner   int // changes with each new owner; 0 if the node owns no teams
 	Active  bool
-	Text    string
+	Text    string // what was decoded
 }
 
-// Effect is either of the two.
+// Effect is an effect of an event: exactly one of the fields is set.
 type Effect struct {
 	Call    *controller.Call
 	Respond *controller.Respond
@@ -47,49 +47,49 @@
 	in, out := gob.NewDecoder(os.Stdin), gob.NewEncoder(os.Stdout)
 	cores := map[int]*controller.Core{}
 	for {
-		var a Ask
-		if err := in.Decode(&a); err != nil {
+		var request NodeRequest
+		if err := in.Decode(&request); err != nil {
 			if err == io.EOF {
 				return
 			}
 			panic(err)
 		}
-		if err := out.Encode(handle(cores, &a)); err != nil {
+		if err := out.Encode(handle(cores, &request)); err != nil {
 			panic(err)
 		}
 	}
 }
 
-func handle(cores map[int]*controller.Core, a *Ask) Answer {
+func handle(cores map[int]*controller.Core, request *NodeRequest) NodeResponse {
 	switch {
-	case a.Read:
-		return Answer{Text: controller.ReadRecord(a.Key, a.Value)}
-	case a.Message:
-		return Answer{Text: controller.ReadMessage(a.Value)}
-	case a.Settings != nil:
-		w := io.Discard
-		if a.Debug {
-			w = os.Stderr
+	case request.Read:
+		return NodeResponse{Text: controller.ReadRecord(request.Key, request.Value)}
+	case request.Message:
+		return NodeResponse{Text: controller.ReadMessage(request.Value)}
+	case request.Settings != nil:
+		logOutput := io.Discard
+		if request.Debug {
+			logOutput = os.Stderr
 		}
-		log := slog.New(slog.NewTextHandler(w, &slog.HandlerOptions{Level: slog.LevelDebug})).With("node", a.Settings.Node, "version", "production")
-		cores[a.Node] = controller.New(a.Settings, a.Seed, log, a.Now, a.Now)
-		return Answer{}
+		log := slog.New(slog.NewTextHandler(logOutput, &slog.HandlerOptions{Level: slog.LevelDebug})).With("node", request.Settings.Node, "version", "production")
+		cores[request.Node] = controller.New(request.Settings, request.Seed, log, request.Now, request.Now)
+		return NodeResponse{}
 	}
 	var ev controller.Event = controller.Tick{}
-	if a.Request != nil {
-		ev = *a.Request
-	} else if a.Done != nil {
-		ev = *a.Done
+	if request.Request != nil {
+		ev = *request.Request
+	} else if request.Done != nil {
+		ev = *request.Done
 	}
-	var out Answer
-	for _, e := range cores[a.Node].Handle(a.Now, a.Now, ev) {
+	var response NodeResponse
+	for _, e := range cores[request.Node].Handle(request.Now, request.Now, ev) {
 		switch e := e.(type) {
 		case controller.Call:
-			out.Effects = append(out.Effects, Effect{Call: &e})
+			response.Effects = append(response.Effects, Effect{Call: &e})
 		case controller.Respond:
-			out.Effects = append(out.Effects, Effect{Respond: &e})
+			response.Effects = append(response.Effects, Effect{Respond: &e})
 		}
 	}
-	out.Owner, out.Active = cores[a.Node].Owning()
-	return out
+	response.Owner, response.Active = cores[request.Node].Ownership()
+	return response
 }
--- a/controller/production/_node/read.go
+++ b/controller/production/_node/read.go
@@ -13,30 +13,32 @@
 	"tamarindlead/internal/wire"
 )
 
-// This file is part of the program that runs the version in production for tests. It is
-// put into that version's package controller, and uses what that version reads with.
+// This file is part of the program that runs the version in production for tests. It is copied into
+// that version's package controller and uses the decoders of that version.
 
-var owning struct {
-	last map[*Core]*owner
-	n    map[*Core]int
+// ownerNumbers holds, for each core, its last owner and how many owners it has had.
+var ownerNumbers struct {
+	last  map[*Core]*owner
+	count map[*Core]int
 }
 
-// Owning tells whether a node owns teams; the number changes with every new owner.
-func (c *Core) Owning() (number int, active bool) {
-	if owning.last == nil {
-		owning.last, owning.n = map[*Core]*owner{}, map[*Core]int{}
+// Ownership returns a number that changes with each new owner of a node, 0 if the node owns no teams,
+// and whether the owner is active.
+func (c *Core) Ownership() (number int, active bool) {
+	if ownerNumbers.last == nil {
+		ownerNumbers.last, ownerNumbers.count = map[*Core]*owner{}, map[*Core]int{}
 	}
 	if c.owner == nil {
 		return 0, false
 	}
-	if owning.last[c] != c.owner {
-		owning.last[c] = c.owner
-		owning.n[c]++
+	if ownerNumbers.last[c] != c.owner {
+		ownerNumbers.last[c] = c.owner
+		ownerNumbers.count[c]++
 	}
-	return owning.n[c], c.owner.state == ownerActive
+	return ownerNumbers.count[c], c.owner.state == ownerActive
 }
 
-// ReadRecord tells what this version reads in a record.
+// ReadRecord returns what this version decodes from a record, as JSON, or the error.
 func ReadRecord(key string, value []byte) string {
 	text, err := readRecord(key, value)
 	if err != nil {
@@ -46,7 +48,7 @@
 }
 
 func readRecord(key string, value []byte) (string, error) {
-	into := func(v any) (string, error) {
+	decodeAs := func(v any) (string, error) {
 		if err := wire.Decode(value, v); err != nil {
 			return "", err
 		}
@@ -55,25 +57,25 @@
 	}
 	switch {
 	case key == keyLeader:
-		return into(&leaderRecord{})
+		return decodeAs(&leaderRecord{})
 	case strings.HasPrefix(key, prefixMember):
-		return into(&memberRecord{})
+		return decodeAs(&memberRecord{})
 	case strings.HasPrefix(key, prefixTeam):
-		return into(&teamRecord{})
+		return decodeAs(&teamRecord{})
 	case key == keyTypes:
-		return into(&wire.MachineTypes{})
+		return decodeAs(&wire.MachineTypes{})
 	case strings.HasPrefix(key, prefixFinal):
-		return into(&finalRecord{})
+		return decodeAs(&finalRecord{})
 	case strings.HasPrefix(key, prefixRental):
-		return into(&rentalRecord{})
+		return decodeAs(&rentalRecord{})
 	case strings.HasPrefix(key, prefixHold):
-		return into(&holdRecord{})
+		return decodeAs(&holdRecord{})
 	case strings.HasPrefix(key, prefixActive):
 		return readJob(value)
 	case strings.HasPrefix(key, prefixMachine):
 		return readBlock(value)
 	case strings.HasPrefix(key, prefixDone):
-		return readShard(value)
+		return readCompletionSegment(value)
 	}
 	return "", fmt.Errorf("%s is no key of this version", key)
 }
@@ -120,7 +122,7 @@
 	return string(text), err
 }
 
-func readShard(value []byte) (string, error) {
+func readCompletionSegment(value []byte) (string, error) {
 	var rec doneRecord
 	if err := wire.Decode(value, &rec); err != nil {
 		return "", err
@@ -145,7 +147,7 @@
 	return string(text), err
 }
 
-// ReadMessage tells what this version reads in a message between siblings.
+// ReadMessage returns what this version decodes from a message between peers, as JSON, or the error.
 func ReadMessage(body []byte) string {
 	var m peer.Message
 	if err := proto.Unmarshal(body, &m); err != nil {
@@ -155,7 +157,7 @@
 	if err != nil {
 		return "error: " + err.Error()
 	}
-	var out bytes.Buffer // its white space is not always the same
+	var out bytes.Buffer // protojson varies its white space
 	if err := json.Compact(&out, text); err != nil {
 		return "error: " + err.Error()
 	}
--- a/controller/production_test.go
+++ b/controller/production_test.go
@@ -49,7 +49,7 @@
 	err error // set once the program has ended
 }
 
-// These are Ask, Answer and Effect of the program (production/_node/main.go).
+// These are NodeRequest, NodeResponse and Effect of the program (production/_node/main.go).
 type (
 	productionRequest struct {
 		Node     int
