--- a/controller/determinism_test.go
+++ b/controller/determinism_test.go
@@ -6,12 +6,12 @@
 	"tamarindlead/micros"
 )
 
-// TestFaultPairIsRepeatable checks that the effects of a run depend only on its seed, as those of the
-// core must depend only on its events.
+// TestFaultPairIsRepeatable checks that the effects of a run depend only on its seed. This requires
+// that the effects of the core depend only on its events.
 //
-// It guards against a failure with seed 10: each run had one of two digests ("effects differ in run
-// 2"). After all attempts of a gang were recorded, startGang queued their machines for commands in the
-// iteration order of a map, so the order of the start commands varied.
+// It guards against a failure with seed 10, in which each run had one of two digests ("effects differ
+// in run 2"). After all attempts of a gang were recorded, startGang queued their machines for commands
+// in the iteration order of a map, so the order of the start commands varied.
 func TestFaultPairIsRepeatable(t *testing.T) {
 	const seed, runs = 10, 5
 	first := ""
--- a/controller/dump_script_test.go
+++ b/controller/dump_script_test.go
@@ -10,9 +10,9 @@
 	"tamarindlead/micros"
 )
 
-// runDumpScript plays production/script.txt: with nodes of the version in production if save takes
-// the dumps, with nodes of the present version otherwise. begin is called with each simulation
-// before it runs.
+// runDumpScript runs production/script.txt. If saveDump is set, all nodes run the version in
+// production, and saveDump is called for each dump command; otherwise all nodes run the present
+// version. prepare is called with each simulation before it runs.
 func runDumpScript(t *testing.T, prepare func(sim *simulation), saveDump func(sim *simulation, name string)) {
 	t.Helper()
 	var sim *simulation
@@ -46,7 +46,8 @@
 	})
 }
 
-// runUntilRecord runs until a record whose key has a prefix contains a text once decoded.
+// runUntilRecord runs for up to 60 s until the decoded text of a record whose key has the given prefix
+// contains text.
 func (sim *simulation) runUntilRecord(prefix, text string) string {
 	for end := sim.now + 60*micros.Second; sim.now < end; sim.run(simulationStep) {
 		for _, k := range sim.kvStore.Keys(prefix) {
--- a/controller/dump_write_test.go
+++ b/controller/dump_write_test.go
@@ -12,10 +12,10 @@
 	"tamarindlead/internal/wire"
 )
 
-// maxMessages is how many messages of each kind a dump holds.
+// maxMessages is the maximum number of messages of each kind in a dump.
 const maxMessages = 6
 
-// TestDump writes the dumps of production/*.cbor. See production/README.md.
+// TestDump writes the dumps production/*.cbor. See production/README.md.
 func TestDump(t *testing.T) {
 	commit, err := productionCommit()
 	if err != nil {
--- a/controller/effects_test.go
+++ b/controller/effects_test.go
@@ -17,9 +17,9 @@
 	"tamarindlead/micros"
 )
 
-// TestRecordedEffects plays scenarios and compares all events and effects of the nodes with
-// the recorded ones: a refactoring must not change any of them. A commit that changes behaviour
-// records them anew:
+// TestRecordedEffects runs scenarios and compares the digests of all events and effects of the nodes
+// with the recorded digests: a refactoring must not change any event or effect. A commit that changes
+// behaviour must record the digests again:
 //
 //	go test ./controller -run TestRecordedEffects -rewrite
 func TestRecordedEffects(t *testing.T) {
@@ -31,7 +31,8 @@
 	})
 }
 
-// TestRecordedEffectsDiffer checks that the digest differs for each kind of difference.
+// TestRecordedEffectsDiffer checks that a difference in any part of an event or effect changes the
+// digest.
 func TestRecordedEffectsDiffer(t *testing.T) {
 	base := []Effect{Call{ID: 1, Addr: "state", Method: "GET", Target: "/kv/types", Timeout: 5, MaxBody: 6}, Respond{ID: 2, Status: 200, Body: []byte("x")}}
 	digest := func(ev Event, effects []Effect) string {
@@ -41,26 +42,26 @@
 	}
 	same := digest(Tick{}, base)
 	if repeated := digest(Tick{}, base); repeated != same {
-		t.Fatalf("the same effects differ: %s, %s", same, repeated)
+		t.Fatalf("the same effects have different digests: %s, %s", same, repeated)
 	}
 	changed := map[string]string{
-		"event":       digest(Request{ID: 1}, base),
-		"event body":  digest(CallDone{ID: 1, Body: []byte("y")}, base),
-		"address":     digest(Tick{}, []Effect{Call{ID: 1, Addr: "cloud", Method: "GET", Target: "/kv/types", Timeout: 5, MaxBody: 6}, base[1]}),
-		"method":      digest(Tick{}, []Effect{Call{ID: 1, Addr: "state", Method: "PUT", Target: "/kv/types", Timeout: 5, MaxBody: 6}, base[1]}),
-		"target":      digest(Tick{}, []Effect{Call{ID: 1, Addr: "state", Method: "GET", Target: "/kv/other", Timeout: 5, MaxBody: 6}, base[1]}),
-		"call body":   digest(Tick{}, []Effect{Call{ID: 1, Addr: "state", Method: "GET", Target: "/kv/types", Timeout: 5, MaxBody: 6, Body: []byte("b")}, base[1]}),
-		"timeout":     digest(Tick{}, []Effect{Call{ID: 1, Addr: "state", Method: "GET", Target: "/kv/types", Timeout: 7, MaxBody: 6}, base[1]}),
-		"most body":   digest(Tick{}, []Effect{Call{ID: 1, Addr: "state", Method: "GET", Target: "/kv/types", Timeout: 5, MaxBody: 7}, base[1]}),
-		"status":      digest(Tick{}, []Effect{base[0], Respond{ID: 2, Status: 201, Body: []byte("x")}}),
-		"answer":      digest(Tick{}, []Effect{base[0], Respond{ID: 2, Status: 200, Body: []byte("z")}}),
-		"retry after": digest(Tick{}, []Effect{base[0], Respond{ID: 2, Status: 200, Body: []byte("x"), RetryAfter: 1}}),
-		"one less":    digest(Tick{}, base[:1]),
-		"order":       digest(Tick{}, []Effect{base[1], base[0]}),
+		"event":             digest(Request{ID: 1}, base),
+		"event body":        digest(CallDone{ID: 1, Body: []byte("y")}, base),
+		"address":           digest(Tick{}, []Effect{Call{ID: 1, Addr: "cloud", Method: "GET", Target: "/kv/types", Timeout: 5, MaxBody: 6}, base[1]}),
+		"method":            digest(Tick{}, []Effect{Call{ID: 1, Addr: "state", Method: "PUT", Target: "/kv/types", Timeout: 5, MaxBody: 6}, base[1]}),
+		"target":            digest(Tick{}, []Effect{Call{ID: 1, Addr: "state", Method: "GET", Target: "/kv/other", Timeout: 5, MaxBody: 6}, base[1]}),
+		"call body":         digest(Tick{}, []Effect{Call{ID: 1, Addr: "state", Method: "GET", Target: "/kv/types", Timeout: 5, MaxBody: 6, Body: []byte("b")}, base[1]}),
+		"timeout":           digest(Tick{}, []Effect{Call{ID: 1, Addr: "state", Method: "GET", Target: "/kv/types", Timeout: 7, MaxBody: 6}, base[1]}),
+		"maximum body":      digest(Tick{}, []Effect{Call{ID: 1, Addr: "state", Method: "GET", Target: "/kv/types", Timeout: 5, MaxBody: 7}, base[1]}),
+		"status":            digest(Tick{}, []Effect{base[0], Respond{ID: 2, Status: 201, Body: []byte("x")}}),
+		"response body":     digest(Tick{}, []Effect{base[0], Respond{ID: 2, Status: 200, Body: []byte("z")}}),
+		"retry after":       digest(Tick{}, []Effect{base[0], Respond{ID: 2, Status: 200, Body: []byte("x"), RetryAfter: 1}}),
+		"number of effects": digest(Tick{}, base[:1]),
+		"order of effects":  digest(Tick{}, []Effect{base[1], base[0]}),
 	}
 	for what, got := range changed {
 		if got == same {
-			t.Errorf("a change of the %s is not noticed", what)
+			t.Errorf("a change of the %s does not change the digest", what)
 		}
 	}
 }
@@ -93,7 +94,7 @@
 	return recorded
 }
 
-// runRecordedScenario plays a scenario and returns a digest of its nodes' events and effects.
+// runRecordedScenario runs a scenario and returns a digest of its nodes' events and effects.
 func runRecordedScenario(t *testing.T, scenario string) *effectDigest {
 	record := newEffectDigest()
 	path := filepath.Join("testdata", recordedScenarioFile(scenario)+".txt")
@@ -105,11 +106,12 @@
 	return record
 }
 
-// digestInterval is the simulated time that one line of a record covers: the first line that
-// differs shows about when the behaviour does.
+// digestInterval is the simulated time that one line of a digest covers. The first line that differs
+// shows approximately when the behaviour differs for the first time.
 const digestInterval = 10 * micros.Second
 
-// effectDigest hashes events and effects. Each line holds the hash of all up to its time.
+// effectDigest hashes events and effects. Each line holds the hash of all events and effects up to its
+// time.
 type effectDigest struct {
 	hash       hash.Hash64
 	events     int
@@ -156,8 +158,8 @@
 	}
 }
 
-// canonical sorts the keys of maps in a CBOR body, whose order on the wire is random, also in a body
-// that a peer message carries. Any other body is returned unchanged.
+// canonical sorts the keys of maps in a CBOR body, since their order on the wire is random. It also does
+// so for a CBOR body in a peer message. It returns any other body unchanged.
 func canonical(body []byte) []byte {
 	var value any
 	if cbor.Unmarshal(body, &value) == nil {
--- a/controller/fault_pairs_faults_test.go
+++ b/controller/fault_pairs_faults_test.go
@@ -7,12 +7,12 @@
 	"tamarindlead/micros"
 )
 
-// pairFault is a kind of fault. start causes it and returns a description, its duration and, unless
-// nothing is to be reverted, the function that ends it.
+// pairFault is a kind of fault. start injects it and returns its target for the log, which may be
+// empty, its duration and the function that reverts it, nil if nothing needs to be reverted.
 type pairFault struct {
 	name     string
 	start    func(run *faultPairRun) (target string, duration micros.Micros, revert func())
-	kvOutage bool // of the state service
+	kvOutage bool // the fault is an outage of the KV store
 }
 
 func (run *faultPairRun) startFault(kind pairFault) {
@@ -26,7 +26,7 @@
 	})
 }
 
-// newNodeFault returns a fault of one node that lasts between two durations in seconds.
+// newNodeFault returns a fault of one node with a random duration between from and to, in seconds.
 func newNodeFault(name string, from, to float64, set func(sim *simulation, node *simNode, on bool)) pairFault {
 	return pairFault{name: name, start: func(run *faultPairRun) (string, micros.Micros, func()) {
 		node := run.pickNode()
@@ -35,7 +35,8 @@
 	}}
 }
 
-// newMachineFault returns a fault of some machines.
+// newMachineFault returns a fault of one to four machines with a random duration between from and to,
+// in seconds.
 func newMachineFault(name string, from, to float64, set func(worker *fake.Worker, on bool)) pairFault {
 	return pairFault{name: name, start: func(run *faultPairRun) (string, micros.Micros, func()) {
 		workers := run.pickMachines()
@@ -52,7 +53,8 @@
 	}}
 }
 
-// newClusterFault returns a fault of the whole cluster.
+// newClusterFault returns a fault of the whole cluster with a random duration between from and to, in
+// seconds.
 func newClusterFault(name string, from, to float64, set func(sim *simulation, on bool)) pairFault {
 	return pairFault{name: name, start: func(run *faultPairRun) (string, micros.Micros, func()) {
 		set(run.sim, true)
@@ -60,7 +62,7 @@
 	}}
 }
 
-// newKVOutage returns an outage of the state service.
+// newKVOutage returns an outage of the KV store with a random duration between from and to, in seconds.
 func newKVOutage(name string, from, to float64) pairFault {
 	fault := newClusterFault(name, from, to, func(sim *simulation, on bool) { sim.kvStore.Unavailable = on })
 	fault.kvOutage = true
@@ -102,51 +104,51 @@
 		crashNext()
 		return "", 40 * micros.Second, nil
 	}},
-	{name: "an owner crashes as a cancellation is told", start: func(run *faultPairRun) (string, micros.Micros, func()) {
+	{name: "an owner crashes when a cancellation is acknowledged", start: func(run *faultPairRun) (string, micros.Micros, func()) {
 		run.onCancelAcknowledged = func(id string) {
 			node := run.pickNode()
-			run.logf("%s is told to be cancelled: %s crashes", id, nodeName(node.index))
+			run.logf("the cancellation of %s is acknowledged: %s crashes", id, nodeName(node.index))
 			run.sim.crash(node, run.randomDowntime())
 		}
 		return "", 30 * micros.Second, func() { run.onCancelAcknowledged = nil }
 	}},
-	{name: "an owner is refused by the state service as a cancellation is told", start: func(run *faultPairRun) (string, micros.Micros, func()) {
+	{name: "the KV store refuses an owner when a cancellation is acknowledged", start: func(run *faultPairRun) (string, micros.Micros, func()) {
 		refusedNode := ""
 		run.onCancelAcknowledged = func(id string) {
 			refusedNode = nodeName(run.pickNode().index)
-			run.logf("%s is told to be cancelled: %s is refused", id, refusedNode)
+			run.logf("the cancellation of %s is acknowledged: the KV store refuses %s", id, refusedNode)
 			run.sim.kvStore.RefusedCallers[refusedNode] = true
 		}
 		return "", 30 * micros.Second, func() { run.onCancelAcknowledged = nil; delete(run.sim.kvStore.RefusedCallers, refusedNode) }
 	}},
-	newNodeFault("node cut off", 2, 30, func(_ *simulation, node *simNode, on bool) { node.partitioned = on }),
-	newNodeFault("node cut off, its messages held", 2, 30, func(_ *simulation, node *simNode, on bool) { node.partitioned, node.delaysOutbound = on, on }),
-	newNodeFault("workers and node do not reach each other", 5, 30, func(_ *simulation, node *simNode, on bool) { node.workersUnreachable = on }),
-	newNodeFault("node reaches neither state service nor siblings", 5, 40, func(_ *simulation, node *simNode, on bool) { node.onlyWorkersReachable = on }),
-	newNodeFault("state service refuses node", 3, 25, func(sim *simulation, node *simNode, on bool) {
+	newNodeFault("node partitioned", 2, 30, func(_ *simulation, node *simNode, on bool) { node.partitioned = on }),
+	newNodeFault("node partitioned, its outbound messages delayed", 2, 30, func(_ *simulation, node *simNode, on bool) { node.partitioned, node.delaysOutbound = on, on }),
+	newNodeFault("node partitioned from workers", 5, 30, func(_ *simulation, node *simNode, on bool) { node.workersUnreachable = on }),
+	newNodeFault("node partitioned from KV store and peers", 5, 40, func(_ *simulation, node *simNode, on bool) { node.onlyWorkersReachable = on }),
+	newNodeFault("KV store refuses node", 3, 25, func(sim *simulation, node *simNode, on bool) {
 		if on {
 			sim.kvStore.RefusedCallers[nodeName(node.index)] = true
 		} else {
 			delete(sim.kvStore.RefusedCallers, nodeName(node.index))
 		}
 	}),
-	newKVOutage("state service down", 5, 15),
-	newKVOutage("state service down for long", 50, 70), // longer than the cancellation deadline
-	newClusterFault("state service slow", 15, 40, func(sim *simulation, on bool) {
+	newKVOutage("KV store unavailable", 5, 15),
+	newKVOutage("KV store unavailable for a long time", 50, 70), // longer than the cancellation deadline
+	newClusterFault("KV store slow", 15, 40, func(sim *simulation, on bool) {
 		sim.kvFaults.responseDelay = 0
 		if on {
 			sim.kvFaults.responseDelay = 600 * micros.Millisecond
 		}
 	}),
-	{name: "zone cut off", start: func(run *faultPairRun) (string, micros.Micros, func()) {
+	{name: "zone partitioned", start: func(run *faultPairRun) (string, micros.Micros, func()) {
 		run.sim.partitionedZone = run.sim.cfg.Zones[run.rng.IntN(len(run.sim.cfg.Zones))]
 		return run.sim.partitionedZone, run.randomSeconds(8, 45), func() { run.sim.partitionedZone = "" }
 	}},
 	newMachineFault("machines hang", 3, 30, func(worker *fake.Worker, on bool) { worker.Hung = on }),
-	newMachineFault("machines hang for long", 50, 70, func(worker *fake.Worker, on bool) { worker.Hung = on }),
-	newMachineFault("machines cut off", 5, 40, func(worker *fake.Worker, on bool) { worker.Partitioned = on }),
-	newMachineFault("machines deaf", 5, 30, func(worker *fake.Worker, on bool) { worker.InboundBlocked = on }),
-	{name: "machines taken without notice", start: func(run *faultPairRun) (string, micros.Micros, func()) {
+	newMachineFault("machines hang for a long time", 50, 70, func(worker *fake.Worker, on bool) { worker.Hung = on }),
+	newMachineFault("machines partitioned", 5, 40, func(worker *fake.Worker, on bool) { worker.Partitioned = on }),
+	newMachineFault("machines do not receive", 5, 30, func(worker *fake.Worker, on bool) { worker.InboundBlocked = on }),
+	{name: "machines reclaimed without notice", start: func(run *faultPairRun) (string, micros.Micros, func()) {
 		names := ""
 		for _, worker := range run.pickMachines() {
 			run.sim.cloud.Reclaim(worker.Machine.Name)
@@ -155,13 +157,13 @@
 		run.sim.forgetDeletedMachines()
 		return names, 0, nil
 	}},
-	newClusterFault("copies of reports come late", 20, 50, func(sim *simulation, on bool) {
+	newClusterFault("delayed duplicate heartbeats", 20, 50, func(sim *simulation, on bool) {
 		sim.duplicateHeartbeatShare, sim.maxCopyDelay = 0, 25*micros.Second
 		if on {
 			sim.duplicateHeartbeatShare = 0.2
 		}
 	}),
-	newClusterFault("messages lost, late and twice", 15, 40, func(sim *simulation, on bool) {
+	newClusterFault("messages lost, delayed and duplicated", 15, 40, func(sim *simulation, on bool) {
 		sim.lossRate, sim.delayedRequestRate, sim.duplicateRequestRate = 0, 0, 0
 		if on {
 			sim.lossRate, sim.delayedRequestRate, sim.duplicateRequestRate = 0.03, 0.03, 0.03
@@ -173,19 +175,19 @@
 			sim.kvFaults.peerLossRate = 0.7
 		}
 	}),
-	{name: "one-task jobs come four a second, a quarter cancelled", start: func(run *faultPairRun) (string, micros.Micros, func()) {
+	{name: "four one-task jobs per second, a quarter of them cancelled", start: func(run *faultPairRun) (string, micros.Micros, func()) {
 		for i := range 60 + run.rng.IntN(60) {
 			run.generateSmallJob(1000+i, micros.Micros(i)*micros.Second/4)
 		}
 		return "", 30 * micros.Second, nil
 	}},
-	{name: "jobs are cancelled as they end", start: func(run *faultPairRun) (string, micros.Micros, func()) {
+	{name: "jobs cancelled at completion", start: func(run *faultPairRun) (string, micros.Micros, func()) {
 		until := run.sim.now + run.randomSeconds(20, 50)
 		run.cancelFinishingJobs(until, map[string]bool{})
 		return "", until - run.sim.now, nil
 	}},
-	newClusterFault("cloud down", 10, 40, func(sim *simulation, on bool) { sim.cloud.Unavailable = on }),
-	newClusterFault("the next machines never come up", 10, 10, func(sim *simulation, on bool) {
+	newClusterFault("cloud unavailable", 10, 40, func(sim *simulation, on bool) { sim.cloud.Unavailable = on }),
+	newClusterFault("the next three machines never boot", 10, 10, func(sim *simulation, on bool) {
 		if on {
 			sim.cloud.FailedBoots = 3
 		}
--- a/controller/fault_pairs_generate_test.go
+++ b/controller/fault_pairs_generate_test.go
@@ -10,9 +10,9 @@
 	"tamarindlead/micros"
 )
 
-// generateFaults draws two or three different faults. In a third of the runs the second one is an
-// outage of the state service: what was acknowledged to a user just before must reach the other
-// nodes all the same.
+// generateFaults draws two or three different faults. In a third of the runs the second fault is an
+// outage of the KV store: what a node acknowledged to a user just before the outage must still reach
+// the other nodes.
 func (run *faultPairRun) generateFaults() []pairFault {
 	count := 2
 	if run.rng.IntN(3) == 0 {
@@ -31,26 +31,26 @@
 	return faults
 }
 
-// generateResponseDelays delays some responses of the state service, of other controllers or of both
-// in three of four runs, until the faults have ended.
+// generateResponseDelays delays some responses of the KV store, of other controllers or of both in
+// three of four runs, until the faults have ended.
 func (run *faultPairRun) generateResponseDelays() {
 	rng := rand.New(rand.NewPCG(run.seed, responseDelayStream))
 	targets := rng.IntN(4)
 	set := func(name string, delay *responseDelay) {
 		delay.share = 0.1 + 0.4*rng.Float64()
 		delay.maxDelay = micros.FromMillis(50 + 450*rng.Float64())
-		run.logf("%s of the %s come late, each by up to %v", fmt.Sprintf("%.0f%%", 100*delay.share), name, delay.maxDelay)
+		run.logf("%s of the %s are delayed, each by up to %v", fmt.Sprintf("%.0f%%", 100*delay.share), name, delay.maxDelay)
 	}
 	if targets&1 != 0 {
-		set("answers of the state service", &run.sim.kvFaults.kvResponseDelay)
+		set("responses of the KV store", &run.sim.kvFaults.kvResponseDelay)
 	}
 	if targets&2 != 0 {
-		set("answers of other controllers", &run.sim.kvFaults.peerResponseDelay)
+		set("responses of other controllers", &run.sim.kvFaults.peerResponseDelay)
 	}
 }
 
-// pickNode draws a node: mostly one that owns teams, preferably that of a job that is being
-// cancelled.
+// pickNode draws a node: in three of four draws a node that owns teams, if there is one, and
+// preferably the owner of a job whose cancellation was requested.
 func (run *faultPairRun) pickNode() *simNode {
 	sim := run.sim
 	var owners, preferred []*simNode
@@ -79,7 +79,8 @@
 	return pick[run.rng.IntN(len(pick))]
 }
 
-// pickMachines draws machines: mostly those that run jobs whose cancellation was requested.
+// pickMachines draws up to four machines: in three of four draws only from the machines that run jobs
+// whose cancellation was requested, if there are any.
 func (run *faultPairRun) pickMachines() []*fake.Worker {
 	sim := run.sim
 	var all, preferred []*fake.Worker
--- a/controller/fault_pairs_jobs_test.go
+++ b/controller/fault_pairs_jobs_test.go
@@ -13,12 +13,12 @@
 
 // cancellationPlan describes when a generated job is cancelled, if at all.
 type cancellationPlan struct {
-	at           micros.Micros // 0: not at a given time
-	onAcceptance bool
+	at           micros.Micros // zero if the job is not cancelled at a fixed time
+	onAcceptance bool          // the job is cancelled as soon as it is accepted
 }
 
-// generateJob draws a job, when it is submitted, and whether and when it is cancelled: often
-// between the starts of two faults.
+// generateJob draws a job, its submission time, and whether and when it is cancelled: often between
+// first and second, the start times of two faults.
 func (run *faultPairRun) generateJob(i int, first, second micros.Micros) {
 	rng, sim := run.rng, run.sim
 	job := run.generateJobShape(jobName(i))
@@ -70,8 +70,8 @@
 
 func (run *faultPairRun) randomTeam() string { return []string{"red", "blue"}[run.rng.IntN(2)] }
 
-// generateTasks draws whether a job has one task, several or a gang of them, and returns the
-// memory that each needs.
+// generateTasks draws whether a job has one task, several tasks or a gang of tasks, and returns the
+// memory that each task needs.
 func (run *faultPairRun) generateTasks(job *sched.Job) (mem float64) {
 	switch kind := run.rng.IntN(10); {
 	case kind < 3: // one task
@@ -85,12 +85,13 @@
 	return 2
 }
 
-// generateCancellation draws when a job that is submitted at a given time is cancelled; it may be
-// submitted earlier for that.
+// generateCancellation draws when a job is cancelled. It returns the job's submission time and the
+// cancellation. The submission time is at, or drawn from the first 6 s of the run so that the job runs
+// when it is cancelled.
 func (run *faultPairRun) generateCancellation(at, first, second micros.Micros) (micros.Micros, cancellationPlan) {
 	kinds := 5
 	if run.secondIsKVOutage {
-		// This draw is not used; it keeps the runs of the seeds as they are.
+		// The result of this draw is not used. The draw keeps the runs of the existing seeds unchanged.
 		run.rng.IntN(kinds)
 		kinds = 10
 	}
@@ -99,13 +100,13 @@
 		return at, cancellationPlan{at: at + run.randomSeconds(1, 60)}
 	case 1:
 		return at, cancellationPlan{onAcceptance: true}
-	default: // while it runs, when the faults overlap
+	default: // while the job runs and the faults overlap
 		at = run.randomSeconds(0, 6)
 		return at, cancellationPlan{at: first - micros.Second + run.randomSeconds(0, (second-first).Seconds()+2)}
 	}
 }
 
-// describeJob returns the line of the run's log about a job.
+// describeJob returns the line that describes a job in the run's log.
 func describeJob(job *sched.Job, at, duration micros.Micros, cancellation cancellationPlan) string {
 	text := fmt.Sprintf("%s at %v: %d tasks of %v, priority %d, team %s", job.ID, at, job.Tasks, duration, job.Priority, job.Team)
 	for _, property := range []struct {
@@ -116,8 +117,8 @@
 		{job.OneZone, "one zone"},
 		{job.Spread, "spread"},
 		{job.Spot, "spot"},
-		{job.CheckpointInterval > 0, "saves"},
-		{cancellation.onAcceptance, "cancelled at once"},
+		{job.CheckpointInterval > 0, "checkpoints"},
+		{cancellation.onAcceptance, "cancelled on acceptance"},
 	} {
 		if property.set {
 			text += ", " + property.name
@@ -129,8 +130,8 @@
 	return text
 }
 
-// checkSchedulingDelay reports jobs that have been pending for too long although they fitted all the
-// while.
+// checkSchedulingDelay reports jobs that have been pending for longer than maxSchedulingDelay although
+// they could have been scheduled during all of that time.
 func (run *faultPairRun) checkSchedulingDelay() {
 	sim := run.sim
 	used := sim.usedCPUs()
@@ -154,7 +155,8 @@
 	return zones
 }
 
-// mayStartTasks reports whether a job has tasks to start and its team's limit admits them.
+// mayStartTasks reports whether a job has tasks to start and its team's quota limit allows starting one
+// of them, or all of them if the job is a gang.
 func (run *faultPairRun) mayStartTasks(id string, runningTasks int, used map[string]float64) bool {
 	sim := run.sim
 	job := sim.submitted[id]
@@ -171,7 +173,8 @@
 }
 
 // checkSchedulableJob records on which machines a job fits, given the zones of its running tasks,
-// and reports it if it has fitted for too long.
+// and reports the job if it has fitted for longer than maxSchedulingDelay. For a gang it records only
+// whether the whole gang fits.
 func (run *faultPairRun) checkSchedulableJob(schedulable map[string]bool, id string, zones []string) {
 	job := run.sim.submitted[id]
 	freeSlots, freeSlotsInZone := 0, map[string]int{}
@@ -220,6 +223,9 @@
 	return freeTaskSlots(worker, run.sim.taskInfos[job.ID])
 }
 
+// recordSchedulableWait records in schedulable that a job fits on a machine, or, if machine is empty,
+// that a gang fits on the machines. It reports the job if that has been so for longer than
+// maxSchedulingDelay.
 func (run *faultPairRun) recordSchedulableWait(schedulable map[string]bool, id, machine string) {
 	key := id + " " + machine
 	schedulable[key] = true
@@ -227,11 +233,11 @@
 		run.fitsSince[key] = run.sim.now
 	}
 	if run.sim.now-run.fitsSince[key] > maxSchedulingDelay {
-		run.sim.reportViolation("left waiting: %s, with room for it on %q", id, machine)
+		run.sim.reportViolation("left waiting: %s is still pending although it fits (machine %q)", id, machine)
 	}
 }
 
-// generateSmallJob draws a job of one task that is submitted after some time.
+// generateSmallJob draws a job of one task that is submitted after a delay.
 func (run *faultPairRun) generateSmallJob(i int, delay micros.Micros) {
 	sim, id := run.sim, fmt.Sprintf("req-%06d", i)
 	job := &sched.Job{
--- a/controller/fault_pairs_pipelines_test.go
+++ b/controller/fault_pairs_pipelines_test.go
@@ -14,19 +14,20 @@
 type pipelineGenerator struct {
 	run           *faultPairRun
 	rng           *rand.Rand
-	first, second micros.Micros // when the faults start
+	first, second micros.Micros // start times of the first two faults
 	nextJob       int
 }
 
 // pipeline is a generated pipeline.
 type pipeline struct {
 	shape string
-	at    micros.Micros // its jobs are submitted from then on
+	at    micros.Micros // earliest submission time of its jobs
 	jobs  []string
 }
 
-// generatePipelines adds pipelines to a run: chains, diamonds and fans, some with a job that is
-// cancelled while the faults overlap, some whose last job is submitted when the others have ended.
+// generatePipelines adds pipelines to a run: chains, diamonds and fans. In some of them a job is
+// cancelled while the faults overlap, and some dependent jobs are submitted only after the jobs that
+// they depend on have reached a terminal state.
 func (run *faultPairRun) generatePipelines(seed uint64, first, second micros.Micros) {
 	g := &pipelineGenerator{run: run, rng: rand.New(rand.NewPCG(seed, pipelinesStream)), first: first, second: second, nextJob: 100}
 	for range 2 + g.rng.IntN(3) {
@@ -87,8 +88,8 @@
 	}
 }
 
-// generateCancellation draws which job of a pipeline is cancelled and when, often the first one
-// and often while the faults overlap, and returns its part of the log line.
+// generateCancellation draws which job of a pipeline is cancelled and when, often the first job and
+// often while the faults overlap, and returns its part of the log line.
 func (g *pipelineGenerator) generateCancellation(p *pipeline) string {
 	sim := g.run.sim
 	id := p.jobs[0]
@@ -101,14 +102,14 @@
 		cancelAt = p.at + g.randomSeconds(0, 60)
 	case 1:
 		sim.pipelines.onDone[id] = append(sim.pipelines.onDone[id], func() { g.run.cancel(id) })
-		return fmt.Sprintf(", %s cancelled as it ends", id)
+		return fmt.Sprintf(", %s cancelled at completion", id)
 	}
 	sim.after(cancelAt, func() { g.run.cancel(id) })
 	return fmt.Sprintf(", %s cancelled at %v", id, cancelAt)
 }
 
-// generateInvalidDependencies submits, during the faults, a job that depends on one that nobody
-// submitted and one whose list of dependencies cannot be decoded.
+// generateInvalidDependencies submits, during the faults, a job that depends on a job that was never
+// submitted, and a job whose list of dependencies cannot be decoded.
 func (run *faultPairRun) generateInvalidDependencies(rng *rand.Rand) {
 	sim := run.sim
 	for i, dependencies := range []any{[]string{"req-000100", "req-000950"}, []any{"req-000100", nil}} {
@@ -120,7 +121,8 @@
 	}
 }
 
-// generatePipelineJob draws a job of a pipeline.
+// generatePipelineJob draws a job of a pipeline. The job is submitted at the given time, or later if
+// its dependencies must be accepted or reach a terminal state first.
 func (run *faultPairRun) generatePipelineJob(rng *rand.Rand, id string, at micros.Micros, dependencies []string) {
 	sim := run.sim
 	duration := micros.FromSeconds(2 + rng.Float64()*10)
--- a/controller/fault_pairs_users_test.go
+++ b/controller/fault_pairs_users_test.go
@@ -8,8 +8,9 @@
 	"tamarindlead/sched"
 )
 
-// generateInvalidJobs submits, during the faults, jobs that can never run or lack a field: they may
-// be refused for the moment or for good, with the status of their kind, but never accepted.
+// generateInvalidJobs submits, during the faults, jobs that can never run or lack a field. Nodes may
+// refuse such a job temporarily, or permanently with the status 422 or 400 that is expected for it, but
+// must never accept it.
 func (run *faultPairRun) generateInvalidJobs() {
 	sim := run.sim
 	for i, status := range []int{422, 422, 400} {
@@ -53,12 +54,12 @@
 	sim := run.sim
 	if run.expectedRefusals[id] != 0 {
 		if response.Status == 200 || response.Status == 201 || (response.Status == 400 || response.Status == 422) && response.Status != run.expectedRefusals[id] {
-			sim.reportViolation("refusals: %s is answered %d, not %d", id, response.Status, run.expectedRefusals[id])
+			sim.reportViolation("refusals: a request about %s is answered with status %d, not %d", id, response.Status, run.expectedRefusals[id])
 		}
 		return
 	}
 	if (response.Status == 400 || response.Status == 422) && !accepted {
-		sim.reportViolation("refusals: %s is answered %d", id, response.Status)
+		sim.reportViolation("refusals: a request about %s is answered with status %d", id, response.Status)
 	}
 	previous := sim.reportedTerminal[id]
 	sim.checkResponse(id, response, sent)
@@ -69,8 +70,8 @@
 	}
 }
 
-// queryAllNodes asks all nodes repeatedly, and sends a duplicate submission, right after a job was
-// accepted or reached a terminal state.
+// queryAllNodes queries all nodes about a job that has just been accepted or reached a terminal state,
+// repeatedly over the next 3 s, and each time sends a duplicate submission to one node.
 func (run *faultPairRun) queryAllNodes(id string) {
 	sim := run.sim
 	for _, ms := range []int{0, 3, 15, 70, 400, 3000} {
@@ -81,7 +82,7 @@
 			n := run.rng.IntN(len(sim.nodes))
 			run.sendJobRequest(n, "POST", id, "", func(Respond) {})
 			if sim.reportedTerminal[id] == wire.JobDone && run.rng.IntN(20) == 0 {
-				sim.cancelRequested[id] = true // too late: it stays done
+				sim.cancelRequested[id] = true // too late: the job remains done
 			}
 			if sim.cancelRequested[id] {
 				run.sendJobRequest((n+1)%len(sim.nodes), "POST", id, "/cancel", func(Respond) {})
@@ -139,7 +140,7 @@
 	})
 }
 
-// cancelFinishingJobs cancels half of the jobs at the moment of their completion.
+// cancelFinishingJobs cancels half of the jobs when their last task is done, until the given time.
 func (run *faultPairRun) cancelFinishingJobs(until micros.Micros, seen map[string]bool) {
 	sim := run.sim
 	if sim.now >= until {
--- a/controller/incompatible_messages_test.go
+++ b/controller/incompatible_messages_test.go
@@ -10,7 +10,8 @@
 	"tamarindlead/internal/peer"
 )
 
-// fullMessage returns an encoded peer message with one field of its body set in full.
+// fullMessage returns an encoded peer message in which the given field and all fields nested in it are
+// set.
 func fullMessage(t *testing.T, field protoreflect.FieldDescriptor) []byte {
 	t.Helper()
 	message := &peer.Message{From: "n1"}
@@ -59,7 +60,7 @@
 	}
 }
 
-// fieldPaths returns the paths, as field numbers, of a field and of all fields in it.
+// fieldPaths returns the paths, as field numbers, of a field and of all fields nested in it.
 func fieldPaths(f protoreflect.FieldDescriptor) [][]protowire.Number {
 	paths := [][]protowire.Number{{f.Number()}}
 	if f.Message() == nil {
@@ -93,7 +94,7 @@
 		number, typ, tagSize := protowire.ConsumeTag(data)
 		valueSize := protowire.ConsumeFieldValue(number, typ, data[max(0, tagSize):])
 		if tagSize < 0 || valueSize < 0 {
-			panic("a message of this file cannot be parsed")
+			panic("cannot parse a message that this test encoded")
 		}
 		tag, value := data[:tagSize], data[tagSize:tagSize+valueSize]
 		data = data[tagSize+valueSize:]
@@ -105,7 +106,7 @@
 		default:
 			inner, size := protowire.ConsumeBytes(value)
 			if size < 0 {
-				panic("a field with fields of its own is not encoded as one")
+				panic("a field with nested fields is not encoded as a message")
 			}
 			inner, changed = mutateWire(inner, path[1:], mutation)
 			out = protowire.AppendBytes(append(out, tag...), inner)
--- a/controller/incompatible_records_test.go
+++ b/controller/incompatible_records_test.go
@@ -10,8 +10,8 @@
 	"tamarindlead/sched"
 )
 
-// recordFields are the fields of all records: the kind of record, then the path to the field.
-// Fields of the packed data of a block have numbers; "*" matches all entries of a list.
+// recordFields lists the fields of all records. Each entry is the kind of record and the path to the
+// field. Fields of the packed data of a block are given by index; "*" matches all entries of a list.
 var recordFields = []string{
 	"c/leader n", "c/leader i",
 	"c/n/ i",
@@ -34,7 +34,7 @@
 	"types builds * fetchGbPerS", "types builds * hourly", "types builds * marketPrice", "types builds * bootS", "types builds * halls",
 }
 
-// fullRecords are records with a value in every field.
+// fullRecords returns records by key, with a value in every field.
 func fullRecords() map[string][]byte {
 	job := &sched.Job{
 		ID: "req-000009", Class: "work", Team: "red", Gang: true, Priority: sched.High, Tasks: 3,
@@ -62,14 +62,14 @@
 }
 
 // fieldMutation makes a field of a decoded map or list incompatible. It returns the changed map or
-// list, and false if that has no such field.
+// list, and whether the field exists.
 type fieldMutation func(holder any, field string) (any, bool)
 
 var recordMutations = map[string]fieldMutation{
 	"renamed": func(holder any, field string) (any, bool) {
 		m, ok := holder.(map[any]any)
 		if !ok {
-			return nil, false // a list has no names
+			return nil, false // the fields of a list have no names
 		}
 		v, found := m[field]
 		delete(m, field)
@@ -111,7 +111,7 @@
 
 // mutateRecord changes the field at the end of a path in a decoded value.
 func mutateRecord(v any, path []string, mutation fieldMutation) (any, bool) {
-	if text, is := v.(string); is { // the packed data of a block
+	if text, is := v.(string); is { // the packed data of a block, base64 of compressed CBOR
 		raw, err := base64.RawStdEncoding.DecodeString(text)
 		if err == nil {
 			raw, err = record.Decompress(raw)
@@ -150,7 +150,7 @@
 func fieldIndex(field string) int {
 	i, err := strconv.Atoi(field)
 	if err != nil {
-		panic(err) // the names are those of this file
+		panic(err) // the field names are constants of this file
 	}
 	return i
 }
--- a/controller/production/_node/read.go
+++ b/controller/production/_node/read.go
@@ -131,7 +131,7 @@
 	for name, bits := range rec.Chunks {
 		_, chunk, ok := splitNumbered(name)
 		if !ok {
-			return "", fmt.Errorf("chunk %s", name)
+			return "", fmt.Errorf("invalid chunk name %s", name)
 		}
 		b := make(bitmap, (chunk+1)*chunkTasks/8)
 		if err := b.load(chunk, bits); err != nil {
--- a/controller/production_build_test.go
+++ b/controller/production_build_test.go
@@ -15,13 +15,13 @@
 )
 
 // The version in production is the commit that deploy/service.toml names. Tests build it from the
-// repository's history, together with production/_node, and run it as a program: the cores of both
-// versions run in one simulation, and each decodes what the other wrote.
+// repository's history, together with production/_node, and run it as a separate process. The cores of
+// both versions run in one simulation, and each decodes what the other wrote.
 
-// productionProgram returns the path of the program, which is built once in a run of the tests.
+// productionProgram returns the path of the program and builds it on the first call of a test run.
 var productionProgram = sync.OnceValues(buildProductionProgram)
 
-// productionBuildDir is where buildProductionProgram builds; TestMain deletes it.
+// productionBuildDir is the directory in which buildProductionProgram builds. TestMain deletes it.
 var productionBuildDir string
 
 func TestMain(m *testing.M) {
--- a/controller/production_decode_test.go
+++ b/controller/production_decode_test.go
@@ -14,8 +14,8 @@
 	"tamarindlead/internal/wire"
 )
 
-// This file decodes records and messages as this version does, to be compared with what the version
-// in production decodes (production/_node/read.go).
+// This file decodes records and messages with the code of this version. The tests compare the results
+// with what the version in production decodes (production/_node/read.go).
 
 // decodedText returns what this version decodes from a record.
 func decodedText(key string, value []byte) string {
@@ -26,14 +26,14 @@
 	return withoutDefaults(text)
 }
 
-// withoutDefaults removes unset fields, so that a field that only one version knows makes no
-// difference while it is not used.
+// withoutDefaults removes unset fields from a JSON text, so that a field that only one version has
+// makes no difference while it is unset.
 func withoutDefaults(text string) string {
 	var v any
 	decoder := json.NewDecoder(strings.NewReader(text))
 	decoder.UseNumber()
 	if decoder.Decode(&v) != nil {
-		return text // an error
+		return text // the text is an error message
 	}
 	out, err := json.Marshal(withoutUnset(v))
 	if err != nil {
@@ -56,7 +56,7 @@
 		if len(v) == 0 {
 			return nil
 		}
-		for i := range v { // a list keeps its length
+		for i := range v { // unset entries stay, since the length of a list matters
 			v[i] = withoutUnset(v[i])
 		}
 	case json.Number:
@@ -159,7 +159,7 @@
 	for name, bits := range rec.Chunks {
 		_, chunk, ok := wire.SplitTaskName(name)
 		if !ok {
-			return "", fmt.Errorf("chunk %s", name)
+			return "", fmt.Errorf("invalid chunk name %s", name)
 		}
 		b := make(record.Bitmap, (chunk+1)*record.TasksPerChunk/8)
 		if err := b.MergeChunk(chunk, bits); err != nil {
--- a/controller/production_names_test.go
+++ b/controller/production_names_test.go
@@ -11,9 +11,9 @@
 	"tamarindlead/sched"
 )
 
-// Dumps of the version in production, and the messages that its test program exchanges, name
-// struct fields as that version does. This file translates between its names and the present
-// ones, so that a field can be renamed without another dump.
+// Dumps of the version in production, and the messages that its test program exchanges, use the struct
+// field names of that version. This file translates between those names and the present ones, so that
+// a field can be renamed without writing the dumps again.
 
 // productionFields lists, by type, the fields that have another name in the version in
 // production: present name, then the name there.
@@ -83,8 +83,8 @@
 	},
 }
 
-// productionType returns the type that t is in production: t itself if no field of it, or of
-// what it holds, has been renamed.
+// productionType returns the type that corresponds to t in the version in production: t itself if no
+// field of t, or of a type that t contains, has been renamed.
 func productionType(t reflect.Type) reflect.Type {
 	switch t.Kind() {
 	case reflect.Pointer:
@@ -101,12 +101,13 @@
 		}
 	case reflect.Struct:
 		return productionStruct(t)
-	default: // holds no struct
+	default: // contains no struct
 	}
 	return t
 }
 
-// productionStruct returns the struct type that t is in production, without unexported fields.
+// productionStruct returns the struct type that corresponds to t in the version in production, without
+// unexported fields.
 func productionStruct(t reflect.Type) reflect.Type {
 	renamed := productionFields[t]
 	changed := len(renamed) > 0
@@ -129,7 +130,7 @@
 	return reflect.StructOf(fields)
 }
 
-// toProduction returns a copy of a value with production's field names.
+// toProduction returns a copy of a value with the field names of the version in production.
 func toProduction(v any) any {
 	from := reflect.ValueOf(v)
 	to := reflect.New(productionType(from.Type())).Elem()
@@ -137,7 +138,7 @@
 	return to.Interface()
 }
 
-// decodeProduction decodes CBOR with production's field names into v.
+// decodeProduction decodes CBOR with the field names of the version in production into v.
 func decodeProduction[T any](data []byte, v *T) error {
 	from := reflect.New(productionType(reflect.TypeFor[T]()))
 	if err := wire.Decode(data, from.Interface()); err != nil {
@@ -147,8 +148,8 @@
 	return nil
 }
 
-// copyRenamed copies a value to the corresponding type of the other version: that in production if
-// renaming is set.
+// copyRenamed copies a value to the corresponding type of the other version: to the version in
+// production if renaming is set, and from that to the present version otherwise.
 func copyRenamed(to, from reflect.Value, renaming bool) {
 	if to.Type() == from.Type() {
 		to.Set(from)
@@ -179,7 +180,7 @@
 	case reflect.Struct:
 		copyRenamedFields(to, from, renaming)
 	default:
-		panic("types differ that hold no struct") // see productionType
+		panic("types that contain no struct differ") // see productionType
 	}
 }
 
@@ -205,8 +206,8 @@
 	}
 }
 
-// TestProductionFields checks that each renamed field exists, that its old name is no present
-// field of its type, and that values survive the translation in both directions.
+// TestProductionFields checks that each renamed field exists, that its old name is not also a present
+// field of its type, and that a value is unchanged after the translation in both directions.
 func TestProductionFields(t *testing.T) {
 	for typ, renamed := range productionFields {
 		for name, old := range renamed {
@@ -214,24 +215,24 @@
 				t.Errorf("%s has no field %s", typ, name)
 			}
 			if _, ok := typ.FieldByName(old); ok && renamed[old] == "" {
-				t.Errorf("%s has still a field %s", typ, old)
+				t.Errorf("%s still has a field %s", typ, old)
 			}
 		}
 	}
 	before := record.Team{Owner: "n1", Predecessors: []record.OwnerID{"n0/1", "n2/7"}}
 	old := reflect.ValueOf(toProduction(before))
 	if got := old.FieldByName("Heir").Len(); got != 2 {
-		t.Fatalf("%d predecessors in production's form", got)
+		t.Fatalf("%d predecessors after the translation to the version in production, want 2", got)
 	}
 	var after record.Team
 	if err := decodeProduction(wire.Encode(toProduction(before)), &after); err != nil {
 		t.Fatal(err)
 	}
 	if !reflect.DeepEqual(before, after) {
-		t.Errorf("%+v became %+v", before, after)
+		t.Errorf("%+v became %+v in the translation to the version in production and back", before, after)
 	}
 	var times struct{ At micros.Micros }
 	if productionType(reflect.TypeOf(times)) != reflect.TypeOf(times) {
-		t.Error("a type without renamed fields is changed")
+		t.Error("a type without renamed fields is translated to another type")
 	}
 }
--- a/controller/production_nodes_test.go
+++ b/controller/production_nodes_test.go
@@ -6,12 +6,12 @@
 	"tamarindlead/config"
 )
 
-// productionCore is a node's core of the production version.
+// productionCore is the core of a node that runs the production version.
 type productionCore struct {
 	process   *productionProcess
 	node      int
-	ownership int
-	active    bool
+	ownership int  // changes with each new owner; zero if the node owns no teams
+	active    bool // the owner is active
 }
 
 func (sim *simulation) startProductionNode(node *simNode, cfg *config.Settings) {
@@ -29,7 +29,7 @@
 	}
 	response := core.process.exchange(request)
 	if core.process.err != nil {
-		sim.reportViolation("the production version has ended: %v", core.process.err)
+		sim.reportViolation("the process of the production version has failed: %v", core.process.err)
 	}
 	core.ownership, core.active = response.Owner, response.Active
 	var out []Effect
--- a/controller/production_records_test.go
+++ b/controller/production_records_test.go
@@ -12,24 +12,25 @@
 	"tamarindlead/sched"
 )
 
-// TestProductionRecords has the present version decode what the one in production wrote, and
-// continue from there: all jobs reach a terminal state without a violated rule.
+// TestProductionRecords checks that the present version decodes the records and messages of the dumps
+// as the version in production does, and that nodes of the present version continue from each dump: all
+// jobs reach a terminal state without a violated rule.
 func TestProductionRecords(t *testing.T) {
 	for name, d := range readDumps(t) {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			for i, r := range d.Records {
 				if got := decodedText(r.Key, r.Value); got != withoutDefaults(d.DecodedRecords[i]) {
-					t.Errorf("%s is read as\n%s\nin production as\n%s", r.Key, got, d.DecodedRecords[i])
+					t.Errorf("%s is decoded as\n%s\nin production as\n%s", r.Key, got, d.DecodedRecords[i])
 				}
 			}
 			for i, m := range d.Messages {
 				if got := decodedMessage(m); got != d.DecodedMessages[i] {
-					t.Errorf("a message is read as\n%s\nin production as\n%s", got, d.DecodedMessages[i])
+					t.Errorf("a message is decoded as\n%s\nin production as\n%s", got, d.DecodedMessages[i])
 				}
 			}
 			runToCompletion(t, loadSimulation(d))
-			sim := loadSimulation(d) // with smaller limits
+			sim := loadSimulation(d) // with smaller KV store limits
 			sim.nextLimits = nextLimits{enabled: true, value: 1 << 10, ops: 5, writes: 15, rps: 150}
 			sim.kvStore.MaxValueBytes, sim.kvStore.MaxOps, sim.kvStore.WriteRate, sim.kvStore.RequestRate = 1<<10, 5, 15, 150
 			runToCompletion(t, sim)
@@ -37,7 +38,8 @@
 	}
 }
 
-// runToCompletion runs until all jobs have a terminal state, and checks that none violates a rule.
+// runToCompletion runs until all jobs have a terminal state, for at most 300 s, and checks that no rule
+// is violated.
 func runToCompletion(t *testing.T, sim *simulation) {
 	t.Helper()
 	for end := sim.now + 300*micros.Second; sim.now < end && len(unfinishedJobs(sim)) > 0 && len(sim.violations) == 0; {
@@ -47,24 +49,24 @@
 		t.Errorf("rules broken:\n%s", strings.Join(sim.violations, "\n"))
 	}
 	if left := unfinishedJobs(sim); len(left) > 0 {
-		t.Errorf("not done: %s", strings.Join(left, " "))
+		t.Errorf("without a terminal state: %s", strings.Join(left, " "))
 	}
 }
 
-// TestProductionOwnerCrashes continues from the dumps with an owner of the version in production, which
-// leads until it crashes; the other nodes are of the present version.
+// TestProductionOwnerCrashes continues from each dump with a node of the version in production that is
+// the leader until it crashes. The other nodes run the present version.
 func TestProductionOwnerCrashes(t *testing.T) {
 	for name, d := range readDumps(t) {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			sim := loadSimulation(d)
 			sim.startWithProduction(t, 1)
-			for _, node := range sim.nodes[1:] { // so that the first node leads
+			for _, node := range sim.nodes[1:] { // so that the first node becomes the leader
 				node.downUntil = sim.now + 6*micros.Second
 			}
 			sim.run(12 * micros.Second)
 			if sim.leader() != 0 {
-				t.Fatal("the node of the production version does not lead")
+				t.Fatal("the node of the production version is not the leader")
 			}
 			sim.nodes[0].version = currentVersion
 			sim.crash(sim.nodes[0], restartDelay)
@@ -83,11 +85,12 @@
 	return key
 }
 
-// recordKinds are the kinds of records that each version must have written, so that none goes
-// unchecked.
+// recordKinds lists the kinds of records that each version must have written in these tests, so that
+// every kind is checked.
 var recordKinds = []string{record.LeaderKey, record.MachineTypesKey, record.MemberPrefix, record.TeamPrefix, record.BlockPrefix, record.ActiveJobPrefix, record.TerminalStatePrefix, record.CompletionSegmentPrefix, record.ScaleOutRequestPrefix, record.ReservationPrefix}
 
-// TestDumpsCoverAllKinds checks that the dumps hold every kind of record and message.
+// TestDumpsCoverAllKinds checks that the dumps hold every kind of record and message, and a machine
+// that is being decommissioned ("condemned" in the dumps).
 func TestDumpsCoverAllKinds(t *testing.T) {
 	seen, messages := map[string]bool{}, ""
 	condemned := false
@@ -100,15 +103,15 @@
 	}
 	for _, k := range recordKinds {
 		if !seen[k] {
-			t.Errorf("no record %s", k)
+			t.Errorf("no dump holds a record of kind %s", k)
 		}
 	}
 	if !condemned {
-		t.Error("no condemned machine")
+		t.Error("no dump holds a condemned machine")
 	}
 	for _, m := range messageKinds {
 		if !strings.Contains(messages, `"`+m+`":`) {
-			t.Errorf("no message %s", m)
+			t.Errorf("no dump holds a message of kind %s", m)
 		}
 	}
 }
@@ -148,12 +151,12 @@
 
 func (diffs *differences) compare(what, own, old string) {
 	if own != old || strings.HasPrefix(own, "error") {
-		diffs.differing = append(diffs.differing, what+" means\n"+own+"\nand in production\n"+old)
+		diffs.differing = append(diffs.differing, what+" is decoded as\n"+own+"\nin production as\n"+old)
 	}
 }
 
 // TestProductionReads has the version in production decode all records and messages that the present
-// one writes while no job has dependencies: both must decode the same.
+// version writes while no job has dependencies. Both versions must decode them to the same values.
 func TestProductionReads(t *testing.T) {
 	diffs := &differences{process: startProduction(t), compared: map[string]bool{}, kinds: map[string]bool{}}
 	runDumpScript(t, func(sim *simulation) {
@@ -165,14 +168,15 @@
 	}
 	for _, k := range slices.Concat(recordKinds, messageKinds) {
 		if !diffs.kinds[k] {
-			t.Errorf("no %s was written", k)
+			t.Errorf("no record or message of kind %s was written", k)
 		}
 	}
 }
 
-// TestBlockedJobInProduction checks what the version in production does with a blocked job, should a
-// node be downgraded all the same: the job's description is recorded where that version does not
-// look, so it starts nothing, reports the job as queued and does not accept it a second time.
+// TestBlockedJobInProduction checks what the version in production does with a blocked job if the nodes
+// are downgraded although such a job exists. The description of a blocked job is recorded in a field
+// that this version does not decode, so it starts no task of the job, reports it as queued and does not
+// accept it a second time.
 func TestBlockedJobInProduction(t *testing.T) {
 	d := readDumps(t)["begun"]
 	id := "req-000099"
@@ -184,7 +188,7 @@
 	sim := loadSimulation(d)
 	sim.startWithProduction(t, len(sim.nodes))
 	if old := sim.production.decodeRecord(record.ActiveJobKey(id), value); !strings.HasPrefix(old, "error") {
-		t.Errorf("the version in production reads %s", old)
+		t.Errorf("the version in production decodes the record of a blocked job: %s", old)
 	}
 	sim.run(60 * micros.Second)
 	statuses := map[string]int{}
@@ -201,10 +205,10 @@
 	}
 	sim.run(6 * micros.Second)
 	if statuses["GET queued"] != len(sim.nodes) || statuses["POST queued"] != len(sim.nodes) {
-		t.Errorf("answers: %v", statuses)
+		t.Errorf("job states in the responses: %v", statuses)
 	}
 	if sim.startedAt[id] != 0 || sim.runningOn[wire.TaskName(id, 0)] != "" || sim.completedTasks[wire.TaskName(id, 0)] {
-		t.Error("it has started")
+		t.Error("the blocked job has started")
 	}
 	if len(sim.violations) > 0 {
 		t.Errorf("rules broken:\n%s", strings.Join(sim.violations, "\n"))
