--- a/controller/production_decode_test.go
+++ b/controller/production_decode_test.go
@@ -14,8 +14,8 @@
 	"tamarindlead/internal/wire"
 )
 
-// This file decodes records and messages as this version does, to be compared with what the version
-// in production decodes (production/_node/read.go).
+// This file decodes records and messages with the code of this version. The tests compare the results
+// with what the version in production decodes (production/_node/read.go).
 
 // decodedText returns what this version decodes from a record.
 func decodedText(key string, value []byte) string {
@@ -26,14 +26,14 @@
 	return withoutDefaults(text)
 }
 
-// withoutDefaults removes unset fields, so that a field that only one version knows makes no
-// difference while it is not used.
+// withoutDefaults removes unset fields from a JSON text, so that a field that only one version has
+// makes no difference while it is unset.
 func withoutDefaults(text string) string {
 	var v any
-	d := json.NewDecoder(strings.NewReader(text))
-	d.UseNumber()
-	if d.Decode(&v) != nil {
-		return text // an error
+	decoder := json.NewDecoder(strings.NewReader(text))
+	decoder.UseNumber()
+	if decoder.Decode(&v) != nil {
+		return text // the text is an error message
 	}
 	out, err := json.Marshal(withoutUnset(v))
 	if err != nil {
@@ -56,7 +56,7 @@
 		if len(v) == 0 {
 			return nil
 		}
-		for i := range v { // a list keeps its length
+		for i := range v { // unset entries stay, since the length of a list matters
 			v[i] = withoutUnset(v[i])
 		}
 	case json.Number:
@@ -76,7 +76,7 @@
 }
 
 func readRecord(key string, value []byte) (string, error) {
-	into := func(v any) (string, error) {
+	decodeAs := func(v any) (string, error) {
 		if err := wire.Decode(value, v); err != nil {
 			return "", err
 		}
@@ -85,19 +85,19 @@
 	}
 	switch {
 	case key == record.LeaderKey:
-		return into(&record.Leader{})
+		return decodeAs(&record.Leader{})
 	case strings.HasPrefix(key, record.MemberPrefix):
-		return into(&record.Member{})
+		return decodeAs(&record.Member{})
 	case strings.HasPrefix(key, record.TeamPrefix):
-		return into(&record.Team{})
+		return decodeAs(&record.Team{})
 	case key == record.MachineTypesKey:
-		return into(&wire.MachineTypes{})
+		return decodeAs(&wire.MachineTypes{})
 	case strings.HasPrefix(key, record.TerminalStatePrefix):
-		return into(&record.TerminalState{})
+		return decodeAs(&record.TerminalState{})
 	case strings.HasPrefix(key, record.ScaleOutRequestPrefix):
-		return into(&record.ScaleOutRequest{})
+		return decodeAs(&record.ScaleOutRequest{})
 	case strings.HasPrefix(key, record.ReservationPrefix):
-		return into(&record.Reservation{})
+		return decodeAs(&record.Reservation{})
 	case strings.HasPrefix(key, record.ActiveJobPrefix):
 		return readJob(value)
 	case strings.HasPrefix(key, record.BlockPrefix):
@@ -159,7 +159,7 @@
 	for name, bits := range rec.Chunks {
 		_, chunk, ok := wire.SplitTaskName(name)
 		if !ok {
-			return "", fmt.Errorf("chunk %s", name)
+			return "", fmt.Errorf("invalid chunk name %s", name)
 		}
 		b := make(record.Bitmap, (chunk+1)*record.TasksPerChunk/8)
 		if err := b.MergeChunk(chunk, bits); err != nil {
