--- a/internal/budget/shares.go
+++ b/internal/budget/shares.go
@@ -16,13 +16,13 @@
 }
 
 const (
-	// reservedUserWrites is the fraction of the write limit that is reserved for accepting and
+	// reservedUserWriteFraction is the fraction of the write limit that is reserved for accepting and
 	// cancelling jobs. Owners share the rest, to record placements and completions.
-	reservedUserWrites = 0.2
-	// maxUserWrites is the fraction of the write limit that all nodes together may use for
-	// accepting and cancelling jobs. It exceeds reservedUserWrites since user requests come in
+	reservedUserWriteFraction = 0.2
+	// maxUserWriteFraction is the fraction of the write limit that all nodes together may use for
+	// accepting and cancelling jobs. It exceeds reservedUserWriteFraction since user requests come in
 	// bursts; the store refuses the excess, which is retried.
-	maxUserWrites = 0.4
+	maxUserWriteFraction = 0.4
 	// writeBurstSeconds is the write burst of a node, in seconds of the cluster's write limit.
 	// The jobs of a pipeline arrive in sequence at one node; if the burst were only the node's
 	// share of the limit, the last of these jobs would wait for seconds. If several nodes use
@@ -35,11 +35,11 @@
 // all other nodes are down, one node serves all users with the full limits.
 func (l Limits) shares(role Role) (requests, writes float64) {
 	nodes := float64(max(1, role.Nodes))
-	requests, writes = l.Requests/nodes, l.Writes*maxUserWrites/nodes
+	requests, writes = l.Requests/nodes, l.Writes*maxUserWriteFraction/nodes
 	switch {
 	case role.OwnsTeams:
 		owners := float64(max(1, role.Owners))
-		writes = l.Writes * (reservedUserWrites/nodes + (1-reservedUserWrites)/owners)
+		writes = l.Writes * (reservedUserWriteFraction/nodes + (1-reservedUserWriteFraction)/owners)
 	case role.Owners == 0:
 		writes = l.Writes / nodes // no node records placements
 	}
--- a/internal/commit/block_write.go
+++ b/internal/commit/block_write.go
@@ -48,7 +48,7 @@
 		w.addMachine(m)
 	}
 	value := w.data.Block(p.member.ID())
-	w.recordTaskSize(value.Size())
+	w.updateBytesPerTask(value.Size())
 	if value.Size() > p.settings.MaxValueBytes && len(w.stored) > 0 {
 		p.handleOversized(b, value.Size(), w.assumed)
 		return
--- a/internal/dag/inheritance_test.go
+++ b/internal/dag/inheritance_test.go
@@ -7,19 +7,19 @@
 	"tamarindlead/sched"
 )
 
-// fanFixture is a graph whose observer returns the submitted estimates of jobs.
-type fanFixture struct {
+// inheritanceFixture is a graph whose observer returns the submitted estimates of jobs.
+type inheritanceFixture struct {
 	*testing.T
 	graph *Graph
 }
 
-func newFanFixture(t *testing.T) *fanFixture {
+func newInheritanceFixture(t *testing.T) *inheritanceFixture {
 	g, _ := newSyncedGraph(t)
-	return &fanFixture{t, g}
+	return &inheritanceFixture{t, g}
 }
 
 // submit applies the record of a job that is accepted at time 0.
-func (f *fanFixture) submit(job sched.Job, dependencies ...string) {
+func (f *inheritanceFixture) submit(job sched.Job, dependencies ...string) {
 	f.Helper()
 	job.Tasks, job.Class, job.Need, job.Image, job.Team = 1, "stage", sched.NewResources(1, 0, 1), "img", "red"
 	job.Dependencies = dependencies
@@ -27,21 +27,21 @@
 }
 
 // done ends a job as done.
-func (f *fanFixture) done(id string) {
+func (f *inheritanceFixture) done(id string) {
 	f.Helper()
 	end(f, f.graph, id)
 	f.graph.MarkDone(id, 1)
 }
 
 // cancelled ends a job as cancelled by its user.
-func (f *fanFixture) cancelled(id string) {
+func (f *inheritanceFixture) cancelled(id string) {
 	f.Helper()
 	end(f, f.graph, id)
 	f.graph.MarkCancelled(id, id)
 }
 
 // checkInherited checks a job's inheritance; the latest finish is in seconds.
-func (f *fanFixture) checkInherited(id string, priority sched.Priority, latestFinish float64) {
+func (f *inheritanceFixture) checkInherited(id string, priority sched.Priority, latestFinish float64) {
 	f.Helper()
 	want := Inheritance{priority, micros.FromSeconds(latestFinish)}
 	if got, _ := f.graph.Inherited(id); got != want {
@@ -50,7 +50,7 @@
 }
 
 // checkCost checks that an operation visits at most limit edges.
-func (f *fanFixture) checkCost(limit int, name string, operation func()) {
+func (f *inheritanceFixture) checkCost(limit int, name string, operation func()) {
 	f.Helper()
 	before := f.graph.work.Edges
 	operation()
@@ -73,7 +73,7 @@
 // TestInheritanceCostOfFans checks the cost of an event for a job with 600 dependencies, and for
 // 600 jobs with one common dependency. It fails without the early exit of the loop in inheritedBy.
 func TestInheritanceCostOfFans(t *testing.T) {
-	f := newFanFixture(t)
+	f := newInheritanceFixture(t)
 	var dependencies []string
 	for i := range fan {
 		f.submit(stage(i, 0, 10, 0))
@@ -105,7 +105,7 @@
 // diamond doubles the number of paths. It fails if propagationQueue is not ordered by versions.
 func TestInheritanceCostOfDiamonds(t *testing.T) {
 	const diamonds = 40
-	f := newFanFixture(t)
+	f := newInheritanceFixture(t)
 	f.submit(stage(0, 0, 1, 0))
 	for i := range diamonds {
 		top := 3 * i
--- a/internal/recovery/blocks_test.go
+++ b/internal/recovery/blocks_test.go
@@ -47,9 +47,9 @@
 	}
 }
 
-// TestRecoverBlocksOf checks that only blocks of owners whose records now belong to this owner are
+// TestRecoverOwnBlocksOnly checks that only blocks of owners whose records now belong to this owner are
 // recovered, and that an unreadable block does not prevent the recovery of the others.
-func TestRecoverBlocksOf(t *testing.T) {
+func TestRecoverOwnBlocksOnly(t *testing.T) {
 	o := newTestOwner(t)
 	o.RecoverBlocks([]kv.Entry{
 		{Key: record.BlockKey("bad"), Value: []byte{0xff}, Version: 30},
@@ -65,9 +65,9 @@
 	}
 }
 
-// TestNewestBlockCounts checks that of two blocks with the same machine the newer one takes
+// TestNewerBlockTakesPrecedence checks that of two blocks with the same machine the newer one takes
 // precedence, whatever their order in the listing.
-func TestNewestBlockCounts(t *testing.T) {
+func TestNewerBlockTakesPrecedence(t *testing.T) {
 	for _, reverse := range []bool{false, true} {
 		o := newTestOwner(t)
 		j := o.addJob("req-000001", 2, false)
