--- a/internal/budget/budget.go
+++ b/internal/budget/budget.go
@@ -87,8 +87,8 @@
 }
 
 // leavesReserve reports whether a limiter has n tokens above the reserve that a purpose must
-// leave. An n above the number of tokens that can ever be available is granted when that number
-// is available; otherwise it would never be granted.
+// leave. If n exceeds the number of tokens that can ever be available to the purpose, that number
+// suffices, since the call would otherwise never be granted.
 func leavesReserve(limiter *rate.Limiter, purpose Purpose, n int, now micros.Micros) bool {
 	largest := max(1, math.Floor(float64(limiter.Burst())-reserve(limiter, purpose)))
 	return unreserved(limiter, purpose, now) >= min(float64(n), largest)
--- a/internal/budget/budget_test.go
+++ b/internal/budget/budget_test.go
@@ -89,7 +89,7 @@
 	for b.Take(UserRequests, 1, start) {
 	}
 	if n := b.AvailableWrites(UserRequests, start); n != 0 {
-		t.Fatalf("%d writes are left", n)
+		t.Fatalf("%d writes are left, want 0", n)
 	}
 	if !b.Take(Leadership, 2, start) {
 		t.Fatal("writes of the leader are refused")
--- a/internal/budget/shares.go
+++ b/internal/budget/shares.go
@@ -16,8 +16,8 @@
 }
 
 const (
-	// reservedUserWriteFraction is the fraction of the write limit that is reserved for accepting and
-	// cancelling jobs. Owners share the rest, to record placements and completions.
+	// reservedUserWriteFraction is the fraction of the write limit that is reserved for accepting
+	// and cancelling jobs. Owners share the rest, to record placements and completions.
 	reservedUserWriteFraction = 0.2
 	// maxUserWriteFraction is the fraction of the write limit that all nodes together may use for
 	// accepting and cancelling jobs. It exceeds reservedUserWriteFraction since user requests come in
--- a/internal/cluster/assign_test.go
+++ b/internal/cluster/assign_test.go
@@ -44,7 +44,7 @@
 	}
 	team := body.Writes[0].Value
 	if team["i"] != f.node.Incarnation() || team["e"] != uint64(leaderRevision) || team["h"] != nil {
-		t.Errorf("record %v", team)
+		t.Errorf("record %v; want this incarnation, the leader's term and no predecessors", team)
 	}
 	f.tick(assignRetryInterval)
 	f.expectNoCall() // one transaction at a time
@@ -77,10 +77,10 @@
 			f.tick(0)
 			call, body := f.expectAssignment(map[string]string{"c/t/blue": c.want, "c/t/red": c.want})
 			if got := fmt.Sprint(body.Writes[0].Value["h"]); got != "[n1/3 n2/9]" {
-				t.Errorf("predecessors %s", got)
+				t.Errorf("predecessors %s; want [n1/3 n2/9]", got)
 			}
 			if !slices.Contains(body.Preconditions, kv.Precondition{Key: "c/t/red", Version: 5}) {
-				t.Errorf("preconditions %v lack the team's version", body.Preconditions)
+				t.Errorf("preconditions %v; want version 5 of team red among them", body.Preconditions)
 			}
 			f.respond(call, kv.TransactionResult{Revision: 30})
 		})
@@ -98,7 +98,7 @@
 	_, body := f.expectTransaction()
 	list := body.Writes[0].Value["h"].([]any)
 	if len(list) != maxPredecessors || list[0] != "n1/1" || list[maxPredecessors-1] != "n2/9" {
-		t.Errorf("predecessors %v", list)
+		t.Errorf("predecessors %v; want the latest maxPredecessors, from n1/1 to n2/9", list)
 	}
 }
 
--- a/internal/cluster/leadership_test.go
+++ b/internal/cluster/leadership_test.go
@@ -33,7 +33,7 @@
 	}
 	if len(body.Writes) != 1 || body.Writes[0].Put != record.LeaderKey || body.Writes[0].Lease != testLease ||
 		body.Writes[0].Value["n"] != "n0" || body.Writes[0].Value["i"] != f.node.Incarnation() {
-		t.Errorf("writes %v", body.Writes)
+		t.Errorf("writes %v; want the leader's record of this incarnation on its lease", body.Writes)
 	}
 	f.respond(transaction, kv.TransactionResult{Revision: leaderRevision})
 	f.expectLeadState(leadLeading, "n0", leaderRevision)
@@ -116,7 +116,7 @@
 	f.expect("GET", leaderTarget)
 	f.put(leaderEntry("n0", f.node.Incarnation(), leaderRevision))
 	if f.node.IsLeader() {
-		t.Fatal("the node leads")
+		t.Fatal("the node leads although its transaction seemed to have failed")
 	}
 	f.tick(3 * campaignJitter)
 	_, body := f.expectTransaction()
--- a/internal/cluster/membership_test.go
+++ b/internal/cluster/membership_test.go
@@ -22,7 +22,7 @@
 func (f *fixture) expectAbsent() {
 	f.t.Helper()
 	if f.node.membership.state != memberAbsent || f.node.IsLeader() {
-		f.t.Errorf("state %s, leading %t", f.node.membership.state, f.node.IsLeader())
+		f.t.Errorf("state %s, leading %t; want absent, false", f.node.membership.state, f.node.IsLeader())
 	}
 }
 
@@ -38,11 +38,11 @@
 	}
 	if len(body.Writes) != 1 || body.Writes[0].Put != "c/n/n0" || body.Writes[0].Lease != testLease ||
 		body.Writes[0].Value["i"] != f.node.Incarnation() {
-		t.Errorf("writes %v", body.Writes)
+		t.Errorf("writes %v; want the record of this incarnation on its lease", body.Writes)
 	}
 	f.respond(transaction, kv.TransactionResult{Revision: joinRevision})
 	if f.node.membership.state != memberJoined || f.node.RecordVersion() != joinRevision {
-		t.Errorf("state %s, version %d", f.node.membership.state, f.node.RecordVersion())
+		t.Errorf("state %s, version %d; want joined, joinRevision", f.node.membership.state, f.node.RecordVersion())
 	}
 	if got, want := f.node.OwnPrecondition(), (kv.Precondition{Key: "c/n/n0", Version: joinRevision}); got != want {
 		t.Errorf("own precondition %v; want %v", got, want)
@@ -67,7 +67,7 @@
 	}
 	f.fail(transaction, kv.PreconditionFailed)
 	if f.node.membership.state != memberAbsent || f.node.RecordVersion() != 0 {
-		t.Errorf("state %s, version %d", f.node.membership.state, f.node.RecordVersion())
+		t.Errorf("state %s, version %d; want absent, 0", f.node.membership.state, f.node.RecordVersion())
 	}
 	f.expectJoinAfter(joinRetryDelay)
 }
@@ -129,7 +129,7 @@
 	notified := f.host.ownershipChanges
 	f.fail(f.expect("POST", fmt.Sprintf("/leases/%d/extend", testLease)), kv.NotFound)
 	if f.node.membership.state != memberAbsent || f.node.IsLeader() || len(f.node.OwnTeams()) != 0 {
-		t.Errorf("state %s, leading %t, teams %v", f.node.membership.state, f.node.IsLeader(), f.node.OwnTeams())
+		t.Errorf("state %s, leading %t, teams %v; want absent, false, none", f.node.membership.state, f.node.IsLeader(), f.node.OwnTeams())
 	}
 	if f.host.ownershipChanges != notified+1 {
 		t.Error("the host was not notified exactly once")
@@ -153,7 +153,7 @@
 	f.respond(transaction, kv.TransactionResult{Revision: 30})
 	f.fail(delayed, kv.NotFound)
 	if f.node.membership.state != memberJoined || f.node.RecordVersion() != 30 {
-		t.Errorf("state %s, version %d", f.node.membership.state, f.node.RecordVersion())
+		t.Errorf("state %s, version %d; want joined, 30", f.node.membership.state, f.node.RecordVersion())
 	}
 }
 
--- a/internal/cluster/node.go
+++ b/internal/cluster/node.go
@@ -28,7 +28,7 @@
 	Watch(prefix string, after uint64, done func(now micros.Micros, result kv.Result))
 }
 
-// Host is the user of a Node, which is notified of changes.
+// Host is the part of the program that uses a Node. The Node notifies it of changes.
 type Host interface {
 	// OwnershipChanged is called when the teams that this node owns may have changed.
 	OwnershipChanged()
--- a/internal/cluster/view_test.go
+++ b/internal/cluster/view_test.go
@@ -19,13 +19,13 @@
 func TestViewOfMembers(t *testing.T) {
 	view := testView(memberEntry("n2", 5, 7), memberEntry("n1", 4, 6))
 	if got := view.Members(); len(got) != 2 || got[0] != "n1" || got[1] != "n2" {
-		t.Errorf("members %v", got)
+		t.Errorf("members %v; want [n1 n2]", got)
 	}
 	if !view.IsLive("n1/4") || view.IsLive("n1/3") || view.IsLive("n0/4") {
 		t.Error("IsLive differs from the incarnations of the members' records")
 	}
 	if view.MemberID("n2") != "n2/5" || view.MemberPrecondition("n2") != (kv.Precondition{Key: "c/n/n2", Version: 7}) {
-		t.Errorf("ID %s, precondition %v", view.MemberID("n2"), view.MemberPrecondition("n2"))
+		t.Errorf("ID %s, precondition %v; want n2/5 and version 7 of c/n/n2", view.MemberID("n2"), view.MemberPrecondition("n2"))
 	}
 	view.remove("c/n/n1")
 	if view.IsMember("n1") || !view.IsMember("n2") {
@@ -61,7 +61,7 @@
 func TestEmptyView(t *testing.T) {
 	view := testView()
 	if view.OwnerCount() != 1 || view.LiveOwnerCount() != 0 || view.FirstOwner() != "" {
-		t.Errorf("%d owners, %d live, first %q", view.OwnerCount(), view.LiveOwnerCount(), view.FirstOwner())
+		t.Errorf("%d owners, %d live, first %q; want 1, 0, none", view.OwnerCount(), view.LiveOwnerCount(), view.FirstOwner())
 	}
 }
 
@@ -70,7 +70,7 @@
 	f := newFixture(t, testSettings("blue", "red"))
 	f.join(leaderEntry("n1", 1, 3), teamEntry("blue", record.Team{Owner: "n0", Incarnation: 1}, 4))
 	if got := f.node.OwnTeams(); len(got) != 0 {
-		t.Errorf("teams %v of an earlier incarnation", got)
+		t.Errorf("teams %v of an earlier incarnation; want none", got)
 	}
 	f.put(teamEntry("red", record.Team{Owner: "n0", Incarnation: f.node.Incarnation()}, 12))
 	if got := f.node.OwnTeams(); len(got) != 1 || got["red"].Version != 12 {
--- a/internal/cluster/watch.go
+++ b/internal/cluster/watch.go
@@ -45,7 +45,7 @@
 	})
 }
 
-// applyPage replaces the view by a listing of the cluster's records.
+// applyPage replaces the view with a listing of the cluster's records.
 func (n *Node) applyPage(now micros.Micros, page kv.Page) {
 	n.view.reset()
 	hasLeader := false
--- a/internal/commit/adoption_test.go
+++ b/internal/commit/adoption_test.go
@@ -15,7 +15,7 @@
 
 // The tests in this file cover the adoption of a machine while there are other owners.
 //
-// An owner may receive a message from a machine that no live peer claims, although another owner has
+// An owner may receive a heartbeat from a machine that no live peer claims, although another owner has
 // recorded the machine with tasks. The adopter used to write the machine's entry first and to read the
 // other blocks afterwards. If it stopped in between, two entries were left, and its successor trusted
 // the newer one, which had no attempts (TestAdoptionInterleavings in package controller has the log
@@ -110,7 +110,7 @@
 	}
 	o.respond(t, kv.OK, kv.TransactionResult{Revision: 9})
 	if !m.Recorded || m.FencingToken != 8 || m.Block.Version != 9 || m.Block.Dirty {
-		t.Errorf("recorded %v, token %d, block %+v", m.Recorded, m.FencingToken, m.Block)
+		t.Errorf("recorded %v, token %d, block %+v; want true, 8 and a clean block of version 9", m.Recorded, m.FencingToken, m.Block)
 	}
 }
 
@@ -121,7 +121,7 @@
 	o.flushBlock(t, m.Block.Name)
 	o.respond(t, kv.OK, kv.TransactionResult{Revision: 8})
 	read := o.nextCall(t)
-	o.inv.SetMachineState(m, inventory.MachineDecommissioning, "silent")
+	o.inv.SetMachineState(m, inventory.MachineDecommissioning, "no heartbeats")
 	if data := o.flushBlock(t, m.Block.Name); len(data.Machines) != 0 {
 		t.Errorf("an unverified machine is recorded: %+v", data.Machines)
 	}
@@ -133,7 +133,7 @@
 	read.listed(kv.Listing{}, nil)
 	data := o.flushBlock(t, m.Block.Name)
 	if len(data.Machines) != 1 || !data.Machines[0].Decommissioning || data.Machines[0].FencingToken != 8 {
-		t.Errorf("entries %+v after the machine is verified", data.Machines)
+		t.Errorf("entries %+v after the machine is verified, want a decommissioning one with token 8", data.Machines)
 	}
 }
 
@@ -150,7 +150,7 @@
 		o.respond(t, kv.OK, kv.TransactionResult{Revision: 8})
 		o.nextCall(t).listed(kv.Listing{Entries: []kv.Entry{unreadable, blockOf("m-8")}}, nil)
 		if m.FencingToken != 0 || m.Verifying {
-			t.Fatalf("token %d, verifying %v", m.FencingToken, m.Verifying)
+			t.Fatalf("token %d, verifying %v; want 0, false", m.FencingToken, m.Verifying)
 		}
 		if o.Flush(); len(o.calls) > 0 {
 			t.Fatal("the adoption is retried without a pause")
@@ -160,7 +160,7 @@
 		o.respond(t, kv.OK, kv.TransactionResult{Revision: 10})
 		o.nextCall(t).listed(kv.Listing{Entries: []kv.Entry{blockOf("m-8")}}, nil)
 		if m.FencingToken != 10 {
-			t.Errorf("token %d after the blocks could be read", m.FencingToken)
+			t.Errorf("token %d after the blocks could be read, want 10", m.FencingToken)
 		}
 	}
 }
@@ -220,7 +220,7 @@
 	}
 	o.respond(t, kv.OK, kv.TransactionResult{Revision: 9})
 	if m.State != inventory.MachineTerminating || m.FencingToken != 0 {
-		t.Errorf("machine is %v, token %d", m.State, m.FencingToken)
+		t.Errorf("machine is %v, token %d; want terminating, 0", m.State, m.FencingToken)
 	}
 }
 
@@ -234,7 +234,7 @@
 	o.respond(t, kv.OK, kv.TransactionResult{Revision: 8})
 	o.nextCall(t).listed(kv.Listing{}, errors.New("unavailable"))
 	if m.FencingToken != 0 || m.Verifying || !m.Block.Dirty {
-		t.Errorf("token %d, verifying %v, block %+v", m.FencingToken, m.Verifying, m.Block)
+		t.Errorf("token %d, verifying %v, block %+v; want 0, false and a dirty block", m.FencingToken, m.Verifying, m.Block)
 	}
 }
 
@@ -295,7 +295,7 @@
 	o.respond(t, kv.OK, kv.TransactionResult{Revision: 10})
 	o.nextCall(t).listed(kv.Listing{}, nil)
 	if m := o.inv.Machines[adoptedMachine]; m == nil || m.FencingToken != 10 {
-		t.Errorf("machine %+v, reactions %q", m, o.reactions)
+		t.Errorf("machine %+v, reactions %q; want a machine with token 10", m, o.reactions)
 	}
 }
 
--- a/internal/commit/block_entries.go
+++ b/internal/commit/block_entries.go
@@ -39,10 +39,10 @@
 	return i
 }
 
-// updateBytesPerTask updates the estimated size of a task in the block. The estimate has an upper
-// bound: with few tasks, the entries of machines make up most of the record. If their bytes counted
-// as the size of tasks, nothing more would be placed on idle machines, and the estimate would never
-// be corrected.
+// updateBytesPerTask updates the estimated size of a task in the block from the size of the record.
+// The estimate has an upper bound: with few tasks, the entries of machines make up most of the
+// record. If their bytes counted as the size of tasks, nothing more would be placed on idle
+// machines, and the estimate would never be corrected.
 func (w *blockWrite) updateBytesPerTask(size int) {
 	if w.tasks == 0 {
 		return
--- a/internal/commit/block_split_test.go
+++ b/internal/commit/block_split_test.go
@@ -70,7 +70,7 @@
 	}
 	block := writtenBlock(t, w)
 	if block.Size() > maxBytes {
-		t.Fatalf("%s has %d bytes", w.Put, block.Size())
+		t.Fatalf("%s has %d bytes, more than the value limit", w.Put, block.Size())
 	}
 	data, err := block.Decode()
 	if err != nil {
@@ -112,6 +112,6 @@
 		}
 	}
 	if m.State != inventory.MachineTerminating || attempts > 12 {
-		t.Fatalf("state %v after %d attempts", m.State, attempts)
+		t.Fatalf("state %v after %d attempts, want terminating after at most 12", m.State, attempts)
 	}
 }
--- a/internal/commit/block_write_test.go
+++ b/internal/commit/block_write_test.go
@@ -41,7 +41,7 @@
 		tx := NewTransaction()
 		o.addBlock(tx, b, o.settings.MaxTransactionOps)
 		if limit := blockPreconditionsPerOp * o.settings.MaxTransactionOps; len(tx.writes) != 1 || len(tx.preconditions) > limit {
-			t.Fatalf("%d writes with %d preconditions", len(tx.writes), len(tx.preconditions))
+			t.Fatalf("%d writes with %d preconditions, want 1 with no more than the limit", len(tx.writes), len(tx.preconditions))
 		}
 		o.finish(tx, true, 10)
 		waiting = 0
--- a/internal/commit/blocks_test.go
+++ b/internal/commit/blocks_test.go
@@ -33,10 +33,10 @@
 		return deleted
 	}
 	if deleted := write(); len(deleted) > 0 || m.Block == from || !slices.Contains(m.Block.Machines, m) {
-		t.Fatalf("the first transaction deletes %v, the machine is in %s", deleted, m.Block.Name)
+		t.Fatalf("the first transaction deletes %v, the machine is in %s; want no deletion and another block", deleted, m.Block.Name)
 	}
 	if deleted := write(); !slices.Equal(deleted, []string{record.BlockKey(from.Name)}) {
-		t.Fatalf("the second transaction deletes %v", deleted)
+		t.Fatalf("the second transaction deletes %v, want the block of the transfer", deleted)
 	}
 	if slices.Contains(o.blocks, from) {
 		t.Fatal("the empty block is kept")
@@ -56,7 +56,7 @@
 		o.addMachine(o.BlockFor(info.Type, info.Zone), info, uint64(1000+i*4711))
 	}
 	if len(o.blocks) != 1 {
-		t.Fatalf("%d blocks", len(o.blocks))
+		t.Fatalf("%d blocks, want 1", len(o.blocks))
 	}
 	o.inv.AddAttempt(j, 0, 1<<20|1, o.inv.SortedMachines[0], inventory.AttemptLive)
 	o.addRecords(NewTransaction(), func() int { return 1 })
--- a/internal/commit/flush.go
+++ b/internal/commit/flush.go
@@ -85,7 +85,7 @@
 	}
 }
 
-// addTerminalState replaces the record of a completed job by its terminal state.
+// addTerminalState replaces the record of a completed job with its terminal state.
 func (p *Pipeline) addTerminalState(t *Transaction, j *inventory.Job) {
 	key := record.ActiveJobKey(j.ID)
 	j.Writing = true
--- a/internal/commit/obsolete_keys.go
+++ b/internal/commit/obsolete_keys.go
@@ -10,8 +10,8 @@
 	"tamarindlead/micros"
 )
 
-// obsoleteKeyMaxWait is how long obsolete keys wait until there is nothing else to write. After
-// that, one of them is deleted each time this period has passed.
+// obsoleteKeyMaxWait is the longest time for which other writes delay the deletion of obsolete keys.
+// After that, one key is deleted together with other writes each time this period has passed.
 const obsoleteKeyMaxWait = 5 * micros.Second
 
 // DeleteLater schedules the deletion of keys that are no longer read. They are deleted when the
--- a/internal/commit/pipeline.go
+++ b/internal/commit/pipeline.go
@@ -45,14 +45,14 @@
 	JobRecordChanged(id string)
 	// MemberRecordLost is called when this node's member record does not have the expected version.
 	MemberRecordLost()
-	// RestartRecovery replaces the owner by one that reads all records again.
+	// RestartRecovery replaces the owner with one that reads all records again.
 	RestartRecovery(reason string)
 }
 
 // Transfers is the part of the owner that transfers machines to other owners.
 type Transfers interface {
-	// Successor returns the precondition that the new owner of a machine is a member. If that owner
-	// is no longer a member, it cancels the transfer and reports false.
+	// Successor returns the precondition that the new owner of a machine is a member, and true. If
+	// that owner is no longer a member, Successor cancels the transfer and returns false.
 	Successor(m *inventory.Machine) (kv.Precondition, bool)
 	// AddTo adds the record that names the new owner of a machine.
 	AddTo(t *Transaction, m *inventory.Machine)
--- a/internal/commit/result.go
+++ b/internal/commit/result.go
@@ -100,8 +100,8 @@
 }
 
 // handleFailedKey handles a failed precondition, and reports whether this owner continues. The
-// record of a job may have been deleted by a cancellation; only this node writes all other records,
-// as long as it owns them.
+// record of a job may have been deleted by a cancellation; all other records are written only by
+// this node, as long as it owns them.
 func (p *Pipeline) handleFailedKey(key string) bool {
 	switch {
 	case key == record.MemberKey(p.settings.Node):
--- a/internal/commit/result_test.go
+++ b/internal/commit/result_test.go
@@ -23,7 +23,7 @@
 	o.MarkDirty(o.inv.SortedMachines[1])
 	o.Flush()
 	if len(o.calls) != 1 || !o.InFlight() {
-		t.Fatalf("%d transactions in flight", len(o.calls))
+		t.Fatalf("%d transactions were sent, want 1 in flight", len(o.calls))
 	}
 	o.respond(t, kv.OK, kv.TransactionResult{Revision: 8})
 	if o.Flush(); o.InFlight() {
@@ -82,7 +82,7 @@
 				t.Errorf("dirty %v, want %v", b.Dirty, test.dirty)
 			}
 			if restarted := len(o.reactions) > 0; restarted != test.restart {
-				t.Errorf("reactions %q", o.reactions)
+				t.Errorf("reactions %q, want one only if recovery must be restarted", o.reactions)
 			}
 			if pause := o.nextFlush - o.now; pause != test.pause {
 				t.Errorf("pause %v, want %v", pause, test.pause)
@@ -99,7 +99,7 @@
 	o.Flush()
 	o.nextCall(t).done(kv.Result{Outcome: kv.OK, Body: []byte{0xff}})
 	if len(o.reactions) != 1 || !strings.HasPrefix(o.reactions[0], "recovery restarted") {
-		t.Errorf("reactions %q", o.reactions)
+		t.Errorf("reactions %q, want a restart of recovery", o.reactions)
 	}
 }
 
@@ -113,7 +113,7 @@
 	o.superseded = true
 	o.respond(t, kv.OK, kv.TransactionResult{Revision: 8})
 	if b.Version != 7 || !b.Writing {
-		t.Errorf("block %+v has changed", b)
+		t.Errorf("block %+v, want one of version 7 that is still being written", b)
 	}
 }
 
@@ -171,7 +171,7 @@
 		t.Errorf("writes %q, want %q", order, want)
 	}
 	if c := o.nextCall(t); c.purpose != budget.TaskUpdates || c.request.WriteCount != 8 {
-		t.Errorf("%d writes for %v", c.request.WriteCount, c.purpose)
+		t.Errorf("%d writes for %v, want 8 for task updates", c.request.WriteCount, c.purpose)
 	}
 }
 
@@ -213,20 +213,20 @@
 		return writes
 	}
 	if n := flushDirty(); n != 1 {
-		t.Errorf("%d writes at first", n)
+		t.Errorf("%d writes at first, want 1", n)
 	}
 	o.now += obsoleteKeyMaxWait
 	if n := flushDirty(); n != 2 || o.IsObsolete("a") || !o.IsObsolete("b") {
-		t.Errorf("%d writes after %v", n, obsoleteKeyMaxWait)
+		t.Errorf("%d writes after %v, want 2, of which one deletes the first obsolete key", n, obsoleteKeyMaxWait)
 	}
 	o.now += flushInterval
 	o.Flush()
 	if c := o.calls[0]; c.purpose != budget.Cleanup || c.request.WriteCount != 2 {
-		t.Fatalf("%d writes for %v", c.request.WriteCount, c.purpose)
+		t.Fatalf("%d writes for %v, want 2 for cleanup", c.request.WriteCount, c.purpose)
 	}
 	o.respond(t, kv.OK, kv.TransactionResult{Revision: 9})
 	if len(o.obsoleteKeys) != 0 || o.InFlight() {
-		t.Errorf("%q are left", o.obsoleteKeys)
+		t.Errorf("obsolete keys %q are left, or a transaction is in flight", o.obsoleteKeys)
 	}
 }
 
@@ -247,7 +247,7 @@
 		want    []string // reactions
 		dirty   bool     // the claim is retried
 	}{
-		{"nobody has it", []kv.Entry{other("m-8")}, nil, []string{"claimed m-9"}, false},
+		{"no other owner has it", []kv.Entry{other("m-8")}, nil, []string{"claimed m-9"}, false},
 		{"a block cannot be read", []kv.Entry{other("m-8"), {Key: record.BlockKey("damaged"), Value: []byte{0xff}}}, nil, nil, true},
 		{"another owner has it", []kv.Entry{other("m-9")}, nil, []string{"m-9 owned elsewhere in other"}, false},
 		{"the list cannot be read", nil, errors.New("unavailable"), nil, true},
@@ -260,7 +260,7 @@
 			m := o.addMachine(b, inventory.MachineInfo{Name: "m-9", Type: "mid", Zone: "a"}, 0)
 			o.Flush()
 			if c := o.calls[0]; c.purpose != budget.Ownership {
-				t.Errorf("the claim is sent for %v", c.purpose)
+				t.Errorf("the claim is sent for %v, want ownership", c.purpose)
 			}
 			o.respond(t, kv.OK, kv.TransactionResult{Revision: 8})
 			if !m.Verifying || m.FencingToken != 0 {
@@ -271,10 +271,10 @@
 				t.Errorf("verifying %v, reactions %q, dirty %v", m.Verifying, o.reactions, m.Dirty)
 			}
 			if claimed := m.FencingToken == 8; claimed != slices.Contains(test.want, "claimed m-9") {
-				t.Errorf("fencing token %d", m.FencingToken)
+				t.Errorf("fencing token %d, want 8 only if the machine is claimed", m.FencingToken)
 			}
 			if elsewhere := o.IsObsolete(record.BlockKey(b.Name)); elsewhere != slices.Equal(test.want, []string{"m-9 owned elsewhere in other"}) {
-				t.Errorf("own record is obsolete: %v", elsewhere)
+				t.Errorf("own record is obsolete: %v, want this only if another owner has the machine", elsewhere)
 			}
 		})
 	}
@@ -295,11 +295,11 @@
 			writes, want = 2, []string{"transferred m-0"}
 		}
 		if n := o.calls[0].request.WriteCount; n != writes {
-			t.Errorf("new owner live %v: %d writes", live, n)
+			t.Errorf("new owner live %v: %d writes, want 2 if it is live and 1 otherwise", live, n)
 		}
 		o.respond(t, kv.OK, kv.TransactionResult{Revision: 8})
 		if !slices.Equal(o.reactions, want) {
-			t.Errorf("new owner live %v: reactions %q", live, o.reactions)
+			t.Errorf("new owner live %v: reactions %q, want the transfer only if it is live", live, o.reactions)
 		}
 	}
 }
--- a/internal/commit/write_priority_test.go
+++ b/internal/commit/write_priority_test.go
@@ -37,6 +37,6 @@
 		}
 	}
 	if len(tx.writes) != 5 {
-		t.Errorf("%d records are written", len(tx.writes))
+		t.Errorf("%d records are written, want 5", len(tx.writes))
 	}
 }
--- a/internal/dag/blocked.go
+++ b/internal/dag/blocked.go
@@ -17,7 +17,7 @@
 	Version              uint64 // of the job's record
 	Class                string
 	Estimate             micros.Micros // as submitted
-	DependencyParts      int           // number of keys with the list of dependencies; 0: in the record
+	DependencyParts      int           // number of dependency parts; 0 if the job's record holds the dependencies
 	LatestDependencyDone micros.Micros // latest wall clock time at which a dependency became done
 	CancelledRoot        string        // upstream job that a user cancelled, or ""
 
--- a/internal/dag/changes.go
+++ b/internal/dag/changes.go
@@ -6,8 +6,8 @@
 	"tamarindlead/micros"
 )
 
-// Reset replaces the graph by a listing. The listing may be older than the state of the graph: a
-// caller that needs the current state then applies the changes since the listing's revision.
+// Reset replaces the graph with that of a listing. The listing may be older than the state of the
+// graph: a caller that needs the current state then applies the changes since the listing's revision.
 // Known terminal states of dependencies are kept.
 func (g *Graph) Reset(entries []kv.Entry, revision uint64) {
 	previous := g.blocked
--- a/internal/dag/graph.go
+++ b/internal/dag/graph.go
@@ -24,8 +24,8 @@
 	"tamarindlead/micros"
 )
 
-// maxVersions bounds the number of record versions that are kept. Records of further jobs must be
-// read one by one.
+// maxVersions bounds the number of record versions that are kept. To learn the version of a further
+// job's record, the caller must read that record.
 const maxVersions = 20000
 
 // Observer is notified of changes while the graph applies them, and provides information about
--- a/internal/dag/graph_test.go
+++ b/internal/dag/graph_test.go
@@ -23,23 +23,23 @@
 	submit(t, g, testJob(c, b), 3)
 	submit(t, g, testJob(d, c, a), 4)
 	if !g.HasOpenDependencies(b) || g.HasOpenDependencies(a) || g.Version(c) != 3 || len(observer.active) != 4 {
-		t.Fatalf("after four submissions: %+v", observer)
+		t.Fatalf("after four submissions: observer %+v; want 4 active jobs, of which only those with dependencies have open ones", observer)
 	}
 
 	end(t, g, a)
 	if got := g.UnresolvedJobs(); !slices.Equal(got, []string{a}) || len(observer.ready) > 0 {
-		t.Fatalf("%s ended with an unknown terminal state: unresolved %v, ready %v", a, got, observer.ready)
+		t.Fatalf("%s ended with an unknown terminal state: unresolved %v, ready %v; want it unresolved and no job ready", a, got, observer.ready)
 	}
 	g.MarkDone(a, 77)
 	if !slices.Equal(observer.ready, []string{b}) || g.Blocked(b).LatestDependencyDone != 77 || g.HasUnresolvedJobs() {
-		t.Fatalf("%s is done: ready %v, unresolved %v", a, observer.ready, g.UnresolvedJobs())
+		t.Fatalf("%s is done: ready %v, unresolved %v; want its only blocked dependent ready and none unresolved", a, observer.ready, g.UnresolvedJobs())
 	}
 
 	end(t, g, b)
 	g.MarkCancelled(b, b)
 	g.MarkCancelled(b, b)
 	if !slices.Equal(observer.cancelled, []string{c, d}) || g.Blocked(d).CancelledRoot != b {
-		t.Fatalf("%s is cancelled: cancelled %v", b, observer.cancelled)
+		t.Fatalf("%s is cancelled: cancelled %v; want both its downstream jobs, once each", b, observer.cancelled)
 	}
 	g.MarkUnsynced()
 	if g.Apply(g.Revision(), &kv.WatchResult{Revision: g.Revision() + 1}, wallClock) {
--- a/internal/dag/resolution.go
+++ b/internal/dag/resolution.go
@@ -7,7 +7,8 @@
 	"tamarindlead/micros"
 )
 
-// MarkDone updates a job's dependents after the job was done at a wall clock time.
+// MarkDone removes a job that ended as done, at a wall clock time, from the pending dependencies of its
+// dependents.
 func (g *Graph) MarkDone(id string, at micros.Micros) {
 	for _, dependentID := range ordered.Keys(g.dependents[id]) {
 		job := g.dependents[id][dependentID]
@@ -22,8 +23,8 @@
 	}
 }
 
-// MarkCancelled updates a job's dependents after the job ended as cancelled. root is the job that
-// a user cancelled: the job itself or one upstream of it.
+// MarkCancelled marks as cancelled all jobs downstream of a job that ended as cancelled. root is the
+// job that a user cancelled: the job itself or one upstream of it.
 func (g *Graph) MarkCancelled(id, root string) {
 	delete(g.unresolvedJobs, id)
 	for _, dependentID := range ordered.Keys(g.dependents[id]) {
--- a/internal/dag/resolution_test.go
+++ b/internal/dag/resolution_test.go
@@ -17,7 +17,7 @@
 	end(t, g, a)
 	submit(t, g, testJob(c, a), 3)
 	if !slices.Equal(observer.ready, []string{b, c}) || g.HasUnresolvedJobs() || g.Blocked(b).LatestDependencyDone != wallClock {
-		t.Fatalf("ready %v, unresolved %v", observer.ready, g.UnresolvedJobs())
+		t.Fatalf("ready %v, unresolved %v; want both dependents ready and none unresolved", observer.ready, g.UnresolvedJobs())
 	}
 }
 
@@ -31,11 +31,11 @@
 	submit(t, g, testJob(c, b), 3)
 	incomplete, unresolved := g.FindUnresolved([]string{c})
 	if incomplete == nil || incomplete.ID != b || unresolved || incomplete.Ready() || g.FirstIncomplete() != incomplete {
-		t.Fatalf("before its dependencies are set: incomplete %+v, unresolved %t", incomplete, unresolved)
+		t.Fatalf("before its dependencies are set: incomplete %+v, unresolved %t; want the job with the dependency part, false", incomplete, unresolved)
 	}
 	g.SetDependencies(incomplete, []string{a})
 	if incomplete, unresolved = g.FindUnresolved([]string{c}); incomplete != nil || unresolved || g.FirstIncomplete() != nil {
-		t.Fatalf("after its dependencies are set: incomplete %+v, unresolved %t", incomplete, unresolved)
+		t.Fatalf("after its dependencies are set: incomplete %+v, unresolved %t; want none, false", incomplete, unresolved)
 	}
 	end(t, g, a)
 	if _, unresolved = g.FindUnresolved([]string{c}); !unresolved {
@@ -43,7 +43,7 @@
 	}
 	g.AssumeDone(g.Blocked(b))
 	if !g.Blocked(b).Ready() || g.HasUnresolvedJobs() || len(observer.ready) > 0 {
-		t.Fatalf("assumed done: ready %t, observer notified of %v", g.Blocked(b).Ready(), observer.ready)
+		t.Fatalf("assumed done: ready %t, observer notified of %v; want true, none", g.Blocked(b).Ready(), observer.ready)
 	}
 }
 
@@ -68,16 +68,16 @@
 	submit(t, g, testJob(c, a, b), 1)
 	submit(t, g, testJob(d, c), 1)
 	if inherited, isDependency := g.Inherited(b); !isDependency || inherited.Priority != sched.Normal {
-		t.Fatalf("inherits %v, is a dependency: %t", inherited, isDependency)
+		t.Fatalf("inherits %v, is a dependency: %t; want the normal priority, true", inherited, isDependency)
 	}
 	end(t, g, a)
 	g.MarkCancelled(a, a)
 	if inherited, isDependency := g.Inherited(b); !isDependency || inherited != (Inheritance{}) {
-		t.Errorf("inherits %v from a cancelled job, is a dependency: %t", inherited, isDependency)
+		t.Errorf("inherits %v from a cancelled job, is a dependency: %t; want nothing, true", inherited, isDependency)
 	}
 	end(t, g, c)
 	if g.HasUnresolvedJobs() {
-		t.Errorf("unresolved: %v", g.UnresolvedJobs())
+		t.Errorf("unresolved: %v; want none", g.UnresolvedJobs())
 	}
 	if _, isDependency := g.Inherited(b); isDependency {
 		t.Error("a job without dependents is a dependency")
--- a/internal/kv/client.go
+++ b/internal/kv/client.go
@@ -26,7 +26,7 @@
 
 // Host provides the network and the clock of the node that a Client runs on.
 type Host interface {
-	// Now returns the current time.
+	// Now returns the monotonic time of the current event.
 	Now() micros.Micros
 	// After calls do after d has passed.
 	After(d micros.Micros, do func())
@@ -115,7 +115,7 @@
 // node's budget, since the peer has counted it already.
 func (c *Client) Relay(request Request, done func(Response)) {
 	timeout := CallTimeout
-	if len(request.Body) == 0 { // a read, which may be a watch, or an extension or end of a lease
+	if len(request.Body) == 0 { // a read, which may be a watch, or the renewal or revocation of a lease
 		timeout = WatchTimeout
 	}
 	c.sendDirect(request, timeout, done)
--- a/internal/kv/client_test.go
+++ b/internal/kv/client_test.go
@@ -23,7 +23,7 @@
 		t.Fatalf("usage %+v, want %+v", got, want)
 	}
 	if got := client.TakeUsage(); got != (Usage{}) {
-		t.Fatalf("usage %+v after it was taken", got)
+		t.Fatalf("usage %+v after it was taken, want none", got)
 	}
 }
 
@@ -36,7 +36,7 @@
 		client.Relay(Get("k"), func(r Response) { status = r.Status })
 	}
 	if c := host.respond(t, Response{Status: 404}); status != 404 || c.timeout != WatchTimeout {
-		t.Fatalf("relayed read: status %d, timeout %v", status, c.timeout)
+		t.Fatalf("relayed read: status %d, timeout %v; want 404 and that of a watch", status, c.timeout)
 	}
 	if got := client.TakeUsage(); got != (Usage{}) {
 		t.Fatalf("a peer's requests are counted as this node's usage %+v", got)
--- a/internal/kv/list.go
+++ b/internal/kv/list.go
@@ -32,7 +32,8 @@
 func (l *listRequest) readPage(after string) {
 	l.client.doWithTimeout(budget.Ownership, List(l.prefix, after), listTimeout, func(result Result) {
 		if result.Outcome == Throttled {
-			// Starting over would exhaust the budget again before the last page.
+			// The same page is read again: a listing that started again with its first page
+			// would exhaust the budget again before its last page.
 			l.client.host.After(ThrottledRetryDelay, func() { l.readPage(after) })
 			return
 		}
--- a/internal/kv/list_test.go
+++ b/internal/kv/list_test.go
@@ -29,14 +29,14 @@
 	}
 	host.timers[0]()
 	if c := host.respond(t, page("p/2", false, 20)); c.request.Target != List("p/", "p/1").Target {
-		t.Fatalf("the second page is %s", c.request.Target)
+		t.Fatalf("the second page is %s, want the one after p/1", c.request.Target)
 	}
 	var keys []string
 	for _, e := range listing.Entries {
 		keys = append(keys, e.Key)
 	}
 	if !slices.Equal(keys, []string{"p/1", "p/2"}) || listing.Revision != 10 || calls != 1 {
-		t.Fatalf("keys %v, revision %d, %d calls", keys, listing.Revision, calls)
+		t.Fatalf("keys %v, revision %d, %d calls; want p/1 and p/2, 10, 1", keys, listing.Revision, calls)
 	}
 }
 
--- a/internal/kv/result.go
+++ b/internal/kv/result.go
@@ -17,7 +17,7 @@
 	PreconditionFailed         // a precondition of a transaction did not hold
 	Compacted                  // the revision is too old to watch from
 	Throttled                  // over the store's rate limit or this node's budget: not executed
-	Refused                    // refused, or never sent: not executed
+	Refused                    // refused with status 503, or never sent: not executed
 	Unknown                    // no response: the request may have been executed, or may be later
 	InvalidRequest             // the store rejects the request as malformed
 )
--- a/internal/kv/result_test.go
+++ b/internal/kv/result_test.go
@@ -82,7 +82,7 @@
 	var result TransactionResult
 	r := Result{PreconditionFailed, body(TransactionResult{FailedPreconditions: []string{"k"}})}
 	if err := r.Decode(&result); err != nil || len(result.FailedPreconditions) != 1 {
-		t.Errorf("decoded as %+v: %v", result, err)
+		t.Errorf("decoded as %+v: %v; want one failed precondition", result, err)
 	}
 	if err := (Result{PreconditionFailed, []byte{0xff}}).Decode(&result); err == nil {
 		t.Error("an invalid body was decoded")
--- a/internal/kv/route_test.go
+++ b/internal/kv/route_test.go
@@ -25,20 +25,20 @@
 	host.peer = "b"
 	failDirect(t, client, host, maxDirectFailures)
 	if client.DirectlyConnected() || client.Unavailable() || !client.UsesPeerRoute() {
-		t.Fatalf("directly connected %t, unavailable %t, peer route %t",
+		t.Fatalf("directly connected %t, unavailable %t, peer route %t; want false, false, true",
 			client.DirectlyConnected(), client.Unavailable(), client.UsesPeerRoute())
 	}
 	got := Unknown
 	client.Do(budget.UserRequests, Get("k"), func(r Result) { got = r.Outcome })
 	if c := host.respond(t, Response{Status: 200}); c.viaPeer != "b" || got != OK || c.timeout <= CallTimeout {
-		t.Fatalf("%+v: outcome %v", c, got)
+		t.Fatalf("%+v: outcome %v; want ok through peer b, with a longer timeout", c, got)
 	}
 	if client.DirectlyConnected() {
 		t.Fatal("a relayed response counts as a success of the direct route")
 	}
 	client.Tick()
 	if c := host.respond(t, Response{Status: 503}); c.viaPeer != "" || c.request.Target != Get(probeKey).Target {
-		t.Fatalf("probe %+v", c)
+		t.Fatalf("probe %+v, want a direct read of the probe key", c)
 	}
 	if client.Tick(); len(host.calls) != 0 {
 		t.Fatal("the next probe is sent before the interval has passed")
--- a/internal/machinetypes/cloud_reads.go
+++ b/internal/machinetypes/cloud_reads.go
@@ -61,7 +61,7 @@
 	return response, nil
 }
 
-// handleRead replaces the types by those that were read from the cloud.
+// handleRead replaces the types with those that were read from the cloud.
 func (t *Table) handleRead(response wire.MachineTypes) {
 	if t.cloud.failures > 0 {
 		t.log.Info("machine types can be read again", "failures", t.cloud.failures)
--- a/internal/machinetypes/confirmation.go
+++ b/internal/machinetypes/confirmation.go
@@ -24,7 +24,8 @@
 
 // Confirm calls done with true after the types were read from the cloud by a request that was sent
 // after this call, or with false if this does not happen within a second. It calls done with false
-// at once while the cloud does not respond, or if confirmations have caused too many reads.
+// immediately while the cloud does not respond, if too many confirmations are pending, or if
+// confirmations have caused too many reads.
 func (t *Table) Confirm(done func(confirmed bool)) {
 	if !t.reserveConfirmationRead() {
 		done(false)
@@ -35,7 +36,8 @@
 }
 
 // reserveConfirmationRead reports whether a new confirmation may succeed. If so, it marks the next
-// read as needed: a read in flight was sent too early to confirm anything.
+// read as needed: a read in flight was sent before the confirmation was requested, so it cannot
+// confirm anything.
 func (t *Table) reserveConfirmationRead() bool {
 	now := t.host.Now()
 	c := &t.cloud
--- a/internal/machinetypes/confirmation_test.go
+++ b/internal/machinetypes/confirmation_test.go
@@ -54,11 +54,11 @@
 	table.Confirm(results.done)
 	table.Confirm(results.done)
 	if len(node.fetches) != 1 {
-		t.Fatalf("%d reads of the cloud at a time", len(node.fetches))
+		t.Fatalf("%d reads of the cloud at a time, want 1", len(node.fetches))
 	}
 	node.respondToFetch(t, wire.StatusOK, wire.Encode(types("small")))
 	if results != (confirmations{}) {
-		t.Fatalf("%+v after a read that was sent before the calls of Confirm", results)
+		t.Fatalf("%+v after a read that was sent before the calls of Confirm, want no results", results)
 	}
 	node.respondToFetch(t, wire.StatusOK, wire.Encode(types("small", "new")))
 	if want := (confirmations{confirmed: 2}); results != want || table.Find("new") == nil {
@@ -70,7 +70,7 @@
 }
 
 // TestConfirmFails checks that nothing is confirmed while the cloud cannot be read: a confirmation
-// waits for a second at most, and the next ones are denied at once.
+// waits for a second at most, and the next ones are denied immediately.
 func TestConfirmFails(t *testing.T) {
 	for _, c := range []struct {
 		name    string
@@ -98,7 +98,7 @@
 			open := len(node.fetches)
 			table.Confirm(results.done)
 			if want := (confirmations{denied: 2}); results != want || len(node.fetches) != open {
-				t.Errorf("%+v with %d more reads, want %+v at once", results, len(node.fetches)-open, want)
+				t.Errorf("%+v with %d more reads, want %+v immediately, without a read", results, len(node.fetches)-open, want)
 			}
 			checkNames(t, table, "small")
 		})
@@ -106,7 +106,7 @@
 }
 
 // TestConfirmationRate checks that confirmations cause no more reads of the cloud than the rate
-// limit allows, and that confirmations beyond it are denied at once.
+// limit allows, and that confirmations beyond it are denied immediately.
 func TestConfirmationRate(t *testing.T) {
 	table, node := newReadTable(t)
 	var results confirmations
--- a/internal/machinetypes/stored_copy.go
+++ b/internal/machinetypes/stored_copy.go
@@ -33,8 +33,8 @@
 	encoded    []byte        // the types of that copy
 }
 
-// readCopy reads the copy, uses its types if they are newer, and then calls done. It does nothing
-// if the copy is being read already.
+// readCopy reads the copy, uses its types if they are newer, and then calls done. If the copy is
+// being read already, readCopy does nothing and does not call done.
 func (t *Table) readCopy(done func()) {
 	c := &t.copy
 	if c.reading {
--- a/internal/machinetypes/stored_copy_test.go
+++ b/internal/machinetypes/stored_copy_test.go
@@ -11,7 +11,8 @@
 
 // The tests in this file cover the copy of the types in the key-value store. Each process that owned
 // teams used to write it once, without the time at which the types were read, so that an old copy could
-// not be distinguished from a new one (scenarios machine_types_restart_cloud_outage, machine_type_withdrawn_cloud_unreachable).
+// not be distinguished from a new one (scenarios machine_types_restart_cloud_outage and
+// machine_type_withdrawn_cloud_unreachable).
 
 const wallClock = 100 * micros.Hour
 
@@ -88,7 +89,7 @@
 		node.now++
 	}
 	if copyReads != 2 { // at 0 and 14 s
-		t.Errorf("the copy was read %d times in 22 s", copyReads)
+		t.Errorf("the copy was read %d times in 22 s, want 2", copyReads)
 	}
 }
 
@@ -98,13 +99,13 @@
 		name     string
 		owner    bool
 		member   bool
-		copyAge  micros.Micros // of the copy in the store, when the node reads it
+		copyAge  micros.Micros // of the copy in the key-value store, when the node reads it
 		after    micros.Micros // since the first read
 		names    string
 		writes   int // with the second read
 		isUnread bool
 	}{
-		{"owner, at once", true, true, 0, micros.Second, "small", 0, true},
+		{"owner, copy is recent", true, true, 0, micros.Second, "small", 0, true},
 		{"owner, types changed", true, true, 0, micros.Second, "other", 1, true},
 		{"owner, copy is old", true, true, 0, ownerCopyAge, "small", 1, true},
 		{"other node, owners renew it", false, true, 10 * micros.Second, refreshInterval, "small", 0, false},
--- a/internal/machinetypes/table_test.go
+++ b/internal/machinetypes/table_test.go
@@ -53,7 +53,7 @@
 	done(kv.Result{Outcome: n.writeResult})
 }
 
-// requests returns how many reads of the store and of the cloud were made.
+// requests returns how many reads of the key-value store and of the cloud were made.
 func (n *fakeNode) requests() [2]int { return [2]int{len(n.reads), len(n.fetches)} }
 
 const maxValueBytes = 8 << 10
@@ -94,7 +94,7 @@
 }
 
 // TestFillEmptyTable checks that an empty table is filled from the key-value store, and from the cloud
-// only if the store has no types.
+// only if the key-value store has no types.
 func TestFillEmptyTable(t *testing.T) {
 	for _, c := range []struct {
 		name    string
@@ -112,7 +112,7 @@
 			table.Tick()
 			table.Tick()
 			if got := node.requests(); got != [2]int{1, 0} {
-				t.Fatalf("%v reads, want one of the store", got)
+				t.Fatalf("%v reads of the key-value store and of the cloud, want [1 0]", got)
 			}
 			node.reads[0](c.outcome, kv.Entry{Value: c.value})
 			checkNames(t, table, c.known...)
@@ -162,7 +162,7 @@
 	for _, c := range []struct {
 		name          string
 		owner, active bool
-		first, more   int // reads of the cloud: at once, and after the interval
+		first, more   int // reads of the cloud: in the first tick, and after the interval
 	}{
 		{"no owner", false, false, 1, 1},
 		{"recovering owner", true, false, 0, 0},
--- a/internal/peers/host.go
+++ b/internal/peers/host.go
@@ -16,7 +16,7 @@
 
 // Transport sends requests to peers and responds to theirs.
 type Transport interface {
-	// Now returns the time of the current event.
+	// Now returns the monotonic time of the current event.
 	Now() micros.Micros
 	// Call sends a request to a peer and calls done with the response.
 	Call(call Call, done func(Response))
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -22,7 +22,7 @@
 	heartbeatInFlight bool
 	nextHeartbeat     micros.Micros
 	lastHeartbeat     micros.Micros
-	reachableWorkers  int // workers whose heartbeats the peer received recently
+	reachableWorkers  int // number of workers whose heartbeats the peer received recently
 	kvReachable       bool
 	jobCounts         map[string]*peer.JobCount
 	ownsMachine       map[string]bool
@@ -91,7 +91,7 @@
 	}
 }
 
-// Claimant returns the reachable peer that owns a machine according to its heartbeat, or "".
+// Claimant returns the reachable peer whose heartbeat lists a machine among those it owns, or "".
 func (p *Peers) Claimant(machine string) string {
 	return p.firstReachableName(func(n *node) bool { return n.ownsMachine[machine] })
 }
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -116,7 +116,7 @@
 		}
 	}
 	if got := p.JobCount("req-000002"); got != nil {
-		t.Errorf("counts %v of an unknown job", got)
+		t.Errorf("counts %v of an unknown job, want none", got)
 	}
 }
 
@@ -173,7 +173,7 @@
 	receive(t, p, "n1", &peer.Heartbeat{KVReachable: true})
 	p.MarkKVUnreachable("n1")
 	if got := p.KVRelay(); got != "" {
-		t.Errorf("relay %q after it failed", got)
+		t.Errorf("relay %q after it failed, want none", got)
 	}
 	receive(t, p, "n1", &peer.Heartbeat{KVReachable: true})
 	if got := p.KVRelay(); got != "n1" {
@@ -250,7 +250,7 @@
 				t.Errorf("handled %q, status %v; want %q, %v", host.handled, host.status, c.handled, c.status)
 			}
 			if relayed := slices.Equal(host.kvRequests, []uint64{3}); relayed != (c.message.GetKVRequest() != nil) {
-				t.Errorf("requests for the key-value store: %v", host.kvRequests)
+				t.Errorf("requests for the key-value store: %v, want [3] only for such a message", host.kvRequests)
 			}
 			if c.name != "heartbeat" {
 				return
@@ -297,7 +297,7 @@
 			})
 			p.AnnounceCancelled("n2", "j", func() { acknowledged = true })
 			if len(host.calls) != 2 || host.calls[0].MaxResponse != 9 || host.calls[1].Address != "a2" {
-				t.Fatalf("calls %+v", host.calls)
+				t.Fatalf("calls %+v, want 2, the first with the given response limit and the second to n2", host.calls)
 			}
 			for _, done := range host.done {
 				done(c.response)
--- a/internal/record/block.go
+++ b/internal/record/block.go
@@ -44,7 +44,7 @@
 }
 
 // BlockMachine is the entry of a machine. While a machine moves between blocks, both blocks have
-// an entry for it, and the newer entry is valid.
+// an entry for it, and the entry in the block that was written last takes precedence.
 type BlockMachine struct {
 	_               struct{} `cbor:",toarray"`
 	Name            string
--- a/internal/record/completions_test.go
+++ b/internal/record/completions_test.go
@@ -39,10 +39,10 @@
 	a.Set(3)
 	b.Set(17)
 	if err := a.MergeChunk(0, b.Chunk(0)); err != nil || !a.Has(3) || !a.Has(17) {
-		t.Fatalf("merged to %v: %v", a, err)
+		t.Fatalf("merged to %v: %v; want tasks 3 and 17", a, err)
 	}
 	if err := a.MergeChunk(0, NewBitmap(8000).Chunk(0)); err != nil || !a.Has(3) { // from a larger job
-		t.Fatalf("merged to %v: %v", a, err)
+		t.Fatalf("merged to %v: %v; want task 3 to be kept", a, err)
 	}
 	if err := a.MergeChunk(0, "*"); !errors.Is(err, ErrCorrupt) {
 		t.Fatalf("error %v, want ErrCorrupt", err)
@@ -55,7 +55,7 @@
 // TestChunkNames checks that valid names are parsed and invalid ones rejected.
 func TestChunkNames(t *testing.T) {
 	if job, chunk, ok := SplitChunkName(ChunkName("req-000001", 12)); job != "req-000001" || chunk != 12 || !ok {
-		t.Fatalf("got %s, %d, %v", job, chunk, ok)
+		t.Fatalf("got %s, %d, %v; want req-000001, 12, true", job, chunk, ok)
 	}
 	for _, name := range []string{"", "req-000001", "req-000001/", "req-000001/x", "req-000001/-1"} {
 		if _, _, ok := SplitChunkName(name); ok {
@@ -73,7 +73,7 @@
 			empty := len(wire.Encode(CompletionSegment{Chunks: map[string]string{}}))
 			got := len(wire.Encode(CompletionSegment{Chunks: map[string]string{name: bits.Chunk(chunk)}})) - empty
 			if bound := ChunkSize("req-000001", tasks, chunk); got > bound {
-				t.Errorf("chunk %d of %d tasks takes %d bytes, bound %d", chunk, tasks, got, bound)
+				t.Errorf("chunk %d of %d tasks takes %d bytes, want at most %d", chunk, tasks, got, bound)
 			}
 		}
 	}
--- a/internal/record/terminal_state.go
+++ b/internal/record/terminal_state.go
@@ -18,11 +18,12 @@
 type TerminalState struct {
 	Status              Status        `cbor:"s"`
 	FinishedAt          micros.Micros `cbor:"at,omitempty"` // wall clock time; 0 if an older version wrote it
-	CancelledDependency string        `cbor:"b,omitempty"`  // the dependency whose cancellation cancelled this job
+	CancelledDependency string        `cbor:"b,omitempty"`  // direct or indirect dependency whose cancellation cancelled this job
 }
 
-// CancelledRoot returns the job that a user cancelled and whose cancellation led to this state.
-// It is either a dependency of the job with the given id, which has this state, or that job itself.
+// CancelledRoot returns the job that a user cancelled and whose cancellation led to this state, which
+// is that of the job with the given ID: a direct or indirect dependency of that job, or that job
+// itself.
 func (s *TerminalState) CancelledRoot(id string) string {
 	if s.CancelledDependency != "" {
 		return s.CancelledDependency
--- a/internal/recovery/adopted_blocks_test.go
+++ b/internal/recovery/adopted_blocks_test.go
@@ -67,7 +67,7 @@
 				t.Errorf("attempts of the tasks %v are kept, want %v", got, c.want)
 			}
 			if terminating := m.State == inventory.MachineTerminating; terminating != (c.otherDecommissions || c.adopterDecommissions) {
-				t.Errorf("machine is %v", m.State)
+				t.Errorf("machine is %v, want terminating only if an owner decommissions it", m.State)
 			}
 			o.checkDeletedAfter(t, adopted, m.Block)
 		})
@@ -84,7 +84,7 @@
 	}
 	b := o.blocks[i]
 	if len(b.Machines) > 0 || !b.Dirty || b.IsDue(o.now) {
-		t.Errorf("%d machines, dirty %v, due before the other block %v", len(b.Machines), b.Dirty, b.IsDue(o.now))
+		t.Errorf("%d machines, dirty %v, due before the other block %v; want 0, true, false", len(b.Machines), b.Dirty, b.IsDue(o.now))
 	}
 	if !after.IsDue(o.now) || !slices.Contains(after.Sources, b) {
 		t.Error("the other block is not written first")
--- a/internal/recovery/blocks.go
+++ b/internal/recovery/blocks.go
@@ -62,7 +62,7 @@
 	for i := range data.Machines {
 		r.RecoverMachine(b, data, &data.Machines[i])
 	}
-	b.MarkDirty(r.host.Now())
+	b.MarkDirty(r.host.Now()) // the next write claims the machines, or deletes the block if it has none
 	return nil
 }
 
--- a/internal/recovery/blocks_test.go
+++ b/internal/recovery/blocks_test.go
@@ -29,7 +29,7 @@
 		}
 		want := inventory.MachineInfo{Name: "m-1", Type: "mid", Zone: "b", Spot: true, Endpoint: "worker:1"}
 		if m.MachineInfo != want || m.ProvisionedAt != 1234 || !m.Recorded {
-			t.Errorf("machine %+v, provisioned at %d, recorded %t", m.MachineInfo, m.ProvisionedAt, m.Recorded)
+			t.Errorf("machine %+v, provisioned at %d, recorded %t; want spot machine m-1 of type mid in zone b, 1234, true", m.MachineInfo, m.ProvisionedAt, m.Recorded)
 		}
 		if m.FencingToken != 0 {
 			t.Error("the fencing token of the earlier owner is used")
@@ -42,7 +42,7 @@
 			t.Errorf("decommissioning %t: state %v, want %v", decommissioning, m.State, wantState)
 		}
 		if b := m.Block; b.Name != "b" || b.Version != 8 || !b.Dirty || b.DirtySince != o.now {
-			t.Errorf("block %q, version %d, dirty %t since %d", b.Name, b.Version, b.Dirty, b.DirtySince)
+			t.Errorf("block %q, version %d, dirty %t since %d; want \"b\", 8, true since now", b.Name, b.Version, b.Dirty, b.DirtySince)
 		}
 	}
 }
@@ -61,7 +61,7 @@
 		t.Errorf("actions %q, want %q", o.actions, want)
 	}
 	if len(o.inv.Machines) != 1 || o.inv.Machines["m-2"] == nil {
-		t.Errorf("machines %v", o.inv.SortedMachines)
+		t.Errorf("machines %v, want only m-2", o.inv.SortedMachines)
 	}
 }
 
@@ -122,14 +122,14 @@
 			t.Errorf("%s: no attempt", test.name)
 		case a == nil:
 		case a.Machine.Name != test.machine || a.State != inventory.AttemptStarting || a.Number != 1:
-			t.Errorf("%s: attempt %d on %s is %v", test.name, a.Number, a.Machine.Name, a.State)
+			t.Errorf("%s: attempt %d on %s is %v, want attempt 1 on the expected machine, starting", test.name, a.Number, a.Machine.Name, a.State)
 		}
 	}
 	if gang.GangState != inventory.GangStarting || j.GangState != inventory.GangNone {
-		t.Errorf("gang states %v and %v", gang.GangState, j.GangState)
+		t.Errorf("states of the gang %v and of the other job %v, want starting and none", gang.GangState, j.GangState)
 	}
 	if !j.EverPlaced || !blocked.EverPlaced || len(o.unresolvedJobs) > 0 {
-		t.Error("jobs are not marked as placed")
+		t.Error("jobs are not marked as placed, or an active job is unresolved")
 	}
 	if m := o.inv.Machines["m-2"]; len(m.Attempts) != 1 {
 		t.Errorf("%d attempts on m-2, want 1", len(m.Attempts))
@@ -145,7 +145,7 @@
 	}
 	o.RecoverBlocks([]kv.Entry{{Key: record.BlockKey("b"), Value: wire.Encode(data.Block(self)), Version: 8}})
 	if m := o.inv.Machines["m-1"]; m == nil || len(m.Attempts) > 0 {
-		t.Errorf("machine %v", m)
+		t.Errorf("machine %v, want one without attempts", m)
 	}
 }
 
@@ -158,18 +158,18 @@
 	o.RecoverBlocks([]kv.Entry{blockEntry(self, "b", 20, "m-1", placement{ended, 2}, placement{ended, 4})})
 	j := o.inv.Jobs[ended.ID]
 	if j == nil || j.State != inventory.JobEnded || len(j.Attempts) != 2 {
-		t.Fatalf("job %v", j)
+		t.Fatalf("job %v, want an ended job with 2 attempts", j)
 	}
 	for i, a := range j.Attempts {
 		if a.State != inventory.AttemptStopping || a.GracePeriod != 0 {
-			t.Errorf("attempt of task %d is %v", i, a.State)
+			t.Errorf("attempt of task %d is %v, want stopping without a grace period", i, a.State)
 		}
 	}
 	if want := taskNeed.Times(2); o.inv.Teams["red"].Used != want {
 		t.Errorf("the team uses %v, want %v", o.inv.Teams["red"].Used, want)
 	}
 	if !slices.Equal(o.unresolvedJobs, []*inventory.Job{j}) {
-		t.Errorf("unresolved jobs %v", o.unresolvedJobs)
+		t.Errorf("unresolved jobs %v, want only the ended job", o.unresolvedJobs)
 	}
 }
 
@@ -179,7 +179,7 @@
 	ended := newJob("req-000009", 1, false)
 	o.RecoverBlocks([]kv.Entry{blockEntry(self, "b", 20, "m-1", placement{ended, 1})})
 	if len(o.inv.Jobs) > 0 {
-		t.Errorf("jobs %v", o.inv.Jobs)
+		t.Errorf("jobs %v, want none", o.inv.Jobs)
 	}
 }
 
@@ -225,7 +225,7 @@
 				}
 			}
 			if stopping := j.GangState == inventory.GangStopping; stopping != test.wantStopped {
-				t.Errorf("gang is %v", j.GangState)
+				t.Errorf("gang is %v, want stopping only if it is incomplete", j.GangState)
 			}
 		})
 	}
@@ -294,7 +294,7 @@
 	o.ResolveJobs()
 	o.gets[0](kv.OK, kv.Entry{Value: []byte{0xff}})
 	if j := o.inv.Jobs["req-000009"]; j == nil || j.CancelledAt != o.now-40*micros.Second {
-		t.Errorf("job %v", j)
+		t.Errorf("job %v, want one that counts as cancelled 40 s ago", j)
 	}
 }
 
@@ -310,10 +310,10 @@
 	o.RecoverBlocks([]kv.Entry{blockEntry(self, "b", 20, "m-1", placements...)})
 	delete(o.inv.Jobs, "req-000002")
 	if o.ResolveJobs(); len(o.gets) != terminalStatesPerTick-1 {
-		t.Errorf("%d reads in the first tick", len(o.gets))
+		t.Errorf("%d reads in the first tick, want one less than terminalStatesPerTick, because one job was removed", len(o.gets))
 	}
 	if o.ResolveJobs(); len(o.gets) != terminalStatesPerTick {
-		t.Errorf("%d reads in two ticks", len(o.gets))
+		t.Errorf("%d reads in two ticks, want one for each remaining job", len(o.gets))
 	}
 	o.superseded = true
 	for _, done := range o.gets {
--- a/internal/recovery/completion_segments_test.go
+++ b/internal/recovery/completion_segments_test.go
@@ -47,7 +47,7 @@
 		t.Errorf("actions %q, want %q", o.actions, want)
 	}
 	if s := o.segments[0]; s.Team != "red" || s.Version != 20 || len(s.Chunks) != 1 || s.Dirty {
-		t.Errorf("segment %+v", s)
+		t.Errorf("segment %+v, want a clean one of team red with version 20 and 1 chunk", s)
 	}
 	for i := range 10 {
 		want := inventory.TaskPending
@@ -59,13 +59,13 @@
 		}
 	}
 	if j.CompletedCount != 3 || j.Pending != 7 || !j.EverPlaced || j.State != inventory.JobActive {
-		t.Errorf("%d tasks are completed, %d pending, job is %v", j.CompletedCount, j.Pending, j.State)
+		t.Errorf("%d tasks are completed, %d pending, job is %v; want 3, 7, active", j.CompletedCount, j.Pending, j.State)
 	}
 	if finished.State != inventory.JobFinishing {
-		t.Errorf("the finished job is %v", finished.State)
+		t.Errorf("the finished job is %v, want finishing", finished.State)
 	}
 	if blocked.CompletedCount != 1 {
-		t.Errorf("%d tasks of the blocked job are completed", blocked.CompletedCount)
+		t.Errorf("%d tasks of the blocked job are completed, want 1", blocked.CompletedCount)
 	}
 }
 
@@ -80,7 +80,7 @@
 	bits.Set(tasks - 1)
 	o.RecoverSegments([]kv.Entry{segmentEntry("red", "1", 20, map[string]string{record.ChunkName(j.ID, 1): bits.Chunk(1)})})
 	if j.CompletedCount != 1 || j.TaskState(tasks-1) != inventory.TaskDone {
-		t.Errorf("%d tasks are completed, the last one is %v", j.CompletedCount, j.TaskState(tasks-1))
+		t.Errorf("%d tasks are completed, the last one is %v; want 1, done", j.CompletedCount, j.TaskState(tasks-1))
 	}
 }
 
@@ -101,10 +101,10 @@
 			j := o.addJob("req-000001", 10, false)
 			o.RecoverSegments([]kv.Entry{segmentEntry("red", "1", 20, map[string]string{test.chunk: test.bits})})
 			if len(o.segments) != 1 || len(o.segments[0].Chunks) != test.wantChunks {
-				t.Errorf("segments %v", o.segments)
+				t.Errorf("segments %v, want one, with a chunk only if the chunk belongs to an active job", o.segments)
 			}
 			if j.CompletedCount != 0 || j.EverPlaced {
-				t.Errorf("%d tasks are completed, placed %t", j.CompletedCount, j.EverPlaced)
+				t.Errorf("%d tasks are completed, placed %t; want 0, false", j.CompletedCount, j.EverPlaced)
 			}
 		})
 	}
--- a/internal/recovery/fixtures_test.go
+++ b/internal/recovery/fixtures_test.go
@@ -159,7 +159,7 @@
 func (o *testOwner) respondToList(t *testing.T, listing kv.Listing, err error) {
 	t.Helper()
 	if len(o.lists) != 1 {
-		t.Fatalf("%d listings are open", len(o.lists))
+		t.Fatalf("%d listings are open, want 1", len(o.lists))
 	}
 	done := o.lists[0]
 	o.lists = nil
--- a/internal/recovery/recovery.go
+++ b/internal/recovery/recovery.go
@@ -124,7 +124,7 @@
 	current.list(record.ActiveJobPrefix, current.handleJobs)
 }
 
-// run is one pass over all records. It ends when a read fails.
+// run is one pass over all records. It ends when all have been read or when a read fails.
 type run struct {
 	*Recovery
 	startedAt micros.Micros
@@ -132,8 +132,8 @@
 	blocks []kv.Entry
 }
 
-// list reads the records with a prefix. If a read fails, all records are read again after
-// retryDelay.
+// list reads the records with a prefix and passes them to next, with the revision of the listing. If
+// the read fails, the run ends, and a new one may start after retryDelay.
 func (r *run) list(prefix string, next func(entries []kv.Entry, revision uint64)) {
 	r.store.ListAll(prefix, func(listing kv.Listing, err error) {
 		switch {
--- a/internal/recovery/recovery_test.go
+++ b/internal/recovery/recovery_test.go
@@ -64,7 +64,7 @@
 	o.now += micros.Second
 	o.respondToList(t, kv.Listing{Entries: []kv.Entry{{Key: record.ActiveJobKey("req-000001"), Version: 4}}, Revision: 9}, nil)
 	if got := o.jobs; len(got.entries) != 1 || got.entries[0].Version != 4 || got.revision != 9 || got.requestedAt != requestedAt {
-		t.Errorf("jobs %+v", got)
+		t.Errorf("jobs %+v, want one of version 4 at revision 9, requested when the recovery started", got)
 	}
 }
 
--- a/internal/workers/commands_test.go
+++ b/internal/workers/commands_test.go
@@ -59,7 +59,7 @@
 				t.Errorf("commands %+v, want %+v", got, c.want)
 			}
 			if len(h.violations) != 0 {
-				t.Errorf("violations %q", h.violations)
+				t.Errorf("violations %q, want none", h.violations)
 			}
 		})
 	}
--- a/internal/workers/dispatch_test.go
+++ b/internal/workers/dispatch_test.go
@@ -37,7 +37,7 @@
 			h.calls[0].done(Response{}) // not sent
 			h.manager.DispatchQueuedMachines()
 			if len(h.calls) != c.limit+1 || h.calls[c.limit].Address != list[c.limit].Endpoint {
-				t.Errorf("%d calls after one has completed, the last to %s", len(h.calls), h.calls[len(h.calls)-1].Address)
+				t.Errorf("%d calls after one has completed, the last to %s; want one more, to the next machine in the queue", len(h.calls), h.calls[len(h.calls)-1].Address)
 			}
 		})
 	}
@@ -60,7 +60,7 @@
 			change(h, addPendingStarts(h, 1)[0])
 			h.manager.DispatchQueuedMachines()
 			if len(h.calls) != 0 || len(h.violations) != 0 {
-				t.Errorf("calls %+v, violations %q", h.calls, h.violations)
+				t.Errorf("calls %+v, violations %q; want none", h.calls, h.violations)
 			}
 		})
 	}
@@ -94,7 +94,7 @@
 			m := addPendingStarts(h, 1)[0]
 			h.manager.DispatchQueuedMachines()
 			if len(h.calls) != 1 || h.calls[0].Method != http.MethodPost || h.calls[0].Path != wire.PathCommands || !m.CommandsInFlight {
-				t.Fatalf("calls %+v, in flight %t", h.calls, m.CommandsInFlight)
+				t.Fatalf("calls %+v, in flight %t; want one request for commands, true", h.calls, m.CommandsInFlight)
 			}
 			if c.before != nil {
 				c.before(h)
@@ -104,7 +104,7 @@
 				t.Errorf("attempt %v, fencing %v, recovery restarted for %q", a.State, m.Fencing, h.restarts)
 			}
 			if m.CommandsInFlight != c.inFlight || h.manager.callsInFlight != 0 {
-				t.Errorf("commands in flight %t, %d calls in flight", m.CommandsInFlight, h.manager.callsInFlight)
+				t.Errorf("commands in flight %t, %d calls in flight; want no calls, and commands only if the owner was replaced", m.CommandsInFlight, h.manager.callsInFlight)
 			}
 		})
 	}
--- a/internal/workers/eviction.go
+++ b/internal/workers/eviction.go
@@ -9,8 +9,8 @@
 // preemption notice.
 const reasonReclaimed = "spot machine is reclaimed"
 
-// reclaimMargin is the safety margin before a machine is reclaimed: a task must be expected to complete
-// earlier than that to keep running.
+// reclaimMargin is the safety margin before a machine is reclaimed: an attempt counts as able to complete
+// on the machine only if it is expected to complete at least this long before the reclaim.
 const reclaimMargin = micros.Second
 
 // Evict stops an attempt, or all attempts if the job is a gang, with a grace period for a checkpoint if
@@ -58,7 +58,9 @@
 	return w.RemainingRunTime(a) <= timeLeft-reclaimMargin || unsavedProgress >= timeLeft
 }
 
-// RemainingRunTime estimates the remaining run time of an attempt.
+// RemainingRunTime estimates the remaining run time of an attempt. For an attempt that is running, it
+// is the rest of the job's estimate, but at least a quarter of the time for which the attempt has run,
+// and at least a second.
 func (w *Manager) RemainingRunTime(a *inventory.Attempt) micros.Micros {
 	total := w.host.EstimatedRunTime(a.Job)
 	if a.RunningSince == 0 {
--- a/internal/workers/eviction_test.go
+++ b/internal/workers/eviction_test.go
@@ -46,7 +46,7 @@
 				t.Errorf("attempt %v, machine %v reclaimed at %v, %d reclaims", a.State, m.State, m.ReclaimAt, h.spotReclaims)
 			}
 			if stopped := member.State == inventory.AttemptStopping; stopped != j.Gang {
-				t.Errorf("attempt on the other machine: %v, want it stopping only for a gang", member.State)
+				t.Errorf("attempt on the other machine: %v, want stopping only for a gang", member.State)
 			}
 		})
 	}
@@ -65,7 +65,7 @@
 		}
 		h.manager.HandleHeartbeat(uint64(seq), heartbeat)
 		if h.spotReclaims != want || (m.ReclaimAt == 0) != (seq == 2) {
-			t.Errorf("heartbeat %d: %d reclaims counted, reclaimed at %v", seq+1, h.spotReclaims, m.ReclaimAt)
+			t.Errorf("heartbeat %d: %d reclaims counted, reclaimed at %v; want 1, 1, 1, 2 reclaims and no time only after the third heartbeat", seq+1, h.spotReclaims, m.ReclaimAt)
 		}
 	}
 }
--- a/internal/workers/heartbeats.go
+++ b/internal/workers/heartbeats.go
@@ -118,9 +118,9 @@
 // was newer than the last one. A delayed or duplicate heartbeat is ignored; it does not even show that
 // the machine is alive.
 //
-// Only such a heartbeat shows that the start commands in the response to the previous heartbeat were
-// executed or lost. A response to a direct command does not, since the worker may have sent it before
-// it received that response.
+// Only such a heartbeat shows whether the start commands in the response to the previous heartbeat
+// were executed or lost. The heartbeat in a response to direct commands does not show it, since the
+// worker may have sent it before the start commands arrived.
 func (w *Manager) applyHeartbeat(m *inventory.Machine, heartbeat *wire.Heartbeat) bool {
 	if !lastOrder(m).before(orderOf(heartbeat)) {
 		return false
@@ -129,8 +129,9 @@
 	w.lastHeartbeat, m.HeartbeatReceived = now, true
 	m.LastHeartbeat = max(m.LastHeartbeat, now) // after a failover, LastHeartbeat is in the future
 	reported := w.applyStatus(m, heartbeat)
-	// A task that is not reported is certain to be neither on the machine nor started later only if
-	// the worker has confirmed this owner's token and no command is in flight.
+	// A task that the heartbeat does not report counts as missing only if the worker has confirmed
+	// this owner's token and no command is in flight. Otherwise the task may still be started on the
+	// machine.
 	if m.TokenConfirmed && m.Fencing == inventory.FencingNone && !m.CommandsInFlight {
 		w.reconcileMissing(m, reported)
 	}
--- a/internal/workers/heartbeats_test.go
+++ b/internal/workers/heartbeats_test.go
@@ -61,7 +61,7 @@
 				t.Errorf("responses %+v, want %+v", h.responses, c.want)
 			}
 			if len(h.adopted) != 0 || len(h.restarts) != 0 {
-				t.Errorf("adopted %q, recovery restarted for %q", h.adopted, h.restarts)
+				t.Errorf("adopted %q, recovery restarted for %q; want neither", h.adopted, h.restarts)
 			}
 		})
 	}
@@ -74,7 +74,7 @@
 	h.manager.HandleHeartbeat(1, newHeartbeat(1))
 	m := h.manager.inventory.Machines[machineName]
 	if m == nil || len(h.responses) != 0 || !reflect.DeepEqual(h.adopted, []string{machineName}) {
-		t.Fatalf("machine %v, responses %+v, adopted %q", m, h.responses, h.adopted)
+		t.Fatalf("machine %v, responses %+v, adopted %q; want the machine adopted and no response", m, h.responses, h.adopted)
 	}
 	m.FencingToken = 9
 	h.manager.HandlePendingHeartbeat(m)
@@ -84,7 +84,7 @@
 		t.Errorf("responses %+v, want %+v", h.responses, want)
 	}
 	if m.State != inventory.MachineReady || m.TokenConfirmed {
-		t.Errorf("state %v, token confirmed %t", m.State, m.TokenConfirmed)
+		t.Errorf("state %v, token confirmed %t; want ready, false", m.State, m.TokenConfirmed)
 	}
 }
 
@@ -132,7 +132,7 @@
 	h.manager.HandleHeartbeat(1, heartbeat)
 	want := []fakeResponse{{request: 1, status: wire.StatusMisdirected, body: wire.Redirect{HeartbeatNode: "n2"}}}
 	if !reflect.DeepEqual(h.responses, want) || len(h.restarts) != 1 {
-		t.Errorf("responses %+v, recovery restarted for %q", h.responses, h.restarts)
+		t.Errorf("responses %+v, recovery restarted for %q; want a redirect to n2 and one restart", h.responses, h.restarts)
 	}
 }
 
@@ -146,7 +146,7 @@
 	h.manager.HandleHeartbeat(1, newHeartbeat(5))
 	want := []fakeResponse{{request: 1, status: wire.StatusOK, body: wire.HeartbeatResponse{FencingToken: 7}}}
 	if !reflect.DeepEqual(h.responses, want) || a.State != inventory.AttemptRecorded {
-		t.Errorf("responses %+v, attempt %v", h.responses, a.State)
+		t.Errorf("responses %+v, attempt %v; want a response without commands, recorded", h.responses, a.State)
 	}
 	if m.LastHeartbeat != h.now-micros.Second || h.manager.LastHeartbeat() != h.now-micros.Second || m.HeartbeatReceived {
 		t.Errorf("the duplicate counts as a heartbeat: last of the machine %v, of any %v", m.LastHeartbeat, h.manager.LastHeartbeat())
--- a/internal/workers/host.go
+++ b/internal/workers/host.go
@@ -15,7 +15,7 @@
 
 // Node provides the time of the current event and exchanges messages with workers.
 type Node interface {
-	// Now returns the time of the current event.
+	// Now returns the monotonic time of the current event.
 	Now() micros.Micros
 	// Respond responds to a heartbeat.
 	Respond(request uint64, status wire.Status, body any)
@@ -33,7 +33,8 @@
 	IsActive() bool
 	// ActiveSince returns the time at which the owner became active.
 	ActiveSince() micros.Micros
-	// Superseded reports whether the owner was replaced. Its callbacks must do nothing then.
+	// Superseded reports whether another owner has replaced this one. Callbacks must then do
+	// nothing.
 	Superseded() bool
 	// RestartRecovery replaces the owner with one that reads all records again.
 	RestartRecovery(reason string)
--- a/internal/workers/inspection.go
+++ b/internal/workers/inspection.go
@@ -8,15 +8,17 @@
 	"tamarindlead/micros"
 )
 
-// Delay after a failover, and maximum batch size, of inspections of machines without a heartbeat.
+// Limits on inspections of machines that have not sent a heartbeat to this owner.
 const (
-	inspectionDelay     = 2 * micros.Second
+	// inspectionDelay is the time from when the owner becomes active until the first inspections.
+	inspectionDelay = 2 * micros.Second
+	// inspectionBatchSize is the maximum number of machines that one call of InspectMachines inspects.
 	inspectionBatchSize = 4
 )
 
-// InspectMachines requests heartbeats from a few machines that were recovered from records, of another
-// owner or of this node, and that have not sent a heartbeat yet. Most workers find this node on their
-// own, and requests to all machines at the same time would delay their heartbeats.
+// InspectMachines requests heartbeats from a few machines that were recovered from records, written by
+// another owner or by this node, and that have not sent a heartbeat yet. Most workers find this node on
+// their own, and requests to all machines at the same time would delay their heartbeats.
 func (w *Manager) InspectMachines() {
 	if w.callLimitReached() {
 		return
--- a/internal/workers/inspection_test.go
+++ b/internal/workers/inspection_test.go
@@ -64,7 +64,7 @@
 			change(h, m)
 			h.manager.InspectMachines()
 			if len(h.calls) != 0 {
-				t.Errorf("calls %+v", h.calls)
+				t.Errorf("calls %+v, want none", h.calls)
 			}
 		})
 	}
--- a/internal/workers/reconciliation_test.go
+++ b/internal/workers/reconciliation_test.go
@@ -95,7 +95,7 @@
 	a := h.manager.inventory.AddAttempt(h.addJob(1), 0, 1, m, inventory.AttemptLive)
 	h.manager.applyCommandResponse(m, newHeartbeat(1))
 	if a.State != inventory.AttemptLive {
-		t.Errorf("state %v", a.State)
+		t.Errorf("state %v, want live", a.State)
 	}
 }
 
@@ -109,7 +109,7 @@
 		h.manager.HandleHeartbeat(seq, newHeartbeat(seq))
 		response, ok := h.responses[seq-1].body.(wire.HeartbeatResponse)
 		if !ok || len(response.Commands) != 1 || response.Commands[0].Verb != wire.VerbStart || a.StartHeartbeatSeq != seq {
-			t.Fatalf("heartbeat %d: response %+v, start sent after heartbeat %d", seq, h.responses[seq-1], a.StartHeartbeatSeq)
+			t.Fatalf("heartbeat %d: response %+v, start sent after heartbeat %d; want one start command in each response", seq, h.responses[seq-1], a.StartHeartbeatSeq)
 		}
 	}
 }
@@ -140,7 +140,7 @@
 	member := h.manager.inventory.AddAttempt(j, 1, 1, other, inventory.AttemptLive)
 	h.manager.HandleHeartbeat(1, newHeartbeat(1))
 	if lost.State != inventory.AttemptRemoving || member.State != inventory.AttemptStopping || j.GangState != inventory.GangStopping {
-		t.Errorf("lost %v, member %v, gang %v", lost.State, member.State, j.GangState)
+		t.Errorf("lost attempt %v, other attempt %v, gang %v; want removing, stopping, stopping", lost.State, member.State, j.GangState)
 	}
 	if !other.InDispatchQueue || !other.DispatchNeeded {
 		t.Error("the other machine is not queued for its stop command")
--- a/internal/workers/task_exits_test.go
+++ b/internal/workers/task_exits_test.go
@@ -40,10 +40,10 @@
 				t.Errorf("attempt %v, %d failures of the job, %d errors of the machine", a.State, j.Failures, m.ConsecutiveErrors)
 			}
 			if got := m.QuarantinedUntil == h.now+5*micros.Second; got != c.quarantined {
-				t.Errorf("quarantined until %v", m.QuarantinedUntil)
+				t.Errorf("quarantined until %v, want 5 s from now only if the machine refused to start the task", m.QuarantinedUntil)
 			}
 			if (h.runTimes == 1) != (c.cause == wire.CauseDone) {
-				t.Errorf("%d run times recorded", h.runTimes)
+				t.Errorf("%d run times recorded, want 1 only for a completed task", h.runTimes)
 			}
 		})
 	}
@@ -58,7 +58,7 @@
 	j.State = inventory.JobEnded
 	h.manager.HandleHeartbeat(1, newHeartbeat(1, reported(1, wire.PhaseExited, wire.CauseDone)))
 	if a.State != inventory.AttemptRemoving || j.CompletedCount != 0 || h.runTimes != 0 {
-		t.Errorf("attempt %v, %d completed, %d run times", a.State, j.CompletedCount, h.runTimes)
+		t.Errorf("attempt %v, %d completed, %d run times; want removing, 0, 0", a.State, j.CompletedCount, h.runTimes)
 	}
 }
 
@@ -70,7 +70,7 @@
 	h.manager.inventory.AddAttempt(j, 0, 1, m, inventory.AttemptLive)
 	h.manager.HandleHeartbeat(1, newHeartbeat(1, reported(1, wire.PhaseExited, wire.CauseDone)))
 	if j.State != inventory.JobFinishing {
-		t.Errorf("state %v", j.State)
+		t.Errorf("state %v, want finishing", j.State)
 	}
 }
 
@@ -88,10 +88,10 @@
 		reported(1, wire.PhaseExited, wire.CauseError),
 		wire.TaskStatus{Task: other.TaskName(), Attempt: 1, Phase: wire.PhaseRunning}))
 	if m.State != inventory.MachineDraining || failed.State != inventory.AttemptRemoving || failed.GracePeriod != 0 {
-		t.Errorf("machine %v, failed attempt %v with grace period %v", m.State, failed.State, failed.GracePeriod)
+		t.Errorf("machine %v, failed attempt %v with grace period %v; want draining, removing, 0", m.State, failed.State, failed.GracePeriod)
 	}
 	if other.State != inventory.AttemptStopping || other.GracePeriod != 4*micros.Second {
-		t.Errorf("other attempt %v with grace period %v", other.State, other.GracePeriod)
+		t.Errorf("other attempt %v with grace period %v; want stopping, 4 s", other.State, other.GracePeriod)
 	}
 }
 
@@ -111,7 +111,7 @@
 			t.Errorf("failure %d: backoff until %v, want %v", i+1, j.BackoffUntil, want)
 		}
 		if countsAgainstMachine := i < 2; (m.ConsecutiveErrors == 1) != countsAgainstMachine {
-			t.Errorf("failure %d: %d errors of the machine", i+1, m.ConsecutiveErrors)
+			t.Errorf("failure %d: %d errors of the machine, want 1 only for the first two failures", i+1, m.ConsecutiveErrors)
 		}
 	}
 }
