--- a/internal/cluster/assign_test.go
+++ b/internal/cluster/assign_test.go
@@ -19,7 +19,7 @@
 }
 
 // expectAssignment removes the earliest pending call, which must assign teams as wanted.
-func (f *fixture) expectAssignment(want map[string]string) (stubCall, transactionBody) {
+func (f *fixture) expectAssignment(want map[string]string) (fakeCall, transactionBody) {
 	f.t.Helper()
 	call, body := f.expectTransaction()
 	if got := assignments(body); fmt.Sprint(got) != fmt.Sprint(want) {
--- a/internal/cluster/fixture_test.go
+++ b/internal/cluster/fixture_test.go
@@ -15,50 +15,50 @@
 
 const testTTL = 9 * micros.Second
 
-// stubCall is a pending call.
-type stubCall struct {
+// fakeCall is a pending call.
+type fakeCall struct {
 	request kv.Request
 	done    func(micros.Micros, kv.Result)
 }
 
-// stubKVClient records calls until a test completes them.
-type stubKVClient struct {
-	calls   []stubCall
-	watches []stubCall
+// fakeKVClient records calls until a test completes them.
+type fakeKVClient struct {
+	calls   []fakeCall
+	watches []fakeCall
 }
 
 // Call implements KVClient.
-func (s *stubKVClient) Call(request kv.Request, done func(micros.Micros, kv.Result)) {
-	s.calls = append(s.calls, stubCall{request, done})
+func (s *fakeKVClient) Call(request kv.Request, done func(micros.Micros, kv.Result)) {
+	s.calls = append(s.calls, fakeCall{request, done})
 }
 
 // Watch implements KVClient.
-func (s *stubKVClient) Watch(prefix string, after uint64, done func(micros.Micros, kv.Result)) {
-	s.watches = append(s.watches, stubCall{kv.Watch(prefix, after, 0), done})
+func (s *fakeKVClient) Watch(prefix string, after uint64, done func(micros.Micros, kv.Result)) {
+	s.watches = append(s.watches, fakeCall{kv.Watch(prefix, after, 0), done})
 }
 
-// stubHost is a Host that counts notifications.
-type stubHost struct {
+// fakeHost is a Host that counts notifications.
+type fakeHost struct {
 	ownershipChanges int
 	viewChanges      int
 	unreachable      bool
 }
 
 // OwnershipChanged implements Host.
-func (h *stubHost) OwnershipChanged() { h.ownershipChanges++ }
+func (h *fakeHost) OwnershipChanged() { h.ownershipChanges++ }
 
 // ViewChanged implements Host.
-func (h *stubHost) ViewChanged() { h.viewChanges++ }
+func (h *fakeHost) ViewChanged() { h.viewChanges++ }
 
 // UnreachableByWorkers implements Host.
-func (h *stubHost) UnreachableByWorkers() bool { return h.unreachable }
+func (h *fakeHost) UnreachableByWorkers() bool { return h.unreachable }
 
-// fixture is node n0 of a cluster of three nodes, with stubs of its KVClient and its Host.
+// fixture is node n0 of a cluster of three nodes, with fakes of its KVClient and its Host.
 type fixture struct {
 	t        *testing.T
 	now      micros.Micros
-	kvClient *stubKVClient
-	host     *stubHost
+	kvClient *fakeKVClient
+	host     *fakeHost
 	node     *Node
 }
 
@@ -75,7 +75,7 @@
 }
 
 func newFixture(t *testing.T, settings *config.Settings) *fixture {
-	f := &fixture{t: t, now: micros.Hour, kvClient: &stubKVClient{}, host: &stubHost{}}
+	f := &fixture{t: t, now: micros.Hour, kvClient: &fakeKVClient{}, host: &fakeHost{}}
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	f.node = New(settings, f.kvClient, f.host, rand.New(rand.NewPCG(1, 2)), log)
 	return f
@@ -89,7 +89,7 @@
 
 // expect removes the earliest pending call and returns it. It fails the test if the call has
 // another method or target.
-func (f *fixture) expect(method, target string) stubCall {
+func (f *fixture) expect(method, target string) fakeCall {
 	f.t.Helper()
 	if len(f.kvClient.calls) == 0 {
 		f.t.Fatalf("no call is pending; want %s %s", method, target)
@@ -111,12 +111,12 @@
 }
 
 // respond completes a call successfully, with a body.
-func (f *fixture) respond(call stubCall, body any) {
+func (f *fixture) respond(call fakeCall, body any) {
 	call.done(f.now, kv.Result{Outcome: kv.OK, Body: wire.Encode(body)})
 }
 
 // fail completes a call with an outcome other than success.
-func (f *fixture) fail(call stubCall, outcome kv.Outcome) {
+func (f *fixture) fail(call fakeCall, outcome kv.Outcome) {
 	call.done(f.now, kv.Result{Outcome: outcome})
 }
 
@@ -132,7 +132,7 @@
 
 // expectTransaction removes the earliest pending call, which must be a transaction, and returns it
 // with its body.
-func (f *fixture) expectTransaction() (stubCall, transactionBody) {
+func (f *fixture) expectTransaction() (fakeCall, transactionBody) {
 	f.t.Helper()
 	call := f.expect("POST", "/commit")
 	var body transactionBody
--- a/internal/cluster/leadership_test.go
+++ b/internal/cluster/leadership_test.go
@@ -17,7 +17,7 @@
 }
 
 // campaign makes the node a member that campaigns, and returns the campaign's transaction.
-func (f *fixture) campaign(entries ...kv.Entry) (stubCall, transactionBody) {
+func (f *fixture) campaign(entries ...kv.Entry) (fakeCall, transactionBody) {
 	f.t.Helper()
 	f.join(entries...)
 	f.tick(campaignJitter)
