--- a/controller/determinism_test.go
+++ b/controller/determinism_test.go
@@ -21,7 +21,7 @@
 		run.sim.onEffects = func(node *simNode, ev Event, effects []Effect) {
 			digest.add(node.index, run.sim.now-micros.Hour, ev, effects)
 		}
-		run.play()
+		run.execute()
 		if first == "" {
 			first = digest.String()
 		} else if digest.String() != first {
--- a/controller/dump_test.go
+++ b/controller/dump_test.go
@@ -30,10 +30,10 @@
 	Types           []wire.MachineType
 	Capacity        map[string]int
 	Grants          map[string][]string
-	Rented          int
+	MachinesCreated int `cbor:"Rented"` // in total
 	Machines        []dumpMachine
 	Jobs            []dumpJob
-	Done            []string // tasks
+	CompletedTasks  []string `cbor:"Done"`
 }
 
 type dumpMachine struct {
@@ -81,8 +81,8 @@
 	sim.now, sim.kvStore.Now, sim.cloud.Now = d.Now, d.Now, d.Now
 	sim.kvStore.Load(d.Records, d.Revision, dumpLease)
 	sim.cloud.Types, sim.cloud.Capacity = d.Types, d.Capacity
-	sim.cloud.RestoreScaleOutGrants(d.Grants, d.Rented)
-	for _, task := range d.Done {
+	sim.cloud.RestoreScaleOutGrants(d.Grants, d.MachinesCreated)
+	for _, task := range d.CompletedTasks {
 		sim.completedTasks[task] = true
 	}
 	for i := range d.Jobs {
--- a/controller/dump_write_test.go
+++ b/controller/dump_write_test.go
@@ -57,9 +57,9 @@
 
 // writeDump returns a dump of the simulation without its messages, which the caller collects.
 func (sim *simulation) writeDump() *dump {
-	d := &dump{Settings: *sim.cfg, Now: sim.now, Types: sim.cloud.Types, Capacity: sim.cloud.Capacity, Done: ordered.Keys(sim.completedTasks)}
+	d := &dump{Settings: *sim.cfg, Now: sim.now, Types: sim.cloud.Types, Capacity: sim.cloud.Capacity, CompletedTasks: ordered.Keys(sim.completedTasks)}
 	d.Records, d.Revision = sim.kvStore.Records()
-	d.Grants, d.Rented = sim.cloud.ScaleOutGrants()
+	d.Grants, d.MachinesCreated = sim.cloud.ScaleOutGrants()
 	for _, r := range d.Records {
 		d.DecodedRecords = append(d.DecodedRecords, sim.production.decodeRecord(r.Key, r.Value))
 	}
--- a/controller/fault_pairs_faults_test.go
+++ b/controller/fault_pairs_faults_test.go
@@ -15,9 +15,9 @@
 	kvOutage bool // the fault is an outage of the KV store
 }
 
-func (run *faultPairRun) startFault(kind pairFault) {
-	target, duration, revert := kind.start(run)
-	run.logf("%s %s for %v", kind.name, target, duration)
+func (run *faultPairRun) startFault(fault pairFault) {
+	target, duration, revert := fault.start(run)
+	run.logf("%s %s for %v", fault.name, target, duration)
 	run.sim.after(duration, func() {
 		if revert != nil {
 			revert()
--- a/controller/fault_pairs_jobs_test.go
+++ b/controller/fault_pairs_jobs_test.go
@@ -142,7 +142,7 @@
 			run.checkSchedulableJob(schedulable, id, zones[id])
 		}
 	}
-	maps.DeleteFunc(run.fitsSince, func(key string, _ micros.Micros) bool { return !schedulable[key] })
+	maps.DeleteFunc(run.schedulableSince, func(key string, _ micros.Micros) bool { return !schedulable[key] })
 }
 
 // zonesOfRunningTasks returns the zones of the running tasks of each job.
@@ -229,10 +229,10 @@
 func (run *faultPairRun) recordSchedulableWait(schedulable map[string]bool, id, machine string) {
 	key := id + " " + machine
 	schedulable[key] = true
-	if _, ok := run.fitsSince[key]; !ok {
-		run.fitsSince[key] = run.sim.now
+	if _, ok := run.schedulableSince[key]; !ok {
+		run.schedulableSince[key] = run.sim.now
 	}
-	if run.sim.now-run.fitsSince[key] > maxSchedulingDelay {
+	if run.sim.now-run.schedulableSince[key] > maxSchedulingDelay {
 		run.sim.reportViolation("left waiting: %s is still pending although it fits (machine %q)", id, machine)
 	}
 }
--- a/controller/fault_pairs_pipelines_test.go
+++ b/controller/fault_pairs_pipelines_test.go
@@ -115,9 +115,9 @@
 	for i, dependencies := range []any{[]string{"req-000100", "req-000950"}, []any{"req-000100", nil}} {
 		id := jobName(910 + i)
 		job := &sched.Job{ID: id, Class: "stage", Team: "red", Tasks: 1, Need: sched.NewResources(1, 0, 1), Image: "img", ImageGB: 1}
-		run.expectedRefusals[id] = []int{422, 400}[i]
+		run.expectedRefusalStatus[id] = []int{422, 400}[i]
 		sim.submitted[id], sim.submissions[id] = job, withDependencyField(wire.Encode(wire.FromJob(job)), dependencies)
-		sim.after(faultPairsLeadTime+micros.FromSeconds(30*rng.Float64()), func() { sim.submittedAt[id] = sim.now; run.submit(id, false) })
+		sim.after(faultPairsWarmUp+micros.FromSeconds(30*rng.Float64()), func() { sim.submittedAt[id] = sim.now; run.submit(id, false) })
 	}
 }
 
--- a/controller/fault_pairs_test.go
+++ b/controller/fault_pairs_test.go
@@ -24,23 +24,23 @@
 // TestFaultPairs plays simulations whose settings, jobs and two or three overlapping faults are
 // drawn from a seed each. The simulation checks the rules at every step.
 func TestFaultPairs(t *testing.T) {
-	for _, seed := range seedsToPlay(t) {
+	for _, seed := range seedsToRun(t) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
 			run := newFaultPairRun(seed)
-			run.play()
+			run.execute()
 			if len(run.sim.violations) > 0 {
 				t.Errorf("rules broken:\n%s\n\nplayed:\n%s\n\nagain: PAIRS_SEED=%d SCENARIO_LOG=1 go test ./controller -run TestFaultPairs",
-					strings.Join(run.sim.violations, "\n"), strings.Join(run.playedLog, "\n"), seed)
+					strings.Join(run.sim.violations, "\n"), strings.Join(run.runLog, "\n"), seed)
 			} else if testing.Verbose() {
-				t.Logf("%s\n%s", strings.Join(run.playedLog, "\n"), run.summary())
+				t.Logf("%s\n%s", strings.Join(run.runLog, "\n"), run.summary())
 			}
 		})
 	}
 }
 
-// seedsToPlay returns the seeds that the environment asks for, or the fixed ones.
-func seedsToPlay(t *testing.T) []uint64 {
+// seedsToRun returns the seeds that the environment asks for, or the fixed ones.
+func seedsToRun(t *testing.T) []uint64 {
 	t.Helper()
 	if text := os.Getenv("PAIRS_SEED"); text != "" {
 		seed, err := strconv.ParseUint(text, 10, 64)
@@ -92,9 +92,9 @@
 					sim.crash(node, restartDelay)
 				})
 			}
-			run.play()
+			run.execute()
 			if len(sim.violations) > 0 {
-				t.Errorf("rules broken:\n%s\n\nplayed:\n%s", strings.Join(sim.violations, "\n"), strings.Join(run.playedLog, "\n"))
+				t.Errorf("rules broken:\n%s\n\nplayed:\n%s", strings.Join(sim.violations, "\n"), strings.Join(run.runLog, "\n"))
 			}
 		})
 	}
@@ -102,27 +102,27 @@
 
 // faultPairRun is a generated run.
 type faultPairRun struct {
-	seed                 uint64
-	sim                  *simulation
-	rng                  *rand.Rand // the simulation has its own
-	playedLog            []string   // describes the run if it fails
-	expectedRefusals     map[string]int
-	onCancelAcknowledged func(id string) // called once, when a cancellation is acknowledged
-	fitsSince            map[string]micros.Micros
-	activeFaults         int  // not ended yet
-	secondIsKVOutage     bool // the second fault is an outage of the state service
-	withoutDependencies  bool // the version in production does not know dependencies
+	seed                  uint64
+	sim                   *simulation
+	rng                   *rand.Rand // the simulation has its own
+	runLog                []string   // describes the run if it fails
+	expectedRefusalStatus map[string]int
+	onCancelAcknowledged  func(id string) // called once, when a cancellation is acknowledged
+	schedulableSince      map[string]micros.Micros
+	activeFaults          int  // not ended yet
+	secondIsKVOutage      bool // the second fault is an outage of the state service
+	withoutDependencies   bool // the version in production does not know dependencies
 }
 
 const (
-	faultPairsLeadTime = 12 * micros.Second  // the first fault starts after this
-	maxUnknownTime     = 25 * micros.Second  // after the faults, all nodes know all jobs within this
+	faultPairsWarmUp   = 12 * micros.Second  // the first fault starts after this
+	jobStateDeadline   = 25 * micros.Second  // after the faults, all nodes know all jobs within this
 	completionDeadline = 300 * micros.Second // after the faults, all jobs reach a terminal state within this
 	maxSchedulingDelay = 90 * micros.Second  // after the faults, no job that fits waits for longer
 )
 
 func newFaultPairRun(seed uint64) *faultPairRun {
-	run := &faultPairRun{seed: seed, rng: rand.New(rand.NewPCG(seed, faultPairStream)), expectedRefusals: map[string]int{}, fitsSince: map[string]micros.Micros{}}
+	run := &faultPairRun{seed: seed, rng: rand.New(rand.NewPCG(seed, faultPairStream)), expectedRefusalStatus: map[string]int{}, schedulableSince: map[string]micros.Micros{}}
 	rng := run.rng
 	zones := []string{"a", "b", "c"}[:2+rng.IntN(2)]
 	nodes := 3 + 2*rng.IntN(2)
@@ -134,29 +134,29 @@
 	sim := newSimulation(seed, cfg)
 	run.sim = sim
 	sim.cloud.Now = sim.now
-	boot := []float64{1, 10}[rng.IntN(2)]
+	bootSeconds := []float64{1, 10}[rng.IntN(2)]
 	spots := 2 * rng.IntN(2)
-	sim.offerMachineTypes(boot, boot*1.5, zones, zones, 4, spots)
+	sim.offerMachineTypes(bootSeconds, bootSeconds*1.5, zones, zones, 4, spots)
 	machines := 3 + rng.IntN(5)
 	for i := range machines {
 		sim.cloud.Add("small", zones[i%len(zones)], false, 0)
 	}
-	run.logf("%d nodes, %d zones, %d machines, spot %d, boot %g s, spread %t, limits %g and %g, guarantees %g and %g", nodes, len(zones), machines, spots, boot,
+	run.logf("%d nodes, %d zones, %d machines, spot %d, boot %g s, spread %t, limits %g and %g, guarantees %g and %g", nodes, len(zones), machines, spots, bootSeconds,
 		cfg.Tuning.SpreadTeams, cfg.Teams[0].QuotaLimit.CPUs(), cfg.Teams[1].QuotaLimit.CPUs(), cfg.Teams[0].GuaranteedQuota.CPUs(), cfg.Teams[1].GuaranteedQuota.CPUs())
 	return run
 }
 
 // logf adds a line with the simulated time to the log that is printed if the run fails.
 func (run *faultPairRun) logf(format string, args ...any) {
-	run.playedLog = append(run.playedLog, fmt.Sprintf("%v: ", run.sim.now-micros.Hour)+fmt.Sprintf(format, args...))
+	run.runLog = append(run.runLog, fmt.Sprintf("%v: ", run.sim.now-micros.Hour)+fmt.Sprintf(format, args...))
 }
 
 func (run *faultPairRun) randomSeconds(from, to float64) micros.Micros {
 	return micros.FromSeconds(from + run.rng.Float64()*(to-from))
 }
 
-// play generates the run, plays its faults and checks that the service recovers from them.
-func (run *faultPairRun) play() {
+// execute generates the run, plays its faults and checks that the service recovers from them.
+func (run *faultPairRun) execute() {
 	sim := run.sim
 	run.generate()
 	for run.activeFaults > 0 && len(sim.violations) == 0 {
@@ -167,13 +167,13 @@
 	run.logf("troubles are over")
 	run.awaitCompletion()
 	if len(sim.violations) == 0 {
-		run.awaitResponses()
+		run.awaitJobStates()
 	}
 }
 
 // generate draws the jobs, faults and response delays of the run.
 func (run *faultPairRun) generate() {
-	first := faultPairsLeadTime + run.randomSeconds(0, 15)
+	first := faultPairsWarmUp + run.randomSeconds(0, 15)
 	second := first + run.randomSeconds(0, 3)
 	if run.rng.IntN(4) == 0 {
 		second = first + run.randomSeconds(3, 25)
@@ -187,9 +187,9 @@
 		run.generatePipelines(run.seed, first, second)
 	}
 	run.generateInvalidJobs()
-	for i, when := range []micros.Micros{first, second, second + run.randomSeconds(0, 12)}[:len(faults)] {
+	for i, start := range []micros.Micros{first, second, second + run.randomSeconds(0, 12)}[:len(faults)] {
 		run.activeFaults++
-		run.sim.after(when, func() { run.startFault(faults[i]) })
+		run.sim.after(start, func() { run.startFault(faults[i]) })
 	}
 	run.generateResponseDelays()
 }
@@ -197,60 +197,60 @@
 // awaitCompletion runs until all jobs have a terminal state, and reports those that take too long.
 func (run *faultPairRun) awaitCompletion() {
 	sim := run.sim
-	for end := sim.now + completionDeadline; sim.now < end && len(run.openJobs()) > 0 && len(sim.violations) == 0; {
+	for deadline := sim.now + completionDeadline; sim.now < deadline && len(run.openJobs()) > 0 && len(sim.violations) == 0; {
 		sim.run(micros.Second)
 		run.checkSchedulingDelay()
 	}
-	if left := run.openJobs(); len(left) > 0 && len(sim.violations) == 0 {
-		sim.reportViolation("not served %v after the troubles: %s", completionDeadline, strings.Join(left, " "))
+	if open := run.openJobs(); len(open) > 0 && len(sim.violations) == 0 {
+		sim.reportViolation("not served %v after the troubles: %s", completionDeadline, strings.Join(open, " "))
 	}
 }
 
-// awaitResponses checks that all nodes know all jobs well within 75 s of the faults' end: a node
+// awaitJobStates checks that all nodes know all jobs well within 75 s of the faults' end: a node
 // that has just started acknowledges no cancellation for a while.
-func (run *faultPairRun) awaitResponses() {
+func (run *faultPairRun) awaitJobStates() {
 	sim := run.sim
-	for end := sim.now + maxUnknownTime; ; {
-		missing := run.unansweredJobs()
+	for deadline := sim.now + jobStateDeadline; ; {
+		missing := run.missingJobStates()
 		if len(missing) == 0 {
 			return
 		}
-		if sim.now >= end || len(sim.violations) > 0 {
+		if sim.now >= deadline || len(sim.violations) > 0 {
 			sim.reportViolation("forgotten: %v after the troubles these have no answer: %s", sim.now-sim.faultsEndedAt, strings.Join(missing, " "))
 			return
 		}
 	}
 }
 
-// unansweredJobs asks all nodes about all accepted jobs and returns those that a node did not know.
-func (run *faultPairRun) unansweredJobs() []string {
+// missingJobStates asks all nodes about all accepted jobs and returns those that a node did not know.
+func (run *faultPairRun) missingJobStates() []string {
 	sim := run.sim
-	open := map[string]bool{}
+	missing := map[string]bool{}
 	for _, id := range ordered.Keys(sim.accepted) {
-		for n := range sim.nodes {
-			key := fmt.Sprintf("%s at %s", id, nodeName(n))
-			open[key] = true
-			run.sendJobRequest(n, "GET", id, "", func(response Respond) {
+		for node := range sim.nodes {
+			key := fmt.Sprintf("%s at %s", id, nodeName(node))
+			missing[key] = true
+			run.sendJobRequest(node, "GET", id, "", func(response Respond) {
 				if response.Status == 200 {
-					delete(open, key)
+					delete(missing, key)
 				}
 			})
 			sim.run(2 * simulationStep)
 		}
 	}
 	sim.run(3 * micros.Second)
-	return ordered.Keys(open)
+	return ordered.Keys(missing)
 }
 
 // openJobs returns the valid jobs of which no terminal state was reported to a user.
 func (run *faultPairRun) openJobs() []string {
-	var left []string
+	var open []string
 	for _, id := range unfinishedJobs(run.sim) {
-		if run.expectedRefusals[id] == 0 {
-			left = append(left, id)
+		if run.expectedRefusalStatus[id] == 0 {
+			open = append(open, id)
 		}
 	}
-	return left
+	return open
 }
 
 func (run *faultPairRun) summary() string {
--- a/controller/fault_pairs_users_test.go
+++ b/controller/fault_pairs_users_test.go
@@ -24,9 +24,9 @@
 		case 2:
 			job.Tasks = 0
 		}
-		run.expectedRefusals[id] = status
+		run.expectedRefusalStatus[id] = status
 		sim.submitted[id], sim.submissions[id] = job, wire.Encode(wire.FromJob(job))
-		sim.after(faultPairsLeadTime+run.randomSeconds(0, 30), func() { sim.submittedAt[id] = sim.now; run.submit(id, false) })
+		sim.after(faultPairsWarmUp+run.randomSeconds(0, 30), func() { sim.submittedAt[id] = sim.now; run.submit(id, false) })
 	}
 }
 
@@ -52,9 +52,9 @@
 
 func (run *faultPairRun) checkResponse(id string, response Respond, sent micros.Micros, accepted bool) {
 	sim := run.sim
-	if run.expectedRefusals[id] != 0 {
-		if response.Status == 200 || response.Status == 201 || (response.Status == 400 || response.Status == 422) && response.Status != run.expectedRefusals[id] {
-			sim.reportViolation("refusals: a request about %s is answered with status %d, not %d", id, response.Status, run.expectedRefusals[id])
+	if run.expectedRefusalStatus[id] != 0 {
+		if response.Status == 200 || response.Status == 201 || (response.Status == 400 || response.Status == 422) && response.Status != run.expectedRefusalStatus[id] {
+			sim.reportViolation("refusals: a request about %s is answered with status %d, not %d", id, response.Status, run.expectedRefusalStatus[id])
 		}
 		return
 	}
@@ -93,7 +93,7 @@
 
 func (run *faultPairRun) submit(id string, cancelOnAcceptance bool) {
 	sim := run.sim
-	if (sim.accepted[id] || sim.reportedTerminal[id] != "") && run.expectedRefusals[id] == 0 {
+	if (sim.accepted[id] || sim.reportedTerminal[id] != "") && run.expectedRefusalStatus[id] == 0 {
 		return
 	}
 	run.sendJobRequest(run.rng.IntN(len(sim.nodes)), "POST", id, "", func(response Respond) {
--- a/controller/incompatible_test.go
+++ b/controller/incompatible_test.go
@@ -24,11 +24,11 @@
 	t.Helper()
 	records := fullRecords()
 	for key, value := range records {
-		if own, old := decodedText(key, value), process.decodeRecord(key, value); own != old {
-			t.Errorf("%s means\n%s\nand in production\n%s", key, own, old)
+		if presentText, productionText := decodedText(key, value), process.decodeRecord(key, value); presentText != productionText {
+			t.Errorf("%s means\n%s\nand in production\n%s", key, presentText, productionText)
 		}
 	}
-	tried := 0
+	mutations := 0
 	for _, field := range recordFields {
 		kind, path, _ := strings.Cut(field, " ")
 		for name, mutation := range recordMutations {
@@ -36,17 +36,17 @@
 				if recordKind(key) != kind {
 					continue
 				}
-				changed, ok := mutateEncodedRecord(t, value, strings.Fields(path), mutation)
+				mutated, ok := mutateEncodedRecord(t, value, strings.Fields(path), mutation)
 				if ok {
-					tried++
-					checkRecordMutation(t, process, key, value, changed, field+" "+name)
+					mutations++
+					checkRecordMutation(t, process, key, value, mutated, field+" "+name)
 				} else if name != "renamed" {
 					t.Errorf("%s is not there to be %s", field, name)
 				}
 			}
 		}
 	}
-	t.Logf("%d changes of records", tried)
+	t.Logf("%d changes of records", mutations)
 }
 
 // mutateEncodedRecord changes the field at the end of a path in an encoded record.
@@ -64,39 +64,39 @@
 }
 
 // checkRecordMutation checks that both versions read something else in a changed record.
-func checkRecordMutation(t *testing.T, process *productionProcess, key string, value, changed []byte, description string) {
+func checkRecordMutation(t *testing.T, process *productionProcess, key string, value, mutated []byte, description string) {
 	t.Helper()
-	meant := decodedText(key, value)
-	if process.decodeRecord(key, changed) == meant {
+	original := decodedText(key, value)
+	if process.decodeRecord(key, mutated) == original {
 		t.Errorf("%s is not seen in production", description)
 	}
-	if decodedText(key, changed) == meant {
+	if decodedText(key, mutated) == original {
 		t.Errorf("%s is not seen by the present version", description)
 	}
 }
 
 func testIncompatibleMessages(t *testing.T, process *productionProcess) {
 	t.Helper()
-	tried := 0
+	mutations := 0
 	fields := (&peer.Message{}).ProtoReflect().Descriptor().Fields()
 	for i := range fields.Len() {
 		field := fields.Get(i)
 		data := fullMessage(t, field)
-		if own, old := decodedMessage(data), process.decodeMessage(data); own != old {
-			t.Errorf("a message means\n%s\nand in production\n%s", own, old)
+		if presentText, productionText := decodedMessage(data), process.decodeMessage(data); presentText != productionText {
+			t.Errorf("a message means\n%s\nand in production\n%s", presentText, productionText)
 		}
 		for _, path := range fieldPaths(field) {
 			for name, mutation := range wireMutations {
-				changed, ok := mutateWire(data, path, mutation)
+				mutated, ok := mutateWire(data, path, mutation)
 				if !ok {
 					t.Errorf("%v is not there to be %s", path, name)
 				}
-				tried++
-				if process.decodeMessage(changed) == decodedMessage(data) {
+				mutations++
+				if process.decodeMessage(mutated) == decodedMessage(data) {
 					t.Errorf("%v of %s %s is not seen in production", path, field.Name(), name)
 				}
 			}
 		}
 	}
-	t.Logf("%d changes of messages", tried)
+	t.Logf("%d changes of messages", mutations)
 }
