--- a/controller/dump_script_test.go
+++ b/controller/dump_script_test.go
@@ -40,7 +40,7 @@
 		}
 		out := runScenarioCommand(t, sim, d)
 		if len(sim.violations) > 0 {
-			t.Fatalf("%s: rules broken:\n%s", filepath.Base(d.Pos), strings.Join(sim.violations, "\n"))
+			t.Fatalf("%s: rules violated:\n%s", filepath.Base(d.Pos), strings.Join(sim.violations, "\n"))
 		}
 		return out
 	})
--- a/controller/dump_test.go
+++ b/controller/dump_test.go
@@ -14,23 +14,24 @@
 	"tamarindlead/sched"
 )
 
-// dump is a simulation at one moment, with nodes of the version in production: its records, what
-// its machines ran and its users knew, and peer messages up to then. For each record and message
-// it holds what that version reads in it. production/README.md describes how the dumps are made.
-// Tags keep the names that fields have in the recorded dumps.
+// dump is the state of a simulation at one point in time, with nodes of the version in production: its
+// records, its machines with their tasks, its jobs with the states reported to users, and peer messages
+// sent until that time. For each record and message it holds what that version decodes from it.
+// production/README.md describes how the dumps are made. The cbor tags are the names of the fields in the
+// recorded dumps.
 type dump struct {
 	Commit          string
 	Settings        config.Settings
 	Now             micros.Micros
 	Revision        uint64
 	Records         []fake.Record
-	DecodedRecords  []string `cbor:"Readings"` // by the version in production
+	DecodedRecords  []string `cbor:"Readings"` // Records as decoded by the version in production
 	Messages        [][]byte
-	DecodedMessages []string `cbor:"Said"` // by the version in production
+	DecodedMessages []string `cbor:"Said"` // Messages as decoded by the version in production
 	Types           []wire.MachineType
 	Capacity        map[string]int
-	Grants          map[string][]string
-	MachinesCreated int `cbor:"Rented"` // in total
+	Grants          map[string][]string // names of the created machines by scale-out request
+	MachinesCreated int                 `cbor:"Rented"` // number of machines created since the start
 	Machines        []dumpMachine
 	Jobs            []dumpJob
 	CompletedTasks  []string `cbor:"Done"`
@@ -64,17 +65,17 @@
 	CancelledAt      micros.Micros `cbor:"Cancelled"`
 }
 
-// notifyPeerMessage passes a peer message to the test's callback, if any.
+// notifyPeerMessage passes a non-empty peer message to the test's callback, if there is one.
 func (sim *simulation) notifyPeerMessage(body []byte) {
 	if sim.onMessage != nil && len(body) > 0 {
 		sim.onMessage(body)
 	}
 }
 
-// dumpLease is how long the leases of a dump's nodes remain valid.
+// dumpLease is how long the leases of a dump's nodes remain valid after the dump is loaded.
 const dumpLease = 2 * micros.Second
 
-// loadSimulation returns a simulation that continues from a dump; its users ask for their jobs.
+// loadSimulation returns a simulation that continues from a dump. Its users poll the states of their jobs.
 func loadSimulation(d *dump) *simulation {
 	cfg := d.Settings
 	sim := newSimulation(1, &cfg)
@@ -94,7 +95,8 @@
 	return sim
 }
 
-// loadJob restores what users know of a job and has them go on asking.
+// loadJob restores a job and the states reported to its user, who resumes the pending requests and polls
+// the job's state.
 func (sim *simulation) loadJob(saved *dumpJob) {
 	job := saved.Job
 	id := job.ID
@@ -121,7 +123,7 @@
 // loadMachine restores a machine and the worker that ran on it, if any.
 func (sim *simulation) loadMachine(saved *dumpMachine) {
 	machine := saved.CloudMachine
-	machine.Endpoint = fake.Endpoint(machine.Name) // dumps do not hold it
+	machine.Endpoint = fake.Endpoint(machine.Name) // dumps do not contain the endpoint
 	sim.cloud.Machines[machine.Name] = &machine
 	if !saved.Worker {
 		return
@@ -143,7 +145,7 @@
 	t.Helper()
 	paths, err := filepath.Glob("production/*.cbor")
 	if err != nil || len(paths) == 0 {
-		t.Fatalf("no dumps: %v", err)
+		t.Fatalf("no dumps match production/*.cbor: %v", err)
 	}
 	commit, err := productionCommit()
 	if err != nil {
@@ -163,7 +165,7 @@
 			t.Fatalf("%s: %v", path, err)
 		}
 		if d.Commit != commit {
-			t.Errorf("%s is of %s, in production is %s: see production/README.md", path, d.Commit, commit)
+			t.Errorf("%s was made with version %s, but version %s is in production: see production/README.md", path, d.Commit, commit)
 		}
 		all[strings.TrimSuffix(filepath.Base(path), ".cbor")] = &d
 	}
--- a/controller/fault_pairs_faults_test.go
+++ b/controller/fault_pairs_faults_test.go
@@ -12,9 +12,10 @@
 type pairFault struct {
 	name     string
 	start    func(run *faultPairRun) (target string, duration micros.Micros, revert func())
-	kvOutage bool // the fault is an outage of the KV store
+	kvOutage bool // whether the fault is an outage of the KV store
 }
 
+// startFault starts a fault and schedules its end.
 func (run *faultPairRun) startFault(fault pairFault) {
 	target, duration, revert := fault.start(run)
 	run.logf("%s %s for %v", fault.name, target, duration)
@@ -92,7 +93,7 @@
 		}
 		return "", longestDowntime, nil
 	}},
-	{name: "leaders crash one after the other", start: func(run *faultPairRun) (string, micros.Micros, func()) {
+	{name: "nodes crash one after the other", start: func(run *faultPairRun) (string, micros.Micros, func()) {
 		until := run.sim.now + 30*micros.Second
 		var crashNext func()
 		crashNext = func() {
@@ -147,7 +148,7 @@
 	newMachineFault("machines hang", 3, 30, func(worker *fake.Worker, on bool) { worker.Hung = on }),
 	newMachineFault("machines hang for a long time", 50, 70, func(worker *fake.Worker, on bool) { worker.Hung = on }),
 	newMachineFault("machines partitioned", 5, 40, func(worker *fake.Worker, on bool) { worker.Partitioned = on }),
-	newMachineFault("machines do not receive", 5, 30, func(worker *fake.Worker, on bool) { worker.InboundBlocked = on }),
+	newMachineFault("machines receive no messages", 5, 30, func(worker *fake.Worker, on bool) { worker.InboundBlocked = on }),
 	{name: "machines reclaimed without notice", start: func(run *faultPairRun) (string, micros.Micros, func()) {
 		names := ""
 		for _, worker := range run.pickMachines() {
--- a/controller/fault_pairs_pipelines_test.go
+++ b/controller/fault_pairs_pipelines_test.go
@@ -18,14 +18,14 @@
 	nextJob       int
 }
 
-// pipeline is a generated pipeline.
+// pipeline is a group of generated jobs that depend on one another.
 type pipeline struct {
 	shape string
 	at    micros.Micros // earliest submission time of its jobs
 	jobs  []string
 }
 
-// generatePipelines adds pipelines to a run: chains, diamonds and fans. In some of them a job is
+// generatePipelines adds pipelines to a run: chains, diamonds, fan-outs and fan-ins. In some of them a job is
 // cancelled while the faults overlap, and some dependent jobs are submitted only after the jobs that
 // they depend on have reached a terminal state.
 func (run *faultPairRun) generatePipelines(seed uint64, first, second micros.Micros) {
--- a/controller/fault_pairs_test.go
+++ b/controller/fault_pairs_test.go
@@ -14,15 +14,16 @@
 	"tamarindlead/sched"
 )
 
-// faultPairSeeds are always played. More are played on demand: PAIRS=200 plays the seeds 1 to
-// 200, PAIRS=300-400 those from 300 to 400, PAIRS_SEED=7 one, whose log SCENARIO_LOG=1 shows.
+// faultPairSeeds are the seeds that TestFaultPairs runs by default. Environment variables select others:
+// PAIRS=200 runs the seeds 1 to 200, PAIRS=300-400 the seeds 300 to 400, and PAIRS_SEED=7 only the seed 7.
+// SCENARIO_LOG=1 prints the logs of the nodes.
 var faultPairSeeds = []uint64{
 	1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16, 17, 18,
 	19, 20, 21, 22, 23, 24, 25, 26, 27, 29, 30, 31,
 }
 
-// TestFaultPairs plays simulations whose settings, jobs and two or three overlapping faults are
-// drawn from a seed each. The simulation checks the rules at every step.
+// TestFaultPairs runs one simulation for each seed. The seed determines the settings, the jobs and two
+// or three faults, which usually overlap. The simulation checks the rules at every step.
 func TestFaultPairs(t *testing.T) {
 	for _, seed := range seedsToRun(t) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -30,7 +31,7 @@
 			run := newFaultPairRun(seed)
 			run.execute()
 			if len(run.sim.violations) > 0 {
-				t.Errorf("rules broken:\n%s\n\nplayed:\n%s\n\nagain: PAIRS_SEED=%d SCENARIO_LOG=1 go test ./controller -run TestFaultPairs",
+				t.Errorf("rules violated:\n%s\n\nlog of the run:\n%s\n\nto repeat: PAIRS_SEED=%d SCENARIO_LOG=1 go test ./controller -run TestFaultPairs",
 					strings.Join(run.sim.violations, "\n"), strings.Join(run.runLog, "\n"), seed)
 			} else if testing.Verbose() {
 				t.Logf("%s\n%s", strings.Join(run.runLog, "\n"), run.summary())
@@ -39,7 +40,7 @@
 	}
 }
 
-// seedsToRun returns the seeds that the environment asks for, or the fixed ones.
+// seedsToRun returns the seeds that the environment variables select, or faultPairSeeds if none is set.
 func seedsToRun(t *testing.T) []uint64 {
 	t.Helper()
 	if text := os.Getenv("PAIRS_SEED"); text != "" {
@@ -72,12 +73,12 @@
 	return seeds
 }
 
-// upgradeSeeds are played by TestUpgradeFaultPairs.
+// upgradeSeeds are the seeds that TestUpgradeFaultPairs runs.
 var upgradeSeeds = []uint64{1, 2, 3, 4, 5, 6, 7, 8}
 
-// TestUpgradeFaultPairs plays generated faults during a rolling upgrade: all nodes start with the
-// version in production and restart one by one with the present one. A node that crashes before
-// its turn restarts with the old version.
+// TestUpgradeFaultPairs runs generated faults during a rolling upgrade: all nodes start with the version
+// in production and then crash, one after the other, and restart with the present version. A node that a
+// fault crashes before its upgrade restarts with the version in production.
 func TestUpgradeFaultPairs(t *testing.T) {
 	for _, seed := range upgradeSeeds {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -94,31 +95,31 @@
 			}
 			run.execute()
 			if len(sim.violations) > 0 {
-				t.Errorf("rules broken:\n%s\n\nplayed:\n%s", strings.Join(sim.violations, "\n"), strings.Join(run.runLog, "\n"))
+				t.Errorf("rules violated:\n%s\n\nlog of the run:\n%s", strings.Join(sim.violations, "\n"), strings.Join(run.runLog, "\n"))
 			}
 		})
 	}
 }
 
-// faultPairRun is a generated run.
+// faultPairRun is a simulation with generated settings, jobs and faults.
 type faultPairRun struct {
 	seed                  uint64
 	sim                   *simulation
-	rng                   *rand.Rand // the simulation has its own
-	runLog                []string   // describes the run if it fails
-	expectedRefusalStatus map[string]int
-	onCancelAcknowledged  func(id string) // called once, when a cancellation is acknowledged
-	schedulableSince      map[string]micros.Micros
-	activeFaults          int  // not ended yet
-	secondIsKVOutage      bool // the second fault is an outage of the state service
-	withoutDependencies   bool // the version in production does not know dependencies
+	rng                   *rand.Rand               // separate from the generator of the simulation
+	runLog                []string                 // printed if the run fails or the test is verbose
+	expectedRefusalStatus map[string]int           // by job, only for jobs that must be refused
+	onCancelAcknowledged  func(id string)          // called at the next acknowledged cancellation, then unset
+	schedulableSince      map[string]micros.Micros // by job and machine; see recordSchedulableWait
+	activeFaults          int                      // faults that have not ended, started or not
+	secondIsKVOutage      bool                     // the second fault is an outage of the KV store
+	withoutDependencies   bool                     // the version in production does not support them
 }
 
 const (
-	faultPairsWarmUp   = 12 * micros.Second  // the first fault starts after this
-	jobStateDeadline   = 25 * micros.Second  // after the faults, all nodes know all jobs within this
-	completionDeadline = 300 * micros.Second // after the faults, all jobs reach a terminal state within this
-	maxSchedulingDelay = 90 * micros.Second  // after the faults, no job that fits waits for longer
+	faultPairsWarmUp   = 12 * micros.Second  // the first fault starts after at least this time
+	jobStateDeadline   = 25 * micros.Second  // after all jobs are terminal, all nodes respond about them within this time
+	completionDeadline = 300 * micros.Second // after the faults, all jobs reach a terminal state within this time
+	maxSchedulingDelay = 90 * micros.Second  // after the faults, a job that can be scheduled is not pending for longer
 )
 
 func newFaultPairRun(seed uint64) *faultPairRun {
@@ -155,7 +156,8 @@
 	return micros.FromSeconds(from + run.rng.Float64()*(to-from))
 }
 
-// execute generates the run, plays its faults and checks that the service recovers from them.
+// execute generates the run, executes it until the faults have ended, and checks that the service recovers
+// from them.
 func (run *faultPairRun) execute() {
 	sim := run.sim
 	run.generate()
@@ -164,7 +166,7 @@
 	}
 	sim.kvFaults.kvResponseDelay.share, sim.kvFaults.peerResponseDelay.share = 0, 0
 	sim.faultsEndedAt = sim.now
-	run.logf("troubles are over")
+	run.logf("all faults have ended")
 	run.awaitCompletion()
 	if len(sim.violations) == 0 {
 		run.awaitJobStates()
@@ -194,7 +196,8 @@
 	run.generateResponseDelays()
 }
 
-// awaitCompletion runs until all jobs have a terminal state, and reports those that take too long.
+// awaitCompletion runs until all jobs have a terminal state, and reports jobs that exceed
+// completionDeadline or maxSchedulingDelay.
 func (run *faultPairRun) awaitCompletion() {
 	sim := run.sim
 	for deadline := sim.now + completionDeadline; sim.now < deadline && len(run.openJobs()) > 0 && len(sim.violations) == 0; {
@@ -202,12 +205,13 @@
 		run.checkSchedulingDelay()
 	}
 	if open := run.openJobs(); len(open) > 0 && len(sim.violations) == 0 {
-		sim.reportViolation("not served %v after the troubles: %s", completionDeadline, strings.Join(open, " "))
+		sim.reportViolation("no terminal state %v after the end of the faults: %s", completionDeadline, strings.Join(open, " "))
 	}
 }
 
-// awaitJobStates checks that all nodes know all jobs well within 75 s of the faults' end: a node
-// that has just started acknowledges no cancellation for a while.
+// awaitJobStates checks that all nodes respond to queries about all accepted jobs within
+// jobStateDeadline, which is well below the 75 s of maxUnansweredTime. It repeats the queries, because a
+// node that has just started does not acknowledge cancellations for some time.
 func (run *faultPairRun) awaitJobStates() {
 	sim := run.sim
 	for deadline := sim.now + jobStateDeadline; ; {
@@ -216,13 +220,14 @@
 			return
 		}
 		if sim.now >= deadline || len(sim.violations) > 0 {
-			sim.reportViolation("forgotten: %v after the troubles these have no answer: %s", sim.now-sim.faultsEndedAt, strings.Join(missing, " "))
+			sim.reportViolation("forgotten: %v after the end of the faults, queries about these jobs fail: %s", sim.now-sim.faultsEndedAt, strings.Join(missing, " "))
 			return
 		}
 	}
 }
 
-// missingJobStates asks all nodes about all accepted jobs and returns those that a node did not know.
+// missingJobStates queries all nodes about all accepted jobs. It returns the failed queries, each as
+// "JOB at NODE".
 func (run *faultPairRun) missingJobStates() []string {
 	sim := run.sim
 	missing := map[string]bool{}
@@ -242,7 +247,7 @@
 	return ordered.Keys(missing)
 }
 
-// openJobs returns the valid jobs of which no terminal state was reported to a user.
+// openJobs returns the valid jobs for which no terminal state has been reported to a user.
 func (run *faultPairRun) openJobs() []string {
 	var open []string
 	for _, id := range unfinishedJobs(run.sim) {
@@ -255,5 +260,5 @@
 
 func (run *faultPairRun) summary() string {
 	sim := run.sim
-	return fmt.Sprintf("%v: %d starts, %d after a confirmed cancellation, %d jobs, %d cancelled", sim.now-micros.Hour, sim.startedTasks, sim.users.startsAfterCancel, len(sim.submitted), len(sim.acknowledgedCancellations))
+	return fmt.Sprintf("%v: %d tasks started, %d of them after an acknowledged cancellation; %d jobs submitted, %d cancelled", sim.now-micros.Hour, sim.startedTasks, sim.users.startsAfterCancel, len(sim.submitted), len(sim.acknowledgedCancellations))
 }
--- a/controller/fault_pairs_users_test.go
+++ b/controller/fault_pairs_users_test.go
@@ -50,6 +50,8 @@
 	})
 }
 
+// checkResponse checks a response to a user's request about a job. sent is the time of the request, and
+// accepted reports whether the job had been accepted by then.
 func (run *faultPairRun) checkResponse(id string, response Respond, sent micros.Micros, accepted bool) {
 	sim := run.sim
 	if run.expectedRefusalStatus[id] != 0 {
@@ -91,6 +93,7 @@
 	}
 }
 
+// submit submits a job and retries every second until a node accepts it or refuses it permanently.
 func (run *faultPairRun) submit(id string, cancelOnAcceptance bool) {
 	sim := run.sim
 	if (sim.accepted[id] || sim.reportedTerminal[id] != "") && run.expectedRefusalStatus[id] == 0 {
@@ -128,6 +131,7 @@
 	})
 }
 
+// poll queries the state of a job repeatedly until a terminal state has been reported.
 func (run *faultPairRun) poll(id string) {
 	sim := run.sim
 	if sim.reportedTerminal[id] != "" {
--- a/controller/incompatible_test.go
+++ b/controller/incompatible_test.go
@@ -8,9 +8,9 @@
 	"tamarindlead/internal/wire"
 )
 
-// TestIncompatibleFieldsAreDetected makes each field of each record and message incompatible and
-// checks that the comparison of TestProductionReads and TestProductionRecords reports it: that
-// what the version in production reads differs then from what was meant.
+// TestIncompatibleFieldsAreDetected makes each field of each record and message incompatible and checks
+// that the version in production then decodes another value than from the original. Otherwise the
+// comparisons in TestProductionReads and TestProductionRecords would not detect incompatible fields.
 func TestIncompatibleFieldsAreDetected(t *testing.T) {
 	process := startProduction(t)
 	t.Run("records", func(t *testing.T) { testIncompatibleRecords(t, process) })
@@ -25,7 +25,7 @@
 	records := fullRecords()
 	for key, value := range records {
 		if presentText, productionText := decodedText(key, value), process.decodeRecord(key, value); presentText != productionText {
-			t.Errorf("%s means\n%s\nand in production\n%s", key, presentText, productionText)
+			t.Errorf("%s is decoded as\n%s\nin production as\n%s", key, presentText, productionText)
 		}
 	}
 	mutations := 0
@@ -41,15 +41,16 @@
 					mutations++
 					checkRecordMutation(t, process, key, value, mutated, field+" "+name)
 				} else if name != "renamed" {
-					t.Errorf("%s is not there to be %s", field, name)
+					t.Errorf("the records have no field %s for the mutation %q", field, name)
 				}
 			}
 		}
 	}
-	t.Logf("%d changes of records", mutations)
+	t.Logf("%d mutated records", mutations)
 }
 
-// mutateEncodedRecord changes the field at the end of a path in an encoded record.
+// mutateEncodedRecord changes the field at the end of a path in an encoded record. It returns the changed
+// record and whether the field exists.
 func mutateEncodedRecord(t *testing.T, value []byte, path []string, mutation fieldMutation) ([]byte, bool) {
 	t.Helper()
 	var decoded any
@@ -63,15 +64,16 @@
 	return wire.Encode(decoded), true
 }
 
-// checkRecordMutation checks that both versions read something else in a changed record.
+// checkRecordMutation checks that both versions decode another value from a mutated record than from the
+// original.
 func checkRecordMutation(t *testing.T, process *productionProcess, key string, value, mutated []byte, description string) {
 	t.Helper()
 	original := decodedText(key, value)
 	if process.decodeRecord(key, mutated) == original {
-		t.Errorf("%s is not seen in production", description)
+		t.Errorf("%s is not detected by the version in production", description)
 	}
 	if decodedText(key, mutated) == original {
-		t.Errorf("%s is not seen by the present version", description)
+		t.Errorf("%s is not detected by the present version", description)
 	}
 }
 
@@ -83,20 +85,20 @@
 		field := fields.Get(i)
 		data := fullMessage(t, field)
 		if presentText, productionText := decodedMessage(data), process.decodeMessage(data); presentText != productionText {
-			t.Errorf("a message means\n%s\nand in production\n%s", presentText, productionText)
+			t.Errorf("a message is decoded as\n%s\nin production as\n%s", presentText, productionText)
 		}
 		for _, path := range fieldPaths(field) {
 			for name, mutation := range wireMutations {
 				mutated, ok := mutateWire(data, path, mutation)
 				if !ok {
-					t.Errorf("%v is not there to be %s", path, name)
+					t.Errorf("the message has no field %v for the mutation %q", path, name)
 				}
 				mutations++
 				if process.decodeMessage(mutated) == decodedMessage(data) {
-					t.Errorf("%v of %s %s is not seen in production", path, field.Name(), name)
+					t.Errorf("%v of %s %s is not detected by the version in production", path, field.Name(), name)
 				}
 			}
 		}
 	}
-	t.Logf("%d changes of messages", mutations)
+	t.Logf("%d mutated messages", mutations)
 }
--- a/controller/production_records_test.go
+++ b/controller/production_records_test.go
@@ -46,7 +46,7 @@
 		sim.run(micros.Second)
 	}
 	if len(sim.violations) > 0 {
-		t.Errorf("rules broken:\n%s", strings.Join(sim.violations, "\n"))
+		t.Errorf("rules violated:\n%s", strings.Join(sim.violations, "\n"))
 	}
 	if left := unfinishedJobs(sim); len(left) > 0 {
 		t.Errorf("without a terminal state: %s", strings.Join(left, " "))
@@ -211,6 +211,6 @@
 		t.Error("the blocked job has started")
 	}
 	if len(sim.violations) > 0 {
-		t.Errorf("rules broken:\n%s", strings.Join(sim.violations, "\n"))
+		t.Errorf("rules violated:\n%s", strings.Join(sim.violations, "\n"))
 	}
 }
--- a/controller/production_test.go
+++ b/controller/production_test.go
@@ -11,7 +11,7 @@
 	"tamarindlead/micros"
 )
 
-// productionCommands upgrade and downgrade nodes.
+// productionCommands are the scenario commands that upgrade and downgrade nodes or print their version.
 var productionCommands = commandTable{
 	"upgrade":       silent(func(c *command) { c.replaceVersion(currentVersion, c.node()) }),
 	"downgrade":     silent(func(c *command) { c.replaceVersion(productionVersion, c.node()) }),
@@ -25,7 +25,7 @@
 	},
 }
 
-// replaceVersion stops nodes at once and restarts them with another version.
+// replaceVersion crashes nodes and restarts them with another version.
 func (c *command) replaceVersion(to version, nodes ...*simNode) {
 	c.t.Helper()
 	for _, node := range nodes {
@@ -34,7 +34,8 @@
 	}
 }
 
-// startWithProduction has the first nodes start with the version in production.
+// startWithProduction starts the program of the version in production and sets the given number of nodes,
+// from the first, to run that version.
 func (sim *simulation) startWithProduction(t *testing.T, nodes int) {
 	sim.production = startProduction(t)
 	for _, node := range sim.nodes[:nodes] {
@@ -42,14 +43,15 @@
 	}
 }
 
-// productionProcess is the running program of the version in production.
+// productionProcess is a process that runs the program of the version in production.
 type productionProcess struct {
 	out *gob.Encoder
 	in  *gob.Decoder
-	err error // set once the program has ended
+	err error // the first error of an exchange; no exchange is possible after it
 }
 
-// These are NodeRequest, NodeResponse and Effect of the program (production/_node/main.go).
+// These types correspond to NodeRequest, NodeResponse and Effect of the program
+// (production/_node/main.go), which describes their fields.
 type (
 	productionRequest struct {
 		Node     int
@@ -76,7 +78,7 @@
 	}
 )
 
-// startProduction runs the production version until the test ends.
+// startProduction starts a process of the version in production that runs until the test ends.
 func startProduction(t *testing.T) *productionProcess {
 	t.Helper()
 	program, err := productionProgram()
@@ -98,12 +100,13 @@
 	}
 	t.Cleanup(func() {
 		if err := errors.Join(stdin.Close(), cmd.Wait()); err != nil {
-			t.Errorf("the production version: %v", err)
+			t.Errorf("the process of the production version has failed: %v", err)
 		}
 	})
 	return &productionProcess{out: gob.NewEncoder(stdin), in: gob.NewDecoder(stdout)}
 }
 
+// exchange sends a request to the process and returns its response, which is empty after an error.
 func (process *productionProcess) exchange(request productionRequest) (response productionResponse) {
 	if process.err == nil {
 		process.err = process.out.Encode(toProduction(request))
