--- a/controller/fault_pairs_pipelines_test.go
+++ b/controller/fault_pairs_pipelines_test.go
@@ -18,14 +18,14 @@
 	nextJob       int
 }
 
-// pipeline is a generated pipeline.
+// pipeline is a group of generated jobs that depend on one another.
 type pipeline struct {
 	shape string
 	at    micros.Micros // earliest submission time of its jobs
 	jobs  []string
 }
 
-// generatePipelines adds pipelines to a run: chains, diamonds and fans. In some of them a job is
+// generatePipelines adds pipelines to a run: chains, diamonds, fan-outs and fan-ins. In some of them a job is
 // cancelled while the faults overlap, and some dependent jobs are submitted only after the jobs that
 // they depend on have reached a terminal state.
 func (run *faultPairRun) generatePipelines(seed uint64, first, second micros.Micros) {
@@ -115,9 +115,9 @@
 	for i, dependencies := range []any{[]string{"req-000100", "req-000950"}, []any{"req-000100", nil}} {
 		id := jobName(910 + i)
 		job := &sched.Job{ID: id, Class: "stage", Team: "red", Tasks: 1, Need: sched.NewResources(1, 0, 1), Image: "img", ImageGB: 1}
-		run.expectedRefusals[id] = []int{422, 400}[i]
+		run.expectedRefusalStatus[id] = []int{422, 400}[i]
 		sim.submitted[id], sim.submissions[id] = job, withDependencyField(wire.Encode(wire.FromJob(job)), dependencies)
-		sim.after(faultPairsLeadTime+micros.FromSeconds(30*rng.Float64()), func() { sim.submittedAt[id] = sim.now; run.submit(id, false) })
+		sim.after(faultPairsWarmUp+micros.FromSeconds(30*rng.Float64()), func() { sim.submittedAt[id] = sim.now; run.submit(id, false) })
 	}
 }
 
