--- a/controller/fault_pairs_faults_test.go
+++ b/controller/fault_pairs_faults_test.go
@@ -133,9 +133,9 @@
 	newKVOutage("state service down", 5, 15),
 	newKVOutage("state service down for long", 50, 70), // longer than the cancellation deadline
 	newClusterFault("state service slow", 15, 40, func(sim *simulation, on bool) {
-		sim.kvFaults.responseDelay = 0
+		sim.kvFaults.kvLatency = 0
 		if on {
-			sim.kvFaults.responseDelay = 600 * micros.Millisecond
+			sim.kvFaults.kvLatency = 600 * micros.Millisecond
 		}
 	}),
 	{name: "zone cut off", start: func(run *faultPairRun) (string, micros.Micros, func()) {
--- a/controller/faults_state_test.go
+++ b/controller/faults_state_test.go
@@ -17,7 +17,7 @@
 	rng                  *rand.Rand
 	unansweredCommitRate float64       // share of the commits that are applied with a delay, without a response
 	responseLostOnly     bool          // these commits are applied immediately; only their responses are lost
-	responseDelay        micros.Micros // of the KV store, for calls other than watches
+	kvLatency            micros.Micros // of the KV store, for calls other than watches
 	peerLossRate         float64       // share of the peer messages that are lost
 	peerResponsesOnly    bool          // only responses are lost
 	peerHeartbeatsSpared bool          // no peer heartbeats and no forwarded KV calls are lost
@@ -64,8 +64,8 @@
 		})
 		return
 	}
-	if faults.responseDelay > 0 && !strings.HasPrefix(call.Target, "/changes") {
-		half := faults.responseDelay / 2
+	if faults.kvLatency > 0 && !strings.HasPrefix(call.Target, "/changes") {
+		half := faults.kvLatency / 2
 		sim.after(half, func() {
 			deliver(func(response fake.Response) { sim.after(half, func() { respond(response) }) })
 		})
@@ -104,8 +104,8 @@
 		c.revertLater(func() { faults.unansweredCommitRate = 0 })
 	}),
 	"kv-latency": silent(func(c *command) {
-		c.sim.kvFaults.responseDelay = micros.FromMillis(c.number("ms", 1000))
-		c.revertLater(func() { c.sim.kvFaults.responseDelay = 0 })
+		c.sim.kvFaults.kvLatency = micros.FromMillis(c.number("ms", 1000))
+		c.revertLater(func() { c.sim.kvFaults.kvLatency = 0 })
 	}),
 	"lose-peer-messages": silent(func(c *command) {
 		faults := &c.sim.kvFaults
--- a/controller/faults_workers_test.go
+++ b/controller/faults_workers_test.go
@@ -21,9 +21,9 @@
 	capturedHeartbeats   [][]byte                 // heartbeats that replay-captured-heartbeats sends
 	commandDelayRate     float64                  // share of the direct commands whose request or response is delayed
 	minCommandDelay      micros.Micros
-	commandDelay         micros.Micros
+	maxCommandDelay      micros.Micros
 	delayRequestOnly     bool          // responses are not delayed
-	commitDelay          micros.Micros // upper bound of the delay of commits
+	maxCommitDelay       micros.Micros // upper bound of the delay of commits
 	owners               map[int]any   // by node: its ownership in the previous step
 	activeOwners         map[int]any   // by node: its active ownership in the previous step
 }
@@ -49,7 +49,7 @@
 	if sim.commandDelayRate == 0 || sim.rng.Float64() >= sim.commandDelayRate {
 		return respond
 	}
-	wait := sim.randomDuration(sim.minCommandDelay, sim.commandDelay)
+	wait := sim.randomDuration(sim.minCommandDelay, sim.maxCommandDelay)
 	if sim.delayRequestOnly || sim.rng.IntN(2) == 0 {
 		worker := sim.workers[strings.TrimPrefix(call.Addr, workerAddrPrefix)]
 		sim.after(wait, func() { sim.executeWhenResumed(worker, call, respond) })
@@ -72,11 +72,11 @@
 
 // afterCommitDelay calls do, with a delay if commits are delayed and the call is one.
 func (sim *simulation) afterCommitDelay(call Call, do func()) {
-	if sim.commitDelay == 0 || call.Target != "/commit" {
+	if sim.maxCommitDelay == 0 || call.Target != "/commit" {
 		do()
 		return
 	}
-	sim.after(sim.randomDuration(sim.commitDelay/2, sim.commitDelay), do)
+	sim.after(sim.randomDuration(sim.maxCommitDelay/2, sim.maxCommitDelay), do)
 }
 
 // selectMachines returns the machines that a command selects by count, share or zone, those with the
@@ -129,12 +129,12 @@
 	}),
 	"delay-commands": silent(func(c *command) {
 		c.sim.commandDelayRate, c.sim.delayRequestOnly = c.number("share", 1), c.HasArg("requests-only")
-		c.sim.minCommandDelay, c.sim.commandDelay = c.seconds("min-delay", 1), c.seconds("max-delay", 8)
+		c.sim.minCommandDelay, c.sim.maxCommandDelay = c.seconds("min-delay", 1), c.seconds("max-delay", 8)
 		c.revertLater(func() { c.sim.commandDelayRate = 0 })
 	}),
 	"slow-commits": silent(func(c *command) {
-		c.sim.commitDelay = c.seconds("max-delay", 0)
-		c.revertLater(func() { c.sim.commitDelay = 0 })
+		c.sim.maxCommitDelay = c.seconds("max-delay", 0)
+		c.revertLater(func() { c.sim.maxCommitDelay = 0 })
 	}),
 	"fast-boot": silent(func(c *command) {
 		c.sim.cloud.BootTime = func(micros.Micros) micros.Micros { return c.sim.randomDuration(micros.Second/2, 2*micros.Second) }
--- a/controller/users_responses_test.go
+++ b/controller/users_responses_test.go
@@ -68,18 +68,18 @@
 // checkState checks a state of a job that is reported to a user.
 func (sim *simulation) checkState(job *sched.Job, status wire.JobPhase, sent micros.Micros) {
 	users, id := &sim.users, job.ID
-	final := status == wire.JobDone || status == wire.JobCancelled
-	if was, ok := sim.reportedTerminal[id]; ok && was != status && (final || users.terminalSeenAt[id] <= sent) {
+	terminal := status == wire.JobDone || status == wire.JobCancelled
+	if was, ok := sim.reportedTerminal[id]; ok && was != status && (terminal || users.terminalSeenAt[id] <= sent) {
 		sim.reportViolation("went_back: %s was %s, is %s", id, was, status)
 	}
-	fresh := sim.reportedTerminal[id] == "" && final
+	fresh := sim.reportedTerminal[id] == "" && terminal
 	if _, ok := users.acceptedAt[id]; !ok {
 		users.acceptedAt[id], fresh = sim.now, true
 		if in, ok := users.cancelAfter[id]; ok {
 			sim.after(in, func() { sim.cancel(id, users.rng.IntN(len(sim.nodes))) })
 		}
 	}
-	if final {
+	if terminal {
 		sim.checkTerminalState(job, status)
 	}
 	if fresh {
--- a/internal/cancellation/announcement.go
+++ b/internal/cancellation/announcement.go
@@ -59,7 +59,7 @@
 		t.recordUnacknowledged(a, now)
 		t.host.HandleAcknowledgeable(a.job)
 	}
-	t.answerRequests(a, complete, now)
+	t.completeRequests(a, complete, now)
 	if !complete && now >= a.nextSend {
 		t.send(a, now)
 	}
@@ -88,9 +88,9 @@
 	}
 }
 
-// answerRequests calls done for the requests of a complete announcement, and for those that cannot be
+// completeRequests calls done for the requests of a complete announcement, and for those that cannot be
 // acknowledged before their deadline.
-func (t *Tracker) answerRequests(a *announcement, complete bool, now micros.Micros) {
+func (t *Tracker) completeRequests(a *announcement, complete bool, now micros.Micros) {
 	pending := a.requests[:0]
 	for _, r := range a.requests {
 		switch {
--- a/internal/frontend/cancellations_test.go
+++ b/internal/frontend/cancellations_test.go
@@ -105,9 +105,9 @@
 	}
 }
 
-// TestCancellationIsAnsweredOnceAcknowledged checks that the user gets no response between the commit
+// TestCancellationResponseFollowsAcknowledgement checks that the user gets no response between the commit
 // of a cancellation and its acknowledgement by the peers.
-func TestCancellationIsAnsweredOnceAcknowledged(t *testing.T) {
+func TestCancellationResponseFollowsAcknowledgement(t *testing.T) {
 	f := newFixture(t)
 	f.graph.versions[testJobID] = 7
 	f.cancel()
--- a/internal/frontend/lookups_test.go
+++ b/internal/frontend/lookups_test.go
@@ -137,8 +137,8 @@
 	f.checkResponse(wire.StatusUnavailable, "state service does not answer")
 }
 
-// TestStrings checks that the values of enumerations are distinct.
-func TestStrings(t *testing.T) {
+// TestEnumTextsAreDistinct checks that the values of enumerations are distinct.
+func TestEnumTextsAreDistinct(t *testing.T) {
 	seen := map[string]bool{"invalid": true}
 	for _, s := range []string{
 		jobview.DependenciesUnknown.String(), jobview.DependenciesNeverAccepted.String(), jobview.DependenciesOpen.String(), jobview.DependenciesCancelled.String(),
--- a/internal/frontend/responses_test.go
+++ b/internal/frontend/responses_test.go
@@ -8,9 +8,9 @@
 	"tamarindlead/micros"
 )
 
-// TestCheckResponseRejectsStaleRead checks that a response that is based on a read from before the
+// TestCheckResponseRefusesStaleRead checks that a response that is based on a read from before the
 // request is replaced by a refusal, and counted as a violation.
-func TestCheckResponseRejectsStaleRead(t *testing.T) {
+func TestCheckResponseRefusesStaleRead(t *testing.T) {
 	const job = testJobID
 	read := func(at micros.Micros) lookupResult {
 		return activeResult(7, freshness.Evidence{Basis: freshness.RecordRead, SentAt: at})
--- a/internal/jobview/watch.go
+++ b/internal/jobview/watch.go
@@ -18,9 +18,9 @@
 }
 
 // stop ends the watch. It may start again after watchInterval.
-func (f *watcher) stop(now micros.Micros) {
-	f.running = false
-	f.retryAt = now + watchInterval
+func (w *watcher) stop(now micros.Micros) {
+	w.running = false
+	w.retryAt = now + watchInterval
 }
 
 // Tick starts the watch of the active jobs at a node that owns no teams, unless it is running.
