--- a/config/config_test.go
+++ b/config/config_test.go
@@ -74,7 +74,7 @@
 	t.Helper()
 	var keyErr *KeyError
 	if !errors.As(err, &keyErr) || keyErr.Key != key || !strings.HasPrefix(err.Error(), key+": ") {
-		t.Errorf("error %v, want one about %s", err, key)
+		t.Errorf("error %v, want a KeyError about %s", err, key)
 	}
 }
 
@@ -122,7 +122,7 @@
 		{"rps = 100.0", limits{100, 20, 8192, 16}},
 		{"rps = 100", limits{100, 20, 8192, 16}},
 		{"value_kb = 2.5", limits{150, 20, 2560, 16}},
-		// Larger limits apply only after they take effect.
+		// Upcoming limits that are larger than the present ones are ignored until they take effect.
 		{"rps = 500.0\nwrite_rps = 90.0\nvalue_kb = 64.0\ntxn_ops = 64", present},
 		{"other = 1", present},
 	} {
--- a/config/properties_test.go
+++ b/config/properties_test.go
@@ -78,11 +78,11 @@
 				t.Fatal(err)
 			}
 			if byDeprecated != byCurrent || byDeprecated == DefaultTuning() {
-				t.Errorf("tuning %+v, by %s %+v", byDeprecated, current, byCurrent)
+				t.Errorf("tuning %+v, want the same as with %s, %+v, and not the defaults", byDeprecated, current, byCurrent)
 			}
 			_, err = ParseTuning([]byte(deprecated + " = 7\n" + current + " = 7"))
 			if !errors.Is(err, ErrDuplicateProperty) {
-				t.Errorf("error with %s: %v", current, err)
+				t.Errorf("error %v with both keys, want %v", err, ErrDuplicateProperty)
 			}
 		})
 	}
--- a/config/settings.go
+++ b/config/settings.go
@@ -73,7 +73,8 @@
 	// key-value store.
 	KVRequestRate float64
 	KVWriteRate   float64
-	// MaxValueBytes limits the size of a value, MaxTransactionOps the writes of a transaction.
+	// MaxValueBytes limits the size of a value, and MaxTransactionOps the number of writes of a
+	// transaction.
 	MaxValueBytes     int
 	MaxTransactionOps int
 	// CloudRequestRate limits the requests per second to the cloud, and CloudListLag bounds
--- a/daemon/node.go
+++ b/daemon/node.go
@@ -106,7 +106,7 @@
 func (n *node) respond(loop *reactor.Loop, response controller.Respond) {
 	exchange, ok := n.pending[response.ID]
 	if !ok {
-		return // has had its response
+		return // the request has already had its response
 	}
 	delete(n.pending, response.ID)
 	exchange.Reply(loop, httpwire.OutgoingResponse{
--- a/internal/cancellation/announcement.go
+++ b/internal/cancellation/announcement.go
@@ -27,8 +27,8 @@
 }
 
 // Announce announces to the peers that a job is cancelled, and calls done after it is decided whether
-// the cancellation may be acknowledged to the user. The caller has no use for a decision after the
-// deadline.
+// the cancellation may be acknowledged to the user. If that is not permitted by the deadline, done is
+// called with false.
 func (t *Tracker) Announce(job string, deadline, now micros.Micros, done func(mayAcknowledge bool)) {
 	a := t.announcements[job]
 	if a == nil {
@@ -47,8 +47,9 @@
 // Pending reports whether any announcement lacks a required acknowledgement.
 func (t *Tracker) Pending() bool { return len(t.announcements) > 0 }
 
-// advance removes an announcement if no further acknowledgement is required. Otherwise it sends the
-// announcement again, when that is due, to the peers that must acknowledge it.
+// advance completes and removes an announcement if no further acknowledgement is required. Otherwise
+// it sends the announcement, at the earliest resendInterval after the previous time, to the peers that
+// must acknowledge it.
 func (t *Tracker) advance(a *announcement, now micros.Micros) {
 	if t.announcements[a.job] != a {
 		return // the announcement is already complete
--- a/internal/cancellation/tracker_test.go
+++ b/internal/cancellation/tracker_test.go
@@ -60,7 +60,7 @@
 	var got result
 	tracker.Announce("j", start+micros.Second, start, got.done)
 	if got != (result{1, true}) || tracker.Pending() || !slices.Equal(host.acknowledgeable, []string{"j"}) {
-		t.Fatalf("result %+v, acknowledged to users %v", got, host.acknowledgeable)
+		t.Fatalf("result %+v, acknowledged to users %v, pending %t; want one call with true, [j] and false", got, host.acknowledgeable, tracker.Pending())
 	}
 	if !tracker.MayRenewLease(0, start) {
 		t.Fatal("a node without peers does not renew leases, although it knows all cancellations")
@@ -75,7 +75,7 @@
 	var early, late result
 	tracker.Announce("j", start+micros.Second, start, early.done)
 	if early != (result{1, false}) {
-		t.Fatalf("request with a deadline within the withholding period: %+v", early)
+		t.Fatalf("request with a deadline within the withholding period: result %+v, want one call with false", early)
 	}
 	tracker.Announce("j", start+inSeconds(30), start+micros.Second, late.done)
 	host.responses[0](start + micros.Second)
@@ -85,7 +85,7 @@
 	}
 	tracker.Tick(afterRestart)
 	if late != (result{1, true}) {
-		t.Fatalf("after the withholding period: %+v", late)
+		t.Fatalf("after the withholding period: result %+v, want one call with true", late)
 	}
 	if afterRestart-start <= grantPeriod {
 		t.Fatal("the withholding period does not allow for clock drift")
@@ -135,7 +135,7 @@
 				tracker.Tick(c.completeAt)
 			}
 			if got != (result{1, true}) || tracker.Pending() {
-				t.Fatalf("result %+v, pending %t", got, tracker.Pending())
+				t.Fatalf("result %+v, pending %t; want one call with true, and false", got, tracker.Pending())
 			}
 			// The next grants show which peers have not acknowledged.
 			checkGrant(t, tracker, "b", c.completeAt+inSeconds(1), c.sinceB)
@@ -160,7 +160,7 @@
 		t.Fatalf("sent %v; want %v", host.sent, want)
 	}
 	if got != (result{1, false}) || !tracker.Pending() {
-		t.Fatalf("after the deadline: result %+v, or the announcement is no longer pending", got)
+		t.Fatalf("after the deadline: result %+v, announcement pending %t; want one call with false, and true", got, tracker.Pending())
 	}
 	if !slices.Equal(host.cancelled, []string{"j"}) || !tracker.IsCancelled("j") {
 		t.Fatal("the cancellation is not recorded exactly once")
@@ -174,7 +174,7 @@
 	var got result
 	tracker.Announce("j", now+inSeconds(9), now, got.done)
 	if jobs := tracker.Unacknowledged("b"); !slices.Equal(jobs, []string{"j"}) {
-		t.Fatalf("the heartbeat lists %v", jobs)
+		t.Fatalf("the heartbeat lists %v, want [j]", jobs)
 	}
 	receiver, host := newTracker("a")
 	receiver.HandlePeerHeartbeat("a", tracker.Unacknowledged("b"), nil, now)
@@ -183,7 +183,7 @@
 	}
 	tracker.HandlePeerHeartbeat("b", nil, receiver.PendingAcknowledgements("a"), now+micros.Second)
 	if got != (result{1, true}) || len(tracker.Unacknowledged("b")) != 0 {
-		t.Fatalf("after the acknowledging heartbeat: %+v", got)
+		t.Fatalf("after the acknowledging heartbeat: result %+v, unacknowledged %v; want one call with true, and none", got, tracker.Unacknowledged("b"))
 	}
 }
 
@@ -202,10 +202,12 @@
 		tracker.Tick(now)
 	}
 	if limit := announcedAt + 2*grantPeriod + inSeconds(2); got != (result{1, true}) || now > limit {
-		t.Fatalf("after %v: result %+v", now-announcedAt, got)
+		t.Fatalf("after %v: result %+v, want one call with true after at most %v", now-announcedAt, got, limit-announcedAt)
 	}
 }
 
+// TestBounds checks the bounds of the pending announcements, of the jobs that a heartbeat lists, and of
+// the time for which cancelled jobs are kept.
 func TestBounds(t *testing.T) {
 	now := start + inSeconds(60)
 	tracker, _ := newTracker("b")
@@ -216,10 +218,10 @@
 	var got result
 	tracker.Announce("one more", now+micros.Second, now, got.done)
 	if got != (result{1, false}) {
-		t.Fatalf("beyond the bound: result %+v", got)
+		t.Fatalf("announcement beyond the bound: result %+v, want one call with false", got)
 	}
 	if n := len(tracker.Unacknowledged("b")); n != maxInHeartbeat {
-		t.Fatalf("a heartbeat lists %d jobs, want maxInHeartbeat", n)
+		t.Fatalf("a heartbeat lists %d jobs, want %d", n, maxInHeartbeat)
 	}
 	tracker.PruneCancelled(now + cancelledRetention)
 	if !tracker.IsCancelled("0") {
@@ -271,7 +273,7 @@
 			tracker, _ := newTracker("b")
 			tracker.ApplyGrant("b", c.grant, now, readUntil, now)
 			if got := tracker.MayRenewLease(0, now); got != c.want {
-				t.Errorf("renewed %t; want %t", got, c.want)
+				t.Errorf("leases are renewed: %t; want %t", got, c.want)
 			}
 		})
 	}
--- a/internal/freshness/freshness_test.go
+++ b/internal/freshness/freshness_test.go
@@ -42,7 +42,7 @@
 // TestTerminalStateEvidence checks that a terminal state covers every request.
 func TestTerminalStateEvidence(t *testing.T) {
 	if !TerminalStateEvidence().Covers(1 << 60) {
-		t.Error("a terminal state does not cover a late request")
+		t.Error("a terminal state does not cover a request that arrived at 1<<60, want every request covered")
 	}
 }
 
--- a/internal/frontend/cancellations_test.go
+++ b/internal/frontend/cancellations_test.go
@@ -99,7 +99,7 @@
 			c.run(f)
 			f.checkResponse(c.status, c.reason)
 			if f.violations != 0 || len(f.calls) != 0 {
-				t.Errorf("%d violations, %d unanswered calls", f.violations, len(f.calls))
+				t.Errorf("%d violations and %d calls without a response, want none", f.violations, len(f.calls))
 			}
 		})
 	}
@@ -117,6 +117,6 @@
 	}
 	f.announcements[0](true)
 	if state, ok := f.onlyResponse().body.(wire.JobState); !ok || state.Status != wire.JobCancelled {
-		t.Errorf("response %+v, want %s", f.onlyResponse(), wire.JobCancelled)
+		t.Errorf("response %+v, want one with the status %s", f.onlyResponse(), wire.JobCancelled)
 	}
 }
--- a/internal/frontend/fixture_test.go
+++ b/internal/frontend/fixture_test.go
@@ -40,7 +40,7 @@
 	return ""
 }
 
-// kvCall is a call to the key-value store without a response.
+// kvCall is a call to the key-value store that has not had its response yet.
 type kvCall struct {
 	request kv.Request
 	done    func(kv.Result)
@@ -64,15 +64,15 @@
 	// The key-value store and the budget of calls to it.
 	unavailable bool
 	calls       []kvCall
-	writes      int
-	noRequests  bool
+	writes      int  // the available writes
+	noRequests  bool // the budget allows no requests
 
 	graph           *fakeGraph
-	dependencyCheck func(jobview.DependencyResult)
-	refreshes       []func(ok bool)
+	dependencyCheck func(jobview.DependencyResult) // callback of the latest call of CheckDependencies
+	refreshes       []func(ok bool)                // callbacks of the calls of Refresh
 	terminal        map[string]wire.JobPhase
 	cancelled       map[string]bool
-	announcements   []func(mayAcknowledge bool)
+	announcements   []func(mayAcknowledge bool) // callbacks of the calls of Announce
 	ownedVersions   map[string]uint64
 	ownedCounts     map[string]TaskCounts
 	peerCounts      map[string]TaskCounts
@@ -118,7 +118,7 @@
 	}
 	temporary := status == wire.StatusUnavailable || status == wire.StatusTooManyRequests
 	if got.retryAfter != temporary {
-		f.t.Errorf("response %d with Retry-After %t", got.status, got.retryAfter)
+		f.t.Errorf("response %d with Retry-After %t, want %t", got.status, got.retryAfter, temporary)
 	}
 }
 
@@ -127,15 +127,15 @@
 	f.frontend.HandleRequest(Request{ID: 1, Method: method, Path: path, Body: body})
 }
 
-// flush advances the time by the batch interval of lookups and sends what is pending.
+// flush advances the time by LookupBatchInterval and sends the pending submissions and lookups.
 func (f *fixture) flush() {
 	f.time += LookupBatchInterval
 	f.frontend.FlushSubmissions()
 	f.frontend.FlushLookups()
 }
 
-// respondKV responds to the oldest call to the key-value store, whose target is checked, with a body
-// unless it is nil.
+// respondKV checks the target of the oldest call to the key-value store and responds to it. The
+// response has a body unless body is nil.
 func (f *fixture) respondKV(target string, outcome kv.Outcome, body any) {
 	f.t.Helper()
 	if len(f.calls) == 0 {
--- a/internal/frontend/lookup_batches.go
+++ b/internal/frontend/lookup_batches.go
@@ -8,16 +8,16 @@
 	"tamarindlead/internal/record"
 )
 
-// comparisonsPerOp bounds the size of a transaction that only compares versions: it has at most
-// comparisonsPerOp comparisons for each write that another transaction may have.
+// comparisonsPerOp bounds the size of a transaction that only compares versions: it may have
+// comparisonsPerOp times as many comparisons as a transaction may have writes.
 const comparisonsPerOp = 4
 
-// lookupBatch holds lookups that are served together: all in compared by one transaction, and all in
-// derived by one refresh of the view.
+// lookupBatch holds lookups that are served together. One transaction serves all lookups in compared,
+// and one refresh of the view serves all lookups in derived.
 type lookupBatch struct {
-	compared []*lookup         // of jobs whose record versions are compared
+	compared []*lookup         // lookups of jobs whose record versions are compared
 	versions map[string]uint64 // record versions to compare, by key
-	derived  []*lookup         // of jobs whose state depends on that of other jobs
+	derived  []*lookup         // lookups of jobs whose state depends on the states of other jobs
 }
 
 // takeBatch removes from the queue the lookups that can be served together.
--- a/internal/frontend/lookups.go
+++ b/internal/frontend/lookups.go
@@ -82,13 +82,13 @@
 type lookupQueue struct {
 	node     *node
 	pending  []*lookup
-	inFlight int // lookups whose reads or comparisons have been sent
-	sendAt   micros.Micros
-	count    int // lookups since the node's status was last logged
+	inFlight int           // lookups whose reads or comparisons have been sent
+	sendAt   micros.Micros // earliest time at which the next batch is sent
+	count    int           // lookups since the node's status was last logged
 }
 
-// add looks up a job's state in the cached terminal states or queues a lookup in the records. Other
-// knowledge of the node may be outdated.
+// add looks up a job's state in the cached terminal states or, if it is not cached, queues a lookup in
+// the records: whatever else the node knows may be outdated.
 func (q *lookupQueue) add(job string, done func(lookupResult)) {
 	q.count++
 	if phase := q.node.TerminalStates.Of(job); phase != "" {
--- a/internal/frontend/lookups_test.go
+++ b/internal/frontend/lookups_test.go
@@ -108,7 +108,7 @@
 				t.Errorf("response %+v, want %+v", got, c.want)
 			}
 			if f.violations != 0 || len(f.calls) != 0 || f.frontend.lookups.inFlight != 0 || f.frontend.HasPending() {
-				t.Errorf("%d violations, %d unanswered calls, %d lookups in flight", f.violations, len(f.calls), f.frontend.lookups.inFlight)
+				t.Errorf("%d violations, %d calls without a response and %d lookups in flight, want none", f.violations, len(f.calls), f.frontend.lookups.inFlight)
 			}
 		})
 	}
@@ -131,13 +131,13 @@
 		f.query()
 	}
 	if len(f.responses) != 0 {
-		t.Fatalf("%d responses before the bound", len(f.responses))
+		t.Fatalf("%d responses to the first %d queries, want none before the bound is reached", len(f.responses), maxPendingLookups)
 	}
 	f.query()
 	f.checkResponse(wire.StatusUnavailable, "state service does not answer")
 }
 
-// TestEnumTextsAreDistinct checks that the values of enumerations are distinct.
+// TestEnumTextsAreDistinct checks that the texts of enumeration values are distinct.
 func TestEnumTextsAreDistinct(t *testing.T) {
 	seen := map[string]bool{"invalid": true}
 	for _, s := range []string{
@@ -145,7 +145,7 @@
 		lookupFailed.String(), lookupNotFound.String(), lookupFound.String(),
 	} {
 		if seen[s] {
-			t.Errorf("%q is not distinct", s)
+			t.Errorf("two values have the text %q, or a value has the text of invalid values", s)
 		}
 		seen[s] = true
 	}
--- a/internal/frontend/responses_test.go
+++ b/internal/frontend/responses_test.go
@@ -39,8 +39,9 @@
 	}
 }
 
-// TestLateDuplicateRequestsAreLookedUp checks that the commit of a submission is the response only to
-// requests that were received before the commit was sent. The job of later requests is looked up.
+// TestLateDuplicateRequestsAreLookedUp checks that the result of a submission's commit is the response
+// only to requests that were received before the commit was sent. For later requests, the job is
+// looked up.
 func TestLateDuplicateRequestsAreLookedUp(t *testing.T) {
 	f := newFixture(t)
 	job, submissions := newSmallJob(), f.frontend.submissions
@@ -54,7 +55,7 @@
 		t.Errorf("%d lookups are pending for the later request, want 1", len(pending))
 	}
 	if f.violations != 0 || submissions.byJob[job.ID] != nil {
-		t.Errorf("%d violations, or the submission is still pending", f.violations)
+		t.Errorf("%d violations, submission pending %t, want none and false", f.violations, submissions.byJob[job.ID] != nil)
 	}
 }
 
@@ -91,7 +92,7 @@
 				t.Errorf("%d further lookups, want 1", again)
 			}
 			if f.violations != 0 {
-				t.Errorf("%d violations", f.violations)
+				t.Errorf("%d violations, want none", f.violations)
 			}
 		})
 	}
--- a/internal/frontend/routes_test.go
+++ b/internal/frontend/routes_test.go
@@ -33,7 +33,7 @@
 			f.request(c.method, c.path, nil)
 			f.checkResponse(c.status, c.reason)
 			if len(f.calls) != 0 || f.frontend.HasPending() {
-				t.Error("calls or submissions are left after the response")
+				t.Error("calls, submissions or lookups are pending after the response, want none")
 			}
 		})
 	}
--- a/internal/frontend/services.go
+++ b/internal/frontend/services.go
@@ -79,7 +79,7 @@
 	IsSynced() bool
 	// Blocked returns an active job that was submitted with dependencies, or nil.
 	Blocked(job string) *dag.BlockedJob
-	// HasOpenDependencies reports whether a job's state depends on that of upstream jobs.
+	// HasOpenDependencies reports whether a job's state depends on the states of upstream jobs.
 	HasOpenDependencies(job string) bool
 	// Version returns the version of a job's record as last seen, or 0.
 	Version(job string) uint64
@@ -115,8 +115,9 @@
 	// IsCancelled reports whether the node knows that a job has been cancelled, even if that
 	// may not be acknowledged to users yet.
 	IsCancelled(job string) bool
-	// Announce calls done after it is decided whether the cancellation of a job may be
-	// acknowledged to users. The caller has no use for a decision after the deadline.
+	// Announce announces to the peers that a job is cancelled, and calls done after it is decided
+	// whether the cancellation may be acknowledged to users. If that is not permitted by the
+	// deadline, done is called with false.
 	Announce(job string, deadline micros.Micros, done func(mayAcknowledge bool))
 }
 
--- a/internal/frontend/submissions_test.go
+++ b/internal/frontend/submissions_test.go
@@ -18,7 +18,8 @@
 	f.request("POST", "/api/jobs", wire.Encode(wire.FromJob(job)))
 }
 
-// respondNeverAccepted responds to the lookup of the fixture's job: it was never accepted.
+// respondNeverAccepted responds to the lookup of the fixture's job that the job has no records, as if
+// it was never accepted.
 func (f *fixture) respondNeverAccepted() {
 	f.flush()
 	f.respondKV(activeTarget, kv.NotFound, nil)
@@ -110,7 +111,7 @@
 	f.t.Helper()
 	submissions := f.frontend.submissions
 	if f.violations != 0 || len(f.calls) != 0 || f.frontend.HasPending() || len(submissions.byJob) != 0 || submissions.checkingDependencies != 0 {
-		f.t.Errorf("%d violations, %d unanswered calls and %d submissions left", f.violations, len(f.calls), len(submissions.byJob))
+		f.t.Errorf("%d violations, %d calls without a response and %d submissions left, want none", f.violations, len(f.calls), len(submissions.byJob))
 	}
 }
 
@@ -197,8 +198,8 @@
 	}
 }
 
-// TestDuplicateRequestsShareOneCommit checks that one commit is the response to several requests for the
-// same job.
+// TestDuplicateRequestsShareOneCommit checks that several requests for the same job are served by one
+// commit.
 func TestDuplicateRequestsShareOneCommit(t *testing.T) {
 	f := newFixture(t)
 	f.submit(newSmallJob())
@@ -244,7 +245,7 @@
 				submissions.pending = append(submissions.pending, &submission{writeCount: count, receivedAt: micros.Micros(i)})
 			}
 			if batch := submissions.takeBatch(c.availableWrites); len(batch) != c.taken || len(submissions.pending) != len(c.counts)-c.taken {
-				t.Errorf("%d taken and %d left, want %d taken of %d", len(batch), len(submissions.pending), c.taken, len(c.counts))
+				t.Errorf("%d submissions taken and %d left, want %d taken of %d", len(batch), len(submissions.pending), c.taken, len(c.counts))
 			}
 		})
 	}
--- a/internal/httpwire/parse_test.go
+++ b/internal/httpwire/parse_test.go
@@ -28,12 +28,12 @@
 		{"bare line feed", "GET / HTTP/1.1\nHost: a\n\n", Request{}, ErrMalformed},
 		{"two lengths", "POST / HTTP/1.1\r\nContent-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n", Request{}, ErrMalformed},
 		{"unequal lengths", "POST / HTTP/1.1\r\nContent-Length: 4\r\nContent-Length: 5\r\n\r\n", Request{}, ErrMalformed},
-		{"negative", "POST / HTTP/1.1\r\nContent-Length: -4\r\n\r\n", Request{}, ErrMalformed},
+		{"negative length", "POST / HTTP/1.1\r\nContent-Length: -4\r\n\r\n", Request{}, ErrMalformed},
 		{"signed length", "POST / HTTP/1.1\r\nContent-Length: +4\r\n\r\nabcd", Request{}, ErrMalformed},
 		{"space in name", "GET / HTTP/1.1\r\nA b: c\r\n\r\n", Request{}, ErrMalformed},
 		{"no target", "GET HTTP/1.1\r\n\r\n", Request{}, ErrMalformed},
-		{"version", "GET / HTTP/2.0\r\n\r\n", Request{}, ErrMalformed},
-		{"large", "POST / HTTP/1.1\r\nContent-Length: 99\r\n\r\n", Request{}, ErrTooLarge},
+		{"unsupported version", "GET / HTTP/2.0\r\n\r\n", Request{}, ErrMalformed},
+		{"large body", "POST / HTTP/1.1\r\nContent-Length: 99\r\n\r\n", Request{}, ErrTooLarge},
 		{"large chunk", "POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n63\r\n", Request{}, ErrTooLarge},
 		{"long head", long, Request{}, ErrTooLarge},
 	}
@@ -65,11 +65,11 @@
 		{"plain", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi", false, 200, "hi", nil},
 		{"no reason", "HTTP/1.1 503\r\nContent-Length: 0\r\n\r\n", false, 503, "", nil},
 		{"interim", "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 201 Created\r\nContent-Length: 0\r\n\r\n", false, 201, "", nil},
-		{"until the end", "HTTP/1.1 200 OK\r\n\r\nhi", true, 200, "hi", nil},
-		{"not yet ended", "HTTP/1.1 200 OK\r\n\r\nhi", false, 0, "", ErrIncomplete},
+		{"body until the connection ends", "HTTP/1.1 200 OK\r\n\r\nhi", true, 200, "hi", nil},
+		{"connection not ended yet", "HTTP/1.1 200 OK\r\n\r\nhi", false, 0, "", ErrIncomplete},
 		{"no content", "HTTP/1.1 204 No Content\r\nContent-Length: 5\r\n\r\n", false, 204, "", nil},
 		{"interim only", "HTTP/1.1 100 Continue\r\n\r\n", false, 0, "", ErrIncomplete},
-		{"large until the end", "HTTP/1.1 200 OK\r\n\r\n" + strings.Repeat("b", 65), true, 0, "", ErrTooLarge},
+		{"large body until the connection ends", "HTTP/1.1 200 OK\r\n\r\n" + strings.Repeat("b", 65), true, 0, "", ErrTooLarge},
 		{"bad version", "HTTP/2.0 200 OK\r\n\r\n", false, 0, "", ErrMalformed},
 		{"bad status", "HTTP/1.1 2x0 OK\r\n\r\n", false, 0, "", ErrMalformed},
 	}
@@ -80,7 +80,7 @@
 				t.Fatalf("error %v, want %v", err, tt.err)
 			}
 			if err == nil && (got.Status != tt.status || string(got.Body) != tt.body) {
-				t.Fatalf("got %+v", got)
+				t.Fatalf("got %+v, want status %d with body %q", got, tt.status, tt.body)
 			}
 		})
 	}
@@ -101,7 +101,7 @@
 		}
 		again, againLength, err := ParseRequest(append(bytes.Clone(in), "GET / HTTP/1.1\r\n\r\n"...), 1<<10)
 		if err != nil || againLength != n || again.Path != req.Path || !bytes.Equal(again.Body, req.Body) {
-			t.Fatalf("more bytes changed the message: %v", err)
+			t.Fatalf("with further bytes the parser returns %+v with length %d, %v; want %+v with length %d", again, againLength, err, req, n)
 		}
 		if _, n, err := ParseResponse(in, 1<<10, true); err == nil && (n <= 0 || n > len(in)) {
 			t.Fatalf("length %d of a response in %d bytes", n, len(in))
--- a/internal/jobview/dependency_check.go
+++ b/internal/jobview/dependency_check.go
@@ -43,7 +43,8 @@
 	CancelledRoot string
 }
 
-// dependencyCheck determines the state of a submission's dependencies by reads of its own.
+// dependencyCheck determines the state of a submission's dependencies by reads that are sent after the
+// check began.
 type dependencyCheck struct {
 	view     *View
 	ids      []string
--- a/internal/jobview/dependency_check_test.go
+++ b/internal/jobview/dependency_check_test.go
@@ -107,7 +107,7 @@
 	v.Graph().Reset(nil, v.Graph().Revision())
 	node.respondAll()
 	if !slices.Equal(results, []bool{false}) {
-		t.Fatalf("results %v, want false", results)
+		t.Fatalf("results %v, want one false", results)
 	}
 }
 
--- a/internal/jobview/terminal_state_reads_test.go
+++ b/internal/jobview/terminal_state_reads_test.go
@@ -41,11 +41,11 @@
 			t.Fatal("the read has not ended")
 		}
 		if node.requests > len(ids) {
-			t.Errorf("%d requests for %d jobs", node.requests, len(ids))
+			t.Errorf("%d requests for %d jobs, want at most one for each job", node.requests, len(ids))
 		}
 		for _, id := range ids {
 			if _, ok := found[id]; ok != want[id] {
-				t.Fatalf("%s found: %v, contrary to what was written", id, ok)
+				t.Fatalf("terminal state of %s found: %v, want %v", id, ok, want[id])
 			}
 		}
 	}
@@ -71,7 +71,7 @@
 			v.readTerminalStates(budget.UserRequests, []string{"a"}, start+micros.Second, func(found map[string]record.TerminalState, ok bool) {
 				ended, endedAt = true, node.now
 				if ok != test.wantOK || (len(found) == 1) != test.wantOK {
-					t.Errorf("ok %v, found %v", ok, found)
+					t.Errorf("ok %v, found %v, want ok %v, and the state found if ok", ok, found, test.wantOK)
 				}
 			})
 			for node.now < start+2*micros.Second {
@@ -79,19 +79,19 @@
 				node.advance(50 * micros.Millisecond)
 			}
 			if !ended || endedAt != start+test.wantEndedWhen {
-				t.Errorf("ended: %v, after %v, want %v", ended, endedAt-start, test.wantEndedWhen)
+				t.Errorf("ended: %v, after %v, want the end after %v", ended, endedAt-start, test.wantEndedWhen)
 			}
 		})
 	}
 }
 
-// TestKeyBefore checks the key after which a listing must start to return a given key first.
+// TestKeyBefore checks that a listing that starts after keyBefore(key) begins with key.
 func TestKeyBefore(t *testing.T) {
 	for _, id := range []string{"req-000000", "req-000010", "req-000019", "req-0000190"} {
 		key := record.TerminalStateKey(id)
 		from := keyBefore(key)
 		if from >= key || from < key[:len(key)-1] {
-			t.Errorf("%s: listing starts after %s", id, from)
+			t.Errorf("%s: the listing starts after %s, want a key directly before %s", id, from, key)
 		}
 	}
 }
--- a/internal/jobview/terminal_states_test.go
+++ b/internal/jobview/terminal_states_test.go
@@ -19,10 +19,11 @@
 		states.Remember(fmt.Sprint(i), wire.JobDone)
 	}
 	if states.Of("first") == "" {
-		t.Fatal("evicted although the cache is not full")
+		t.Fatal("a state was evicted although the cache is not full")
 	}
 	states.Remember("last", wire.JobCancelled)
 	if states.Of("first") != "" || states.Of("0") == "" || states.Of("last") != wire.JobCancelled || len(states.byJob) != maxTerminalStates {
-		t.Fatalf("a wrong state was evicted, or %d states are cached", len(states.byJob))
+		t.Fatalf("first: %q, 0: %q, last: %q, %d states cached; want only first evicted and %d states",
+			states.Of("first"), states.Of("0"), states.Of("last"), len(states.byJob), maxTerminalStates)
 	}
 }
--- a/internal/jobview/view.go
+++ b/internal/jobview/view.go
@@ -105,7 +105,7 @@
 // TerminalStates returns the cache of the terminal states that may be acknowledged to users.
 func (v *View) TerminalStates() *TerminalStates { return v.terminalStates }
 
-// CancellationsKnownUntil returns the time up to which the view's own watch shows all
+// CancellationsKnownUntil returns the time up to which the view's own listings and watches show all
 // cancellations.
 func (v *View) CancellationsKnownUntil() micros.Micros { return v.cancellationsKnownUntil }
 
--- a/internal/jobview/view_test.go
+++ b/internal/jobview/view_test.go
@@ -15,7 +15,7 @@
 func TestWatch(t *testing.T) {
 	v, node := newSyncedView(t, acceptanceWrites(jobA, 8<<10)...)
 	if !v.Graph().IsActive(jobA) || v.CancellationsKnownUntil() != node.now {
-		t.Fatalf("listed: %v, known until %v", v.Graph().IsActive(jobA), v.CancellationsKnownUntil())
+		t.Fatalf("listed: %v, known until %v, want true and %v", v.Graph().IsActive(jobA), v.CancellationsKnownUntil(), node.now)
 	}
 	node.commit(acceptanceWrites(jobB, 8<<10)...)
 	node.advance(watchInterval)
@@ -23,7 +23,7 @@
 	node.advance(micros.Second)
 	node.respondAll()
 	if !v.Graph().IsActive(jobB) || v.CancellationsKnownUntil() != sentAt {
-		t.Fatalf("watched: %v, known until %v, want %v", v.Graph().IsActive(jobB), v.CancellationsKnownUntil(), sentAt)
+		t.Fatalf("watched: %v, known until %v, want true and %v", v.Graph().IsActive(jobB), v.CancellationsKnownUntil(), sentAt)
 	}
 	node.ownsTeams = true
 	requests := node.requests
@@ -32,13 +32,13 @@
 		v.Tick()
 	}
 	if node.requests != requests || len(node.timers) > 0 {
-		t.Fatalf("%d requests of an owner, %d timers", node.requests-requests, len(node.timers))
+		t.Fatalf("an owner sent %d requests and has %d timers, want none", node.requests-requests, len(node.timers))
 	}
 	node.ownsTeams = false
 	v.Tick()
 	node.advance(watchInterval)
 	if node.requests != requests+1 {
-		t.Fatal("the watch was not resumed")
+		t.Fatalf("%d requests after the node owns no teams any more, want 1 for the resumed watch", node.requests-requests)
 	}
 }
 
@@ -61,7 +61,7 @@
 	v.Tick()
 	node.respondAll()
 	if !v.Graph().IsSynced() || !v.Graph().IsActive(jobA) || node.changesMissed > 0 {
-		t.Fatalf("synced: %v, active: %v, missed changes %d", v.Graph().IsSynced(), v.Graph().IsActive(jobA), node.changesMissed)
+		t.Fatalf("synced: %v, active: %v, %d calls of ChangesMissed, want true, true and none", v.Graph().IsSynced(), v.Graph().IsActive(jobA), node.changesMissed)
 	}
 }
 
@@ -88,7 +88,7 @@
 	}
 	node.respondAll()
 	if want := []string{"first", "second", "third"}; !slices.Equal(order, want) || node.requests != 2 {
-		t.Fatalf("callbacks %v after %d requests, want three after 2", order, node.requests)
+		t.Fatalf("callbacks %v after %d requests, want %v after 2", order, node.requests, want)
 	}
 }
 
@@ -112,7 +112,7 @@
 			v.Refresh(func(ok bool) { results = append(results, ok) })
 			node.respondAll()
 			if !slices.Equal(results, []bool{false}) || node.changesMissed != test.wantMissed {
-				t.Fatalf("results %v, missed changes %d", results, node.changesMissed)
+				t.Fatalf("results %v, %d calls of ChangesMissed, want one false and %d calls", results, node.changesMissed, test.wantMissed)
 			}
 		})
 	}
@@ -141,7 +141,7 @@
 				ended++
 				endedAt = node.now
 				if ok != test.wantOK {
-					t.Errorf("ok %v", ok)
+					t.Errorf("ok %v, want %v", ok, test.wantOK)
 				}
 			})
 			for node.now < start+3*micros.Second {
@@ -149,7 +149,7 @@
 				node.respondAll()
 			}
 			if ended != 1 || endedAt != start+test.wantWait {
-				t.Fatalf("%d callbacks, after %v", ended, endedAt-start)
+				t.Fatalf("%d callbacks, after %v, want 1 after %v", ended, endedAt-start, test.wantWait)
 			}
 		})
 	}
@@ -173,7 +173,7 @@
 	}
 	step() // reads the parts of dependentOfC
 	if v.Graph().FirstIncomplete() != nil || node.requests != 1 {
-		t.Fatalf("%d requests, incomplete: %v", node.requests, v.Graph().FirstIncomplete())
+		t.Fatalf("%d requests, incomplete job %v, want 1 and none", node.requests, v.Graph().FirstIncomplete())
 	}
 	node.commit(slices.Concat(
 		terminalStateWrites(jobA, record.TerminalState{Status: record.StatusDone, FinishedAt: 1}),
@@ -184,7 +184,7 @@
 	node.respondAll()
 	step()
 	if !slices.Equal(node.ready, []string{dependentOfA}) || !slices.Equal(node.cancelled, []string{dependentOfB}) {
-		t.Fatalf("ready %v, cancelled %v", node.ready, node.cancelled)
+		t.Fatalf("ready %v, cancelled %v, want %s and %s", node.ready, node.cancelled, dependentOfA, dependentOfB)
 	}
 	node.advance(testSettings.TickInterval)
 	step() // finds no terminal state of jobC
@@ -192,11 +192,11 @@
 	node.advance(testSettings.TickInterval)
 	step()
 	if node.requests != requests {
-		t.Fatal("read again without a pause")
+		t.Fatal("read again before ReadRetryDelay had passed")
 	}
 	node.advance(testSettings.ReadRetryDelay)
 	step()
 	if node.requests != requests+1 {
-		t.Fatal("not read again")
+		t.Fatalf("%d requests after ReadRetryDelay, want 1", node.requests-requests)
 	}
 }
--- a/internal/wire/submission_test.go
+++ b/internal/wire/submission_test.go
@@ -33,7 +33,7 @@
 		t.Fatal(err)
 	}
 	if again.Need != job.Need || again.Estimate != job.Estimate || again.Deadline != job.Deadline || again.Types[0] != "g8" {
-		t.Fatalf("%+v became %+v", job, again)
+		t.Fatalf("%+v became %+v after encoding and decoding, want the same job", job, again)
 	}
 }
 
@@ -129,7 +129,7 @@
 			}
 			submission := FromJob(job)
 			if same := bytes.Equal(Encode(submission), Encode(FromJob(plain))); same != (c.want == nil) {
-				t.Errorf("encoded like a job without dependencies: %t", same)
+				t.Errorf("encoded like a job without dependencies: %t, want %t", same, c.want == nil)
 			}
 			again, err := submission.Job()
 			if err != nil {
