--- a/controller/adoption_interleavings_test.go
+++ b/controller/adoption_interleavings_test.go
@@ -74,7 +74,7 @@
 	})
 	const cancelledTasks = 1
 	if n := sim.exitsByCause["stopped"]; n > cancelledTasks {
-		t.Errorf("%d tasks were stopped", n)
+		t.Errorf("%d tasks were stopped, want at most the %d of the cancelled job", n, cancelledTasks)
 	}
 }
 
@@ -98,7 +98,7 @@
 		out = runScenarioCommand(t, sim, d)
 	}
 	if out != "done" {
-		t.Error(out)
+		t.Errorf("the last command printed %q, want \"done\"", out)
 	}
 	return sim
 }
--- a/controller/faults_adoption_test.go
+++ b/controller/faults_adoption_test.go
@@ -15,10 +15,10 @@
 // adoptionCommands cause faults while an owner adopts a machine.
 var adoptionCommands = commandTable{
 	// crash-adopter crashes the next "times" owners that write the block of an adopted machine, each
-	// "after" seconds after its write. With "reload-only" they read their records again instead. With
-	// "also-crash-node" that node crashes at the same time. With "partition" the machine is partitioned
-	// for that many seconds. With "extra-machines" that many machines appear in the cloud, as if a
-	// launch request were executed with a delay.
+	// "after" seconds after its write. With "reload-only" they read their records again instead of
+	// crashing. "also-crash-node" names a node that crashes at the same time, "partition" is the time in
+	// seconds for which the adopted machine is partitioned, and "extra-machines" is the number of
+	// machines that appear in the cloud, as if a launch request were executed with a delay.
 	"crash-adopter": silent(func(c *command) {
 		left, after, down := c.integer("times", 1), c.seconds("after", 0), c.downtime()
 		c.sim.onBlockPut(func(key string, owner record.OwnerID) {
@@ -45,7 +45,7 @@
 	}),
 }
 
-// interruptAdopter crashes a node, or has it read its records again.
+// interruptAdopter crashes a node or, with reloadOnly, has it read its records again.
 func (sim *simulation) interruptAdopter(node *simNode, reloadOnly bool, down micros.Micros) {
 	switch {
 	case !reloadOnly:
--- a/controller/faults_heartbeats_test.go
+++ b/controller/faults_heartbeats_test.go
@@ -7,7 +7,7 @@
 	"tamarindlead/micros"
 )
 
-// maxSavedHeartbeats limits the number of copies that are kept for the successor.
+// maxSavedHeartbeats limits the number of copies in workerFaults.replayHeartbeats.
 const maxSavedHeartbeats = 64
 
 // sendHeartbeatCopy sends a worker's heartbeat to a node and ignores the response.
@@ -15,8 +15,9 @@
 	sim.sendRequest(sim.nodes[node], Request{Method: "POST", Path: PathHeartbeat, Body: body}, micros.Second, func(Respond) {})
 }
 
-// interceptHeartbeat schedules delayed copies of a heartbeat, and reports whether the heartbeat itself
-// is withheld until a successor is active.
+// interceptHeartbeat schedules a delayed copy of a heartbeat, or keeps the copy for the successor, if
+// the replay of heartbeats is enabled. It reports whether the heartbeat itself is withheld until a
+// successor is active.
 func (sim *simulation) interceptHeartbeat(worker *fake.Worker, body []byte) bool {
 	if sim.heartbeatReplayRate > 0 && sim.rng.Float64() < sim.heartbeatReplayRate {
 		if sim.replayToSuccessor {
@@ -37,9 +38,9 @@
 	return true
 }
 
-// replayToSuccessors delivers the heartbeats that were kept for a new owner. Copies go to every
-// controller when the owner starts and again when it becomes active; delayed heartbeats go to the
-// owner four seconds after it has become active.
+// replayToSuccessors delivers the heartbeats that were kept for a new owner. It sends the copies to
+// every controller when the owner starts and again when the owner becomes active. It sends the withheld
+// heartbeats to the owner four seconds after the owner has become active.
 func (sim *simulation) replayToSuccessors() {
 	if sim.owners == nil {
 		sim.owners, sim.activeOwners = map[int]any{}, map[int]any{}
--- a/controller/faults_leaders_test.go
+++ b/controller/faults_leaders_test.go
@@ -8,8 +8,9 @@
 	"tamarindlead/micros"
 )
 
-// changeLeader makes the leader lose its leadership. Depending on the turn, the leader crashes briefly,
-// is partitioned, loses its connections to the KV store and its peers, or crashes for longer.
+// changeLeader makes the leader lose its leadership. Depending on the turn, the leader crashes for
+// 0.2 s, is partitioned, is isolated from the key-value store and its peers, or crashes for half of the
+// time until the next turn.
 func (sim *simulation) changeLeader(turn int, every micros.Micros) {
 	i := sim.leader()
 	if i < 0 {
--- a/controller/faults_response_delay_test.go
+++ b/controller/faults_response_delay_test.go
@@ -29,8 +29,8 @@
 	return responseDelay{rng: rand.New(rand.NewPCG(seed, stream)), node: allNodes}
 }
 
-// delayResponse returns respond or, for the random share of the responses that are delayed, a function
-// that calls it after a delay.
+// delayResponse decides at random whether a response is delayed. It returns respond, or a function that
+// calls respond after the delay.
 func (d *responseDelay) delayResponse(sim *simulation, node *simNode, respond func(fake.Response)) func(fake.Response) {
 	if d.share == 0 || d.node != allNodes && d.node != node.index || d.rng.Float64() >= d.share {
 		return respond
@@ -45,7 +45,7 @@
 	}
 }
 
-// configure applies the arguments of a command, such as
+// configure applies the arguments of a command that delays responses, such as
 // share=0.3 max-delay-ms=300 fixed-delay for=60 node=0.
 func (d *responseDelay) configure(c *command) {
 	c.t.Helper()
@@ -56,14 +56,14 @@
 	c.revertLater(func() { d.share = 0 })
 }
 
-// responseDelayCommands delay responses of the KV store or of other controllers.
+// responseDelayCommands delay responses of the key-value store or of other controllers.
 var responseDelayCommands = commandTable{
 	"delay-kv-responses":   silent(func(c *command) { c.sim.kvFaults.kvResponseDelay.configure(c) }),
 	"delay-peer-responses": silent(func(c *command) { c.sim.kvFaults.peerResponseDelay.configure(c) }),
 }
 
-// applyResponseDelayFromEnv delays responses in any scenario: SCENARIO_UNEVEN=0.3 delays that share of
-// the KV store's responses.
+// applyResponseDelayFromEnv delays responses in any scenario: SCENARIO_UNEVEN=0.3 delays 30 % of the
+// responses of the key-value store by up to 300 ms.
 func (sim *simulation) applyResponseDelayFromEnv(t *testing.T) {
 	text := os.Getenv("SCENARIO_UNEVEN")
 	if text == "" {
@@ -71,7 +71,7 @@
 	}
 	share, err := strconv.ParseFloat(text, 64)
 	if err != nil || share < 0 || share > 1 {
-		t.Fatalf("SCENARIO_UNEVEN=%s: want a share from 0 to 1", text)
+		t.Fatalf("SCENARIO_UNEVEN=%s: want a number from 0 to 1, the share of the responses to delay", text)
 	}
 	sim.kvFaults.kvResponseDelay.share, sim.kvFaults.kvResponseDelay.maxDelay = share, 300*micros.Millisecond
 }
--- a/controller/faults_state_test.go
+++ b/controller/faults_state_test.go
@@ -11,20 +11,20 @@
 	"tamarindlead/micros"
 )
 
-// kvFaults are faults between the controllers and the KV store, and among the controllers. They have
-// their own random stream, so that they do not change the random draws of scenarios without them.
+// kvFaults are faults between the controllers and the key-value store, and among the controllers. They
+// have their own random stream, so that they do not change the random draws of scenarios without them.
 type kvFaults struct {
 	rng                  *rand.Rand
-	unansweredCommitRate float64       // share of the commits that are applied with a delay, without a response
-	responseLostOnly     bool          // these commits are applied immediately; only their responses are lost
-	kvLatency            micros.Micros // of the KV store, for calls other than watches
+	unansweredCommitRate float64       // share of the commits that get no response
+	responseLostOnly     bool          // commits without a response are applied immediately instead of with a delay
+	kvLatency            micros.Micros // added to each call of the key-value store except watches
 	peerLossRate         float64       // share of the peer messages that are lost
 	peerResponsesOnly    bool          // only responses are lost
 	peerHeartbeatsSpared bool          // no peer heartbeats and no forwarded KV calls are lost
 	delayedCommits       int           // commits that were applied with a delay and succeeded
 	lostResponses        int           // commits that were applied immediately, without a response
 
-	kvResponseDelay   responseDelay // of the responses of the KV store
+	kvResponseDelay   responseDelay // of the responses of the key-value store
 	peerResponseDelay responseDelay // of the responses of other controllers
 }
 
@@ -36,13 +36,13 @@
 	}
 }
 
-// Commits without a response are applied after a delay between these bounds.
+// Bounds of the delay after which a commit without a response is applied.
 const (
 	minUnansweredCommitDelay = 2 * micros.Second
 	maxUnansweredCommitDelay = 12 * micros.Second
 )
 
-// callKVStore executes a call at the KV store, subject to the active faults.
+// callKVStore executes a call at the key-value store, subject to the active faults.
 func (sim *simulation) callKVStore(node *simNode, call Call, respond func(fake.Response)) {
 	faults := &sim.kvFaults
 	delayed := faults.kvResponseDelay.delayResponse(sim, node, respond)
@@ -96,24 +96,33 @@
 	return faults.rng.Float64() < faults.peerLossRate
 }
 
-// kvFaultCommands cause faults between the controllers and the KV store, and among the controllers.
+// kvFaultCommands cause faults between the controllers and the key-value store, and among the
+// controllers.
 var kvFaultCommands = commandTable{
+	// unanswered-commits has a share of the commits get no response. They are applied 2 to 12 s later
+	// or, with "apply-immediately", at once.
 	"unanswered-commits": silent(func(c *command) {
 		faults := &c.sim.kvFaults
 		faults.unansweredCommitRate, faults.responseLostOnly = c.number("share", 1), c.HasArg("apply-immediately")
 		c.revertLater(func() { faults.unansweredCommitRate = 0 })
 	}),
+	// kv-latency adds "ms" milliseconds to each call of the key-value store except watches.
 	"kv-latency": silent(func(c *command) {
 		c.sim.kvFaults.kvLatency = micros.FromMillis(c.number("ms", 1000))
 		c.revertLater(func() { c.sim.kvFaults.kvLatency = 0 })
 	}),
+	// lose-peer-messages loses a share of the messages between controllers or, with "responses-only", of
+	// the responses to them. With "except-heartbeats" it loses neither heartbeats nor calls of the
+	// key-value store that a peer relays.
 	"lose-peer-messages": silent(func(c *command) {
 		faults := &c.sim.kvFaults
 		faults.peerLossRate, faults.peerHeartbeatsSpared = c.number("share", 1), c.HasArg("except-heartbeats")
 		faults.peerResponsesOnly = c.HasArg("responses-only")
 		c.revertLater(func() { faults.peerLossRate = 0 })
 	}),
-	"cancel-jobs": silent(func(c *command) { // users cancel jobs at an interval, each first at the given node
+	// cancel-jobs has users cancel jobs one after the other at an interval. Each request is sent to the
+	// given node first.
+	"cancel-jobs": silent(func(c *command) {
 		to, every := c.node().index, c.seconds("interval", 0)
 		for i, id := range c.jobIDs(1) {
 			c.sim.after(micros.Micros(i)*every, func() { c.sim.cancel(id, to) })
@@ -121,7 +130,8 @@
 	}),
 }
 
-// delayedResponses returns the number of delayed responses of the KV store and of other controllers.
+// delayedResponses returns the number of delayed responses of the key-value store and of other
+// controllers.
 func (faults *kvFaults) delayedResponses() int {
 	return faults.kvResponseDelay.delayedCount + faults.peerResponseDelay.delayedCount
 }
--- a/controller/faults_workers_test.go
+++ b/controller/faults_workers_test.go
@@ -14,10 +14,10 @@
 type workerFaults struct {
 	taskStagger          map[string]micros.Micros // by job: how much longer each task runs than the previous one
 	heartbeatReplayRate  float64                  // share of the heartbeats of which a copy is sent later
-	replayToSuccessor    bool                     // the copies are kept for the successor instead
-	replayHeartbeats     [][]byte                 // copies for the successor
-	delayNextHeartbeatOf []string                 // machines whose next heartbeat is delayed
-	delayedHeartbeats    [][]byte                 // until some time after a successor becomes active
+	replayToSuccessor    bool                     // the copies are kept until a successor starts, and then sent
+	replayHeartbeats     [][]byte                 // the copies that are kept for the successor
+	delayNextHeartbeatOf []string                 // machines whose next heartbeat is withheld until a successor is active
+	delayedHeartbeats    [][]byte                 // the withheld heartbeats
 	capturedHeartbeats   [][]byte                 // heartbeats that replay-captured-heartbeats sends
 	commandDelayRate     float64                  // share of the direct commands whose request or response is delayed
 	minCommandDelay      micros.Micros
@@ -109,40 +109,55 @@
 
 // workerFaultCommands cause faults of heartbeats, direct commands, machines and leaders.
 var workerFaultCommands = commandTable{
+	// replay-heartbeats sends copies of a share of the heartbeats to random nodes, 2 s to two leases
+	// later. With "to-successor" the copies are sent to every node when a new owner starts and when it
+	// becomes active.
 	"replay-heartbeats": silent(func(c *command) {
 		c.sim.heartbeatReplayRate, c.sim.replayToSuccessor = c.number("share", 0), c.HasArg("to-successor")
 		c.revertLater(func() { c.sim.heartbeatReplayRate = 0 })
 	}),
+	// delay-heartbeat-until-failover withholds the next heartbeat of a machine until 4 s after the
+	// successor has become active.
 	"delay-heartbeat-until-failover": silent(func(c *command) {
 		c.sim.delayNextHeartbeatOf = append(c.sim.delayNextHeartbeatOf, c.text("machine", c.sim.workerNames()[0]))
 	}),
+	// capture-heartbeats keeps a heartbeat of each worker for replay-captured-heartbeats.
 	"capture-heartbeats": silent(func(c *command) {
 		c.sim.capturedHeartbeats = nil
 		for _, name := range c.sim.workerNames() {
 			c.sim.capturedHeartbeats = append(c.sim.capturedHeartbeats, wire.Encode(c.sim.workers[name].BuildHeartbeat()))
 		}
 	}),
+	// replay-captured-heartbeats sends the captured heartbeats to all nodes repeatedly, for the duration
+	// "for".
 	"replay-captured-heartbeats": silent(func(c *command) {
 		for at := micros.Micros(0); at < c.seconds("for", 10); at += replayInterval {
 			c.sim.after(at, c.sim.replayCapturedHeartbeats)
 		}
 	}),
+	// delay-commands delays a share of the direct commands, or their responses, by "min-delay" to
+	// "max-delay". With "requests-only" it delays no responses.
 	"delay-commands": silent(func(c *command) {
 		c.sim.commandDelayRate, c.sim.delayRequestOnly = c.number("share", 1), c.HasArg("requests-only")
 		c.sim.minCommandDelay, c.sim.maxCommandDelay = c.seconds("min-delay", 1), c.seconds("max-delay", 8)
 		c.revertLater(func() { c.sim.commandDelayRate = 0 })
 	}),
+	// slow-commits delays all commits by half of "max-delay" to "max-delay".
 	"slow-commits": silent(func(c *command) {
 		c.sim.maxCommitDelay = c.seconds("max-delay", 0)
 		c.revertLater(func() { c.sim.maxCommitDelay = 0 })
 	}),
+	// fast-boot has machines boot within 0.5 to 2 s.
 	"fast-boot": silent(func(c *command) {
 		c.sim.cloud.BootTime = func(micros.Micros) micros.Micros { return c.sim.randomDuration(micros.Second/2, 2*micros.Second) }
 		c.revertLater(func() { c.sim.cloud.BootTime = nil })
 	}),
+	// cancel-running-jobs has users cancel running jobs while some of their machines hang or are
+	// partitioned: see cancelDuringFaults.
 	"cancel-running-jobs": silent(func(c *command) {
 		c.sim.cancelDuringFaults(c.integer("count", 1), c.seconds("hang", 0), c.HasArg("partition"))
 	}),
+	// change-leader makes the leader lose its leadership several times within the duration "within".
 	"change-leader": silent(func(c *command) {
 		times := c.integer("times", 10)
 		every := c.seconds("within", 120) / micros.Micros(times)
--- a/controller/pipelines_rules_test.go
+++ b/controller/pipelines_rules_test.go
@@ -103,8 +103,8 @@
 	}
 }
 
-// checkPipelinesCompleted is a final check: each job with dependencies must be done, run, have been
-// eligible for at most maxSchedulableWait, or depend on a job that runs.
+// checkPipelinesCompleted is a final check: each job with dependencies must be done or running, or
+// depend on a running job, or have been eligible for at most maxSchedulableWait.
 func (sim *simulation) checkPipelinesCompleted() {
 	doneOrRunning := func(id string) bool { return sim.reportedTerminal[id] == wire.JobDone || sim.runningTasks(id) > 0 }
 	for _, id := range ordered.Keys(sim.pipelines.dependencies) {
--- a/controller/pipelines_test.go
+++ b/controller/pipelines_test.go
@@ -16,9 +16,9 @@
 	rng             *rand.Rand
 	dependencies    map[string][]string      // the jobs that the job directly depends on
 	ancestors       map[string][]string      // all upstream jobs of the job
-	onDone          map[string][]func()      // functions to call when the job's last task completes
+	onDone          map[string][]func()      // to be called when the job's last task completes
 	dependentStarts int                      // started tasks of jobs with dependencies
-	queuedResponses map[string]int           // how often the job was reported as queued while it was blocked
+	queuedResponses map[string]int           // number of responses that showed the job as not ended while it was blocked
 	completedAt     map[string]micros.Micros // when the job's last task completed
 }
 
@@ -128,8 +128,8 @@
 	do()
 }
 
-// submitAfterDependencies submits a job as soon as its dependencies are accepted or, with over, have
-// a terminal state, and polls it.
+// submitAfterDependencies submits a job and polls it, as soon as its dependencies are reported as
+// accepted or, with afterFinish, as having reached a terminal state.
 func (sim *simulation) submitAfterDependencies(id string, to int, afterFinish bool) {
 	when := sim.whenAccepted
 	if afterFinish {
--- a/controller/scenario_commands_test.go
+++ b/controller/scenario_commands_test.go
@@ -58,6 +58,7 @@
 	return def
 }
 
+// argSeconds returns an argument in decimal seconds, or def if the command does not have it.
 func argSeconds(t *testing.T, d *datadriven.TestData, key string, def float64) micros.Micros {
 	t.Helper()
 	text := arg(t, d, key, fmt.Sprint(def))
@@ -68,6 +69,8 @@
 	return micros.FromSeconds(v)
 }
 
+// argNumber returns a decimal argument, rounded to six decimal places, or def if the command does not
+// have it.
 func argNumber(t *testing.T, d *datadriven.TestData, key string, def float64) float64 {
 	t.Helper()
 	return argSeconds(t, d, key, def).Seconds()
@@ -139,7 +142,10 @@
 
 // timeCommands advance the simulated time and mark the end of the faults.
 var timeCommands = commandTable{
+	// run advances the simulated time by the duration "for".
 	"run": silent(func(c *command) { c.sim.run(c.seconds("for", 1)) }),
+	// run-until-done runs until the terminal state of every submitted job was reported to a user, and
+	// prints "done" or the jobs that are left at the timeout.
 	"run-until-done": func(c *command) string {
 		c.runUntil(300, micros.Second, func() bool { return len(unfinishedJobs(c.sim)) == 0 })
 		if left := unfinishedJobs(c.sim); len(left) > 0 {
@@ -147,6 +153,7 @@
 		}
 		return "done"
 	},
+	// run-until-started runs until the first task of a job, or its whole gang, has started.
 	"run-until-started": func(c *command) string {
 		started := func() bool { return c.sim.startedAt[c.jobID()] != 0 }
 		c.runUntil(240, micros.Second, started)
@@ -155,5 +162,6 @@
 		}
 		return "started"
 	},
+	// faults-ended marks the end of the faults: from then on, the rules about delays are checked too.
 	"faults-ended": silent(func(c *command) { c.sim.faultsEndedAt = c.sim.now }),
 }
--- a/controller/scenario_jobs_test.go
+++ b/controller/scenario_jobs_test.go
@@ -16,7 +16,7 @@
 var jobCommands = commandTable{
 	"submit":      func(c *command) string { return c.submit(c.jobID()) },
 	"submit-jobs": silent((*command).submitMany),
-	"resubmit":    silent(func(c *command) { c.sim.submit(c.jobID(), c.to()) }),
+	"resubmit":    silent(func(c *command) { c.sim.submit(c.jobID(), c.to()) }), // sends the same submission again
 	"cancel":      silent(func(c *command) { c.sim.cancel(c.jobID(), c.to()) }),
 }
 
@@ -113,7 +113,7 @@
 	return fmt.Sprint(status)
 }
 
-// unfinishedJobs returns the submitted jobs whose terminal state was not reported to a user yet.
+// unfinishedJobs returns the submitted jobs whose terminal state has not been reported to a user.
 func unfinishedJobs(sim *simulation) []string {
 	var left []string
 	for _, id := range ordered.Keys(sim.submitted) {
--- a/controller/scenario_machines_test.go
+++ b/controller/scenario_machines_test.go
@@ -4,19 +4,23 @@
 
 // machineCommands cause faults of machines and of the cloud.
 var machineCommands = commandTable{
+	// machine-fault causes a fault of the selected machines: see failMachine.
 	"machine-fault": silent(func(c *command) {
 		for _, name := range c.targetMachines() {
 			c.failMachine(name)
 		}
 	}),
+	// cloud-unavailable has the cloud refuse all requests.
 	"cloud-unavailable": silent(func(c *command) {
 		c.sim.cloud.Unavailable = true
 		c.revertLater(func() { c.sim.cloud.Unavailable = false })
 	}),
+	// fail-next-boots has the next "count" machines never boot.
 	"fail-next-boots": silent(func(c *command) { c.sim.cloud.FailedBoots = c.integer("count", 1) }),
 }
 
-// targetMachines returns the machines that a command selects by count, share, zone or name.
+// targetMachines returns the machines that a command selects by count, share, zone or name. The name may
+// also be "all" or "busiest".
 func (c *command) targetMachines() []string {
 	c.t.Helper()
 	if selected := c.selectMachines(); selected != nil {
@@ -58,7 +62,7 @@
 		sim.forgetDeletedMachines()
 	}
 	switch {
-	case c.HasArg("crash"):
+	case c.HasArg("crash"): // the cloud deletes the machine 40 s later
 		worker.Hung = true
 		sim.after(40*micros.Second, func() {
 			worker.Machine.Gone = true
--- a/controller/scenario_nodes_test.go
+++ b/controller/scenario_nodes_test.go
@@ -36,7 +36,7 @@
 	return c.seconds("for", restartDelay.Seconds())
 }
 
-// nodeCommands cause faults of the controllers, of their network and of the KV store.
+// nodeCommands cause faults of the controllers, of their network and of the key-value store.
 var nodeCommands = commandTable{
 	"crash-node": silent(func(c *command) { c.sim.crash(c.node(), c.downtime()) }),
 	"crash-all-nodes": silent(func(c *command) {
@@ -44,11 +44,14 @@
 			c.sim.crash(node, c.downtime())
 		}
 	}),
+	// partition-node partitions a node from everything. With "delay-outbound" the calls that the node
+	// makes during the partition are executed after it.
 	"partition-node": silent(func(c *command) {
 		node := c.node()
 		node.partitioned, node.delaysOutbound = true, c.HasArg("delay-outbound")
 		c.revertLater(func() { node.partitioned = false })
 	}),
+	// partition-zone partitions a zone from the other zones, the key-value store, the cloud and the users.
 	"partition-zone": silent(func(c *command) {
 		c.sim.partitionedZone = c.text("zone", "b")
 		c.revertLater(func() { c.sim.partitionedZone = "" })
@@ -63,11 +66,13 @@
 		node.cloudUnreachable = true
 		c.revertLater(func() { node.cloudUnreachable = false })
 	}),
+	// kv-refuse-node has the key-value store refuse the requests of one node.
 	"kv-refuse-node": silent(func(c *command) {
 		name := nodeName(c.node().index)
 		c.sim.kvStore.RefusedCallers[name] = true
 		c.revertLater(func() { delete(c.sim.kvStore.RefusedCallers, name) })
 	}),
+	// isolate-node partitions a node from the key-value store and its peers.
 	"isolate-node": silent(func(c *command) {
 		node := c.node()
 		node.onlyWorkersReachable = true
@@ -77,7 +82,11 @@
 		c.sim.kvStore.Unavailable = true
 		c.revertLater(func() { c.sim.kvStore.Unavailable = false })
 	}),
+	// kv-compact has the next watch compact the history of the key-value store, so that all open watches
+	// fail.
 	"kv-compact": silent(func(c *command) { c.sim.kvStore.CompactHistory = true }),
+	// duplicate-heartbeats sends a copy of a share of the heartbeats to a random node, at most
+	// "max-delay" later.
 	"duplicate-heartbeats": silent(func(c *command) {
 		c.sim.duplicateHeartbeatShare, c.sim.maxCopyDelay = c.number("share", 0), c.seconds("max-delay", 20)
 	}),
@@ -100,7 +109,8 @@
 	core.numbers.sequence = maxSequence - sequenceMargin
 }
 
-// requestStatus sends a GET request to a node and returns the status of its response.
+// requestStatus sends a GET request to a node and returns the status of its response, followed by
+// "delayed" if the response took longer than 500 ms.
 func (sim *simulation) requestStatus(t *testing.T, node *simNode, path string) string {
 	t.Helper()
 	status, since, took := -1, sim.now, micros.Micros(0)
--- a/controller/scenario_pipelines_test.go
+++ b/controller/scenario_pipelines_test.go
@@ -117,19 +117,22 @@
 
 // pipelineCommands submit, cancel and query jobs with dependencies.
 var pipelineCommands = commandTable{
-	"submit-chain": silent(func(c *command) { // each job depends on the previous one
+	// submit-chain submits jobs each of which depends on the previous one.
+	"submit-chain": silent(func(c *command) {
 		dependencies := c.dependencies()
 		for _, id := range c.jobIDs(1) {
 			c.withDependencies(dependencies...).submit(id)
 			dependencies = []string{id}
 		}
 	}),
-	"submit-parallel": silent(func(c *command) { // all jobs have the same dependencies
+	// submit-parallel submits jobs that all have the same dependencies.
+	"submit-parallel": silent(func(c *command) {
 		for _, id := range c.jobIDs(1) {
 			c.submit(id)
 		}
 	}),
-	"resubmit-and-print": func(c *command) string { // a duplicate submission
+	// resubmit-and-print repeats a job's submission and prints the response.
+	"resubmit-and-print": func(c *command) string {
 		id := c.jobID()
 		response := c.sim.requestAndWait(c.to(), "POST", "/api/jobs", id, c.sim.submissions[id])
 		return fmt.Sprintf("%d %s", response.Status, responseState(response))
@@ -141,7 +144,9 @@
 	},
 	"cancel-at-completion": silent((*command).cancelAtCompletion),
 	"crash-at-completion":  silent((*command).crashAtCompletion),
-	"run-until-completed": func(c *command) string { // all tasks, whether or not a user knows it
+	// run-until-completed runs until all tasks of a job have completed, even if that was not reported to
+	// a user.
+	"run-until-completed": func(c *command) string {
 		completed := func() bool { return c.sim.allTasksDone(c.jobID()) }
 		c.runUntil(240, simulationStep, completed)
 		if !completed() {
@@ -149,11 +154,14 @@
 		}
 		return "completed"
 	},
-	"run-until-recorded": func(c *command) string { // its terminal state, whether or not a user knows it
+	// run-until-recorded runs until the terminal state of a job is recorded, even if it was not reported
+	// to a user.
+	"run-until-recorded": func(c *command) string {
 		id := c.jobID()
 		c.runUntil(240, simulationStep, func() bool { return c.sim.recordedTerminalState(id) != "" })
 		return string(c.sim.recordedTerminalState(id))
 	},
+	// run-until-reported runs until the terminal state of a job is reported to a user.
 	"run-until-reported": func(c *command) string {
 		id := c.jobID()
 		c.runUntil(240, simulationStep, func() bool { return c.sim.reportedTerminal[id] != "" })
@@ -171,11 +179,14 @@
 	"submit-invalid-dependencies": func(c *command) string {
 		return c.sim.sendInvalidDependencies(c.to(), c.integer("first-job", 970000), c.jobID())
 	},
-	"started-before": func(c *command) string { // the first tasks of both jobs are compared
+	// started-before prints whether the job's first task, or its whole gang, started before that of
+	// "other-job".
+	"started-before": func(c *command) string {
 		first, second := c.sim.startedAt[c.jobID()], c.sim.startedAt[c.text("other-job", "")]
 		return fmt.Sprint(first > 0 && (second == 0 || first < second))
 	},
-	"was-reported-queued": func(c *command) string { // at a time when the job was blocked
+	// was-reported-queued prints whether the job was reported as queued while it was blocked.
+	"was-reported-queued": func(c *command) string {
 		return fmt.Sprint(c.sim.pipelines.queuedResponses[c.jobID()] > 0)
 	},
 }
--- a/controller/scenario_queries_test.go
+++ b/controller/scenario_queries_test.go
@@ -54,15 +54,16 @@
 	return fmt.Sprint(n)
 }
 
-// count prints a metric of the simulation. Of some metrics a scenario may require a minimum,
-// "at-least", so that it does not depend on the exact value; then "true" is printed.
+// count prints a metric of the simulation. For a metric in metricsWithMinimum a scenario may give a
+// minimum, "at-least", so that it does not depend on the exact value: count then prints "true" if the
+// metric has at least that value.
 func (c *command) count() string {
 	c.t.Helper()
 	what := c.text("what", "running-tasks")
 	if metric := metrics[what]; metric != nil {
 		return fmt.Sprint(metric(c))
 	}
-	if what == "records-above-size" { // sizes are measured as the value limit measures them
+	if what == "records-above-size" { // sizes as the limit of value sizes counts them
 		return c.sim.countRecordsAbove(c.text("prefix", ""), c.integer("bytes", 0), c.integer("at-least", 0))
 	}
 	metric := metricsWithMinimum[what]
@@ -93,7 +94,7 @@
 	"records":                    func(c *command) int { return len(c.sim.kvStore.Keys(c.text("prefix", ""))) },
 }
 
-// metricsWithMinimum count how often a condition occurred that a scenario is meant to cause.
+// metricsWithMinimum count how often the conditions occurred that a scenario is meant to cause.
 var metricsWithMinimum = map[string]func(c *command) int{
 	"consistency-checks":           func(c *command) int { return c.sim.users.consistencyChecks },
 	"invalid-or-repeated-requests": func(c *command) int { return c.sim.users.invalidOrRepeatedSent },
--- a/controller/simulation_network_test.go
+++ b/controller/simulation_network_test.go
@@ -11,12 +11,15 @@
 	"tamarindlead/micros"
 )
 
+// simulatedEvent is a function that runs at a simulated time. Events at the same time run in the order
+// of seq.
 type simulatedEvent struct {
 	at  micros.Micros
 	seq int
 	run func()
 }
 
+// eventQueue is a heap of events, the next one first.
 type eventQueue []simulatedEvent
 
 func (q eventQueue) Len() int { return len(q) }
@@ -37,11 +40,12 @@
 }
 
 // zonesPartitioned reports whether two zones are partitioned from each other. "" stands for the
-// location of the KV store, the cloud and the users.
+// location of the key-value store, the cloud and the users.
 func (sim *simulation) zonesPartitioned(a, b string) bool {
 	return sim.partitionedZone != "" && (a == sim.partitionedZone) != (b == sim.partitionedZone)
 }
 
+// after has do run when the duration d has passed.
 func (sim *simulation) after(d micros.Micros, do func()) {
 	sim.eventSeq++
 	heap.Push(&sim.events, simulatedEvent{sim.now + d, sim.eventSeq, do})
@@ -51,6 +55,7 @@
 	return micros.Millisecond + micros.Micros(sim.rng.Int64N(int64(4*micros.Millisecond)))
 }
 
+// handleEvent passes an event to a node that is up, and executes the effects that the node returns.
 func (sim *simulation) handleEvent(node *simNode, ev Event) {
 	if !node.up {
 		return
@@ -155,7 +160,7 @@
 	}
 }
 
-// afterPartition calls do once a node is no longer partitioned.
+// afterPartition calls do when a node is no longer partitioned.
 func (sim *simulation) afterPartition(node *simNode, do func()) {
 	if node.partitioned {
 		sim.after(simulationStep, func() { sim.afterPartition(node, do) })
@@ -236,8 +241,8 @@
 	return worker.ExecuteDirect(sim.now, call.Body)
 }
 
-// executeKV executes a call at the KV store. A watch without changes is answered after the waiting
-// time that it requests.
+// executeKV executes a call at the key-value store. A watch gets its response when there are changes, or
+// when the waiting time that it requests has passed since the time since.
 func (sim *simulation) executeKV(node *simNode, call Call, since micros.Micros, respond func(fake.Response)) {
 	sim.kvStore.Now = sim.now
 	waited := sim.now-since >= sim.watchTimeout(call)
@@ -249,7 +254,7 @@
 	sim.after(simulationStep, func() { sim.executeKV(node, call, since, respond) })
 }
 
-// watchTimeout returns how long a call waits for changes, 0 if it is not a watch.
+// watchTimeout returns how long a call may wait for changes, or 0 if it is not a watch.
 func (sim *simulation) watchTimeout(call Call) micros.Micros {
 	target, err := url.ParseRequestURI(call.Target)
 	if err != nil {
--- a/controller/simulation_nodes_test.go
+++ b/controller/simulation_nodes_test.go
@@ -13,18 +13,19 @@
 	"tamarindlead/micros"
 )
 
+// simNode is a simulated controller.
 type simNode struct {
 	index                int
 	core                 *Core           // nil while the node runs the production version
 	productionCore       *productionCore // nil otherwise
-	version              version         // that the node runs from its next start
+	version              version         // the version that the node runs from its next start on
 	incarnation          int
 	downUntil            micros.Micros
 	up                   bool
 	partitioned          bool // from everything
 	delaysOutbound       bool // calls made during the partition are delivered after it
 	workersUnreachable   bool // in both directions
-	onlyWorkersReachable bool // the KV store and the peers are not
+	onlyWorkersReachable bool // the key-value store and the peers are unreachable
 	cloudUnreachable     bool
 	nextTimer            micros.Micros
 	pending              map[uint64]func(Respond)
@@ -37,6 +38,7 @@
 // nodeZone returns the zone of a node. Nodes are assigned to the zones in rotation.
 func (sim *simulation) nodeZone(i int) string { return sim.cfg.Zones[i%len(sim.cfg.Zones)] }
 
+// start starts a node with the version that is set for it.
 func (sim *simulation) start(node *simNode) {
 	cfg := *sim.cfg
 	cfg.Zone = sim.nodeZone(node.index)
@@ -73,6 +75,7 @@
 	return a
 }
 
+// crash crashes a node, which restarts after the duration down.
 func (sim *simulation) crash(node *simNode, down micros.Micros) {
 	node.up, node.incarnation, node.downUntil = false, node.incarnation+1, sim.now+down
 	for _, id := range ordered.Keys(node.pending) {
@@ -102,8 +105,8 @@
 	return node.core.Handle(sim.now, sim.now, ev)
 }
 
-// ownership returns a value that identifies the node's present ownership of teams, nil if it owns
-// none, and whether it is active.
+// ownership returns a value that identifies the node's present ownership of teams, or nil if it owns
+// none, and reports whether the owner is active.
 func (node *simNode) ownership() (by any, active bool) {
 	switch {
 	case !node.up:
--- a/controller/simulation_rules_test.go
+++ b/controller/simulation_rules_test.go
@@ -23,10 +23,10 @@
 		}
 	}
 	if sim.kvStore.OversizedTransactions > 0 {
-		sim.reportViolation("limits: a transaction exceeded the limit of the KV store")
+		sim.reportViolation("limits: a transaction exceeded the limit of the key-value store")
 	}
-	// After the faults have ended, a job counts as forgotten if no request about it is answered for
-	// maxUnansweredTime.
+	// After the faults have ended, an accepted job counts as forgotten if no request about it gets a
+	// response with its state for maxUnansweredTime.
 	for id := range sim.accepted {
 		if sim.faultsEndedAt > 0 && sim.reportedTerminal[id] == "" && sim.now-max(sim.lastAnsweredAt[id], sim.faultsEndedAt) > maxUnansweredTime {
 			sim.reportViolation("forgotten: no request about %s is answered", id)
--- a/controller/simulation_test.go
+++ b/controller/simulation_test.go
@@ -11,10 +11,10 @@
 	"tamarindlead/sched"
 )
 
-// simulation runs controllers against fakes of the KV store, the cloud and the workers on a simulated
-// clock, and checks the rules of the service at every step.
+// simulation runs controllers against fakes of the key-value store, the cloud and the workers on a
+// simulated clock, and checks the rules of the service at every step.
 type simulation struct {
-	now           micros.Micros
+	now           micros.Micros // starts at one hour; logs and violations show the time since then
 	rng           *rand.Rand
 	cfg           *config.Settings
 	nodes         []*simNode
@@ -72,7 +72,7 @@
 
 // taskLedger records what happened to the tasks on the machines.
 type taskLedger struct {
-	completedTasks map[string]bool   // the map of the fleet
+	completedTasks map[string]bool   // by task, shared with the fleet
 	runningOn      map[string]string // machine by task
 	startedTasks   int
 	exitsByCause   map[string]int
@@ -85,12 +85,12 @@
 	duplicateRequestRate    float64 // share of the requests that are executed again seconds later
 	duplicateHeartbeatShare float64 // share of the heartbeats that are duplicated; the copy is delayed
 	maxCopyDelay            micros.Micros
-	partitionedZone         string // from all other zones, the KV store, the cloud and the users
+	partitionedZone         string // partitioned from all other zones, the key-value store, the cloud and the users
 }
 
 // The random streams of a seed. Each purpose has its own stream, so that its draws do not change the
-// draws of other purposes. Only kvFaultStream and faultPairStream have the same number: a different
-// one would change the runs of all seeds.
+// draws of other purposes. Only kvFaultStream and faultPairStream have the same number: changing one of
+// them now would change the runs of all seeds.
 const (
 	simulationStream = 1
 	kvFaultStream    = 2
@@ -133,6 +133,7 @@
 	return sim
 }
 
+// run advances the simulation by the duration d, in steps of simulationStep.
 func (sim *simulation) run(d micros.Micros) {
 	for end := sim.now + d; sim.now < end; sim.now += simulationStep {
 		for len(sim.events) > 0 && sim.events[0].at <= sim.now {
--- a/controller/simulation_users_test.go
+++ b/controller/simulation_users_test.go
@@ -24,6 +24,7 @@
 	})
 }
 
+// cancel cancels a job and retries at the next node until the response is final: 200 or 404.
 func (sim *simulation) cancel(id string, node int) {
 	sim.cancelRequested[id] = true
 	sent := sim.now
@@ -35,7 +36,7 @@
 	})
 }
 
-// poll queries a job at an interval until its terminal state is reported.
+// poll queries a job every 5 s, at one node after the other, until its terminal state is reported.
 func (sim *simulation) poll(id string, node int) {
 	sent := sim.now
 	sim.sendRequest(sim.nodes[node], Request{Method: "GET", Path: "/api/jobs/" + id}, 2*micros.Second, func(response Respond) {
--- a/controller/simulation_workers_test.go
+++ b/controller/simulation_workers_test.go
@@ -18,6 +18,7 @@
 
 func (sim *simulation) workerNames() []string { return ordered.Keys(sim.workers) }
 
+// bootMachines starts the workers of the machines whose boot has finished.
 func (sim *simulation) bootMachines() {
 	for _, name := range sim.cloud.MachineNames() {
 		machine := sim.cloud.Machines[name]
@@ -43,6 +44,7 @@
 	return wire.MachineType{}
 }
 
+// taskInfo returns the properties of a task, including the stagger of its job's tasks.
 func (sim *simulation) taskInfo(task string) (fake.TaskInfo, bool) {
 	id, index, _ := wire.SplitTaskName(task)
 	i, ok := sim.taskInfos[id]
@@ -50,6 +52,7 @@
 	return i, ok
 }
 
+// onTaskStart checks that a task may start on a worker, and records the start.
 func (sim *simulation) onTaskStart(worker *fake.Worker, task string, _ uint64) {
 	sim.startedTasks++
 	id, _, _ := wire.SplitTaskName(task)
@@ -104,6 +107,7 @@
 	sim.runCompletionHooks(id)
 }
 
+// stepWorker advances a worker and sends its heartbeat if one is due, subject to the active faults.
 func (sim *simulation) stepWorker(worker *fake.Worker) {
 	if worker.Machine.Gone {
 		return
--- a/controller/users_invalid_jobs_test.go
+++ b/controller/users_invalid_jobs_test.go
@@ -51,8 +51,8 @@
 }
 
 // sendInvalidJob submits a job that must be permanently refused: with 400 if it is malformed, and with
-// 422 if it can never run. In the latter case 429 and 503 are allowed too, since a node may be unable
-// to decide that.
+// 422 if it can never run. In the latter case 429 and 503 are allowed too, since the node may be unable
+// to decide whether the job can run.
 func (sim *simulation) sendInvalidJob(to int, b invalidJob, want int) {
 	users := &sim.users
 	users.mustRefuse[b.id] = b.reason
@@ -79,6 +79,7 @@
 	return fields
 }
 
+// malformedJob returns the nth malformed submission. The kinds of malformed submissions repeat.
 func (sim *simulation) malformedJob(n int) invalidJob {
 	id := jobName(980000 + n)
 	fields := sim.validJobFields(id)
@@ -107,6 +108,7 @@
 	}
 }
 
+// unrunnableJob returns the nth submission of a job that can never run. The reasons repeat.
 func (sim *simulation) unrunnableJob(n int) invalidJob {
 	id := jobName(990000 + n)
 	fields := sim.validJobFields(id)
--- a/controller/users_requests_test.go
+++ b/controller/users_requests_test.go
@@ -35,19 +35,20 @@
 		if id := pick(func(id string) bool { return sim.reportedTerminal[id] != "" }); id != "" {
 			sim.sendUserRequest(to, "POST", "/api/jobs/"+id+"/cancel", nil, func(response Respond) { sim.checkResponse(id, response, sent) })
 		}
-	case 2: // a job that was never submitted
+	case 2: // a query and a cancellation of a job that was never submitted
 		id := "req-99" + jobName(users.invalidOrRepeatedSent)[len("req-00"):]
 		path := "/api/jobs/" + id
 		sim.sendUserRequest(to, "GET", path, nil, func(response Respond) { sim.checkResponse(id, response, sent) })
 		sim.sendUserRequest(to, "POST", path+"/cancel", nil, func(response Respond) { sim.checkResponse(id, response, sent) })
-	case 3:
+	case 3: // a malformed submission
 		sim.sendInvalidJob(to, sim.malformedJob(users.invalidOrRepeatedSent/5), 400)
-	case 4:
+	case 4: // a submission of a job that can never run
 		sim.sendInvalidJob(to, sim.unrunnableJob(users.invalidOrRepeatedSent/5), 422)
 	}
 }
 
-// userCommands make users send more than one submission, one cancellation and the usual queries.
+// userCommands make users send additional requests, beyond one submission, one cancellation and the
+// usual queries of each job.
 var userCommands = commandTable{
 	"consistency-checks": silent(func(c *command) {
 		c.sim.users.consistencyChecksUntil, c.sim.users.cancelShare = c.sim.now+c.span(), c.number("cancel-share", 0)
@@ -69,7 +70,8 @@
 	}),
 }
 
-// span returns how long users act on a command: by default until the end of the scenario.
+// span returns the duration "for" of a command that makes users send requests, by default until the end
+// of the scenario.
 func (c *command) span() micros.Micros {
 	c.t.Helper()
 	return c.seconds("for", simulationHorizon.Seconds())
--- a/controller/users_responses_test.go
+++ b/controller/users_responses_test.go
@@ -65,7 +65,7 @@
 	sim.checkState(job, state.Status, sent)
 }
 
-// checkState checks a state of a job that is reported to a user.
+// checkState checks the state of a job that a response reports.
 func (sim *simulation) checkState(job *sched.Job, status wire.JobPhase, sent micros.Micros) {
 	users, id := &sim.users, job.ID
 	terminal := status == wire.JobDone || status == wire.JobCancelled
--- a/controller/users_test.go
+++ b/controller/users_test.go
@@ -13,11 +13,11 @@
 	rng                     *rand.Rand
 	consistencyChecksUntil  micros.Micros // until then users check the responses of all nodes
 	consistencyChecks       int           // successful responses to these checks
-	invalidOrRepeatedUntil  micros.Micros // until then users send such requests
+	invalidOrRepeatedUntil  micros.Micros // until then users send invalid and repeated requests
 	invalidOrRepeatedSent   int
 	cancelShare             float64                  // share of the jobs cancelled as soon as they are accepted
 	cancelAtCompletionShare float64                  // share of the jobs cancelled when their last task completes
-	cancelledAtCompletion   int                      // number of jobs cancelled in this way
+	cancelledAtCompletion   int                      // number of jobs that were cancelled at their completion
 	cancelAfter             map[string]micros.Micros // jobs that are cancelled this long after their acceptance
 	startsAfterCancel       int                      // tasks started after an acknowledged cancellation
 	mustRefuse              map[string]string        // by job that must not be accepted: the reason
@@ -38,13 +38,14 @@
 }
 
 const (
-	maxRefusalLatency   = 100 * micros.Millisecond // bound of the time until a request is throttled
-	maxUnansweredTime   = 75 * micros.Second       // a job without an answered request for this long is forgotten
-	maxSchedulableWait  = 90 * micros.Second       // a job that can be scheduled starts within this time
-	largestJobsDeadline = 240 * micros.Second      // the largest jobs of a class start within this time
+	maxRefusalLatency   = 100 * micros.Millisecond // a request that is throttled gets its response within this time
+	maxUnansweredTime   = 75 * micros.Second       // after this time without a response, a job counts as forgotten
+	maxSchedulableWait  = 90 * micros.Second       // a job that can be scheduled must start within this time
+	largestJobsDeadline = 240 * micros.Second      // the largest jobs of a class must start within this time
 )
 
-// consistencyCheckDelays are the delays after which a state reported to a user is checked at all nodes.
+// consistencyCheckDelays are the delays after which all nodes are queried about a job whose state was
+// reported to a user.
 var consistencyCheckDelays = []micros.Micros{
 	0, 2 * micros.Millisecond, 5 * micros.Millisecond, 10 * micros.Millisecond,
 
@@ -81,8 +82,8 @@
 	}
 }
 
-// cancelCompletedJob is called when a task completes. Some users cancel, query and resubmit a job at the
-// time at which its last task completes.
+// cancelCompletedJob is called when a task completes. If it is the last task of its job, a random share
+// of the users cancel, query and resubmit the job at that time.
 func (sim *simulation) cancelCompletedJob(id string) {
 	users := &sim.users
 	if users.cancelAtCompletionShare == 0 || sim.cancelRequested[id] || !sim.allTasksDone(id) {
