--- a/controller/fault_pairs_faults_test.go
+++ b/controller/fault_pairs_faults_test.go
@@ -136,9 +136,9 @@
 	newKVOutage("KV store unavailable", 5, 15),
 	newKVOutage("KV store unavailable for a long time", 50, 70), // longer than the cancellation deadline
 	newClusterFault("KV store slow", 15, 40, func(sim *simulation, on bool) {
-		sim.kvFaults.responseDelay = 0
+		sim.kvFaults.kvLatency = 0
 		if on {
-			sim.kvFaults.responseDelay = 600 * micros.Millisecond
+			sim.kvFaults.kvLatency = 600 * micros.Millisecond
 		}
 	}),
 	{name: "zone partitioned", start: func(run *faultPairRun) (string, micros.Micros, func()) {
