--- a/controller/bench_test.go
+++ b/controller/bench_test.go
@@ -75,20 +75,20 @@
 type stubKVClient struct{ incarnation uint64 }
 
 func (s *stubKVClient) Call(request kv.Request, done func(micros.Micros, kv.Result)) {
-	reply := func(body any) {
+	respond := func(body any) {
 		done(micros.Hour, kv.Result{Outcome: kv.OK, Body: wire.Encode(body)})
 	}
 	switch {
 	case strings.HasPrefix(request.Target, "/kv/"):
 		done(micros.Hour, kv.Result{Outcome: kv.NotFound})
 	case request.Target == "/leases":
-		reply(kv.LeaseGrant{Lease: 1})
+		respond(kv.LeaseGrant{Lease: 1})
 	case request.Target == "/commit":
-		reply(kv.TransactionResult{Revision: 1})
+		respond(kv.TransactionResult{Revision: 1})
 	case strings.HasPrefix(request.Target, "/kv?"):
 		team := record.Team{Owner: "n0", Incarnation: s.incarnation}
 		leader := record.Leader{Node: "n1"}
-		reply(kv.Page{Revision: 1, Entries: []kv.Entry{
+		respond(kv.Page{Revision: 1, Entries: []kv.Entry{
 			{Key: record.TeamKey("red"), Value: wire.Encode(team), Version: 1},
 			{Key: record.LeaderKey, Value: wire.Encode(leader), Version: 1},
 		}})
@@ -196,7 +196,7 @@
 	beginCommit(b, o)
 	var id uint64
 	for b.Loop() {
-		answered := 0
+		responded := 0
 		for i := range 50 {
 			id++
 			c.Handle(c.now, c.now, Request{ID: id, Method: "GET", Path: frontend.PathJobs + "/" + o.Queue[i].ID})
@@ -208,12 +208,12 @@
 			}
 			for _, e := range c.Handle(c.now, c.now, CallDone{ID: call.ID, Status: 200, Body: wire.Encode(kv.TransactionResult{Revision: 1}), Sent: true}) {
 				if r, ok := e.(Respond); ok && r.Status == 200 {
-					answered++
+					responded++
 				}
 			}
 		}
-		if answered != 50 {
-			b.Fatalf("%d lookups got a response with status 200, want 50", answered)
+		if responded != 50 {
+			b.Fatalf("%d lookups got a response with status 200, want 50", responded)
 		}
 	}
 }
--- a/controller/cancellation_acks.go
+++ b/controller/cancellation_acks.go
@@ -11,8 +11,8 @@
 
 func newCancellationTracker(c *Core) *cancellation.Tracker {
 	settings := cancellation.Settings{Lease: c.cfg.WorkerLease, CancelWithin: c.cfg.CancellationDeadline}
-	for _, sibling := range c.cfg.Siblings {
-		settings.Peers = append(settings.Peers, sibling.Node)
+	for _, peer := range c.cfg.Siblings {
+		settings.Peers = append(settings.Peers, peer.Node)
 	}
 	return cancellation.New(settings, cancellationHost{c}, c.now)
 }
--- a/controller/core.go
+++ b/controller/core.go
@@ -96,7 +96,7 @@
 		calls: outboundCalls{pending: map[uint64]func(CallDone){}},
 	}
 	c.cloudRate = rate.NewLimiter(rate.Limit(cfg.CloudRequestRate), max(1, int(cfg.CloudRequestRate)))
-	c.node = cluster.New(cfg, clusterStore{c}, clusterHost{c}, rand.New(rand.NewPCG(seed, randomSeedStream)), log)
+	c.node = cluster.New(cfg, clusterKVClient{c}, clusterHost{c}, rand.New(rand.NewPCG(seed, randomSeedStream)), log)
 	c.cluster = c.node.View()
 	c.peers = peers.New(cfg, peersHost{c})
 	c.cancellations = newCancellationTracker(c)
@@ -153,7 +153,7 @@
 	c.tickStatus()
 	c.cancellations.PruneCancelled(c.now)
 	if c.owner != nil {
-		c.owner.slowTick()
+		c.owner.tickSlow()
 	}
 }
 
--- a/controller/membership.go
+++ b/controller/membership.go
@@ -9,21 +9,21 @@
 // This file connects package cluster, this node's membership and leadership, with the node's client of
 // the key-value store, its owner and its rate limits.
 
-// clusterStore sends the requests of membership and leadership to the key-value store. They have the
+// clusterKVClient sends the requests of membership and leadership to the key-value store. They have the
 // most urgent purpose in the request budget.
-type clusterStore struct{ core *Core }
+type clusterKVClient struct{ core *Core }
 
 // Call implements cluster.KVClient.
-func (s clusterStore) Call(request kv.Request, done func(micros.Micros, kv.Result)) {
+func (s clusterKVClient) Call(request kv.Request, done func(micros.Micros, kv.Result)) {
 	s.core.store.Do(budget.Leadership, request, s.withTime(done))
 }
 
 // Watch implements cluster.KVClient.
-func (s clusterStore) Watch(prefix string, after uint64, done func(micros.Micros, kv.Result)) {
+func (s clusterKVClient) Watch(prefix string, after uint64, done func(micros.Micros, kv.Result)) {
 	s.core.store.Watch(budget.Leadership, prefix, after, kv.WatchWait, s.withTime(done))
 }
 
-func (s clusterStore) withTime(done func(micros.Micros, kv.Result)) func(kv.Result) {
+func (s clusterKVClient) withTime(done func(micros.Micros, kv.Result)) func(kv.Result) {
 	return func(result kv.Result) { done(s.core.now, result) }
 }
 
--- a/internal/scheduler/preemption_test.go
+++ b/internal/scheduler/preemption_test.go
@@ -101,7 +101,7 @@
 	ended := f.inventory.AddAttempt(queue[0], 0, 7, m, inventory.AttemptLive)
 	f.inventory.SetAttemptState(ended, inventory.AttemptCompleted)
 	f.inventory.AddAttempt(queue[1], 0, 8, m, inventory.AttemptLive)
-	if free, is := f.preemptionView()[0].Free.CPUs(), m.Size.Sub(m.Used).CPUs(); free != is {
-		t.Errorf("%g processors count as free, want %g", free, is)
+	if free, want := f.preemptionView()[0].Free.CPUs(), m.Size.Sub(m.Used).CPUs(); free != want {
+		t.Errorf("%g processors count as free, want %g", free, want)
 	}
 }
--- a/sched/domains.go
+++ b/sched/domains.go
@@ -71,19 +71,19 @@
 		byName[name] = append(byName[name], m)
 	}
 	domains := make([]Domain, 0, len(byName))
-	lacking := make(map[string]float64, len(byName))
+	deficits := make(map[string]float64, len(byName))
 	for _, name := range slices.Sorted(maps.Keys(byName)) {
 		domain := Domain{Name: name, Machines: byName[name]}
 		domains = append(domains, domain)
-		lacking[name] = domain.lacking(j)
+		deficits[name] = domain.deficit(j)
 	}
-	slices.SortStableFunc(domains, func(a, b Domain) int { return cmp.Compare(lacking[a.Name], lacking[b.Name]) })
+	slices.SortStableFunc(domains, func(a, b Domain) int { return cmp.Compare(deficits[a.Name], deficits[b.Name]) })
 	return domains
 }
 
-// lacking returns the resource deficit of the domain for all tasks of the job, as a multiple of the
+// deficit returns the resource deficit of the domain for all tasks of the job, as a multiple of the
 // need of one task, added up over the kinds of resources.
-func (d Domain) lacking(j *Job) float64 {
+func (d Domain) deficit(j *Job) float64 {
 	var free Resources
 	for _, m := range d.Machines {
 		free = free.Add(m.Free)
