--- a/controller/blocked_jobs.go
+++ b/controller/blocked_jobs.go
@@ -11,7 +11,7 @@
 	"tamarindlead/micros"
 )
 
-// This file handles an owner's blocked jobs, those with dependencies that are not done. They are not
+// This file handles an owner's blocked jobs: jobs with dependencies that are not done. They are not
 // in the queue: placement, demand and quotas ignore them. Only unblockJob unblocks a job: after the
 // terminal states of all its dependencies were read as done, or after a record has shown that an
 // earlier owner placed the job.
@@ -150,7 +150,7 @@
 }
 
 // partsSweepDelay is the pause between the activation of an owner and its search for orphaned
-// dependency parts. It leaves the requests right after a failover to more urgent purposes.
+// dependency parts. It leaves the request budget right after a failover to more urgent purposes.
 const partsSweepDelay = 20 * micros.Second
 
 // sweepOrphanedParts searches for orphaned dependency parts, which were not deleted when their jobs
--- a/controller/commit_adapter.go
+++ b/controller/commit_adapter.go
@@ -18,7 +18,7 @@
 		Inventory: o.Inventory, Host: commitHost{o}, Transfers: commitTransfers{o},
 		Sources: commit.Sources{
 			CascadedCancellations: o.flushCascadedCancellations,
-			// The fleet and the scheduler are created after the pipeline.
+			// Functions look up the fleet and the scheduler, which are created after the pipeline.
 			ScaleOutRequests: func(t *commit.Transaction, full func() bool) { o.fleet.FlushScaleOutRequests(t, full) },
 			Reservations:     func(t *commit.Transaction, full func() bool) { o.scheduler.FlushReservations(t, full) },
 		},
@@ -99,7 +99,8 @@
 	for _, a := range j.SortedAttempts() {
 		if a.State == inventory.AttemptLive || a.State == inventory.AttemptStarting {
 			a.Reason = "job is done"
-			o.SetAttemptState(a, inventory.AttemptStopping) // the stop command follows its machine's next heartbeat
+			// The response to the next heartbeat of the attempt's machine contains the stop command.
+			o.SetAttemptState(a, inventory.AttemptStopping)
 		}
 	}
 }
@@ -133,7 +134,8 @@
 
 // dropOwnedElsewhere removes an adopted machine that has an entry in another block: a block of another
 // owner, or a block of this owner if the machine was transferred to it. It asserts that this owner has
-// no tasks on the machine: they would be lost, and placed on other machines while they run.
+// no tasks on the machine. Otherwise the tasks would be lost, and placed on other machines while they
+// still run.
 func (o *owner) dropOwnedElsewhere(m *inventory.Machine, block string) {
 	if len(m.Attempts) > 0 {
 		o.c.reportViolation("a machine with tasks is left to another owner",
--- a/controller/core.go
+++ b/controller/core.go
@@ -27,13 +27,13 @@
 	cfg *config.Settings
 	log *slog.Logger
 
-	// now is the monotonic time of the present event. wallClock is its time of day, for records and
-	// responses to users.
+	// now is the monotonic time of the current event. wallClock is its wall-clock time, for records
+	// and responses to users.
 	now, wallClock micros.Micros
 	timers         []timer
 	nextSlowTick   micros.Micros
 
-	// effects are the effects of the present event so far.
+	// effects are the effects of the current event so far.
 	effects []Effect
 	calls   outboundCalls
 
@@ -127,7 +127,7 @@
 	return c.effects
 }
 
-// tick does the work that is due by now. It is called after every event.
+// tick does the work that is due. It is called after every event.
 func (c *Core) tick() {
 	c.runTimers()
 	if c.now >= c.nextSlowTick {
@@ -173,7 +173,7 @@
 	c.effects = append(c.effects, Respond{ID: id, Status: status, Body: data})
 }
 
-// retryAfterSeconds is the Retry-After header of a refusal. Clients wait at least that long anyway.
+// retryAfterSeconds is the Retry-After header of a refusal. Clients wait at least that long in any case.
 const retryAfterSeconds = 1
 
 // refuse responds that a request cannot be handled now and may be sent again.
--- a/controller/frontend_adapter_test.go
+++ b/controller/frontend_adapter_test.go
@@ -21,13 +21,13 @@
 	refused := core.counters.refused
 	frontendResponses{core}.Refuse(1, wire.StatusTooManyRequests, "too many cancellations")
 	if len(core.effects) != 1 || core.counters.refused != refused+1 {
-		t.Fatalf("%d effects, %d refusals counted", len(core.effects), core.counters.refused-refused)
+		t.Fatalf("%d effects, %d refusals counted, want 1 and 1", len(core.effects), core.counters.refused-refused)
 	}
 	var body wire.ErrorResponse
 	got, ok := core.effects[0].(Respond)
 	if !ok || got.ID != 1 || got.Status != wire.StatusTooManyRequests || got.RetryAfter != retryAfterSeconds ||
 		wire.Decode(got.Body, &body) != nil || body.Error != "too many cancellations" {
-		t.Errorf("effect %+v with reason %q", core.effects[0], body.Error)
+		t.Errorf("effect %+v with error %q, want a response with Retry-After and the given reason", core.effects[0], body.Error)
 	}
 	frontendHost{core}.ReportViolation("a test")
 	if core.Violations() != 1 {
--- a/controller/inventory_adapter.go
+++ b/controller/inventory_adapter.go
@@ -23,7 +23,8 @@
 
 func (h inventoryHost) CommandsNeeded(m *inventory.Machine) { h.o.workers.QueueDispatch(m) }
 
-// forgetMachine removes a machine whose record was deleted, and refuses its pending heartbeat.
+// forgetMachine removes a machine that was terminated or belongs to another block or owner, and refuses
+// its pending heartbeat.
 func (o *owner) forgetMachine(m *inventory.Machine) {
 	o.workers.RefusePendingHeartbeat(m, workers.RefusalTerminated)
 	o.RemoveMachine(m)
--- a/controller/job_queue.go
+++ b/controller/job_queue.go
@@ -82,7 +82,7 @@
 }
 
 // handleJobRemoved handles the deletion of a job's record, either by this owner's own transaction or
-// by a cancellation that was acknowledged to users at the time since or later.
+// by a cancellation, which was acknowledged to users no earlier than the time since.
 func (o *owner) handleJobRemoved(id string, since micros.Micros) {
 	if j := o.BlockedJobs[id]; j != nil && !j.Writing {
 		o.c.log.Info("blocked job cancelled", "job", id)
--- a/controller/membership.go
+++ b/controller/membership.go
@@ -9,8 +9,8 @@
 // This file connects package cluster, this node's membership and leadership, with the node's client of
 // the key-value store, its owner and its rate limits.
 
-// clusterKVClient sends the requests of membership and leadership to the key-value store. They have the
-// most urgent purpose in the request budget.
+// clusterKVClient implements cluster.KVClient: it sends the requests of membership and leadership to the
+// key-value store. They have the most urgent purpose in the request budget.
 type clusterKVClient struct{ core *Core }
 
 // Call implements cluster.KVClient.
@@ -48,8 +48,8 @@
 // ViewChanged divides the limits of the key-value store among the members again.
 func (h clusterHost) ViewChanged() { h.core.updateRateLimits() }
 
-// UnreachableByWorkers reports whether no worker reaches this node, neither one of its own machines
-// nor another, although some worker reaches a peer.
+// UnreachableByWorkers reports whether no worker reaches this node, whether it owns the worker's machine
+// or not, although some worker reaches a peer.
 func (h clusterHost) UnreachableByWorkers() bool {
 	c := h.core
 	return c.owner != nil && c.owner.allMachinesUnresponsive() && c.onlyPeersReachable()
--- a/controller/owner_state.go
+++ b/controller/owner_state.go
@@ -59,7 +59,7 @@
 const recoveryRestartDelay = 200 * micros.Millisecond
 
 // restartRecovery replaces the owner with one that recovers everything from the records. It is called
-// after an event that is impossible if the records are as this owner expects them.
+// after an event that shows that the records are not as this owner expects them.
 func (o *owner) restartRecovery(reason string) {
 	if o.superseded() {
 		return
--- a/controller/owner_state_test.go
+++ b/controller/owner_state_test.go
@@ -112,7 +112,7 @@
 		t.Errorf("last heartbeat %d, token confirmed at %d, want %d; recovered %t", m.LastHeartbeat, m.TokenConfirmedAt, want, m.Recovered)
 	}
 	if o.state != ownerActive || o.activeSince != o.c.now || !o.SchedulingNeeded {
-		t.Errorf("owner is %v since %d, scheduling needed %t", o.state, o.activeSince, o.SchedulingNeeded)
+		t.Errorf("owner is %v since %d, scheduling needed %t; want it active since now, scheduling needed", o.state, o.activeSince, o.SchedulingNeeded)
 	}
 }
 
@@ -145,7 +145,7 @@
 				m.State, m.LastHeartbeat, m.FencingToken, m.AgentEpoch = inventory.MachineReady, last, 7, 1
 			}
 			m := o.newMachine(inventory.MachineInfo{Name: "m-booting", Type: "mid", Zone: "a"})
-			m.LastHeartbeat = now // of its launch; no heartbeat is expected of a booting machine
+			m.LastHeartbeat = now // set at its launch; no heartbeat is expected of a booting machine
 			if got := o.allMachinesUnresponsive(); got != test.want {
 				t.Errorf("unresponsive %t, want %t", got, test.want)
 			}
@@ -204,7 +204,7 @@
 			node.Tick(o.c.now)
 			o.c.cluster, o.c.cfg.Teams = node.View(), test.teams
 			if first := o.c.cluster.FirstOwner(); first != "n1" {
-				t.Fatalf("the first owner is %q", first)
+				t.Fatalf("the first owner is %q, want n1", first)
 			}
 			if got := o.ownsRecordsOf(test.earlier); got != test.want {
 				t.Errorf("owns the records of %s: %t, want %t", test.earlier, got, test.want)
--- a/controller/priority_inheritance_test.go
+++ b/controller/priority_inheritance_test.go
@@ -98,7 +98,7 @@
 	w.check(jobName(1), 2, 107-5-20)
 	w.check(jobName(9), 1, 0)
 	if w.owner.Queue[0].ID != jobName(1) {
-		t.Fatalf("%s is first in the queue", w.owner.Queue[0].ID)
+		t.Fatalf("%s is first in the queue, want %s", w.owner.Queue[0].ID, jobName(1))
 	}
 	w.finish(jobName(1), wire.JobDone)
 	w.check(jobName(2), 2, 107-5)
@@ -144,7 +144,7 @@
 	for seed := range uint64(20) {
 		r := rand.New(rand.NewPCG(seed, 6))
 		w := newInheritanceTest(t)
-		cancelled := map[string]bool{} // with an upstream job, which is not recorded yet
+		cancelled := map[string]bool{} // jobs that are cancelled with an upstream job, but not recorded as cancelled
 		g := w.core.graph
 		for i := range 150 {
 			ids := ordered.Keys(w.jobs)
@@ -217,7 +217,7 @@
 			w.Fatalf("seed %d: %s inherits %v, want %v", seed, id, got, want[id])
 		}
 		if j := w.owner.Jobs[id]; j != nil && j.Priority != max(w.jobs[id].Priority, want[id].Priority) {
-			w.Fatalf("seed %d: %s has priority %d at its owner", seed, id, j.Priority)
+			w.Fatalf("seed %d: %s has priority %d at its owner, want %d", seed, id, j.Priority, max(w.jobs[id].Priority, want[id].Priority))
 		}
 	}
 	if !slices.IsSortedFunc(w.owner.Queue, inventory.CompareQueueOrder) {
@@ -225,9 +225,10 @@
 	}
 }
 
-// TestDeadlineDemand guards against two faults of demand: work of the lowest priority waits for cheaper
-// machines although the deadline of its pipeline is near, and a gang may wait longer (MaxWait) than the
-// slack to that deadline. Covers scheduler.Scheduler.IsUrgent and MaxQueueingDelay as used in fleet.Fleet.demands.
+// TestDeadlineDemand guards against two faults in the computation of demand: work of the lowest priority
+// waits for cheaper machines although the deadline of its pipeline is near, and a gang may wait longer
+// (MaxWait) than the slack to that deadline. Covers scheduler.Scheduler.IsUrgent and MaxQueueingDelay as
+// used in fleet.Fleet.demands.
 func TestDeadlineDemand(t *testing.T) {
 	for _, deadline := range []float64{0, 400, 50} {
 		w := newInheritanceTest(t)
@@ -239,7 +240,8 @@
 			want = 15 * micros.Second // 50 s less both estimates
 		}
 		if g.MaxWait != want || (g.LowPriorityCPUSeconds == 0) != (deadline == 50) {
-			t.Errorf("deadline in %v s: MaxWait %v, low-priority CPU seconds %v of %v", deadline, g.MaxWait, g.LowPriorityCPUSeconds, g.PendingCPUSeconds)
+			t.Errorf("deadline in %v s: MaxWait %v, want %v; %v of %v pending CPU seconds have low priority, want none: %t",
+				deadline, g.MaxWait, want, g.LowPriorityCPUSeconds, g.PendingCPUSeconds, deadline == 50)
 		}
 	}
 }
--- a/controller/worker_heartbeats.go
+++ b/controller/worker_heartbeats.go
@@ -63,7 +63,7 @@
 //
 // The response repeats the worker's own fencing token and contains no commands, so it changes no
 // state but the lease. It is sent only if all tasks are of jobs that were active when this node last
-// read the records. If one of the jobs was cancelled later, the machine's present owner terminates the
+// read the records. If one of the jobs was cancelled later, the machine's current owner terminates the
 // machine before the cancellation deadline. If only this node is partitioned, not its zone, it also
 // receives heartbeats from other zones, and it redirects all workers.
 func (c *Core) mayExtendForeignLease(heartbeat *wire.Heartbeat) bool {
--- a/internal/autoscaler/demand.go
+++ b/internal/autoscaler/demand.go
@@ -19,7 +19,7 @@
 	LowPriorityCPUSeconds float64                   // part with low priority that is not urgent
 	LowPriorityMaxWait    micros.Micros             // longest wait target of the low-priority jobs
 	QuotaLimited          bool                      // the teams' quota limits exclude some of the work
-	QuotaHeadroom         float64                   // further CPUs within the quota limits, each counted once
+	QuotaHeadroom         float64                   // further CPUs within the quota limits, counted once per team
 	Capacity              float64                   // CPUs of machines that are ready, booting or requested
 	Used                  float64                   // CPUs in use
 	UsedByOffer           map[Offer]sched.Resources // resources in use by this work
--- a/internal/autoscaler/gang_capacity.go
+++ b/internal/autoscaler/gang_capacity.go
@@ -35,8 +35,8 @@
 	return min(job.Tasks, z.onDemand+spot)
 }
 
-// allocate allocates capacity for at most limit tasks, of which at most maxSpotTasks on spot machines. It
-// returns the numbers of tasks allocated on on-demand and on spot machines.
+// allocate allocates capacity for at most limit tasks, and for at most maxSpotTasks of them on spot
+// machines. It returns the numbers of tasks allocated on on-demand and on spot machines.
 func (z *zoneCapacity) allocate(limit, maxSpotTasks int) (onDemand, spot int) {
 	spot = min(limit, z.spot, maxSpotTasks)
 	onDemand = min(limit-spot, z.onDemand)
--- a/internal/autoscaler/replace.go
+++ b/internal/autoscaler/replace.go
@@ -2,7 +2,7 @@
 
 import "tamarindlead/sched"
 
-// replacementPriceRatio is the ratio of the price of a replacement to the price of the present machine
+// replacementPriceRatio is the ratio of the price of a replacement to the price of the existing machine
 // at or below which replacing the machine is worthwhile.
 const replacementPriceRatio = 0.6
 
--- a/internal/autoscaler/scale_in_test.go
+++ b/internal/autoscaler/scale_in_test.go
@@ -22,8 +22,8 @@
 	requireNothingRequested(t, p.Plan([]*Demand{d}))
 }
 
-// scaleInCase returns a planner with four machines, of which m1 and m3 have the fewest CPUs in use, and a
-// demand that does not need all of them.
+// scaleInCase returns a planner with four machines and a demand that does not need all of them. m1 and m3
+// have the fewest CPUs in use.
 func scaleInCase() (*Planner, *Demand) {
 	job := testArray("j", 1)
 	p := testPlanner(job)
--- a/internal/autoscaler/scale_out.go
+++ b/internal/autoscaler/scale_out.go
@@ -17,7 +17,7 @@
 // requested while requests for cheaper offers are pending.
 const maxPriceSpread = 1.1
 
-// scaleOut requests machines for work that would wait too long for the present machines.
+// scaleOut requests machines for work that would wait too long for the existing machines.
 func (p *Planner) scaleOut(demands []*Demand) {
 	for _, d := range demands {
 		switch {
--- a/internal/autoscaler/scale_out_gang.go
+++ b/internal/autoscaler/scale_out_gang.go
@@ -80,7 +80,7 @@
 	}
 }
 
-// useExistingCapacity allocates capacity of present machines and pending requests.
+// useExistingCapacity allocates capacity of existing machines and pending requests.
 func (g *gangScaleOut) useExistingCapacity() {
 	switch {
 	case !g.job.OneZone:
--- a/internal/fleet/adoption.go
+++ b/internal/fleet/adoption.go
@@ -24,8 +24,8 @@
 // IsOwnedElsewhere reports whether a machine is assumed to belong to another owner.
 func (f *Fleet) IsOwnedElsewhere(machine string) bool { return f.ownedElsewhere[machine] != 0 }
 
-// MarkOwnedElsewhere marks a machine as belonging to another owner until the given time. It covers
-// the time in which that owner's messages to this node may not list the machine yet.
+// MarkOwnedElsewhere marks a machine as belonging to another owner until the given time. The mark covers
+// the time in which that owner's peer heartbeats may not list the machine yet.
 func (f *Fleet) MarkOwnedElsewhere(machine string, until micros.Micros) {
 	f.ownedElsewhere[machine] = until
 }
--- a/internal/fleet/cloud_list_test.go
+++ b/internal/fleet/cloud_list_test.go
@@ -61,7 +61,7 @@
 				t.Fatalf("adopted: %t, want %t", m != nil, test.want)
 			}
 			if m != nil && m.ProvisionedAt != host.now-2*micros.Second {
-				t.Errorf("provisioned at %v", m.ProvisionedAt)
+				t.Errorf("provisioned at %v, want %v", m.ProvisionedAt, host.now-2*micros.Second)
 			}
 		})
 	}
--- a/internal/fleet/demand_test.go
+++ b/internal/fleet/demand_test.go
@@ -8,8 +8,8 @@
 	"tamarindlead/sched"
 )
 
-// TestRecordRunTime checks that the recorded run time of a task lasts until the time of the current
-// event.
+// TestRecordRunTime checks that the recorded run time of a task ends at the time of the current event,
+// not at that of an earlier one.
 func TestRecordRunTime(t *testing.T) {
 	f, host := newTestFleet(t, "m-000001")
 	f.refresh()
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -14,7 +14,7 @@
 
 // Host provides what the fleet needs from its owner and the node.
 type Host interface {
-	// Now returns the time of the current event on a monotonic clock.
+	// Now returns the monotonic time of the current event.
 	Now() micros.Micros
 	// WallClock returns the wall-clock time of the current event.
 	WallClock() micros.Micros
@@ -40,7 +40,7 @@
 	ID() record.OwnerID
 	// OwnsRecordsOf reports whether this owner takes over the records of the given owner.
 	OwnsRecordsOf(owner record.OwnerID) bool
-	// IsClaimedByPeer reports whether a peer controller claims the machine in its messages.
+	// IsClaimedByPeer reports whether a peer lists the machine as its own in its heartbeats.
 	IsClaimedByPeer(machine string) bool
 	// AdoptsUnclaimed reports whether this owner is the one that adopts machines without an owner.
 	AdoptsUnclaimed() bool
--- a/internal/fleet/gang_retention.go
+++ b/internal/fleet/gang_retention.go
@@ -7,10 +7,10 @@
 
 // retainedForGangs reports whether an unresponsive machine is retained because other machines show
 // that its tasks are still running. After a gang has lost a task, its other tasks exit within the gang
-// failure timeout; here, the tasks of the machine's gangs on other machines were still running after
-// that timeout. The worker may reconnect until its lease expires, and decommissioning the machine would
-// stop whole gangs. A machine that has failed, that the cloud reclaims, or that has tasks of an ended
-// job is not retained.
+// failure timeout. A machine is therefore retained if, for each of its gangs, a task on another machine
+// was still running after that timeout. The worker may reconnect until its lease expires, and
+// decommissioning the machine would stop whole gangs. A machine that has failed, that the cloud
+// reclaims, or that has tasks of an ended job is not retained.
 func (f *Fleet) retainedForGangs(m *inventory.Machine) bool {
 	if f.unresponsiveFor(m) > f.settings.WorkerLease || m.Failed || m.ReclaimAt != 0 {
 		return false
--- a/internal/fleet/health.go
+++ b/internal/fleet/health.go
@@ -37,11 +37,11 @@
 	// unresponsive machine with a task of a cancelled job is decommissioned, regardless of its
 	// other tasks and of the time since the failover.
 	OverdueDecommissionFraction = 0.5
-	// overdueTerminateFraction is the fraction of the cancellation deadline after which the cloud
-	// is requested to terminate the machine even if the decision cannot be recorded, since the
-	// key-value store may be unavailable beyond the deadline. If the cloud executes the request
-	// only after a failover, the successor detects the loss of the machine from its missing
-	// heartbeats or from the cloud's list.
+	// overdueTerminateFraction is the fraction of the cancellation deadline after which the
+	// termination of the machine is requested from the cloud even if the decision cannot be
+	// recorded, since the key-value store may be unavailable beyond the deadline. If the cloud
+	// executes the request only after a failover, the successor detects the loss of the machine
+	// from its missing heartbeats or from the cloud's list.
 	overdueTerminateFraction = 0.6
 )
 
--- a/internal/fleet/partitions.go
+++ b/internal/fleet/partitions.go
@@ -5,8 +5,8 @@
 	"tamarindlead/internal/ordered"
 )
 
-// A zone is considered partitioned if it has at least minZoneMachines machines of which at most
-// maxResponsiveFraction respond, while machines in other zones respond.
+// A zone is considered partitioned if it has at least minZoneMachines machines and at most the fraction
+// maxResponsiveFraction of them responds, while machines in other zones respond.
 const (
 	minZoneMachines       = 4
 	maxResponsiveFraction = 0.15
--- a/internal/fleet/planning.go
+++ b/internal/fleet/planning.go
@@ -66,7 +66,7 @@
 	return autoscaler.Catalog{Types: f.types, MaxTasks: inventory.MaxEntryTasks}
 }
 
-// newPlanner returns a planner for the present machines and scale-out requests.
+// newPlanner returns a planner for the existing machines and scale-out requests.
 func (f *Fleet) newPlanner(demands []*autoscaler.Demand) *autoscaler.Planner {
 	p := &autoscaler.Planner{
 		Market: f.market(), Classes: f.classes, SLOs: f.settings.SLOs,
--- a/internal/fleet/scale_out.go
+++ b/internal/fleet/scale_out.go
@@ -22,7 +22,8 @@
 // errorNoCapacity is the cloud's error text when it has no machines of an offer.
 const errorNoCapacity = "no capacity"
 
-// cloudRetryDelay is the delay before a request is repeated after a response of the cloud.
+// cloudRetryDelay is the delay before a request to the cloud is repeated, counted from its response or
+// from the failure to get one.
 const cloudRetryDelay = micros.Second
 
 // scaleOutState is the state of a scale-out request.
@@ -185,7 +186,8 @@
 		"spot", offer.Spot, "requested", request.Count, "class", request.Job.Class, "short_cpus", request.ShortCPUs)
 }
 
-// allMachinesClaimed reports whether all machines of a scale-out request are recorded.
+// allMachinesClaimed reports whether all machines of a scale-out request that this owner still has are
+// claimed, which means that they are recorded.
 func (s *scaleOuts) allMachinesClaimed(r *scaleOutRequest) bool {
 	for _, name := range r.machines {
 		if m := s.inventory.Machines[name]; m != nil && m.FencingToken == 0 {
--- a/internal/fleet/scale_out_test.go
+++ b/internal/fleet/scale_out_test.go
@@ -11,7 +11,7 @@
 )
 
 // TestTerminationsRequireRecords checks that the termination of a machine is requested from the cloud
-// only if it is recorded, and that an attempt without a record is reported as a violation.
+// only if it is recorded, and that a request without a record is reported as a violation.
 func TestTerminationsRequireRecords(t *testing.T) {
 	for state, want := range map[inventory.MachineState]bool{
 		inventory.MachineTerminating: true, inventory.MachineDecommissioning: false, inventory.MachineReady: false,
@@ -21,14 +21,14 @@
 			m := f.Machines["m-000001"]
 			m.State = state
 			if got := f.mayTerminate(m); got != want || len(host.violations) != expectedViolations(!want) {
-				t.Errorf("allowed %t with violations %q", got, host.violations)
+				t.Errorf("allowed %t with violations %q, want %t and %d violations", got, host.violations, want, expectedViolations(!want))
 			}
 		})
 	}
 }
 
 // TestScaleOutRequiresRecords checks that machines are requested from the cloud only under a recorded
-// name, and that an attempt without a record is reported as a violation.
+// name, and that a request without a record is reported as a violation.
 func TestScaleOutRequiresRecords(t *testing.T) {
 	for state, want := range map[scaleOutState]bool{
 		scaleOutPlanned: false, scaleOutRequested: true, scaleOutGranted: false, scaleOutDone: false,
@@ -37,7 +37,7 @@
 			f, host := newTestFleet(t)
 			r := &scaleOutRequest{name: "h-1", offer: autoscaler.Offer{Type: "small", Zone: "a"}, machineCount: 1, state: state}
 			if got := f.scaleOuts.mayRequestScaleOut(r); got != want || len(host.violations) != expectedViolations(!want) {
-				t.Errorf("allowed %t with violations %q", got, host.violations)
+				t.Errorf("allowed %t with violations %q, want %t and %d violations", got, host.violations, want, expectedViolations(!want))
 			}
 		})
 	}
@@ -112,7 +112,7 @@
 			f.TickAutoscaling()
 			host.respond(t, wire.PathRentals, response.status, response.body)
 			if until := f.scaleOuts.refusedOffers[offer]; r.state != scaleOutDone || until != f.settings.Tuning.ScaleOutRetryDelay {
-				t.Errorf("request state %v, offer not requested until %v", r.state, until)
+				t.Errorf("request state %v, offer not requested until %v, want %v and %v", r.state, until, scaleOutDone, f.settings.Tuning.ScaleOutRetryDelay)
 			}
 			flush(t, f, true, 0, 1)
 		})
@@ -148,7 +148,7 @@
 	f.TerminateMachines()
 	host.respond(t, wire.PathRelease, wire.StatusOK, nil)
 	if m.State != inventory.MachineTerminated || !f.IsRecentlyTerminated(m.Name) {
-		t.Errorf("machine state %v, recently terminated: %t", m.State, f.IsRecentlyTerminated(m.Name))
+		t.Errorf("machine state %v, recently terminated: %t, want %v and true", m.State, f.IsRecentlyTerminated(m.Name), inventory.MachineTerminated)
 	}
 	host.now += terminatedRetention + 1
 	f.RemoveExpired()
--- a/internal/fleet/termination.go
+++ b/internal/fleet/termination.go
@@ -17,7 +17,7 @@
 	terminatedRetention = 120 * micros.Second
 )
 
-// TerminateMachines requests the termination of the machines whose termination is due from the cloud.
+// TerminateMachines requests from the cloud the termination of all machines for which it is due.
 func (f *Fleet) TerminateMachines() {
 	if !f.TerminationNeeded || f.terminating {
 		return
--- a/internal/inventory/inventory.go
+++ b/internal/inventory/inventory.go
@@ -11,7 +11,7 @@
 // Host is the owner to which an inventory belongs. It provides the time, and is called when a change
 // of state requires an action.
 type Host interface {
-	// Now returns the time of the current event.
+	// Now returns the monotonic time of the current event.
 	Now() micros.Micros
 	// EntryChanged is called when a machine's entry must be written.
 	EntryChanged(m *Machine)
@@ -41,7 +41,7 @@
 
 	// SchedulingNeeded is set when pending tasks may fit a machine that they did not fit before.
 	SchedulingNeeded bool
-	// TerminationNeeded is set when the cloud must be asked to terminate machines.
+	// TerminationNeeded is set when the termination of machines must be requested from the cloud.
 	TerminationNeeded bool
 }
 
--- a/internal/inventory/inventory_attempts.go
+++ b/internal/inventory/inventory_attempts.go
@@ -76,8 +76,9 @@
 	}
 }
 
-// releaseResources releases the resources of an attempt's machine and team that the attempt uses, when
-// it is certain that the task does not run. The task can be placed again only after that is recorded.
+// releaseResources releases the resources that an attempt uses on its machine and in its team's quota. It
+// is called when it is certain that the task does not run. The task can be placed again only after that
+// has been recorded.
 func (inv *Inventory) releaseResources(a *Attempt) {
 	if a.ResourcesReleased {
 		return
@@ -139,7 +140,8 @@
 func (inv *Inventory) StopAttempt(a *Attempt, gracePeriod micros.Micros, reason string) {
 	switch a.State {
 	case AttemptAssumed:
-		// If the transaction that records it is in flight, it must be removed from the record.
+		// If the transaction that records the attempt is in flight, the attempt must be removed
+		// from the record.
 		a.Reason = reason
 		if a.Machine.Block.Writing {
 			inv.SetAttemptState(a, AttemptRemoving)
--- a/internal/inventory/inventory_test.go
+++ b/internal/inventory/inventory_test.go
@@ -38,23 +38,24 @@
 			a := inv.AddAttempt(j, 1, 7, m, test.from)
 			inv.SetAttemptState(a, test.to)
 			if a.State != test.to {
-				t.Errorf("attempt is in state %v", a.State)
+				t.Errorf("attempt is in state %v, want %v", a.State, test.to)
 			}
 			team := inv.Teams["red"]
 			if team.Used != test.used || m.Used != test.used || team.Stopping != test.stopping {
-				t.Errorf("team uses %v, machine uses %v, stopping attempts use %v", team.Used, m.Used, team.Stopping)
+				t.Errorf("team uses %v, machine uses %v, want %v; stopping attempts use %v, want %v",
+					team.Used, m.Used, test.used, team.Stopping, test.stopping)
 			}
 			if freed := test.used == nothing; inv.SchedulingNeeded != freed {
-				t.Errorf("scheduling needed: %v", inv.SchedulingNeeded)
+				t.Errorf("scheduling needed: %t, want %t", inv.SchedulingNeeded, freed)
 			}
 			if s := j.TaskState(1); s != test.task {
 				t.Errorf("task is %v, want %v", s, test.task)
 			}
 			if j.Assumed != test.assumed || inv.Assumed != test.assumed || inv.AssumedJobs != test.assumed {
-				t.Errorf("%d assumed attempts of the job, %d in total, of %d jobs", j.Assumed, inv.Assumed, inv.AssumedJobs)
+				t.Errorf("%d assumed attempts of the job, %d in total, of %d jobs, want %d each", j.Assumed, inv.Assumed, inv.AssumedJobs, test.assumed)
 			}
 			if closed := m.Attempts[a.Key()] == nil && j.Attempts[1] == nil; closed != test.closed {
-				t.Errorf("attempt removed from machine and job: %v", closed)
+				t.Errorf("attempt removed from machine and job: %t, want %t", closed, test.closed)
 			}
 			if !slices.Equal(host.calls, test.calls) {
 				t.Errorf("calls %q, want %q", host.calls, test.calls)
@@ -71,7 +72,7 @@
 	inv.SetAttemptState(a, AttemptClosed)
 	inv.SetAttemptState(a, AttemptLive)
 	if a.State != AttemptClosed || m.Used != (sched.Resources{}) || inv.Teams["red"].Used != (sched.Resources{}) {
-		t.Errorf("attempt is %v, machine uses %v, team uses %v", a.State, m.Used, inv.Teams["red"].Used)
+		t.Errorf("attempt is %v, machine uses %v, team uses %v, want a closed attempt that uses nothing", a.State, m.Used, inv.Teams["red"].Used)
 	}
 }
 
@@ -85,11 +86,11 @@
 		a.SetCountedRunning(true)
 	}
 	if j.RunningTasks != 1 {
-		t.Errorf("%d tasks run", j.RunningTasks)
+		t.Errorf("%d tasks run, want 1", j.RunningTasks)
 	}
 	inv.SetAttemptState(a, AttemptStopping)
 	if j.RunningTasks != 0 {
-		t.Errorf("%d tasks run after the stop", j.RunningTasks)
+		t.Errorf("%d tasks run after the stop, want 0", j.RunningTasks)
 	}
 }
 
@@ -99,7 +100,7 @@
 	j := addJob(inv, "j", 2, true)
 	inv.SetAttemptState(inv.AddAttempt(j, 0, 7, m, AttemptLive), AttemptCompleted)
 	if len(host.calls) > 0 || len(j.UnrecordedCompletions) > 0 || j.CompletedCount != 1 {
-		t.Errorf("calls %q, unrecorded completions %v, %d tasks completed", host.calls, j.UnrecordedCompletions, j.CompletedCount)
+		t.Errorf("calls %q, unrecorded completions %v, want none; %d tasks completed, want 1", host.calls, j.UnrecordedCompletions, j.CompletedCount)
 	}
 }
 
@@ -117,7 +118,8 @@
 	}
 	inv.SetAttemptState(b, AttemptClosed)
 	if inv.Jobs["j"] != nil || j.GangState != GangNone || j.IdleSince != host.now || m.IdleSince != host.now {
-		t.Errorf("after the last attempt was closed, the job is %+v, its gang %v", inv.Jobs["j"], j.GangState)
+		t.Errorf("after the last attempt was closed, the job is %+v, its gang %v, want the job removed and the gang %v",
+			inv.Jobs["j"], j.GangState, GangNone)
 	}
 }
 
@@ -147,7 +149,7 @@
 			m.Block.Writing = test.writing
 			inv.StopAttempt(a, 5, "test")
 			if a.State != test.want || a.GracePeriod != test.grace || a.Reason != test.reason {
-				t.Errorf("attempt is %v with grace period %v, reason %q", a.State, a.GracePeriod, a.Reason)
+				t.Errorf("attempt is %v with grace period %v, reason %q, want %v, %v, %q", a.State, a.GracePeriod, a.Reason, test.want, test.grace, test.reason)
 			}
 			if !slices.Equal(host.calls, test.calls) {
 				t.Errorf("calls %q, want %q", host.calls, test.calls)
@@ -164,7 +166,7 @@
 		inv.StopAttempt(a, gracePeriod, "test")
 	}
 	if a.GracePeriod != 3 || inv.Teams["red"].Stopping != taskNeed {
-		t.Errorf("grace period %v, stopping attempts use %v", a.GracePeriod, inv.Teams["red"].Stopping)
+		t.Errorf("grace period %v, stopping attempts use %v, want %v and %v", a.GracePeriod, inv.Teams["red"].Stopping, micros.Micros(3), taskNeed)
 	}
 }
 
@@ -184,13 +186,13 @@
 		t.Error("the machine is still listed")
 	}
 	if array.TaskState(0) != TaskPending || gang.TaskState(0) != TaskPending {
-		t.Errorf("tasks are %v and %v", array.TaskState(0), gang.TaskState(0))
+		t.Errorf("the tasks on the machine are %v and %v, want %v", array.TaskState(0), gang.TaskState(0), TaskPending)
 	}
 	if completed.State != AttemptCompleted {
-		t.Errorf("the attempt whose completion is not recorded is %v", completed.State)
+		t.Errorf("the attempt whose completion is not recorded is %v, want %v", completed.State, AttemptCompleted)
 	}
 	if rest.State != AttemptStopping || gang.GangState != GangStopping {
-		t.Errorf("the gang's other attempt is %v, the gang %v", rest.State, gang.GangState)
+		t.Errorf("the gang's other attempt is %v, the gang %v, want %v and %v", rest.State, gang.GangState, AttemptStopping, GangStopping)
 	}
 }
 
@@ -215,10 +217,11 @@
 			inv.SetMachineState(m, test.to, "test")
 			inv.SetMachineState(m, test.to, "test")
 			if m.State != test.to || inv.SchedulingNeeded != test.scheduling || inv.TerminationNeeded != test.termination {
-				t.Errorf("machine is %v, scheduling needed: %v, termination needed: %v", m.State, inv.SchedulingNeeded, inv.TerminationNeeded)
+				t.Errorf("machine is %v, scheduling needed: %t, termination needed: %t, want %v, %t, %t",
+					m.State, inv.SchedulingNeeded, inv.TerminationNeeded, test.to, test.scheduling, test.termination)
 			}
 			if changed := slices.Equal(host.calls, []string{"entry of m-1"}); changed != test.entry || !changed && len(host.calls) > 0 {
-				t.Errorf("calls %q", host.calls)
+				t.Errorf("calls %q, want one write of the machine's entry: %t", host.calls, test.entry)
 			}
 		})
 	}
@@ -303,7 +306,7 @@
 	from.MarkDirty(1)
 	from.MarkDirty(2)
 	if from.DirtySince != 1 || !from.IsDue(2) || to.IsDue(2) {
-		t.Errorf("dirty since %v, due: %v and %v", from.DirtySince, from.IsDue(2), to.IsDue(2))
+		t.Errorf("dirty since %v, due: %t and %t, want %v, true and false", from.DirtySince, from.IsDue(2), to.IsDue(2), micros.Micros(1))
 	}
 	to.AddSource(from)
 	if from.IsDue(2) || from.UnwrittenTargets != 1 || !slices.Contains(to.Sources, from) {
@@ -333,10 +336,10 @@
 	}
 	a.UnwrittenTargets = 0 // b is written
 	if !a.IsRemovable() || b.IsRemovable() {
-		t.Errorf("removable: %v and %v", a.IsRemovable(), b.IsRemovable())
+		t.Errorf("removable: %t and %t, want true and false", a.IsRemovable(), b.IsRemovable())
 	}
 	if chunks := b.Completions().Chunks; len(chunks) != 2 {
-		t.Errorf("%d chunks are encoded", len(chunks))
+		t.Errorf("%d chunks are encoded, want 2", len(chunks))
 	}
 }
 
@@ -345,7 +348,7 @@
 	check := func(name, unknown string) {
 		t.Helper()
 		if name == "" || name == unknown {
-			t.Errorf("a state is logged as %q", name)
+			t.Errorf("a state is logged as %q, want a name", name)
 		}
 	}
 	for s := AttemptAssumed; s <= AttemptClosed; s++ {
@@ -367,6 +370,6 @@
 		check(s.String(), fmt.Sprintf("TaskState(%d)", int(s)))
 	}
 	if name := AttemptState(99).String(); name != "AttemptState(99)" {
-		t.Errorf("an unknown state is logged as %q", name)
+		t.Errorf("an unknown state is logged as %q, want AttemptState(99)", name)
 	}
 }
--- a/internal/inventory/job.go
+++ b/internal/inventory/job.go
@@ -193,8 +193,8 @@
 	return j.TaskStates[i]
 }
 
-// AllocateTaskStates allocates the states of the individual tasks. A job of which no task was ever
-// placed has none, so that a queue of large jobs takes little memory.
+// AllocateTaskStates allocates the states of the individual tasks. A job without any placement so far
+// has none, so that a queue of large jobs takes little memory.
 func (j *Job) AllocateTaskStates() {
 	if j.TaskStates == nil {
 		j.TaskStates, j.Completed = make([]TaskState, j.Tasks), record.NewBitmap(j.Tasks)
--- a/internal/inventory/machine.go
+++ b/internal/inventory/machine.go
@@ -23,7 +23,7 @@
 	MachineDraining                            // accepts no new tasks and is terminated when empty
 	MachineTransferring                        // is transferred to another owner when empty
 	MachineDecommissioning                     // its termination is decided and must be recorded first
-	MachineTerminating                         // the decision is recorded; the cloud is asked to terminate it
+	MachineTerminating                         // the decision is recorded; the termination is requested from the cloud
 	MachineTerminated                          // the cloud has terminated it; its record must be deleted
 )
 
@@ -261,8 +261,9 @@
 	return false
 }
 
-// ExpectsHeartbeat reports whether missing heartbeats of the machine are counted, which they are not
-// while it boots. After a failover, a machine with tasks is known to have booted.
+// ExpectsHeartbeat reports whether missing heartbeats of the machine are counted. Those of a booting
+// machine are not. After a failover, a booting machine with tasks is known to have booted, so its
+// missing heartbeats are counted.
 func (m *Machine) ExpectsHeartbeat() bool {
 	return m.State.IsUp() || m.State == MachineBooting && m.Recovered && len(m.Attempts) > 0
 }
--- a/internal/scheduler/assume.go
+++ b/internal/scheduler/assume.go
@@ -7,7 +7,7 @@
 	"tamarindlead/sched"
 )
 
-// assume adds attempts for assignments. They take effect after they have been recorded.
+// assume adds attempts for assignments. The attempts take effect after they have been recorded.
 func (s *Scheduler) assume(j *inventory.Job, assignments []sched.Assignment) {
 	if len(assignments) == 0 {
 		return
--- a/internal/scheduler/gang_candidates.go
+++ b/internal/scheduler/gang_candidates.go
@@ -33,7 +33,7 @@
 			continue
 		}
 		// If there are too few machines for several gangs, only the first of these gangs reserves
-		// the machines that there are, and waits for others to boot. Machines reserved for the
+		// the existing machines, and waits for further ones to boot. Machines reserved for the
 		// other gangs would be idle while smaller gangs wait.
 		insufficient = !s.reserveForGang(j, view, insufficient) || insufficient
 	}
--- a/internal/scheduler/pass.go
+++ b/internal/scheduler/pass.go
@@ -21,13 +21,13 @@
 	minAssumedJobs = 24
 )
 
-// Parameters for arrays of which no task has run for a long time.
+// Parameters for arrays that have had no running task for a long time.
 const (
 	// starvingBatchDivisor is the number by which the pending tasks of a starving array are divided
 	// to get the number of tasks that are placed in one pass.
 	starvingBatchDivisor = 8
-	// maxArrayIdleTime is how long an array has no attempts before it may use machines and quota
-	// that are reserved for gangs. The quota limit of its team still applies.
+	// maxArrayIdleTime is how long an array must have had no attempts before it may use machines and
+	// quota that are reserved for gangs. The quota limit of its team still applies.
 	maxArrayIdleTime = 60 * micros.Second
 )
 
@@ -141,8 +141,8 @@
 	}
 }
 
-// handleNoPlacement handles a job of which no task could be placed. For a gang, it preempts tasks or
-// excludes a machine from the rest of the pass, so that later jobs do not use it.
+// handleNoPlacement handles a job if no task of it could be placed. For a gang, it preempts tasks or
+// excludes a machine from the rest of the pass, so that later jobs do not use the machine.
 func (p *pass) handleNoPlacement(j *inventory.Job) {
 	s := p.scheduler
 	if j.Gang { // keep quota for it until its machines are free
--- a/internal/scheduler/pass_test.go
+++ b/internal/scheduler/pass_test.go
@@ -9,8 +9,7 @@
 )
 
 // TestQuotaReservedForGang guards against a gang that waits forever because later tasks use parts of the
-// quota, all of which it needs at the same time, and against an array that never runs because of such
-// a gang.
+// quota, which the gang needs as a whole, and against an array that never runs because of such a gang.
 func TestQuotaReservedForGang(t *testing.T) {
 	tests := []struct {
 		name      string
@@ -48,10 +47,11 @@
 	j := f.addJob(&sched.Job{ID: jobName(1), Class: "work", Tasks: 9, Need: sched.NewResources(4, 0, 4)}, f.fake.now)
 	f.Schedule()
 	if len(j.Attempts) != 7 || f.inventory.SchedulingNeeded {
-		t.Fatalf("%d attempts on a machine on which 7 tasks fit, or scheduling is still needed", len(j.Attempts))
+		t.Fatalf("%d attempts on a machine on which 7 tasks fit, want 7; scheduling still needed: %t, want false",
+			len(j.Attempts), f.inventory.SchedulingNeeded)
 	}
 	if len(f.fake.changed) != 2 { // the first change is the addition of the machine
-		t.Errorf("changed entries: %v", f.fake.changed)
+		t.Errorf("changed entries: %v, want 2", f.fake.changed)
 	}
 	f.inventory.SetAttemptState(j.Attempts[0], inventory.AttemptClosed)
 	f.advance(MinPassInterval - 1)
--- a/internal/scheduler/preemption.go
+++ b/internal/scheduler/preemption.go
@@ -42,7 +42,8 @@
 	return true
 }
 
-// newReservation returns a reservation for the placement of a plan, which must be recorded.
+// newReservation returns a reservation for the placement of a plan. It must be recorded before tasks are
+// preempted.
 func newReservation(j *inventory.Job, plan *sched.PreemptionPlan) *reservation {
 	r := &reservation{job: j.ID, machines: map[string]int{}, need: j.Need, victims: plan.Victims}
 	for _, a := range plan.Placement {
--- a/internal/scheduler/preemption_test.go
+++ b/internal/scheduler/preemption_test.go
@@ -102,6 +102,6 @@
 	f.inventory.SetAttemptState(ended, inventory.AttemptCompleted)
 	f.inventory.AddAttempt(queue[1], 0, 8, m, inventory.AttemptLive)
 	if free, want := f.preemptionView()[0].Free.CPUs(), m.Size.Sub(m.Used).CPUs(); free != want {
-		t.Errorf("%g processors count as free, want %g", free, want)
+		t.Errorf("%g CPUs count as free, want %g", free, want)
 	}
 }
--- a/internal/scheduler/queue_order.go
+++ b/internal/scheduler/queue_order.go
@@ -47,8 +47,8 @@
 	return !j.EverPlaced && j.State == inventory.JobActive && wallClock-j.ReadyAt > s.settings.Tuning.StarvationTimeout
 }
 
-// compareTrueFirst compares two values of which exactly one has a property: that one comes first. has is
-// whether the first value has the property.
+// compareTrueFirst orders two values if exactly one of them has a property: the one with the property
+// comes first. has reports whether that is the first value.
 func compareTrueFirst(has bool) int {
 	if has {
 		return -1
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -108,7 +108,7 @@
 	return s.classes.CorrectedEstimate(j.Class, j.Estimate)
 }
 
-// isScarce reports whether a recent class of jobs fits only the machine's type.
+// isScarce reports whether some recent class of jobs fits only the machine's type and may use the machine.
 func (s *Scheduler) isScarce(m *inventory.Machine, now micros.Micros) bool {
 	return s.classes.Scarce(now, m.Type, m.Spot)
 }
--- a/internal/scheduler/slack.go
+++ b/internal/scheduler/slack.go
@@ -41,8 +41,8 @@
 	return view
 }
 
-// freeSlack returns the free part of a machine's slack, where need is that of a task of the gangs that
-// use the machine, and whether there is any.
+// freeSlack returns the free part of a machine's slack, and whether there is any. need is the need of one
+// task of the gangs that use the machine.
 func (s *Scheduler) freeSlack(m *inventory.Machine, v *sched.Machine, need sched.Resources) (sched.Resources, bool) {
 	slack := m.Slack(need)
 	if slack.CPU <= 0 || s.HasNoSingleTypeTasks(m) || s.IsReserved(v.Name) {
--- a/internal/scheduler/spot.go
+++ b/internal/scheduler/spot.go
@@ -24,7 +24,7 @@
 }
 
 // MinOnDemandTasks returns how many tasks of a gang must not be on spot machines. A gang that has
-// waited for too long uses as many spot machines as still allow good progress.
+// waited for too long uses as many spot machines as the minimum goodput permits.
 func (s *Scheduler) MinOnDemandTasks(j *inventory.Job) int {
 	if !j.Spot {
 		return j.Tasks
--- a/internal/scheduler/victims.go
+++ b/internal/scheduler/victims.go
@@ -76,7 +76,7 @@
 	return victim
 }
 
-// lostWork returns the processor seconds that stopping an attempt costs: the time for saving a
+// lostWork returns the CPU seconds that stopping an attempt costs: the time for saving a
 // checkpoint or, for a job without checkpoints, the whole run time so far.
 func lostWork(a *inventory.Attempt, now micros.Micros) float64 {
 	lost := a.Job.CheckpointDuration
@@ -89,8 +89,8 @@
 // PreemptionReason returns the reason with which victims of a job are stopped.
 func PreemptionReason(job string) string { return "preempted for " + job }
 
-// EvictVictims starts to stop the tasks of a preemption plan that are still on the machines on which they
-// were when it was made.
+// EvictVictims starts to stop the victims of a preemption plan: those tasks that are still on the machines
+// on which they were when the plan was made.
 func (s *Scheduler) EvictVictims(bundles []sched.Bundle, reason string) {
 	for _, b := range bundles {
 		v := s.inventory.Jobs[b.Victim.Job]
--- a/sched/bundles.go
+++ b/sched/bundles.go
@@ -14,7 +14,7 @@
 	Role      string
 	Resources Resources
 	PlacedAt  micros.Micros // when the task was placed on the machine
-	LostWork  float64       // work that is lost if the task is stopped, in processor seconds
+	LostWork  float64       // work that is lost if the task is stopped, in CPU seconds
 }
 
 // Role is a group of tasks of a gang that has a minimum number of tasks of its own. Ready is the
--- a/sched/job.go
+++ b/sched/job.go
@@ -6,7 +6,7 @@
 	"tamarindlead/micros"
 )
 
-// Priority orders jobs; the higher value goes first.
+// Priority orders jobs: those with a higher value are placed first.
 type Priority int
 
 // Priorities of jobs.
--- a/sched/machine.go
+++ b/sched/machine.go
@@ -28,7 +28,7 @@
 	Idle bool
 	// Scarce reports that some jobs fit only this machine type, so that other jobs prefer all others.
 	Scarce bool
-	// Price is the price per processor and hour, or the number of a class of similar prices.
+	// Price is the price per CPU and hour, or the number of a class of similar prices.
 	Price float64
 	// Images are the images in the machine's cache.
 	Images []string
--- a/sched/preempt_test.go
+++ b/sched/preempt_test.go
@@ -51,7 +51,7 @@
 				}
 				safe += len(b.Tasks)
 				if b.Tasks[0].Role != c.role {
-					t.Errorf("a task of role %q is safe", b.Tasks[0].Role)
+					t.Errorf("a task of role %q is safe, want one of role %q", b.Tasks[0].Role, c.role)
 				}
 			}
 			if safe != c.safe || core != c.core {
@@ -71,7 +71,7 @@
 	}{
 		{"A: half outside the domain", gpus(2), gpus(4), gpus(2), 0.5},
 		{"B: all in the domain", gpus(2), gpus(2), gpus(2), 1},
-		{"C: half outside the domain, processors", cpus(10), cpus(20), cpus(10), 0.5},
+		{"C: half outside the domain, CPUs", cpus(10), cpus(20), cpus(10), 0.5},
 		{"D: partial fit", cpus(2), cpus(2), cpus(10), 1},
 		{"E: two resources", NewResources(4, 0, 4), NewResources(4, 0, 4), NewResources(4, 0, 16), 1},
 		{"F: two resources", NewResources(2, 0, 8), NewResources(2, 0, 8), NewResources(4, 0, 16), 1},
@@ -128,7 +128,7 @@
 func TestPreemptionModeString(t *testing.T) {
 	for mode, want := range map[PreemptionMode]string{Preempt: "preempt", Reclaim: "reclaim", 7: "PreemptionMode(7)"} {
 		if got := mode.String(); got != want {
-			t.Errorf("mode %d is %q, want %q", int(mode), got, want)
+			t.Errorf("mode %d is named %q, want %q", int(mode), got, want)
 		}
 	}
 }
@@ -162,7 +162,7 @@
 		}
 	}
 	if plans < minPlans {
-		t.Fatalf("%d plans for %d clusters, too few for the test", plans, clusters)
+		t.Fatalf("%d plans for %d clusters, want at least %d", plans, clusters, minPlans)
 	}
 }
 
--- a/sched/preference_queue.go
+++ b/sched/preference_queue.go
@@ -4,7 +4,7 @@
 
 // preferenceQueue returns machines in the order of preference. The criteria, the most important
 // first, are: not scarce; the lowest price (so that expensive machines become idle and can be
-// terminated); image cached; busy before idle; the fewest free processors; the given order. Most
+// terminated); image cached; busy before idle; the fewest free CPUs; the given order. Most
 // jobs need only a few of thousands of machines. The queue is therefore a heap, which sorts only the
 // machines that are requested, and packs the criteria into one integer key.
 type preferenceQueue struct {
--- a/sched/ranking.go
+++ b/sched/ranking.go
@@ -35,7 +35,7 @@
 }
 
 // OverQuotaRatio returns how far a team is above its guaranteed quota, relative to the quota: the
-// larger ratio of processors and GPUs.
+// larger of the ratios for CPUs and for GPUs.
 func (t TeamUsage) OverQuotaRatio() float64 {
 	ratio := func(used, guaranteed int64) float64 {
 		return float64(used-guaranteed) / float64(max(guaranteed, 1))
--- a/sched/resources.go
+++ b/sched/resources.go
@@ -7,7 +7,7 @@
 	CPU, GPU, Mem int64
 }
 
-// resourceUnit is the number of parts of one processor, one GPU or one GB.
+// resourceUnit is the number of parts of one CPU, one GPU or one GB.
 const resourceUnit = 1e6
 
 // roundingTolerance is the fraction of a millionth that is regarded as a floating-point error when
@@ -26,7 +26,7 @@
 	return r.CPUs(), float64(r.GPU) / resourceUnit, float64(r.Mem) / resourceUnit
 }
 
-// CPUs returns the decimal amount of processors.
+// CPUs returns the decimal amount of CPUs.
 func (r Resources) CPUs() float64 { return float64(r.CPU) / resourceUnit }
 
 // Add returns r + o.
