--- a/controller/fleet_adapter.go
+++ b/controller/fleet_adapter.go
@@ -47,7 +47,7 @@
 
 func (h fleetOwnership) IsClaimedByPeer(machine string) bool { return h.o.c.claimant(machine) != "" }
 
-func (h fleetOwnership) AdoptsUnclaimed() bool {
+func (h fleetOwnership) AdoptsOrphans() bool {
 	return h.o.c.cluster.FirstOwner() == h.o.c.cfg.Node
 }
 
--- a/internal/fleet/cloud_list.go
+++ b/internal/fleet/cloud_list.go
@@ -20,10 +20,10 @@
 	// minListInterval is the minimum time from the end of one reading of the list to the start of
 	// the next.
 	minListInterval = 2 * micros.Second
-	// unclaimedLagFactor is the time for which a machine must be listed without an owner before it
-	// counts as unclaimed, as a multiple of the list's usual lag. It exceeds 2 because the list may
+	// orphanLagFactor is the time for which a machine must be listed without an owner before it
+	// counts as orphaned, as a multiple of the list's usual lag. It exceeds 2 because the list may
 	// be out of date by twice that lag.
-	unclaimedLagFactor = 3
+	orphanLagFactor = 3
 )
 
 // cloudList is the state of reading the cloud's list, page by page.
@@ -94,13 +94,13 @@
 	return wire.Decode(body, page)
 }
 
-// applyCloudList updates the machines from the cloud's list and adopts the listed machines that no
-// owner claims.
+// applyCloudList updates the machines from the cloud's list and adopts the orphaned ones among the
+// listed machines.
 func (f *Fleet) applyCloudList(list map[string]wire.ListedMachine) {
 	for _, name := range ordered.Keys(list) {
 		f.applyListedMachine(list[name])
 	}
-	maps.DeleteFunc(f.unclaimedSince, func(name string, _ micros.Micros) bool {
+	maps.DeleteFunc(f.orphanedSince, func(name string, _ micros.Micros) bool {
 		_, listed := list[name]
 		return !listed
 	})
@@ -112,11 +112,11 @@
 }
 
 // applyListedMachine updates a machine from its entry in the cloud's list, or adopts it if it is
-// unclaimed.
+// orphaned.
 func (f *Fleet) applyListedMachine(entry wire.ListedMachine) {
 	m := f.Machines[entry.Name]
 	if m == nil {
-		if !f.isUnclaimed(entry.Name) {
+		if !f.isOrphaned(entry.Name) {
 			return
 		}
 		m = f.Adopt(inventory.MachineInfo{
@@ -129,16 +129,16 @@
 	m.Endpoint = cmp.Or(m.Endpoint, entry.Endpoint)
 }
 
-// isUnclaimed reports whether no owner claims a listed machine. The list may be out of date by twice
+// isOrphaned reports whether a listed machine has no owner and this owner must adopt it. The list may be out of date by twice
 // its usual lag and still show machines that another owner has terminated, so a machine must stay
 // listed for longer than that.
-func (f *Fleet) isUnclaimed(name string) bool {
+func (f *Fleet) isOrphaned(name string) bool {
 	if f.IsRecentlyTerminated(name) || f.IsOwnedElsewhere(name) || f.ownership.IsClaimedByPeer(name) ||
-		!f.ownership.AdoptsUnclaimed() {
+		!f.ownership.AdoptsOrphans() {
 		return false
 	}
-	if f.unclaimedSince[name] == 0 {
-		f.unclaimedSince[name] = f.now
+	if f.orphanedSince[name] == 0 {
+		f.orphanedSince[name] = f.now
 	}
-	return f.now-f.unclaimedSince[name] > unclaimedLagFactor*f.settings.CloudListLag
+	return f.now-f.orphanedSince[name] > orphanLagFactor*f.settings.CloudListLag
 }
--- a/internal/fleet/cloud_list_test.go
+++ b/internal/fleet/cloud_list_test.go
@@ -31,15 +31,15 @@
 	}
 }
 
-// TestUnclaimedMachinesAreAdopted checks that a listed machine is adopted after it has been listed
-// for unclaimedLagFactor times the list's lag without being claimed by an owner.
-func TestUnclaimedMachinesAreAdopted(t *testing.T) {
+// TestOrphanedMachinesAreAdopted checks that a listed machine is adopted after it has been listed
+// for orphanLagFactor times the list's lag without an owner.
+func TestOrphanedMachinesAreAdopted(t *testing.T) {
 	for _, test := range []struct {
 		name   string
 		change func(f *Fleet)
 		want   bool
 	}{
-		{"unclaimed", func(*Fleet) {}, true},
+		{"orphaned", func(*Fleet) {}, true},
 		{"recently terminated", func(f *Fleet) { f.recentlyTerminated["m-000001"] = micros.Minute }, false},
 		{"owned by another owner", func(f *Fleet) { f.MarkOwnedElsewhere("m-000001", micros.Minute) }, false},
 	} {
@@ -48,7 +48,7 @@
 			test.change(f)
 			list := wire.MachineList{Machines: []wire.ListedMachine{{Name: "m-000001", Type: "small", Zone: "a", AgeS: 2}}}
 			lag := f.settings.CloudListLag
-			for _, now := range []micros.Micros{1, 1 + unclaimedLagFactor*lag, 1 + (unclaimedLagFactor+1)*lag} {
+			for _, now := range []micros.Micros{1, 1 + orphanLagFactor*lag, 1 + (orphanLagFactor+1)*lag} {
 				if f.Machines["m-000001"] != nil {
 					t.Fatalf("adopted before %v", now)
 				}
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -42,8 +42,9 @@
 	OwnsRecordsOf(owner record.OwnerID) bool
 	// IsClaimedByPeer reports whether a peer lists the machine as its own in its heartbeats.
 	IsClaimedByPeer(machine string) bool
-	// AdoptsUnclaimed reports whether this owner is the one that adopts machines without an owner.
-	AdoptsUnclaimed() bool
+	// AdoptsOrphans reports whether this owner is the one that adopts orphaned machines, which have no
+	// owner.
+	AdoptsOrphans() bool
 	// NewMachine adds a machine to the inventory, with an entry in a block of its type and zone.
 	NewMachine(info inventory.MachineInfo) *inventory.Machine
 	// NewAdoptedMachine adds a machine that may belong to another owner without this owner's
@@ -130,7 +131,7 @@
 	cloudListing       cloudList
 	recentlyTerminated map[string]micros.Micros // end of the retention, by machine
 	ownedElsewhere     map[string]micros.Micros // end of the assumption, by machine
-	unclaimedSince     map[string]micros.Micros // start of being listed without an owner, by machine
+	orphanedSince      map[string]micros.Micros // start of being listed without an owner, by machine
 	partitionedSince   map[string]micros.Micros // start of the network partition, by zone
 
 	scaleOuts        *scaleOuts
@@ -148,7 +149,7 @@
 		host: c.Host, ownership: c.Ownership, cloud: c.Cloud, jobs: c.Jobs,
 		recentlyTerminated: map[string]micros.Micros{},
 		ownedElsewhere:     map[string]micros.Micros{},
-		unclaimedSince:     map[string]micros.Micros{},
+		orphanedSince:      map[string]micros.Micros{},
 		partitionedSince:   map[string]micros.Micros{},
 		scaleOuts:          newScaleOuts(c),
 	}
--- a/internal/fleet/host_test.go
+++ b/internal/fleet/host_test.go
@@ -74,7 +74,7 @@
 func (*fakeHost) ID() record.OwnerID                { return record.NewOwnerID("n0", 1) }
 func (*fakeHost) OwnsRecordsOf(record.OwnerID) bool { return true }
 func (*fakeHost) IsClaimedByPeer(string) bool       { return false }
-func (*fakeHost) AdoptsUnclaimed() bool             { return true }
+func (*fakeHost) AdoptsOrphans() bool               { return true }
 
 func (h *fakeHost) NewMachine(info inventory.MachineInfo) *inventory.Machine {
 	return h.inventory.AddMachine(&inventory.Block{Name: "b-" + info.Name}, info, sched.Resources{})
