--- a/controller/dump_play_test.go
+++ b/controller/dump_script_test.go
@@ -10,24 +10,24 @@
 	"tamarindlead/micros"
 )
 
-// runDumpScript plays production/script.txt: with nodes of the version in production if save takes
-// the dumps, with nodes of the present version otherwise. begin is called with each simulation
-// before it runs.
-func runDumpScript(t *testing.T, begin func(sim *simulation), save func(sim *simulation, name string)) {
+// runDumpScript runs production/script.txt. If saveDump is set, all nodes run the version in
+// production, and saveDump is called for each dump command; otherwise all nodes run the present
+// version. prepare is called with each simulation before it runs.
+func runDumpScript(t *testing.T, prepare func(sim *simulation), saveDump func(sim *simulation, name string)) {
 	t.Helper()
 	var sim *simulation
 	datadriven.RunTest(t, "production/script.txt", func(t *testing.T, d *datadriven.TestData) string {
 		if d.Cmd == "cluster" {
 			sim = newScenarioSimulation(t, d)
-			if save != nil {
+			if saveDump != nil {
 				sim.startWithProduction(t, len(sim.nodes))
 			}
-			begin(sim)
+			prepare(sim)
 			return ""
 		}
 		if d.Cmd == "dump" {
-			if save != nil {
-				save(sim, arg(t, d, "name", ""))
+			if saveDump != nil {
+				saveDump(sim, arg(t, d, "name", ""))
 			}
 			return ""
 		}
@@ -40,13 +40,14 @@
 		}
 		out := runScenarioCommand(t, sim, d)
 		if len(sim.violations) > 0 {
-			t.Fatalf("%s: rules broken:\n%s", filepath.Base(d.Pos), strings.Join(sim.violations, "\n"))
+			t.Fatalf("%s: rules violated:\n%s", filepath.Base(d.Pos), strings.Join(sim.violations, "\n"))
 		}
 		return out
 	})
 }
 
-// runUntilRecord runs until a record whose key has a prefix contains a text once decoded.
+// runUntilRecord runs for up to 60 s until the decoded text of a record whose key has the given prefix
+// contains text.
 func (sim *simulation) runUntilRecord(prefix, text string) string {
 	for end := sim.now + 60*micros.Second; sim.now < end; sim.run(simulationStep) {
 		for _, k := range sim.kvStore.Keys(prefix) {
--- a/controller/fault_pairs_jobs_test.go
+++ b/controller/fault_pairs_jobs_test.go
@@ -13,12 +13,12 @@
 
 // cancellationPlan describes when a generated job is cancelled, if at all.
 type cancellationPlan struct {
-	at           micros.Micros // 0: not at a given time
-	onAcceptance bool
+	at           micros.Micros // zero if the job is not cancelled at a fixed time
+	onAcceptance bool          // the job is cancelled as soon as it is accepted
 }
 
-// generateJob draws a job, when it is submitted, and whether and when it is cancelled: often
-// between the starts of two faults.
+// generateJob draws a job, its submission time, and whether and when it is cancelled: often between
+// first and second, the start times of two faults.
 func (run *faultPairRun) generateJob(i int, first, second micros.Micros) {
 	rng, sim := run.rng, run.sim
 	job := run.generateJobShape(jobName(i))
@@ -70,8 +70,8 @@
 
 func (run *faultPairRun) randomTeam() string { return []string{"red", "blue"}[run.rng.IntN(2)] }
 
-// generateTasks draws whether a job has one task, several or a gang of them, and returns the
-// memory that each needs.
+// generateTasks draws whether a job has one task, several tasks or a gang of tasks, and returns the
+// memory that each task needs.
 func (run *faultPairRun) generateTasks(job *sched.Job) (mem float64) {
 	switch kind := run.rng.IntN(10); {
 	case kind < 3: // one task
@@ -85,12 +85,13 @@
 	return 2
 }
 
-// generateCancellation draws when a job that is submitted at a given time is cancelled; it may be
-// submitted earlier for that.
+// generateCancellation draws when a job is cancelled. It returns the job's submission time and the
+// cancellation. The submission time is at, or drawn from the first 6 s of the run so that the job runs
+// when it is cancelled.
 func (run *faultPairRun) generateCancellation(at, first, second micros.Micros) (micros.Micros, cancellationPlan) {
 	kinds := 5
 	if run.secondIsKVOutage {
-		// This draw is not used; it keeps the runs of the seeds as they are.
+		// The result of this draw is not used. The draw keeps the runs of the existing seeds unchanged.
 		run.rng.IntN(kinds)
 		kinds = 10
 	}
@@ -99,13 +100,13 @@
 		return at, cancellationPlan{at: at + run.randomSeconds(1, 60)}
 	case 1:
 		return at, cancellationPlan{onAcceptance: true}
-	default: // while it runs, when the faults overlap
+	default: // while the job runs and the faults overlap
 		at = run.randomSeconds(0, 6)
 		return at, cancellationPlan{at: first - micros.Second + run.randomSeconds(0, (second-first).Seconds()+2)}
 	}
 }
 
-// describeJob returns the line of the run's log about a job.
+// describeJob returns the line that describes a job in the run's log.
 func describeJob(job *sched.Job, at, duration micros.Micros, cancellation cancellationPlan) string {
 	text := fmt.Sprintf("%s at %v: %d tasks of %v, priority %d, team %s", job.ID, at, job.Tasks, duration, job.Priority, job.Team)
 	for _, property := range []struct {
@@ -116,8 +117,8 @@
 		{job.OneZone, "one zone"},
 		{job.Spread, "spread"},
 		{job.Spot, "spot"},
-		{job.CheckpointInterval > 0, "saves"},
-		{cancellation.onAcceptance, "cancelled at once"},
+		{job.CheckpointInterval > 0, "checkpoints"},
+		{cancellation.onAcceptance, "cancelled on acceptance"},
 	} {
 		if property.set {
 			text += ", " + property.name
@@ -129,19 +130,19 @@
 	return text
 }
 
-// checkSchedulingDelay reports jobs that have been pending for too long although they fitted all the
-// while.
+// checkSchedulingDelay reports jobs that have been pending for longer than maxSchedulingDelay although
+// they could have been scheduled during all of that time.
 func (run *faultPairRun) checkSchedulingDelay() {
 	sim := run.sim
 	used := sim.usedCPUs()
 	zones := sim.zonesOfRunningTasks()
-	seen := map[string]bool{}
+	schedulable := map[string]bool{}
 	for _, id := range run.openJobs() {
 		if run.mayStartTasks(id, len(zones[id]), used) {
-			run.checkSchedulableJob(seen, id, zones[id])
+			run.checkSchedulableJob(schedulable, id, zones[id])
 		}
 	}
-	maps.DeleteFunc(run.fitsSince, func(key string, _ micros.Micros) bool { return !seen[key] })
+	maps.DeleteFunc(run.schedulableSince, func(key string, _ micros.Micros) bool { return !schedulable[key] })
 }
 
 // zonesOfRunningTasks returns the zones of the running tasks of each job.
@@ -154,7 +155,8 @@
 	return zones
 }
 
-// mayStartTasks reports whether a job has tasks to start and its team's limit admits them.
+// mayStartTasks reports whether a job has tasks to start and its team's quota limit allows starting one
+// of them, or all of them if the job is a gang.
 func (run *faultPairRun) mayStartTasks(id string, runningTasks int, used map[string]float64) bool {
 	sim := run.sim
 	job := sim.submitted[id]
@@ -171,10 +173,11 @@
 }
 
 // checkSchedulableJob records on which machines a job fits, given the zones of its running tasks,
-// and reports it if it has fitted for too long.
-func (run *faultPairRun) checkSchedulableJob(seen map[string]bool, id string, zones []string) {
+// and reports the job if it has fitted for longer than maxSchedulingDelay. For a gang it records only
+// whether the whole gang fits.
+func (run *faultPairRun) checkSchedulableJob(schedulable map[string]bool, id string, zones []string) {
 	job := run.sim.submitted[id]
-	room, roomInZone := 0, map[string]int{}
+	freeSlots, freeSlotsInZone := 0, map[string]int{}
 	for _, name := range run.sim.workerNames() {
 		worker := run.sim.workers[name]
 		zone := worker.Machine.Zone
@@ -183,22 +186,22 @@
 			fits = 0
 		}
 		if job.Spread {
-			fits = min(fits, job.ZoneCap()-countEqual(zones, zone)-roomInZone[zone])
+			fits = min(fits, job.ZoneCap()-countEqual(zones, zone)-freeSlotsInZone[zone])
 		}
 		if fits <= 0 {
 			continue
 		}
-		roomInZone[zone] += fits
-		room += fits
+		freeSlotsInZone[zone] += fits
+		freeSlots += fits
 		if !job.Gang {
-			run.recordSchedulableWait(seen, id, name)
+			run.recordSchedulableWait(schedulable, id, name)
 		}
 	}
 	if job.OneZone {
-		room = slices.Max(append(slices.Collect(maps.Values(roomInZone)), 0))
+		freeSlots = slices.Max(append(slices.Collect(maps.Values(freeSlotsInZone)), 0))
 	}
-	if job.Gang && room >= job.Tasks {
-		run.recordSchedulableWait(seen, id, "")
+	if job.Gang && freeSlots >= job.Tasks {
+		run.recordSchedulableWait(schedulable, id, "")
 	}
 }
 
@@ -220,19 +223,22 @@
 	return freeTaskSlots(worker, run.sim.taskInfos[job.ID])
 }
 
-func (run *faultPairRun) recordSchedulableWait(seen map[string]bool, id, name string) {
-	key := id + " " + name
-	seen[key] = true
-	if _, ok := run.fitsSince[key]; !ok {
-		run.fitsSince[key] = run.sim.now
+// recordSchedulableWait records in schedulable that a job fits on a machine, or, if machine is empty,
+// that a gang fits on the machines. It reports the job if that has been so for longer than
+// maxSchedulingDelay.
+func (run *faultPairRun) recordSchedulableWait(schedulable map[string]bool, id, machine string) {
+	key := id + " " + machine
+	schedulable[key] = true
+	if _, ok := run.schedulableSince[key]; !ok {
+		run.schedulableSince[key] = run.sim.now
 	}
-	if run.sim.now-run.fitsSince[key] > maxSchedulingDelay {
-		run.sim.reportViolation("left waiting: %s, with room for it on %q", id, name)
+	if run.sim.now-run.schedulableSince[key] > maxSchedulingDelay {
+		run.sim.reportViolation("left waiting: %s is still pending although it fits (machine %q)", id, machine)
 	}
 }
 
-// generateSmallJob draws a job of one task that is submitted after some time.
-func (run *faultPairRun) generateSmallJob(i int, in micros.Micros) {
+// generateSmallJob draws a job of one task that is submitted after a delay.
+func (run *faultPairRun) generateSmallJob(i int, delay micros.Micros) {
 	sim, id := run.sim, fmt.Sprintf("req-%06d", i)
 	job := &sched.Job{
 		ID: id, Class: "small", Team: []string{"red", "blue"}[run.rng.IntN(2)], Priority: sched.Priority(run.rng.IntN(4)),
@@ -240,9 +246,9 @@
 	}
 	sim.submitted[id], sim.submissions[id] = job, wire.Encode(wire.FromJob(job))
 	sim.taskInfos[id] = fake.TaskInfo{CPU: 1, Mem: 1, Run: run.randomSeconds(1, 5), Fetch: micros.Second, Tasks: 1}
-	sim.after(in, func() { sim.submittedAt[id] = sim.now; run.submit(id, false) })
-	sim.after(in+2*micros.Second, func() { run.poll(id) })
+	sim.after(delay, func() { sim.submittedAt[id] = sim.now; run.submit(id, false) })
+	sim.after(delay+2*micros.Second, func() { run.poll(id) })
 	if run.rng.IntN(4) == 0 {
-		sim.after(in+run.randomSeconds(0, 6), func() { run.cancel(id) })
+		sim.after(delay+run.randomSeconds(0, 6), func() { run.cancel(id) })
 	}
 }
--- a/controller/fault_pairs_pipelines_test.go
+++ b/controller/fault_pairs_pipelines_test.go
@@ -14,19 +14,20 @@
 type pipelineGenerator struct {
 	run           *faultPairRun
 	rng           *rand.Rand
-	first, second micros.Micros // when the faults start
+	first, second micros.Micros // start times of the first two faults
 	nextJob       int
 }
 
-// pipeline is a generated pipeline.
+// pipeline is a group of generated jobs that depend on one another.
 type pipeline struct {
 	shape string
-	at    micros.Micros // its jobs are submitted from then on
+	at    micros.Micros // earliest submission time of its jobs
 	jobs  []string
 }
 
-// generatePipelines adds pipelines to a run: chains, diamonds and fans, some with a job that is
-// cancelled while the faults overlap, some whose last job is submitted when the others have ended.
+// generatePipelines adds pipelines to a run: chains, diamonds, fan-outs and fan-ins. In some of them a job is
+// cancelled while the faults overlap, and some dependent jobs are submitted only after the jobs that
+// they depend on have reached a terminal state.
 func (run *faultPairRun) generatePipelines(seed uint64, first, second micros.Micros) {
 	g := &pipelineGenerator{run: run, rng: rand.New(rand.NewPCG(seed, pipelinesStream)), first: first, second: second, nextJob: 100}
 	for range 2 + g.rng.IntN(3) {
@@ -50,7 +51,7 @@
 	id := jobName(g.nextJob)
 	g.nextJob++
 	p.jobs = append(p.jobs, id)
-	g.run.generateStage(g.rng, id, p.at, dependencies)
+	g.run.generatePipelineJob(g.rng, id, p.at, dependencies)
 	return id
 }
 
@@ -87,41 +88,42 @@
 	}
 }
 
-// generateCancellation draws which job of a pipeline is cancelled and when, often the first one
-// and often while the faults overlap, and returns its part of the log line.
+// generateCancellation draws which job of a pipeline is cancelled and when, often the first job and
+// often while the faults overlap, and returns its part of the log line.
 func (g *pipelineGenerator) generateCancellation(p *pipeline) string {
 	sim := g.run.sim
 	id := p.jobs[0]
 	if g.rng.IntN(3) == 0 {
 		id = p.jobs[g.rng.IntN(len(p.jobs))]
 	}
-	when := g.first - micros.Second + g.randomSeconds(0, (g.second-g.first).Seconds()+3)
+	cancelAt := g.first - micros.Second + g.randomSeconds(0, (g.second-g.first).Seconds()+3)
 	switch g.rng.IntN(4) {
 	case 0:
-		when = p.at + g.randomSeconds(0, 60)
+		cancelAt = p.at + g.randomSeconds(0, 60)
 	case 1:
 		sim.pipelines.onDone[id] = append(sim.pipelines.onDone[id], func() { g.run.cancel(id) })
-		return fmt.Sprintf(", %s cancelled as it ends", id)
+		return fmt.Sprintf(", %s cancelled at completion", id)
 	}
-	sim.after(when, func() { g.run.cancel(id) })
-	return fmt.Sprintf(", %s cancelled at %v", id, when)
+	sim.after(cancelAt, func() { g.run.cancel(id) })
+	return fmt.Sprintf(", %s cancelled at %v", id, cancelAt)
 }
 
-// generateInvalidDependencies submits, during the faults, a job that depends on one that nobody
-// submitted and one whose list of dependencies cannot be decoded.
+// generateInvalidDependencies submits, during the faults, a job that depends on a job that was never
+// submitted, and a job whose list of dependencies cannot be decoded.
 func (run *faultPairRun) generateInvalidDependencies(rng *rand.Rand) {
 	sim := run.sim
 	for i, dependencies := range []any{[]string{"req-000100", "req-000950"}, []any{"req-000100", nil}} {
 		id := jobName(910 + i)
 		job := &sched.Job{ID: id, Class: "stage", Team: "red", Tasks: 1, Need: sched.NewResources(1, 0, 1), Image: "img", ImageGB: 1}
-		run.expectedRefusals[id] = []int{422, 400}[i]
+		run.expectedRefusalStatus[id] = []int{422, 400}[i]
 		sim.submitted[id], sim.submissions[id] = job, withDependencyField(wire.Encode(wire.FromJob(job)), dependencies)
-		sim.after(faultPairsLeadTime+micros.FromSeconds(30*rng.Float64()), func() { sim.submittedAt[id] = sim.now; run.submit(id, false) })
+		sim.after(faultPairsWarmUp+micros.FromSeconds(30*rng.Float64()), func() { sim.submittedAt[id] = sim.now; run.submit(id, false) })
 	}
 }
 
-// generateStage draws a job of a pipeline.
-func (run *faultPairRun) generateStage(rng *rand.Rand, id string, at micros.Micros, dependencies []string) {
+// generatePipelineJob draws a job of a pipeline. The job is submitted at the given time, or later if
+// its dependencies must be accepted or reach a terminal state first.
+func (run *faultPairRun) generatePipelineJob(rng *rand.Rand, id string, at micros.Micros, dependencies []string) {
 	sim := run.sim
 	duration := micros.FromSeconds(2 + rng.Float64()*10)
 	if len(dependencies) == 0 && rng.IntN(3) == 0 {
@@ -144,12 +146,12 @@
 		CPU: 1, Mem: 1, Run: duration, Fetch: micros.Second, Save: job.CheckpointDuration, Saves: job.CheckpointInterval > 0, Gang: job.Gang, Tasks: job.Tasks,
 	}
 	sim.setDependencies(id, dependencies)
-	when := sim.whenAccepted
+	submitWhen := sim.whenAccepted
 	if len(dependencies) > 0 && rng.IntN(6) == 0 {
-		when = sim.whenTerminal
+		submitWhen = sim.whenTerminal
 	}
 	sim.after(at, func() {
-		when(dependencies, func() {
+		submitWhen(dependencies, func() {
 			sim.submittedAt[id] = sim.now
 			run.submit(id, false)
 			sim.after(2*micros.Second, func() { run.poll(id) })
--- a/controller/fault_pairs_users_test.go
+++ b/controller/fault_pairs_users_test.go
@@ -8,8 +8,9 @@
 	"tamarindlead/sched"
 )
 
-// generateInvalidJobs submits, during the faults, jobs that can never run or lack a field: they may
-// be refused for the moment or for good, with the status of their kind, but never accepted.
+// generateInvalidJobs submits, during the faults, jobs that can never run or lack a field. Nodes may
+// refuse such a job temporarily, or permanently with the status 422 or 400 that is expected for it, but
+// must never accept it.
 func (run *faultPairRun) generateInvalidJobs() {
 	sim := run.sim
 	for i, status := range []int{422, 422, 400} {
@@ -23,17 +24,17 @@
 		case 2:
 			job.Tasks = 0
 		}
-		run.expectedRefusals[id] = status
+		run.expectedRefusalStatus[id] = status
 		sim.submitted[id], sim.submissions[id] = job, wire.Encode(wire.FromJob(job))
-		sim.after(faultPairsLeadTime+run.randomSeconds(0, 30), func() { sim.submittedAt[id] = sim.now; run.submit(id, false) })
+		sim.after(faultPairsWarmUp+run.randomSeconds(0, 30), func() { sim.submittedAt[id] = sim.now; run.submit(id, false) })
 	}
 }
 
 // sendJobRequest sends a user's request about a job and checks the response.
-func (run *faultPairRun) sendJobRequest(node int, method, id, end string, done func(Respond)) {
+func (run *faultPairRun) sendJobRequest(node int, method, id, pathSuffix string, done func(Respond)) {
 	sim := run.sim
-	path, body := "/api/jobs/"+id+end, []byte(nil)
-	if method == "POST" && end == "" {
+	path, body := "/api/jobs/"+id+pathSuffix, []byte(nil)
+	if method == "POST" && pathSuffix == "" {
 		path, body = "/api/jobs", sim.submissions[id]
 	}
 	reported, accepted, sent := sim.reportedTerminal[id], sim.accepted[id], sim.now
@@ -49,28 +50,30 @@
 	})
 }
 
+// checkResponse checks a response to a user's request about a job. sent is the time of the request, and
+// accepted reports whether the job had been accepted by then.
 func (run *faultPairRun) checkResponse(id string, response Respond, sent micros.Micros, accepted bool) {
 	sim := run.sim
-	if run.expectedRefusals[id] != 0 {
-		if response.Status == 200 || response.Status == 201 || (response.Status == 400 || response.Status == 422) && response.Status != run.expectedRefusals[id] {
-			sim.reportViolation("refusals: %s is answered %d, not %d", id, response.Status, run.expectedRefusals[id])
+	if run.expectedRefusalStatus[id] != 0 {
+		if response.Status == 200 || response.Status == 201 || (response.Status == 400 || response.Status == 422) && response.Status != run.expectedRefusalStatus[id] {
+			sim.reportViolation("refusals: a request about %s is answered with status %d, not %d", id, response.Status, run.expectedRefusalStatus[id])
 		}
 		return
 	}
 	if (response.Status == 400 || response.Status == 422) && !accepted {
-		sim.reportViolation("refusals: %s is answered %d", id, response.Status)
+		sim.reportViolation("refusals: a request about %s is answered with status %d", id, response.Status)
 	}
-	was := sim.reportedTerminal[id]
+	previous := sim.reportedTerminal[id]
 	sim.checkResponse(id, response, sent)
-	if was == "" && sim.reportedTerminal[id] == wire.JobCancelled && run.onCancelAcknowledged != nil {
-		do := run.onCancelAcknowledged
+	if previous == "" && sim.reportedTerminal[id] == wire.JobCancelled && run.onCancelAcknowledged != nil {
+		notify := run.onCancelAcknowledged
 		run.onCancelAcknowledged = nil
-		do(id)
+		notify(id)
 	}
 }
 
-// queryAllNodes asks all nodes repeatedly, and sends a duplicate submission, right after a job was
-// accepted or reached a terminal state.
+// queryAllNodes queries all nodes about a job that has just been accepted or reached a terminal state,
+// repeatedly over the next 3 s, and each time sends a duplicate submission to one node.
 func (run *faultPairRun) queryAllNodes(id string) {
 	sim := run.sim
 	for _, ms := range []int{0, 3, 15, 70, 400, 3000} {
@@ -81,7 +84,7 @@
 			n := run.rng.IntN(len(sim.nodes))
 			run.sendJobRequest(n, "POST", id, "", func(Respond) {})
 			if sim.reportedTerminal[id] == wire.JobDone && run.rng.IntN(20) == 0 {
-				sim.cancelRequested[id] = true // too late: it stays done
+				sim.cancelRequested[id] = true // too late: the job remains done
 			}
 			if sim.cancelRequested[id] {
 				run.sendJobRequest((n+1)%len(sim.nodes), "POST", id, "/cancel", func(Respond) {})
@@ -90,20 +93,21 @@
 	}
 }
 
-func (run *faultPairRun) submit(id string, cancelAtOnce bool) {
+// submit submits a job and retries every second until a node accepts it or refuses it permanently.
+func (run *faultPairRun) submit(id string, cancelOnAcceptance bool) {
 	sim := run.sim
-	if (sim.accepted[id] || sim.reportedTerminal[id] != "") && run.expectedRefusals[id] == 0 {
+	if (sim.accepted[id] || sim.reportedTerminal[id] != "") && run.expectedRefusalStatus[id] == 0 {
 		return
 	}
 	run.sendJobRequest(run.rng.IntN(len(sim.nodes)), "POST", id, "", func(response Respond) {
 		switch response.Status {
 		case 200, 201:
-			if cancelAtOnce {
+			if cancelOnAcceptance {
 				run.cancel(id)
 			}
 		case 400, 422:
 		default:
-			sim.after(micros.Second, func() { run.submit(id, cancelAtOnce) })
+			sim.after(micros.Second, func() { run.submit(id, cancelOnAcceptance) })
 		}
 	})
 }
@@ -114,19 +118,20 @@
 	if sim.reportedTerminal[id] != "" {
 		return
 	}
-	again := func() { sim.after(micros.Second, func() { run.cancel(id) }) }
+	retry := func() { sim.after(micros.Second, func() { run.cancel(id) }) }
 	if !sim.accepted[id] {
-		again()
+		retry()
 		return
 	}
 	sim.cancelRequested[id] = true
 	run.sendJobRequest(run.rng.IntN(len(sim.nodes)), "POST", id, "/cancel", func(response Respond) {
 		if response.Status != 200 {
-			again()
+			retry()
 		}
 	})
 }
 
+// poll queries the state of a job repeatedly until a terminal state has been reported.
 func (run *faultPairRun) poll(id string) {
 	sim := run.sim
 	if sim.reportedTerminal[id] != "" {
@@ -139,10 +144,10 @@
 	})
 }
 
-// cancelFinishingJobs cancels half of the jobs at the moment of their completion.
-func (run *faultPairRun) cancelFinishingJobs(over micros.Micros, seen map[string]bool) {
+// cancelFinishingJobs cancels half of the jobs when their last task is done, until the given time.
+func (run *faultPairRun) cancelFinishingJobs(until micros.Micros, seen map[string]bool) {
 	sim := run.sim
-	if sim.now >= over {
+	if sim.now >= until {
 		return
 	}
 	for _, id := range run.openJobs() {
@@ -154,5 +159,5 @@
 			run.cancel(id)
 		}
 	}
-	sim.after(simulationStep, func() { run.cancelFinishingJobs(over, seen) })
+	sim.after(simulationStep, func() { run.cancelFinishingJobs(until, seen) })
 }
--- a/controller/membership.go
+++ b/controller/membership.go
@@ -9,21 +9,21 @@
 // This file connects package cluster, this node's membership and leadership, with the node's client of
 // the key-value store, its owner and its rate limits.
 
-// clusterStore sends the requests of membership and leadership to the key-value store. They have the
-// most urgent purpose in the request budget.
-type clusterStore struct{ core *Core }
+// clusterKVClient implements cluster.KVClient: it sends the requests of membership and leadership to the
+// key-value store. They have the most urgent purpose in the request budget.
+type clusterKVClient struct{ core *Core }
 
 // Call implements cluster.KVClient.
-func (s clusterStore) Call(request kv.Request, done func(micros.Micros, kv.Result)) {
+func (s clusterKVClient) Call(request kv.Request, done func(micros.Micros, kv.Result)) {
 	s.core.store.Do(budget.Leadership, request, s.withTime(done))
 }
 
 // Watch implements cluster.KVClient.
-func (s clusterStore) Watch(prefix string, after uint64, done func(micros.Micros, kv.Result)) {
+func (s clusterKVClient) Watch(prefix string, after uint64, done func(micros.Micros, kv.Result)) {
 	s.core.store.Watch(budget.Leadership, prefix, after, kv.WatchWait, s.withTime(done))
 }
 
-func (s clusterStore) withTime(done func(micros.Micros, kv.Result)) func(kv.Result) {
+func (s clusterKVClient) withTime(done func(micros.Micros, kv.Result)) func(kv.Result) {
 	return func(result kv.Result) { done(s.core.now, result) }
 }
 
@@ -48,8 +48,8 @@
 // ViewChanged divides the limits of the key-value store among the members again.
 func (h clusterHost) ViewChanged() { h.core.updateRateLimits() }
 
-// UnreachableByWorkers reports whether no worker reaches this node, neither one of its own machines
-// nor another, although some worker reaches a peer.
+// UnreachableByWorkers reports whether no worker reaches this node, whether it owns the worker's machine
+// or not, although some worker reaches a peer.
 func (h clusterHost) UnreachableByWorkers() bool {
 	c := h.core
 	return c.owner != nil && c.owner.allMachinesUnresponsive() && c.onlyPeersReachable()
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -14,7 +14,7 @@
 
 // Host provides what the fleet needs from its owner and the node.
 type Host interface {
-	// Now returns the time of the current event on a monotonic clock.
+	// Now returns the monotonic time of the current event.
 	Now() micros.Micros
 	// WallClock returns the wall-clock time of the current event.
 	WallClock() micros.Micros
@@ -40,10 +40,11 @@
 	ID() record.OwnerID
 	// OwnsRecordsOf reports whether this owner takes over the records of the given owner.
 	OwnsRecordsOf(owner record.OwnerID) bool
-	// IsClaimedByPeer reports whether a peer controller claims the machine in its messages.
+	// IsClaimedByPeer reports whether a peer lists the machine as its own in its heartbeats.
 	IsClaimedByPeer(machine string) bool
-	// AdoptsUnclaimed reports whether this owner is the one that adopts machines without an owner.
-	AdoptsUnclaimed() bool
+	// AdoptsOrphans reports whether this owner is the one that adopts orphaned machines, which have no
+	// owner.
+	AdoptsOrphans() bool
 	// NewMachine adds a machine to the inventory, with an entry in a block of its type and zone.
 	NewMachine(info inventory.MachineInfo) *inventory.Machine
 	// NewAdoptedMachine adds a machine that may belong to another owner without this owner's
@@ -130,7 +131,7 @@
 	cloudListing       cloudList
 	recentlyTerminated map[string]micros.Micros // end of the retention, by machine
 	ownedElsewhere     map[string]micros.Micros // end of the assumption, by machine
-	unclaimedSince     map[string]micros.Micros // start of being listed without an owner, by machine
+	orphanedSince      map[string]micros.Micros // start of being listed without an owner, by machine
 	partitionedSince   map[string]micros.Micros // start of the network partition, by zone
 
 	scaleOuts        *scaleOuts
@@ -148,7 +149,7 @@
 		host: c.Host, ownership: c.Ownership, cloud: c.Cloud, jobs: c.Jobs,
 		recentlyTerminated: map[string]micros.Micros{},
 		ownedElsewhere:     map[string]micros.Micros{},
-		unclaimedSince:     map[string]micros.Micros{},
+		orphanedSince:      map[string]micros.Micros{},
 		partitionedSince:   map[string]micros.Micros{},
 		scaleOuts:          newScaleOuts(c),
 	}
