--- a/controller/core.go
+++ b/controller/core.go
@@ -153,7 +153,7 @@
 	c.tickStatus()
 	c.cancellations.PruneCancelled(c.now)
 	if c.owner != nil {
-		c.owner.tickSlow()
+		c.owner.slowTick()
 	}
 }
 
--- a/controller/owner.go
+++ b/controller/owner.go
@@ -85,8 +85,8 @@
 	}
 }
 
-// tickSlow performs the periodic duties of an active owner. It is called every slowTickInterval.
-func (o *owner) tickSlow() {
+// slowTick performs the periodic duties of an active owner. It is called every slowTickInterval.
+func (o *owner) slowTick() {
 	if o.state != ownerActive {
 		return
 	}
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -275,13 +275,13 @@
 	if len(host.calls) != 0 {
 		t.Fatalf("message sent to an unknown node: %+v", host.calls)
 	}
-	response := encode(t, &peer.Message{Body: &peer.Message_KVResponse{KVResponse: &peer.KVResponse{Status: 200}}})
+	kvResponse := encode(t, &peer.Message{Body: &peer.Message_KVResponse{KVResponse: &peer.KVResponse{Status: 200}}})
 	for _, c := range []struct {
-		name                          string
-		response                      Response
-		responded, sent, acknowledged bool
+		name                              string
+		response                          Response
+		responded, sent, wantAcknowledged bool
 	}{
-		{"response", Response{Status: wire.StatusOK, Body: response}, true, true, true},
+		{"response", Response{Status: wire.StatusOK, Body: kvResponse}, true, true, true},
 		{"not sent", Response{}, false, false, false},
 		{"no response", Response{Sent: true}, false, true, false},
 		{"refused", Response{Status: wire.StatusUnavailable}, false, true, false},
@@ -302,8 +302,8 @@
 			for _, done := range host.done {
 				done(c.response)
 			}
-			if acknowledged != c.acknowledged {
-				t.Errorf("acknowledged %v, want %v", acknowledged, c.acknowledged)
+			if acknowledged != c.wantAcknowledged {
+				t.Errorf("acknowledged %v, want %v", acknowledged, c.wantAcknowledged)
 			}
 		})
 	}
--- a/sched/domains.go
+++ b/sched/domains.go
@@ -71,19 +71,19 @@
 		byName[name] = append(byName[name], m)
 	}
 	domains := make([]Domain, 0, len(byName))
-	deficits := make(map[string]float64, len(byName))
+	relativeDeficit := make(map[string]float64, len(byName))
 	for _, name := range slices.Sorted(maps.Keys(byName)) {
 		domain := Domain{Name: name, Machines: byName[name]}
 		domains = append(domains, domain)
-		deficits[name] = domain.deficit(j)
+		relativeDeficit[name] = domain.relativeDeficit(j)
 	}
-	slices.SortStableFunc(domains, func(a, b Domain) int { return cmp.Compare(deficits[a.Name], deficits[b.Name]) })
+	slices.SortStableFunc(domains, func(a, b Domain) int { return cmp.Compare(relativeDeficit[a.Name], relativeDeficit[b.Name]) })
 	return domains
 }
 
-// deficit returns the resource deficit of the domain for all tasks of the job, as a multiple of the
-// need of one task, added up over the kinds of resources.
-func (d Domain) deficit(j *Job) float64 {
+// relativeDeficit returns the resource deficit of the domain for all tasks of the job, as a multiple
+// of the need of one task, added up over the kinds of resources.
+func (d Domain) relativeDeficit(j *Job) float64 {
 	var free Resources
 	for _, m := range d.Machines {
 		free = free.Add(m.Free)
