--- a/controller/effects_test.go
+++ b/controller/effects_test.go
@@ -36,9 +36,9 @@
 func TestRecordedEffectsDiffer(t *testing.T) {
 	base := []Effect{Call{ID: 1, Addr: "state", Method: "GET", Target: "/kv/types", Timeout: 5, MaxBody: 6}, Respond{ID: 2, Status: 200, Body: []byte("x")}}
 	digest := func(ev Event, effects []Effect) string {
-		record := newEffectDigest()
-		record.add(0, micros.Second, ev, effects)
-		return record.String()
+		d := newEffectDigest()
+		d.add(0, micros.Second, ev, effects)
+		return d.String()
 	}
 	same := digest(Tick{}, base)
 	if repeated := digest(Tick{}, base); repeated != same {
@@ -124,36 +124,36 @@
 	return &effectDigest{hash: fnv.New64a(), nextLineAt: digestInterval}
 }
 
-func (record *effectDigest) add(node int, now micros.Micros, ev Event, effects []Effect) {
-	for now >= record.nextLineAt {
-		record.appendLine()
-		record.nextLineAt += digestInterval
+func (digest *effectDigest) add(node int, now micros.Micros, ev Event, effects []Effect) {
+	for now >= digest.nextLineAt {
+		digest.appendLine()
+		digest.nextLineAt += digestInterval
 	}
-	record.events++
-	record.effects += len(effects)
-	record.writef("%d %d ", node, now)
+	digest.events++
+	digest.effects += len(effects)
+	digest.writef("%d %d ", node, now)
 	switch e := ev.(type) {
 	case Request:
-		record.writef("request %d %t %q %q %x", e.ID, e.Peer, e.Method, e.Path, canonical(e.Body))
+		digest.writef("request %d %t %q %q %x", e.ID, e.Peer, e.Method, e.Path, canonical(e.Body))
 	case CallDone:
-		record.writef("done %d %d %t %x", e.ID, e.Status, e.Sent, canonical(e.Body))
+		digest.writef("done %d %d %t %x", e.ID, e.Status, e.Sent, canonical(e.Body))
 	case Tick:
-		record.writef("tick")
+		digest.writef("tick")
 	}
 	for _, effect := range effects {
 		switch e := effect.(type) {
 		case Call:
-			record.writef(" call %d %q %q %q %d %d %x", e.ID, e.Addr, e.Method, e.Target, e.Timeout, e.MaxBody, canonical(e.Body))
+			digest.writef(" call %d %q %q %q %d %d %x", e.ID, e.Addr, e.Method, e.Target, e.Timeout, e.MaxBody, canonical(e.Body))
 		case Respond:
-			record.writef(" respond %d %d %d %x", e.ID, e.Status, e.RetryAfter, canonical(e.Body))
+			digest.writef(" respond %d %d %d %x", e.ID, e.Status, e.RetryAfter, canonical(e.Body))
 		}
 	}
-	record.writef("\n")
+	digest.writef("\n")
 }
 
 // writef adds formatted text to the digest.
-func (record *effectDigest) writef(format string, args ...any) {
-	if _, err := fmt.Fprintf(record.hash, format, args...); err != nil {
+func (digest *effectDigest) writef(format string, args ...any) {
+	if _, err := fmt.Fprintf(digest.hash, format, args...); err != nil {
 		panic(err) // writing to a hash never fails
 	}
 }
@@ -172,8 +172,8 @@
 	if call := message.GetKVRequest(); call != nil {
 		call.Body = canonical(call.Body)
 	}
-	if reply := message.GetKVResponse(); reply != nil {
-		reply.Body = canonical(reply.Body)
+	if response := message.GetKVResponse(); response != nil {
+		response.Body = canonical(response.Body)
 	}
 	ordered, err := proto.MarshalOptions{Deterministic: true}.Marshal(&message)
 	if err != nil {
@@ -194,12 +194,12 @@
 	return ordered
 }
 
-func (record *effectDigest) appendLine() {
-	record.lines = append(record.lines, fmt.Sprintf("%ds events=%d effects=%d digest=%s",
-		record.nextLineAt/micros.Second, record.events, record.effects, hex.EncodeToString(record.hash.Sum(nil))))
+func (digest *effectDigest) appendLine() {
+	digest.lines = append(digest.lines, fmt.Sprintf("%ds events=%d effects=%d digest=%s",
+		digest.nextLineAt/micros.Second, digest.events, digest.effects, hex.EncodeToString(digest.hash.Sum(nil))))
 }
 
-func (record *effectDigest) String() string {
-	record.appendLine()
-	return strings.Join(record.lines, "\n") + "\n"
+func (digest *effectDigest) String() string {
+	digest.appendLine()
+	return strings.Join(digest.lines, "\n") + "\n"
 }
--- a/internal/soaktest/fakes.go
+++ b/internal/soaktest/fakes.go
@@ -146,8 +146,8 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	now := h.now()
-	h.checker.recordStall(h.lastStep, now)
-	h.lastStep = now
+	h.checker.recordStall(h.lastStepAt, now)
+	h.lastStepAt = now
 	h.kvStore.Advance(now)
 	h.cloud.Now = now
 	h.bootMachines(now)
--- a/internal/soaktest/harness.go
+++ b/internal/soaktest/harness.go
@@ -35,7 +35,7 @@
 	fleet                         *fake.Fleet
 	checker                       *checker
 	duplicateHeartbeatProbability float64 // probability that a delayed duplicate of a heartbeat is sent
-	lastStep                      micros.Micros
+	lastStepAt                    micros.Micros
 }
 
 // now returns the time of the run.
--- a/internal/soaktest/responses.go
+++ b/internal/soaktest/responses.go
@@ -144,12 +144,12 @@
 			o.phase, o.kind, controllerName(o.controller), sinceStart(o.sentAt), sinceStart(o.respondedAt))
 	}
 	if history.terminalPhase == "" && isTerminal(o.phase) {
-		c.handleTermination(history, o)
+		c.handleTerminalState(history, o)
 	}
 }
 
-// handleTermination records and checks the first response that shows a terminal state of a job.
-func (c *checker) handleTermination(history *jobHistory, o operation) {
+// handleTerminalState records and checks the first response that shows a terminal state of a job.
+func (c *checker) handleTerminalState(history *jobHistory, o operation) {
 	history.terminalPhase, history.terminalAt, history.stallTimeAtTerminal = o.phase, o.respondedAt, c.stallTime
 	if o.phase == wire.JobDone {
 		c.stats.Done++
--- a/internal/soaktest/users.go
+++ b/internal/soaktest/users.go
@@ -100,7 +100,7 @@
 		go u.cancelLater(forkRandom(u.rng))
 	}
 	for u.harness.sleep(u.jitter(queryInterval)) {
-		if u.observedTermination() {
+		if u.observedTerminalState() {
 			return
 		}
 		u.send(opQuery, u.drawController(u.rng))
@@ -131,8 +131,8 @@
 	return false
 }
 
-// observedTermination reports whether a response has shown a terminal state of the job.
-func (u *user) observedTermination() bool {
+// observedTerminalState reports whether a response has shown a terminal state of the job.
+func (u *user) observedTerminalState() bool {
 	u.harness.mu.Lock()
 	defer u.harness.mu.Unlock()
 	return u.history.terminalPhase != ""
