--- a/cmd/soaktest/main.go
+++ b/cmd/soaktest/main.go
@@ -52,7 +52,7 @@
 	return exitStatus(newCommand(os.Stdout).ExecuteContext(ctx))
 }
 
-// exitStatus prints an error and returns its exit status.
+// exitStatus returns the exit status for an error, and prints the error unless it is errViolations.
 func exitStatus(err error) int {
 	if err == nil {
 		return exitOK
--- a/cmd/soaktest/main_test.go
+++ b/cmd/soaktest/main_test.go
@@ -11,7 +11,7 @@
 	"tamarindlead/internal/soaktest"
 )
 
-// TestBadInput checks that bad input leads to its exit status before anything is started.
+// TestBadInput checks that bad input leads to exit status 2 before anything is started.
 func TestBadInput(t *testing.T) {
 	for _, args := range [][]string{
 		{"--duration", "1s"},
@@ -42,7 +42,7 @@
 	command.SetOut(&out)
 	command.SetArgs([]string{"--help"})
 	if status := exitStatus(command.Execute()); status != exitOK {
-		t.Fatalf("status %d", status)
+		t.Fatalf("status %d, want 0", status)
 	}
 	for _, word := range []string{"--seed", "--duration", "--settle", "--controllers", "--machines", "--job-rate", "--binary", "--dir", "--quiet", "--sockets", "--calm", "Exit status"} {
 		if !strings.Contains(out.String(), word) {
@@ -79,7 +79,7 @@
 	}
 	args, found := strings.CutPrefix(repeatCommand(o), "go run ./cmd/soaktest ")
 	if !found {
-		t.Fatalf("the command is %q", repeatCommand(o))
+		t.Fatalf("the command is %q, want it to begin with go run ./cmd/soaktest", repeatCommand(o))
 	}
 	flags := newCommand(&bytes.Buffer{}).Flags()
 	if err := flags.Parse(strings.Fields(args)); err != nil {
--- a/controller/effects_test.go
+++ b/controller/effects_test.go
@@ -42,7 +42,7 @@
 	}
 	same := digest(Tick{}, base)
 	if repeated := digest(Tick{}, base); repeated != same {
-		t.Fatalf("the same effects have different digests: %s, %s", same, repeated)
+		t.Fatalf("the same effects have different digests:\n%s\n%s", same, repeated)
 	}
 	changed := map[string]string{
 		"event":             digest(Request{ID: 1}, base),
@@ -182,6 +182,8 @@
 	return ordered
 }
 
+// canonicalValue encodes the value of a CBOR body with sorted keys. It returns body itself if the value
+// cannot be encoded.
 func canonicalValue(value any, body []byte) []byte {
 	mode, err := cbor.CanonicalEncOptions().EncMode()
 	if err != nil {
--- a/controller/fault_pairs_faults_test.go
+++ b/controller/fault_pairs_faults_test.go
@@ -7,8 +7,9 @@
 	"tamarindlead/micros"
 )
 
-// pairFault is a kind of fault. start injects it and returns its target for the log, which may be
-// empty, its duration and the function that reverts it, nil if nothing needs to be reverted.
+// pairFault is a kind of fault. start injects it and returns its target for the log, its duration, and
+// the function that reverts it. The target may be empty. The function is nil if there is nothing to
+// revert.
 type pairFault struct {
 	name     string
 	start    func(run *faultPairRun) (target string, duration micros.Micros, revert func())
--- a/controller/fault_pairs_users_test.go
+++ b/controller/fault_pairs_users_test.go
@@ -56,12 +56,12 @@
 	sim := run.sim
 	if run.expectedRefusalStatus[id] != 0 {
 		if response.Status == 200 || response.Status == 201 || (response.Status == 400 || response.Status == 422) && response.Status != run.expectedRefusalStatus[id] {
-			sim.reportViolation("refusals: a request about %s is answered with status %d, not %d", id, response.Status, run.expectedRefusalStatus[id])
+			sim.reportViolation("refusals: a request about %s got status %d, want %d or a temporary refusal", id, response.Status, run.expectedRefusalStatus[id])
 		}
 		return
 	}
 	if (response.Status == 400 || response.Status == 422) && !accepted {
-		sim.reportViolation("refusals: a request about %s is answered with status %d", id, response.Status)
+		sim.reportViolation("refusals: a request about %s, a valid job, got status %d", id, response.Status)
 	}
 	previous := sim.reportedTerminal[id]
 	sim.checkResponse(id, response, sent)
@@ -144,7 +144,8 @@
 	})
 }
 
-// cancelFinishingJobs cancels half of the jobs when their last task is done, until the given time.
+// cancelFinishingJobs cancels half of the jobs when their last task is done, until the given time. seen
+// holds the jobs for which that has been decided.
 func (run *faultPairRun) cancelFinishingJobs(until micros.Micros, seen map[string]bool) {
 	sim := run.sim
 	if sim.now >= until {
--- a/controller/incompatible_messages_test.go
+++ b/controller/incompatible_messages_test.go
@@ -75,7 +75,7 @@
 	return paths
 }
 
-// wireMutation returns an incompatible encoding of a field.
+// wireMutation returns an incompatible encoding of a field, which replaces the field in a message.
 type wireMutation func(n protowire.Number, typ protowire.Type, value []byte) []byte
 
 var wireMutations = map[string]wireMutation{
@@ -88,7 +88,8 @@
 	},
 }
 
-// mutateWire changes the field at the end of a path of field numbers in an encoded message.
+// mutateWire changes the field at the end of a path of field numbers in an encoded message, and reports
+// whether the message has that field.
 func mutateWire(data []byte, path []protowire.Number, mutation wireMutation) (out []byte, changed bool) {
 	for len(data) > 0 {
 		number, typ, tagSize := protowire.ConsumeTag(data)
--- a/controller/incompatible_records_test.go
+++ b/controller/incompatible_records_test.go
@@ -22,7 +22,7 @@
 	"a/ j expectS", "a/ j snapshotS", "a/ j stowS", "a/ j dueS",
 	"f/ s", "f/ at",
 	"m/ o", "m/ d",
-	"m/ d 0", "m/ d 1", "m/ d 2", "m/ d 3", "m/ d 4", // bases, machine types, jobs, machines
+	"m/ d 0", "m/ d 1", "m/ d 2", "m/ d 3", "m/ d 4", // two bases, machine types, jobs, machines
 	"m/ d 2 * 0", "m/ d 2 * 1", "m/ d 2 * 2", // type, zone, spot
 	"m/ d 3 * 0", "m/ d 3 * 1", "m/ d 3 * 2", "m/ d 3 * 3", "m/ d 3 * 4", "m/ d 3 * 5", // job, team, tasks, sizes
 	"m/ d 4 * 0", "m/ d 4 * 1", "m/ d 4 * 2", "m/ d 4 * 3", "m/ d 4 * 4", "m/ d 4 * 5", "m/ d 4 * 6", // a machine
@@ -109,7 +109,8 @@
 	},
 }
 
-// mutateRecord changes the field at the end of a path in a decoded value.
+// mutateRecord changes the field at the end of a path in a decoded value. It returns the changed value,
+// and whether a field was changed.
 func mutateRecord(v any, path []string, mutation fieldMutation) (any, bool) {
 	if text, is := v.(string); is { // the packed data of a block, base64 of compressed CBOR
 		raw, err := base64.RawStdEncoding.DecodeString(text)
--- a/controller/production_records_test.go
+++ b/controller/production_records_test.go
@@ -21,12 +21,12 @@
 			t.Parallel()
 			for i, r := range d.Records {
 				if got := decodedText(r.Key, r.Value); got != withoutDefaults(d.DecodedRecords[i]) {
-					t.Errorf("%s is decoded as\n%s\nin production as\n%s", r.Key, got, d.DecodedRecords[i])
+					t.Errorf("%s is decoded as\n%s\nby the version in production as\n%s", r.Key, got, d.DecodedRecords[i])
 				}
 			}
 			for i, m := range d.Messages {
 				if got := decodedMessage(m); got != d.DecodedMessages[i] {
-					t.Errorf("a message is decoded as\n%s\nin production as\n%s", got, d.DecodedMessages[i])
+					t.Errorf("a message is decoded as\n%s\nby the version in production as\n%s", got, d.DecodedMessages[i])
 				}
 			}
 			runToCompletion(t, loadSimulation(d))
@@ -49,7 +49,7 @@
 		t.Errorf("rules violated:\n%s", strings.Join(sim.violations, "\n"))
 	}
 	if left := unfinishedJobs(sim); len(left) > 0 {
-		t.Errorf("without a terminal state: %s", strings.Join(left, " "))
+		t.Errorf("jobs without a terminal state at the end of the run: %s", strings.Join(left, " "))
 	}
 }
 
@@ -107,7 +107,7 @@
 		}
 	}
 	if !condemned {
-		t.Error("no dump holds a condemned machine")
+		t.Error("no dump holds a machine that is being decommissioned (condemned)")
 	}
 	for _, m := range messageKinds {
 		if !strings.Contains(messages, `"`+m+`":`) {
@@ -118,7 +118,8 @@
 
 var messageKinds = []string{"beat", "storeCall", "storeReply", "jobEnded", "want", "given"}
 
-// differences collects the records and messages that two versions decode differently.
+// differences collects the records and messages that the present version and the version in production
+// decode differently, or that the present version cannot decode.
 type differences struct {
 	process   *productionProcess
 	compared  map[string]bool
@@ -151,7 +152,7 @@
 
 func (diffs *differences) compare(what, own, old string) {
 	if own != old || strings.HasPrefix(own, "error") {
-		diffs.differing = append(diffs.differing, what+" is decoded as\n"+own+"\nin production as\n"+old)
+		diffs.differing = append(diffs.differing, what+" is decoded as\n"+own+"\nby the version in production as\n"+old)
 	}
 }
 
@@ -188,7 +189,7 @@
 	sim := loadSimulation(d)
 	sim.startWithProduction(t, len(sim.nodes))
 	if old := sim.production.decodeRecord(record.ActiveJobKey(id), value); !strings.HasPrefix(old, "error") {
-		t.Errorf("the version in production decodes the record of a blocked job: %s", old)
+		t.Errorf("the version in production decodes the record of a blocked job as %s, want an error", old)
 	}
 	sim.run(60 * micros.Second)
 	statuses := map[string]int{}
@@ -205,10 +206,10 @@
 	}
 	sim.run(6 * micros.Second)
 	if statuses["GET queued"] != len(sim.nodes) || statuses["POST queued"] != len(sim.nodes) {
-		t.Errorf("job states in the responses: %v", statuses)
+		t.Errorf("job states in the responses by method: %v, want only queued", statuses)
 	}
 	if sim.startedAt[id] != 0 || sim.runningOn[wire.TaskName(id, 0)] != "" || sim.completedTasks[wire.TaskName(id, 0)] {
-		t.Error("the blocked job has started")
+		t.Error("the blocked job has started, want no start")
 	}
 	if len(sim.violations) > 0 {
 		t.Errorf("rules violated:\n%s", strings.Join(sim.violations, "\n"))
--- a/controller/scenario_test.go
+++ b/controller/scenario_test.go
@@ -39,7 +39,7 @@
 	t.Helper()
 	out := executeScenarioCommand(t, sim, d)
 	if len(sim.violations) > 0 {
-		t.Fatalf("%s: rules broken:\n%s", filepath.Base(d.Pos), strings.Join(sim.violations, "\n"))
+		t.Fatalf("%s: rules violated:\n%s", filepath.Base(d.Pos), strings.Join(sim.violations, "\n"))
 	}
 	return out
 }
--- a/internal/fake/cloud.go
+++ b/internal/fake/cloud.go
@@ -10,7 +10,7 @@
 	"tamarindlead/micros"
 )
 
-// maxScaleOut is the largest number of machines that one request may ask for.
+// maxScaleOut is the largest number of machines in one scale-out request.
 const maxScaleOut = 50
 
 // Cloud is a fake of the cloud's API: it creates, lists and terminates machines.
@@ -119,8 +119,8 @@
 	c.Capacity[CapacityKey(m.Type, m.Zone, m.Spot)]++
 }
 
-// scaleOut creates machines. A duplicate of an earlier request creates none: its response contains the
-// machines of the earlier one.
+// scaleOut creates machines, fewer than requested if the capacity is smaller. A duplicate of an earlier
+// request creates none: its response contains the machines of the earlier one.
 func (c *Cloud) scaleOut(body []byte) Response {
 	var request wire.ScaleOutRequest
 	if wire.Decode(body, &request) != nil || request.Number < 1 || request.Number > maxScaleOut {
@@ -167,6 +167,7 @@
 	return newResponse(wire.StatusOK, emptyMap{})
 }
 
+// list returns the machines whose names follow after, as they were ListDelay ago.
 func (c *Cloud) list(after string) Response {
 	at := c.Now - c.ListDelay
 	list := wire.MachineList{Machines: []wire.ListedMachine{}}
--- a/internal/fake/kvstore.go
+++ b/internal/fake/kvstore.go
@@ -102,7 +102,8 @@
 }
 
 // Handle executes a request. ok is false for a watch that must wait, because there are no events or the
-// store is unavailable: the caller retries it, and sets timedOut when the timeout of the watch is over.
+// store refuses the caller or all requests. The caller then retries the watch, and sets timedOut when
+// the timeout of the watch is over.
 func (s *KVStore) Handle(caller, method, target string, body []byte, timedOut bool) (r Response, ok bool) {
 	u, err := url.ParseRequestURI(target)
 	if err != nil {
--- a/internal/fake/kvstore_test.go
+++ b/internal/fake/kvstore_test.go
@@ -18,7 +18,7 @@
 	body := wire.Encode(map[string]any{"guards": guards, "writes": writes})
 	response, ok := s.Handle("caller", "POST", "/commit", body, true)
 	if !ok {
-		t.Fatal("no response to a transaction")
+		t.Fatal("a transaction got no response")
 	}
 	return response.Status
 }
@@ -50,7 +50,7 @@
 			s := NewKVStore()
 			s.MaxOps, s.MaxValueBytes = 2, 16
 			if status := commit(t, s, nil, putOf("a", "1")); status != wire.StatusOK {
-				t.Fatalf("first put: status %d", status)
+				t.Fatalf("first put: status %d, want 200", status)
 			}
 			if status := commit(t, s, test.preconditions, test.writes...); status != test.wantStatus {
 				t.Errorf("status %d, want %d", status, test.wantStatus)
@@ -88,7 +88,7 @@
 			s := NewKVStore()
 			body := wire.Encode(map[string]any{"ttlMs": ttl / micros.Millisecond})
 			if response, _ := s.Handle("caller", "POST", "/leases", body, true); response.Status != wire.StatusOK {
-				t.Fatalf("lease: status %d", response.Status)
+				t.Fatalf("lease: status %d, want 200", response.Status)
 			}
 			if status := commit(t, s, nil, map[string]any{"put": "a", "data": "1", "tenancy": 1}); status != wire.StatusOK {
 				t.Fatalf("put: status %d", status)
@@ -101,7 +101,8 @@
 	}
 }
 
-// TestWatch checks when a watch returns a response, and with which status.
+// TestWatch puts key "a" at revision 1, and checks when a watch returns a response, and with which
+// status.
 func TestWatch(t *testing.T) {
 	for _, test := range []struct {
 		name       string
@@ -124,7 +125,7 @@
 			s.CompactHistory = test.compact
 			response, ok := s.Handle("caller", "GET", fmt.Sprintf("/changes?prefix=a&after=%d", test.after), nil, test.timedOut)
 			if ok != test.wantOK || response.Status != test.wantStatus {
-				t.Errorf("status %d, %t, want %d, %t", response.Status, ok, test.wantStatus, test.wantOK)
+				t.Errorf("status %d, response available: %t; want status %d, response available: %t", response.Status, ok, test.wantStatus, test.wantOK)
 			}
 		})
 	}
--- a/internal/fake/worker.go
+++ b/internal/fake/worker.go
@@ -26,12 +26,14 @@
 	PastAttempts      []*Task // exited and refused attempts of tasks that have another attempt in Tasks
 
 	Lease                 micros.Micros // tasks are killed if LastAnsweredHeartbeat is older than this
-	LastAnsweredHeartbeat micros.Micros // time at which the last answered heartbeat was sent
+	LastAnsweredHeartbeat micros.Micros // when the last answered heartbeat was sent, or the worker (re)started after it
 	NextHeartbeat         micros.Micros
 	Controller            int  // index of the controller that receives its heartbeats
 	HeartbeatInFlight     bool // a heartbeat has not been answered yet
 	Changed               bool // a change must be reported, even before NextHeartbeat
 
+	// Info returns what the user uploaded about a task. OnStart is called when the worker starts a
+	// task, and OnExit when a task exits.
 	Info    func(task string) (TaskInfo, bool)
 	OnStart func(w *Worker, task string, attempt uint64)
 	OnExit  func(w *Worker, task string, cause wire.ExitCause)
@@ -62,7 +64,8 @@
 	return t != nil && t.Phase != wire.PhaseExited
 }
 
-// Advance moves tasks to their next phases, and restarts the worker if its lease has expired.
+// Advance moves tasks to their next phases, and restarts the worker if its lease has expired. A hung
+// worker makes no progress: only the start of the hang is recorded.
 func (w *Worker) Advance(now micros.Micros) {
 	if w.Hung {
 		if w.hungSince == 0 {
--- a/internal/fake/worker_commands.go
+++ b/internal/fake/worker_commands.go
@@ -10,7 +10,8 @@
 // roundingTolerance is how far a sum of resources may exceed the machine's by rounding.
 const roundingTolerance = 1e-6
 
-// Execute executes commands in order.
+// Execute executes commands in order. It ignores a start of an attempt that the worker already knows,
+// and all other commands about an attempt that it does not know.
 func (w *Worker) Execute(now micros.Micros, commands []wire.Command) {
 	for _, c := range commands {
 		t := w.findAttempt(c.Task, c.Attempt)
--- a/internal/soaktest/checker.go
+++ b/internal/soaktest/checker.go
@@ -151,7 +151,7 @@
 	now := c.harness.now()
 	deadline := history.terminalAt + cancelDeadline
 	if now > deadline+c.stallTime-history.stallTimeAtTerminal {
-		c.reportViolation(RuleRanCancelled, "%s %s %v after its cancellation was confirmed to the user", task, event, now-history.terminalAt)
+		c.reportViolation(RuleRanCancelled, "%s %s %v after its cancellation was acknowledged to the user", task, event, now-history.terminalAt)
 	}
 	return now > deadline
 }
--- a/internal/soaktest/checker_test.go
+++ b/internal/soaktest/checker_test.go
@@ -31,54 +31,54 @@
 // allowAnyZone removes the constraints on zones.
 func (r *taskTest) allowAnyZone() { r.history.job.OneZone, r.history.job.Zone = false, "" }
 
-// cancel marks the job as cancelled so long ago that the deadline of its tasks has passed.
+// cancel marks the job as cancelled so long ago that the cancellation deadline has just passed.
 func (r *taskTest) cancel() {
 	r.history.terminalPhase, r.history.terminalAt = wire.JobCancelled, r.now()-cancelDeadline-1
 }
 
-// TestCheckerTasks checks which rules the starts of tasks violate.
+// TestCheckerTasks checks which rules starting and running tasks violate.
 func TestCheckerTasks(t *testing.T) {
 	for _, test := range []struct {
 		name  string
 		steps func(r *taskTest)
 		want  []Rule
 	}{
-		{"valid", func(r *taskTest) {
+		{"started again after its exit", func(r *taskTest) {
 			r.start(r.north, 0, 1)
 			r.checker.taskExited(r.north, wire.TaskName(testJob, 0), wire.CauseStopped)
 			r.start(r.north, 0, 2)
 		}, nil},
-		{"on two machines", func(r *taskTest) {
+		{"started on two machines", func(r *taskTest) {
 			r.allowAnyZone()
 			r.start(r.north, 0, 1)
 			r.start(r.south, 0, 2)
 		}, []Rule{RuleRanTwice}},
-		{"elsewhere after its machine was terminated", func(r *taskTest) {
+		{"started elsewhere after its machine was terminated", func(r *taskTest) {
 			r.allowAnyZone()
 			r.start(r.north, 0, 1)
 			r.north.Machine.Gone = true
 			r.checker.dropTerminatedMachines()
 			r.start(r.south, 0, 2)
 		}, nil},
-		{"in a zone that is not allowed", func(r *taskTest) {
+		{"started in a zone that is not allowed", func(r *taskTest) {
 			r.start(r.south, 0, 1)
 		}, []Rule{RuleWrongPlace}},
-		{"after the deadline of the cancellation", func(r *taskTest) {
+		{"started after the cancellation deadline", func(r *taskTest) {
 			r.cancel()
 			r.start(r.north, 0, 1)
 		}, []Rule{RuleRanCancelled}},
-		{"still running after the deadline of the cancellation", func(r *taskTest) {
+		{"running after the cancellation deadline", func(r *taskTest) {
 			r.start(r.north, 0, 1)
 			r.cancel()
 			r.checker.checkContinuously()
 		}, []Rule{RuleRanCancelled}},
-		{"still running, but the test itself was stalled", func(r *taskTest) {
+		{"running after the cancellation deadline, but the test itself was stalled", func(r *taskTest) {
 			r.start(r.north, 0, 1)
 			r.cancel()
 			r.checker.recordStall(atSecond(1), atSecond(6))
 			r.checker.checkContinuously()
 		}, nil},
-		{"beyond the team's limit", func(r *taskTest) {
+		{"running beyond the team's quota limit", func(r *taskTest) {
 			r.history.taskInfo.CPU = machineCPUs * 2
 			r.start(r.north, 0, 1)
 			r.start(r.north, 1, 1)
--- a/internal/soaktest/controller.go
+++ b/internal/soaktest/controller.go
@@ -25,7 +25,7 @@
 
 	mu       sync.Mutex // guards the fields below
 	command  *exec.Cmd  // nil before the first start
-	stopping bool       // kill was called
+	stopping bool       // kill was called after the last start
 	exited   chan struct{}
 }
 
@@ -81,7 +81,7 @@
 	}
 }
 
-// kill kills the process and waits until it has exited.
+// kill kills the process, if it was started, and waits until it has exited.
 func (c *controllerProcess) kill() {
 	c.mu.Lock()
 	command, exited := c.command, c.exited
--- a/internal/soaktest/fault_injector.go
+++ b/internal/soaktest/fault_injector.go
@@ -14,7 +14,7 @@
 )
 
 // meanFaultIntervals are the possible mean times between two faults. Each run draws one of them: with
-// few faults, requests are answered quickly and race with each other; with many, the faults overlap.
+// few faults, responses arrive quickly and requests race with each other; with many, the faults overlap.
 var meanFaultIntervals = []time.Duration{1500 * time.Millisecond, 4 * time.Second, 10 * time.Second}
 
 // faultInjector injects faults. Only the goroutine of runFaults uses it.
@@ -32,7 +32,7 @@
 	undo   func()
 }
 
-// runFaults injects faults until load ends, and then undoes the active ones.
+// runFaults injects faults until the context load ends, and then undoes the active ones.
 func (h *harness) runFaults(load context.Context) {
 	f := &faultInjector{harness: h, rng: newRandom(h.options.Seed, streamFaults), unavailable: map[int]bool{}}
 	f.startBackgroundFaults()
@@ -52,7 +52,7 @@
 	h.endBackgroundFaults()
 }
 
-// inject draws a type of fault and injects it. It does nothing if the fault has no possible target.
+// inject draws a type of fault and injects it, unless faultType.inject reports false.
 func (f *faultInjector) inject(now time.Time) {
 	drawn := faultTypes[f.rng.IntN(len(faultTypes))]
 	injected, ok := drawn.inject(f)
--- a/internal/soaktest/faults.go
+++ b/internal/soaktest/faults.go
@@ -10,8 +10,8 @@
 // faultType is a type of fault.
 type faultType struct {
 	name string
-	// inject injects a fault. It reports false if the fault has no possible target, or is left out at
-	// random.
+	// inject injects a fault. It reports false if it injects none, because there is no suitable target
+	// or by a random draw.
 	inject func(f *faultInjector) (injection, bool)
 }
 
@@ -178,7 +178,7 @@
 	return func() { locked(false) }
 }
 
-// newWorkerFault returns a fault of up to three workers.
+// newWorkerFault returns a fault of one to three workers.
 func newWorkerFault(name string, set func(w *fake.Worker, on bool)) faultType {
 	return faultType{name, func(f *faultInjector) (injection, bool) {
 		workers := f.drawWorkers()
--- a/internal/soaktest/harness_test.go
+++ b/internal/soaktest/harness_test.go
@@ -47,6 +47,6 @@
 		}
 	}
 	if !slices.Equal(got, want) {
-		t.Errorf("violated: %v, want %v\n%v", got, want, c.violations)
+		t.Errorf("violated rules %v, want %v; violations:\n%v", got, want, c.violations)
 	}
 }
--- a/internal/soaktest/link.go
+++ b/internal/soaktest/link.go
@@ -178,7 +178,8 @@
 	return callResult{failure: failureTimeout}
 }
 
-// deliver executes a request immediately, and delays or drops its response as drawn.
+// deliver executes a request immediately, and delays or drops its response as drawn. If a duplicate
+// was drawn, it executes the request a second time after a delay.
 func deliver(sender, run context.Context, t transmission, send func() callResult) callResult {
 	if t.duplicate {
 		go sendAfter(run, t.requestDelay, send)
--- a/internal/soaktest/link_test.go
+++ b/internal/soaktest/link_test.go
@@ -38,13 +38,13 @@
 				return callResult{status: 200}
 			})
 			if result.failure != test.wantFailure {
-				t.Errorf("failure %v, want %v", result.failure, test.wantFailure)
+				t.Errorf("the sender got failure %v, want %v", result.failure, test.wantFailure)
 			}
 			for deadline := time.Now().Add(maxRequestDelay + time.Second); executed.Load() < test.wantExecuted && time.Now().Before(deadline); {
 				time.Sleep(10 * time.Millisecond)
 			}
 			if got := executed.Load(); got != test.wantExecuted {
-				t.Errorf("executed %d times, want %d", got, test.wantExecuted)
+				t.Errorf("the request was executed %d times, want %d", got, test.wantExecuted)
 			}
 		})
 	}
@@ -62,11 +62,11 @@
 		return callResult{}
 	})
 	if result.failure != failureTimeout {
-		t.Fatalf("failure %v, want %v", result.failure, failureTimeout)
+		t.Fatalf("the sender got failure %v, want %v", result.failure, failureTimeout)
 	}
 	select {
 	case <-executed:
-		t.Fatal("executed during the partition")
+		t.Fatal("the request was executed during the partition, want after it")
 	case <-time.After(50 * time.Millisecond):
 	}
 	l.setPartition(partitionNone)
--- a/internal/soaktest/links.go
+++ b/internal/soaktest/links.go
@@ -8,7 +8,7 @@
 	cloud      []*link   // from each controller
 	users      []*link   // from users to each controller
 	heartbeats []*link   // from workers to each controller
-	peers      [][]*link // from one controller to another
+	peers      [][]*link // peers[i][j] is from controller i to controller j
 }
 
 // newLinks returns the links of a run with a number of controllers. Each link has its own stream of
--- a/internal/soaktest/logs_test.go
+++ b/internal/soaktest/logs_test.go
@@ -62,7 +62,7 @@
 			slog.New(slog.NewTextHandler(&line, nil)).Info("machine state changed", "machine", "m-000001",
 				"to", inventory.MachineDecommissioning.String(), "reason", reason.String())
 			if got := isMachineLost(line.String()); got != want {
-				t.Errorf("machine lost: %t, want %t, by the line %s", got, want, line.String())
+				t.Errorf("isMachineLost returned %t, want %t, for the line %s", got, want, line.String())
 			}
 		})
 	}
--- a/internal/soaktest/options_test.go
+++ b/internal/soaktest/options_test.go
@@ -59,7 +59,7 @@
 				t.Fatal(err)
 			}
 			if settings.Node != controllerName(i) || len(settings.Siblings) != o.Controllers-1 || len(settings.Teams) != 2 {
-				t.Errorf("%+v", settings)
+				t.Errorf("settings %+v, want those of this controller with all others as siblings and 2 teams", settings)
 			}
 		}
 		if _, err := config.ParseTuning([]byte(operatorProperties(seed))); err != nil {
--- a/internal/soaktest/records.go
+++ b/internal/soaktest/records.go
@@ -8,7 +8,7 @@
 	"tamarindlead/internal/wire"
 )
 
-// adoptedPrefix is the prefix of the blocks by which owners adopt machines without a known owner.
+// adoptedPrefix is the prefix of the blocks by which owners adopt orphaned machines.
 const adoptedPrefix = record.BlockPrefix + "x-"
 
 // blockOwners are the machines and owners of all blocks.
--- a/internal/soaktest/records_test.go
+++ b/internal/soaktest/records_test.go
@@ -65,6 +65,6 @@
 	t.Helper()
 	body := wire.Encode(map[string]any{"writes": []any{map[string]any{"put": r.Key, "data": r.Value}}})
 	if response, _ := store.Handle("controller-0", "POST", "/commit", body, true); response.Status != wire.StatusOK {
-		t.Fatalf("the transaction got status %d", response.Status)
+		t.Fatalf("the transaction got status %d, want 200", response.Status)
 	}
 }
--- a/internal/soaktest/responses.go
+++ b/internal/soaktest/responses.go
@@ -87,7 +87,7 @@
 	c.checkPhase(history, o)
 }
 
-// handleInconclusive records a request without a response, or with a refusal that does not depend on
+// handleInconclusive records a request that got no response, or was refused for a reason other than
 // the job's state, such as an overload.
 func (c *checker) handleInconclusive(history *jobHistory, o operation) {
 	if o.status == 0 {
--- a/internal/soaktest/rules.go
+++ b/internal/soaktest/rules.go
@@ -20,7 +20,7 @@
 	// RuleRanCancelled is a task of a cancelled job that starts or runs after the cancellation deadline.
 	RuleRanCancelled Rule = "ran_cancelled"
 	// RuleForgotten is an accepted job that is reported as unknown or about which users get no response,
-	// or a valid submission that is rejected.
+	// or a valid submission that is refused permanently.
 	RuleForgotten Rule = "forgotten"
 	// RuleInvented is a job that is reported though nobody submitted it.
 	RuleInvented Rule = "invented"
@@ -66,7 +66,7 @@
 // Stats are the counts of a run.
 type Stats struct {
 	Jobs, Accepted, Done, Cancelled int
-	Responses, Refused, Unanswered  int // conclusive, inconclusive and missing responses
+	Responses, Refused, Unanswered  int // requests with a conclusive, an inconclusive and no response
 	Starts, StartsAfterCancel       int
 	Faults, Kills                   int
 	Unfinished                      int // accepted jobs without a response that shows a terminal state
--- a/internal/soaktest/run.go
+++ b/internal/soaktest/run.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	// warmUp is the time without faults at the start. Controllers that have just started do not
-	// confirm cancellations for 12 s.
+	// warmUp is the time without faults at the start. For 12 s after its start, a controller does not
+	// acknowledge cancellations.
 	warmUp = 13 * time.Second
 	// readyTimeout limits the time until the first controller accepts requests.
 	readyTimeout = time.Minute
--- a/internal/soaktest/run_test.go
+++ b/internal/soaktest/run_test.go
@@ -49,7 +49,8 @@
 	return binary
 }
 
-// runShortSoak executes a run, which must not be empty and must not violate any rule.
+// runShortSoak executes a run and checks that it violates no rule, and that jobs were accepted, users
+// got responses and tasks were started.
 func runShortSoak(t *testing.T, o Options) {
 	t.Helper()
 	o.Dir = t.TempDir()
@@ -64,7 +65,7 @@
 		t.Error(v)
 	}
 	if stats := result.Stats; stats.Accepted == 0 || stats.Responses == 0 || stats.Starts == 0 {
-		t.Errorf("empty run: %+v", stats)
+		t.Errorf("stats %+v, want accepted jobs, conclusive responses and started tasks", stats)
 	}
 	if t.Failed() {
 		t.Log(progress.String())
--- a/internal/soaktest/server.go
+++ b/internal/soaktest/server.go
@@ -21,8 +21,8 @@
 // discardLog discards what the standard library's servers log about closed connections.
 var discardLog = log.New(io.Discard, "", 0)
 
-// linkServer listens at an address at which a fake can be reached over a link. It uses the standard
-// library's HTTP server, which is independent of the controller's.
+// linkServer listens at one address and passes each request over a link to a fake or to another
+// controller. It uses the standard library's HTTP server, which is independent of the controller's.
 type linkServer struct {
 	addr    string
 	link    *link
@@ -33,7 +33,7 @@
 	server *http.Server // nil while connections are refused
 }
 
-// inboundRequest is a request that has reached a fake.
+// inboundRequest is a request that a linkServer has received.
 type inboundRequest struct {
 	method, target string
 	body           []byte
--- a/internal/soaktest/users.go
+++ b/internal/soaktest/users.go
@@ -44,7 +44,7 @@
 	history *jobHistory
 }
 
-// submitJobs starts users at the rate of the options until load ends.
+// submitJobs starts users at the rate of the options until the context load ends.
 func (h *harness) submitJobs(load context.Context) {
 	rng := newRandom(h.options.Seed, streamJobs)
 	for n := 1; ; n++ {
