--- a/internal/soaktest/responses.go
+++ b/internal/soaktest/responses.go
@@ -87,7 +87,7 @@
 	c.checkPhase(history, o)
 }
 
-// handleInconclusive records a request without a response, or with a refusal that does not depend on
+// handleInconclusive records a request that got no response, or was refused for a reason other than
 // the job's state, such as an overload.
 func (c *checker) handleInconclusive(history *jobHistory, o operation) {
 	if o.status == 0 {
@@ -144,12 +144,12 @@
 			o.phase, o.kind, controllerName(o.controller), sinceStart(o.sentAt), sinceStart(o.respondedAt))
 	}
 	if history.terminalPhase == "" && isTerminal(o.phase) {
-		c.handleTermination(history, o)
+		c.handleTerminalState(history, o)
 	}
 }
 
-// handleTermination records and checks the first response that shows a terminal state of a job.
-func (c *checker) handleTermination(history *jobHistory, o operation) {
+// handleTerminalState records and checks the first response that shows a terminal state of a job.
+func (c *checker) handleTerminalState(history *jobHistory, o operation) {
 	history.terminalPhase, history.terminalAt, history.stallTimeAtTerminal = o.phase, o.respondedAt, c.stallTime
 	if o.phase == wire.JobDone {
 		c.stats.Done++
