--- a/internal/fleet/cloud_list.go
+++ b/internal/fleet/cloud_list.go
@@ -129,9 +129,9 @@
 	m.Endpoint = cmp.Or(m.Endpoint, entry.Endpoint)
 }
 
-// isOrphaned reports whether a listed machine has no owner and this owner must adopt it. The list may be out of date by twice
-// its usual lag and still show machines that another owner has terminated, so a machine must stay
-// listed for longer than that.
+// isOrphaned reports whether a listed machine has no owner and this owner must adopt it. The list
+// may be out of date by twice its usual lag and still show machines that another owner has
+// terminated, so a machine must stay listed for longer than that.
 func (f *Fleet) isOrphaned(name string) bool {
 	if f.IsRecentlyTerminated(name) || f.IsOwnedElsewhere(name) || f.ownership.IsClaimedByPeer(name) ||
 		!f.ownership.AdoptsOrphans() {
--- a/internal/soaktest/run_test.go
+++ b/internal/soaktest/run_test.go
@@ -11,7 +11,7 @@
 )
 
 // shortSeeds are the seeds of the short runs with faults. All are odd, so that teams.spread is off and
-// each team has one owner at a time.
+// all teams are assigned to one controller.
 var shortSeeds = []uint64{1, 5}
 
 // TestShortSoak executes short runs with real processes. It checks that no rule is violated, and that
--- a/internal/soaktest/settings.go
+++ b/internal/soaktest/settings.go
@@ -39,8 +39,9 @@
 	return b.String()
 }
 
-// operatorProperties returns the operators' properties file. In runs with an even seed, teams.spread is
-// on, and a team can have several owners.
+// operatorProperties returns the operators' properties file, which is the same for all controllers.
+// In runs with an even seed, teams.spread is on: the teams are assigned to several controllers
+// instead of all to one. Each team has one owner in either case.
 func operatorProperties(seed uint64) string {
 	return fmt.Sprintf("teams.spread = %t\n", seed%2 == 0)
 }
